--- /dev/null
+++ b/crates/config/tests/bytes.rs
@@ -0,0 +1,43 @@
+//! The text of the file that one process leaves to the next, compared with what is written down here, and the hashes that go into it.
+
+use basaltgw::api::{GroupId, ObjectId, ServerId};
+use basaltgw::hash::{address, mix};
+use basaltgw::rules::carry::{Learnt, LearntServer};
+use basaltgw_config::learnt::{read, write};
+use std::sync::Arc;
+
+const WRITTEN: &str = concat!(
+    "basaltgw-learnt 1 2f85c323d6d3d5d6\n",
+    r#"{"purges":[{"age_ms":2000.0,"group":null,"object":"18446744073709551615"},"#,
+    r#"{"age_ms":3000.0,"group":7,"object":null}],"#,
+    r#""sending":[{"answers":20,"class":"pages","ms":310.0}],"#,
+    r#""servers":[{"cold_for_ms":1000.0,"cut":-0.5,"id":"s-1","lag":0.25,"listed_start_ms":5000.0,"out":true},"#,
+    r#"{"cold_for_ms":null,"cut":-0.5,"id":"s-2","lag":null,"listed_start_ms":5000.0,"out":false}],"#,
+    r#""written_ms":10000.0}"#,
+    "\n"
+);
+
+#[test]
+fn the_file_has_the_text_written_down() {
+    let server = |id: &str, out, lag, cold_since| LearntServer {
+        id: ServerId(Arc::from(id)),
+        listed_start: Some(5000.0),
+        cut: -0.5,
+        lag,
+        out,
+        cold_since,
+    };
+    let learnt = Learnt {
+        servers: vec![server("s-1", true, Some(0.25), Some(9000.0)), server("s-2", false, None, None)],
+        sending: vec![("pages".into(), 310.0, 20)],
+        purges: vec![(Some(ObjectId(u64::MAX)), None, 8000.0), (None, Some(GroupId(7)), 7000.0)],
+    };
+    assert_eq!(write(&learnt, 10_000.0), WRITTEN);
+    assert_eq!(read(WRITTEN, 12_000.0, 5000.0), Ok(learnt));
+}
+
+#[test]
+fn hashes_that_routers_share_are_the_ones_written_down() {
+    assert_eq!(format!("{:016x}", address("127.0.0.1:7000")), "91dfcee94b15723b");
+    assert_eq!(format!("{:016x}", mix(1, 2)), "beeb8da1658eec67");
+}
--- a/crates/control/src/control/commit.rs
+++ b/crates/control/src/control/commit.rs
@@ -81,7 +81,7 @@
         self.batches.is_empty() && self.kept.is_empty() && self.gone.is_empty() && self.adopted.is_none()
     }
 
-    fn writes(&mut self) -> Vec<Write> {
+    pub(super) fn writes(&mut self) -> Vec<Write> {
         let mut writes = Vec::new();
         let adopted = self.adopted.as_ref().and_then(|a| postcard::to_stdvec(a).ok());
         writes.extend(adopted.map(|a| Write::Put(ADOPTED, Vec::new(), a)));
--- a/crates/control/src/control/mod.rs
+++ b/crates/control/src/control/mod.rs
@@ -4,6 +4,8 @@
 //! commit is said only when that is reported as done.
 
 mod act;
+#[cfg(test)]
+mod byte_tests;
 mod commit;
 mod hear;
 mod out;
--- a/crates/holds/src/disk.rs
+++ b/crates/holds/src/disk.rs
@@ -206,7 +206,7 @@
 }
 
 /// The key of a register's record.
-fn record_key(key: &HoldKey) -> Option<Vec<u8>> {
+pub(crate) fn record_key(key: &HoldKey) -> Option<Vec<u8>> {
     let mut bytes = vec![REGISTER];
     bytes.extend(encode(key)?);
     Some(bytes)
--- a/crates/holds/src/lib.rs
+++ b/crates/holds/src/lib.rs
@@ -7,6 +7,8 @@
 #![warn(missing_docs)]
 
 mod acceptor;
+#[cfg(test)]
+mod byte_tests;
 mod counters;
 mod disk;
 mod ends;
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -4,6 +4,8 @@
 //! A full ring refuses at once and blocks nobody. What must last goes owner -> copies (-> peers) -> owner before it is said. A thread that ends
 //! ends the process.
 
+#[cfg(test)]
+mod byte_tests;
 pub mod copies;
 pub mod gather;
 pub mod overlay;
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -15,6 +15,8 @@
 
 mod ask;
 mod broken;
+#[cfg(test)]
+mod byte_tests;
 mod compare;
 mod counters;
 mod fetch;
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -6,6 +6,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+#[cfg(test)]
+mod byte_tests;
 mod codec;
 mod counts;
 mod hub;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -9,6 +9,8 @@
 mod adoption;
 mod ast;
 mod body;
+#[cfg(test)]
+mod byte_tests;
 mod check;
 mod compile;
 mod explain;
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -27,6 +27,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+#[cfg(test)]
+mod byte_tests;
 mod evidence;
 mod life;
 mod roster;
