--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -4,7 +4,7 @@
     overlay, sizes as overlay_sizes, standing, Overlay, OverlayFile, Standing, StandingFile,
 };
 use crate::yaml::{BadFile, Document};
-use basaltgw_ids::{Domain, RouterId};
+use basaltgw_types::{Domain, RouterId};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Read;
@@ -189,8 +189,9 @@
 /// Checks what the schema can't say, and reads the rules.
 pub(crate) fn fleet(document: &Document, of: FleetFile) -> Result<Fleet, BadFile> {
     let at = |key: &str| format!("/fleet/{key}");
-    let name =
-        |key: &str, text: &str| basaltgw_ids::name(text).map_err(|e| document.fault(&at(key), e.to_string()));
+    let name = |key: &str, text: &str| {
+        basaltgw_types::name(text).map_err(|e| document.fault(&at(key), e.to_string()))
+    };
     let address = |key: &str, text: &str| {
         let found = text.parse::<SocketAddr>().ok();
         // Others have to reach it by what is written here.
--- a/crates/config/src/overlay.rs
+++ b/crates/config/src/overlay.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Fleet;
 use crate::yaml::{BadFile, Document};
-use basaltgw_ids::{Domain, Ms};
+use basaltgw_types::{Domain, Ms};
 use serde::Deserialize;
 use std::sync::Arc;
 
@@ -115,7 +115,7 @@
 ) -> Result<Standing, BadFile> {
     let name = |key: &str, text: Option<String>, usual: &Arc<str>| match text {
         Some(text) => {
-            basaltgw_ids::name(&text).map_err(|e| document.fault(&format!("{at}/{key}"), e.to_string()))
+            basaltgw_types::name(&text).map_err(|e| document.fault(&format!("{at}/{key}"), e.to_string()))
         }
         None => Ok(Arc::clone(usual)),
     };
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -1,11 +1,11 @@
 //! What goes into a router's control part, and what comes out.
 
-use basaltgw_gather as gather;
-use basaltgw_holds::{AskNo, Change, HoldKey, Verdict};
-use basaltgw_ids::link::{Hello, Lane, Why};
-use basaltgw_ids::{Member, Ms, RouterId, TableHash, TableVersion};
-use basaltgw_roster as roster;
+use basaltgw_membership as roster;
+use basaltgw_registers::{AskNo, Change, HoldKey, Verdict};
+use basaltgw_scatter_gather as gather;
 use basaltgw_storage::Write;
+use basaltgw_types::link::{Hello, Lane, Why};
+use basaltgw_types::{Member, Ms, RouterId, TableHash, TableVersion};
 use std::sync::Arc;
 
 use crate::gathers::Policies;
--- a/crates/control/src/control/act.rs
+++ b/crates/control/src/control/act.rs
@@ -5,12 +5,12 @@
 use crate::gathers::policies;
 use crate::table::Step;
 use crate::words::Word;
-use basaltgw_gather as gather;
-use basaltgw_holds as holds;
-use basaltgw_holds::{AskNo, Change, Hold, HoldKey, Verdict};
-use basaltgw_ids::link::Lane;
-use basaltgw_ids::Ms;
-use basaltgw_roster as roster;
+use basaltgw_membership as roster;
+use basaltgw_registers as holds;
+use basaltgw_registers::{AskNo, Change, Hold, HoldKey, Verdict};
+use basaltgw_scatter_gather as gather;
+use basaltgw_types::link::Lane;
+use basaltgw_types::Ms;
 use std::sync::Arc;
 
 impl Control {
--- a/crates/control/src/control/byte_tests.rs
+++ b/crates/control/src/control/byte_tests.rs
@@ -3,7 +3,7 @@
 use super::commit::{read_adopted, read_purges, Commit, ADOPTED, HOLDS, PURGES};
 use super::{Purge, Record};
 use crate::words::Word;
-use basaltgw_holds::{HoldKey, Kind};
+use basaltgw_registers::{HoldKey, Kind};
 use basaltgw_storage::{Space, Write};
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/control/src/control/commit.rs
+++ b/crates/control/src/control/commit.rs
@@ -5,9 +5,9 @@
 use super::{Control, Purge, Purges, Record, Step};
 use crate::api::Action;
 use crate::purges::MOST_PURGES;
-use basaltgw_holds as holds;
-use basaltgw_ids::Ms;
+use basaltgw_registers as holds;
 use basaltgw_storage::{Space, Write};
+use basaltgw_types::Ms;
 use std::collections::BTreeSet;
 
 /// Where holds are on the disk.
--- a/crates/control/src/control/hear.rs
+++ b/crates/control/src/control/hear.rs
@@ -4,10 +4,10 @@
 use crate::api::Told;
 use crate::purges::Purge;
 use crate::words::{Word, PURGES_AT_ONCE};
-use basaltgw_holds as holds;
-use basaltgw_ids::link::{Hello, Lane, Why};
-use basaltgw_ids::{Member, Ms};
-use basaltgw_roster as roster;
+use basaltgw_membership as roster;
+use basaltgw_registers as holds;
+use basaltgw_types::link::{Hello, Lane, Why};
+use basaltgw_types::{Member, Ms};
 
 impl Control {
     pub(super) fn up(&mut self, now: Ms, hello: &Hello) {
--- a/crates/control/src/control/out.rs
+++ b/crates/control/src/control/out.rs
@@ -4,8 +4,8 @@
 use crate::api::{Action, Told};
 use crate::purges::Purge;
 use crate::words::Word;
-use basaltgw_ids::link::Lane;
-use basaltgw_ids::{Group, Member, Ms};
+use basaltgw_types::link::Lane;
+use basaltgw_types::{Group, Member, Ms};
 use std::cmp::Reverse;
 use std::fmt::Write as _;
 
--- a/crates/control/src/control/standing.rs
+++ b/crates/control/src/control/standing.rs
@@ -7,10 +7,10 @@
 use super::Control;
 use crate::api::Action;
 use crate::words::Word;
-use basaltgw_holds as holds;
-use basaltgw_ids::link::{Hello, Lane, Why};
-use basaltgw_ids::{Member, Ms, RouterId, TableHash, TableVersion};
 use basaltgw_overlay as overlay;
+use basaltgw_registers as holds;
+use basaltgw_types::link::{Hello, Lane, Why};
+use basaltgw_types::{Member, Ms, RouterId, TableHash, TableVersion};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write as _;
 
--- a/crates/control/src/gathers.rs
+++ b/crates/control/src/gathers.rs
@@ -1,8 +1,8 @@
 //! The policies by which gathers go: a table's rules of gathers as the decisions take them.
 
-use basaltgw_gather::{Missing, PartNo, Policy};
 use basaltgw_placement as placement;
 use basaltgw_placement::{GatherRule, Table};
+use basaltgw_scatter_gather::{Missing, PartNo, Policy};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
 //! The control part of a router of a fleet: what it has heard of others, what is held for them, which table it goes by, which purges it
 //! knows; who is told, asked again, waited for. Decided without I/O and without a clock: state and events in, words, commits and timers out.
 //!
-//! One entry, [`Control::handle`]. What carries it (`crates/node`'s copies' thread, the hollow routers of `crates/hollow`) brings what links,
+//! One entry, [`Control::handle`]. What carries it (`crates/node`'s copies' thread, the hollow routers of `crates/fleet_simulation`) brings what links,
 //! owner and disk say, and does what comes out, in its order. Nothing that has to last is said before its commit is reported as done.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/control/src/purges.rs
+++ b/crates/control/src/purges.rs
@@ -1,7 +1,7 @@
 //! Purges that some router has heard and that have not settled: what a router that starts anew has to heed, also where discovery is down.
 
-use basaltgw_holds::{Change, Hold, HoldKey, Kind};
-use basaltgw_ids::Ms;
+use basaltgw_registers::{Change, Hold, HoldKey, Kind};
+use basaltgw_types::Ms;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/control/src/table/mod.rs
+++ b/crates/control/src/table/mod.rs
@@ -1,15 +1,15 @@
 //! The table's owner: founding, learning, and every change of who keeps what. It decides nothing itself: `crates/placement` makes tables and
-//! says what comes next, the table's register (`crates/holds`) says what was adopted; here it is seen that an offer is due.
+//! says what comes next, the table's register (`crates/registers`) says what was adopted; here it is seen that an offer is due.
 
 mod offers;
 mod ring;
 
 use crate::words::Word;
-use basaltgw_holds::{Change, Hold, HoldKey, Kind, Verdict};
-use basaltgw_ids::link::Hello;
-use basaltgw_ids::{Domain, Member, Ms, RouterId, ShardMap, TableHash, TableVersion};
+use basaltgw_membership::Presence;
 use basaltgw_placement::{compile, Action, Adoption, Ended, Event, Inventory, Register, RouterEntry, Table};
-use basaltgw_roster::Presence;
+use basaltgw_registers::{Change, Hold, HoldKey, Kind, Verdict};
+use basaltgw_types::link::Hello;
+use basaltgw_types::{Domain, Member, Ms, RouterId, ShardMap, TableHash, TableVersion};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/control/src/table/offers.rs
+++ b/crates/control/src/table/offers.rs
@@ -2,8 +2,8 @@
 
 use super::{Step, TableKeeper};
 use crate::words::Word;
-use basaltgw_ids::{Member, Ms};
 use basaltgw_placement::{moves, Event, Offer, OfferNo, Refused, Register, Stage, Table};
+use basaltgw_types::{Member, Ms};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
--- a/crates/control/src/table/ring.rs
+++ b/crates/control/src/table/ring.rs
@@ -3,8 +3,8 @@
 
 use super::{Step, TableKeeper};
 use crate::words::Word;
-use basaltgw_ids::{Member, Ms, RouterId};
 use basaltgw_placement::Register;
+use basaltgw_types::{Member, Ms, RouterId};
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
--- a/crates/control/src/words.rs
+++ b/crates/control/src/words.rs
@@ -1,7 +1,7 @@
 //! What the control parts of two routers say to each other besides holds and membership.
 
 use super::purges::Purge;
-use basaltgw_holds::HoldKey;
+use basaltgw_registers::HoldKey;
 use serde::{Deserialize, Serialize};
 
 /// Purges in one message.
--- a/crates/control/tests/control/bytes.rs
+++ b/crates/control/tests/control/bytes.rs
@@ -3,7 +3,7 @@
 use crate::net::{hello, member, overlay, parts, Disk, Net};
 use basaltgw_control::words::Word;
 use basaltgw_control::{Control, Event, Parts, Purge, Question};
-use basaltgw_ids::link::{Lane, Why};
+use basaltgw_types::link::{Lane, Why};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/control/tests/control/commits.rs
+++ b/crates/control/tests/control/commits.rs
@@ -3,9 +3,9 @@
 use crate::net::{hello, member, parts, write, Disk, Net};
 use basaltgw_control::words::Word;
 use basaltgw_control::{Action, Control, Event, Purge, Question, Told, ADOPTED, PURGES};
-use basaltgw_holds::{Change, Hold, HoldKey, Kind, Verdict};
-use basaltgw_ids::link::Lane;
+use basaltgw_registers::{Change, Hold, HoldKey, Kind, Verdict};
 use basaltgw_storage::Write;
+use basaltgw_types::link::Lane;
 use std::collections::BTreeMap;
 
 fn effect(name: u128) -> HoldKey {
--- a/crates/control/tests/control/founding.rs
+++ b/crates/control/tests/control/founding.rs
@@ -2,7 +2,7 @@
 
 use crate::net::{parts, Disk, Net};
 use basaltgw_control::{Action, Control, Event, Question, Told};
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/control/tests/control/lost.rs
+++ b/crates/control/tests/control/lost.rs
@@ -2,8 +2,8 @@
 
 use crate::net::{member, Disk, Net};
 use basaltgw_control::Event;
-use basaltgw_holds::{Change, Hold, HoldKey, Kind, Verdict};
-use basaltgw_ids::link::Why;
+use basaltgw_registers::{Change, Hold, HoldKey, Kind, Verdict};
+use basaltgw_types::link::Why;
 
 fn key(name: u128) -> HoldKey {
     HoldKey { kind: Kind::Effect, name }
--- a/crates/control/tests/control/net/mod.rs
+++ b/crates/control/tests/control/net/mod.rs
@@ -2,10 +2,10 @@
 
 use basaltgw_control::words::Word;
 use basaltgw_control::{Action, Control, Event, Parts, Question, Told};
-use basaltgw_holds::{AskNo, Change, HoldKey, Verdict};
-use basaltgw_ids::link::{Hello, Lane, Why, PROTOCOL};
-use basaltgw_ids::{Domain, Incarnation, Member, Ms, RouterId, TableHash, TableVersion};
+use basaltgw_registers::{AskNo, Change, HoldKey, Verdict};
 use basaltgw_storage::Write;
+use basaltgw_types::link::{Hello, Lane, Why, PROTOCOL};
+use basaltgw_types::{Domain, Incarnation, Member, Ms, RouterId, TableHash, TableVersion};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
--- a/crates/control/tests/control/net/overlay.rs
+++ b/crates/control/tests/control/net/overlay.rs
@@ -3,8 +3,8 @@
 use super::standing::WAITS;
 use super::{member, text, BATCH};
 use basaltgw_control::{OverlayParts, OverlayTimes};
-use basaltgw_ids::Ms;
 use basaltgw_overlay::{List, Listed, Shape};
+use basaltgw_types::Ms;
 
 /// The overlay of a router: routers are in regions in turn, each on a site of its own.
 pub fn overlay(
--- a/crates/control/tests/control/net/parts.rs
+++ b/crates/control/tests/control/net/parts.rs
@@ -3,8 +3,8 @@
 use super::{domain, member, Pairs, RULES, SETTLES};
 use basaltgw_control::{read_adopted, read_purges, Founder, Given, Parts, TableKeeper};
 use basaltgw_control::{ADOPTED, HOLDS, PURGES};
-use basaltgw_holds::{Holds, Settings as HoldSettings};
-use basaltgw_roster::{Presence, Roster, Settings as RosterSettings};
+use basaltgw_membership::{Presence, Roster, Settings as RosterSettings};
+use basaltgw_registers::{Holds, Settings as HoldSettings};
 
 /// Router `n` of a fleet of `of`, with what its disk has.
 pub fn parts(n: usize, of: usize, kept: &Pairs) -> Parts {
--- a/crates/control/tests/control/net/standing.rs
+++ b/crates/control/tests/control/net/standing.rs
@@ -2,8 +2,8 @@
 
 use super::{Disk, Net, SETTLES_FAR};
 use basaltgw_control::{Event, StandingLinks};
-use basaltgw_ids::link::Why;
-use basaltgw_ids::{Ms, RouterId};
+use basaltgw_types::link::Why;
+use basaltgw_types::{Ms, RouterId};
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::collections::{BTreeSet, VecDeque};
 
--- a/crates/control/tests/control/overlay.rs
+++ b/crates/control/tests/control/overlay.rs
@@ -3,7 +3,7 @@
 use crate::net::{member, Disk, Net, BATCH};
 use basaltgw_control::words::Word;
 use basaltgw_control::{Event, Purge, Question, Told};
-use basaltgw_ids::link::Lane;
+use basaltgw_types::link::Lane;
 
 /// Time in which a purge reaches all of a fleet at rest: its router waits up to 8 times 750 ms whether others say it; then batches at each
 /// of a few tiers, and what is fetched after.
--- a/crates/control/tests/control/standing.rs
+++ b/crates/control/tests/control/standing.rs
@@ -2,8 +2,8 @@
 
 use crate::net::{member, Net, IDLE};
 use basaltgw_control::{Event, Purge, Question, Told};
-use basaltgw_holds::{AskNo, Change, Hold, HoldKey, Kind, Outcome, Verdict};
-use basaltgw_ids::link::{Lane, Why};
+use basaltgw_registers::{AskNo, Change, Hold, HoldKey, Kind, Outcome, Verdict};
+use basaltgw_types::link::{Lane, Why};
 
 /// As in the tests of the overlay: time in which a purge reaches all of a fleet at rest.
 const REACHES: f64 = 8_000.0;
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -2,9 +2,9 @@
 
 use basaltgw::api::Listed;
 use basaltgw_hierarchy::{PlanSpec, Settings};
-use basaltgw_model::fleet::NodeInfo;
-use basaltgw_model::sim::{Setup, AIM_STRETCH};
-use basaltgw_model::spec::EffectSpec;
+use basaltgw_simulator::fleet::NodeInfo;
+use basaltgw_simulator::sim::{Setup, AIM_STRETCH};
+use basaltgw_simulator::spec::EffectSpec;
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -70,7 +70,8 @@
         })
         .collect();
     let rules = &setup.fleet.rules;
-    let of = |get: fn(&basaltgw_model::spec::ClassSpec) -> Value| classes.iter().map(get).collect::<Vec<_>>();
+    let of =
+        |get: fn(&basaltgw_simulator::spec::ClassSpec) -> Value| classes.iter().map(get).collect::<Vec<_>>();
     let areas: Vec<String> = (0..=setup.fleet.zones).map(area).collect();
     json!({
         "name": format!("router-{number}"), "listen": "127.0.0.1:0", "seed": format!("{:x}", setup.seed + number as u64),
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// A kind of fault, by its place in the shared file; `basaltgw_faults::control` has the same order.
+/// A kind of fault, by its place in the shared file; `basaltgw_fault_injection::control` has the same order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
     /// Milliseconds by which the wall clock is stepped, signed; hits are readings of a stepped clock.
@@ -47,7 +47,7 @@
 /// Bytes of a number in the file.
 const WIDTH: u64 = 8;
 /// The library's file name.
-const LIBRARY: &str = "libbasaltgw_faults.so";
+const LIBRARY: &str = "libbasaltgw_fault_injection.so";
 
 /// The faults of one router process.
 #[derive(Debug)]
@@ -102,7 +102,7 @@
     }
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut build = Command::new(cargo);
-    build.args(["build", "--locked", "--package", "basaltgw-faults"]);
+    build.args(["build", "--locked", "--package", "basaltgw-fault-injection"]);
     build.arg("--manifest-path").arg(concat!(env!("CARGO_MANIFEST_DIR"), "/../../Cargo.toml"));
     if folders.iter().any(|folder| folder.ends_with("release")) {
         build.arg("--release");
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -3,8 +3,8 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use basaltgw_model::fleet::NodeIx;
 use basaltgw_resp::{encode, Bounds, Decoder};
+use basaltgw_simulator::fleet::NodeIx;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/emulator/src/rig/faults.rs
+++ b/crates/emulator/src/rig/faults.rs
@@ -4,7 +4,7 @@
 
 use super::relay::Once;
 use super::Rig;
-use basaltgw_model::{draw, rng};
+use basaltgw_simulator::{draw, rng};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/emulator/src/rig/load.rs
+++ b/crates/emulator/src/rig/load.rs
@@ -2,7 +2,7 @@
 //! again through another router.
 
 use super::{About, Ask, Caller, Final, History, Rig};
-use basaltgw_model::{draw, rng, Rng};
+use basaltgw_simulator::{draw, rng, Rng};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/emulator/src/rig/relay.rs
+++ b/crates/emulator/src/rig/relay.rs
@@ -7,7 +7,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use basaltgw_model::{draw, rng, Rng};
+use basaltgw_simulator::{draw, rng, Rng};
 use event_listener::Event;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use rustix::net::sockopt::set_socket_linger;
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -14,13 +14,13 @@
 use async_io::Timer;
 use basaltgw::api::{End, Listed, Note, Rank};
 use basaltgw_hierarchy::{FillKey, NodeId, Plan, PlanSpec};
-use basaltgw_model::arrivals::{object as object_of, Arrival, Arrivals};
-use basaltgw_model::checker::{Checker, Final, Ran, Rule, Seen};
-use basaltgw_model::fleet::{nodes, Ask, AskId, Counts, Fleet, NodeInfo, NodeIx, Reply, Told, Trouble};
-use basaltgw_model::sim::{plan, Setup, AIM_STRETCH};
-use basaltgw_model::spec::{EffectSpec, Rules, What};
-use basaltgw_model::{rng, Ms, Rng};
 use basaltgw_resp::{encode, FieldList, Fields};
+use basaltgw_simulator::arrivals::{object as object_of, Arrival, Arrivals};
+use basaltgw_simulator::checker::{Checker, Final, Ran, Rule, Seen};
+use basaltgw_simulator::fleet::{nodes, Ask, AskId, Counts, Fleet, NodeInfo, NodeIx, Reply, Told, Trouble};
+use basaltgw_simulator::sim::{plan, Setup, AIM_STRETCH};
+use basaltgw_simulator::spec::{EffectSpec, Rules, What};
+use basaltgw_simulator::{rng, Ms, Rng};
 use futures_lite::future;
 use hdrhistogram::Histogram;
 use serde_json::Value;
@@ -267,7 +267,7 @@
     }
 
     fn between(&mut self, [least, most]: [f64; 2]) -> Ms {
-        use basaltgw_model::draw;
+        use basaltgw_simulator::draw;
         least + (most - least).max(0.0) * draw(&mut self.rng)
     }
 
--- a/crates/lab/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -1,10 +1,10 @@
-//! The control part's slopes: the real control parts of many routers in simulated time (`crates/hollow`), one axis at a time.
+//! The control part's slopes: the real control parts of many routers in simulated time (`crates/fleet_simulation`), one axis at a time.
 
 use super::meter::grown;
 use super::row::{Kind, Row};
 use super::side_by_side;
-use basaltgw_hollow::run::{Figures, Kind as Runs, Setup};
-use basaltgw_hollow::world::Log;
+use basaltgw_fleet_simulation::run::{Figures, Kind as Runs, Setup};
+use basaltgw_fleet_simulation::world::Log;
 use serde::Deserialize;
 
 /// Sizes at which the control part is measured.
--- a/crates/lab/src/capacity/data/cold.rs
+++ b/crates/experiments/src/capacity/data/cold.rs
@@ -6,7 +6,7 @@
 use basaltgw::api::*;
 use basaltgw::hash::{mix, unit};
 use basaltgw::rules::Router;
-use basaltgw_model::{draw, rng, Rng};
+use basaltgw_simulator::{draw, rng, Rng};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/lab/src/capacity/data/decisions.rs
+++ b/crates/experiments/src/capacity/data/decisions.rs
@@ -6,7 +6,7 @@
 use crate::capacity::meter::{least, taken, timed};
 use crate::capacity::row::{Kind, Row};
 use basaltgw::rules::SHADOW_ENTRIES;
-use basaltgw_model::rng;
+use basaltgw_simulator::rng;
 
 /// Batches of which the least counts.
 const BATCHES: usize = 5;
--- a/crates/lab/src/capacity/data/tables.rs
+++ b/crates/experiments/src/capacity/data/tables.rs
@@ -7,7 +7,7 @@
 use crate::capacity::row::{Kind, Row};
 use basaltgw::api::*;
 use basaltgw::rules::{Router, SHADOW_ENTRIES};
-use basaltgw_model::{draw, rng};
+use basaltgw_simulator::{draw, rng};
 
 /// Repetitions of which the least counts.
 const TIMES: usize = 7;
--- a/crates/lab/src/capacity/fit_tests.rs
+++ b/crates/experiments/src/capacity/fit_tests.rs
@@ -1,7 +1,7 @@
 //! Curves: each form is found again through noise, and what is no curve is said to be none.
 
 use super::fit::{fit, Fit, Form, FAR, RECKON};
-use basaltgw_model::{draw, rng};
+use basaltgw_simulator::{draw, rng};
 
 const PLACES: [f64; 7] = [50.0, 100.0, 200.0, 400.0, 800.0, 1100.0, 1600.0];
 
--- a/crates/lab/src/capacity/overlay.rs
+++ b/crates/experiments/src/capacity/overlay.rs
@@ -1,4 +1,4 @@
-//! The overlay's slopes, in simulated time: routers with links to a few others (`crates/hollow`, `crates/overlay`), one axis at a time, and
+//! The overlay's slopes, in simulated time: routers with links to a few others (`crates/fleet_simulation`, `crates/overlay`), one axis at a time, and
 //! scripted troubles ([`troubles`]).
 
 use super::control::{named, Named};
@@ -6,8 +6,8 @@
 use super::row::{Kind, Row};
 use super::side_by_side;
 use super::troubles::{self, Wrong};
-use basaltgw_hollow::run::Setup;
-use basaltgw_hollow::world::Log;
+use basaltgw_fleet_simulation::run::Setup;
+use basaltgw_fleet_simulation::world::Log;
 use serde::Deserialize;
 
 /// Seconds of an hour.
--- a/crates/lab/src/capacity/overlay_tests.rs
+++ b/crates/experiments/src/capacity/overlay_tests.rs
@@ -2,8 +2,8 @@
 
 use super::overlay::{setup, Sizes};
 use super::troubles::{apart, happened, script, struck, Wrong};
-use basaltgw_hollow::run::run;
-use basaltgw_hollow::trouble::What;
+use basaltgw_fleet_simulation::run::run;
+use basaltgw_fleet_simulation::trouble::What;
 
 const SIZES: &str = r#"{"routers": [60], "purges": [10], "purges_routers": 60, "seconds": 4, "losses": [1],
     "places": {"usual": {"sites": 9, "zones": 6, "regions": 3}, "sites": [9], "zones": [6], "regions": [3]}, "keepalive_ms": 1250, "silent_ms": 4000,
--- a/crates/lab/src/capacity/side_by_side.rs
+++ b/crates/experiments/src/capacity/side_by_side.rs
@@ -2,7 +2,7 @@
 //! processor times grow where threads share a core's caches and units, which is why the load is told with them.
 
 use super::row::{Kind, Row};
-use basaltgw_hollow::run::{run, Figures, Setup};
+use basaltgw_fleet_simulation::run::{run, Figures, Setup};
 use rayon::iter::{ParallelBridge, ParallelIterator};
 use std::cmp::Reverse;
 
--- a/crates/lab/src/capacity/side_by_side_tests.rs
+++ b/crates/experiments/src/capacity/side_by_side_tests.rs
@@ -2,7 +2,7 @@
 
 use super::meter::grown;
 use super::side_by_side::all;
-use basaltgw_hollow::run::{run, Setup};
+use basaltgw_fleet_simulation::run::{run, Setup};
 
 #[test]
 fn runs_side_by_side_are_the_same_as_one_after_the_other() {
@@ -17,7 +17,9 @@
     assert!(alone.iter().all(|f| f.flat["state_bytes_most"] > 1_000.0));
     assert!(alone[0] != alone[1]);
     assert_eq!(all(&setups).expect("runs"), alone);
-    let bad =
-        Setup { shape: basaltgw_hollow::fleet::Shape { routers: 0, ..setups[0].shape.clone() }, ..one(1) };
+    let bad = Setup {
+        shape: basaltgw_fleet_simulation::fleet::Shape { routers: 0, ..setups[0].shape.clone() },
+        ..one(1)
+    };
     assert!(all(&[one(1), bad]).is_err());
 }
--- a/crates/lab/src/capacity/troubles.rs
+++ b/crates/experiments/src/capacity/troubles.rs
@@ -2,12 +2,12 @@
 
 use super::control::figure;
 use super::row::{Kind, Row};
-use basaltgw_hollow::fleet::{Fleet, Part, Shape};
-use basaltgw_hollow::links::Ways;
-use basaltgw_hollow::run::{Figures, Setup};
-use basaltgw_hollow::sparse::{list, SparseSettings};
-use basaltgw_hollow::trouble::{Trouble, What};
-use basaltgw_hollow::{micros, No};
+use basaltgw_fleet_simulation::fleet::{Fleet, Part, Shape};
+use basaltgw_fleet_simulation::links::Ways;
+use basaltgw_fleet_simulation::run::{Figures, Setup};
+use basaltgw_fleet_simulation::sparse::{list, SparseSettings};
+use basaltgw_fleet_simulation::trouble::{Trouble, What};
+use basaltgw_fleet_simulation::{micros, No};
 use serde::Deserialize;
 
 /// Troubles of different kinds, by number: nothing goes along this axis, so there are no curves.
--- a/crates/lab/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -1,8 +1,8 @@
 //! An experiment's file: fleet, load, script, the runs to compare, and what must hold.
 
 use basaltgw_config::yaml::{schema, BadFile, Document};
-use basaltgw_model::sim::Setup;
-use basaltgw_model::spec::{FleetSpec, LoadSpec, Moment, PlanShape, What};
+use basaltgw_simulator::sim::Setup;
+use basaltgw_simulator::spec::{FleetSpec, LoadSpec, Moment, PlanShape, What};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -169,7 +169,7 @@
             if let Some(plan) = m.plan.as_ref().filter(|p| !experiment.plans.iter().any(|s| s.name == **p)) {
                 return Err(document.fault(&format!("/script/{i}/plan"), format!("unknown plan {plan:?}")));
             }
-            let known = basaltgw_model::fleet::nodes(&experiment.fleet);
+            let known = basaltgw_simulator::fleet::nodes(&experiment.fleet);
             for (key, name) in [("node", &m.node), ("to", &m.to)] {
                 if let Some(name) = name.as_ref().filter(|n| !known.iter().any(|k| k.name == **n)) {
                     return Err(
@@ -274,9 +274,9 @@
         let (one, ten) = (e.setup(Variant::Described, 1, 1), e.setup(Variant::Described, 10, 1));
         assert_eq!(ten.fleet.zones, one.fleet.zones * 10);
         assert_eq!(ten.fleet.spare_districts, one.fleet.spare_districts);
-        let nodes = basaltgw_model::fleet::nodes(&ten.fleet);
+        let nodes = basaltgw_simulator::fleet::nodes(&ten.fleet);
         for p in &ten.plans {
-            basaltgw_hierarchy::Plan::check(basaltgw_model::sim::plan(p, 1, &nodes)).expect("a plan");
+            basaltgw_hierarchy::Plan::check(basaltgw_simulator::sim::plan(p, 1, &nodes)).expect("a plan");
         }
         for name in ten.script.iter().filter_map(|m| m.node.as_ref()) {
             assert!(nodes.iter().any(|n| n.name == *name), "{name}");
--- a/crates/lab/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,4 +1,4 @@
-//! basaltgw-lab: experiments on a fleet of this repository's own.
+//! basaltgw-experiments: experiments on a fleet of this repository's own.
 #![forbid(unsafe_code)]
 
 mod capacity;
@@ -16,9 +16,9 @@
 use std::process::ExitCode;
 
 const HELP: &str = "\
-basaltgw-lab: experiments on an emulated fleet
+basaltgw-experiments: experiments on an emulated fleet
 
-Usage: basaltgw-lab COMMAND
+Usage: basaltgw-experiments COMMAND
 
 Commands:
   list                   the experiments that the program brings along
@@ -120,7 +120,7 @@
         .format_timestamp(None)
         .init();
     let bad = |e: String| {
-        eprintln!("basaltgw-lab: {e}");
+        eprintln!("basaltgw-experiments: {e}");
         ExitCode::from(2)
     };
     match command() {
--- a/crates/lab/src/out.rs
+++ b/crates/experiments/src/out.rs
@@ -107,7 +107,7 @@
         .collect();
     files.sort();
     let mut page = String::from(
-        "<!doctype html><meta charset=utf-8><title>basaltgw-lab</title><style>body{font:14px sans-serif;margin:2em}\
+        "<!doctype html><meta charset=utf-8><title>basaltgw-experiments</title><style>body{font:14px sans-serif;margin:2em}\
          table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:2px 6px;text-align:right}</style>\n",
     );
     for path in files {
--- a/crates/lab/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -7,7 +7,7 @@
 use crate::runs::binary;
 use basaltgw_config::yaml::{schema, BadFile, Document};
 use basaltgw_emulator::{run_soak, SoakReport, Sockets};
-use basaltgw_model::spec::{FleetSpec, LoadSpec};
+use basaltgw_simulator::spec::{FleetSpec, LoadSpec};
 use serde::Deserialize;
 use std::fmt::Write;
 use std::ops::RangeInclusive;
@@ -285,7 +285,7 @@
                 if !faults.is_empty() {
                     faults.iter().for_each(|f| println!("      {f}"));
                     let quick = if asked.quick { " --quick" } else { "" };
-                    println!("      again: basaltgw-lab run {name}{quick} --seed {seed}");
+                    println!("      again: basaltgw-experiments run {name}{quick} --seed {seed}");
                 }
                 done.0.push(played);
             }
--- a/crates/lab/src/soak/draw.rs
+++ b/crates/experiments/src/soak/draw.rs
@@ -3,9 +3,9 @@
 use super::Size;
 use basaltgw_emulator::faults::Fault;
 use basaltgw_emulator::{Planned, SoakFault, SoakLimits};
-use basaltgw_model::sim::Setup;
-use basaltgw_model::spec::{FleetSpec, LoadSpec, Moment, What};
-use basaltgw_model::{draw as unit, rng, Rng};
+use basaltgw_simulator::sim::Setup;
+use basaltgw_simulator::spec::{FleetSpec, LoadSpec, Moment, What};
+use basaltgw_simulator::{draw as unit, rng, Rng};
 
 /// The stream of random numbers that faults are drawn from.
 const STREAM: u64 = 4_021;
@@ -167,7 +167,7 @@
         assert!(names.len() >= 20, "{names:?}");
         for seed in 0..50 {
             for moment in of(seed).setup.script {
-                let known = basaltgw_model::fleet::nodes(&of(seed).setup.fleet);
+                let known = basaltgw_simulator::fleet::nodes(&of(seed).setup.fleet);
                 assert!(moment.node.is_none_or(|name| known.iter().any(|n| n.name == name)));
             }
         }
--- a/crates/lab/tests/capacity_page.rs
+++ b/crates/experiments/tests/capacity_page.rs
@@ -19,7 +19,7 @@
     4,3,100,1234567,56.3800,12.2083,14.6081,\n";
 
 fn lab(args: &[&Path]) -> (Option<i32>, String, String) {
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_basaltgw-lab"));
+    let mut lab = Command::new(env!("CARGO_BIN_EXE_basaltgw-experiments"));
     let out = lab.arg("page").args(args).output().expect("a process");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (out.status.code(), text(&out.stdout), text(&out.stderr))
--- a/crates/lab/tests/command_line.rs
+++ b/crates/experiments/tests/command_line.rs
@@ -28,7 +28,8 @@
 }
 
 fn lab(args: &[&str]) -> (Option<i32>, String, String) {
-    let out = Command::new(env!("CARGO_BIN_EXE_basaltgw-lab")).args(args).output().expect("a process");
+    let out =
+        Command::new(env!("CARGO_BIN_EXE_basaltgw-experiments")).args(args).output().expect("a process");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (out.status.code(), text(&out.stdout), text(&out.stderr))
 }
--- a/crates/hollow/examples/measure.rs
+++ b/crates/fleet_simulation/examples/measure.rs
@@ -1,12 +1,12 @@
 //! Figures of one run, as `name<TAB>value` lines: `measure [NAME=VALUE]...`; `kind=sparse` first for an overlay. Simulated; processor time alone
 //! is the machine's. `trouble=NAME` adds a scripted one in the middle of the seconds measured, `lasts` milliseconds long (given before it).
 
-use basaltgw_hollow::fleet::{Fleet, Part};
-use basaltgw_hollow::links::Ways;
-use basaltgw_hollow::run::{run, Kind, Setup};
-use basaltgw_hollow::trouble::{Trouble, What};
-use basaltgw_hollow::world::Log;
-use basaltgw_hollow::{micros, No};
+use basaltgw_fleet_simulation::fleet::{Fleet, Part};
+use basaltgw_fleet_simulation::links::Ways;
+use basaltgw_fleet_simulation::run::{run, Kind, Setup};
+use basaltgw_fleet_simulation::trouble::{Trouble, What};
+use basaltgw_fleet_simulation::world::Log;
+use basaltgw_fleet_simulation::{micros, No};
 use cap::Cap;
 use std::alloc::System;
 use std::time::Instant;
--- a/crates/hollow/src/fleet.rs
+++ b/crates/fleet_simulation/src/fleet.rs
@@ -1,8 +1,8 @@
 //! Where routers stand: racks, switches, sites, zones, regions, all drawn from a seed.
 
 use crate::No;
-use basaltgw_ids::{Domain, RouterId};
-use basaltgw_model::{draw, rng, Rng};
+use basaltgw_simulator::{draw, rng, Rng};
+use basaltgw_types::{Domain, RouterId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/hollow/src/lib.rs
+++ b/crates/fleet_simulation/src/lib.rs
@@ -4,7 +4,7 @@
 //! part stands in for one of the system's (sockets, disk), its cost is not counted here: it is measured on real processes and added.
 //!
 //! - [`fleet`]: where routers stand;
-//! - [`links`]: the rules of `crates/peers` without sockets, over lines with delay, loss and cuts;
+//! - [`links`]: the rules of `crates/transport` without sockets, over lines with delay, loss and cuts;
 //! - [`party`]: what runs at a router; [`mesh`]: the control part with links to all that are listed; [`sparse`]: the overlay's few links;
 //! - [`world`]: time, processes, disks, troubles, the change log;
 //! - [`count`]: messages, bytes, processor time, state; [`check`]: what must hold of every word; [`changes`]: how changes of the
--- a/crates/hollow/src/links/arrive.rs
+++ b/crates/fleet_simulation/src/links/arrive.rs
@@ -6,8 +6,8 @@
 use crate::fleet::Fleet;
 use crate::queue::{Key, Line, Queue};
 use crate::{No, PartyEvent};
-use basaltgw_ids::link::Why;
-use basaltgw_peers::limits::{HELLO, UNKNOWN};
+use basaltgw_transport::limits::{HELLO, UNKNOWN};
+use basaltgw_types::link::Why;
 
 impl Links {
     /// A connect is answered, refused, or given up.
--- a/crates/hollow/src/links/conn.rs
+++ b/crates/fleet_simulation/src/links/conn.rs
@@ -2,7 +2,7 @@
 
 use super::lanes::Lanes;
 use crate::{Micros, No};
-use basaltgw_ids::link::{Hello, Lane};
+use basaltgw_types::link::{Hello, Lane};
 use std::collections::VecDeque;
 
 /// How far an end is.
--- a/crates/hollow/src/links/cuts.rs
+++ b/crates/fleet_simulation/src/links/cuts.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Fleet;
 use crate::queue::{Key, Line, Queue};
 use crate::{Micros, No};
-use basaltgw_ids::link::Why;
+use basaltgw_types::link::Why;
 
 impl Links {
     /// Cuts routers off from all others; the cut's number, unless there are too many.
--- a/crates/hollow/src/links/lanes.rs
+++ b/crates/fleet_simulation/src/links/lanes.rs
@@ -1,8 +1,8 @@
-//! What waits at an end that can't write: the lanes' bounds and turns as `crates/peers` has them.
+//! What waits at an end that can't write: the lanes' bounds and turns as `crates/transport` has them.
 
-use basaltgw_ids::link::Lane;
-use basaltgw_peers::limits::TURN;
-use basaltgw_peers::Limits;
+use basaltgw_transport::limits::TURN;
+use basaltgw_transport::Limits;
+use basaltgw_types::link::Lane;
 use std::collections::VecDeque;
 
 #[derive(Debug, PartialEq, Eq)]
--- a/crates/hollow/src/links/mod.rs
+++ b/crates/fleet_simulation/src/links/mod.rs
@@ -1,4 +1,4 @@
-//! The links of all routers: the rules of `crates/peers` (who dials, which connection is the link, signs of life, silence, bounded lanes) in
+//! The links of all routers: the rules of `crates/transport` (who dials, which connection is the link, signs of life, silence, bounded lanes) in
 //! simulated time.
 //!
 //! A sign of life on an idle link is no event: what was written since is reckoned from the time of the last write, exactly. Simplified: a
@@ -17,10 +17,10 @@
 use crate::fleet::Fleet;
 use crate::queue::{Key, Line, Queue};
 use crate::{Micros, No, PartyEvent};
-use basaltgw_ids::link::{Hello, Lane, Why};
-use basaltgw_ids::{Member, RouterId, TableHash, TableVersion};
-use basaltgw_peers::limits::{CONNECT, DIAL_FIRST, DIAL_MOST, GOOD};
-use basaltgw_peers::Limits;
+use basaltgw_transport::limits::{CONNECT, DIAL_FIRST, DIAL_MOST, GOOD};
+use basaltgw_transport::Limits;
+use basaltgw_types::link::{Hello, Lane, Why};
+use basaltgw_types::{Member, RouterId, TableHash, TableVersion};
 use conn::{Conn, Frame, Greeting, Stage};
 use lanes::Waiting;
 use net::Lines;
--- a/crates/hollow/src/links/net.rs
+++ b/crates/fleet_simulation/src/links/net.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet::Fleet;
 use crate::{micros, Micros, No};
-use basaltgw_model::{draw, rng, Rng};
-use basaltgw_peers::limits::{KEEPALIVE, SILENT};
+use basaltgw_simulator::{draw, rng, Rng};
+use basaltgw_transport::limits::{KEEPALIVE, SILENT};
 
 /// A lost segment is sent again after this: Linux's least wait.
 pub const AGAIN: Micros = 200_000;
@@ -27,7 +27,7 @@
     pub bytes_a_second: Option<u64>,
     /// Bytes that the kernel takes ahead on a connection: beyond, frames wait on their lanes.
     pub socket: usize,
-    /// Without anything else to write, a sign of life is written on a link each time, ms; as the links of `crates/peers` do.
+    /// Without anything else to write, a sign of life is written on a link each time, ms; as the links of `crates/transport` do.
     pub keepalive_ms: f64,
     /// A link on which nothing came for so long is silent, ms; likewise.
     pub silent_ms: f64,
--- a/crates/hollow/src/links/write.rs
+++ b/crates/fleet_simulation/src/links/write.rs
@@ -5,7 +5,7 @@
 use crate::queue::{Key, Line, Queue};
 use crate::Micros;
 use asynchronous_codec::Encoder;
-use basaltgw_peers::frames::{Codec, Kind};
+use basaltgw_transport::frames::{Codec, Kind};
 use bytes::BytesMut;
 use std::sync::OnceLock;
 
--- a/crates/hollow/src/mesh.rs
+++ b/crates/fleet_simulation/src/mesh.rs
@@ -6,9 +6,9 @@
     read_adopted, read_purges, Action, Control, Event, Founder, Given, Parts, Question, TableKeeper, Told,
     ADOPTED, HOLDS, PURGES,
 };
-use basaltgw_holds::{Holds, Settings as HoldSettings};
-use basaltgw_ids::{Ms, TableHash, TableVersion};
-use basaltgw_roster::{Presence, Roster, Settings as RosterSettings};
+use basaltgw_membership::{Presence, Roster, Settings as RosterSettings};
+use basaltgw_registers::{Holds, Settings as HoldSettings};
+use basaltgw_types::{Ms, TableHash, TableVersion};
 use std::collections::BTreeSet;
 
 /// At an orderly end what is being put down is waited for so long.
--- a/crates/hollow/src/party.rs
+++ b/crates/fleet_simulation/src/party.rs
@@ -4,9 +4,9 @@
 use crate::fleet::Fleet;
 use crate::No;
 use basaltgw_control::Purge;
-use basaltgw_ids::link::{Hello, Lane, Why};
-use basaltgw_ids::{Member, Ms, RouterId, TableHash, TableVersion};
 use basaltgw_storage::Write;
+use basaltgw_types::link::{Hello, Lane, Why};
+use basaltgw_types::{Member, Ms, RouterId, TableHash, TableVersion};
 
 /// What a party is told.
 #[derive(Debug)]
--- a/crates/hollow/src/run.rs
+++ b/crates/fleet_simulation/src/run.rs
@@ -11,7 +11,7 @@
 use crate::world::{Log, World, WorldSettings};
 use crate::{micros, Micros};
 use basaltgw_config::fleet::FleetLimits;
-use basaltgw_peers::Limits;
+use basaltgw_transport::Limits;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What runs at each router.
--- a/crates/hollow/src/sparse.rs
+++ b/crates/fleet_simulation/src/sparse.rs
@@ -4,10 +4,10 @@
 use crate::party::{Party, PartyAction, PartyEvent, Start, Word};
 use basaltgw_config::fleet::FleetLimits;
 use basaltgw_control::{read_purges, Purge, Purges, PURGES};
-use basaltgw_ids::link::Lane;
-use basaltgw_ids::{Ms, RouterId, TableHash, TableVersion};
 use basaltgw_overlay::{Action, Event, Kind, List, Listed, Overlay, Settings, Shape, Side, CATCH_UP_MS};
 use basaltgw_storage::Write;
+use basaltgw_types::link::Lane;
+use basaltgw_types::{Ms, RouterId, TableHash, TableVersion};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/hollow/src/trouble.rs
+++ b/crates/fleet_simulation/src/trouble.rs
@@ -3,7 +3,7 @@
 use crate::fleet::{Fleet, Part};
 use crate::links::Ways;
 use crate::{Micros, No};
-use basaltgw_model::{draw, rng, Rng};
+use basaltgw_simulator::{draw, rng, Rng};
 
 /// The user of the seed that draws troubles.
 const TROUBLES: u64 = 3;
--- a/crates/hollow/src/world/happen.rs
+++ b/crates/fleet_simulation/src/world/happen.rs
@@ -6,7 +6,7 @@
 use crate::trouble::{Trouble, What as Wrong};
 use crate::{micros, ms, Micros, No};
 use basaltgw_control::Purge;
-use basaltgw_model::Rng;
+use basaltgw_simulator::Rng;
 use rand::RngExt;
 
 impl World<'_> {
--- a/crates/hollow/src/world/mod.rs
+++ b/crates/fleet_simulation/src/world/mod.rs
@@ -14,10 +14,10 @@
 use crate::trouble::Trouble;
 use crate::{micros, Micros, No};
 use basaltgw_control::Purge;
-use basaltgw_ids::Incarnation;
-use basaltgw_model::{draw, rng, Rng};
-use basaltgw_peers::Limits;
+use basaltgw_simulator::{draw, rng, Rng};
 use basaltgw_storage::Write;
+use basaltgw_transport::Limits;
+use basaltgw_types::Incarnation;
 use rand::RngExt;
 use std::collections::VecDeque;
 
--- a/crates/hollow/src/world/process.rs
+++ b/crates/fleet_simulation/src/world/process.rs
@@ -5,8 +5,8 @@
 use crate::party::{PartyEvent, Start};
 use crate::queue::What;
 use crate::{micros, ms, Micros, No};
-use basaltgw_ids::link::{Hello, PROTOCOL};
-use basaltgw_ids::{Incarnation, Member, TableHash, TableVersion};
+use basaltgw_types::link::{Hello, PROTOCOL};
+use basaltgw_types::{Incarnation, Member, TableHash, TableVersion};
 use rand::RngExt;
 use std::sync::Arc;
 
--- a/crates/hollow/tests/changes.rs
+++ b/crates/fleet_simulation/tests/changes.rs
@@ -1,11 +1,11 @@
 //! Changes of the configuration get to all; one that does not is found. And a change log that looks for news at times.
 
-use basaltgw_hollow::changes::Changes;
-use basaltgw_hollow::party::{Party, PartyAction, PartyEvent, Start};
-use basaltgw_hollow::run::{run, run_with, Kind, Setup};
-use basaltgw_hollow::trouble::{Trouble, What};
-use basaltgw_hollow::world::Log;
-use basaltgw_ids::Ms;
+use basaltgw_fleet_simulation::changes::Changes;
+use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent, Start};
+use basaltgw_fleet_simulation::run::{run, run_with, Kind, Setup};
+use basaltgw_fleet_simulation::trouble::{Trouble, What};
+use basaltgw_fleet_simulation::world::Log;
+use basaltgw_types::Ms;
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/hollow/tests/checker.rs
+++ b/crates/fleet_simulation/tests/checker.rs
@@ -1,12 +1,12 @@
 //! The checker catches broken parties: one that swallows, one that tells twice, one that is late; and lets a sound one pass.
 
 use basaltgw_control::Purge;
-use basaltgw_hollow::check::Findings;
-use basaltgw_hollow::party::{Party, PartyAction, PartyEvent, Start, Word};
-use basaltgw_hollow::run::{run_with, Setup};
-use basaltgw_hollow::world::Log;
-use basaltgw_ids::link::Lane;
-use basaltgw_ids::{Member, Ms};
+use basaltgw_fleet_simulation::check::Findings;
+use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent, Start, Word};
+use basaltgw_fleet_simulation::run::{run_with, Setup};
+use basaltgw_fleet_simulation::world::Log;
+use basaltgw_types::link::Lane;
+use basaltgw_types::{Member, Ms};
 use std::collections::BTreeSet;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/hollow/tests/links.rs
+++ b/crates/fleet_simulation/tests/links.rs
@@ -1,11 +1,11 @@
 //! The links' rules, by what a party sees of them.
 
-use basaltgw_hollow::links::Ways;
-use basaltgw_hollow::party::{Party, PartyAction, PartyEvent, Start};
-use basaltgw_hollow::run::{run_with, Figures, Setup};
-use basaltgw_hollow::trouble::{Trouble, What};
-use basaltgw_ids::link::{Lane, Why};
-use basaltgw_ids::{Member, Ms};
+use basaltgw_fleet_simulation::links::Ways;
+use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent, Start};
+use basaltgw_fleet_simulation::run::{run_with, Figures, Setup};
+use basaltgw_fleet_simulation::trouble::{Trouble, What};
+use basaltgw_types::link::{Lane, Why};
+use basaltgw_types::{Member, Ms};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/hollow/tests/mesh.rs
+++ b/crates/fleet_simulation/tests/mesh.rs
@@ -1,7 +1,7 @@
 //! Worlds of real control parts.
 
-use basaltgw_hollow::run::{run, Setup};
-use basaltgw_hollow::trouble::Many;
+use basaltgw_fleet_simulation::run::{run, Setup};
+use basaltgw_fleet_simulation::trouble::Many;
 
 /// A small fleet on lines on which it can be founded.
 fn setup(routers: usize) -> Setup {
--- a/crates/hollow/tests/process.rs
+++ b/crates/fleet_simulation/tests/process.rs
@@ -1,11 +1,11 @@
 //! Processes, disks, and where routers stand.
 
-use basaltgw_hollow::fleet::{Fleet, Part, Shape};
-use basaltgw_hollow::party::{Party, PartyAction, PartyEvent, Start};
-use basaltgw_hollow::run::{run_with, Setup};
-use basaltgw_hollow::trouble::{Trouble, What};
-use basaltgw_ids::Ms;
+use basaltgw_fleet_simulation::fleet::{Fleet, Part, Shape};
+use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent, Start};
+use basaltgw_fleet_simulation::run::{run_with, Setup};
+use basaltgw_fleet_simulation::trouble::{Trouble, What};
 use basaltgw_storage::{Space, Write};
+use basaltgw_types::Ms;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -76,7 +76,7 @@
     assert_eq!((shape.sites, shape.zones, shape.regions, shape.controls), (210, 71, 21, 9));
     let fleet = Fleet::new(&shape, 7).expect("a fleet");
     assert_eq!(fleet.seats.len(), 4_300);
-    let many = |of: fn(&basaltgw_hollow::fleet::Seat) -> usize| {
+    let many = |of: fn(&basaltgw_fleet_simulation::fleet::Seat) -> usize| {
         fleet.seats.iter().map(of).collect::<BTreeSet<_>>().len()
     };
     assert_eq!((many(|s| s.site), many(|s| s.zone), many(|s| s.region)), (210, 71, 21));
--- a/crates/hollow/tests/sparse.rs
+++ b/crates/fleet_simulation/tests/sparse.rs
@@ -1,13 +1,13 @@
 //! Worlds of real overlays.
 
-use basaltgw_hollow::fleet::Fleet;
-use basaltgw_hollow::party::{Party, PartyAction, PartyEvent};
-use basaltgw_hollow::run::{run, run_with, Figures, Kind, Setup};
-use basaltgw_hollow::sparse::{list, Sparse, SparseSettings};
-use basaltgw_hollow::trouble::{Trouble, What};
-use basaltgw_hollow::world::Log;
-use basaltgw_ids::Ms;
+use basaltgw_fleet_simulation::fleet::Fleet;
+use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent};
+use basaltgw_fleet_simulation::run::{run, run_with, Figures, Kind, Setup};
+use basaltgw_fleet_simulation::sparse::{list, Sparse, SparseSettings};
+use basaltgw_fleet_simulation::trouble::{Trouble, What};
+use basaltgw_fleet_simulation::world::Log;
 use basaltgw_overlay::CATCH_UP_MS;
+use basaltgw_types::Ms;
 
 const ROUTERS: usize = 70;
 const SEEDS: [u64; 3] = [1, 2, 3];
--- a/crates/hollow/tests/state.rs
+++ b/crates/fleet_simulation/tests/state.rs
@@ -1,10 +1,10 @@
 //! State is what a party keeps, and not what it sends, is sent, or has committed. Alone in its program: the allocator counts all threads.
 
-use basaltgw_hollow::party::{Party, PartyAction, PartyEvent, Start};
-use basaltgw_hollow::run::{run_with, Setup};
-use basaltgw_ids::link::Lane;
-use basaltgw_ids::{Member, Ms};
+use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent, Start};
+use basaltgw_fleet_simulation::run::{run_with, Setup};
 use basaltgw_storage::{Space, Write};
+use basaltgw_types::link::Lane;
+use basaltgw_types::{Member, Ms};
 use cap::Cap;
 use std::alloc::System;
 
--- a/crates/roster/src/byte_tests.rs
+++ b/crates/membership/src/byte_tests.rs
@@ -4,7 +4,7 @@
 use crate::life::Life;
 use crate::wire::{Hello, Swim, Wire};
 use crate::{Evidence, Presence};
-use basaltgw_ids::{Domain, Incarnation, Member, RouterId};
+use basaltgw_types::{Domain, Incarnation, Member, RouterId};
 use foca::{Header, Message};
 use std::sync::Arc;
 
--- a/crates/roster/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -4,7 +4,7 @@
 //! and an age has to grow while they wait.
 
 use crate::{Bad, Evidence, Settings};
-use basaltgw_ids::{Member, Ms, RouterId};
+use basaltgw_types::{Member, Ms, RouterId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/roster/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -40,7 +40,7 @@
 pub use roster::{Counters, Roster};
 pub use settings::Settings;
 
-use basaltgw_ids::{Domain, Member, Ms, RouterId};
+use basaltgw_types::{Domain, Member, Ms, RouterId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/roster/src/life.rs
+++ b/crates/membership/src/life.rs
@@ -1,7 +1,7 @@
 //! One life of a router as the membership tells it, and which of two lives of one name is the current one.
 
 use crate::Presence;
-use basaltgw_ids::{name, Incarnation, Member, RouterId};
+use basaltgw_types::{name, Incarnation, Member, RouterId};
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -97,7 +97,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use basaltgw_ids::Domain;
+    use basaltgw_types::Domain;
 
     fn life(incarnation: u128, generation: u64, former: &[u128]) -> Life {
         let member = Member { router: RouterId("r1".into()), incarnation: Incarnation(incarnation) };
--- a/crates/roster/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -5,7 +5,7 @@
 use crate::sink::{token, Sink};
 use crate::wire::Wire;
 use crate::{Action, Bad, Event, Presence, Settings, State};
-use basaltgw_ids::{Member, Ms, RouterId};
+use basaltgw_types::{Member, Ms, RouterId};
 use foca::{Foca, NoCustomBroadcast, PostcardCodec, Timer};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{Rng, SeedableRng};
--- a/crates/roster/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,7 +1,7 @@
 //! Times and bounds of a roster.
 
 use crate::Bad;
-use basaltgw_ids::{Ms, RouterId};
+use basaltgw_types::{Ms, RouterId};
 use foca::{Config, PeriodicParams};
 use std::collections::BTreeSet;
 use std::num::{NonZeroU8, NonZeroUsize};
--- a/crates/roster/src/sink.rs
+++ b/crates/membership/src/sink.rs
@@ -1,7 +1,7 @@
 //! What the SWIM library asks for while it handles one event.
 
 use crate::life::Life;
-use basaltgw_ids::RouterId;
+use basaltgw_types::RouterId;
 use foca::{Notification, Runtime, Timer};
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/roster/src/talk.rs
+++ b/crates/membership/src/talk.rs
@@ -5,7 +5,7 @@
 use crate::roster::{state, Known, Roster};
 use crate::wire::{Hello, Swim, Wire};
 use crate::{Action, Bad, Presence, State};
-use basaltgw_ids::{Member, Ms, RouterId};
+use basaltgw_types::{Member, Ms, RouterId};
 
 impl Roster {
     pub(crate) fn met(&mut self, who: Presence, out: &mut Vec<Action>) -> Result<(), Bad> {
@@ -226,7 +226,7 @@
 mod tests {
     use super::*;
     use crate::{Event, Evidence, Settings};
-    use basaltgw_ids::{Domain, Incarnation};
+    use basaltgw_types::{Domain, Incarnation};
     use foca::{Header, Message};
 
     fn presence(name: &str, incarnation: u128) -> Presence {
--- a/crates/roster/tests/bounds.rs
+++ b/crates/membership/tests/bounds.rs
@@ -3,8 +3,8 @@
 #[allow(dead_code)] // The other tests use the rest.
 mod net;
 
-use basaltgw_ids::{Incarnation, RouterId};
-use basaltgw_roster::{Action, Bad, Event, Evidence, Presence, Roster, Settings, State};
+use basaltgw_membership::{Action, Bad, Event, Evidence, Presence, Roster, Settings, State};
+use basaltgw_types::{Incarnation, RouterId};
 use net::{listed, presence, Net};
 use proptest::prelude::*;
 use std::collections::VecDeque;
--- a/crates/roster/tests/fleets.rs
+++ b/crates/membership/tests/fleets.rs
@@ -2,8 +2,8 @@
 
 mod net;
 
-use basaltgw_ids::Ms;
-use basaltgw_roster::{Event, Evidence, State};
+use basaltgw_membership::{Event, Evidence, State};
+use basaltgw_types::Ms;
 use net::Net;
 
 const PERIOD: Ms = 1000.0;
@@ -40,7 +40,7 @@
     }
 }
 
-/// Slow without optimisation: `cargo test --release -p basaltgw-roster -- --ignored --nocapture`.
+/// Slow without optimisation: `cargo test --release -p basaltgw-membership -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes minutes without optimisation"]
 fn a_lost_one_of_a_thousand_is_down_everywhere_within_twelve_periods() {
--- a/crates/roster/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -1,7 +1,7 @@
 //! Rosters in simulated time: messages take 0.5 to 5 ms and may be lost or cut off, as a seed says.
 
-use basaltgw_ids::{Domain, Incarnation, Member, Ms, RouterId};
-use basaltgw_roster::{Action, Event, Evidence, Presence, Roster, Settings, State};
+use basaltgw_membership::{Action, Event, Evidence, Presence, Roster, Settings, State};
+use basaltgw_types::{Domain, Incarnation, Member, Ms, RouterId};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
--- a/crates/node/src/clients/parts.rs
+++ b/crates/node/src/clients/parts.rs
@@ -18,7 +18,7 @@
     let mut all = Vec::new();
     for word in text.split('+') {
         let (number, site) = match word.split_once('@') {
-            Some((number, site)) => (number, Some(basaltgw_ids::name(site).ok()?)),
+            Some((number, site)) => (number, Some(basaltgw_types::name(site).ok()?)),
             None => (word, None),
         };
         let number = whole(number).filter(|n| *n <= MOST_PART).and_then(|n| u32::try_from(n).ok())?;
--- a/crates/node/src/fleet/overlay.rs
+++ b/crates/node/src/fleet/overlay.rs
@@ -3,9 +3,9 @@
 use basaltgw_config::fleet::Fleet;
 use basaltgw_config::overlay::{Links, Standing};
 use basaltgw_control::{OverlayParts, OverlayTimes, StandingLinks};
-use basaltgw_ids::{Ms, RouterId};
 use basaltgw_overlay::{List, Listed, Shape};
-use basaltgw_peers::{Dials, Settings};
+use basaltgw_transport::{Dials, Settings};
+use basaltgw_types::{Ms, RouterId};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/node/src/fleet/port.rs
+++ b/crates/node/src/fleet/port.rs
@@ -5,9 +5,9 @@
 use crate::caches::RequestNo;
 use async_channel::Receiver;
 use basaltgw::api::Effect;
-use basaltgw_holds::{AskNo, Change, HoldKey, Outcome};
-use basaltgw_ids::{Member, Ms};
-use basaltgw_peers::{Port, Rest};
+use basaltgw_registers::{AskNo, Change, HoldKey, Outcome};
+use basaltgw_transport::{Port, Rest};
+use basaltgw_types::{Member, Ms};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
 use std::sync::{Arc, Mutex};
@@ -210,7 +210,7 @@
     pub fn next(&mut self) -> Option<Told> {
         // Without gathers nothing is asked of other routers directly; what they send all the same is counted and dropped.
         while let Some(told) = (!self.gathers).then(|| self.port.next()).flatten() {
-            self.counters.unasked += u64::from(matches!(told, basaltgw_peers::Told::Got { .. }));
+            self.counters.unasked += u64::from(matches!(told, basaltgw_transport::Told::Got { .. }));
         }
         self.told.pop().ok()
     }
--- a/crates/node/src/fleet/purges.rs
+++ b/crates/node/src/fleet/purges.rs
@@ -2,7 +2,7 @@
 
 use basaltgw::api::{GroupId, ObjectId};
 pub use basaltgw_control::{Purge, Purges};
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 
 /// A purge of the change log.
 pub fn purge(group: GroupId, object: Option<ObjectId>, time: Ms) -> Purge {
--- a/crates/node/src/fleet/stand_in.rs
+++ b/crates/node/src/fleet/stand_in.rs
@@ -3,8 +3,8 @@
 use super::port::{Fleet, Terms};
 use super::{Question, Told};
 use basaltgw::api::Effect;
-use basaltgw_ids::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
-use basaltgw_peers::{Hello, Lane, Limits, Port, Rest, Settings, User, PROTOCOL};
+use basaltgw_transport::{Hello, Lane, Limits, Port, Rest, Settings, User, PROTOCOL};
+use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
 use std::sync::Arc;
 
 /// The other ends of an owner's rings.
@@ -33,7 +33,7 @@
     let limits = Limits { frames: 4, bytes: 4096, frame: 1024, ring: 4 };
     let here = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
     let set = (limits, Settings::default());
-    let links = basaltgw_peers::start(hello, here, Vec::new(), set, 1, users).expect("links");
+    let links = basaltgw_transport::start(hello, here, Vec::new(), set, 1, users).expect("links");
     let (own, port, links) = links.split();
     let (ask, questions) = rtrb::RingBuffer::new(ring);
     let (tell, told) = rtrb::RingBuffer::new(ring);
--- a/crates/node/src/fleet/start.rs
+++ b/crates/node/src/fleet/start.rs
@@ -9,11 +9,11 @@
 use basaltgw_config::NodeConfig;
 use basaltgw_control::{purges::MOST_PURGES, read_adopted, read_purges, Parts as ControlParts};
 use basaltgw_control::{Founder, Given, TableKeeper, ADOPTED, HOLDS, PURGES};
-use basaltgw_holds::{Holds, Settings as HoldSettings};
-use basaltgw_ids::{Member, Ms, TableHash, TableVersion};
-use basaltgw_peers::{Hello, Lane, Limits as LinkLimits, Listed, User, PROTOCOL};
-use basaltgw_roster::{Presence, Roster, Settings as RosterSettings};
+use basaltgw_membership::{Presence, Roster, Settings as RosterSettings};
+use basaltgw_registers::{Holds, Settings as HoldSettings};
 use basaltgw_storage::{Found, Limits as StoreLimits, Store};
+use basaltgw_transport::{Hello, Lane, Limits as LinkLimits, Listed, User, PROTOCOL};
+use basaltgw_types::{Member, Ms, TableHash, TableVersion};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io;
@@ -125,7 +125,8 @@
         ring: limits.ring,
     };
     let link_set = (link_limits, super::overlay::links(set));
-    let links = basaltgw_peers::start(hello, set.listen, listed.collect(), link_set, draw() as u64, users)?;
+    let links =
+        basaltgw_transport::start(hello, set.listen, listed.collect(), link_set, draw() as u64, users)?;
     let (own_port, copies_port, links) = links.split();
     let shown: Arc<Mutex<FleetCounts>> = Arc::default();
     let gather = set.gather.then(|| GatherSet {
--- a/crates/node/src/owner/asker.rs
+++ b/crates/node/src/owner/asker.rs
@@ -8,7 +8,7 @@
 use crate::clients::presence::Wanted;
 use crate::clients::{answer, ClientId, Do, Reply, Tag};
 use basaltgw::api::{ClassId, Ms};
-use basaltgw_gather::{AttemptNo, GatherNo};
+use basaltgw_scatter_gather::{AttemptNo, GatherNo};
 
 /// Who waits for a request's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use basaltgw::api::{AttemptNo, Event, Ms};
 use basaltgw::rules::carry::Learnt;
-use basaltgw_holds::AskNo;
+use basaltgw_registers::AskNo;
 use futures_lite::future;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/node/src/owner/gather.rs
+++ b/crates/node/src/owner/gather.rs
@@ -1,4 +1,4 @@
-//! Requests for several parts, where the own settings take them: `crates/gather` decides, here its fetches become requests.
+//! Requests for several parts, where the own settings take them: `crates/scatter_gather` decides, here its fetches become requests.
 //!
 //! A part of the own branch is a request like a client's, under an id of its own; one of another branch goes to a router there (`peers`).
 //! What an answer leaves out is owed as a hold (`debts`). A gather has a number of the requests' own, so that it is known to its client's
@@ -18,8 +18,8 @@
 use crate::fleet::purges::{purge, Purge, Purges};
 use crate::outbox::Counted;
 use basaltgw::api::{ClassId, Effect, GroupId, Ms, ObjectId};
-use basaltgw_gather as gather;
-use basaltgw_gather::{
+use basaltgw_scatter_gather as gather;
+use basaltgw_scatter_gather::{
     Action, AttemptNo, Decide, Event, GatherNo, Gathers, Missing, PartNo, PartSpec, Policy, Site, Times, Used,
 };
 use debts::Debt;
--- a/crates/node/src/owner/gather/answers.rs
+++ b/crates/node/src/owner/gather/answers.rs
@@ -6,7 +6,7 @@
 use crate::clients::{answer, Reply};
 use crate::outbox::Counted;
 use basaltgw::api::Ms;
-use basaltgw_gather::{Event, Verdict};
+use basaltgw_scatter_gather::{Event, Verdict};
 use std::sync::Arc;
 
 impl Owner {
--- a/crates/node/src/owner/gather/debts.rs
+++ b/crates/node/src/owner/gather/debts.rs
@@ -5,7 +5,7 @@
 use crate::clients::Reply;
 use crate::fleet::start::draw;
 use basaltgw::api::Ms;
-use basaltgw_holds::{Change, Hold, HoldKey, Kind, Verdict};
+use basaltgw_registers::{Change, Hold, HoldKey, Kind, Verdict};
 use std::sync::Arc;
 
 /// So much of a gather's time is left for its answer to be written, once its debt is waited for no longer.
--- a/crates/node/src/owner/gather/peers.rs
+++ b/crates/node/src/owner/gather/peers.rs
@@ -7,9 +7,9 @@
 use crate::limits::{COPY_TAG, LONGEST_WAIT_MS};
 use crate::owner::asker::Asker;
 use basaltgw::api::{Effect, GroupId, Ms, ObjectId, Part};
-use basaltgw_gather::{AttemptNo, Event, How, PartNo, Site};
-use basaltgw_ids::{Member, RouterId};
-use basaltgw_peers::Told;
+use basaltgw_scatter_gather::{AttemptNo, Event, How, PartNo, Site};
+use basaltgw_transport::Told;
+use basaltgw_types::{Member, RouterId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/node/src/owner/gather/tries.rs
+++ b/crates/node/src/owner/gather/tries.rs
@@ -8,7 +8,7 @@
 use crate::outbox::Counted;
 use crate::owner::asker::{Asked, Asker};
 use basaltgw::api::{ClassId, Ms, Part};
-use basaltgw_gather::{AttemptNo, Came, Ended, Event, How, PartNo, Site};
+use basaltgw_scatter_gather::{AttemptNo, Came, Ended, Event, How, PartNo, Site};
 use std::sync::Arc;
 
 impl Owner {
--- a/crates/node/src/owner/promise.rs
+++ b/crates/node/src/owner/promise.rs
@@ -11,7 +11,7 @@
 use crate::outbox::Counted;
 use crate::permissions::not_executed;
 use basaltgw::api::{ClassId, Effect, End, Event, GroupId, Ms, ObjectId};
-use basaltgw_holds::{AskNo, Change, Hold, HoldKey, Kind, Outcome, Verdict};
+use basaltgw_registers::{AskNo, Change, Hold, HoldKey, Kind, Outcome, Verdict};
 use std::sync::Arc;
 
 /// What another router has out is asked after so often, until its outcome is known or the client's time is over.
@@ -140,7 +140,9 @@
                 Told::Policies(policies) => {
                     self.gathering.iter_mut().for_each(|g| g.policies = Arc::clone(&policies))
                 }
-                Told::Evidence(from, word) => self.gather_tell(basaltgw_gather::Event::Heard(from, word)),
+                Told::Evidence(from, word) => {
+                    self.gather_tell(basaltgw_scatter_gather::Event::Heard(from, word))
+                }
                 Told::Table(version, hash) => log::info!("goes by table {} ({hash})", version.0),
             }
         }
--- a/crates/node/src/owner/promise_tests.rs
+++ b/crates/node/src/owner/promise_tests.rs
@@ -9,7 +9,7 @@
 use crate::fleet::{Question, Told};
 use crate::inbox::Over;
 use crate::outbox::{OutgoingMessage, Stage};
-use basaltgw_holds::{step, AskNo, Change, Hold, HoldKey, Kind, Outcome, Unkept, Verdict};
+use basaltgw_registers::{step, AskNo, Change, Hold, HoldKey, Kind, Outcome, Unkept, Verdict};
 use proptest::prelude::*;
 
 /// What happens next.
--- a/crates/node/src/shown.rs
+++ b/crates/node/src/shown.rs
@@ -2,9 +2,9 @@
 
 use crate::fleet::start::rules;
 use basaltgw_config::fleet::Fleet;
-use basaltgw_ids::{Domain, Group, Incarnation, Member, RouterId, Shard};
 use basaltgw_placement::{compile, explain, explain_root, explain_shard, moves, Fault, Inventory};
 use basaltgw_placement::{RouterEntry, Table};
+use basaltgw_types::{Domain, Group, Incarnation, Member, RouterId, Shard};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
--- a/crates/node/tests/rule_coverage.rs
+++ b/crates/node/tests/rule_coverage.rs
@@ -6,7 +6,7 @@
 /// What stands in a cell instead of keys.
 const NO_KEYS: [&str; 3] = ["-", "open", "soak"];
 /// Invariants and rules that the soak judges, by their names there.
-const SOAK: [&str; 2] = ["crates/emulator/src/world/soak.rs", "crates/model/src/checker.rs"];
+const SOAK: [&str; 2] = ["crates/emulator/src/world/soak.rs", "crates/simulator/src/checker.rs"];
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
--- a/crates/overlay/src/ask.rs
+++ b/crates/overlay/src/ask.rs
@@ -8,8 +8,8 @@
 use crate::told::{content, half, keyed, Held};
 use crate::wire::{pack, Part, MOST_HASHES};
 use crate::{Action, Kind, Origin};
-use basaltgw_ids::{Ms, RouterId};
 use basaltgw_structures::hash::{address, mix};
+use basaltgw_types::{Ms, RouterId};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
--- a/crates/overlay/src/byte_tests.rs
+++ b/crates/overlay/src/byte_tests.rs
@@ -5,7 +5,7 @@
 use crate::told::{content, half, keyed};
 use crate::wire::{pack, Digest, Names, Packed, Part, BUCKETS};
 use crate::Kind;
-use basaltgw_ids::RouterId;
+use basaltgw_types::RouterId;
 use std::sync::Arc;
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/overlay/src/compare.rs
+++ b/crates/overlay/src/compare.rs
@@ -6,7 +6,7 @@
 use crate::streams::StreamId;
 use crate::wire::{Digest, Part, Vector, BUCKETS};
 use crate::{Kind, Origin};
-use basaltgw_ids::{Ms, RouterId};
+use basaltgw_types::{Ms, RouterId};
 
 /// A target that is not met within so many comparisons gives way to a newer one.
 const TARGET_COMPARES: f64 = 4.0;
--- a/crates/overlay/src/fetch.rs
+++ b/crates/overlay/src/fetch.rs
@@ -5,7 +5,7 @@
 use crate::streams::StreamId;
 use crate::wire::{Part, Vector};
 use crate::{Action, Origin};
-use basaltgw_ids::{Ms, RouterId};
+use basaltgw_types::{Ms, RouterId};
 use std::collections::BTreeMap;
 
 /// Routers that are noted for a stream.
--- a/crates/overlay/src/flow.rs
+++ b/crates/overlay/src/flow.rs
@@ -6,7 +6,7 @@
 use crate::streams::StreamId;
 use crate::wire::{pack, Part};
 use crate::{Action, Kind, Origin};
-use basaltgw_ids::{Ms, RouterId};
+use basaltgw_types::{Ms, RouterId};
 
 /// Streams that are named at once to a lazy link; the others at the next time.
 const MOST_NEWS: usize = 512;
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -41,7 +41,7 @@
 pub use place::{choices, Choice};
 pub use settings::{Settings, CATCH_UP_MS};
 
-use basaltgw_ids::{Member, RouterId};
+use basaltgw_types::{Member, RouterId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/overlay/src/link.rs
+++ b/crates/overlay/src/link.rs
@@ -2,7 +2,7 @@
 
 use crate::streams::StreamId;
 use crate::wire::{Names, Part, MOST_HASHES};
-use basaltgw_ids::{Member, Ms};
+use basaltgw_types::{Member, Ms};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What the other end is to this one.
--- a/crates/overlay/src/list.rs
+++ b/crates/overlay/src/list.rs
@@ -1,8 +1,8 @@
 //! The agreed list of routers, with all that has to be searched of it indexed once: everybody shares it and nobody scans it at rest.
 
 use crate::Bad;
-use basaltgw_ids::RouterId;
 use basaltgw_structures::hash::{address, mix};
+use basaltgw_types::RouterId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -12,8 +12,8 @@
 use crate::told::Told;
 use crate::wire::{unpack, Packed, Part, Vector};
 use crate::{Action, Bad, Counters, Event, Kind, Origin, Settings};
-use basaltgw_ids::{Member, Ms, RouterId};
 use basaltgw_structures::hash::{mix, unit};
+use basaltgw_types::{Member, Ms, RouterId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/overlay/src/pace.rs
+++ b/crates/overlay/src/pace.rs
@@ -1,6 +1,6 @@
 //! How much may be sent: a bucket that what comes and what goes both draw on.
 
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Pace {
--- a/crates/overlay/src/place.rs
+++ b/crates/overlay/src/place.rs
@@ -5,8 +5,8 @@
 //! still hang together in one tree.
 
 use crate::list::{within, List, Place};
-use basaltgw_ids::RouterId;
 use basaltgw_structures::hash::{address, mix};
+use basaltgw_types::RouterId;
 use std::cmp::Reverse;
 
 /// Routers of which some are to be linked with, the best first.
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -1,7 +1,7 @@
 //! Times and bounds of an overlay.
 
 use crate::Bad;
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 
 /// Whoever returns has links, has compared and has fetched after this, ms: words are given for so much longer than they take to settle, or what
 /// had not settled as it returned would be gone as it asks.
--- a/crates/overlay/src/standing.rs
+++ b/crates/overlay/src/standing.rs
@@ -6,7 +6,7 @@
 use crate::place::choices;
 use crate::wire::Part;
 use crate::{Action, Kind, Side};
-use basaltgw_ids::{Member, Ms, RouterId};
+use basaltgw_types::{Member, Ms, RouterId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/overlay/src/streams.rs
+++ b/crates/overlay/src/streams.rs
@@ -3,8 +3,8 @@
 use crate::list::short;
 use crate::wire::BUCKETS;
 use crate::Kind;
-use basaltgw_ids::{Ms, RouterId};
 use basaltgw_structures::hash::mix;
+use basaltgw_types::{Ms, RouterId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/overlay/src/told.rs
+++ b/crates/overlay/src/told.rs
@@ -1,8 +1,8 @@
 //! Which words were told as new, by their content, and which are held back since another is to say them.
 
 use crate::Kind;
-use basaltgw_ids::Ms;
 use basaltgw_structures::hash::mix;
+use basaltgw_types::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The same at all routers: by it they agree who says a word first.
--- a/crates/overlay/tests/broken.rs
+++ b/crates/overlay/tests/broken.rs
@@ -99,9 +99,9 @@
 fn an_event_of_nobody_changes_nothing() {
     let mut net = Net::new(listed(1, 4, 1), Shape::default(), Settings::default(), 1);
     net.run(5000.0);
-    let stranger = basaltgw_ids::Member {
-        router: basaltgw_ids::RouterId(std::sync::Arc::from("stranger")),
-        incarnation: basaltgw_ids::Incarnation(1),
+    let stranger = basaltgw_types::Member {
+        router: basaltgw_types::RouterId(std::sync::Arc::from("stranger")),
+        incarnation: basaltgw_types::Incarnation(1),
     };
     let links = |n: &Net| n.nodes[0].as_ref().map(|o| o.links().count());
     let before = links(&net);
--- a/crates/overlay/tests/bytes.rs
+++ b/crates/overlay/tests/bytes.rs
@@ -2,8 +2,8 @@
 
 mod net;
 
-use basaltgw_ids::{Incarnation, Member, RouterId};
 use basaltgw_overlay::{Action, Event, Kind, List, Overlay, Settings, Shape, Side};
+use basaltgw_types::{Incarnation, Member, RouterId};
 use net::listed;
 use proptest::prelude::*;
 use std::sync::Arc;
--- a/crates/overlay/tests/net/mod.rs
+++ b/crates/overlay/tests/net/mod.rs
@@ -1,9 +1,9 @@
 //! Overlays on a simulated net: links with delays, kills, cuts, all from a seed.
 #![allow(dead_code)]
 
-use basaltgw_ids::{Incarnation, Member, RouterId};
 use basaltgw_overlay::{Action, Event, Kind, List, Listed, Overlay, Settings, Shape, Side};
 use basaltgw_structures::hash::{mix, unit};
+use basaltgw_types::{Incarnation, Member, RouterId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
--- a/crates/overlay/tests/placement.rs
+++ b/crates/overlay/tests/placement.rs
@@ -2,8 +2,8 @@
 
 mod net;
 
-use basaltgw_ids::RouterId;
 use basaltgw_overlay::{choices, Choice, List, Listed, Shape};
+use basaltgw_types::RouterId;
 use net::listed;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/placement/benches/table.rs
+++ b/crates/placement/benches/table.rs
@@ -1,8 +1,8 @@
 //! Look-up of a shard's keepers: the table beside plain rendezvous over all routers and a sorted list.
 
-use basaltgw_ids::{Domain, Incarnation, Member, RouterId, Shard};
 use basaltgw_placement::{compile, Inventory, RouterEntry, Table};
 use basaltgw_structures::hash::{address, rendezvous};
+use basaltgw_types::{Domain, Incarnation, Member, RouterId, Shard};
 use divan::{black_box, Bencher};
 use std::sync::Arc;
 
--- a/crates/placement/examples/measure.rs
+++ b/crates/placement/examples/measure.rs
@@ -2,9 +2,9 @@
 //!
 //! `cargo run --release -p basaltgw-placement --example measure -- SEED`
 
-use basaltgw_ids::{Domain, Incarnation, Member, RouterId, Shard};
 use basaltgw_placement::{compile, Inventory, RouterEntry, Table};
 use basaltgw_structures::hash::{address, mix};
+use basaltgw_types::{Domain, Incarnation, Member, RouterId, Shard};
 use std::collections::BTreeMap;
 use std::hint::black_box;
 use std::sync::Arc;
@@ -81,7 +81,7 @@
     }
 
     fn memory(&self) -> usize {
-        let group = |g: &basaltgw_ids::Group| size_of_val(g) + g.members.len() * size_of::<Member>();
+        let group = |g: &basaltgw_types::Group| size_of_val(g) + g.members.len() * size_of::<Member>();
         let groups = (0..SHARDS).filter_map(|s| self.0.as_ref().and_then(|t| t.keepers(Shard(s as u16))));
         groups.map(group).sum::<usize>() + self.written()
     }
--- a/crates/placement/src/byte_tests.rs
+++ b/crates/placement/src/byte_tests.rs
@@ -4,7 +4,7 @@
 use crate::steps::portions;
 use crate::table::Table;
 use crate::{compile, CacheEntry, Inventory, RouterEntry};
-use basaltgw_ids::{Domain, Incarnation, Member, RouterId};
+use basaltgw_types::{Domain, Incarnation, Member, RouterId};
 use std::sync::Arc;
 
 const RULES: &str = "holds { shards 4 copies 3 spread machines }\nroot { copies 3 spread machines }\n\
--- a/crates/placement/src/compile.rs
+++ b/crates/placement/src/compile.rs
@@ -11,7 +11,7 @@
 use crate::place::{place, score, Wanted};
 use crate::table::Table;
 use crate::{Inventory, RouterEntry};
-use basaltgw_ids::Member;
+use basaltgw_types::Member;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -61,7 +61,7 @@
     for router in &inventory.routers {
         let RouterEntry { member, domain, .. } = router;
         for name in [&member.router.0, &domain.branch, &domain.machine] {
-            if let Err(bad) = basaltgw_ids::name(name) {
+            if let Err(bad) = basaltgw_types::name(name) {
                 faults.push(general(format!("router \"{}\": {bad}", member.router)));
             }
         }
--- a/crates/placement/src/explain.rs
+++ b/crates/placement/src/explain.rs
@@ -2,7 +2,7 @@
 
 use crate::body::Origin;
 use crate::table::{Allowed, Table};
-use basaltgw_ids::{Group, Shard};
+use basaltgw_types::{Group, Shard};
 use std::fmt::Write;
 
 fn rule(origin: Option<&Origin>) -> String {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,8 @@
 //! Rules of where shards live and who may serve, keep and fill them, compiled to tables that are the same bytes on every router.
 //!
-//! The language ([`docs/placement.md`]) is read by the parser, checked against the inventory by the compiler, and becomes a [`basaltgw_ids::ShardMap`],
-//! bounds for the choice of caches and sources, and policies of gathers. [`Adoption`](basaltgw_ids::TableVersion) steps (offered, checked, both, new) are
-//! decided here too, as changes of the table's register; copying them is `crates/holds`'. Pure: no I/O, clock or random numbers.
+//! The language ([`docs/placement.md`]) is read by the parser, checked against the inventory by the compiler, and becomes a [`basaltgw_types::ShardMap`],
+//! bounds for the choice of caches and sources, and policies of gathers. [`Adoption`](basaltgw_types::TableVersion) steps (offered, checked, both, new) are
+//! decided here too, as changes of the table's register; copying them is `crates/registers`'. Pure: no I/O, clock or random numbers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -43,7 +43,7 @@
 pub use steps::{moves, steps, Moved, Moves};
 pub use table::{Allowed, BadTable, Bounds, CacheNo, Table};
 
-use basaltgw_ids::{Domain, Member};
+use basaltgw_types::{Domain, Member};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/placement/src/model.rs
+++ b/crates/placement/src/model.rs
@@ -6,7 +6,7 @@
 use crate::body::{Body, Keeper};
 use crate::register::{Broken, Evidence, Offer, Refused, Register, Stage};
 use crate::table::Table;
-use basaltgw_ids::{Group, Member, RouterId, Shard, TableHash};
+use basaltgw_types::{Group, Member, RouterId, Shard, TableHash};
 use stateright::{Checker, Model, Property};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -147,7 +147,7 @@
     }
 
     fn member(router: usize) -> Member {
-        let incarnation = basaltgw_ids::Incarnation(u128::from_le_bytes([router as u8; 16]));
+        let incarnation = basaltgw_types::Incarnation(u128::from_le_bytes([router as u8; 16]));
         Member { router: Self::by(router), incarnation }
     }
 
--- a/crates/placement/src/register.rs
+++ b/crates/placement/src/register.rs
@@ -8,7 +8,7 @@
 use crate::body::MOST_TABLE;
 use crate::steps::{portions, step_map};
 use crate::table::{BadTable, Table};
-use basaltgw_ids::{Group, Member, RouterId, Shard, ShardMap, TableHash, TableVersion};
+use basaltgw_types::{Group, Member, RouterId, Shard, ShardMap, TableHash, TableVersion};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::sync::Arc;
--- a/crates/placement/src/steps.rs
+++ b/crates/placement/src/steps.rs
@@ -1,7 +1,7 @@
 //! From one table to the next, by portions: each is kept by both, then by the new keepers alone.
 
 use crate::table::Table;
-use basaltgw_ids::{Group, Keepers, Member, Shard, ShardMap, TableVersion};
+use basaltgw_types::{Group, Keepers, Member, Shard, ShardMap, TableVersion};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -3,7 +3,7 @@
 use crate::body::{Body, Ids, Keeper, Origin, MOST_TABLE};
 use crate::gather::GatherRule;
 use crate::register::Refused;
-use basaltgw_ids::{
+use basaltgw_types::{
     Domain, Group, Incarnation, Keepers, Member, RouterId, Shard, ShardMap, TableHash, TableVersion,
 };
 use fixedbitset::FixedBitSet;
--- a/crates/placement/tests/adoption.rs
+++ b/crates/placement/tests/adoption.rs
@@ -1,10 +1,10 @@
 //! Tables on their way into service, by the routers' own part of it.
 
 mod common;
-use basaltgw_ids::{Member, RouterId};
 use basaltgw_placement::{
     Action, Adoption, Ended, Event, Evidence, Inventory, Offer, OfferNo, Refused, Register, Stage, Table,
 };
+use basaltgw_types::{Member, RouterId};
 use common::{fleet, router, table};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -202,7 +202,7 @@
     let offer = Offer::Replace { old: gone.clone(), new: back.clone() };
     let register = register.propose(&by, &offer).expect("idle");
     let next = &register.next().expect("offered").table;
-    for shard in (0..32).map(basaltgw_ids::Shard) {
+    for shard in (0..32).map(basaltgw_types::Shard) {
         let (was, is) = (old.keepers(shard).expect("kept"), next.keepers(shard).expect("kept"));
         let put = |m: &Member| if *m == gone { back.clone() } else { m.clone() };
         assert_eq!(is.members, was.members.iter().map(put).collect::<Vec<_>>());
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Inventories for tests.
 #![allow(dead_code)] // Each test file uses what it needs.
 
-use basaltgw_ids::{Domain, Incarnation, Member, RouterId};
 use basaltgw_placement::{compile, CacheEntry, Inventory, RouterEntry, Table};
+use basaltgw_types::{Domain, Incarnation, Member, RouterId};
 use std::sync::Arc;
 
 /// A router on a machine of its own.
--- a/crates/placement/tests/lookups.rs
+++ b/crates/placement/tests/lookups.rs
@@ -1,8 +1,8 @@
 //! What a table says.
 
 mod common;
-use basaltgw_ids::Shard;
 use basaltgw_placement::{explain, explain_shard, moves, Inventory, Missing, Table};
+use basaltgw_types::Shard;
 use common::{cache, fleet, router, table};
 
 #[test]
--- a/crates/placement/tests/page.rs
+++ b/crates/placement/tests/page.rs
@@ -1,8 +1,8 @@
 //! The operators' page of examples: each block is compiled, and what it shows is compared.
 
 mod common;
-use basaltgw_ids::{Member, Shard};
 use basaltgw_placement::{compile, explain, explain_root, explain_shard, moves, Fault, Inventory, Table};
+use basaltgw_types::{Member, Shard};
 use common::{cache, router};
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/crates/placement/tests/props.rs
+++ b/crates/placement/tests/props.rs
@@ -1,8 +1,8 @@
 //! What holds for any text, any bytes, any fleet.
 
 mod common;
-use basaltgw_ids::{Member, Shard};
 use basaltgw_placement::{compile, moves, Inventory, Register, Table};
+use basaltgw_types::{Member, Shard};
 use common::{cache, fleet, router, table};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
--- a/crates/holds/examples/fleet.rs
+++ b/crates/registers/examples/fleet.rs
@@ -1,12 +1,12 @@
 //! Promises in fleets of 30, 300 and 1,000 routers in simulated time, while machines are lost with their disks and routers are cut off.
 //!
-//! `cargo run --release -p basaltgw-holds --example fleet [SEED]`. Ends with 1 if a promise was lost, or if nothing was provoked.
+//! `cargo run --release -p basaltgw-registers --example fleet [SEED]`. Ends with 1 if a promise was lost, or if nothing was provoked.
 
 #[path = "../tests/net/mod.rs"]
 mod net;
 
-use basaltgw_holds::{Change, Event, Hold, Outcome, Settings, Verdict};
-use basaltgw_ids::Member;
+use basaltgw_registers::{Change, Event, Hold, Outcome, Settings, Verdict};
+use basaltgw_types::Member;
 use net::{effect, map, Faults, Net};
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -38,7 +38,7 @@
     by: Member,
 }
 
-fn counted(net: &Net, of: impl Fn(&basaltgw_holds::Holds) -> u64) -> u64 {
+fn counted(net: &Net, of: impl Fn(&basaltgw_registers::Holds) -> u64) -> u64 {
     net.nodes.iter().filter_map(|n| n.holds.as_ref()).map(of).sum()
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-fn new_map(net: &Net, epoch: u64) -> basaltgw_ids::ShardMap {
+fn new_map(net: &Net, epoch: u64) -> basaltgw_types::ShardMap {
     let members: Vec<Member> = net.nodes.iter().map(|n| n.me.clone()).collect();
     map(epoch, SHARDS, COPIES, &members)
 }
--- a/crates/holds/src/acceptor.rs
+++ b/crates/registers/src/acceptor.rs
@@ -3,8 +3,8 @@
 use crate::disk::{Disk, Register};
 use crate::message::{Ballot, Body, Letter, Listed, Place, Value, Why};
 use crate::{Action, Bad, Broken, Hold, HoldKey, Kind, Settings};
-use basaltgw_ids::{Keepers, Member, Ms, Shard, ShardMap};
 use basaltgw_structures::hash::mix;
+use basaltgw_types::{Keepers, Member, Ms, Shard, ShardMap};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::sync::Arc;
--- a/crates/holds/src/byte_tests.rs
+++ b/crates/registers/src/byte_tests.rs
@@ -3,7 +3,7 @@
 use crate::disk::{record_key, Meta, Register};
 use crate::message::{decode, encode, Ballot, Body, Letter, Place, Value, Why};
 use crate::{Change, Hold, HoldKey, Kind, Outcome};
-use basaltgw_ids::{Incarnation, Member, RouterId, Shard};
+use basaltgw_types::{Incarnation, Member, RouterId, Shard};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 use std::sync::Arc;
--- a/crates/holds/src/disk.rs
+++ b/crates/registers/src/disk.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{decode, encode, BadBytes, Ballot, Body, Letter, Value, Why};
 use crate::{Action, Bad, HoldKey, Record};
-use basaltgw_ids::Member;
+use basaltgw_types::Member;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/holds/src/ends.rs
+++ b/crates/registers/src/ends.rs
@@ -5,7 +5,7 @@
 use crate::proposer::Ended;
 use crate::round::{Ask, Origin};
 use crate::{Action, Change, Hold, HoldKey, Settings, Verdict};
-use basaltgw_ids::{Ms, ShardMap};
+use basaltgw_types::{Ms, ShardMap};
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
--- a/crates/holds/src/fill.rs
+++ b/crates/registers/src/fill.rs
@@ -10,7 +10,7 @@
 use crate::proposer::Ended;
 use crate::round::{Ask, Origin};
 use crate::{Action, Change, HoldKey, Verdict};
-use basaltgw_ids::{Keepers, Member, Ms, Shard, ShardMap};
+use basaltgw_types::{Keepers, Member, Ms, Shard, ShardMap};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The timer of filling.
--- a/crates/holds/src/holds.rs
+++ b/crates/registers/src/holds.rs
@@ -7,7 +7,7 @@
 use crate::proposer::{Ended, Proposer};
 use crate::round::{Ask, Origin};
 use crate::{Action, BadSettings, Counters, Event, Hold, HoldKey, Settings, Verdict};
-use basaltgw_ids::{Keepers, Member, Ms, ShardMap};
+use basaltgw_types::{Keepers, Member, Ms, ShardMap};
 use std::sync::Arc;
 
 /// Why holds can't begin.
@@ -290,7 +290,7 @@
 
 /// True if any two quorums of each group meet, and no member counts twice.
 fn meets(keepers: &Keepers) -> bool {
-    let sound = |g: &basaltgw_ids::Group| {
+    let sound = |g: &basaltgw_types::Group| {
         let once = (1..g.members.len()).all(|i| !g.members[..i].contains(&g.members[i]));
         once && g.need <= g.members.len() && 2 * g.need > g.members.len()
     };
--- a/crates/holds/src/lib.rs
+++ b/crates/registers/src/lib.rs
@@ -28,7 +28,7 @@
 pub use settings::{BadSettings, Settings};
 pub use step::{fits, step, Refused};
 
-use basaltgw_ids::{Member, Ms, RouterId, ShardMap};
+use basaltgw_types::{Member, Ms, RouterId, ShardMap};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -271,7 +271,7 @@
     Timer(Ms, u64),
     /// Under the map of this epoch a shard is filled here, or (`None`, once for each map and run) all that the map newly gives this keeper.
     /// The table's owner may go on once all new keepers have said so.
-    Filled(u64, Option<basaltgw_ids::Shard>),
+    Filled(u64, Option<basaltgw_types::Shard>),
     /// Another goes by this later epoch of the map: it is to be fetched, from that member or any.
     Behind(u64, Member),
     /// A line for the operators.
--- a/crates/holds/src/message.rs
+++ b/crates/registers/src/message.rs
@@ -1,7 +1,7 @@
 //! What keepers and askers say to each other: in a version of its own, to one member by its full name, under one epoch of the map.
 
 use crate::{Hold, HoldKey};
-use basaltgw_ids::{Member, Shard};
+use basaltgw_types::{Member, Shard};
 use serde::{Deserialize, Serialize};
 
 /// The version of messages and records; others are not read.
--- a/crates/holds/src/model_tests.rs
+++ b/crates/registers/src/model_tests.rs
@@ -3,7 +3,7 @@
 
 use crate::message::Letter;
 use crate::{Action, AskNo, Broken, Change, Event, HoldKey, Holds, Kind, Record, Settings, Verdict};
-use basaltgw_ids::{Group, Incarnation, Keepers, Member, RouterId, ShardMap, TableHash, TableVersion};
+use basaltgw_types::{Group, Incarnation, Keepers, Member, RouterId, ShardMap, TableHash, TableVersion};
 use linear::{explained, Seen};
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::collections::BTreeMap;
--- a/crates/holds/src/proposer.rs
+++ b/crates/registers/src/proposer.rs
@@ -4,7 +4,7 @@
 use crate::message::{encode, Ballot, Body, Led, Letter, Value, Why};
 use crate::round::{Ask, Origin, Out, Phase, Tally, Vote};
 use crate::{step, Action, Broken, Change, Counters, Hold, HoldKey, Settings, Unkept, Verdict};
-use basaltgw_ids::{Member, Ms, ShardMap};
+use basaltgw_types::{Member, Ms, ShardMap};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -234,7 +234,7 @@
         if now + EARLY_MS >= ask.until {
             return Some(self.unkept(ask, Unkept::Late));
         }
-        let few = |g: &basaltgw_ids::Group| g.members.iter().filter(|m| self.reaches(m)).count() < g.need;
+        let few = |g: &basaltgw_types::Group| g.members.iter().filter(|m| self.reaches(m)).count() < g.need;
         if found.groups.iter().any(few) {
             return Some(self.unkept(ask, Unkept::TooFew));
         }
--- a/crates/holds/src/retry.rs
+++ b/crates/registers/src/retry.rs
@@ -4,8 +4,8 @@
 use crate::proposer::{Ended, Primed, Proposer, LOW_BITS};
 use crate::round::{Ask, Phase};
 use crate::{Action, HoldKey, Unkept, Verdict};
-use basaltgw_ids::Ms;
 use basaltgw_structures::hash::{mix, unit};
+use basaltgw_types::Ms;
 
 /// Doublings of the back-off, at most.
 const MOST_DOUBLINGS: i32 = 6;
--- a/crates/holds/src/round.rs
+++ b/crates/registers/src/round.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{Ballot, Value, Why};
 use crate::{AskNo, Broken, Change, HoldKey, Unkept};
-use basaltgw_ids::{Group, Keepers, Member, Ms};
+use basaltgw_types::{Group, Keepers, Member, Ms};
 use std::collections::BTreeMap;
 
 /// Who asked.
--- a/crates/holds/src/step.rs
+++ b/crates/registers/src/step.rs
@@ -70,7 +70,7 @@
 }
 
 /// True if it is out with that owner in that turn: nobody else's word counts.
-fn owned(at: Option<&Hold>, by: &basaltgw_ids::Member, of: u32) -> bool {
+fn owned(at: Option<&Hold>, by: &basaltgw_types::Member, of: u32) -> bool {
     matches!(at, Some(Hold::Out { owner, turn }) if owner == by && *turn == of)
 }
 
--- a/crates/holds/src/step_tests.rs
+++ b/crates/registers/src/step_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::Outcome;
-use basaltgw_ids::{Incarnation, Member, RouterId};
+use basaltgw_types::{Incarnation, Member, RouterId};
 use std::sync::Arc;
 
 fn member(n: u128) -> Member {
--- a/crates/holds/tests/chaos.rs
+++ b/crates/registers/tests/chaos.rs
@@ -3,8 +3,8 @@
 
 mod net;
 
-use basaltgw_holds::{Broken, Change, Hold, Kind, Outcome, Settings, Verdict};
-use basaltgw_ids::Member;
+use basaltgw_registers::{Broken, Change, Hold, Kind, Outcome, Settings, Verdict};
+use basaltgw_types::Member;
 use net::linear::{explained, Seen};
 use net::{effect, map, Faults, Net};
 use std::collections::BTreeMap;
@@ -155,7 +155,7 @@
     }
 }
 
-fn new_map(net: &Net, epoch: u64) -> basaltgw_ids::ShardMap {
+fn new_map(net: &Net, epoch: u64) -> basaltgw_types::ShardMap {
     let members: Vec<Member> = net.nodes.iter().map(|n| n.me.clone()).collect();
     map(epoch, net.map.shards.len(), net.map.shards[0].groups[0].members.len(), &members)
 }
--- a/crates/holds/tests/crashes.rs
+++ b/crates/registers/tests/crashes.rs
@@ -2,8 +2,8 @@
 
 mod net;
 
-use basaltgw_holds::{Change, Hold, Outcome, Verdict};
-use basaltgw_ids::Member;
+use basaltgw_registers::{Change, Hold, Outcome, Verdict};
+use basaltgw_types::Member;
 use net::{effect, map, Net};
 
 /// Steps after which a promise has long been answered.
--- a/crates/holds/tests/ends.rs
+++ b/crates/registers/tests/ends.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use basaltgw_holds::{Change, Hold, HoldKey, Kind, Settings, Verdict};
+use basaltgw_registers::{Change, Hold, HoldKey, Kind, Settings, Verdict};
 use net::{effect, Net};
 
 fn quick(net: &mut Net) {
--- a/crates/holds/tests/moves.rs
+++ b/crates/registers/tests/moves.rs
@@ -2,8 +2,8 @@
 
 mod net;
 
-use basaltgw_holds::{Change, Event, Hold, Verdict};
-use basaltgw_ids::Member;
+use basaltgw_registers::{Change, Event, Hold, Verdict};
+use basaltgw_types::Member;
 use net::{effect, map, member, Net};
 
 fn take(net: &mut Net, router: usize, name: u128) -> bool {
@@ -19,7 +19,7 @@
 }
 
 /// The map in which these routers, in this order, keep all.
-fn of(net: &Net, routers: &[usize]) -> basaltgw_ids::ShardMap {
+fn of(net: &Net, routers: &[usize]) -> basaltgw_types::ShardMap {
     let members: Vec<Member> = routers.iter().map(|r| net.nodes[*r].me.clone()).collect();
     map(net.map.epoch + 2, 4, 3, &members)
 }
@@ -72,7 +72,7 @@
     net.wipe(5);
     assert!(!take(&mut net, 0, 60), "the new group can't copy it");
     // Back: the old group alone, under a later epoch. Nothing kept meanwhile is lost.
-    let back = basaltgw_ids::ShardMap { epoch: both.epoch + 1, ..first };
+    let back = basaltgw_types::ShardMap { epoch: both.epoch + 1, ..first };
     net.adopt(back, 20.0);
     net.run(30.0);
     net.wipe(0);
--- a/crates/holds/tests/net/mod.rs
+++ b/crates/registers/tests/net/mod.rs
@@ -5,11 +5,15 @@
 
 /// What the checker needs, by whatever name this crate has where it is used.
 mod api {
-    pub use basaltgw_holds::{step, Change, Hold, Verdict};
+    pub use basaltgw_registers::{step, Change, Hold, Verdict};
 }
 
-use basaltgw_holds::{Action, AskNo, Broken, Change, Event, HoldKey, Holds, Kind, Record, Settings, Verdict};
-use basaltgw_ids::{Group, Incarnation, Keepers, Member, RouterId, Shard, ShardMap, TableHash, TableVersion};
+use basaltgw_registers::{
+    Action, AskNo, Broken, Change, Event, HoldKey, Holds, Kind, Record, Settings, Verdict,
+};
+use basaltgw_types::{
+    Group, Incarnation, Keepers, Member, RouterId, Shard, ShardMap, TableHash, TableVersion,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/holds/tests/outside.rs
+++ b/crates/registers/tests/outside.rs
@@ -2,8 +2,8 @@
 
 mod net;
 
-use basaltgw_holds::{Action, AskNo, Bad, Change, Event, Holds, Settings, Unkept, Verdict};
-use basaltgw_ids::{Group, Keepers, Member, ShardMap};
+use basaltgw_registers::{Action, AskNo, Bad, Change, Event, Holds, Settings, Unkept, Verdict};
+use basaltgw_types::{Group, Keepers, Member, ShardMap};
 use net::{effect, map, member, Net};
 use proptest::prelude::*;
 use std::sync::Arc;
--- a/crates/holds/tests/promises.rs
+++ b/crates/registers/tests/promises.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use basaltgw_holds::{Change, Event, Hold, HoldKey, Kind, Outcome, Unkept, Verdict};
+use basaltgw_registers::{Change, Event, Hold, HoldKey, Kind, Outcome, Unkept, Verdict};
 use net::{effect, Net};
 use std::sync::Arc;
 
--- a/crates/gather/examples/sites.rs
+++ b/crates/scatter_gather/examples/sites.rs
@@ -1,6 +1,6 @@
-//! The table of the four ways, as CSV: `cargo run --release -p basaltgw-gather --example sites -- SEEDS ROUTERS...`
+//! The table of the four ways, as CSV: `cargo run --release -p basaltgw-scatter-gather --example sites -- SEEDS ROUTERS...`
 
-use basaltgw_gather::sim::{beside, faults, row, Setup, Trouble, HEAD};
+use basaltgw_scatter_gather::sim::{beside, faults, row, Setup, Trouble, HEAD};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/gather/src/api.rs
+++ b/crates/scatter_gather/src/api.rs
@@ -1,7 +1,7 @@
 //! The whole interface: ids, policies, events, actions, verdicts.
 
 use crate::counters::Counters;
-use basaltgw_ids::{Ms, RouterId};
+use basaltgw_types::{Ms, RouterId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/gather/src/baselines.rs
+++ b/crates/scatter_gather/src/baselines.rs
@@ -7,7 +7,7 @@
 use crate::counters::Counters;
 use crate::open::{fault, Attempt, Bytes, Open};
 use crate::settings::{BadSetting, Settings};
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// When a baseline answers.
--- a/crates/gather/src/engine/answering.rs
+++ b/crates/scatter_gather/src/engine/answering.rs
@@ -7,7 +7,7 @@
 use crate::settings::MOST_MS;
 use crate::sites::Sign;
 use crate::weigh::Chances;
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 use std::collections::BTreeSet;
 
 /// A gather is looked at again after this share of the time that it means to wait.
--- a/crates/gather/src/engine/asking.rs
+++ b/crates/scatter_gather/src/engine/asking.rs
@@ -4,7 +4,7 @@
 use crate::api::{Action, Copy, GatherNo, Site, Times};
 use crate::open::Attempt;
 use crate::sites::Admit;
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 
 /// An alternate is asked first if its chance within the aim is better by more than this: the preferred site is most likely to hold the part.
 const PREFERENCE: f64 = 0.15;
--- a/crates/gather/src/engine/mod.rs
+++ b/crates/scatter_gather/src/engine/mod.rs
@@ -9,7 +9,7 @@
 use crate::open::{fault, Bytes, Open};
 use crate::settings::{BadSetting, Settings, MOST_MS};
 use crate::sites::{Change, Sign, Sites};
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/gather/src/latency.rs
+++ b/crates/scatter_gather/src/latency.rs
@@ -3,7 +3,7 @@
 //! Sketches of the libraries (HDR histogram, t-digest) keep all that they were given; what is needed here is the last few dozen answers, and room for
 //! answers that were given up on, which are known only to take longer.
 
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 use std::fmt;
 
 /// Steps: 0.25 ms times 1.25 to the 72nd is some 40 minutes.
--- a/crates/gather/src/open.rs
+++ b/crates/scatter_gather/src/open.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Ask, AttemptNo, Copy, Missing, PartNo, PartSpec, Policy, Purge, Site, Unfit, Used};
 use crate::settings::{Settings, MOST_MS};
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/gather/src/settings.rs
+++ b/crates/scatter_gather/src/settings.rs
@@ -1,6 +1,6 @@
 //! What may be set, with units.
 
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 use serde::{Deserialize, Serialize};
 
 /// Bounds and prices.
--- a/crates/gather/src/sim/load.rs
+++ b/crates/scatter_gather/src/sim/load.rs
@@ -2,8 +2,8 @@
 
 use super::Setup;
 use crate::api::{Ask, Effect, GatherNo, Missing, PartNo, PartSpec, Policy, Site, Times};
-use basaltgw_ids::Ms;
 use basaltgw_structures::hash::{mix, unit};
+use basaltgw_types::Ms;
 use std::sync::Arc;
 
 /// Full worth until then, and none after the deadline, in milliseconds.
--- a/crates/gather/src/sim/mod.rs
+++ b/crates/scatter_gather/src/sim/mod.rs
@@ -10,7 +10,7 @@
 use crate::baselines::{Baseline, When};
 use crate::settings::{BadSetting, Settings};
 use crate::Gathers;
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 use serde::Serialize;
 pub use world::run;
 
--- a/crates/gather/src/sim/world.rs
+++ b/crates/scatter_gather/src/sim/world.rs
@@ -6,8 +6,8 @@
     Action, AttemptNo, Came, Copy, Decide, Ended, Event, Evidence, GatherNo, How, PartNo, Verdict,
 };
 use crate::settings::BadSetting;
-use basaltgw_ids::{Ms, RouterId};
 use basaltgw_structures::hash::mix;
+use basaltgw_types::{Ms, RouterId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::sync::Arc;
--- a/crates/gather/src/site.rs
+++ b/crates/scatter_gather/src/site.rs
@@ -3,7 +3,7 @@
 use crate::api::Evidence;
 use crate::latency::Latency;
 use crate::settings::Settings;
-use basaltgw_ids::{Ms, RouterId};
+use basaltgw_types::{Ms, RouterId};
 
 /// A site that just answered is lost with this probability: it may have gone since.
 const FOUND: f64 = 0.005;
--- a/crates/gather/src/sites.rs
+++ b/crates/scatter_gather/src/sites.rs
@@ -8,8 +8,8 @@
 use crate::settings::{Settings, MOST_MS};
 use crate::site::{gap, State, BACK_OFF, TRAVEL_ROOM};
 pub(crate) use crate::site::{Admit, Change, Sign};
-use basaltgw_ids::{Ms, RouterId};
 use basaltgw_structures::hash::{mix, unit};
+use basaltgw_types::{Ms, RouterId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/gather/src/weigh.rs
+++ b/crates/scatter_gather/src/weigh.rs
@@ -5,7 +5,7 @@
 use crate::settings::Settings;
 use crate::site::State;
 use crate::sites::Sites;
-use basaltgw_ids::Ms;
+use basaltgw_types::Ms;
 
 /// Times that are looked at, as shares of the time to the aim, and to the limit.
 const LOOKS: [f64; 7] = [0.03125, 0.0625, 0.125, 0.25, 0.5, 0.75, 1.0];
--- a/crates/gather/tests/decisions.rs
+++ b/crates/scatter_gather/tests/decisions.rs
@@ -1,10 +1,10 @@
 //! Single decisions: who may be a gather, when it is answered, what others' words do, what is handed down.
 
-use basaltgw_gather::{
+use basaltgw_scatter_gather::{
     Action, Ask, AttemptNo, Came, Copy, Decide, Effect, Event, Evidence, GatherNo, Gathers, Missing, PartNo,
     PartSpec, Policy, Purge, Settings, Site, Times, Unfit, Verdict,
 };
-use basaltgw_ids::RouterId;
+use basaltgw_types::RouterId;
 
 fn site(name: &str) -> Site {
     Site(name.into())
--- a/crates/gather/tests/interleavings.rs
+++ b/crates/scatter_gather/tests/interleavings.rs
@@ -2,7 +2,7 @@
 //! notice of it and all answers at any moment, late and twice, lower tiers' parts among them, and a client that may leave. The code is the one that
 //! routers run.
 
-use basaltgw_gather::{
+use basaltgw_scatter_gather::{
     Action, Ask, AttemptNo, Broken, Came, Copy, Decide, Effect, Event, GatherNo, Gathers, Missing, PartNo,
     PartSpec, Policy, Purge, Settings, Site, Times, Verdict,
 };
--- a/crates/gather/tests/sequences.rs
+++ b/crates/scatter_gather/tests/sequences.rs
@@ -1,10 +1,10 @@
 //! Any sequence of events: one answer for each gather and in time, each attempt ends once, nothing mixed, nothing grows without bound.
 
-use basaltgw_gather::{
+use basaltgw_scatter_gather::{
     Action, Ask, AttemptNo, Broken, Came, Copy, Decide, Effect, Ended, Event, Evidence, GatherNo, Gathers,
     How, Missing, PartNo, PartSpec, Policy, Purge, Settings, Site, Times, Verdict,
 };
-use basaltgw_ids::RouterId;
+use basaltgw_types::RouterId;
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/gather/tests/sites.rs
+++ b/crates/scatter_gather/tests/sites.rs
@@ -1,7 +1,7 @@
 //! Sites in trouble, in simulated time: worth in time beside the three baselines, and how a site is left and met again.
 
-use basaltgw_gather::sim::{beside, faults, run, Figures, Setup, Trouble, Way};
-use basaltgw_gather::Settings;
+use basaltgw_scatter_gather::sim::{beside, faults, run, Figures, Setup, Trouble, Way};
+use basaltgw_scatter_gather::Settings;
 
 fn setup(routers: usize, length: f64, trouble: Trouble, seed: u64) -> Setup {
     Setup { length, ..Setup::new(routers, trouble, seed) }
--- a/crates/model/tests/breakers.rs
+++ b/crates/simulator/tests/breakers.rs
@@ -3,9 +3,9 @@
 mod common;
 use basaltgw::api::*;
 use basaltgw::rules::Router;
-use basaltgw_model::checker::Rule;
-use basaltgw_model::sim::{run, Decide, Setup};
-use basaltgw_model::spec::{Moment, What};
+use basaltgw_simulator::checker::Rule;
+use basaltgw_simulator::sim::{run, Decide, Setup};
+use basaltgw_simulator::spec::{Moment, What};
 use common::*;
 use std::collections::HashMap;
 
--- a/crates/model/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use basaltgw::rules::Router;
 use basaltgw_hierarchy::Settings;
-use basaltgw_model::sim::{run, Decide, Figures, Setup};
-use basaltgw_model::spec::*;
+use basaltgw_simulator::sim::{run, Decide, Figures, Setup};
+use basaltgw_simulator::spec::*;
 
 pub fn machine(slots: usize, store_kb: f64) -> Machine {
     Machine { slots, queue_ms: 400.0, store_kb, fills: 64 }
--- a/crates/model/tests/runs.rs
+++ b/crates/simulator/tests/runs.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use basaltgw_hierarchy::State;
-use basaltgw_model::spec::{Moment, What};
+use basaltgw_simulator::spec::{Moment, What};
 use common::*;
 
 #[test]
@@ -44,7 +44,7 @@
 }
 
 /// Two districts that ask each other in the new plan and the old, one each: for a moment both do.
-fn crossing(seed: u64) -> basaltgw_model::sim::Setup {
+fn crossing(seed: u64) -> basaltgw_simulator::sim::Setup {
     let mut s = setup(seed);
     s.plans = vec![shape("before", &[0, 1]), shape("after", &[0, 1])];
     s.plans[0].laterals = vec![[0, 1], [3, 2]];
@@ -63,7 +63,8 @@
         assert!(f.broken.is_empty(), "{:?}", f.broken);
         assert_eq!(f.counts.loops_carried, 0);
         offered += f.counts.loops_offered;
-        carried += play(&basaltgw_model::sim::Setup { trails: false, ..crossing(seed) }).counts.loops_carried;
+        carried +=
+            play(&basaltgw_simulator::sim::Setup { trails: false, ..crossing(seed) }).counts.loops_carried;
     }
     assert!(offered > 0, "the moment was there");
     assert!(carried > 0, "without trails they go round");
--- a/crates/model/tests/sizes.rs
+++ b/crates/simulator/tests/sizes.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use basaltgw::rules::Router;
-use basaltgw_model::sim::{run, ClassFigures, Decide, Setup};
-use basaltgw_model::spec::*;
+use basaltgw_simulator::sim::{run, ClassFigures, Decide, Setup};
+use basaltgw_simulator::spec::*;
 use common::*;
 
 /// Parts that take 5 to 500 ms to send.
--- a/crates/storage/src/data.rs
+++ b/crates/storage/src/data.rs
@@ -2,7 +2,7 @@
 
 use crate::life::{bits_apart, sum, SUM};
 use crate::{Fault, Limits, Pairs, Space, Write};
-use basaltgw_ids::Incarnation;
+use basaltgw_types::Incarnation;
 use redb::backends::InMemoryBackend;
 use redb::{Builder, Database, ReadableDatabase, StorageBackend, TableDefinition};
 use std::io;
--- a/crates/storage/src/generation.rs
+++ b/crates/storage/src/generation.rs
@@ -3,7 +3,7 @@
 use crate::data::{Data, Tally};
 use crate::files::{names, numbered, sync_folder};
 use crate::{Fault, Space};
-use basaltgw_ids::Incarnation;
+use basaltgw_types::Incarnation;
 use std::fs::File;
 use std::io::{BufWriter, Write as _};
 use std::path::{Path, PathBuf};
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,7 +1,7 @@
 //! Bytes that survive a crash: spaces of keys and values, changed by batches that are there whole or not at all.
 //!
 //! It knows nothing of what the bytes mean. One thread owns a [`Store`]; it alone waits for the disk. A folder has one life
-//! ([`basaltgw_ids::Incarnation`]), drawn when it was empty. What is torn, cut, flipped, foreign or from a later version is told apart
+//! ([`basaltgw_types::Incarnation`]), drawn when it was empty. What is torn, cut, flipped, foreign or from a later version is told apart
 //! and never taken for what was written.
 //!
 //! A folder holds `lock`, `current` (`life`: header and marks; `data`: the database; `generation-N`: whole copies for operators) and
@@ -21,7 +21,7 @@
 pub use generation::{read_generation, Generation};
 pub use store::Store;
 
-use basaltgw_ids::Incarnation;
+use basaltgw_types::Incarnation;
 
 /// A space of keys of its own; its number is part of the format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/storage/src/life.rs
+++ b/crates/storage/src/life.rs
@@ -4,7 +4,7 @@
 //! a commit and before anyone is told, so the database is never behind an intact mark. What is behind one has lost what was promised.
 
 use crate::Fault;
-use basaltgw_ids::Incarnation;
+use basaltgw_types::Incarnation;
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -4,7 +4,7 @@
 use crate::files::{current, lock, names, numbered, sync_folder, Lock};
 use crate::life::{Life, Mark};
 use crate::{generation, Fault, Found, Limits, Pairs, Space, Write};
-use basaltgw_ids::Incarnation;
+use basaltgw_types::Incarnation;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 
--- a/crates/storage/tests/faults.rs
+++ b/crates/storage/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Each fault is made on real files; what opens has all that was acknowledged.
 
-use basaltgw_ids::Incarnation;
 use basaltgw_storage::{read_generation, Fault, Found, Limits, Pairs, Space, Store, Write};
+use basaltgw_types::Incarnation;
 use redb::ReadableTable;
 use std::fs;
 use std::path::Path;
--- a/crates/peers/src/byte_tests.rs
+++ b/crates/transport/src/byte_tests.rs
@@ -4,7 +4,7 @@
 use crate::hub::Greeting;
 use crate::{Hello, Lane, PROTOCOL};
 use asynchronous_codec::{Decoder, Encoder};
-use basaltgw_ids::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
+use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
 use bytes::BytesMut;
 use std::sync::Arc;
 
--- a/crates/peers/src/hub.rs
+++ b/crates/transport/src/hub.rs
@@ -5,7 +5,7 @@
 use crate::limits::SAID;
 use crate::outbox::Outbox;
 use crate::{Hello, Lane, Limits, Listed, Order, Settings, Told, Why, PROTOCOL};
-use basaltgw_ids::{name, Member, RouterId};
+use basaltgw_types::{name, Member, RouterId};
 use event_listener::Event;
 use serde::{Deserialize, Serialize};
 use std::any::Any;
--- a/crates/peers/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -32,8 +32,8 @@
     pub use crate::codec::{BadFrame, Codec, Frame, Kind};
 }
 
-pub use basaltgw_ids::link::{Hello, Lane, Why, PROTOCOL};
-use basaltgw_ids::{Domain, Member, RouterId, TableHash, TableVersion};
+pub use basaltgw_types::link::{Hello, Lane, Why, PROTOCOL};
+use basaltgw_types::{Domain, Member, RouterId, TableHash, TableVersion};
 use std::net::SocketAddr;
 
 /// A peer as the configuration lists it.
--- a/crates/peers/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -8,7 +8,7 @@
 use crate::Why;
 use async_io::{Async, Timer};
 use asynchronous_codec::{Encoder, FramedRead};
-use basaltgw_ids::{RouterId, TableHash, TableVersion};
+use basaltgw_types::{RouterId, TableHash, TableVersion};
 use bytes::BytesMut;
 use futures_lite::{future, AsyncRead, AsyncWriteExt, StreamExt};
 use std::cell::Cell;
--- a/crates/peers/src/outbox.rs
+++ b/crates/transport/src/outbox.rs
@@ -3,7 +3,7 @@
 use crate::port::{hold, Held, Port, User};
 use crate::{Lane, Limits, Order, Told, Why};
 use async_channel::Receiver;
-use basaltgw_ids::RouterId;
+use basaltgw_types::RouterId;
 use rtrb::{Consumer, Producer, PushError, RingBuffer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{fence, AtomicBool, Ordering::SeqCst};
@@ -109,7 +109,7 @@
     }
 
     /// A frame was not written whole.
-    pub fn unsent(&mut self, no: u64, to: basaltgw_ids::Member, why: Why) {
+    pub fn unsent(&mut self, no: u64, to: basaltgw_types::Member, why: Why) {
         self.unsent.push_back(Told::Unsent { no, to, why });
         self.flush();
     }
--- a/crates/peers/src/outbox_tests.rs
+++ b/crates/transport/src/outbox_tests.rs
@@ -3,7 +3,7 @@
 use crate::outbox::port;
 use crate::port::{Refused, User};
 use crate::{Hello, Lane, Limits, Order, Told, Why, PROTOCOL};
-use basaltgw_ids::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
+use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
 use std::sync::Arc;
 
 #[test]
--- a/crates/peers/src/thread.rs
+++ b/crates/transport/src/thread.rs
@@ -10,7 +10,7 @@
 use crate::{Dials, Hello, Limits, Listed, Settings, Why, PROTOCOL};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use basaltgw_ids::RouterId;
+use basaltgw_types::RouterId;
 use futures_lite::{future, FutureExt};
 use std::collections::BTreeMap;
 use std::future::Future;
--- a/crates/peers/src/wants.rs
+++ b/crates/transport/src/wants.rs
@@ -4,7 +4,7 @@
 use crate::hub::{Hub, Link};
 use crate::limits::DIALS;
 use crate::{Dials, Told};
-use basaltgw_ids::RouterId;
+use basaltgw_types::RouterId;
 use std::rc::Rc;
 
 /// A place among the dials under way; given back when dropped.
--- a/crates/peers/tests/codec.rs
+++ b/crates/transport/tests/codec.rs
@@ -1,8 +1,8 @@
 //! The frames as bytes from outside: never a panic, never more room than a frame may take, and nothing read that was not written.
 
 use asynchronous_codec::{Decoder, Encoder};
-use basaltgw_peers::frames::{Codec, Frame, Kind};
-use basaltgw_peers::Lane;
+use basaltgw_transport::frames::{Codec, Frame, Kind};
+use basaltgw_transport::Lane;
 use bytes::BytesMut;
 use proptest::collection::vec;
 use proptest::prelude::*;
--- a/crates/peers/tests/on_loopback/bad.rs
+++ b/crates/transport/tests/on_loopback/bad.rs
@@ -1,9 +1,9 @@
 //! Peers that do what they must not, and users that are slow: each costs only itself.
 
 use crate::common::*;
-use basaltgw_ids::{Domain, Member, RouterId};
-use basaltgw_peers::frames::Kind;
-use basaltgw_peers::{Hello, Lane, Limits, Order, Refused, Told, Why};
+use basaltgw_transport::frames::Kind;
+use basaltgw_transport::{Hello, Lane, Limits, Order, Refused, Told, Why};
+use basaltgw_types::{Domain, Member, RouterId};
 use std::collections::BTreeMap;
 use std::net::TcpStream;
 use std::sync::Arc;
--- a/crates/peers/tests/on_loopback/common.rs
+++ b/crates/transport/tests/on_loopback/common.rs
@@ -1,9 +1,11 @@
 //! Routers on loopback, and raw connections that play a peer.
 
 use asynchronous_codec::{Decoder, Encoder};
-use basaltgw_ids::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
-use basaltgw_peers::frames::{Codec, Frame, Kind};
-use basaltgw_peers::{start, Hello, Lane, Limits, Listed, Order, Port, Rest, Settings, Told, User, PROTOCOL};
+use basaltgw_transport::frames::{Codec, Frame, Kind};
+use basaltgw_transport::{
+    start, Hello, Lane, Limits, Listed, Order, Port, Rest, Settings, Told, User, PROTOCOL,
+};
+use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
 use bytes::BytesMut;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpStream};
@@ -107,7 +109,7 @@
     })
 }
 
-pub fn down(port: &mut Port, member: &Member) -> basaltgw_peers::Why {
+pub fn down(port: &mut Port, member: &Member) -> basaltgw_transport::Why {
     told(port, &format!("{member} down"), |t| match t {
         Told::Down(m, why) if m == member => Some(*why),
         _ => None,
--- a/crates/peers/tests/on_loopback/links.rs
+++ b/crates/transport/tests/on_loopback/links.rs
@@ -1,9 +1,9 @@
 //! Links between routers in order: both dial, frames, tables, other lives, other addresses, the end.
 
 use crate::common::*;
-use basaltgw_ids::{TableHash, TableVersion};
-use basaltgw_peers::frames::Kind;
-use basaltgw_peers::{Lane, Order, Refused, Settings, Told, Why};
+use basaltgw_transport::frames::Kind;
+use basaltgw_transport::{Lane, Order, Refused, Settings, Told, Why};
+use basaltgw_types::{TableHash, TableVersion};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
@@ -110,7 +110,7 @@
     assert_eq!(a.rest.join(), Ok(()));
     let first = Arc::new(AtomicBool::new(true));
     let users =
-        [[Lane::Gather, Lane::Roster], [Lane::Holds, Lane::Table]].map(|lanes| basaltgw_peers::User {
+        [[Lane::Gather, Lane::Roster], [Lane::Holds, Lane::Table]].map(|lanes| basaltgw_transport::User {
             lanes: lanes.to_vec(),
             wake: {
                 let first = first.clone();
@@ -118,7 +118,7 @@
             },
         });
     let links =
-        basaltgw_peers::start(hello("a", 1), address(), vec![], (LIMITS, Settings::default()), 1, users)
+        basaltgw_transport::start(hello("a", 1), address(), vec![], (LIMITS, Settings::default()), 1, users)
             .unwrap();
     let (mut one, two, rest) = links.split();
     send(&mut one, 1, &member("b", 1), Lane::Holds, b"");
--- a/crates/peers/tests/on_loopback/wanted.rs
+++ b/crates/transport/tests/on_loopback/wanted.rs
@@ -1,9 +1,9 @@
 //! Routers that are dialled only when they are wanted, and links that close when they are idle.
 
 use crate::common::*;
-use basaltgw_ids::Member;
-use basaltgw_peers::frames::Kind;
-use basaltgw_peers::{start, Dials, Lane, Listed, Order, Port, Settings, Told, User, Why};
+use basaltgw_transport::frames::Kind;
+use basaltgw_transport::{start, Dials, Lane, Listed, Order, Port, Settings, Told, User, Why};
+use basaltgw_types::Member;
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
@@ -162,7 +162,7 @@
         }));
         (seen.len() == 40).then_some(())
     });
-    assert!(most <= basaltgw_peers::limits::DIALS as u64 && most > 8, "{most}");
+    assert!(most <= basaltgw_transport::limits::DIALS as u64 && most > 8, "{most}");
 }
 
 #[test]
--- a/crates/ids/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -95,7 +95,7 @@
     pub groups: Vec<Group>,
 }
 
-/// The keepers of all shards under one version of the table, as `crates/placement` made it and `crates/holds` uses it.
+/// The keepers of all shards under one version of the table, as `crates/placement` made it and `crates/registers` uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardMap {
     /// Counted up with every change of who keeps what, twice for each version of the table: while both hold, and once the new one holds.
