--- a/crates/adapter/src/read.rs
+++ b/crates/adapter/src/read.rs
@@ -58,63 +58,63 @@
         Ok(ServerId(Arc::from(self.text(at, "cache")?)))
     }
 
-    fn end(&self, at: usize) -> Result<End, BadInput> {
+    fn end(&self, at: usize) -> Result<AttemptResult, BadInput> {
         Ok(match self.text(at, "code")? {
-            "GOOD" => End::Served,
-            "BAD" => End::Error,
-            "FULL" => End::Full,
-            "LATE" => End::Late,
-            "NOCONN" => End::NoConnection,
-            "RST" => End::Broken,
-            "CXL" => End::Cancelled,
-            "NOP" => End::NotSent,
-            "MISS" => End::Miss,
+            "GOOD" => AttemptResult::Served,
+            "BAD" => AttemptResult::Error,
+            "FULL" => AttemptResult::Rejected,
+            "LATE" => AttemptResult::TimedOut,
+            "NOCONN" => AttemptResult::NoConnection,
+            "RST" => AttemptResult::ConnectionLost,
+            "CXL" => AttemptResult::Cancelled,
+            "NOP" => AttemptResult::NotSent,
+            "MISS" => AttemptResult::CacheMiss,
             other => return Err(BadInput::new("code", format!("unknown outcome {other:?}"))),
         })
     }
 }
 
-fn load(v: &Value) -> Result<Load, BadInput> {
+fn load(v: &Value) -> Result<LoadReport, BadInput> {
     if v.is_null() {
-        return Ok(Load::default());
+        return Ok(LoadReport::default());
     }
     let pairs =
         v.as_object().ok_or_else(|| BadInput::new("usage", format!("expected an object, found {v}")))?;
     let get = |name: &str| pairs.get(name).map(|v| number(v, &format!("usage.{name}"))).transpose();
-    Ok(Load { inflight: get("rif")?, util: get("busy")?, hits: get("x0")?, link: get("x1")? })
+    Ok(LoadReport { inflight: get("rif")?, util: get("busy")?, hits: get("x0")?, link: get("x1")? })
 }
 
-fn note(code: u64) -> Result<Note, BadInput> {
+fn note(code: u64) -> Result<FillReport, BadInput> {
     Ok(match code {
-        0 => Note::Untold,
-        1 => Note::Hit,
-        2 => Note::FilledBySource,
-        3 => Note::FilledByOrigin,
-        4 => Note::Joined,
-        5 => Note::Old,
-        6 => Note::SourceRefused,
-        7 => Note::SourceFailed,
-        8 => Note::SourceLacks,
-        9 => Note::NoFillPlace,
-        10 => Note::OriginFailed,
+        0 => FillReport::NotReported,
+        1 => FillReport::Hit,
+        2 => FillReport::FilledBySource,
+        3 => FillReport::FilledByOrigin,
+        4 => FillReport::Joined,
+        5 => FillReport::Stale,
+        6 => FillReport::SourceRejected,
+        7 => FillReport::SourceFailed,
+        8 => FillReport::SourceMiss,
+        9 => FillReport::FillLimitReached,
+        10 => FillReport::OriginFailed,
         _ => return Err(BadInput::new("detail", format!("unknown detail {code}"))),
     })
 }
 
-fn entry(v: &Value, names: &Names) -> Result<ServerEntry, BadInput> {
+fn entry(v: &Value, names: &Names) -> Result<Endpoint, BadInput> {
     let m = Message::new(v)?;
     let (area, kind) = (m.text(1, "area")?, m.text(2, "kind")?);
     let zone = names.zone(area).ok_or_else(|| BadInput::new("area", format!("unknown {area:?}")))?;
     let role = names.role(kind).ok_or_else(|| BadInput::new("kind", format!("unknown {kind:?}")))?;
-    Ok(ServerEntry {
+    Ok(Endpoint {
         id: ServerId(Arc::from(m.name)),
         zone,
         role,
         cell: m.integer_or_0(3, "stripe")?,
-        listed: match m.text(4, "availability")? {
-            "up" => Listed::Up,
-            "draining" => Listed::Draining,
-            "removed" => Listed::Gone,
+        state: match m.text(4, "availability")? {
+            "up" => EndpointState::Up,
+            "draining" => EndpointState::Draining,
+            "removed" => EndpointState::Removed,
             other => return Err(BadInput::new("availability", format!("unknown {other:?}"))),
         },
         weight: or_null(m.value(5), || m.number(5, "capacity-hint"))?.unwrap_or(1.0),
@@ -128,9 +128,9 @@
         "TARGETS" => {
             m.integer(2, "seq-no")?;
             let mode = match m.text(3, "mode")? {
-                "patch" => ListMode::Changes,
-                "whole" | "stale_copy" => ListMode::Whole,
-                "broken" => ListMode::Failed,
+                "patch" => EndpointUpdate::Delta,
+                "whole" | "stale_copy" => EndpointUpdate::Complete,
+                "broken" => EndpointUpdate::Failed,
                 other => return Err(BadInput::new("mode", format!("unknown {other:?}"))),
             };
             let items = or_null(m.value(4), || {
@@ -140,7 +140,7 @@
             let read =
                 |(i, v): (usize, &Value)| entry(v, names).map_err(|e| e.within(&format!("items[{i}]")));
             let entries = items.map_or(&[][..], |a| a).iter().enumerate().map(read);
-            Event::Servers(mode, entries.collect::<Result<_, _>>()?)
+            Event::Endpoints(mode, entries.collect::<Result<_, _>>()?)
         }
         "QUERY" => {
             let class = m.text(10, "priority")?;
@@ -155,20 +155,20 @@
                 budget: m.number(6, "budget")?,
             })
         }
-        "FLOWING" => Event::Flowing(m.request()?, AttemptNo(m.integer(3, "try")? as usize)),
+        "FLOWING" => Event::ResponseStarted(m.request()?, AttemptNo(m.integer(3, "try")? as usize)),
         "FINISHED" => Event::Outcome(Outcome {
             request: m.request()?,
             attempt: AttemptNo(m.integer(3, "try")? as usize),
             server: m.server(4)?,
-            end: m.end(5)?,
-            delay: m.number_or_0(6, "delay-seen")?,
-            last: boolean(m.value(7), "terminal")?,
-            note: note(m.integer_or_0(8, "detail")?)?,
+            result: m.end(5)?,
+            latency: m.number_or_0(6, "delay-seen")?,
+            completes_request: boolean(m.value(7), "terminal")?,
+            fill_report: note(m.integer_or_0(8, "detail")?)?,
             source_wait: m.number_or_0(9, "source-wait")?,
             load: load(m.value(10))?,
-            whole: true,
+            body_complete: true,
         }),
-        "EXPIRED" => Event::ClientLeft(m.request()?),
+        "EXPIRED" => Event::ClientDisconnected(m.request()?),
         "TICK_DUE" => Event::Timer(m.integer(2, "cookie")?),
         "VOIDED" => {
             let object = m.integer_or_0(4, "asset")?;
--- a/crates/adapter/src/write.rs
+++ b/crates/adapter/src/write.rs
@@ -10,7 +10,7 @@
 /// The wire's message for an action of that instance.
 pub fn action(i: u64, action: Action) -> Value {
     match action {
-        Action::Fetch(f) => {
+        Action::StartAttempt(f) => {
             let rank = match f.rank {
                 Rank::None => 0,
                 Rank::Low => 1,
@@ -18,15 +18,15 @@
                 Rank::Top => 3,
             };
             let flag = |on: bool, bit: u64| if on { bit } else { 0 };
-            let opts = flag(f.join, JOIN) + flag(f.held_only, HELD_ONLY) + flag(f.renew, RENEW);
+            let opts = flag(f.join_fill, JOIN) + flag(f.cached_only, HELD_ONLY) + flag(f.revalidate, RENEW);
             let age = f.max_age.unwrap_or(0.0);
-            json!(["DELIVER_VIA", i, *f.request.0, *f.server.0, f.timeout, *f.fill_from.0, rank, age, opts])
+            json!(["DELIVER_VIA", i, *f.request.0, *f.server.0, f.timeout, *f.fill_source.0, rank, age, opts])
         }
-        Action::Cancel(request, attempt) => json!(["DROP_ATTEMPT", i, *request.0, attempt.0]),
-        Action::Refuse(request, hold_off) => json!(["PUSH_BACK", i, *request.0, hold_off]),
+        Action::CancelAttempt(request, attempt) => json!(["DROP_ATTEMPT", i, *request.0, attempt.0]),
+        Action::Reject(request, hold_off) => json!(["PUSH_BACK", i, *request.0, hold_off]),
         Action::Fail(request) => json!(["ERROR", i, *request.0]),
         Action::Timer(delay, token) => json!(["DEFER", i, delay, token]),
-        Action::Subscribe => json!(["SUBSCRIBE", i, true]),
-        Action::Report(text) => json!(["JOURNAL_LINE", i, text]),
+        Action::WatchEndpoints => json!(["SUBSCRIBE", i, true]),
+        Action::Log(text) => json!(["JOURNAL_LINE", i, text]),
     }
 }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -46,19 +46,19 @@
 fn settings_are_typed_unknown_keys_ignored_and_absent_ones_have_their_meaning() {
     let (_, s) = settings(&start()).expect("settings");
     assert_eq!((s.zone, s.zone_routers, s.routers), (ZoneId(1), 2, 3));
-    assert_eq!(s.classes[0].effect, Effect::Safe);
-    assert_eq!((s.classes[1].effect, s.classes[1].uncacheable), (Effect::Unsafe, true));
-    assert_eq!((s.classes[1].fresh, s.classes[1].aim_stretch), (8000.0, 0.0));
-    assert_eq!((s.cold_edge.share, s.cold_edge.window), (0.24, 1500.0));
-    assert_eq!((s.lateral, s.direct, s.joins), (Lateral::Any, true, false));
-    assert!(!s.must_subscribe && !s.weights_move);
+    assert_eq!(s.classes[0].idempotency, Idempotency::Idempotent);
+    assert_eq!((s.classes[1].idempotency, s.classes[1].uncacheable), (Idempotency::NonIdempotent, true));
+    assert_eq!((s.classes[1].fresh_for, s.classes[1].latency_objective_stretch), (8000.0, 0.0));
+    assert_eq!((s.edge_slow_start.share, s.edge_slow_start.window), (0.24, 1500.0));
+    assert_eq!((s.peer_fill, s.direct_to_parents, s.fill_joining), (PeerFill::Any, true, false));
+    assert!(!s.must_watch_endpoints && !s.dynamic_weights);
     let (_, bare) = settings(&json!({})).expect("an empty object");
-    assert_eq!((bare.routers, bare.max_attempts, bare.second_copies), (1, 1, false));
+    assert_eq!((bare.routers, bare.max_attempts, bare.hedging), (1, 1, false));
     let mut asked = start();
     asked["discovery"] = json!("subscribe");
     asked["weight-kind"] = json!("live");
     let (_, s) = settings(&asked).expect("settings");
-    assert!(s.must_subscribe && s.weights_move);
+    assert!(s.must_watch_endpoints && s.dynamic_weights);
 }
 
 #[test]
@@ -74,16 +74,16 @@
             ["o:1", "hub", "origin", 0, "removed", 1, 0]
         ]
     ]);
-    let Ok(Some(Event::Servers(ListMode::Whole, entries))) = read(list) else { panic!("a list") };
+    let Ok(Some(Event::Endpoints(EndpointUpdate::Complete, entries))) = read(list) else { panic!("a list") };
     assert_eq!((entries[0].id.clone(), entries[0].role, entries[0].cell), (cache(), Role::Edge, 2));
     assert_eq!(
-        (entries[1].role, entries[1].listed, entries[1].started),
-        (Role::Parent, Listed::Draining, Some(6100.0))
+        (entries[1].role, entries[1].state, entries[1].started),
+        (Role::Parent, EndpointState::Draining, Some(6100.0))
     );
-    assert_eq!((entries[2].role, entries[2].listed, entries[2].started), (Role::Origin, Listed::Gone, None));
+    assert_eq!((entries[2].role, entries[2].state, entries[2].started), (Role::Origin, EndpointState::Removed, None));
     let patch = read(json!(["TARGETS", 3, 42, "patch", []]));
-    assert_eq!(patch, Ok(Some(Event::Servers(ListMode::Changes, vec![]))));
-    assert_eq!(read(json!(["TARGETS", 3, 42, "broken"])), Ok(Some(Event::Servers(ListMode::Failed, vec![]))));
+    assert_eq!(patch, Ok(Some(Event::Endpoints(EndpointUpdate::Delta, vec![]))));
+    assert_eq!(read(json!(["TARGETS", 3, 42, "broken"])), Ok(Some(Event::Endpoints(EndpointUpdate::Failed, vec![]))));
     let query = read(json!(["QUERY", 3, R, null, 640, 5, 240.0, 11, 4569004829183723u64, 3, "big"]));
     let expected = Request {
         id: rid(),
@@ -101,22 +101,22 @@
         panic!("a request of an unknown class")
     };
     assert_eq!((r.class, r.size_kb, r.object), (None, 0.0, ObjectId(0)));
-    assert_eq!(read(json!(["FLOWING", 3, R, 1, C, 9.25])), Ok(Some(Event::Flowing(rid(), AttemptNo(1)))));
+    assert_eq!(read(json!(["FLOWING", 3, R, 1, C, 9.25])), Ok(Some(Event::ResponseStarted(rid(), AttemptNo(1)))));
     let done = json!(["FINISHED", 3, R, 2, C, "GOOD", 18.5, true, 2, 9.4, {"busy": 0.62, "rif": 7, "x0": 0.4, "x1": 2}]);
     let expected = Outcome {
         request: rid(),
         attempt: AttemptNo(2),
         server: cache(),
-        end: End::Served,
-        delay: 18.5,
-        last: true,
-        note: Note::FilledBySource,
+        result: AttemptResult::Served,
+        latency: 18.5,
+        completes_request: true,
+        fill_report: FillReport::FilledBySource,
         source_wait: 9.4,
-        load: Load { inflight: Some(7.0), util: Some(0.62), hits: Some(0.4), link: Some(2.0) },
-        whole: true,
+        load: LoadReport { inflight: Some(7.0), util: Some(0.62), hits: Some(0.4), link: Some(2.0) },
+        body_complete: true,
     };
     assert_eq!(read(done), Ok(Some(Event::Outcome(expected))));
-    assert_eq!(read(json!(["EXPIRED", 3, R])), Ok(Some(Event::ClientLeft(rid()))));
+    assert_eq!(read(json!(["EXPIRED", 3, R])), Ok(Some(Event::ClientDisconnected(rid()))));
     assert_eq!(read(json!(["TICK_DUE", 3, 77])), Ok(Some(Event::Timer(77))));
     let purge = |o| Ok(Some(Event::Purged(GroupId(11), o, 85.0)));
     assert_eq!(read(json!(["VOIDED", 3, 11, 85.0, 534015773185u64])), purge(Some(ObjectId(534015773185))));
@@ -132,8 +132,8 @@
     for (n, code) in ends.iter().enumerate() {
         let v = json!(["FINISHED", 3, R, 0, C, code, 1.0, false, n, 0.0, null]);
         let Ok(Some(Event::Outcome(o))) = read(v) else { panic!("{code}") };
-        assert!(!met.contains(&(o.end, o.note)));
-        met.push((o.end, o.note));
+        assert!(!met.contains(&(o.result, o.fill_report)));
+        met.push((o.result, o.fill_report));
     }
     assert!(read(json!(["FINISHED", 3, R, 0, C, "WHAT", 1.0, false])).is_err());
     assert!(read(json!(["FINISHED", 3, R, 0, C, "BAD", 1.0, false, 11])).is_err());
@@ -141,28 +141,28 @@
 
 #[test]
 fn every_action_is_written_with_its_ids_unchanged() {
-    let fetch = |join, held_only, renew| Fetch {
-        begin_by: f64::INFINITY,
+    let fetch = |join, held_only, renew| AttemptSpec {
+        start_before: f64::INFINITY,
         request: rid(),
         server: cache(),
         timeout: 900.0,
-        fill_from: ServerId(Arc::from("p:1")),
+        fill_source: ServerId(Arc::from("p:1")),
         rank: Rank::Top,
         max_age: Some(1500.0),
-        join,
-        held_only,
-        renew,
+        join_fill: join,
+        cached_only: held_only,
+        revalidate: renew,
     };
-    let written = action(3, Action::Fetch(fetch(true, false, true)));
+    let written = action(3, Action::StartAttempt(fetch(true, false, true)));
     assert_eq!(written, json!(["DELIVER_VIA", 3, R, C, 900.0, "p:1", 3, 1500.0, 9]));
-    let plain = Fetch { max_age: None, rank: Rank::Low, ..fetch(false, true, false) };
-    assert_eq!(action(3, Action::Fetch(plain)), json!(["DELIVER_VIA", 3, R, C, 900.0, "p:1", 1, 0.0, 2]));
-    assert_eq!(action(3, Action::Cancel(rid(), AttemptNo(4))), json!(["DROP_ATTEMPT", 3, R, 4]));
-    assert_eq!(action(3, Action::Refuse(rid(), 250.0)), json!(["PUSH_BACK", 3, R, 250.0]));
+    let plain = AttemptSpec { max_age: None, rank: Rank::Low, ..fetch(false, true, false) };
+    assert_eq!(action(3, Action::StartAttempt(plain)), json!(["DELIVER_VIA", 3, R, C, 900.0, "p:1", 1, 0.0, 2]));
+    assert_eq!(action(3, Action::CancelAttempt(rid(), AttemptNo(4))), json!(["DROP_ATTEMPT", 3, R, 4]));
+    assert_eq!(action(3, Action::Reject(rid(), 250.0)), json!(["PUSH_BACK", 3, R, 250.0]));
     assert_eq!(action(3, Action::Fail(rid())), json!(["ERROR", 3, R]));
     assert_eq!(action(3, Action::Timer(500.0, 77)), json!(["DEFER", 3, 500.0, 77]));
-    assert_eq!(action(3, Action::Subscribe), json!(["SUBSCRIBE", 3, true]));
-    assert_eq!(action(3, Action::Report("x".into())), json!(["JOURNAL_LINE", 3, "x"]));
+    assert_eq!(action(3, Action::WatchEndpoints), json!(["SUBSCRIBE", 3, true]));
+    assert_eq!(action(3, Action::Log("x".into())), json!(["JOURNAL_LINE", 3, "x"]));
 }
 
 #[test]
--- a/crates/config/src/learnt.rs
+++ b/crates/config/src/learnt.rs
@@ -7,7 +7,7 @@
 use crate::value::BadInput;
 use basaltgw::api::{GroupId, Ms, ObjectId, ServerId};
 use basaltgw::hash::address;
-use basaltgw::rules::carry::{Learnt, LearntServer};
+use basaltgw::rules::carry::{Snapshot, ServerSnapshot};
 use garde::Validate;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -25,18 +25,18 @@
 pub const LEARNT_MOST_BYTES: u64 = 64 * 1024 * 1024;
 
 /// The file's text.
-pub fn write(learnt: &Learnt, now: Ms) -> String {
+pub fn write(learnt: &Snapshot, now: Ms) -> String {
     let age = |at: Ms| (now - at).max(0.0);
     let servers: Vec<Value> = learnt
         .servers
         .iter()
         .map(|s| {
-            json!({"id": *s.id.0, "listed_start_ms": s.listed_start, "cut": s.cut, "lag": s.lag, "out": s.out,
-                   "cold_for_ms": s.cold_since.map(age)})
+            json!({"id": *s.id.0, "listed_start_ms": s.listed_start, "cut": s.weight_penalty_log, "lag": s.latency_ratio_log, "out": s.ejected,
+                   "cold_for_ms": s.warmup_started.map(age)})
         })
         .collect();
     let sending: Vec<Value> =
-        learnt.sending.iter().map(|(c, ms, n)| json!({"class": c, "ms": ms, "answers": n})).collect();
+        learnt.sending_times.iter().map(|(c, ms, n)| json!({"class": c, "ms": ms, "answers": n})).collect();
     let purge = |of: &(Option<ObjectId>, Option<GroupId>, Ms)| {
         let (object, group) = (of.0.map(|o| o.0.to_string()), of.1.map(|g| g.0));
         json!({"object": object, "group": group, "age_ms": age(of.2)})
@@ -48,7 +48,7 @@
 }
 
 /// Reads it back; one written longer ago than `oldest`, or later than now, is not used.
-pub fn read(file: &str, now: Ms, oldest: Ms) -> Result<Learnt, BadInput> {
+pub fn read(file: &str, now: Ms, oldest: Ms) -> Result<Snapshot, BadInput> {
     let bad = |what: &str| BadInput::new("learnt", what);
     let (head, rest) = file.split_once('\n').ok_or_else(|| bad("cut off in its first line"))?;
     let rest = rest.strip_suffix('\n').ok_or_else(|| bad("cut off"))?;
@@ -64,14 +64,14 @@
     if !(0.0..=oldest).contains(&(now - written)) {
         return Err(bad(&format!("written {:.0} ms ago, at most {oldest:.0} are used", now - written)));
     }
-    let server = |s: ServerFile<'_>| LearntServer {
+    let server = |s: ServerFile<'_>| ServerSnapshot {
         id: ServerId(Arc::from(s.id)),
         listed_start: s.listed_start_ms,
-        cut: s.cut,
-        lag: s.lag,
-        out: s.out,
+        weight_penalty_log: s.cut,
+        latency_ratio_log: s.lag,
+        ejected: s.out,
         // Ages go on while nobody runs.
-        cold_since: s.cold_for_ms.map(|age| written - age),
+        warmup_started: s.cold_for_ms.map(|age| written - age),
     };
     let purge = |(i, p): (usize, PurgeFile<'_>)| {
         let bad = |what: String| BadInput::new(&format!("learnt.purges[{i}].object"), what);
@@ -83,9 +83,9 @@
         }
         Ok((object, group, written - p.age_ms))
     };
-    Ok(Learnt {
+    Ok(Snapshot {
         servers: file.servers.unwrap_or_default().into_iter().map(server).collect(),
-        sending: file.sending.unwrap_or_default().into_iter().map(|s| (s.class, s.ms, s.answers)).collect(),
+        sending_times: file.sending.unwrap_or_default().into_iter().map(|s| (s.class, s.ms, s.answers)).collect(),
         purges: file
             .purges
             .unwrap_or_default()
@@ -158,21 +158,21 @@
 mod tests {
     use super::*;
 
-    fn sample() -> Learnt {
-        let server = |id: &str, out| LearntServer {
+    fn sample() -> Snapshot {
+        let server = |id: &str, out| ServerSnapshot {
             id: ServerId(Arc::from(id)),
             listed_start: Some(5000.0),
-            cut: -0.5,
-            lag: Some(0.25),
-            out,
-            cold_since: Some(9000.0),
+            weight_penalty_log: -0.5,
+            latency_ratio_log: Some(0.25),
+            ejected: out,
+            warmup_started: Some(9000.0),
         };
-        Learnt {
+        Snapshot {
             servers: vec![
                 server("s-1", true),
-                LearntServer { lag: None, cold_since: None, ..server("s-2", false) },
+                ServerSnapshot { latency_ratio_log: None, warmup_started: None, ..server("s-2", false) },
             ],
-            sending: vec![("pages".into(), 310.0, 20)],
+            sending_times: vec![("pages".into(), 310.0, 20)],
             purges: vec![(Some(ObjectId(u64::MAX)), None, 8000.0), (None, Some(GroupId(7)), 7000.0)],
         }
     }
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -3,7 +3,7 @@
 use crate::typed::{bounded, dashed, plain, typed, Amount, Whole};
 use crate::value::BadInput;
 use crate::{settings, Names};
-use basaltgw::api::{GroupId, Listed, Ms, ObjectId, ServerEntry, ServerId, Settings};
+use basaltgw::api::{GroupId, EndpointState, Ms, ObjectId, Endpoint, ServerId, Settings};
 use garde::Validate;
 use serde::Deserialize;
 use serde_json::Value;
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// What the module is told.
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
     /// Where it is reached.
     pub address: SocketAddr,
 }
@@ -282,7 +282,7 @@
 impl NodeConfig {
     /// The cold rule's figures for parents, by which a reshape goes.
     pub fn cold(&self) -> basaltgw_hierarchy::Cold {
-        let rule = self.settings.cold_parent;
+        let rule = self.settings.parent_slow_start;
         basaltgw_hierarchy::Cold { share: rule.share, span: rule.span }
     }
 
@@ -376,15 +376,15 @@
 
 fn member(m: MemberFile<'_>, names: &Names) -> Result<Member, BadInput> {
     let unknown = |field: &str, what: &str| BadInput::new(field, format!("unknown {what:?}"));
-    let entry = ServerEntry {
+    let entry = Endpoint {
         id: ServerId(Arc::from(m.id)),
         zone: names.zone(m.locality).ok_or_else(|| unknown("locality", m.locality))?,
         role: names.role(m.flavor).ok_or_else(|| unknown("flavor", m.flavor))?,
         cell: m.cell.map_or(0, |n| n.0),
-        listed: match m.phase {
-            Phase::Serving => Listed::Up,
-            Phase::Draining => Listed::Draining,
-            Phase::Deleted => Listed::Gone,
+        state: match m.phase {
+            Phase::Serving => EndpointState::Up,
+            Phase::Draining => EndpointState::Draining,
+            Phase::Deleted => EndpointState::Removed,
         },
         weight: m.size.unwrap_or(1.0),
         started: m.up_since_ms.filter(|t| *t > 0.0),
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::{fleet, Fleet, FleetFile};
 use crate::yaml::{schema, BadFile, Document};
-use basaltgw::api::{ServerId, SourceShare, SourceTable};
+use basaltgw::api::{ServerId, SourceShare, FillPlan};
 use basaltgw_hierarchy::{Cold, NodeId, NodeSpec, PlanSpec, Settings, Table, Tier, Version};
 use jsonschema::Validator;
 use serde::Deserialize;
@@ -152,13 +152,13 @@
 }
 
 /// A reshape's table as the module takes it.
-pub fn table(of: &Table) -> SourceTable {
+pub fn table(of: &Table) -> FillPlan {
     let id = |n: &NodeId| ServerId(Arc::clone(&n.0));
     // Caches with the same sources go on sharing them.
     let mut made: Vec<(*const Vec<basaltgw_hierarchy::Share>, Arc<Vec<SourceShare>>)> = Vec::new();
     let mut askers: Vec<_> = of.of.iter().collect();
     askers.sort_unstable_by(|a, b| a.0.cmp(b.0));
-    let mut table = SourceTable::default();
+    let mut table = FillPlan::default();
     for (asker, shares) in askers {
         let at = Arc::as_ptr(shares);
         let known = made.iter().find(|(p, _)| *p == at).map(|(_, s)| Arc::clone(s));
@@ -169,9 +169,9 @@
             made.push((at, Arc::clone(&plain)));
             plain
         });
-        table.of.insert(id(asker), shares);
+        table.sources.insert(id(asker), shares);
     }
-    table.origin = of.archive.iter().map(id).collect();
+    table.origin_allowed = of.archive.iter().map(id).collect();
     table
 }
 
@@ -231,11 +231,11 @@
             Arc::new(vec![basaltgw_hierarchy::Share { id: NodeId::new("h"), weight: 2.0, share: 0.5 }]);
         let of = [("a", &shares), ("b", &shares)].map(|(n, s)| (NodeId::new(n), Arc::clone(s)));
         let plain = table(&Table { of: of.into_iter().collect(), archive: vec![NodeId::new("a")] });
-        let [a, b] = ["a", "b"].map(|n| plain.of.get(&ServerId(n.into())).expect("an asker"));
+        let [a, b] = ["a", "b"].map(|n| plain.sources.get(&ServerId(n.into())).expect("an asker"));
         assert!(Arc::ptr_eq(a, b));
         assert_eq!(a[0], SourceShare { id: ServerId("h".into()), weight: 2.0, share: 0.5 });
         assert!(
-            plain.origin.contains(&ServerId("a".into())) && !plain.origin.contains(&ServerId("b".into()))
+            plain.origin_allowed.contains(&ServerId("a".into())) && !plain.origin_allowed.contains(&ServerId("b".into()))
         );
     }
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -2,6 +2,7 @@
 
 use crate::typed::{bounded, dashed, typed, Amount, Whole};
 use crate::value::BadInput;
+use basaltgw::api;
 use basaltgw::api::*;
 use garde::Validate;
 use serde::Deserialize;
@@ -254,13 +255,13 @@
     let through = one_each(&family.goes_through, many, "goes-through")?;
     let class = |(k, s): (usize, &Service)| Class {
         name: s.name.clone().unwrap_or_default(),
-        aim: or(s.slo, 0.0),
-        aim_stretch: or(s.aim_stretch, 0.0),
+        latency_objective: or(s.slo, 0.0),
+        latency_objective_stretch: or(s.aim_stretch, 0.0),
         deadline: s.deadline.map(|d| d.0).filter(|d| *d > 0.0).unwrap_or(LONGEST_WAIT_MS),
-        effect: match s.idempotency.unwrap_or(Idempotency::NonIdempotent) {
-            Idempotency::ReadLike => Effect::Safe,
-            Idempotency::Keyed => Effect::Keyed,
-            Idempotency::NonIdempotent => Effect::Unsafe,
+        idempotency: match s.idempotency.unwrap_or(Idempotency::NonIdempotent) {
+            Idempotency::ReadLike => api::Idempotency::Idempotent,
+            Idempotency::Keyed => api::Idempotency::IdempotencyKey,
+            Idempotency::NonIdempotent => api::Idempotency::NonIdempotent,
         },
         key_scope: match s.key_scope.unwrap_or(Scope::All) {
             Scope::All => KeyScope::All,
@@ -268,10 +269,10 @@
             Scope::Cell => KeyScope::Cell,
         },
         key_window: or(s.window, 0.0),
-        worth: or(s.worth, 1.0),
-        late_worth: or(s.late_worth, 0.0),
-        fresh: or(fresh.get(k).copied().flatten(), 0.0),
-        grace: or(grace.get(k).copied().flatten(), 0.0),
+        priority_weight: or(s.worth, 1.0),
+        late_weight_share: or(s.late_worth, 0.0),
+        fresh_for: or(fresh.get(k).copied().flatten(), 0.0),
+        stale_for: or(grace.get(k).copied().flatten(), 0.0),
         uncacheable: through.get(k).copied().flatten().unwrap_or(false),
     };
     Ok(services.iter().enumerate().map(class).collect())
@@ -315,15 +316,15 @@
         zone,
         zone_routers: by_zone.map_or(routers, |n| n.0 as usize).max(1),
         routers: routers.max(1),
-        zone_hub: hubs.iter().map(|h| ZoneId(h.0 as usize)).collect(),
+        zone_parent_group: hubs.iter().map(|h| ZoneId(h.0 as usize)).collect(),
         classes,
-        cold_edge: ColdRule {
+        edge_slow_start: SlowStartPolicy {
             share: or(contract.cold_share, 1.0),
             span: or(contract.cold, 0.0),
             multiple: or(contract.fall_multiple, 0.0),
             window,
         },
-        cold_parent: ColdRule {
+        parent_slow_start: SlowStartPolicy {
             share: or(family.parent_cold_from, 1.0),
             span: or(family.upper_cold, 0.0),
             multiple: or(family.parent_fall_multiple, 0.0),
@@ -331,29 +332,29 @@
         },
         drain_grace: or(contract.drain_grace, 0.0),
         purge_grace: or(family.heed_within, 0.0),
-        purge_settles: or(family.purge_settles, 0.0),
-        second_copies: limits.parallel_tries.unwrap_or(false),
+        purge_convergence_time: or(family.purge_settles, 0.0),
+        hedging: limits.parallel_tries.unwrap_or(false),
         cancel: limits.cancel.unwrap_or(false),
         retry_after: limits.retry_after.unwrap_or(false),
         max_retry_after: or(limits.max_retry_after, 0.0),
         max_attempts: limits.try_limit.map_or(1, |n| n.0 as usize),
-        direct: family.pass_through_ok.unwrap_or(false),
-        joins: family.collapses.unwrap_or(false),
-        lateral: match family.lateral.unwrap_or(Reach::Silent) {
-            Reach::Silent => Lateral::None,
-            Reach::Location => Lateral::Zone,
-            Reach::Any => Lateral::Any,
+        direct_to_parents: family.pass_through_ok.unwrap_or(false),
+        fill_joining: family.collapses.unwrap_or(false),
+        peer_fill: match family.lateral.unwrap_or(Reach::Silent) {
+            Reach::Silent => PeerFill::None,
+            Reach::Location => PeerFill::Zone,
+            Reach::Any => PeerFill::Any,
         },
-        pace_kb_per_s: or(family.pace_kb_per_s, 0.0),
-        must_subscribe: match file.discovery.unwrap_or(Discovery::Automatic) {
+        response_rate_kb_per_s: or(family.pace_kb_per_s, 0.0),
+        must_watch_endpoints: match file.discovery.unwrap_or(Discovery::Automatic) {
             Discovery::Automatic => false,
             Discovery::Subscribe => true,
         },
-        rough_sizes: match weights {
+        approximate_weights: match weights {
             WeightKind::Nominal => false,
             WeightKind::Rough | WeightKind::Silent | WeightKind::Live => true,
         },
-        weights_move: weights == WeightKind::Live,
+        dynamic_weights: weights == WeightKind::Live,
         tick: or(file.granularity, 0.0),
     };
     Ok((names, parsed))
--- a/crates/config/tests/bytes.rs
+++ b/crates/config/tests/bytes.rs
@@ -2,7 +2,7 @@
 
 use basaltgw::api::{GroupId, ObjectId, ServerId};
 use basaltgw::hash::{address, mix};
-use basaltgw::rules::carry::{Learnt, LearntServer};
+use basaltgw::rules::carry::{Snapshot, ServerSnapshot};
 use basaltgw_config::learnt::{read, write};
 use std::sync::Arc;
 
@@ -19,17 +19,17 @@
 
 #[test]
 fn the_file_has_the_text_written_down() {
-    let server = |id: &str, out, lag, cold_since| LearntServer {
+    let server = |id: &str, out, lag, cold_since| ServerSnapshot {
         id: ServerId(Arc::from(id)),
         listed_start: Some(5000.0),
-        cut: -0.5,
-        lag,
-        out,
-        cold_since,
+        weight_penalty_log: -0.5,
+        latency_ratio_log: lag,
+        ejected: out,
+        warmup_started: cold_since,
     };
-    let learnt = Learnt {
+    let learnt = Snapshot {
         servers: vec![server("s-1", true, Some(0.25), Some(9000.0)), server("s-2", false, None, None)],
-        sending: vec![("pages".into(), 310.0, 20)],
+        sending_times: vec![("pages".into(), 310.0, 20)],
         purges: vec![(Some(ObjectId(u64::MAX)), None, 8000.0), (None, Some(GroupId(7)), 7000.0)],
     };
     assert_eq!(write(&learnt, 10_000.0), WRITTEN);
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! What a router is told: defaults, checks, and messages that name the key.
 
-use basaltgw::api::{GroupId, Listed, ObjectId, Role};
+use basaltgw::api::{GroupId, EndpointState, ObjectId, Role};
 use basaltgw_config::{parse, read, Environment, Limits, News, Seq};
 use serde_json::{json, Value};
 
@@ -33,8 +33,8 @@
     let News::Servers { whole: true, members } = &c.known[0] else { panic!("the whole list") };
     let (edge, origin) = (&members[0], &members[1]);
     assert_eq!((&*edge.entry.id.0, edge.address.port(), edge.entry.role), ("s-00c41f7a", 10080, Role::Edge));
-    assert_eq!((edge.entry.listed, edge.entry.weight, edge.entry.started), (Listed::Up, 4.0, None));
-    assert_eq!((origin.entry.role, origin.entry.listed), (Role::Origin, Listed::Draining));
+    assert_eq!((edge.entry.state, edge.entry.weight, edge.entry.started), (EndpointState::Up, 4.0, None));
+    assert_eq!((origin.entry.role, origin.entry.state), (Role::Origin, EndpointState::Draining));
     assert_eq!((origin.entry.zone.0, origin.entry.started), (0, Some(1_764_576_000_123.0)));
     let object = Some(ObjectId(0x7f3a9c21e0b4d655));
     assert_eq!(c.known[1], News::Purge { object, group: GroupId(0), time: 1_764_576_000_123.0 });
@@ -129,7 +129,7 @@
     };
     let (typed, bare) = (|c: &Value| parse(c, &Environment::default()), good());
     let settings = typed(&bare).expect("a good configuration").settings;
-    assert!(settings.rough_sizes && settings.classes[0].grace == 0.0);
+    assert!(settings.approximate_weights && settings.classes[0].stale_for == 0.0);
     for (pointer, value, says) in [
         ("/settings/contract/fall", json!(-1.0), "settings.contract.fall: expected 0 or more, found -1"),
         ("/settings/granularity", json!(-2), "settings.granularity"),
--- a/crates/config/tests/nonsense.rs
+++ b/crates/config/tests/nonsense.rs
@@ -91,22 +91,22 @@
     for news in &c.known {
         let event = match news {
             News::Servers { whole, members } => {
-                let mode = if *whole { ListMode::Whole } else { ListMode::Changes };
-                Event::Servers(mode, members.iter().map(|m| m.entry.clone()).collect())
+                let mode = if *whole { EndpointUpdate::Complete } else { EndpointUpdate::Delta };
+                Event::Endpoints(mode, members.iter().map(|m| m.entry.clone()).collect())
             }
             News::Purge { object, group, time } => Event::Purged(*group, *object, (now - time).max(0.0)),
         };
         router.handle(now, event, &mut acts);
     }
     // Every note and end in turn, with time in between.
-    let ends = [End::Served, End::Late, End::Full, End::Error, End::Miss, End::NoConnection];
+    let ends = [AttemptResult::Served, AttemptResult::TimedOut, AttemptResult::Rejected, AttemptResult::Error, AttemptResult::CacheMiss, AttemptResult::NoConnection];
     let notes = [
-        Note::Untold,
-        Note::Hit,
-        Note::FilledBySource,
-        Note::SourceRefused,
-        Note::SourceFailed,
-        Note::OriginFailed,
+        FillReport::NotReported,
+        FillReport::Hit,
+        FillReport::FilledBySource,
+        FillReport::SourceRejected,
+        FillReport::SourceFailed,
+        FillReport::OriginFailed,
     ];
     for n in 0..90usize {
         now += [0.5, 30.0, 300.0][n % 3];
@@ -127,7 +127,7 @@
         router.handle(now, Event::Request(request), &mut acts);
         for attempt in 0..6 {
             let fetch = acts[sent..].iter().find_map(|a| match a {
-                Action::Fetch(f) => Some(f.clone()),
+                Action::StartAttempt(f) => Some(f.clone()),
                 _ => None,
             });
             let Some(fetch) = fetch else { break };
@@ -138,35 +138,35 @@
                 request: id.clone(),
                 attempt: AttemptNo(attempt),
                 server: fetch.server,
-                end,
-                delay: 11.0,
-                last: end == End::Served,
-                note,
+                result: end,
+                latency: 11.0,
+                completes_request: end == AttemptResult::Served,
+                fill_report: note,
                 source_wait: 3.0,
-                load: Load::default(),
-                whole: true,
+                load: LoadReport::default(),
+                body_complete: true,
             };
             router.handle(now, Event::Outcome(outcome), &mut acts);
         }
     }
     for act in &acts {
         let fits = match act {
-            Action::Fetch(f) => f.timeout > 0.0 && f.timeout <= 4000.0 && f.max_age.is_none_or(|a| a > 0.0),
-            Action::Refuse(_, ms) => *ms >= 0.0 && *ms <= c.settings.max_retry_after,
+            Action::StartAttempt(f) => f.timeout > 0.0 && f.timeout <= 4000.0 && f.max_age.is_none_or(|a| a > 0.0),
+            Action::Reject(_, ms) => *ms >= 0.0 && *ms <= c.settings.max_retry_after,
             Action::Timer(ms, _) => *ms > 0.0 && ms.is_finite(),
-            Action::Cancel(..) | Action::Fail(_) | Action::Subscribe | Action::Report(_) => true,
+            Action::CancelAttempt(..) | Action::Fail(_) | Action::WatchEndpoints | Action::Log(_) => true,
         };
         if !fits {
             return Err(format!("{act:?}"));
         }
     }
-    let learnt = router.learnt();
+    let learnt = router.snapshot();
     let finite =
-        |s: &basaltgw::rules::carry::LearntServer| s.cut.is_finite() && s.lag.is_none_or(f64::is_finite);
-    let sending = learnt.sending.iter().all(|(_, ms, _)| ms.is_finite());
+        |s: &basaltgw::rules::carry::ServerSnapshot| s.weight_penalty_log.is_finite() && s.latency_ratio_log.is_none_or(f64::is_finite);
+    let sending = learnt.sending_times.iter().all(|(_, ms, _)| ms.is_finite());
     match learnt.servers.iter().find(|s| !finite(s)) {
         Some(s) => Err(format!("{s:?}")),
-        None if !sending => Err(format!("{:?}", learnt.sending)),
+        None if !sending => Err(format!("{:?}", learnt.sending_times)),
         None => Ok(()),
     }
 }
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,6 +1,6 @@
 //! The files of routers in the model's fleet: configuration, plan, records of the change log.
 
-use basaltgw::api::Listed;
+use basaltgw::api::EndpointState;
 use basaltgw_hierarchy::{PlanSpec, Settings};
 use basaltgw_simulator::fleet::NodeInfo;
 use basaltgw_simulator::sim::{Setup, AIM_STRETCH};
@@ -98,7 +98,7 @@
 }
 
 /// A record of the change log: id, address, state, zone, kind, cell, weight, start.
-pub fn record(node: &NodeInfo, at: SocketAddr, listed: Listed, started_ms: u64) -> Vec<u8> {
+pub fn record(node: &NodeInfo, at: SocketAddr, listed: EndpointState, started_ms: u64) -> Vec<u8> {
     let id = node.id.0.strip_prefix("s-").and_then(|h| u32::from_str_radix(h, 16).ok()).unwrap_or_default();
     let mut bytes = id.to_be_bytes().to_vec();
     let octets = match at {
@@ -108,9 +108,9 @@
     bytes.extend_from_slice(&octets);
     bytes.extend_from_slice(&at.port().to_be_bytes());
     let state = match listed {
-        Listed::Up => 0,
-        Listed::Draining => 1,
-        Listed::Gone => 2,
+        EndpointState::Up => 0,
+        EndpointState::Draining => 1,
+        EndpointState::Removed => 2,
     };
     bytes.extend_from_slice(&[state, node.zone as u8, kind(node) as u8, 0, 0]);
     bytes.extend_from_slice(&1000u32.to_be_bytes());
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -12,7 +12,7 @@
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use basaltgw::api::{End, Listed, Note, Rank};
+use basaltgw::api::{AttemptResult, EndpointState, FillReport, Rank};
 use basaltgw_hierarchy::{FillKey, NodeId, Plan, PlanSpec};
 use basaltgw_resp::{encode, FieldList, Fields};
 use basaltgw_simulator::arrivals::{object as object_of, Arrival, Arrivals};
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -72,42 +72,42 @@
         let unsafe_ = request
             .is_some_and(|r| self.setup.load.classes[r.member.what.class].effect == EffectSpec::Unsafe);
         let ran = match reply.end {
-            End::Served => Ran::Served((!unsafe_).then_some(reply.born)),
-            End::Full | End::Miss | End::NotSent => Ran::Never,
-            End::Error | End::Late | End::Broken | End::Cancelled | End::NoConnection => Ran::Maybe,
+            AttemptResult::Served => Ran::Served((!unsafe_).then_some(reply.born)),
+            AttemptResult::Rejected | AttemptResult::CacheMiss | AttemptResult::NotSent => Ran::Never,
+            AttemptResult::Error | AttemptResult::TimedOut | AttemptResult::ConnectionLost | AttemptResult::Cancelled | AttemptResult::NoConnection => Ran::Maybe,
         };
         self.checker.see(now, Seen::Ended((id.router, w.request), w.attempt, ran));
         let note = match reply.note {
-            Note::Untold => None,
-            Note::Hit => Some("hit"),
-            Note::FilledBySource => Some("filled"),
-            Note::FilledByOrigin => Some("via_origin"),
-            Note::Joined => Some("joined"),
-            Note::Old => Some("stale"),
-            Note::SourceRefused => Some("src_refused"),
-            Note::SourceFailed => Some("src_broke"),
-            Note::SourceLacks => Some("src_lacks"),
-            Note::NoFillPlace => Some("no_slot"),
-            Note::OriginFailed => Some("origin_failed"),
-            Note::Looped => Some("src_looped"),
+            FillReport::NotReported => None,
+            FillReport::Hit => Some("hit"),
+            FillReport::FilledBySource => Some("filled"),
+            FillReport::FilledByOrigin => Some("via_origin"),
+            FillReport::Joined => Some("joined"),
+            FillReport::Stale => Some("stale"),
+            FillReport::SourceRejected => Some("src_refused"),
+            FillReport::SourceFailed => Some("src_broke"),
+            FillReport::SourceMiss => Some("src_lacks"),
+            FillReport::FillLimitReached => Some("no_slot"),
+            FillReport::OriginFailed => Some("origin_failed"),
+            FillReport::LoopDetected => Some("src_looped"),
         };
         let word: &[u8] = match reply.end {
-            End::Served => b"ok",
-            End::Miss => b"nothing",
-            End::Full => b"refused",
-            End::NotSent => b"stale",
-            End::Error | End::Late | End::Cancelled => b"error",
+            AttemptResult::Served => b"ok",
+            AttemptResult::CacheMiss => b"nothing",
+            AttemptResult::Rejected => b"refused",
+            AttemptResult::NotSent => b"stale",
+            AttemptResult::Error | AttemptResult::TimedOut | AttemptResult::Cancelled => b"error",
             // The connection ends with its node; it says nothing more.
-            End::Broken | End::NoConnection => return,
+            AttemptResult::ConnectionLost | AttemptResult::NoConnection => return,
         };
         let mut fields = FieldList::default();
-        if reply.end == End::Served {
+        if reply.end == AttemptResult::Served {
             fields.add("ver", hex(reply.born.to_bits()));
             fields.add("born", (self.unix + reply.born).max(0.0) as u64);
         }
         note.into_iter().for_each(|n| fields.add("note", n));
         fields.add("waited", format!("{:.2}", reply.waited.max(0.0)));
-        let bytes = match key.filter(|_| reply.end == End::Served && !unsafe_) {
+        let bytes = match key.filter(|_| reply.end == AttemptResult::Served && !unsafe_) {
             Some(key) => body(key),
             None => Vec::new(),
         };
@@ -129,10 +129,10 @@
         status.life.set(status.life.get() + 1);
         status.up.set(true);
         status.talks.set(true);
-        self.listed(now, node, Listed::Up, Some(now));
+        self.listed(now, node, EndpointState::Up, Some(now));
     }
 
-    pub(super) fn listed(&mut self, now: Ms, node: NodeIx, listed: Listed, started: Option<Ms>) {
+    pub(super) fn listed(&mut self, now: Ms, node: NodeIx, listed: EndpointState, started: Option<Ms>) {
         let started = started.map_or(0, |t| (self.unix + t) as u64);
         if let Some(soak) = &mut self.soak {
             soak.listing[node.0] = (listed, started);
@@ -143,7 +143,7 @@
                 continue;
             }
             let payload = record(info, self.seats[r].addresses[node.0], listed, started);
-            let seen = Seen::Drained(r, node, listed != Listed::Up);
+            let seen = Seen::Drained(r, node, listed != EndpointState::Up);
             let after = self.between(self.setup.fleet.news.list_ms);
             let generation = self.generation(r);
             self.at(now + after, Ev::Tell(r, generation, 2, payload, Some(seen)));
@@ -216,7 +216,7 @@
                 self.down(node);
                 match m.for_ms > 0.0 {
                     true => self.at(until, Ev::Start(node)),
-                    false => self.listed(now, node, Listed::Gone, None),
+                    false => self.listed(now, node, EndpointState::Removed, None),
                 }
             }
             What::Vanish => {
@@ -234,11 +234,11 @@
             What::Start => self.started(now, find(&m.node)?),
             What::Drain => {
                 let node = find(&m.node)?;
-                self.listed(now, node, Listed::Draining, None);
+                self.listed(now, node, EndpointState::Draining, None);
             }
             What::Stop => {
                 let node = find(&m.node)?;
-                self.listed(now, node, Listed::Gone, None);
+                self.listed(now, node, EndpointState::Removed, None);
                 self.fleet.trouble(now, node, Trouble::Crash);
                 self.down(node);
             }
--- a/crates/emulator/src/world/soak.rs
+++ b/crates/emulator/src/world/soak.rs
@@ -223,7 +223,7 @@
     pub plan: Vec<Planned>,
     pub seats: Vec<SoakSeat>,
     /// Where each node is listed, and since when its process runs, in Unix time.
-    pub listing: Vec<(Listed, u64)>,
+    pub listing: Vec<(EndpointState, u64)>,
     /// What the change log told of purges: object or group, and the Unix time.
     pub purges: Vec<(Option<u64>, u64, u64)>,
     /// How late the harness was lately, and when.
@@ -247,7 +247,7 @@
         binary: &Path,
         dir: &Path,
     ) -> Self {
-        let listing = nodes.iter().map(|n| (if n.spare { Listed::Gone } else { Listed::Up }, 0)).collect();
+        let listing = nodes.iter().map(|n| (if n.spare { EndpointState::Removed } else { EndpointState::Up }, 0)).collect();
         let mut report = SoakReport::default();
         for planned in plan {
             *report.planned.entry(planned.fault.name()).or_default() += 1;
--- a/crates/emulator/src/world/soak/seats.rs
+++ b/crates/emulator/src/world/soak/seats.rs
@@ -168,7 +168,7 @@
         let zone = self.seats[r].zone;
         let near = |i: &usize| {
             let n = &self.nodes[*i];
-            (n.zone == 0 || n.zone == zone) && soak.listing[*i].0 != Listed::Gone
+            (n.zone == 0 || n.zone == zone) && soak.listing[*i].0 != EndpointState::Removed
         };
         let near: Vec<usize> = (0..self.nodes.len()).filter(near).collect();
         let listed: Vec<(&NodeInfo, SocketAddr)> =
@@ -184,7 +184,7 @@
         let events = &mut config["known"]["results"];
         for (member, i) in near.iter().enumerate() {
             let (listed, started) = soak.listing[*i];
-            let phase = if listed == Listed::Draining { "DRAINING" } else { "SERVING" };
+            let phase = if listed == EndpointState::Draining { "DRAINING" } else { "SERVING" };
             events[0]["fleet"]["members"][member]["phase"] = json!(phase);
             events[0]["fleet"]["members"][member]["up_since_ms"] = json!(started);
         }
--- a/crates/experiments/src/capacity/data/cold.rs
+++ b/crates/experiments/src/capacity/data/cold.rs
@@ -44,7 +44,7 @@
 
 /// Requests that all routers may send a cold parent of no age in a window.
 fn allowed(set: &Settings) -> f64 {
-    let rule = set.cold_parent;
+    let rule = set.parent_slow_start;
     rule.multiple * rule.share * SIZE * rule.window / WORK
 }
 
@@ -53,12 +53,12 @@
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-fn list(started: Option<Ms>) -> Vec<ServerEntry> {
-    let sized = |e: ServerEntry| ServerEntry { weight: SIZE, ..e };
+fn list(started: Option<Ms>) -> Vec<Endpoint> {
+    let sized = |e: Endpoint| Endpoint { weight: SIZE, ..e };
     let edges = (0..CACHES).map(|n| server(n, Role::Edge, 0));
     let parents = (CACHES..CACHES + PARENTS).map(|n| server(n, Role::Parent, 0));
     let origin = server(u32::MAX as usize, Role::Origin, 0);
-    let mut all: Vec<ServerEntry> = edges.chain(parents).chain([origin]).map(sized).collect();
+    let mut all: Vec<Endpoint> = edges.chain(parents).chain([origin]).map(sized).collect();
     all[CACHES].started = started;
     all
 }
@@ -67,7 +67,7 @@
     fn new(routers: usize, set: &Settings, seed: u64) -> Self {
         let started = 1000.0 + WARM;
         let make = |k: usize| Router::new(set.clone(), mix(seed, k as u64));
-        let all = DEMAND * PARENTS as f64 * allowed(set) / set.cold_parent.window;
+        let all = DEMAND * PARENTS as f64 * allowed(set) / set.parent_slow_start.window;
         let mut play = Self {
             routers: (0..routers).map(make).collect(),
             due: BTreeMap::new(),
@@ -79,7 +79,7 @@
             reached: Vec::new(),
         };
         for k in 0..routers {
-            play.tell(1000.0, k, Event::Servers(ListMode::Whole, list(None)));
+            play.tell(1000.0, k, Event::Endpoints(EndpointUpdate::Complete, list(None)));
             let (first, late) = (play.next_gap(), 10.0 * draw(&mut play.rng));
             play.at(1000.0 + first, Due::Ask(k));
             play.at(started + late, Due::Told(k));
@@ -102,29 +102,29 @@
         for act in acts {
             match act {
                 Action::Timer(after, _) => self.at(now + after, Due::Sweep(k)),
-                Action::Fetch(f) => {
-                    if f.fill_from == self.cold {
+                Action::StartAttempt(f) => {
+                    if f.fill_source == self.cold {
                         self.reached.push(now);
                     }
-                    let (note, end, last, load) = (Note::FilledBySource, End::Served, true, Load::default());
+                    let (note, end, last, load) = (FillReport::FilledBySource, AttemptResult::Served, true, LoadReport::default());
                     let (request, attempt, server) = (f.request, AttemptNo(0), f.server);
                     let (source_wait, delay) = (20.0, WORK + 20.0);
                     let outcome = Outcome {
                         request,
                         attempt,
                         server,
-                        end,
-                        delay,
-                        last,
-                        note,
+                        result: end,
+                        latency: delay,
+                        completes_request: last,
+                        fill_report: note,
                         source_wait,
                         load,
-                        whole: true,
+                        body_complete: true,
                     };
                     self.at(now + delay, Due::Answer(k, Box::new(outcome)));
                 }
-                Action::Cancel(..) | Action::Refuse(..) | Action::Fail(_) => {}
-                Action::Subscribe | Action::Report(_) => {}
+                Action::CancelAttempt(..) | Action::Reject(..) | Action::Fail(_) => {}
+                Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
     }
@@ -154,7 +154,7 @@
                 Due::Sweep(k) => self.tell(now, k, Event::Timer(1)),
                 Due::Told(k) => {
                     let started = Some(self.started);
-                    self.tell(now, k, Event::Servers(ListMode::Whole, list(started)));
+                    self.tell(now, k, Event::Endpoints(EndpointUpdate::Complete, list(started)));
                 }
                 Due::Answer(k, outcome) => self.tell(now, k, Event::Outcome(*outcome)),
             }
@@ -170,11 +170,11 @@
     for routers in &sizes.routers {
         let set = settings(*routers, routers.div_ceil(expected.zones), 1);
         let reached = Play::new(*routers, &set, seed).run();
-        let (window, may) = (set.cold_parent.window, allowed(&set));
+        let (window, may) = (set.parent_slow_start.window, allowed(&set));
         let first = reached.iter().filter(|at| **at < 1500.0 + window).count() as f64;
         // Every window that ends with an arrival, against what a parent of that age may get.
         let share = |age: Ms| {
-            let rule = set.cold_parent;
+            let rule = set.parent_slow_start;
             (rule.share + (1.0 - rule.share) * (age / rule.span).clamp(0.0, 1.0)) / rule.share
         };
         let mut most = 0f64;
--- a/crates/experiments/src/capacity/data/tables.rs
+++ b/crates/experiments/src/capacity/data/tables.rs
@@ -21,17 +21,17 @@
 /// A router that knows nothing yet, and what it holds.
 fn fresh(expected: &Expected) -> Router {
     let mut router = Router::new(usual(expected), 7);
-    router.handle(0.0, Event::Servers(ListMode::Whole, Vec::new()), &mut Vec::new());
+    router.handle(0.0, Event::Endpoints(EndpointUpdate::Complete, Vec::new()), &mut Vec::new());
     router
 }
 
 /// What a first list holds and takes.
-fn first(expected: &Expected, list: &[ServerEntry]) -> Taken {
+fn first(expected: &Expected, list: &[Endpoint]) -> Taken {
     let mut router = fresh(expected);
     // The names are the list's and stay with it, so they are made anew and counted.
     let own =
-        || list.iter().map(|e| ServerEntry { id: ServerId(e.id.0.as_ref().into()), ..e.clone() }).collect();
-    taken(|| router.handle(1.0, Event::Servers(ListMode::Whole, own()), &mut Vec::new())).1
+        || list.iter().map(|e| Endpoint { id: ServerId(e.id.0.as_ref().into()), ..e.clone() }).collect();
+    taken(|| router.handle(1.0, Event::Endpoints(EndpointUpdate::Complete, own()), &mut Vec::new())).1
 }
 
 /// Bytes held for the list, and what a whole one or one change takes.
@@ -41,17 +41,17 @@
         let list = servers(expected, *n);
         let counted = first(expected, &list);
         let anew = least(TIMES, || {
-            let (mut router, event) = (fresh(expected), Event::Servers(ListMode::Whole, list.clone()));
+            let (mut router, event) = (fresh(expected), Event::Endpoints(EndpointUpdate::Complete, list.clone()));
             timed(|| router.handle(1.0, event, &mut Vec::new())).1
         });
         let mut router = fresh(expected);
-        let mut told = |mode: ListMode, entries: &[ServerEntry]| {
-            let event = Event::Servers(mode, entries.to_vec());
+        let mut told = |mode: EndpointUpdate, entries: &[Endpoint]| {
+            let event = Event::Endpoints(mode, entries.to_vec());
             timed(|| router.handle(3.0, event, &mut Vec::new())).1
         };
-        told(ListMode::Whole, &list);
-        let again = least(TIMES, || told(ListMode::Whole, &list));
-        let change = least(TIMES, || told(ListMode::Changes, &list[..1]));
+        told(EndpointUpdate::Complete, &list);
+        let again = least(TIMES, || told(EndpointUpdate::Complete, &list));
+        let change = least(TIMES, || told(EndpointUpdate::Delta, &list[..1]));
         let at = ("servers listed", list.len() as f64);
         rows.extend([
             Row::new(at, ("list_held", counted.held, "bytes"), Kind::Measured),
@@ -101,7 +101,7 @@
             drive.pass(1000.0 / rate);
             drive.tell(purge(n, 0.0));
             if n % 100 == 0 {
-                most = most.max(drive.router.learnt().purges.len());
+                most = most.max(drive.router.snapshot().purges.len());
             }
         }
         rows.push(Row::new(
--- a/crates/experiments/src/capacity/data/world.rs
+++ b/crates/experiments/src/capacity/data/world.rs
@@ -20,41 +20,41 @@
 pub fn settings(routers: usize, zone_routers: usize, zones: usize) -> Settings {
     let class = Class {
         name: "pages".into(),
-        aim: 400.0,
-        aim_stretch: 2.0,
+        latency_objective: 400.0,
+        latency_objective_stretch: 2.0,
         deadline: 4000.0,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Idempotent,
         key_scope: KeyScope::All,
         key_window: 1000.0,
-        worth: 1.0,
-        late_worth: 0.2,
-        fresh: 0.0,
-        grace: 0.0,
+        priority_weight: 1.0,
+        late_weight_share: 0.2,
+        fresh_for: 0.0,
+        stale_for: 0.0,
         uncacheable: false,
     };
     Settings {
         zone: ZoneId(0),
         zone_routers,
         routers,
-        zone_hub: vec![ZoneId(0); zones],
+        zone_parent_group: vec![ZoneId(0); zones],
         classes: vec![class],
-        cold_edge: ColdRule { share: 0.24, span: 17_000.0, multiple: 4.0, window: 1500.0 },
-        cold_parent: ColdRule { share: 0.062, span: 21_000.0, multiple: 2.0, window: 1500.0 },
+        edge_slow_start: SlowStartPolicy { share: 0.24, span: 17_000.0, multiple: 4.0, window: 1500.0 },
+        parent_slow_start: SlowStartPolicy { share: 0.062, span: 21_000.0, multiple: 2.0, window: 1500.0 },
         drain_grace: 250.0,
         purge_grace: 300.0,
-        purge_settles: 6000.0,
-        second_copies: false,
+        purge_convergence_time: 6000.0,
+        hedging: false,
         cancel: true,
         retry_after: true,
         max_retry_after: 500.0,
         max_attempts: 8,
-        direct: true,
-        joins: true,
-        lateral: Lateral::None,
-        pace_kb_per_s: 8000.0,
-        must_subscribe: false,
-        rough_sizes: false,
-        weights_move: false,
+        direct_to_parents: true,
+        fill_joining: true,
+        peer_fill: PeerFill::None,
+        response_rate_kb_per_s: 8000.0,
+        must_watch_endpoints: false,
+        approximate_weights: false,
+        dynamic_weights: false,
         tick: 2.0,
     }
 }
@@ -70,20 +70,20 @@
 }
 
 /// A server by its number, named as the change log names it.
-pub fn server(n: usize, role: Role, zone: usize) -> ServerEntry {
-    ServerEntry {
+pub fn server(n: usize, role: Role, zone: usize) -> Endpoint {
+    Endpoint {
         id: ServerId(Arc::from(format!("s-{n:08x}"))),
         zone: ZoneId(zone),
         role,
         cell: 0,
-        listed: Listed::Up,
+        state: EndpointState::Up,
         weight: 1.0,
         started: None,
     }
 }
 
 /// So many servers of all roles.
-pub fn servers(expected: &Expected, servers: usize) -> Vec<ServerEntry> {
+pub fn servers(expected: &Expected, servers: usize) -> Vec<Endpoint> {
     let without_origin = servers.saturating_sub(1);
     let parents = without_origin.div_ceil(expected.caches_per_parent + 1);
     let caches = without_origin.saturating_sub(parents).max(1);
@@ -91,7 +91,7 @@
 }
 
 /// So many caches over so many zones, parents in proportion, and the origin.
-pub fn fleet(caches: usize, zones: usize, caches_per_parent: usize) -> Vec<ServerEntry> {
+pub fn fleet(caches: usize, zones: usize, caches_per_parent: usize) -> Vec<Endpoint> {
     let parents = caches.div_ceil(caches_per_parent);
     let edges = (0..caches).map(|n| server(n, Role::Edge, n % zones));
     let parents = (caches..caches + parents).map(|n| server(n, Role::Parent, 0));
@@ -126,12 +126,12 @@
     }
 
     /// A router that has been told a list and gets a request each `gap`.
-    pub fn new(set: Settings, list: Vec<ServerEntry>, gap: Ms) -> Self {
+    pub fn new(set: Settings, list: Vec<Endpoint>, gap: Ms) -> Self {
         let router = Router::new(set, 7);
         let (acts, timers, answers) = (Vec::new(), VecDeque::new(), VecDeque::new());
         let swept = Taken::default();
         let mut drive = Self { router, now: 1000.0, gap, asked: 0, acts, timers, answers, sent: 0, swept };
-        drive.tell(Event::Servers(ListMode::Whole, list));
+        drive.tell(Event::Endpoints(EndpointUpdate::Complete, list));
         drive
     }
 
@@ -141,30 +141,30 @@
         for act in self.acts.drain(..) {
             match act {
                 Action::Timer(after, token) => self.timers.push_back((self.now + after, token)),
-                Action::Fetch(f) => {
+                Action::StartAttempt(f) => {
                     self.sent += 1;
                     let filled = (self.sent as u64).is_multiple_of(FILLS);
                     let (note, source_wait) =
-                        if filled { (Note::FilledBySource, FILL_MS) } else { (Note::Hit, 0.0) };
+                        if filled { (FillReport::FilledBySource, FILL_MS) } else { (FillReport::Hit, 0.0) };
                     let delay = HIT_MS + source_wait;
-                    let (attempt, end, last, load) = (AttemptNo(0), End::Served, true, Load::default());
+                    let (attempt, end, last, load) = (AttemptNo(0), AttemptResult::Served, true, LoadReport::default());
                     let (request, server) = (f.request, f.server);
                     let outcome = Outcome {
                         request,
                         attempt,
                         server,
-                        end,
-                        delay,
-                        last,
-                        note,
+                        result: end,
+                        latency: delay,
+                        completes_request: last,
+                        fill_report: note,
                         source_wait,
                         load,
-                        whole: true,
+                        body_complete: true,
                     };
                     self.answers.push_back((self.now + delay, outcome));
                 }
-                Action::Cancel(..) | Action::Refuse(..) | Action::Fail(_) => {}
-                Action::Subscribe | Action::Report(_) => {}
+                Action::CancelAttempt(..) | Action::Reject(..) | Action::Fail(_) => {}
+                Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
     }
--- a/crates/node/src/caches/wire.rs
+++ b/crates/node/src/caches/wire.rs
@@ -3,7 +3,7 @@
 use crate::clients::WireId;
 use crate::outbox::{Counted, Meter};
 use crate::resp::{decimal, encode, Bounds, Decoder, FieldList, Fields};
-use basaltgw::api::{End, Load, Ms, Note, Rank, ServerId};
+use basaltgw::api::{AttemptResult, LoadReport, Ms, FillReport, Rank, ServerId};
 use std::rc::Rc;
 use std::sync::Arc;
 
@@ -22,17 +22,17 @@
     /// The request's id.
     pub id: WireId,
     /// How the attempt ended; `None` for what answers no attempt.
-    pub end: Option<End>,
+    pub end: Option<AttemptResult>,
     /// The client's copy is the one.
     pub same: bool,
     /// Which copy this is, as it must tell of what can be kept.
     pub copy: Option<CopyTag>,
     /// How it came about.
-    pub note: Note,
+    pub note: FillReport,
     /// Time spent waiting for the source.
     pub waited: Ms,
     /// The load report.
-    pub load: Load,
+    pub load: LoadReport,
     /// The object's bytes.
     pub body: Counted,
 }
@@ -55,16 +55,16 @@
             (_, _) => return None,
         };
         let end = match word.as_slice() {
-            b"ok" if body.is_some() => Some(End::Served),
-            b"current" if copy.is_some() => Some(End::Served),
+            b"ok" if body.is_some() => Some(AttemptResult::Served),
+            b"current" if copy.is_some() => Some(AttemptResult::Served),
             b"ok" | b"current" => return None,
-            b"nothing" => Some(End::Miss),
-            b"refused" => Some(End::Full),
-            b"error" => Some(End::Error),
-            b"stale" => Some(End::NotSent),
+            b"nothing" => Some(AttemptResult::CacheMiss),
+            b"refused" => Some(AttemptResult::Rejected),
+            b"error" => Some(AttemptResult::Error),
+            b"stale" => Some(AttemptResult::NotSent),
             b"yes" => None,
             // Whatever it means, the attempt may have run.
-            _ => Some(End::Error),
+            _ => Some(AttemptResult::Error),
         };
         let waited = match fields.get("waited") {
             Some(waited) => decimal(waited)?,
@@ -83,27 +83,27 @@
     }
 }
 
-fn note(word: Option<&str>) -> Note {
+fn note(word: Option<&str>) -> FillReport {
     match word {
-        Some("hit") => Note::Hit,
-        Some("filled") => Note::FilledBySource,
-        Some("via_origin") => Note::FilledByOrigin,
-        Some("joined") => Note::Joined,
-        Some("stale") => Note::Old,
-        Some("src_refused") => Note::SourceRefused,
-        Some("src_broke") => Note::SourceFailed,
-        Some("src_lacks") => Note::SourceLacks,
-        Some("no_slot") => Note::NoFillPlace,
-        Some("origin_failed") => Note::OriginFailed,
+        Some("hit") => FillReport::Hit,
+        Some("filled") => FillReport::FilledBySource,
+        Some("via_origin") => FillReport::FilledByOrigin,
+        Some("joined") => FillReport::Joined,
+        Some("stale") => FillReport::Stale,
+        Some("src_refused") => FillReport::SourceRejected,
+        Some("src_broke") => FillReport::SourceFailed,
+        Some("src_lacks") => FillReport::SourceMiss,
+        Some("no_slot") => FillReport::FillLimitReached,
+        Some("origin_failed") => FillReport::OriginFailed,
         // Of caches that heed a plan; see docs/hierarchy.md.
-        Some("src_looped") => Note::Looped,
+        Some("src_looped") => FillReport::LoopDetected,
         // A note that is not known tells nothing.
-        Some(_) | None => Note::Untold,
+        Some(_) | None => FillReport::NotReported,
     }
 }
 
-fn load(report: &str) -> Load {
-    let mut load = Load::default();
+fn load(report: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in report.split(';').filter_map(|pair| pair.split_once(':')) {
         let value = value.parse().ok().filter(|v: &f64| v.is_finite());
         match name {
--- a/crates/node/src/changelog/mod.rs
+++ b/crates/node/src/changelog/mod.rs
@@ -12,7 +12,7 @@
 pub use follower::Follower;
 
 use crate::limits::LOG_FRAME;
-use basaltgw::api::{GroupId, Listed, ObjectId, ServerEntry, ServerId};
+use basaltgw::api::{GroupId, EndpointState, ObjectId, Endpoint, ServerId};
 use basaltgw_config::{Member, Names, News, Seq};
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -123,9 +123,9 @@
     let ip = Ipv4Addr::from(b.number(4)? as u32);
     let address = SocketAddr::from((ip, b.number(2)? as u16));
     let listed = match b.number(1)? {
-        0 => Listed::Up,
-        1 => Listed::Draining,
-        2 => Listed::Gone,
+        0 => EndpointState::Up,
+        1 => EndpointState::Draining,
+        2 => EndpointState::Removed,
         _ => return Err(BadFrame("an unknown state")),
     };
     let zone = names.zone_at(b.number(1)? as usize).ok_or(BadFrame("an unknown zone"))?;
@@ -133,5 +133,5 @@
     let cell = b.number(2)?;
     let weight = b.number(4)? as f64 / 1000.0;
     let started = Some(b.number(8)? as f64).filter(|t| *t > 0.0);
-    Ok(Member { entry: ServerEntry { id, zone, role, cell, listed, weight, started }, address })
+    Ok(Member { entry: Endpoint { id, zone, role, cell, state: listed, weight, started }, address })
 }
--- a/crates/node/src/counters/mod.rs
+++ b/crates/node/src/counters/mod.rs
@@ -10,7 +10,7 @@
 use crate::clients::Reply;
 use crate::invariants::{Invariants, Violation};
 use crate::tree::TreeCounters;
-use basaltgw::api::End;
+use basaltgw::api::AttemptResult;
 use kinds::Value;
 use prometheus_client::registry::Registry;
 use std::fmt;
@@ -40,17 +40,17 @@
 
 impl Attempts {
     /// Counts the end of an attempt.
-    pub fn ended(&self, end: End) {
+    pub fn ended(&self, end: AttemptResult) {
         let count = match end {
-            End::Served => &self.served,
-            End::Error => &self.error,
-            End::Full => &self.full,
-            End::Late => &self.late,
-            End::NoConnection => &self.no_connection,
-            End::Broken => &self.broken,
-            End::Cancelled => &self.cancelled,
-            End::NotSent => &self.not_sent,
-            End::Miss => &self.miss,
+            AttemptResult::Served => &self.served,
+            AttemptResult::Error => &self.error,
+            AttemptResult::Rejected => &self.full,
+            AttemptResult::TimedOut => &self.late,
+            AttemptResult::NoConnection => &self.no_connection,
+            AttemptResult::ConnectionLost => &self.broken,
+            AttemptResult::Cancelled => &self.cancelled,
+            AttemptResult::NotSent => &self.not_sent,
+            AttemptResult::CacheMiss => &self.miss,
         };
         count.one();
     }
@@ -172,7 +172,7 @@
         counters.batches.longest.raise(1.236);
         counters.batches.longest.raise(0.5);
         counters.attempts.unheeded.more(3);
-        counters.attempts.ended(End::Miss);
+        counters.attempts.ended(AttemptResult::CacheMiss);
         counters.log.lost.one();
         counters.clients.answered(&Reply::Same);
         assert_eq!(
--- a/crates/node/src/fleet/port.rs
+++ b/crates/node/src/fleet/port.rs
@@ -4,7 +4,7 @@
 use super::{FleetCounts, Question, Told};
 use crate::caches::RequestNo;
 use async_channel::Receiver;
-use basaltgw::api::Effect;
+use basaltgw::api::Idempotency;
 use basaltgw_registers::{AskNo, Change, HoldKey, Outcome};
 use basaltgw_transport::{Port, Rest};
 use basaltgw_types::{Member, Ms};
@@ -66,7 +66,7 @@
     /// This router, with the life of its folder.
     pub me: Member,
     /// Of each class.
-    pub effects: Vec<Effect>,
+    pub effects: Vec<Idempotency>,
     /// What is promised.
     pub terms: Terms,
     /// The requests that wait for an answer.
@@ -101,7 +101,7 @@
 impl Fleet {
     pub(super) fn new(
         me: Member,
-        effects: Vec<Effect>,
+        effects: Vec<Idempotency>,
         terms: Terms,
         (questions, told, bell): (rtrb::Producer<Question>, rtrb::Consumer<Told>, Receiver<()>),
         (threads, port): (Option<(JoinHandle<String>, Rest)>, Port),
--- a/crates/node/src/fleet/stand_in.rs
+++ b/crates/node/src/fleet/stand_in.rs
@@ -2,7 +2,7 @@
 
 use super::port::{Fleet, Terms};
 use super::{Question, Told};
-use basaltgw::api::Effect;
+use basaltgw::api::Idempotency;
 use basaltgw_transport::{Hello, Lane, Limits, Port, Rest, Settings, User, PROTOCOL};
 use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     let (tell, told) = rtrb::RingBuffer::new(ring);
     let (_, bell) = async_channel::bounded(1);
     let terms = Terms { effects: true, purges: true, promise: 400.0, stay_away: 200.0, outcome_bytes: 4096 };
-    let effects = vec![Effect::Safe, Effect::Unsafe];
+    let effects = vec![Idempotency::Idempotent, Idempotency::NonIdempotent];
     let fleet = Fleet::new(me, effects, terms, (ask, told, bell), (None, own), None, Arc::default());
     (fleet, Thread { questions, told: tell, port, links })
 }
--- a/crates/node/src/fleet/start.rs
+++ b/crates/node/src/fleet/start.rs
@@ -58,7 +58,7 @@
     };
     let me = Member { router: set.name.clone(), incarnation };
     log::info!("router {me} of fleet {}, {}", set.cluster, if old { "a life goes on" } else { "a new life" });
-    let settles = config.settings.purge_settles;
+    let settles = config.settings.purge_convergence_time;
     let longest = config.settings.classes.iter().map(|c| c.deadline.max(c.key_window)).fold(0.0, f64::max);
     let hold_set = HoldSettings {
         most_asks: limits.open_asks,
@@ -181,7 +181,7 @@
         stay_away: stay_away_least.max(STAY_AWAY_MS),
         outcome_bytes: limits.outcome_bytes,
     };
-    let effects = config.settings.classes.iter().map(|c| c.effect).collect();
+    let effects = config.settings.classes.iter().map(|c| c.idempotency).collect();
     Ok(Fleet::new(
         me,
         effects,
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -3,7 +3,7 @@
 //! [`crate::permissions`] decides beforehand; this sees what really happens, by its own reckoning, and counts what breaks a rule, by name,
 //! in every build. The first violation of each kind is logged with its ids; a debug build panics, so that tests fail where it happened.
 
-use basaltgw::api::{Effect, End, Ms};
+use basaltgw::api::{Idempotency, AttemptResult, Ms};
 use std::cell::Cell;
 use std::fmt;
 use std::time::Duration;
@@ -96,11 +96,11 @@
     /// A request is sent (again), after attempts that ended so or are out.
     pub fn attempted(
         &self,
-        effect: Effect,
-        earlier: impl IntoIterator<Item = Option<End>>,
+        effect: Idempotency,
+        earlier: impl IntoIterator<Item = Option<AttemptResult>>,
         ids: fmt::Arguments<'_>,
     ) {
-        if effect == Effect::Unsafe && earlier.into_iter().any(may_have_run) {
+        if effect == Idempotency::NonIdempotent && earlier.into_iter().any(may_have_run) {
             self.violated(Violation::RepeatAfterExecution, ids);
         }
     }
@@ -108,11 +108,11 @@
     /// A request is refused, after attempts that ended so or are out.
     pub fn refused(
         &self,
-        effect: Effect,
-        earlier: impl IntoIterator<Item = Option<End>>,
+        effect: Idempotency,
+        earlier: impl IntoIterator<Item = Option<AttemptResult>>,
         ids: fmt::Arguments<'_>,
     ) {
-        if effect == Effect::Unsafe && earlier.into_iter().any(may_have_run) {
+        if effect == Idempotency::NonIdempotent && earlier.into_iter().any(may_have_run) {
             self.violated(Violation::RefusalAfterExecution, ids);
         }
     }
@@ -139,8 +139,8 @@
 }
 
 /// An attempt that is out, or whose end proves nothing.
-fn may_have_run(end: Option<End>) -> bool {
-    !matches!(end, Some(End::Full | End::NoConnection | End::NotSent | End::Miss))
+fn may_have_run(end: Option<AttemptResult>) -> bool {
+    !matches!(end, Some(AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss))
 }
 
 #[cfg(test)]
@@ -168,13 +168,13 @@
         let ids = || format_args!("request 1");
         assert!(violates(Violation::SecondAnswer, |i| i.answered(false, ids())));
         assert!(!violates(Violation::SecondAnswer, |i| i.answered(true, ids())));
-        let broken = [Some(End::Broken)];
-        assert!(violates(Violation::RepeatAfterExecution, |i| i.attempted(Effect::Unsafe, broken, ids())));
-        assert!(violates(Violation::RepeatAfterExecution, |i| i.attempted(Effect::Unsafe, [None], ids())));
-        assert!(!violates(Violation::RepeatAfterExecution, |i| i.attempted(Effect::Safe, broken, ids())));
-        assert!(violates(Violation::RefusalAfterExecution, |i| i.refused(Effect::Unsafe, broken, ids())));
-        let full = [Some(End::Full)];
-        assert!(!violates(Violation::RefusalAfterExecution, |i| i.refused(Effect::Unsafe, full, ids())));
+        let broken = [Some(AttemptResult::ConnectionLost)];
+        assert!(violates(Violation::RepeatAfterExecution, |i| i.attempted(Idempotency::NonIdempotent, broken, ids())));
+        assert!(violates(Violation::RepeatAfterExecution, |i| i.attempted(Idempotency::NonIdempotent, [None], ids())));
+        assert!(!violates(Violation::RepeatAfterExecution, |i| i.attempted(Idempotency::Idempotent, broken, ids())));
+        assert!(violates(Violation::RefusalAfterExecution, |i| i.refused(Idempotency::NonIdempotent, broken, ids())));
+        let full = [Some(AttemptResult::Rejected)];
+        assert!(!violates(Violation::RefusalAfterExecution, |i| i.refused(Idempotency::NonIdempotent, full, ids())));
         assert!(violates(Violation::ClosedOverRequest, |i| i.closed(1, ids())));
         assert!(!violates(Violation::ClosedOverRequest, |i| i.closed(0, ids())));
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -33,7 +33,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
-use basaltgw::rules::carry::Learnt;
+use basaltgw::rules::carry::Snapshot;
 use basaltgw_config::{learnt, Carry, Hierarchy, News, NodeConfig, OwnSettings};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -185,9 +185,9 @@
 
 /// What an earlier process left, with Unix times; what can't be used is logged and left out. How long ago it was written is a question to
 /// the wall clock alone: nothing that is right depends on the answer.
-fn learnt(carry: &Carry) -> Option<Learnt> {
+fn learnt(carry: &Carry) -> Option<Snapshot> {
     let at = carry.file.display();
-    let read = || -> Result<Learnt, String> {
+    let read = || -> Result<Snapshot, String> {
         let size = std::fs::metadata(&carry.file).map_err(|e| e.to_string())?.len();
         if size > learnt::LEARNT_MOST_BYTES {
             return Err(format!("expected at most {} bytes, found {size}", learnt::LEARNT_MOST_BYTES));
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -164,7 +164,7 @@
     }
     let own = own(with, c.cold())?;
     if let Some(overlay) = own.settings.fleet.as_ref().and_then(|set| set.overlay.as_ref()) {
-        overlay.keep(c.settings.purge_settles)?;
+        overlay.keep(c.settings.purge_convergence_time)?;
     }
     let made = own.settings.fleet.as_ref().map(|set| table(set, None).map(|t| (set, t))).transpose()?;
     println!("{}: {} events known, listens at {}", c.name, c.known.len(), c.listen);
--- a/crates/node/src/owner/attempts.rs
+++ b/crates/node/src/owner/attempts.rs
@@ -10,7 +10,7 @@
 use crate::limits::LONGEST_WAIT_MS;
 use crate::outbox::{Counted, FetchRoute, FetchTerms, FetchTime, OutgoingMessage, Stage};
 use crate::permissions::{may_begin, may_repeat, BeginState, EarlierAttempt};
-use basaltgw::api::{AttemptNo, End, Event, Fetch, Load, Ms, Note, Outcome, ServerId};
+use basaltgw::api::{AttemptNo, AttemptResult, Event, AttemptSpec, LoadReport, Ms, FillReport, Outcome, ServerId};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -24,7 +24,7 @@
     /// Where it is on its way; `None` once it is over.
     pub way: Option<(ConnId, Rc<OutgoingMessage>)>,
     /// How it ended, once it has.
-    end: Option<End>,
+    end: Option<AttemptResult>,
 }
 
 impl Attempt {
@@ -42,7 +42,7 @@
 /// An attempt that was given up, and is out until its server has shown that it knows, or its connection is over.
 pub(super) struct AbortingAttempt {
     key: AttemptKey,
-    end: End,
+    end: AttemptResult,
     pub on: ConnId,
     pub tag: WireId,
     pub since: Ms,
@@ -50,23 +50,23 @@
 
 /// How an attempt came out, besides its end.
 pub(super) struct AttemptReport {
-    note: Note,
+    note: FillReport,
     waited: Ms,
-    load: Load,
+    load: LoadReport,
     /// The answer carried the object's bytes.
     whole: bool,
 }
 
 const NO_REPORT: AttemptReport = AttemptReport {
-    note: Note::Untold,
+    note: FillReport::NotReported,
     waited: 0.0,
-    load: Load { inflight: None, util: None, hits: None, link: None },
+    load: LoadReport { inflight: None, util: None, hits: None, link: None },
     whole: false,
 };
 
 impl Owner {
     /// Makes an attempt, if it may begin; else the module is told that it was not sent.
-    pub(super) fn begin(&mut self, fetch: Fetch) {
+    pub(super) fn begin(&mut self, fetch: AttemptSpec) {
         let Some(no) = number(&fetch.request) else { return };
         // Its client is gone, and the owner has yet to come to that: the module hears that this was the last.
         let client_waits = self.requests.get(no).is_some_and(Open::client_waits);
@@ -99,18 +99,18 @@
                 None
             }
         };
-        let source = Some(fetch.fill_from).filter(|s| *s != fetch.server);
+        let source = Some(fetch.fill_source).filter(|s| *s != fetch.server);
         let (sent, on) = (way.is_some(), way.as_ref().map(|w| w.0));
         let Some(open) = self.requests.get_mut(no) else { return };
         open.attempts.push(Attempt { server: fetch.server, source, sent: self.now, on, way, end: None });
         if sent {
             self.timers.set(until, Due::Attempt(no, n));
-            if fetch.begin_by.is_finite() {
-                self.timers.set(fetch.begin_by, Due::Begin(no, n));
+            if fetch.start_before.is_finite() {
+                self.timers.set(fetch.start_before, Due::Begin(no, n));
             }
         } else {
             // Also where all connections are in use: the limit is the router's own, and tells nothing of the server.
-            self.report((no, n), End::NotSent, NO_REPORT, true);
+            self.report((no, n), AttemptResult::NotSent, NO_REPORT, true);
         }
     }
 
@@ -119,7 +119,7 @@
         &mut self,
         no: RequestNo,
         n: AttemptNo,
-        fetch: &Fetch,
+        fetch: &AttemptSpec,
         until: Ms,
     ) -> Option<(ConnId, Rc<OutgoingMessage>)> {
         let open = self.requests.get(no)?;
@@ -127,8 +127,8 @@
         let now = Instant::now();
         // Monotonic times of the owner's clock, in the terms of the writers.
         let instant = |at: Ms| now + millis((at - self.clock.now()).clamp(0.0, LONGEST_WAIT_MS));
-        let begin_by = fetch.begin_by.is_finite().then(|| instant(fetch.begin_by));
-        let source = Some(&fetch.fill_from).filter(|s| **s != fetch.server);
+        let begin_by = fetch.start_before.is_finite().then(|| instant(fetch.start_before));
+        let source = Some(&fetch.fill_source).filter(|s| **s != fetch.server);
         let body = open.body.as_ref().map_or(&[][..], Counted::bytes);
         let ask = Ask {
             id: &open.request.id,
@@ -139,9 +139,9 @@
             from: source,
             rank: fetch.rank,
             oldest: fetch.max_age,
-            share: fetch.join,
-            peek: fetch.held_only,
-            renew: fetch.renew,
+            share: fetch.join_fill,
+            peek: fetch.cached_only,
+            renew: fetch.revalidate,
             seen: open.request.got.as_deref(),
             key: open.request.key.as_deref(),
             body,
@@ -166,7 +166,7 @@
                 watch: Rc::clone(&self.slow_start),
             }),
         };
-        if let Some(effect) = open.class.and_then(|c| self.classes.get(c.0)).map(|c| c.effect) {
+        if let Some(effect) = open.class.and_then(|c| self.classes.get(c.0)).map(|c| c.idempotency) {
             let earlier = open.attempts.iter().map(|a| a.end);
             self.invariants.attempted(effect, earlier, format_args!("request {}, attempt {}", no.0, n.0));
         }
@@ -187,12 +187,12 @@
         self.reap_aborted(|leaving| leaving.on == at);
         for key in self.caches.down(at) {
             let end = match (down, self.requests.attempt(key).and_then(Attempt::stage)) {
-                (Down::NeverUp, _) => End::NoConnection,
+                (Down::NeverUp, _) => AttemptResult::NoConnection,
                 // Nothing was written, and the server is not at fault.
-                (Down::Shortage, _) => End::NotSent,
-                (Down::Ended(_), Some(Stage::Written)) => End::Broken,
+                (Down::Shortage, _) => AttemptResult::NotSent,
+                (Down::Ended(_), Some(Stage::Written)) => AttemptResult::ConnectionLost,
                 // Its last byte was not written.
-                (Down::Ended(_), _) => End::NotSent,
+                (Down::Ended(_), _) => AttemptResult::NotSent,
             };
             self.end(key, end, NO_REPORT, false);
         }
@@ -201,7 +201,7 @@
     /// Gives an attempt up at its server. It ends so, in a later batch, or as `never` if it was not sent. What is on its way is out
     /// until its abort is written: on another connection the request's next attempt could overtake that, and two would be out.
     /// `later`: the module is told in the next batch, since it is its own action.
-    pub(super) fn give_up(&mut self, (no, n): AttemptKey, (end, never): (End, End), later: bool) {
+    pub(super) fn give_up(&mut self, (no, n): AttemptKey, (end, never): (AttemptResult, AttemptResult), later: bool) {
         let Some(open) = self.requests.get(no) else { return };
         let Some((conn, parcel)) = open.attempts.get(n.0).and_then(|a| a.way.as_ref()) else { return };
         if self.leaving.iter().any(|l| l.key == (no, n)) {
@@ -232,14 +232,14 @@
         let unsent = |a: &Attempt| matches!(a.stage(), Some(Stage::Waiting | Stage::TakenBack));
         let attempts = open.attempts.iter().enumerate().filter(|(_, a)| unsent(a));
         let keys: Vec<AttemptKey> = attempts.map(|(n, _)| (no, AttemptNo(n))).collect();
-        keys.into_iter().for_each(|key| self.give_up(key, (End::Cancelled, End::NotSent), true));
+        keys.into_iter().for_each(|key| self.give_up(key, (AttemptResult::Cancelled, AttemptResult::NotSent), true));
     }
 
     pub(super) fn time_out(&mut self, key: AttemptKey) {
         let attempt = self.requests.attempt(key);
         let Some((conn, _)) = attempt.and_then(|a| a.way.as_ref()) else { return };
-        let never = if self.caches.coming_up(*conn) { End::NoConnection } else { End::NotSent };
-        self.give_up(key, (End::Late, never), false);
+        let never = if self.caches.coming_up(*conn) { AttemptResult::NoConnection } else { AttemptResult::NotSent };
+        self.give_up(key, (AttemptResult::TimedOut, never), false);
     }
 
     /// Its time to begin is over: it ends unless it was begun.
@@ -247,7 +247,7 @@
         let stage = self.requests.attempt(key).and_then(Attempt::stage);
         if matches!(stage, Some(Stage::Waiting | Stage::TakenBack)) {
             self.counters.attempts.window_over.one();
-            self.give_up(key, (End::NotSent, End::NotSent), false);
+            self.give_up(key, (AttemptResult::NotSent, AttemptResult::NotSent), false);
         }
     }
 
@@ -264,39 +264,39 @@
             return;
         };
         let write = self.requests.get(key.0).is_some_and(Open::is_write);
-        if end == End::Served && answer.copy.is_none() && !write {
+        if end == AttemptResult::Served && answer.copy.is_none() && !write {
             // A read's answer without its copy's tag is spoilt, and so is the connection. What else is open on it is out until its
             // socket is closed.
             self.counters.conns.unreadable.one();
             self.caches.end(at);
             self.recall(|_, a| a.way.as_ref().is_some_and(|(conn, _)| *conn == at));
-            return self.end(key, End::Broken, NO_REPORT, false);
+            return self.end(key, AttemptResult::ConnectionLost, NO_REPORT, false);
         }
         if let Some(copy) = &answer.copy {
             let grown = self.platform.observe(self.now, copy.born as Ms);
             self.grown_older(grown);
         }
-        if end == End::Served {
+        if end == AttemptResult::Served {
             self.requests.get_mut(key.0).into_iter().for_each(|o| o.copy.clone_from(&answer.copy));
             let reply = if answer.same { Reply::Same } else { Reply::Served(answer.body.bytes()) };
             self.answer(key.0, reply);
         }
-        let whole = end == End::Served && !answer.same;
+        let whole = end == AttemptResult::Served && !answer.same;
         let telling = AttemptReport { note: answer.note, waited: answer.waited, load: answer.load, whole };
         self.end(key, end, telling, false);
     }
 
     /// An attempt is over: the module is told, at once or (of what its own action led to) in the next batch.
-    fn end(&mut self, key: AttemptKey, end: End, telling: AttemptReport, later: bool) {
+    fn end(&mut self, key: AttemptKey, end: AttemptResult, telling: AttemptReport, later: bool) {
         let attempt = self.requests.attempt_mut(key);
         if attempt.is_some_and(|a| a.way.take().is_some()) {
             self.report(key, end, telling, later);
         }
     }
 
-    fn report(&mut self, (no, n): AttemptKey, end: End, telling: AttemptReport, later: bool) {
-        let breaks = broken(Break::RepeatAfterExecution) && end != End::Served;
-        let end = if breaks { End::NotSent } else { end };
+    fn report(&mut self, (no, n): AttemptKey, end: AttemptResult, telling: AttemptReport, later: bool) {
+        let breaks = broken(Break::RepeatAfterExecution) && end != AttemptResult::Served;
+        let end = if breaks { AttemptResult::NotSent } else { end };
         let Some(open) = self.requests.get_mut(no) else { return };
         open.promise.attempt(end);
         let Some(attempt) = open.attempts.get_mut(n.0) else { return };
@@ -317,13 +317,13 @@
             request: name(no),
             attempt: n,
             server: attempt.server.clone(),
-            end,
-            delay,
-            last: open.answered || open.promise.decided(),
-            note: telling.note,
+            result: end,
+            latency: delay,
+            completes_request: open.answered || open.promise.decided(),
+            fill_report: telling.note,
             source_wait: telling.waited,
             load: telling.load,
-            whole: telling.whole,
+            body_complete: telling.whole,
         });
         self.pending.extend(planned);
         if later {
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -10,7 +10,7 @@
 use async_executor::Task;
 use async_io::Timer;
 use basaltgw::api::{AttemptNo, Event, Ms};
-use basaltgw::rules::carry::Learnt;
+use basaltgw::rules::carry::Snapshot;
 use basaltgw_registers::AskNo;
 use futures_lite::future;
 use std::cmp::Reverse;
@@ -72,7 +72,7 @@
     /// What was counted.
     pub counters: Counters,
     /// What was learnt, with Unix times.
-    pub learnt: Learnt,
+    pub learnt: Snapshot,
     /// When, likewise.
     pub left_at: Ms,
     /// What the fleet counted, as words.
--- a/crates/node/src/owner/gather.rs
+++ b/crates/node/src/owner/gather.rs
@@ -17,7 +17,7 @@
 use crate::fleet::gather::{GatherSet, Policies};
 use crate::fleet::purges::{purge, Purge, Purges};
 use crate::outbox::Counted;
-use basaltgw::api::{ClassId, Effect, GroupId, Ms, ObjectId};
+use basaltgw::api::{ClassId, Idempotency, GroupId, Ms, ObjectId};
 use basaltgw_scatter_gather as gather;
 use basaltgw_scatter_gather::{
     Action, AttemptNo, Decide, Event, GatherNo, Gathers, Missing, PartNo, PartSpec, Policy, Site, Times, Used,
@@ -218,7 +218,7 @@
         let no = self.requests.number();
         self.clients.owe(client.0, client.1, no);
         let no = GatherNo(no.0);
-        let safe = g.set.classes.get(class.0).is_some_and(|c| c.effect == Effect::Safe);
+        let safe = g.set.classes.get(class.0).is_some_and(|c| c.idempotency == Idempotency::Idempotent);
         let open = Open { client, class, request, parts, deadline, debt: None, stage: Stage::Looking };
         g.open.insert(no, open);
         match debt.flatten().filter(|_| safe) {
@@ -246,13 +246,13 @@
         let parts: Vec<PartSpec> = open.parts.iter().map(spec).collect();
         let left = (open.deadline - self.now).max(0.0);
         let class = g.set.classes.get(open.class.0);
-        let (aim, late_worth) = class.map_or((left, 0.0), |c| (c.aim, c.late_worth));
+        let (aim, late_worth) = class.map_or((left, 0.0), |c| (c.latency_objective, c.late_weight_share));
         let times =
             Times { aim: aim.clamp(0.0, left), deadline: left, late_worth: late_worth.clamp(0.0, 1.0) };
-        let effect = match class.map(|c| c.effect) {
-            Some(Effect::Safe) => gather::Effect::Safe,
-            Some(Effect::Keyed) => gather::Effect::Keyed,
-            Some(Effect::Unsafe) | None => gather::Effect::Unsafe,
+        let effect = match class.map(|c| c.idempotency) {
+            Some(Idempotency::Idempotent) => gather::Effect::Safe,
+            Some(Idempotency::IdempotencyKey) => gather::Effect::Keyed,
+            Some(Idempotency::NonIdempotent) | None => gather::Effect::Unsafe,
         };
         let open = &g.open[&no];
         let policy = g.policy(&open.request.class, &open.parts);
--- a/crates/node/src/owner/gather/peers.rs
+++ b/crates/node/src/owner/gather/peers.rs
@@ -6,7 +6,7 @@
 use crate::fleet::gather::{Brought, Want, Word};
 use crate::limits::{COPY_TAG, LONGEST_WAIT_MS};
 use crate::owner::asker::Asker;
-use basaltgw::api::{Effect, GroupId, Ms, ObjectId, Part};
+use basaltgw::api::{Idempotency, GroupId, Ms, ObjectId, Part};
 use basaltgw_scatter_gather::{AttemptNo, Event, How, PartNo, Site};
 use basaltgw_transport::Told;
 use basaltgw_types::{Member, RouterId};
@@ -190,7 +190,7 @@
         let Some(g) = &mut self.gathering else { return };
         let to = (from, want.no);
         let safe =
-            |c: &basaltgw::api::ClassId| g.set.classes.get(c.0).is_some_and(|c| c.effect == Effect::Safe);
+            |c: &basaltgw::api::ClassId| g.set.classes.get(c.0).is_some_and(|c| c.idempotency == Idempotency::Idempotent);
         let object = u64::from_str_radix(&want.object, 16).ok();
         let (Some(class), Some(object)) = (class.filter(safe), object) else {
             g.counters.strange += 1;
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -38,8 +38,8 @@
 use crate::tree::Tree;
 use crate::{Input, Shared};
 use attempts::AbortingAttempt;
-use basaltgw::api::{Action, AttemptNo, Class, End, Event, Ms, RequestId, ServerId};
-use basaltgw::rules::carry::Learnt;
+use basaltgw::api::{Action, AttemptNo, Class, AttemptResult, Event, Ms, RequestId, ServerId};
+use basaltgw::rules::carry::Snapshot;
 use basaltgw::rules::Router;
 use basaltgw_config::{Names, NodeConfig, OwnSettings, Place};
 pub use batch::Ended;
@@ -137,7 +137,7 @@
             tidied: 0.0,
             counters: Counters::default(),
         };
-        owner.router.expect_written();
+        owner.router.report_writes();
         owner.known(&config.known);
         if let Some(hierarchy) = &own.hierarchy {
             let events = owner.tree.offer(owner.now, hierarchy);
@@ -152,10 +152,10 @@
     }
 
     /// Takes over what an earlier process has learnt; its times are Unix times.
-    pub fn adopt(&mut self, learnt: Learnt) {
+    pub fn adopt(&mut self, learnt: Snapshot) {
         let learnt = self.learnt_here(learnt);
         let (servers, purges) = (learnt.servers.len(), learnt.purges.len());
-        let known = self.router.adopt(self.now, learnt);
+        let known = self.router.restore(self.now, learnt);
         self.counters.files.carried.reached(known as u64);
         log::info!("took over what was learnt of {known} of {servers} servers, and {purges} purges");
     }
@@ -227,7 +227,7 @@
     /// Tells the module which attempts were put on the wire since the last batch.
     fn tell_written(&mut self) {
         for (request, attempt) in self.slow_start.take_written() {
-            self.tell(Event::Written(name(RequestNo(request)), AttemptNo(attempt)));
+            self.tell(Event::RequestWritten(name(RequestNo(request)), AttemptNo(attempt)));
         }
     }
 
@@ -241,13 +241,13 @@
         self.router.handle(self.now, event, &mut acts);
         for act in acts {
             match act {
-                Action::Fetch(fetch) => self.begin(fetch),
-                Action::Cancel(request, n) => {
+                Action::StartAttempt(fetch) => self.begin(fetch),
+                Action::CancelAttempt(request, n) => {
                     number(&request)
                         .into_iter()
-                        .for_each(|no| self.give_up((no, n), (End::Cancelled, End::NotSent), true));
+                        .for_each(|no| self.give_up((no, n), (AttemptResult::Cancelled, AttemptResult::NotSent), true));
                 }
-                Action::Refuse(request, stay_away) => {
+                Action::Reject(request, stay_away) => {
                     number(&request).into_iter().for_each(|no| self.answer(no, Reply::Refused(stay_away)));
                 }
                 Action::Fail(request) => {
@@ -255,8 +255,8 @@
                 }
                 Action::Timer(after, token) => self.timers.set(self.now + after, Due::Module(token)),
                 // The change log is followed from the start.
-                Action::Subscribe => {}
-                Action::Report(text) => log::info!("{text}"),
+                Action::WatchEndpoints => {}
+                Action::Log(text) => log::info!("{text}"),
             }
         }
     }
--- a/crates/node/src/owner/news.rs
+++ b/crates/node/src/owner/news.rs
@@ -5,7 +5,7 @@
 use super::Owner;
 use crate::breaks::{broken, Break};
 use crate::fleet::purges::purge;
-use basaltgw::api::{End, Event, GroupId, ListMode, Listed, Ms, ObjectId, ServerEntry, ServerId};
+use basaltgw::api::{AttemptResult, Event, GroupId, EndpointUpdate, EndpointState, Ms, ObjectId, Endpoint, ServerId};
 use basaltgw_config::{Member, News};
 use std::time::Instant;
 
@@ -69,13 +69,13 @@
     pub(super) fn grown_older(&mut self, grown: Option<Ms>) {
         if let Some(grown) = grown {
             self.slow_start.older_by(grown);
-            self.tell(Event::OlderBy(grown));
+            self.tell(Event::ClockCorrected(grown));
         }
     }
 
     /// Servers that are up have started before now.
     fn observe_starts(&mut self, members: &[Member]) {
-        let up = members.iter().filter(|m| m.entry.listed == Listed::Up);
+        let up = members.iter().filter(|m| m.entry.state == EndpointState::Up);
         for started in up.filter_map(|m| m.entry.started) {
             let grown = self.platform.observe(self.now, started);
             self.grown_older(grown);
@@ -114,7 +114,7 @@
 
     fn list(&mut self, whole: bool, mut members: Vec<Member>) {
         if broken(Break::DrainIgnored) {
-            members.retain(|m| m.entry.listed == Listed::Up);
+            members.retain(|m| m.entry.state == EndpointState::Up);
         }
         self.list_in = true;
         let (mut leaving, mut left_out, mut left) = (Vec::new(), Vec::new(), Vec::new());
@@ -129,24 +129,24 @@
         }
         for member in &members {
             let id = &member.entry.id;
-            let up = member.entry.listed == Listed::Up;
+            let up = member.entry.state == EndpointState::Up;
             left.extend(self.caches.moved(id, up.then(|| member.place())));
             if !up {
                 leaving.push(id.clone());
             }
-            if member.entry.listed == Listed::Gone {
+            if member.entry.state == EndpointState::Removed {
                 self.servers.remove(id);
             } else {
                 self.servers.insert(id.clone(), member.place());
             }
         }
         let planned = self.tree.listed(self.now, &members, &left_out);
-        let mode = if whole { ListMode::Whole } else { ListMode::Changes };
+        let mode = if whole { EndpointUpdate::Complete } else { EndpointUpdate::Delta };
         let mut entries: Vec<_> = members.into_iter().map(|m| m.entry).collect();
         for entry in &mut entries {
             self.map_start(entry);
         }
-        self.tell(Event::Servers(mode, entries));
+        self.tell(Event::Endpoints(mode, entries));
         self.tell_all(planned);
         // Also what waits for a server that stays, on a connection to where it was.
         self.recall(|_, a| {
@@ -157,7 +157,7 @@
     }
 
     /// Maps the start that the list tells to the router's clock, and watches what is sent to a server that started lately.
-    fn map_start(&mut self, entry: &mut ServerEntry) {
+    fn map_start(&mut self, entry: &mut Endpoint) {
         let Some(unix) = entry.started else {
             self.slow_start.listed(Instant::now(), entry, None);
             return;
@@ -174,6 +174,6 @@
     /// Takes back what waits to be written and was decided before the news.
     pub(super) fn recall(&mut self, overtaken: impl Fn(&Open, &Attempt) -> bool) {
         let keys = self.requests.waiting(overtaken);
-        keys.into_iter().for_each(|key| self.give_up(key, (End::Cancelled, End::NotSent), false));
+        keys.into_iter().for_each(|key| self.give_up(key, (AttemptResult::Cancelled, AttemptResult::NotSent), false));
     }
 }
--- a/crates/node/src/owner/promise.rs
+++ b/crates/node/src/owner/promise.rs
@@ -10,7 +10,7 @@
 use crate::fleet::{Fleet, Told};
 use crate::outbox::Counted;
 use crate::permissions::not_executed;
-use basaltgw::api::{ClassId, Effect, End, Event, GroupId, Ms, ObjectId};
+use basaltgw::api::{ClassId, Idempotency, AttemptResult, Event, GroupId, Ms, ObjectId};
 use basaltgw_registers::{AskNo, Change, Hold, HoldKey, Kind, Outcome, Verdict};
 use std::sync::Arc;
 
@@ -57,10 +57,10 @@
     }
 
     /// An attempt has ended so.
-    pub(super) fn attempt(&mut self, end: End) {
+    pub(super) fn attempt(&mut self, end: AttemptResult) {
         if let Self::Mine { ran, served, .. } = self {
             *ran |= !not_executed(end);
-            *served |= end == End::Served;
+            *served |= end == AttemptResult::Served;
         }
     }
 }
@@ -78,7 +78,7 @@
         let Some(fleet) = &mut self.fleet else { return false };
         let Some(open) = self.requests.get_mut(no) else { return false };
         let once = |class: ClassId| {
-            fleet.effects.get(class.0).is_some_and(|e| matches!(e, Effect::Keyed | Effect::Unsafe))
+            fleet.effects.get(class.0).is_some_and(|e| matches!(e, Idempotency::IdempotencyKey | Idempotency::NonIdempotent))
         };
         if !fleet.terms.effects || !open.class.is_some_and(once) {
             return false;
@@ -370,7 +370,7 @@
         );
         for no in unsent {
             self.take_back(no);
-            self.tell(Event::ClientLeft(super::name(no)));
+            self.tell(Event::ClientDisconnected(super::name(no)));
             let stay_away = self.fleet.as_ref().map_or(0.0, |f| f.terms.stay_away);
             self.answer(no, Reply::Refused(stay_away));
         }
--- a/crates/node/src/owner/requests.rs
+++ b/crates/node/src/owner/requests.rs
@@ -9,13 +9,13 @@
 use crate::clients::{Do, Reply, WireId};
 use crate::outbox::{Counted, Meter, Stage};
 use crate::permissions::{may_repeat, RepeatTerms};
-use basaltgw::api::{AttemptNo, ClassId, Effect, Event, KeyScope, Ms, Request};
+use basaltgw::api::{AttemptNo, ClassId, Idempotency, Event, KeyScope, Ms, Request};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// Of a request whose class the settings do not have.
 const NO_REPEATS: RepeatTerms =
-    RepeatTerms { effect: Effect::Unsafe, key_scope: KeyScope::Cell, key_window: 0.0 };
+    RepeatTerms { effect: Idempotency::NonIdempotent, key_scope: KeyScope::Cell, key_window: 0.0 };
 
 /// A request whose answer is owed, or whose attempts are not all over.
 pub(super) struct Open {
@@ -202,7 +202,7 @@
     pub(super) fn repeat_terms(&self, open: &Open) -> RepeatTerms {
         let class = open.class.and_then(|c| self.classes.get(c.0));
         class.map_or(NO_REPEATS, |c| RepeatTerms {
-            effect: c.effect,
+            effect: c.idempotency,
             key_scope: c.key_scope,
             key_window: c.key_window,
         })
@@ -252,7 +252,7 @@
         let told = self.requests.get(no).is_some_and(|o| o.promise.begun());
         if self.owed_no_longer(no) {
             if told {
-                self.tell(Event::ClientLeft(name(no)));
+                self.tell(Event::ClientDisconnected(name(no)));
             }
             // Nothing of it is at a server, so this takes no leave to call it off.
             self.take_back(no);
--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -9,7 +9,7 @@
 use crate::limits::{CLIENT_IDLE_MS, LEAVING_MS, ROOM_IDLE_MS, ROOM_REST_MS, ROOM_SILENT_MS};
 use crate::outbox::{outbox, OutgoingMessage};
 use async_executor::LocalExecutor;
-use basaltgw::api::{AttemptNo, GroupId, Listed, ObjectId, Part, Role, ServerEntry, ZoneId};
+use basaltgw::api::{AttemptNo, GroupId, EndpointState, ObjectId, Part, Role, Endpoint, ZoneId};
 use basaltgw_config::{parse, Environment, Member, News};
 use serde_json::json;
 use std::time::Duration;
@@ -75,11 +75,11 @@
 
 #[test]
 fn what_was_given_up_is_out_until_its_server_knows() {
-    for end in [End::Cancelled, End::Late] {
+    for end in [AttemptResult::Cancelled, AttemptResult::TimedOut] {
         let (mut owner, _written) = owner();
         let key = written(&mut owner);
-        owner.give_up(key, (end, End::NotSent), true);
-        owner.give_up(key, (End::Late, End::NotSent), true);
+        owner.give_up(key, (end, AttemptResult::NotSent), true);
+        owner.give_up(key, (AttemptResult::TimedOut, AttemptResult::NotSent), true);
         for _ in 0..3 {
             owner.batch(&mut Vec::new());
             let out: Vec<bool> = attempts(&owner, 1).iter().map(|a| a.1).collect();
@@ -98,7 +98,7 @@
 fn what_was_given_up_is_over_after_a_time_at_a_server_that_says_nothing() {
     let (mut owner, _written) = owner();
     let key = written(&mut owner);
-    owner.give_up(key, (End::Cancelled, End::NotSent), true);
+    owner.give_up(key, (AttemptResult::Cancelled, AttemptResult::NotSent), true);
     owner.leaving[0].since -= LEAVING_MS + 1.0;
     owner.batch(&mut Vec::new());
     assert!(!attempts(&owner, 1)[0].1 && owner.leaving.is_empty());
@@ -127,7 +127,7 @@
 fn what_was_given_up_is_over_with_its_connection() {
     let (mut owner, _written) = owner();
     let key = written(&mut owner);
-    owner.give_up(key, (End::Cancelled, End::NotSent), true);
+    owner.give_up(key, (AttemptResult::Cancelled, AttemptResult::NotSent), true);
     let (conn, _) = first_attempt(&owner).way.as_ref().expect("still out");
     let down = Input::CacheDown(*conn, Down::Ended(Over::Ended));
     owner.batch(&mut vec![down]);
@@ -162,12 +162,12 @@
 
 fn draining(owner: &Owner, id: &ServerId) -> Input {
     let address = owner.servers.get(id).expect("a listed server").address;
-    let entry = ServerEntry {
+    let entry = Endpoint {
         id: id.clone(),
         zone: ZoneId(0),
         role: Role::Edge,
         cell: 0,
-        listed: Listed::Draining,
+        state: EndpointState::Draining,
         weight: 1.0,
         started: None,
     };
--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -11,12 +11,12 @@
 
 /// A server is at another place.
 fn moved(owner: &Owner, id: &ServerId, port: u16) -> Input {
-    let entry = ServerEntry {
+    let entry = Endpoint {
         id: id.clone(),
         zone: ZoneId(0),
         role: Role::Edge,
         cell: 0,
-        listed: Listed::Up,
+        state: EndpointState::Up,
         weight: 1.0,
         started: Some(owner.now),
     };
@@ -48,7 +48,7 @@
         panic!("a list")
     };
     let mut gone = back.clone();
-    gone[0].entry.listed = Listed::Gone;
+    gone[0].entry.state = EndpointState::Removed;
     let members = gone.into_iter().chain(back).collect();
     owner.batch(&mut vec![Input::News(News::Servers { whole: false, members })]);
     let all = attempts(&owner, 1);
--- a/crates/node/src/permissions.rs
+++ b/crates/node/src/permissions.rs
@@ -3,7 +3,7 @@
 //! Each gives a typed reason against it. Nothing here does I/O or reads a clock, and nobody else answers these questions: the owner, the
 //! writers of connections and the states of clients' connections ask here. [`crate::invariants`] watches what is done in the end.
 
-use basaltgw::api::{Effect, End, KeyScope, Ms};
+use basaltgw::api::{Idempotency, AttemptResult, KeyScope, Ms};
 use std::fmt;
 
 /// A request and a server, as an attempt is about to begin.
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatTerms {
     /// The effect of its class.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Where servers know a repeat by its key.
     pub key_scope: KeyScope,
     /// For how long they do.
@@ -67,16 +67,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierAttempt {
     /// How it ended; `None` while it is out.
-    pub end: Option<End>,
+    pub end: Option<AttemptResult>,
     /// How long ago it was made.
     pub age: Ms,
 }
 
 /// Whether an attempt that ended so provably never ran.
-pub fn not_executed(end: End) -> bool {
+pub fn not_executed(end: AttemptResult) -> bool {
     match end {
-        End::Full | End::NoConnection | End::NotSent | End::Miss => true,
-        End::Served | End::Error | End::Late | End::Broken | End::Cancelled => false,
+        AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss => true,
+        AttemptResult::Served | AttemptResult::Error | AttemptResult::TimedOut | AttemptResult::ConnectionLost | AttemptResult::Cancelled => false,
     }
 }
 
@@ -97,15 +97,15 @@
     let may_have_run = earlier.into_iter().filter(|a| !a.end.is_some_and(not_executed));
     let oldest = may_have_run.map(|a| a.age).reduce(f64::max);
     match (terms.effect, oldest) {
-        (Effect::Safe, _) | (_, None) => Ok(()),
-        (Effect::Keyed, Some(age)) if terms.key_scope == KeyScope::All => {
+        (Idempotency::Idempotent, _) | (_, None) => Ok(()),
+        (Idempotency::IdempotencyKey, Some(age)) if terms.key_scope == KeyScope::All => {
             if age < terms.key_window {
                 Ok(())
             } else {
                 Err(RepeatRefusal::WindowOver)
             }
         }
-        (Effect::Keyed | Effect::Unsafe, Some(_)) => Err(RepeatRefusal::MayHaveRun),
+        (Idempotency::IdempotencyKey | Idempotency::NonIdempotent, Some(_)) => Err(RepeatRefusal::MayHaveRun),
     }
 }
 
@@ -276,18 +276,18 @@
     fn request_is_repeated_only_if_no_repeat_can_run_twice() {
         let terms = |effect| RepeatTerms { effect, key_scope: KeyScope::All, key_window: 100.0 };
         let ended = |end, age| [EarlierAttempt { end: Some(end), age }];
-        for end in End::ALL {
-            assert_eq!(may_repeat(&terms(Effect::Safe), ended(end, 1e9)), Ok(()));
-            let unsafe_one = may_repeat(&terms(Effect::Unsafe), ended(end, 0.0));
+        for end in AttemptResult::ALL {
+            assert_eq!(may_repeat(&terms(Idempotency::Idempotent), ended(end, 1e9)), Ok(()));
+            let unsafe_one = may_repeat(&terms(Idempotency::NonIdempotent), ended(end, 0.0));
             assert_eq!(unsafe_one.is_ok(), not_executed(end), "{end:?}");
         }
         let out = [EarlierAttempt { end: None, age: 0.0 }];
-        assert_eq!(may_repeat(&terms(Effect::Unsafe), out), Err(RepeatRefusal::MayHaveRun));
-        assert_eq!(may_repeat(&terms(Effect::Keyed), ended(End::Broken, 99.0)), Ok(()));
-        let over = may_repeat(&terms(Effect::Keyed), ended(End::Broken, 100.0));
+        assert_eq!(may_repeat(&terms(Idempotency::NonIdempotent), out), Err(RepeatRefusal::MayHaveRun));
+        assert_eq!(may_repeat(&terms(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 99.0)), Ok(()));
+        let over = may_repeat(&terms(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 100.0));
         assert_eq!(over, Err(RepeatRefusal::WindowOver));
-        let narrow = RepeatTerms { key_scope: KeyScope::Cell, ..terms(Effect::Keyed) };
-        assert_eq!(may_repeat(&narrow, ended(End::Broken, 0.0)), Err(RepeatRefusal::MayHaveRun));
+        let narrow = RepeatTerms { key_scope: KeyScope::Cell, ..terms(Idempotency::IdempotencyKey) };
+        assert_eq!(may_repeat(&narrow, ended(AttemptResult::ConnectionLost, 0.0)), Err(RepeatRefusal::MayHaveRun));
     }
 
     #[test]
--- a/crates/node/src/slow_start_watch.rs
+++ b/crates/node/src/slow_start_watch.rs
@@ -3,7 +3,7 @@
 //! The decisions keep an account of their own (`slow_start` of the module). This one shares no sum and no unit with it: it counts first bytes
 //! as they are written, by server process, and learns what an answer takes from answers with bytes alone.
 
-use basaltgw::api::{ColdRule, Listed, Ms, ObjectId, Role, ServerEntry, ServerId, Settings};
+use basaltgw::api::{SlowStartPolicy, EndpointState, Ms, ObjectId, Role, Endpoint, ServerId, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
 /// A server process that started lately.
 #[derive(Debug)]
 struct Process {
-    rule: ColdRule,
+    rule: SlowStartPolicy,
     /// The listed size, in answers at full pace.
     size: f64,
     started: Instant,
@@ -57,7 +57,7 @@
 /// Counts at the writer.
 #[derive(Debug)]
 pub struct SlowStartWatch {
-    rules: [(Role, ColdRule); 2],
+    rules: [(Role, SlowStartPolicy); 2],
     sizes_count: bool,
     processes: RefCell<BTreeMap<ServerId, Process>>,
     least: RefCell<HashMap<ObjectId, Ms>>,
@@ -80,8 +80,8 @@
     /// Nothing was sent yet.
     pub fn new(set: &Settings) -> Self {
         Self {
-            rules: [Role::Edge, Role::Parent].map(|role| (role, set.cold(role))),
-            sizes_count: !set.weights_move,
+            rules: [Role::Edge, Role::Parent].map(|role| (role, set.slow_start(role))),
+            sizes_count: !set.dynamic_weights,
             processes: RefCell::default(),
             least: RefCell::default(),
             work: RefCell::new(vec![ClassWork::default(); set.classes.len()]),
@@ -91,11 +91,11 @@
     }
 
     /// The list tells of a server whose process started so long ago; true if that is a start that was not known.
-    pub fn listed(&self, now: Instant, entry: &ServerEntry, age: Option<Ms>) -> bool {
+    pub fn listed(&self, now: Instant, entry: &Endpoint, age: Option<Ms>) -> bool {
         let mut processes = self.processes.borrow_mut();
         let rule = self.rules.iter().find(|(role, _)| *role == entry.role).map(|(_, rule)| *rule);
         let cold = age.zip(rule).filter(|(age, rule)| *age < rule.span && rule.multiple * rule.window > 0.0);
-        let (Some((age, rule)), Listed::Up | Listed::Draining) = (cold, entry.listed) else {
+        let (Some((age, rule)), EndpointState::Up | EndpointState::Draining) = (cold, entry.state) else {
             processes.remove(&entry.id);
             return false;
         };
@@ -201,7 +201,7 @@
     const WINDOW_MS: Ms = 1_000.0;
 
     fn watch() -> SlowStartWatch {
-        let rule = ColdRule { share: 0.5, span: 10_000.0, multiple: 2.0, window: WINDOW_MS };
+        let rule = SlowStartPolicy { share: 0.5, span: 10_000.0, multiple: 2.0, window: WINDOW_MS };
         let watch = SlowStartWatch {
             rules: [(Role::Edge, rule), (Role::Parent, rule)],
             sizes_count: true,
@@ -215,10 +215,10 @@
         watch
     }
 
-    fn entry() -> ServerEntry {
+    fn entry() -> Endpoint {
         let id = ServerId(Arc::from("s-1"));
-        let (zone, role, listed) = (ZoneId(0), Role::Edge, Listed::Up);
-        ServerEntry { id, zone, role, cell: 0, listed, weight: 1.0, started: None }
+        let (zone, role, listed) = (ZoneId(0), Role::Edge, EndpointState::Up);
+        Endpoint { id, zone, role, cell: 0, state: listed, weight: 1.0, started: None }
     }
 
     /// So many fetches, a millisecond apart; how many were over.
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -1,6 +1,6 @@
 //! The plan of the cache tree, where the project's own file has one: carries between the router's events and `basaltgw-hierarchy`.
 
-use basaltgw::api::{End, Event, Listed, Ms, Note, ObjectId, ServerId};
+use basaltgw::api::{AttemptResult, Event, EndpointState, Ms, FillReport, ObjectId, ServerId};
 use basaltgw_config::plan::table;
 use basaltgw_config::{Hierarchy, Member};
 use basaltgw_hierarchy as hierarchy;
@@ -48,7 +48,7 @@
         let mut events = Vec::new();
         for act in acts {
             match act {
-                Act::Use(of) => events.push(Event::Sources(Some(Arc::new(table(&of))))),
+                Act::Use(of) => events.push(Event::FillPlan(Some(Arc::new(table(&of))))),
                 Act::Entered(version, state, why) => {
                     self.counters.ended += u64::from(state == hierarchy::State::Gone);
                     log::info!(version = version.0, state:% = state; "plan {version} is {state}: {why}");
@@ -91,7 +91,7 @@
         }
         let gone = left_out.iter().map(|id| hierarchy::Event::Listed(node(id), false, None));
         let told = members.iter().map(|m| {
-            let up = m.entry.listed == Listed::Up;
+            let up = m.entry.state == EndpointState::Up;
             hierarchy::Event::Listed(node(&m.entry.id), up, m.entry.started)
         });
         let all: Vec<_> = gone.chain(told).collect();
@@ -104,14 +104,14 @@
         now: Ms,
         (asker, source): (&ServerId, &ServerId),
         object: ObjectId,
-        (end, note): (End, Note),
+        (end, note): (AttemptResult, FillReport),
     ) -> Vec<Event> {
         let how = match (end, note) {
-            (End::Served, Note::FilledBySource | Note::FilledByOrigin) => How::Answered,
-            (_, Note::SourceRefused) => How::Refused,
+            (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => How::Answered,
+            (_, FillReport::SourceRejected) => How::Refused,
             // Whose fault a late answer is is not known; a newcomer gets no more meanwhile.
-            (_, Note::SourceFailed) | (End::Late, _) => How::Failed,
-            (_, Note::Looped) => How::Looped,
+            (_, FillReport::SourceFailed) | (AttemptResult::TimedOut, _) => How::Failed,
+            (_, FillReport::LoopDetected) => How::Looped,
             _ => return Vec::new(),
         };
         self.counters.loops += u64::from(how == How::Looped);
--- a/crates/node/tests/codec.rs
+++ b/crates/node/tests/codec.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use basaltgw::api::{End, GroupId, Listed, Note, ObjectId, Role};
+use basaltgw::api::{AttemptResult, GroupId, EndpointState, FillReport, ObjectId, Role};
 use basaltgw_config::{settings, Names, News, Seq};
 use basaltgw_node::caches::Answer;
 use basaltgw_node::changelog::{self, Follower, Frame};
@@ -141,17 +141,17 @@
     let read = |w: &[&str]| Answer::read(w.iter().map(|w| w.as_bytes().to_vec()).collect(), &[]);
     let whole = "ver=4be0c1927d55a6f3,born=1764576000123,note=filled,waited=12.5,load=inflight:7;x0:0.61";
     let got = read(&["a", "ok", whole, "bytes"]).expect("an answer");
-    assert_eq!((got.end, got.same, got.body.bytes()), (Some(End::Served), false, &b"bytes"[..]));
-    assert_eq!((got.note, got.waited, got.load.inflight), (Note::FilledBySource, 12.5, Some(7.0)));
-    assert_eq!(read(&["a", "current", whole]).map(|a| (a.end, a.same)), Some((Some(End::Served), true)));
+    assert_eq!((got.end, got.same, got.body.bytes()), (Some(AttemptResult::Served), false, &b"bytes"[..]));
+    assert_eq!((got.note, got.waited, got.load.inflight), (FillReport::FilledBySource, 12.5, Some(7.0)));
+    assert_eq!(read(&["a", "current", whole]).map(|a| (a.end, a.same)), Some((Some(AttemptResult::Served), true)));
     for (word, end) in
-        [("nothing", End::Miss), ("refused", End::Full), ("error", End::Error), ("stale", End::NotSent)]
+        [("nothing", AttemptResult::CacheMiss), ("refused", AttemptResult::Rejected), ("error", AttemptResult::Error), ("stale", AttemptResult::NotSent)]
     {
         assert_eq!(read(&["a", word, "-"]).map(|a| a.end), Some(Some(end)));
     }
-    assert_eq!(read(&["a", "who knows", "-", ""]).map(|a| a.end), Some(Some(End::Error)), "it may have run");
+    assert_eq!(read(&["a", "who knows", "-", ""]).map(|a| a.end), Some(Some(AttemptResult::Error)), "it may have run");
     let untold = read(&["a", "ok", "-", "bytes"]).map(|a| (a.end, a.copy.is_some()));
-    assert_eq!(untold, Some((Some(End::Served), false)), "as writes are answered");
+    assert_eq!(untold, Some((Some(AttemptResult::Served), false)), "as writes are answered");
     for spoilt in [
         &["a"][..],
         &["a", "ok"],
@@ -198,7 +198,7 @@
     let Ok(Some(News::Servers { whole: true, members })) = &whole[0].news else { panic!("a list") };
     let m = &members[0];
     assert_eq!((&*m.entry.id.0, m.address.to_string().as_str()), ("s-00c41f7a", "127.0.0.9:10080"));
-    assert_eq!((m.entry.listed, m.entry.role, m.entry.zone.0), (Listed::Draining, Role::Parent, 1));
+    assert_eq!((m.entry.state, m.entry.role, m.entry.zone.0), (EndpointState::Draining, Role::Parent, 1));
     assert_eq!((m.entry.cell, m.entry.weight, m.entry.started), (2, 4.0, Some(1_764_576_000_123.0)));
     assert_eq!(whole[1], Frame { seq: Seq(41), news: Ok(None) });
     let purge = |object, group, time| News::Purge { object, group: GroupId(group), time };
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::spec::{FleetSpec, Machine};
 use crate::store::Store;
 use crate::{micros, rng, Ms, Rng};
-use basaltgw::api::{End, Note, Rank};
+use basaltgw::api::{AttemptResult, FillReport, Rank};
 use basaltgw_hierarchy::{
     Asks, CacheSide, Came, FillKey, NodeId, Plan, Settings, Shield, Then, Trail, Waiter,
 };
@@ -104,9 +104,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reply {
     /// How the ask ended.
-    pub end: End,
+    pub end: AttemptResult,
     /// How it came about.
-    pub note: Note,
+    pub note: FillReport,
     /// When the archive gave out the copy.
     pub born: Ms,
     /// The time to the source's answer.
@@ -518,7 +518,7 @@
                 Ev::FillLate(node, key, ask) => {
                     let current = self.nodes[node.0].fills.get(&key).is_some_and(|f| f.ask == ask);
                     if current && self.asks.swap_remove(&ask).is_some() {
-                        self.fill_failed(node, key, Note::SourceFailed, true);
+                        self.fill_failed(node, key, FillReport::SourceFailed, true);
                     }
                 }
                 Ev::Purge(node, object, group, at) => self.hear_purge(node, object, group, at),
@@ -533,7 +533,7 @@
                             continue;
                         }
                         for w in self.nodes[i].shield.overdue(self.now) {
-                            self.word(w.0, End::Error, Note::SourceFailed);
+                            self.word(w.0, AttemptResult::Error, FillReport::SourceFailed);
                         }
                     }
                 }
@@ -557,7 +557,7 @@
             self.asks.iter().filter(|(_, a)| a.at == node && a.came <= self.now).map(|(n, _)| *n).collect();
         for no in there {
             if told {
-                self.send(no, Reply { end: End::Broken, note: Note::Untold, born: 0.0, waited: 0.0 }, 0.0);
+                self.send(no, Reply { end: AttemptResult::ConnectionLost, note: FillReport::NotReported, born: 0.0, waited: 0.0 }, 0.0);
             } else if let Some(ask) = self.asks.get_mut(&no) {
                 ask.token += 1;
             }
@@ -597,9 +597,9 @@
         if !n.up {
             // A machine that has vanished says nothing; one whose process is gone refuses the connection.
             if !n.vanished {
-                self.word(no, End::NoConnection, Note::Untold);
+                self.word(no, AttemptResult::NoConnection, FillReport::NotReported);
             } else if matches!(asker, Asker::Router(_)) {
-                let silent = Reply { end: End::NoConnection, note: Note::Untold, born: 0.0, waited: 0.0 };
+                let silent = Reply { end: AttemptResult::NoConnection, note: FillReport::NotReported, born: 0.0, waited: 0.0 };
                 self.send(no, silent, CONNECT_MS);
             }
             return;
@@ -622,11 +622,11 @@
         if through.is_err() {
             self.counts.loops_offered += 1;
             if self.heeds_trails {
-                return self.word(no, End::Miss, Note::Looped);
+                return self.word(no, AttemptResult::CacheMiss, FillReport::LoopDetected);
             }
             self.counts.loops_carried += 1;
             if self.asks[&no].hops > MOST_HOPS {
-                return self.word(no, End::Error, Note::SourceFailed);
+                return self.word(no, AttemptResult::Error, FillReport::SourceFailed);
             }
         }
         self.look(no);
@@ -651,7 +651,7 @@
             }
             self.counts.archive_kb += kb;
         }
-        self.serve(no, self.now, Note::FilledByOrigin, 0.0);
+        self.serve(no, self.now, FillReport::FilledByOrigin, 0.0);
     }
 
     /// Looks for a copy, and fills what is not held.
@@ -659,9 +659,9 @@
         let Some(ask) = self.asks.get(&no) else { return };
         let (at, key, since, since_grace) = (ask.at, ask.key, ask.since, ask.since_grace);
         match self.nodes[at.0].store.get(key) {
-            Some(copy) if copy.born >= since => self.serve(no, copy.born, Note::Hit, 0.0),
+            Some(copy) if copy.born >= since => self.serve(no, copy.born, FillReport::Hit, 0.0),
             Some(copy) if copy.born >= since_grace => {
-                self.serve(no, copy.born, Note::Old, 0.0);
+                self.serve(no, copy.born, FillReport::Stale, 0.0);
                 self.renew(no);
             }
             Some(_) | None => self.miss(no),
@@ -711,12 +711,12 @@
         let held_only = !of_router && ask.held_only;
         let under_way = self.nodes[at.0].shield.under_way(key);
         if of_router && from.is_none() && (self.nodes[at.0].info.tier == 3 || !(under_way && ask.join)) {
-            let note = if under_way { Note::Joined } else { Note::Untold };
-            return self.word(no, End::Miss, note);
+            let note = if under_way { FillReport::Joined } else { FillReport::NotReported };
+            return self.word(no, AttemptResult::CacheMiss, note);
         }
         if !under_way && !held_only && !self.has_place(at) {
-            let end = if of_router { End::Error } else { End::Full };
-            return self.word(no, end, Note::NoFillPlace);
+            let end = if of_router { AttemptResult::Error } else { AttemptResult::Rejected };
+            return self.word(no, end, FillReport::FillLimitReached);
         }
         let me = self.nodes[at.0].info.id.clone();
         let asks =
@@ -739,14 +739,14 @@
             }
             Came::Lacks if held_only => {
                 asker.into_iter().for_each(|to| self.nodes[at.0].side.hand_over(key.object, &to));
-                self.word(no, End::Miss, Note::SourceLacks);
+                self.word(no, AttemptResult::CacheMiss, FillReport::SourceMiss);
             }
             Came::Lacks => {
                 self.counts.loops_offered += 1;
-                self.word(no, End::Miss, Note::Looped);
+                self.word(no, AttemptResult::CacheMiss, FillReport::LoopDetected);
             }
-            Came::Full => self.word(no, End::Full, Note::NoFillPlace),
-            Came::Failed => self.word(no, End::Error, Note::OriginFailed),
+            Came::Full => self.word(no, AttemptResult::Rejected, FillReport::FillLimitReached),
+            Came::Failed => self.word(no, AttemptResult::Error, FillReport::OriginFailed),
         }
     }
 
@@ -786,7 +786,7 @@
         };
         let Some((source, held_only)) = next else {
             let told = self.nodes[at.0].shield.ended(key);
-            told.into_iter().for_each(|w| self.word(w.0, End::Error, Note::SourceFailed));
+            told.into_iter().for_each(|w| self.word(w.0, AttemptResult::Error, FillReport::SourceFailed));
             return;
         };
         self.counts.between += 1;
@@ -833,7 +833,7 @@
         }
         let Some(fill) = n.fills.get_mut(&key) else { return };
         match (r.end, r.note) {
-            (End::Served, _) => {
+            (AttemptResult::Served, _) => {
                 let (source, begun, spec) = (fill.source, fill.begun, fill.spec);
                 n.fills.swap_remove(&key);
                 self.counts.handed += u64::from(held_only);
@@ -843,16 +843,16 @@
                     n.store.put(key, r.born, spec.kb, spec.rank);
                 }
                 let (served, again) = n.shield.done(key, r.born);
-                let origin = source == ARCHIVE || r.note == Note::FilledByOrigin;
-                let note = if origin { Note::FilledByOrigin } else { Note::FilledBySource };
+                let origin = source == ARCHIVE || r.note == FillReport::FilledByOrigin;
+                let note = if origin { FillReport::FilledByOrigin } else { FillReport::FilledBySource };
                 for w in served {
                     let joined = self.asks.get(&w.0).is_some_and(|a| a.joined);
-                    let note = if joined { Note::Joined } else { note };
+                    let note = if joined { FillReport::Joined } else { note };
                     self.serve(w.0, r.born, note, self.now - begun);
                 }
                 again.into_iter().for_each(|w| self.miss(w.0));
             }
-            (End::Miss, Note::Looped | Note::SourceLacks) if !fill.spec.named => {
+            (AttemptResult::CacheMiss, FillReport::LoopDetected | FillReport::SourceMiss) if !fill.spec.named => {
                 let (spec, trail, hops) = (fill.spec, fill.trail.clone(), fill.hops);
                 let mut tried = std::mem::take(&mut fill.tried);
                 let source = fill.source;
@@ -860,51 +860,51 @@
                 self.nodes[at.0].shield.turned(key);
                 self.fill(at, key, spec, (trail, hops), tried, None);
             }
-            (End::Miss, note) => {
+            (AttemptResult::CacheMiss, note) => {
                 n.fills.swap_remove(&key);
                 let told = n.shield.ended(key);
-                let note = if note == Note::Looped { note } else { Note::SourceLacks };
-                told.into_iter().for_each(|w| self.word(w.0, End::Miss, note));
+                let note = if note == FillReport::LoopDetected { note } else { FillReport::SourceMiss };
+                told.into_iter().for_each(|w| self.word(w.0, AttemptResult::CacheMiss, note));
             }
             (end, note) => {
                 let note = match (end, note) {
-                    (_, Note::OriginFailed) => Note::OriginFailed,
-                    _ if fill.source == ARCHIVE => Note::OriginFailed,
-                    (End::Full, _) => Note::SourceRefused,
-                    _ => Note::SourceFailed,
+                    (_, FillReport::OriginFailed) => FillReport::OriginFailed,
+                    _ if fill.source == ARCHIVE => FillReport::OriginFailed,
+                    (AttemptResult::Rejected, _) => FillReport::SourceRejected,
+                    _ => FillReport::SourceFailed,
                 };
                 self.fill_failed(at, key, note, true);
             }
         }
     }
 
-    fn fill_failed(&mut self, at: NodeIx, key: FillKey, note: Note, again: bool) {
+    fn fill_failed(&mut self, at: NodeIx, key: FillKey, note: FillReport, again: bool) {
         let Some(fill) = self.nodes[at.0].fills.swap_remove(&key) else { return };
         let mut tried = fill.tried;
         tried.push(self.nodes[fill.source.0].info.id.clone());
         // Whose source a router named leaves it to the router; nor does it remember what failed.
         if fill.spec.named {
             let told = self.nodes[at.0].shield.ended(key);
-            return told.into_iter().for_each(|w| self.word(w.0, End::Error, note));
+            return told.into_iter().for_each(|w| self.word(w.0, AttemptResult::Error, note));
         }
         let n = &mut self.nodes[at.0];
         let next = n.side.next(self.now, key.object, &fill.trail, &tried);
         let then = n.shield.failed(self.now, key, again && next.is_some(), &self.set);
         match then {
             Then::Again => self.fill(at, key, fill.spec, (fill.trail, fill.hops), tried, None),
-            Then::Tell(told) => told.into_iter().for_each(|w| self.word(w.0, End::Error, note)),
+            Then::Tell(told) => told.into_iter().for_each(|w| self.word(w.0, AttemptResult::Error, note)),
         }
     }
 
     // ---- Answers ----
 
     /// An answer without a body.
-    fn word(&mut self, no: u64, end: End, note: Note) {
+    fn word(&mut self, no: u64, end: AttemptResult, note: FillReport) {
         self.send(no, Reply { end, note, born: 0.0, waited: 0.0 }, WORD_MS);
     }
 
     /// Sends a copy, in a slot and over the asker's link.
-    fn serve(&mut self, no: u64, born: Ms, note: Note, waited: Ms) {
+    fn serve(&mut self, no: u64, born: Ms, note: FillReport, waited: Ms) {
         let Some(ask) = self.asks.get(&no) else { return };
         let (at, kb, now) = (ask.at, ask.kb, self.now);
         let link = match ask.asker {
@@ -919,7 +919,7 @@
         let start = now.max(free as f64 / 1000.0);
         if start - now > n.info.machine.queue_ms {
             n.free.push(Reverse(free));
-            return self.word(no, End::Full, Note::Untold);
+            return self.word(no, AttemptResult::Rejected, FillReport::NotReported);
         }
         let mut end = start + takes;
         n.free.push(Reverse(micros(end)));
@@ -934,7 +934,7 @@
         if loses > 0.0 && self.rng.random::<f64>() < loses {
             return;
         }
-        self.send(no, Reply { end: End::Served, note, born, waited }, end - now);
+        self.send(no, Reply { end: AttemptResult::Served, note, born, waited }, end - now);
     }
 
     fn send(&mut self, no: u64, reply: Reply, after: Ms) {
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -42,7 +42,7 @@
     Timer(usize, u64),
     Late(usize, u64, usize),
     Outcome(usize, Outcome),
-    List(usize, Vec<ServerEntry>),
+    List(usize, Vec<Endpoint>),
     Purge(usize, Option<u64>, u64, Ms),
     Offer(usize, PlanSpec),
     TakeBack(usize),
@@ -88,7 +88,7 @@
 struct Sim<'a> {
     setup: &'a Setup,
     nodes: Vec<NodeInfo>,
-    entries: Vec<ServerEntry>,
+    entries: Vec<Endpoint>,
     by_id: HashMap<ServerId, NodeIx>,
     fleet: Fleet,
     seats: Vec<Seat>,
@@ -116,8 +116,8 @@
     Ok(sim.finish())
 }
 
-fn entry(n: &NodeInfo, listed: Listed, started: Option<Ms>) -> ServerEntry {
-    ServerEntry {
+fn entry(n: &NodeInfo, listed: EndpointState, started: Option<Ms>) -> Endpoint {
+    Endpoint {
         id: ServerId(n.id.0.clone()),
         zone: ZoneId(n.zone),
         role: match n.tier {
@@ -126,7 +126,7 @@
             _ => Role::Edge,
         },
         cell: 0,
-        listed,
+        state: listed,
         weight: 1.0,
         started,
     }
@@ -138,8 +138,8 @@
         let mut fleet = Fleet::new(&setup.fleet, setup.load.groups, set, setup.seed);
         fleet.heeds_trails = setup.trails;
         let nodes = nodes(&setup.fleet);
-        let listed = |n: &NodeInfo| if n.spare { Listed::Gone } else { Listed::Up };
-        let entries: Vec<ServerEntry> = nodes.iter().map(|n| entry(n, listed(n), None)).collect();
+        let listed = |n: &NodeInfo| if n.spare { EndpointState::Removed } else { EndpointState::Up };
+        let entries: Vec<Endpoint> = nodes.iter().map(|n| entry(n, listed(n), None)).collect();
         let by_id = entries.iter().enumerate().map(|(i, e)| (e.id.clone(), NodeIx(i))).collect();
         let mut seats = Vec::new();
         for zone in 1..=setup.fleet.zones {
--- a/crates/simulator/src/sim/days.rs
+++ b/crates/simulator/src/sim/days.rs
@@ -12,12 +12,12 @@
         }
         for r in 0..self.seats.len() {
             let zone = self.seats[r].zone;
-            let all: Vec<ServerEntry> = (0..self.entries.len())
+            let all: Vec<Endpoint> = (0..self.entries.len())
                 .filter(|i| self.told_of(zone, *i))
                 .map(|i| self.entries[i].clone())
-                .filter(|e| e.listed != Listed::Gone)
+                .filter(|e| e.state != EndpointState::Removed)
                 .collect();
-            self.list(r, ListMode::Whole, all);
+            self.list(r, EndpointUpdate::Complete, all);
             if let Some(spec) = &first {
                 self.reshape(r, tree::Event::Offer(spec.clone()));
             }
@@ -95,7 +95,7 @@
                         r,
                         no,
                         n,
-                        Reply { end: End::Late, note: Note::Untold, born: 0.0, waited: 0.0 },
+                        Reply { end: AttemptResult::TimedOut, note: FillReport::NotReported, born: 0.0, waited: 0.0 },
                         false,
                     );
                 }
@@ -106,7 +106,7 @@
                 if self.now < until {
                     self.at(until, Ev::List(r, entries));
                 } else {
-                    self.list(r, ListMode::Changes, entries);
+                    self.list(r, EndpointUpdate::Delta, entries);
                 }
             }
             Ev::Purge(r, object, group, at) => {
@@ -190,7 +190,7 @@
                 self.fleet.trouble(now, node, trouble);
                 match m.for_ms > 0.0 {
                     true => self.at(until, Ev::Start(node)),
-                    false => self.listed(node, Listed::Gone, None),
+                    false => self.listed(node, EndpointState::Removed, None),
                 }
             }
             What::Start => {
@@ -199,11 +199,11 @@
             }
             What::Drain => {
                 let node = find(&m.node, &self.fleet)?;
-                self.listed(node, Listed::Draining, None);
+                self.listed(node, EndpointState::Draining, None);
             }
             What::Stop => {
                 let node = find(&m.node, &self.fleet)?;
-                self.listed(node, Listed::Gone, None);
+                self.listed(node, EndpointState::Removed, None);
                 self.fleet.trouble(now, node, Trouble::Crash);
             }
             What::Hang => self.fleet.trouble(now, find(&m.node, &self.fleet)?, Trouble::Hang(until)),
@@ -232,11 +232,11 @@
 
     pub(super) fn started(&mut self, node: NodeIx) {
         self.fleet.start(self.now, node);
-        self.listed(node, Listed::Up, Some(self.now));
+        self.listed(node, EndpointState::Up, Some(self.now));
     }
 
     /// The list changes; routers hear of it each at their own moment.
-    pub(super) fn listed(&mut self, node: NodeIx, listed: Listed, started: Option<Ms>) {
+    pub(super) fn listed(&mut self, node: NodeIx, listed: EndpointState, started: Option<Ms>) {
         let entry = entry(&self.nodes[node.0], listed, started);
         self.entries[node.0] = entry.clone();
         for r in 0..self.seats.len() {
--- a/crates/simulator/src/sim/requests.rs
+++ b/crates/simulator/src/sim/requests.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn list(&mut self, r: usize, mode: ListMode, entries: Vec<ServerEntry>) {
+    pub(super) fn list(&mut self, r: usize, mode: EndpointUpdate, entries: Vec<Endpoint>) {
         for e in &entries {
             let node = self.by_id[&e.id];
-            self.checker.see(self.now, Seen::Drained(r, node, e.listed != Listed::Up));
+            self.checker.see(self.now, Seen::Drained(r, node, e.state != EndpointState::Up));
             let id = self.nodes[node.0].id.clone();
-            self.reshape(r, tree::Event::Listed(id, e.listed == Listed::Up, e.started));
+            self.reshape(r, tree::Event::Listed(id, e.state == EndpointState::Up, e.started));
         }
-        self.decide(r, Event::Servers(mode, entries));
+        self.decide(r, Event::Endpoints(mode, entries));
     }
 
     pub(super) fn reshape(&mut self, r: usize, event: tree::Event) {
@@ -18,7 +18,7 @@
         self.seats[r].reshape.handle(self.now, event, &mut acts);
         for act in acts {
             match act {
-                tree::Act::Use(of) => self.decide(r, Event::Sources(Some(Arc::new(table(&of))))),
+                tree::Act::Use(of) => self.decide(r, Event::FillPlan(Some(Arc::new(table(&of))))),
                 tree::Act::Entered(version, state, _) => {
                     self.figures.states.push((r, self.now, version.0, state));
                 }
@@ -56,30 +56,30 @@
         self.seats[r].decider.handle(self.now, event, &mut acts);
         for act in acts {
             match act {
-                Action::Fetch(fetch) => self.fetch(r, fetch),
-                Action::Cancel(request, n) => {
+                Action::StartAttempt(fetch) => self.fetch(r, fetch),
+                Action::CancelAttempt(request, n) => {
                     let Some(no) = number(&request) else { continue };
                     let out =
                         self.seats[r].open.get(&no).and_then(|o| o.attempts.get(n.0)).is_some_and(|a| a.out);
                     if out {
                         self.fleet.abort(self.now, ask_id(r, no, n.0));
                         let called_off =
-                            Reply { end: End::Cancelled, note: Note::Untold, born: 0.0, waited: 0.0 };
+                            Reply { end: AttemptResult::Cancelled, note: FillReport::NotReported, born: 0.0, waited: 0.0 };
                         self.ended(r, no, n.0, called_off, true);
                     }
                 }
-                Action::Refuse(request, stay) => self.answer(r, &request, Final::Refused, stay),
+                Action::Reject(request, stay) => self.answer(r, &request, Final::Refused, stay),
                 Action::Fail(request) => self.answer(r, &request, Final::Failed, 0.0),
                 Action::Timer(after, token) => self.at(self.now + after, Ev::Timer(r, token)),
-                Action::Subscribe | Action::Report(_) => {}
+                Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
     }
 
-    pub(super) fn fetch(&mut self, r: usize, fetch: Fetch) {
+    pub(super) fn fetch(&mut self, r: usize, fetch: AttemptSpec) {
         let Some(no) = number(&fetch.request) else { return };
         let (node, source) =
-            (self.by_id.get(&fetch.server).copied(), self.by_id.get(&fetch.fill_from).copied());
+            (self.by_id.get(&fetch.server).copied(), self.by_id.get(&fetch.fill_source).copied());
         let Some(open) = self.seats[r].open.get_mut(&no) else { return };
         let n = open.attempts.len();
         let Some(node) = node else { return };
@@ -88,7 +88,7 @@
         let class = &self.setup.load.classes[what.class];
         let until = if fetch.timeout > 0.0 { (self.now + fetch.timeout).min(open.due) } else { open.due };
         let fresh = Some(class.fresh_ms).filter(|f| *f > 0.0);
-        let grace = if fetch.max_age.is_none() && fetch.renew { class.grace_ms } else { 0.0 };
+        let grace = if fetch.max_age.is_none() && fetch.revalidate { class.grace_ms } else { 0.0 };
         let ask = Ask {
             id: ask_id(r, no, n),
             key: FillKey { object: what.object, part: what.part },
@@ -98,8 +98,8 @@
             rank: fetch.rank,
             max_age: fetch.max_age.or(fresh),
             grace,
-            join: fetch.join,
-            held_only: fetch.held_only,
+            join: fetch.join_fill,
+            held_only: fetch.cached_only,
             effect: (class.effect == EffectSpec::Unsafe).then_some(no),
             wait: until - self.now,
         };
@@ -126,22 +126,22 @@
         let unsafe_ = self.setup.load.classes[open.client.what.class].effect == EffectSpec::Unsafe;
         let first = !open.answered;
         let ran = match reply.end {
-            End::Served => Ran::Served((!unsafe_).then_some(reply.born)),
-            End::Full | End::NoConnection | End::NotSent | End::Miss => Ran::Never,
-            End::Error | End::Late | End::Broken | End::Cancelled => Ran::Maybe,
+            AttemptResult::Served => Ran::Served((!unsafe_).then_some(reply.born)),
+            AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss => Ran::Never,
+            AttemptResult::Error | AttemptResult::TimedOut | AttemptResult::ConnectionLost | AttemptResult::Cancelled => Ran::Maybe,
         };
         self.checker.see(self.now, Seen::Ended((r, no), n, ran));
-        if reply.end == End::Served && first {
+        if reply.end == AttemptResult::Served && first {
             self.served(r, no);
         }
         if let Some(source) = source {
             let how = match (reply.end, reply.note) {
-                (End::Served, Note::FilledBySource | Note::FilledByOrigin) => Some(tree::How::Answered),
-                (_, Note::SourceRefused) => Some(tree::How::Refused),
-                (_, Note::SourceFailed) => Some(tree::How::Failed),
-                (_, Note::Looped) => Some(tree::How::Looped),
+                (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => Some(tree::How::Answered),
+                (_, FillReport::SourceRejected) => Some(tree::How::Refused),
+                (_, FillReport::SourceFailed) => Some(tree::How::Failed),
+                (_, FillReport::LoopDetected) => Some(tree::How::Looped),
                 // Whose fault it is is not known; a newcomer gets no more while answers are late.
-                (End::Late, _) => Some(tree::How::Failed),
+                (AttemptResult::TimedOut, _) => Some(tree::How::Failed),
                 _ => None,
             };
             let id = |ix: NodeIx| self.nodes[ix.0].id.clone();
@@ -153,13 +153,13 @@
             request: RequestId(Arc::from(no.to_string())),
             attempt: AttemptNo(n),
             server: self.entries[node.0].id.clone(),
-            end: reply.end,
-            delay: self.now - sent,
-            last: !first || reply.end == End::Served,
-            note: reply.note,
+            result: reply.end,
+            latency: self.now - sent,
+            completes_request: !first || reply.end == AttemptResult::Served,
+            fill_report: reply.note,
             source_wait: reply.waited,
-            load: Load::default(),
-            whole: true,
+            load: LoadReport::default(),
+            body_complete: true,
         };
         if later {
             self.at(self.now, Ev::Outcome(r, outcome));
--- a/crates/simulator/tests/breakers.rs
+++ b/crates/simulator/tests/breakers.rs
@@ -13,12 +13,12 @@
 struct Wrong<F> {
     router: Router,
     spoil: F,
-    held: HashMap<RequestId, Fetch>,
+    held: HashMap<RequestId, AttemptSpec>,
 }
 
 impl<F> Decide for Wrong<F>
 where
-    F: FnMut(&mut Router, Ms, Event, &mut Vec<Action>, &mut HashMap<RequestId, Fetch>),
+    F: FnMut(&mut Router, Ms, Event, &mut Vec<Action>, &mut HashMap<RequestId, AttemptSpec>),
 {
     fn handle(&mut self, now: Ms, event: Event, acts: &mut Vec<Action>) {
         (self.spoil)(&mut self.router, now, event, acts, &mut self.held);
@@ -27,7 +27,7 @@
 
 fn broken<F>(setup: &Setup, spoil: impl Fn() -> F) -> Vec<Rule>
 where
-    F: FnMut(&mut Router, Ms, Event, &mut Vec<Action>, &mut HashMap<RequestId, Fetch>) + 'static,
+    F: FnMut(&mut Router, Ms, Event, &mut Vec<Action>, &mut HashMap<RequestId, AttemptSpec>) + 'static,
 {
     let wrong = |_, set, seed| {
         let router = Router::new(set, seed);
@@ -55,7 +55,7 @@
     let forgets = || {
         |r: &mut Router, now, event, acts: &mut Vec<Action>, _: &mut _| {
             r.handle(now, event, acts);
-            acts.retain(|a| !matches!(a, Action::Refuse(..) | Action::Fail(_)));
+            acts.retain(|a| !matches!(a, Action::Reject(..) | Action::Fail(_)));
         }
     };
     assert_eq!(broken(&rough(), forgets), [Rule::Lost]);
@@ -67,22 +67,22 @@
     s.script
         .push(on("archive", Moment { for_ms: 8_000.0, factor: 0.5, ..moment(10_000.0, What::LoseAnswers) }));
     let again = || {
-        |r: &mut Router, now, event: Event, acts: &mut Vec<Action>, held: &mut HashMap<RequestId, Fetch>| {
+        |r: &mut Router, now, event: Event, acts: &mut Vec<Action>, held: &mut HashMap<RequestId, AttemptSpec>| {
             let late = match &event {
-                Event::Outcome(o) if o.end == End::Late && !o.last => Some(o.request.clone()),
+                Event::Outcome(o) if o.result == AttemptResult::TimedOut && !o.completes_request => Some(o.request.clone()),
                 _ => None,
             };
             r.handle(now, event, acts);
             // A shorter time-out, so that there is time left for the second.
             for act in acts.iter_mut() {
-                if let Action::Fetch(f) = act {
+                if let Action::StartAttempt(f) = act {
                     f.timeout = f.timeout.min(900.0);
                     held.entry(f.request.clone()).or_insert_with(|| f.clone());
                 }
             }
             if let Some(fetch) = late.and_then(|id| held.remove(&id)).filter(|f| f.rank == Rank::None) {
                 acts.retain(|a| !matches!(a, Action::Fail(id) if *id == fetch.request));
-                acts.push(Action::Fetch(fetch));
+                acts.push(Action::StartAttempt(fetch));
             }
         }
     };
@@ -96,7 +96,7 @@
         vec![on("edge-1-1", moment(5_000.0, What::Drain)), on("district-1", moment(8_000.0, What::Drain))];
     let deaf = || {
         |r: &mut Router, now, event: Event, acts: &mut Vec<Action>, _: &mut _| {
-            if matches!(&event, Event::Servers(_, e) if e.iter().any(|e| e.listed == Listed::Draining)) {
+            if matches!(&event, Event::Endpoints(_, e) if e.iter().any(|e| e.state == EndpointState::Draining)) {
                 return;
             }
             r.handle(now, event, acts);
@@ -116,13 +116,13 @@
     let hasty = || {
         let mut newest: Option<ServerId> = None;
         move |r: &mut Router, now, event: Event, acts: &mut Vec<Action>, _: &mut _| {
-            if let Event::Servers(_, entries) = &event {
+            if let Event::Endpoints(_, entries) = &event {
                 let cold = entries.iter().filter(|e| e.started.is_some() && e.role == Role::Edge);
                 newest = cold.map(|e| e.id.clone()).next().or(newest.take());
             }
             r.handle(now, event, acts);
             for act in acts {
-                if let (Action::Fetch(f), Some(cold)) = (act, &newest) {
+                if let (Action::StartAttempt(f), Some(cold)) = (act, &newest) {
                     f.server = if f.rank == Rank::None { f.server.clone() } else { cold.clone() };
                 }
             }
--- a/crates/simulator/tests/sizes.rs
+++ b/crates/simulator/tests/sizes.rs
@@ -28,7 +28,7 @@
 /// The large ones get that part of their class's answered share.
 fn large_ones_get(part: f64, day: &str, s: &Setup) {
     let router = |_, set: basaltgw::api::Settings, seed| {
-        let untold = basaltgw::api::Settings { pace_kb_per_s: 0.0, ..set };
+        let untold = basaltgw::api::Settings { response_rate_kb_per_s: 0.0, ..set };
         Box::new(Router::new(untold, seed)) as Box<dyn Decide>
     };
     let f = run(s, router).expect("a run");
--- a/src/api.rs
+++ b/src/api.rs
@@ -5,7 +5,7 @@
 
 mod settings;
 
-pub use settings::{Class, ColdRule, Effect, KeyScope, Lateral, Settings};
+pub use settings::{Class, SlowStartPolicy, Idempotency, KeyScope, PeerFill, Settings};
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -51,18 +51,18 @@
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     /// Its process runs.
     Up,
     /// It finishes its work and takes nothing new.
     Draining,
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// An entry of the server list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerEntry {
+pub struct Endpoint {
     /// Its name.
     pub id: ServerId,
     /// Its zone.
@@ -72,7 +72,7 @@
     /// Its cell, for keyed requests.
     pub cell: u64,
     /// Its state.
-    pub listed: Listed,
+    pub state: EndpointState,
     /// Its size in relation to the others.
     pub weight: f64,
     /// When its process last started; `None` if long ago.
@@ -102,47 +102,47 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptResult {
     /// Served.
     Served,
     /// The server returned an error; it may have run.
     Error,
     /// Turned away; it never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
-    Late,
+    TimedOut,
     /// No connection; it never ran.
     NoConnection,
     /// The connection broke; it may have run.
-    Broken,
+    ConnectionLost,
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
     /// Nothing suitable was held; it never ran.
-    Miss,
+    CacheMiss,
 }
 
-impl End {
+impl AttemptResult {
     /// Every way in which an attempt may end.
     pub const ALL: [Self; 9] = [
         Self::Served,
         Self::Error,
-        Self::Full,
-        Self::Late,
+        Self::Rejected,
+        Self::TimedOut,
         Self::NoConnection,
-        Self::Broken,
+        Self::ConnectionLost,
         Self::Cancelled,
         Self::NotSent,
-        Self::Miss,
+        Self::CacheMiss,
     ];
 }
 
 /// What an outcome tells of how it came about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum FillReport {
     /// Nothing is told.
-    Untold,
+    NotReported,
     /// Found here.
     Hit,
     /// Filled from the source's copy.
@@ -152,24 +152,24 @@
     /// Joined a fill under way.
     Joined,
     /// An old copy.
-    Old,
+    Stale,
     /// The source said no.
-    SourceRefused,
+    SourceRejected,
     /// The source was not reached, broke off or was too slow.
     SourceFailed,
     /// The source has none.
-    SourceLacks,
+    SourceMiss,
     /// All places for fills were taken here.
-    NoFillPlace,
+    FillLimitReached,
     /// The parent's origin failed.
     OriginFailed,
     /// The fill met itself on its way and was refused for that.
-    Looped,
+    LoopDetected,
 }
 
 /// A load report; values that were not told are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Requests being handled.
     pub inflight: Option<f64>,
     /// Share of CPU busy.
@@ -190,28 +190,28 @@
     /// Where it went.
     pub server: ServerId,
     /// How it ended.
-    pub end: End,
+    pub result: AttemptResult,
     /// How long it took.
-    pub delay: Ms,
+    pub latency: Ms,
     /// The request has its final answer, through this outcome or earlier.
-    pub last: bool,
+    pub completes_request: bool,
     /// How it came about.
-    pub note: Note,
+    pub fill_report: FillReport,
     /// Time to the source's first byte or to the fill's failure; 0 if not told.
     pub source_wait: Ms,
     /// The server's load report, if any.
-    pub load: Load,
+    pub load: LoadReport,
     /// The answer carried the object's bytes whole; false where it only says that the client's copy is the one.
-    pub whole: bool,
+    pub body_complete: bool,
 }
 
 /// How a server list relates to the one before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListMode {
+pub enum EndpointUpdate {
     /// Changed entries only.
-    Changes,
+    Delta,
     /// The complete list; what is not in it is gone.
-    Whole,
+    Complete,
     /// Asking for the list failed; the previous one remains.
     Failed,
 }
@@ -229,36 +229,36 @@
 
 /// The sources of a miss by edge cache, where they are planned. A cache that it does not name has every listed parent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct SourceTable {
+pub struct FillPlan {
     /// By edge cache; caches with the same sources share them.
-    pub of: HashMap<ServerId, Arc<Vec<SourceShare>>>,
+    pub sources: HashMap<ServerId, Arc<Vec<SourceShare>>>,
     /// Edge caches that may have the origin when they have nobody else.
-    pub origin: HashSet<ServerId>,
+    pub origin_allowed: HashSet<ServerId>,
 }
 
 /// What a router is told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the servers.
-    Servers(ListMode, Vec<ServerEntry>),
+    Endpoints(EndpointUpdate, Vec<Endpoint>),
     /// A request has come in; exactly one final answer is owed.
     Request(Request),
     /// A stream has begun to flow: the request is bound to this attempt.
-    Flowing(RequestId, AttemptNo),
+    ResponseStarted(RequestId, AttemptNo),
     /// The last byte of an attempt is on the wire.
-    Written(RequestId, AttemptNo),
+    RequestWritten(RequestId, AttemptNo),
     /// An attempt is over.
     Outcome(Outcome),
     /// The client has left; nothing is owed any more.
-    ClientLeft(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer has come due.
     Timer(u64),
     /// Sources are planned by this table from now on; `None` for every listed parent.
-    Sources(Option<Arc<SourceTable>>),
+    FillPlan(Option<Arc<FillPlan>>),
     /// An object, or without one a whole group, was purged so long ago.
     Purged(GroupId, Option<ObjectId>, Ms),
     /// Purges and listed starts of servers that were told lie further in the past by this than was reckoned then.
-    OlderBy(Ms),
+    ClockCorrected(Ms),
 }
 
 /// How long a copy is kept against others; low ranks leave first.
@@ -276,7 +276,7 @@
 
 /// An attempt to be made.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fetch {
+pub struct AttemptSpec {
     /// For which request.
     pub request: RequestId,
     /// Where to.
@@ -284,36 +284,36 @@
     /// Time-out of the attempt.
     pub timeout: Ms,
     /// Its first byte leaves before this, or none does; infinite where any time will do.
-    pub begin_by: Ms,
+    pub start_before: Ms,
     /// Who supplies a miss; the server itself to have none filled.
-    pub fill_from: ServerId,
+    pub fill_source: ServerId,
     /// How the copy is kept.
     pub rank: Rank,
     /// The oldest copy that will do; `None` for the class's fresh time.
     pub max_age: Option<Ms>,
     /// Wait for a fill that runs already.
-    pub join: bool,
+    pub join_fill: bool,
     /// The source gives only what it holds.
-    pub held_only: bool,
+    pub cached_only: bool,
     /// Fetch an ageing copy anew while serving it.
-    pub renew: bool,
+    pub revalidate: bool,
 }
 
 /// What a router wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Make an attempt.
-    Fetch(Fetch),
+    StartAttempt(AttemptSpec),
     /// Call an attempt off.
-    Cancel(RequestId, AttemptNo),
+    CancelAttempt(RequestId, AttemptNo),
     /// Final answer: refused, trying again is harmless, with a time to stay away (0 for none).
-    Refuse(RequestId, Ms),
+    Reject(RequestId, Ms),
     /// Final answer: failed, nothing is promised.
     Fail(RequestId),
     /// Wake the router after this time with this token.
     Timer(Ms, u64),
     /// Ask for the server list from now on.
-    Subscribe,
+    WatchEndpoints,
     /// A line for the operators.
-    Report(String),
+    Log(String),
 }
--- a/src/carry.rs
+++ b/src/carry.rs
@@ -11,48 +11,48 @@
 
 /// What was learnt of a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct LearntServer {
+pub struct ServerSnapshot {
     /// Which.
     pub id: ServerId,
     /// The start of the process of which it was learnt, as listed.
     pub listed_start: Option<Ms>,
     /// By how much its listed size is cut, as a logarithm.
-    pub cut: f64,
+    pub weight_penalty_log: f64,
     /// How slow its answers were, as a logarithm.
-    pub lag: Option<f64>,
+    pub latency_ratio_log: Option<f64>,
     /// It was taken out.
-    pub out: bool,
+    pub ejected: bool,
     /// When it started, or came back as if it had.
-    pub cold_since: Option<Ms>,
+    pub warmup_started: Option<Ms>,
 }
 
 /// What was learnt.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learnt {
+pub struct Snapshot {
     /// By server.
-    pub servers: Vec<LearntServer>,
+    pub servers: Vec<ServerSnapshot>,
     /// By class: its name, what its answers take to send, and of how many that is the mean.
-    pub sending: Vec<(String, Ms, u32)>,
+    pub sending_times: Vec<(String, Ms, u32)>,
     /// What was purged, an object or a group, and when.
     pub purges: Vec<(Option<ObjectId>, Option<GroupId>, Ms)>,
 }
 
 impl Router {
     /// What this router has learnt.
-    pub fn learnt(&self) -> Learnt {
-        let listed = self.servers.values().filter(|s| s.entry.listed != Listed::Gone);
-        let server = |s: &Server| LearntServer {
+    pub fn snapshot(&self) -> Snapshot {
+        let listed = self.servers.values().filter(|s| s.entry.state != EndpointState::Removed);
+        let server = |s: &Server| ServerSnapshot {
             id: s.entry.id.clone(),
             listed_start: s.entry.started,
-            cut: s.cut,
-            lag: s.lag.get(),
-            out: s.health != Health::Good,
-            cold_since: s.started,
+            weight_penalty_log: s.cut,
+            latency_ratio_log: s.lag.get(),
+            ejected: s.health != Health::Good,
+            warmup_started: s.started,
         };
         let sending = self.set.classes.iter().zip(&self.sending);
-        Learnt {
+        Snapshot {
             servers: listed.map(server).collect(),
-            sending: sending
+            sending_times: sending
                 .filter_map(|(c, a)| a.get().map(|mean| (c.name.clone(), mean, a.samples())))
                 .collect(),
             purges: self.purged.iter().map(|((object, group), at)| (*object, *group, *at)).collect(),
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -48,17 +48,17 @@
             self.born = Some(now);
             self.next_period = now + PERIOD_MS;
             acts.push(Action::Timer(SWEEP_MS, SWEEP_TOKEN));
-            if self.set.must_subscribe {
-                acts.push(Action::Subscribe);
+            if self.set.must_watch_endpoints {
+                acts.push(Action::WatchEndpoints);
             }
         }
         match event {
-            Event::Servers(mode, entries) => self.on_list(mode, entries, acts),
+            Event::Endpoints(mode, entries) => self.on_list(mode, entries, acts),
             Event::Request(req) => self.on_request(req, acts),
-            Event::Flowing(id, _) => self.open.get_mut(&id).into_iter().for_each(|open| open.done = true),
-            Event::Written(id, attempt) => self.on_written(&id, attempt),
+            Event::ResponseStarted(id, _) => self.open.get_mut(&id).into_iter().for_each(|open| open.done = true),
+            Event::RequestWritten(id, attempt) => self.on_written(&id, attempt),
             Event::Outcome(outcome) => self.on_outcome(outcome, acts),
-            Event::ClientLeft(id) => {
+            Event::ClientDisconnected(id) => {
                 self.open.get_index_of(&id).into_iter().for_each(|at| self.finish(at, acts));
             }
             Event::Timer(SWEEP_TOKEN) => {
@@ -66,7 +66,7 @@
                 acts.push(Action::Timer(SWEEP_MS, SWEEP_TOKEN));
             }
             Event::Timer(_) => {}
-            Event::Sources(table) => {
+            Event::FillPlan(table) => {
                 self.table = table;
                 self.plan_sources();
             }
@@ -76,14 +76,14 @@
                 let known = self.purged.entry(named).or_insert(at);
                 *known = known.max(at);
             }
-            Event::OlderBy(more) => self.age_by(more.max(0.0)),
+            Event::ClockCorrected(more) => self.age_by(more.max(0.0)),
         }
     }
 
     fn report(&mut self, acts: &mut Vec<Action>, text: String) {
         if self.lines < REPORT_LINES {
             self.lines += 1;
-            acts.push(Action::Report(text));
+            acts.push(Action::Log(text));
         }
     }
 
@@ -95,7 +95,7 @@
         let class = req.class.map(|c| c.0).filter(|c| *c < self.set.classes.len());
         let (Some(class), true) = (class, req.budget > self.margin()) else {
             // Nothing was sent, so a refusal is harmless whatever the class.
-            acts.push(Action::Refuse(req.id, 0.0));
+            acts.push(Action::Reject(req.id, 0.0));
             return;
         };
         let rank = self.rank(&req, class);
@@ -137,33 +137,33 @@
         source.into_iter().for_each(|i| self.servers[i].out = self.servers[i].out.saturating_sub(1));
         self.settle(server, source, key, &o);
         self.learn(at, &o);
-        let proved = matches!(o.end, End::Full | End::NoConnection | End::NotSent | End::Miss | End::Served);
+        let proved = matches!(o.result, AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss | AttemptResult::Served);
         let open = &mut self.open[at];
         if !proved {
             open.may_have_run.get_or_insert(sent);
         }
-        if o.end == End::Miss && o.note != Note::Looped {
+        if o.result == AttemptResult::CacheMiss && o.fill_report != FillReport::LoopDetected {
             // Where a fill is under way, joining it takes no place on the link.
-            open.found = match o.note {
-                Note::Joined if self.set.joins => Found::FillUnderWay,
+            open.found = match o.fill_report {
+                FillReport::Joined if self.set.fill_joining => Found::FillUnderWay,
                 _ if source.is_some() => Found::Beyond,
                 _ => Found::Nothing,
             };
         }
         let fault = &mut open.tries[o.attempt.0].fault;
-        match o.note {
+        match o.fill_report {
             // One that refuses a loop is well, and of no use to this request.
-            Note::SourceFailed | Note::Looped => *fault = source,
-            Note::SourceRefused | Note::SourceLacks | Note::OriginFailed => *fault = None,
-            _ => *fault = fault.filter(|_| o.end != End::Miss),
+            FillReport::SourceFailed | FillReport::LoopDetected => *fault = source,
+            FillReport::SourceRejected | FillReport::SourceMiss | FillReport::OriginFailed => *fault = None,
+            _ => *fault = fault.filter(|_| o.result != AttemptResult::CacheMiss),
         }
         self.gates(at, server, source, out, &o);
         self.judge(server, source, &o, acts);
-        if o.last || o.end == End::Served {
+        if o.completes_request || o.result == AttemptResult::Served {
             self.finish(at, acts);
         } else if self.open[at].done || self.open[at].out() > 0 {
             self.forget(at);
-        } else if matches!(o.note, Note::OriginFailed | Note::SourceRefused) {
+        } else if matches!(o.fill_report, FillReport::OriginFailed | FillReport::SourceRejected) {
             // Any other source would ask the same origin.
             self.give_up(at, acts);
         } else {
@@ -178,7 +178,7 @@
             self.adapt();
             let keep = self.now - self.purge_life();
             self.purged.retain(|_, at| *at >= keep);
-            let since = self.now - self.set.cold_edge.span.max(self.set.cold_parent.span);
+            let since = self.now - self.set.edge_slow_start.span.max(self.set.parent_slow_start.span);
             self.servers.values_mut().for_each(|s| s.sent.forget(since));
         }
         let now = self.now;
--- a/src/rules/attempts.rs
+++ b/src/rules/attempts.rs
@@ -18,10 +18,10 @@
     /// a keyed one within its window if its group is all servers (narrower groups get none).
     pub(super) fn harmless_until(&self, open: &Open) -> Ms {
         let class = &self.set.classes[open.class];
-        match (class.effect, open.may_run_since()) {
-            (Effect::Safe, _) | (_, None) => f64::INFINITY,
-            (Effect::Keyed, Some(since)) if class.key_scope == KeyScope::All => since + class.key_window,
-            (Effect::Keyed | Effect::Unsafe, Some(_)) => f64::NEG_INFINITY,
+        match (class.idempotency, open.may_run_since()) {
+            (Idempotency::Idempotent, _) | (_, None) => f64::INFINITY,
+            (Idempotency::IdempotencyKey, Some(since)) if class.key_scope == KeyScope::All => since + class.key_window,
+            (Idempotency::IdempotencyKey | Idempotency::NonIdempotent, Some(_)) => f64::NEG_INFINITY,
         }
     }
 
@@ -37,7 +37,7 @@
         let begin_by = self.harmless_until(open) - self.margin();
         let max_age = self.max_age(open, source.is_none());
         let looked = open.tries.iter().all(|t| t.source.is_none());
-        let (renew, join) = (class.fresh > 0.0, self.set.joins && looked);
+        let (renew, join) = (class.fresh_for > 0.0, self.set.fill_joining && looked);
         let edge = self.servers[server].entry.role == Role::Edge;
         let fill = match source {
             Some(_) if matches!(open.found, Found::Nothing | Found::Beyond) => 1.0,
@@ -60,23 +60,23 @@
         }
         let open = &mut self.open[at];
         open.tries.push(Try::new((server, source), now, mean, key, fill, held_only));
-        acts.push(Action::Fetch(Fetch {
+        acts.push(Action::StartAttempt(AttemptSpec {
             request: open.req.id.clone(),
             server: self.servers[server].entry.id.clone(),
             timeout: open.end - now,
-            begin_by,
-            fill_from: self.servers[source.unwrap_or(server)].entry.id.clone(),
+            start_before: begin_by,
+            fill_source: self.servers[source.unwrap_or(server)].entry.id.clone(),
             rank: if edge { open.rank } else { Rank::None },
             max_age,
-            join,
-            held_only,
-            renew,
+            join_fill: join,
+            cached_only: held_only,
+            revalidate: renew,
         }));
     }
 
     /// How long a purge is heeded.
     pub(super) fn purge_life(&self) -> Ms {
-        self.set.purge_settles.max(self.set.purge_grace) + PURGE_EXTRA_MS
+        self.set.purge_convergence_time.max(self.set.purge_grace) + PURGE_EXTRA_MS
     }
 
     /// The age limit: the class's fresh time, for a look its grace too, and while a purge may be unsettled no
@@ -87,9 +87,9 @@
             names.iter().filter_map(|n| self.purged.get(n)).copied().fold(f64::NEG_INFINITY, f64::max);
         let class = &self.set.classes[open.class];
         // An old copy earns less than a fresh one, and more than a refusal.
-        let fresh = if look { class.fresh + class.grace } else { class.fresh };
+        let fresh = if look { class.fresh_for + class.stale_for } else { class.fresh_for };
         if self.now > purged + self.purge_life() {
-            return Some(fresh).filter(|f| *f > class.fresh);
+            return Some(fresh).filter(|f| *f > class.fresh_for);
         }
         let age = (self.now - purged - AGE_MARGIN_MS).max(AGE_LEAST_MS);
         Some(if fresh > 0.0 { age.min(fresh) } else { age })
--- a/src/rules/choice.rs
+++ b/src/rules/choice.rs
@@ -32,7 +32,7 @@
             // While the link or the source is full, a look: only what the cache lacks needs it.
             (Some(_), Found::Unknown) => (edge, None, false),
             // No warm cache of the zone can serve: the parent itself, with the origin behind it.
-            (None, _) if lets && self.set.direct && none_warm() => {
+            (None, _) if lets && self.set.direct_to_parents && none_warm() => {
                 (source, origin.filter(|o| whole && source != Some(*o)), false)
             }
             _ => (None, None, false),
@@ -85,8 +85,8 @@
         let key = self.open[at].req.object.0;
         let fresh = |i: &usize| !self.open[at].tries.iter().any(|t| t.server == *i);
         let origin = self.origin();
-        let straight = origin.filter(|i| self.set.direct && fresh(i));
-        let role = if self.set.direct { Role::Parent } else { Role::Edge };
+        let straight = origin.filter(|i| self.set.direct_to_parents && fresh(i));
+        let role = if self.set.direct_to_parents { Role::Parent } else { Role::Edge };
         let mut way = self.order[role as usize].order(mix(key, 0));
         match straight.filter(|i| self.usable(*i)) {
             Some(_) => (straight, None, false),
--- a/src/rules/health.rs
+++ b/src/rules/health.rs
@@ -39,7 +39,7 @@
         acts: &mut Vec<Action>,
     ) {
         let now = self.now;
-        if !matches!(o.end, End::Late | End::Cancelled | End::NotSent) {
+        if !matches!(o.result, AttemptResult::TimedOut | AttemptResult::Cancelled | AttemptResult::NotSent) {
             let s = &mut self.servers[server];
             if now - s.answered > RESTART_GAP_MS && s.out >= RESTART_OUT && s.entry.role == Role::Edge {
                 // It may have restarted cold before the list tells; harms where it had only paused.
@@ -47,26 +47,26 @@
             }
             (s.answered, s.mute) = (now, 0.0);
         }
-        use Note::{Hit, Joined, NoFillPlace, Old, SourceFailed, Untold};
-        let mute = matches!(o.note, Untold | Hit | Old | Joined | NoFillPlace | SourceFailed);
+        use FillReport::{FillLimitReached, Hit, Joined, NotReported, SourceFailed, Stale};
+        let mute = matches!(o.fill_report, NotReported | Hit | Stale | Joined | FillLimitReached | SourceFailed);
         let heard = source.filter(|_| !mute).map(|i| &mut self.servers[i]);
         heard.into_iter().for_each(|s| (s.answered, s.mute) = (now, 0.0));
-        match (o.note, o.end) {
-            (_, End::Served) => {
+        match (o.fill_report, o.result) {
+            (_, AttemptResult::Served) => {
                 self.mark(server, Mark::Served, acts);
-                if let (Some(i), Note::FilledBySource | Note::FilledByOrigin) = (source, o.note) {
+                if let (Some(i), FillReport::FilledBySource | FillReport::FilledByOrigin) = (source, o.fill_report) {
                     self.mark(i, Mark::Served, acts);
                 }
             }
-            (Note::SourceFailed | Note::SourceRefused, _) => {
+            (FillReport::SourceFailed | FillReport::SourceRejected, _) => {
                 source.into_iter().for_each(|i| self.mark(i, Mark::Failed, acts));
             }
-            (Note::SourceLacks | Note::NoFillPlace | Note::OriginFailed, _) => {}
+            (FillReport::SourceMiss | FillReport::FillLimitReached | FillReport::OriginFailed, _) => {}
             // Only a trial minds: the request goes on at once, and a share of failures is no reason to
             // leave a cache that serves the rest.
-            (_, End::Error | End::Broken) => self.mark(server, Mark::Failed, acts),
-            (_, End::NoConnection) => self.mark(server, Mark::Refused, acts),
-            (_, End::Full | End::Miss | End::Late | End::Cancelled | End::NotSent) => {}
+            (_, AttemptResult::Error | AttemptResult::ConnectionLost) => self.mark(server, Mark::Failed, acts),
+            (_, AttemptResult::NoConnection) => self.mark(server, Mark::Refused, acts),
+            (_, AttemptResult::Rejected | AttemptResult::CacheMiss | AttemptResult::TimedOut | AttemptResult::Cancelled | AttemptResult::NotSent) => {}
         }
     }
 
@@ -153,7 +153,7 @@
     /// Calls off what waits on a server; the request's next attempt passes it over.
     pub(super) fn move_off(&mut self, silent: usize, acts: &mut Vec<Action>) {
         let waits_on = |t: &Try| !t.over && (t.server == silent || t.source == Some(silent));
-        let safe: Vec<bool> = self.set.classes.iter().map(|c| c.effect == Effect::Safe).collect();
+        let safe: Vec<bool> = self.set.classes.iter().map(|c| c.idempotency == Idempotency::Idempotent).collect();
         for t in self.open.values_mut().flat_map(|o| &mut o.tries).filter(|t| waits_on(t)) {
             t.fault = Some(silent);
         }
--- a/src/rules/refusals.rs
+++ b/src/rules/refusals.rs
@@ -14,9 +14,9 @@
         let id = open.req.id.clone();
         if !open.done {
             // So long that the client's next try may still be in time.
-            let hold_off = (HOLD_OFF_OF_AIM * self.set.classes[open.class].aim).min(self.set.max_retry_after);
+            let hold_off = (HOLD_OFF_OF_AIM * self.set.classes[open.class].latency_objective).min(self.set.max_retry_after);
             let hold_off = if self.set.retry_after { hold_off } else { 0.0 };
-            acts.push(if refuse { Action::Refuse(id, hold_off) } else { Action::Fail(id) });
+            acts.push(if refuse { Action::Reject(id, hold_off) } else { Action::Fail(id) });
         }
         self.finish(at, acts);
     }
@@ -31,7 +31,7 @@
     pub(super) fn cancel_all(&mut self, at: usize, acts: &mut Vec<Action>) {
         let open = &self.open[at];
         for (n, _) in open.tries.iter().enumerate().filter(|(_, t)| self.set.cancel && !t.over) {
-            acts.push(Action::Cancel(open.req.id.clone(), AttemptNo(n)));
+            acts.push(Action::CancelAttempt(open.req.id.clone(), AttemptNo(n)));
         }
     }
 
--- a/src/rules/room.rs
+++ b/src/rules/room.rs
@@ -107,51 +107,51 @@
 
     /// Tells the cache's gate and the link's how an attempt went.
     pub(super) fn gates(&mut self, at: usize, server: usize, source: Option<usize>, out: f64, o: &Outcome) {
-        let share = match o.note {
-            Note::Hit | Note::Old | Note::Joined | Note::Looped => 0.0,
-            Note::Untold => self.open[at].tries[o.attempt.0].fill,
+        let share = match o.fill_report {
+            FillReport::Hit | FillReport::Stale | FillReport::Joined | FillReport::LoopDetected => 0.0,
+            FillReport::NotReported => self.open[at].tries[o.attempt.0].fill,
             _ => 1.0,
         };
-        self.servers[server].gate.level.add(self.now, o.delay);
-        self.link.level.add(self.now, o.delay * share);
+        self.servers[server].gate.level.add(self.now, o.latency);
+        self.link.level.add(self.now, o.latency * share);
         if let Some(i) = source {
-            self.servers[i].gate.level.add(self.now, o.delay * share);
+            self.servers[i].gate.level.add(self.now, o.latency * share);
             // What a parent's origin did is the origin's, so that what the parent holds still comes.
             // So is what ran out of time at a parent that has answered since.
-            let held_up = o.note == Note::SourceFailed && self.servers[i].answered > self.now - o.delay;
-            let behind = held_up || matches!(o.note, Note::FilledByOrigin | Note::OriginFailed);
+            let held_up = o.fill_report == FillReport::SourceFailed && self.servers[i].answered > self.now - o.latency;
+            let behind = held_up || matches!(o.fill_report, FillReport::FilledByOrigin | FillReport::OriginFailed);
             let at_fault = self.origin().filter(|_| behind).unwrap_or(i);
-            let untold = if o.note == Note::Untold { self.beyond.get().unwrap_or(1.0) } else { 0.0 };
+            let untold = if o.fill_report == FillReport::NotReported { self.beyond.get().unwrap_or(1.0) } else { 0.0 };
             if let Some(origin) = self.origin().filter(|p| *p != i) {
                 let asked = if behind { 1.0 } else { untold };
-                self.servers[origin].gate.level.add(self.now, o.delay * share * asked);
+                self.servers[origin].gate.level.add(self.now, o.latency * share * asked);
             }
             let fills = self.fills_out(Some(at_fault)) + 1.0;
             let gate = &mut self.servers[at_fault].gate;
-            match o.note {
-                Note::FilledBySource | Note::FilledByOrigin => gate.grow(self.now, fills),
-                Note::OriginFailed if o.end != End::Full => gate.full(self.now, fills, GATE_WASTE),
-                Note::SourceFailed if held_up => gate.full(self.now, fills, GATE_WASTE),
-                Note::SourceRefused | Note::OriginFailed => gate.full(self.now, fills, GATE_CUT),
+            match o.fill_report {
+                FillReport::FilledBySource | FillReport::FilledByOrigin => gate.grow(self.now, fills),
+                FillReport::OriginFailed if o.result != AttemptResult::Rejected => gate.full(self.now, fills, GATE_WASTE),
+                FillReport::SourceFailed if held_up => gate.full(self.now, fills, GATE_WASTE),
+                FillReport::SourceRejected | FillReport::OriginFailed => gate.full(self.now, fills, GATE_CUT),
                 _ => {}
             }
-            if behind || o.note == Note::FilledBySource {
+            if behind || o.fill_report == FillReport::FilledBySource {
                 self.beyond.add(f64::from(u8::from(behind)), AVERAGE_SHARE);
             }
         }
         let edge = self.servers[server].entry.role == Role::Edge;
         // An answer without bytes tells nothing of how quickly they would have come.
-        let timed = o.end != End::Served || o.whole;
-        let took = self.slowness(&self.open[at], o.delay - o.source_wait);
+        let timed = o.result != AttemptResult::Served || o.body_complete;
+        let took = self.slowness(&self.open[at], o.latency - o.source_wait);
         let (behind, here) = (source.map_or(0.0, |i| self.excess(i)), self.excess(server));
-        match (o.end, o.note, source) {
-            (End::Served, Note::Hit, _) if edge && timed => self.resize(server, took, true),
-            (End::Served, Note::FilledBySource | Note::FilledByOrigin, Some(i)) if edge && timed => {
+        match (o.result, o.fill_report, source) {
+            (AttemptResult::Served, FillReport::Hit, _) if edge && timed => self.resize(server, took, true),
+            (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin, Some(i)) if edge && timed => {
                 self.resize(server, took - behind, true);
                 self.resize(i, took - here, true);
             }
-            (_, Note::SourceRefused | Note::SourceFailed, Some(i)) => self.resize(i, f64::INFINITY, false),
-            (End::Late, ..) => self.find_lag(server, source, took),
+            (_, FillReport::SourceRejected | FillReport::SourceFailed, Some(i)) => self.resize(i, f64::INFINITY, false),
+            (AttemptResult::TimedOut, ..) => self.find_lag(server, source, took),
             _ => {}
         }
         if !edge && self.open[at].rank == Rank::None {
@@ -163,38 +163,38 @@
         let near =
             sorted(self.up[Role::Edge as usize].iter().filter_map(|i| self.servers[*i].gate.slow.get()));
         let middle = near.get(near.len() / 2).copied();
-        let filled = match o.note {
-            Note::Hit => Some(0.0),
-            Note::FilledBySource | Note::FilledByOrigin => Some(1.0),
+        let filled = match o.fill_report {
+            FillReport::Hit => Some(0.0),
+            FillReport::FilledBySource | FillReport::FilledByOrigin => Some(1.0),
             _ => None,
         };
-        if let Some(share) = filled.filter(|_| edge && o.end == End::Served) {
+        if let Some(share) = filled.filter(|_| edge && o.result == AttemptResult::Served) {
             self.fills[class].add(share, AVERAGE_SHARE);
         }
         if !timed {
             return;
         }
         let gate = &mut self.servers[server].gate;
-        match (o.end, o.note) {
-            (End::Served, Note::Hit) if edge => {
+        match (o.result, o.fill_report) {
+            (AttemptResult::Served, FillReport::Hit) if edge => {
                 // A router that starts amid overload has seen no unhurried answer; there the aim tells.
-                self.hits[class].add(o.delay.max(1.0).ln(), AVERAGE_SHARE);
-                let aim = HIT_OF_AIM * self.set.classes[class].aim;
+                self.hits[class].add(o.latency.max(1.0).ln(), AVERAGE_SHARE);
+                let aim = HIT_OF_AIM * self.set.classes[class].latency_objective;
                 let late = self.hits[class].get().filter(|_| aim > 0.0).map(|h| h - aim.ln());
                 if known {
                     gate.answer(self.now, took.max(late.unwrap_or(took)), SLOW_CACHE, out);
                 }
             }
-            (End::Served, Note::Hit | Note::FilledBySource | Note::FilledByOrigin) => {
+            (AttemptResult::Served, FillReport::Hit | FillReport::FilledBySource | FillReport::FilledByOrigin) => {
                 // What the cache is slower by with hits than its zone's middle one is not the link's.
                 let slow = took - gate.slow.get().zip(middle).map_or(0.0, |(s, m)| (s - m).max(0.0));
-                let aims = self.set.classes.iter().filter(|c| !c.uncacheable && c.aim_stretch > 1.0);
-                let limit = aims.map(|c| c.aim_stretch).fold(SLOW_LINK, f64::min);
+                let aims = self.set.classes.iter().filter(|c| !c.uncacheable && c.latency_objective_stretch > 1.0);
+                let limit = aims.map(|c| c.latency_objective_stretch).fold(SLOW_LINK, f64::min);
                 self.link.answer(self.now, slow, limit, fills);
             }
             // What goes past the caches, or fills for sure, and is late, is late on the link.
-            (End::Late, _) if sure => self.link.full(self.now, fills, GATE_CUT),
-            (End::Full, Note::Untold) => gate.full(self.now, out, GATE_CUT),
+            (AttemptResult::TimedOut, _) if sure => self.link.full(self.now, fills, GATE_CUT),
+            (AttemptResult::Rejected, FillReport::NotReported) => gate.full(self.now, out, GATE_CUT),
             _ => {}
         }
     }
--- a/src/rules/servers.rs
+++ b/src/rules/servers.rs
@@ -2,7 +2,7 @@
 
 use super::{Router, GATE_LEVEL_MS, SWEEP_MS};
 use crate::api::*;
-use crate::carry::Learnt;
+use crate::carry::Snapshot;
 use crate::hash::address;
 use crate::state::{place, Gate, Health, Open, Planned, Server};
 use crate::window::{sorted, Average};
@@ -25,19 +25,19 @@
 
 impl Router {
     /// Takes in what the list says. The state of servers that it no longer names stays while it is needed.
-    pub(super) fn on_list(&mut self, mode: ListMode, entries: Vec<ServerEntry>, acts: &mut Vec<Action>) {
-        if mode == ListMode::Failed {
-            if self.set.must_subscribe {
-                acts.push(Action::Subscribe);
+    pub(super) fn on_list(&mut self, mode: EndpointUpdate, entries: Vec<Endpoint>, acts: &mut Vec<Action>) {
+        if mode == EndpointUpdate::Failed {
+            if self.set.must_watch_endpoints {
+                acts.push(Action::WatchEndpoints);
             }
             return;
         }
-        if mode == ListMode::Whole {
-            self.servers.values_mut().for_each(|s| s.entry.listed = Listed::Gone);
+        if mode == EndpointUpdate::Complete {
+            self.servers.values_mut().for_each(|s| s.entry.state = EndpointState::Removed);
         }
         for mut entry in entries {
             // Weights that follow the load would move every object's home with each list.
-            let steady = !self.set.weights_move && entry.weight > 0.0;
+            let steady = !self.set.dynamic_weights && entry.weight > 0.0;
             entry.weight = if steady { entry.weight } else { 1.0 };
             let routers = if entry.role == Role::Edge { self.set.zone_routers } else { self.set.routers };
             let gate = Gate::new(self.now, GATE_LEVEL_MS, routers);
@@ -57,11 +57,11 @@
             }
             // A list that is late, or says nothing of the start, does not make the process an older one.
             let started = entry.started.into_iter().chain(server.entry.started).reduce(f64::max);
-            server.entry = ServerEntry { started, ..entry };
+            server.entry = Endpoint { started, ..entry };
         }
         for role in [Role::Edge, Role::Parent, Role::Origin] {
             let near = |s: &Server| role != Role::Edge || s.entry.zone == self.set.zone;
-            let fits = |s: &Server| s.entry.role == role && s.entry.listed == Listed::Up && near(s);
+            let fits = |s: &Server| s.entry.role == role && s.entry.state == EndpointState::Up && near(s);
             let all = self.servers.values().enumerate().filter(|(_, s)| fits(s));
             self.up[role as usize] = all.map(|(i, _)| i).collect();
             self.place(role);
@@ -84,12 +84,12 @@
         let mut same: Vec<(*const Vec<SourceShare>, bool, Rc<Planned>)> = Vec::new();
         for edge in &self.up[Role::Edge as usize] {
             let id = &self.servers[*edge].entry.id;
-            let Some(of) = table.of.get(id) else { continue };
-            let (at, origin) = (Arc::as_ptr(of), table.origin.contains(id));
+            let Some(of) = table.sources.get(id) else { continue };
+            let (at, origin) = (Arc::as_ptr(of), table.origin_allowed.contains(id));
             let made = same.iter().find(|s| (s.0, s.1) == (at, origin)).map(|s| Rc::clone(&s.2));
             let planned = made.unwrap_or_else(|| {
                 let up =
-                    |s: &&SourceShare| self.servers.get(&s.id).is_some_and(|s| s.entry.listed == Listed::Up);
+                    |s: &&SourceShare| self.servers.get(&s.id).is_some_and(|s| s.entry.state == EndpointState::Up);
                 let place =
                     |s: &SourceShare| self.servers.get_index_of(&s.id).map(|i| (i, s.weight, s.share));
                 let all: Vec<_> = of.iter().filter(up).filter_map(place).collect();
@@ -128,7 +128,7 @@
 
     /// How long ago a server started that may still be cold.
     pub(super) fn age_if_cold(&self, s: &Server) -> Option<Ms> {
-        let rule = self.set.cold(s.entry.role);
+        let rule = self.set.slow_start(s.entry.role);
         // Without a multiple or a window nothing brings one down.
         let span = if rule.multiple * rule.window > 0.0 { rule.span } else { 0.0 };
         s.started.map(|t| self.now - t).filter(|age| *age < span)
@@ -213,21 +213,21 @@
 
     /// Takes over what another life has learnt; gives how many of its servers are listed here as the same
     /// process. Nothing of it makes a cold server warm or a purge undone.
-    pub fn adopt(&mut self, now: Ms, learnt: Learnt) -> usize {
+    pub fn restore(&mut self, now: Ms, learnt: Snapshot) -> usize {
         let mut known = 0;
         for of in learnt.servers {
             let Some(s) = self.servers.get_mut(&of.id).filter(|s| s.entry.started == of.listed_start) else {
                 continue;
             };
             known += 1;
-            s.cut = of.cut.clamp(CUT_MOST.ln(), 0.0);
-            s.lag = of.lag.map_or(s.lag, |lag| Average::of(lag, 1));
-            if of.out {
+            s.cut = of.weight_penalty_log.clamp(CUT_MOST.ln(), 0.0);
+            s.lag = of.latency_ratio_log.map_or(s.lag, |lag| Average::of(lag, 1));
+            if of.ejected {
                 s.health = Health::Out(now);
             }
-            s.started = of.cold_since.into_iter().chain(s.started).reduce(f64::max);
+            s.started = of.warmup_started.into_iter().chain(s.started).reduce(f64::max);
         }
-        for (name, mean, answers) in learnt.sending {
+        for (name, mean, answers) in learnt.sending_times {
             let class = self.set.classes.iter().position(|c| c.name == name);
             if let Some(c) = class {
                 self.sending[c] = Average::of(mean, answers);
--- a/src/rules/slow_start.rs
+++ b/src/rules/slow_start.rs
@@ -28,9 +28,9 @@
     /// What slow start allows a server; `None` for one that is warm, or the origin.
     fn allowance(&self, s: &Server) -> Option<Allowance> {
         let age = self.age_if_cold(s).filter(|_| s.entry.role != Role::Origin)?;
-        let rule = self.set.cold(s.entry.role);
+        let rule = self.set.slow_start(s.entry.role);
         // Listed sizes are in answers at full pace.
-        let part = if self.set.rough_sizes { BUDGET_SHARE_ROUGH } else { BUDGET_SHARE };
+        let part = if self.set.approximate_weights { BUDGET_SHARE_ROUGH } else { BUDGET_SHARE };
         let share = rule.share + (1.0 - rule.share) * ((age - rule.window) / rule.span).clamp(0.0, 1.0);
         let rate_of_all = rule.multiple * share * part * s.entry.weight;
         Some(Allowance { rate: rate_of_all / s.gate.routers, rate_of_all, age })
@@ -41,7 +41,7 @@
     pub(super) fn has_room(&self, i: usize, weight: f64) -> bool {
         let s = &self.servers[i];
         let Some(allowed) = self.allowance(s) else { return true };
-        let (window, rate) = (self.set.cold(s.entry.role).window, allowed.rate);
+        let (window, rate) = (self.set.slow_start(s.entry.role).window, allowed.rate);
         let budget = rate * window;
         // This router's former process may have sent all of a window, unless the server started since.
         let born = self.born.unwrap_or(self.now);
@@ -107,12 +107,12 @@
 
     /// An attempt is over: what its end proves of arrivals.
     pub(super) fn settle(&mut self, server: usize, source: Option<usize>, key: u64, o: &Outcome) {
-        let tolerance = |role: Role| ARRIVAL_TOLERANCE * self.set.cold(role).window;
+        let tolerance = |role: Role| ARRIVAL_TOLERANCE * self.set.slow_start(role).window;
         let (edge, parent) = (tolerance(Role::Edge), tolerance(Role::Parent));
         let now = self.now;
         let s = &mut self.servers[server];
         let tolerance = if s.entry.role == Role::Edge { edge } else { parent };
-        if matches!(o.end, End::Served | End::Error | End::Full | End::Miss) {
+        if matches!(o.result, AttemptResult::Served | AttemptResult::Error | AttemptResult::Rejected | AttemptResult::CacheMiss) {
             s.sent.answered(now, key, tolerance);
         } else {
             s.sent.settle(now, key, tolerance);
@@ -120,7 +120,7 @@
         let Some(i) = source else { return };
         // What was held, or filled by another request, took nothing from the source; an old copy is renewed
         // from it behind the answer.
-        if o.end == End::Served && matches!(o.note, Note::Hit | Note::Joined) {
+        if o.result == AttemptResult::Served && matches!(o.fill_report, FillReport::Hit | FillReport::Joined) {
             self.servers[i].sent.take_back(key);
         } else {
             self.servers[i].sent.settle(now, key, parent);
--- a/src/rules/split.rs
+++ b/src/rules/split.rs
@@ -60,15 +60,15 @@
     pub(super) fn learn(&mut self, at: usize, o: &Outcome) {
         let open = &self.open[at];
         let (class, req) = (open.class, &open.req);
-        let filled = matches!(o.note, Note::FilledBySource | Note::FilledByOrigin);
+        let filled = matches!(o.fill_report, FillReport::FilledBySource | FillReport::FilledByOrigin);
         // Only what was sent whole tells what sending takes.
-        if o.end == End::Served && o.whole {
-            let beyond = (o.delay - self.own_time(req).unwrap_or(0.0)).max(0.0);
+        if o.result == AttemptResult::Served && o.body_complete {
+            let beyond = (o.latency - self.own_time(req).unwrap_or(0.0)).max(0.0);
             let (mean, deviation) = &mut self.delay[class];
             deviation.add((beyond - mean.get().unwrap_or(0.0)).abs(), AVERAGE_SHARE);
             mean.add(beyond, AVERAGE_SHARE);
-            if let Some(known) = self.known.get_mut(&req.object).filter(|_| filled || o.note == Note::Hit) {
-                let took = (o.delay - o.source_wait).max(1.0);
+            if let Some(known) = self.known.get_mut(&req.object).filter(|_| filled || o.fill_report == FillReport::Hit) {
+                let took = (o.latency - o.source_wait).max(1.0);
                 known.learn(took);
                 self.sending[class].add(known.least, AVERAGE_SHARE);
             }
@@ -77,12 +77,12 @@
             self.missed.file(req.object.0);
         }
         if filled && o.source_wait > 0.0 {
-            let layer = usize::from(o.note == Note::FilledByOrigin);
+            let layer = usize::from(o.fill_report == FillReport::FilledByOrigin);
             self.latency[layer].add(o.source_wait, AVERAGE_SHARE);
         }
         let open = &self.open[at];
         // Each attempt weighs what its object takes, served or not, if it has reached a server.
-        let reached = !matches!(o.end, End::NotSent | End::NoConnection);
+        let reached = !matches!(o.result, AttemptResult::NotSent | AttemptResult::NoConnection);
         if let Some(known) = self.known.get(&open.req.object).filter(|known| reached && known.seen > 0) {
             self.work[open.class].add(known.work());
         }
@@ -91,8 +91,8 @@
     /// The sending time of a request's part: by its size where told, else the least that a part of the
     /// object took.
     pub(super) fn own_time(&self, req: &Request) -> Option<Ms> {
-        if req.size_kb > 0.0 && self.set.pace_kb_per_s > 0.0 {
-            return Some(req.size_kb / self.set.pace_kb_per_s * 1000.0);
+        if req.size_kb > 0.0 && self.set.response_rate_kb_per_s > 0.0 {
+            return Some(req.size_kb / self.set.response_rate_kb_per_s * 1000.0);
         }
         self.known.get(&req.object).filter(|k| k.seen >= KNOWN_ANSWERS).map(|k| k.least)
     }
@@ -104,6 +104,6 @@
 
     /// The mean sending time of a class.
     pub(super) fn mean_time(&self, class: usize) -> Ms {
-        self.sending[class].get().unwrap_or(self.set.classes[class].aim)
+        self.sending[class].get().unwrap_or(self.set.classes[class].latency_objective)
     }
 }
