--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::account::SendAccount;
 use crate::api::{
-    GroupId, Listed, Ms, ObjectId, Rank, Request, RequestId, ServerEntry, ServerId, Settings, SourceTable,
+    GroupId, EndpointState, Ms, ObjectId, Rank, Request, RequestId, Endpoint, ServerId, Settings, FillPlan,
 };
 use crate::known::Known;
 use crate::rules::{GATE_LEVEL_MS, SHADOW_ENTRIES};
@@ -55,7 +55,7 @@
 
 /// What a router knows of a server.
 pub struct Server {
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
     pub hash: u64,
     pub health: Health,
     /// Failed trials in a row.
@@ -95,7 +95,7 @@
     let at = servers.get_index_of(id).unwrap_or_else(|| {
         let free = |i: &usize| {
             let s = &servers[*i];
-            s.entry.listed == Listed::Gone && s.sent.is_empty() && !held(*i)
+            s.entry.state == EndpointState::Removed && s.sent.is_empty() && !held(*i)
         };
         match (0..servers.len()).find(free).filter(|i| servers.replace_index(*i, id.clone()).is_ok()) {
             Some(at) => {
@@ -235,7 +235,7 @@
     /// The same, by hash order.
     pub(crate) order: [Candidates; 3],
     /// Where sources are planned: the plan, and by edge cache what it comes to.
-    pub(crate) table: Option<Arc<SourceTable>>,
+    pub(crate) table: Option<Arc<FillPlan>>,
     pub(crate) planned: IndexMap<usize, Rc<Planned>>,
     pub(crate) open: IndexMap<RequestId, Open>,
     pub(crate) edge: ShadowList,
@@ -305,7 +305,7 @@
 
     /// From now on the caller tells of each attempt that its last byte is on the wire ([`Event::Written`](crate::api::Event::Written)). Without this
     /// attempts count as written when they are decided.
-    pub fn expect_written(&mut self) {
+    pub fn report_writes(&mut self) {
         self.writes_told = true;
     }
 
@@ -332,7 +332,7 @@
     }
 
     /// A server that the list has just named.
-    pub fn new(entry: ServerEntry, hash: u64, now: Ms, gate: Gate) -> Self {
+    pub fn new(entry: Endpoint, hash: u64, now: Ms, gate: Gate) -> Self {
         Self {
             // By a clock ahead of this one's it would not have started yet, and what it is sent would not count.
             started: entry.started.map(|t| t.min(now)),
@@ -361,10 +361,10 @@
     use super::*;
     use crate::api::{Role, ZoneId};
 
-    fn put(table: &mut IndexMap<ServerId, Server>, name: &str, listed: Listed, held: Option<usize>) -> usize {
+    fn put(table: &mut IndexMap<ServerId, Server>, name: &str, listed: EndpointState, held: Option<usize>) -> usize {
         let id = ServerId(name.into());
         let (zone, role) = (ZoneId(0), Role::Edge);
-        let entry = ServerEntry { id: id.clone(), zone, role, cell: 0, listed, weight: 1.0, started: None };
+        let entry = Endpoint { id: id.clone(), zone, role, cell: 0, state: listed, weight: 1.0, started: None };
         let new = || Server::new(entry.clone(), 0, 0.0, Gate::new(0.0, 1.0, 1));
         place(table, &id, new, |i| Some(i) == held).entry = entry.clone();
         table.get_index_of(&id).expect("its place")
@@ -373,19 +373,19 @@
     #[test]
     fn a_table_of_servers_grows_no_longer_than_what_is_listed() {
         let mut table = IndexMap::new();
-        let stays = put(&mut table, "stays", Listed::Up, None);
-        let held = put(&mut table, "held", Listed::Up, None);
-        put(&mut table, "held", Listed::Gone, Some(held));
+        let stays = put(&mut table, "stays", EndpointState::Up, None);
+        let held = put(&mut table, "held", EndpointState::Up, None);
+        put(&mut table, "held", EndpointState::Removed, Some(held));
         for n in 0..3000 {
             let name = format!("s{n}");
-            let at = put(&mut table, &name, Listed::Up, Some(held));
+            let at = put(&mut table, &name, EndpointState::Up, Some(held));
             assert!(at != stays && at != held, "an open attempt still means the one that has gone");
-            assert_eq!(put(&mut table, &name, Listed::Gone, Some(held)), at);
+            assert_eq!(put(&mut table, &name, EndpointState::Removed, Some(held)), at);
         }
         assert_eq!(table.len(), 3);
-        assert_eq!(put(&mut table, "stays", Listed::Up, Some(held)), stays);
+        assert_eq!(put(&mut table, "stays", EndpointState::Up, Some(held)), stays);
         // Once nothing means it any more, its place is free as well.
-        put(&mut table, "new", Listed::Up, None);
-        assert_eq!(put(&mut table, "newer", Listed::Up, None).max(2), 2);
+        put(&mut table, "new", EndpointState::Up, None);
+        assert_eq!(put(&mut table, "newer", EndpointState::Up, None).max(2), 2);
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -54,15 +54,15 @@
 
 fn set(case: &Case) -> Settings {
     let mut set = settings();
-    (set.zone_routers, set.routers, set.rough_sizes) = (case.routers, case.routers, false);
-    set.cold_edge = ColdRule { share: 0.24, span: 17_000.0, multiple: 4.0, window: 1500.0 };
-    set.cold_parent = ColdRule { share: 0.062, span: 21_000.0, multiple: 2.0, window: 1500.0 };
+    (set.zone_routers, set.routers, set.approximate_weights) = (case.routers, case.routers, false);
+    set.edge_slow_start = SlowStartPolicy { share: 0.24, span: 17_000.0, multiple: 4.0, window: 1500.0 };
+    set.parent_slow_start = SlowStartPolicy { share: 0.062, span: 21_000.0, multiple: 2.0, window: 1500.0 };
     set
 }
 
 /// Requests of mean work that the settings allow a cold server of that age for a window.
 fn allowed(set: &Settings, case: &Case, age: Ms) -> f64 {
-    let rule = set.cold(case.role);
+    let rule = set.slow_start(case.role);
     let share = rule.share + (1.0 - rule.share) * (age / rule.span).clamp(0.0, 1.0);
     rule.multiple * share * case.size * rule.window / case.work
 }
@@ -99,7 +99,7 @@
     /// Processes started so far by router, and when the way to each server is open.
     lives: Vec<u64>,
     opened: HashMap<(usize, u64, ServerId), Ms>,
-    fleet: Vec<ServerEntry>,
+    fleet: Vec<Endpoint>,
     colds: Vec<ServerId>,
     /// When requests arrived at each cold server.
     reached: Vec<Vec<Ms>>,
@@ -108,13 +108,13 @@
 impl Play {
     fn new(case: Case, seed: u64) -> Self {
         let set = set(&case);
-        let sized = |e: ServerEntry| ServerEntry { weight: case.size, ..e };
-        let fleet: Vec<ServerEntry> = fleet().into_iter().map(sized).collect();
+        let sized = |e: Endpoint| Endpoint { weight: case.size, ..e };
+        let fleet: Vec<Endpoint> = fleet().into_iter().map(sized).collect();
         let colds: Vec<ServerId> =
             fleet.iter().filter(|e| e.role == case.role).take(case.colds).map(|e| e.id.clone()).collect();
         let router = |k: usize| {
             let mut driver = Driver::at(1000.0, set.clone(), mix(seed, k as u64), fleet.clone());
-            driver.router.expect_written();
+            driver.router.report_writes();
             driver
         };
         Self {
@@ -147,7 +147,7 @@
     fn gap(&mut self, k: usize) -> Ms {
         let servers = self.fleet.iter().filter(|e| e.role == self.case.role).count() as f64;
         let all = self.case.demand * servers * allowed(&self.set, &self.case, 0.0)
-            / self.set.cold(self.case.role).window;
+            / self.set.slow_start(self.case.role).window;
         let parts = self.case.first + self.case.routers as f64 - 1.0;
         let own = all * if k == 0 { self.case.first } else { 1.0 } / parts;
         -self.draw().ln() / own
@@ -170,16 +170,16 @@
             way
         };
         let (note, waited) = match case.role {
-            Role::Edge => (Note::Hit, 0.0),
-            _ => (Note::FilledBySource, 20.0 + way(&f.fill_from)),
+            Role::Edge => (FillReport::Hit, 0.0),
+            _ => (FillReport::FilledBySource, 20.0 + way(&f.fill_source)),
         };
         let opening = way(&f.server);
         let delay = case.work + waited + opening;
         self.at(self.now + opening, Due::Written(k, life, rid(n)));
-        let (end, last, load) = (End::Served, true, Load::default());
+        let (end, last, load) = (AttemptResult::Served, true, LoadReport::default());
         let (request, attempt, server, source_wait) = (rid(n), AttemptNo(0), f.server, waited);
         let outcome =
-            Outcome { request, attempt, server, end, delay, last, note, source_wait, load, whole: true };
+            Outcome { request, attempt, server, result: end, latency: delay, completes_request: last, fill_report: note, source_wait, load, body_complete: true };
         self.at(self.now + delay, Due::Answer(k, life, Box::new(outcome)));
     }
 
@@ -196,7 +196,7 @@
         }
         if let Some((from, to)) = self.case.restart {
             let windows = from + (to - from) * self.draw();
-            self.at(started + windows * self.set.cold(self.case.role).window, Due::Restart);
+            self.at(started + windows * self.set.slow_start(self.case.role).window, Due::Restart);
         }
         while let Some(((at, _), due)) = self.due.pop_first() {
             self.now = at as f64 / 1000.0;
@@ -211,7 +211,7 @@
                         self.lives[k] += 1;
                         let seed = mix(self.seed, (k as u64) << (8 * self.lives[k]));
                         self.routers[k] = Driver::at(self.now, self.set.clone(), seed, list.clone());
-                        self.routers[k].router.expect_written();
+                        self.routers[k].router.report_writes();
                     }
                     continue;
                 }
@@ -226,13 +226,13 @@
                 Due::Told(k) => {
                     let all = self.fleet.clone();
                     self.opened.retain(|(of, _, to), _| *of != k || !self.colds.contains(to));
-                    self.routers[k].tell(Event::Servers(ListMode::Whole, all));
+                    self.routers[k].tell(Event::Endpoints(EndpointUpdate::Complete, all));
                 }
                 Due::Answer(k, life, o) if life == self.lives[k] => {
                     self.routers[k].tell(Event::Outcome(*o));
                 }
                 Due::Written(k, life, request) if life == self.lives[k] => {
-                    self.routers[k].tell(Event::Written(request, AttemptNo(0)));
+                    self.routers[k].tell(Event::RequestWritten(request, AttemptNo(0)));
                 }
                 Due::Written(..) | Due::Answer(..) | Due::Restart => {}
             }
@@ -242,7 +242,7 @@
 
     /// Every window that ends with an arrival; of several cold servers the one that got most, and the one that got least.
     fn figures(mut self, started: Ms) -> Figures {
-        let window = self.set.cold(self.case.role).window;
+        let window = self.set.slow_start(self.case.role).window;
         let (mut most, mut used) = (0f64, f64::INFINITY);
         for all in &mut self.reached {
             all.retain(|at| *at >= started);
@@ -339,14 +339,14 @@
         };
         let mut d = Driver::new(set(&USUAL), if known { fleet() } else { fleet()[..2].to_vec() });
         for n in 0..10 {
-            d.serve(n, SAFE, n as u64, Note::Hit);
+            d.serve(n, SAFE, n as u64, FillReport::Hit);
             d.wait(WARM / 10.0);
         }
-        d.tell(Event::Servers(ListMode::Whole, list(1000.0)));
+        d.tell(Event::Endpoints(EndpointUpdate::Complete, list(1000.0)));
         let cold = list(0.0).into_iter().find(|e| e.started.is_some()).expect("one").id;
         let sent = (10..510).filter(|n| {
-            let f = d.serve(*n, SAFE, *n as u64, Note::FilledBySource);
-            f.server == cold || f.fill_from == cold
+            let f = d.serve(*n, SAFE, *n as u64, FillReport::FilledBySource);
+            f.server == cold || f.fill_source == cold
         });
         let (sent, case) = (
             sent.count() as f64,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,81 +18,81 @@
     RequestId(Arc::from(format!("r{n}").as_str()))
 }
 
-pub fn class(name: &str, effect: Effect) -> Class {
+pub fn class(name: &str, effect: Idempotency) -> Class {
     Class {
         name: name.into(),
-        aim: 400.0,
-        aim_stretch: 2.0,
+        latency_objective: 400.0,
+        latency_objective_stretch: 2.0,
         deadline: 4000.0,
-        effect,
+        idempotency: effect,
         key_scope: KeyScope::All,
         key_window: 1000.0,
-        worth: 1.0,
-        late_worth: 0.2,
-        fresh: 0.0,
-        grace: 0.0,
+        priority_weight: 1.0,
+        late_weight_share: 0.2,
+        fresh_for: 0.0,
+        stale_for: 0.0,
         uncacheable: false,
     }
 }
 
 pub fn settings() -> Settings {
-    let mut write = class("write", Effect::Unsafe);
+    let mut write = class("write", Idempotency::NonIdempotent);
     write.uncacheable = true;
-    let mut small = class("small", Effect::Safe);
-    small.fresh = 8000.0;
+    let mut small = class("small", Idempotency::Idempotent);
+    small.fresh_for = 8000.0;
     Settings {
         zone: ZoneId(1),
         zone_routers: 1,
         routers: 2,
-        zone_hub: vec![ZoneId(0), ZoneId(0)],
-        classes: vec![class("safe", Effect::Safe), small, write, class("keyed", Effect::Keyed)],
-        cold_edge: ColdRule { share: 0.2, span: 10_000.0, multiple: 2.0, window: 1000.0 },
-        cold_parent: ColdRule { share: 0.1, span: 10_000.0, multiple: 2.0, window: 1000.0 },
+        zone_parent_group: vec![ZoneId(0), ZoneId(0)],
+        classes: vec![class("safe", Idempotency::Idempotent), small, write, class("keyed", Idempotency::IdempotencyKey)],
+        edge_slow_start: SlowStartPolicy { share: 0.2, span: 10_000.0, multiple: 2.0, window: 1000.0 },
+        parent_slow_start: SlowStartPolicy { share: 0.1, span: 10_000.0, multiple: 2.0, window: 1000.0 },
         drain_grace: 250.0,
         purge_grace: 300.0,
-        purge_settles: 6000.0,
-        second_copies: false,
+        purge_convergence_time: 6000.0,
+        hedging: false,
         cancel: true,
         retry_after: true,
         max_retry_after: 500.0,
         max_attempts: 8,
-        direct: true,
-        joins: true,
-        lateral: Lateral::None,
-        pace_kb_per_s: 8000.0,
-        must_subscribe: false,
-        rough_sizes: true,
-        weights_move: false,
+        direct_to_parents: true,
+        fill_joining: true,
+        peer_fill: PeerFill::None,
+        response_rate_kb_per_s: 8000.0,
+        must_watch_endpoints: false,
+        approximate_weights: true,
+        dynamic_weights: false,
         tick: 2.0,
     }
 }
 
-pub fn entry(name: &str, role: Role) -> ServerEntry {
+pub fn entry(name: &str, role: Role) -> Endpoint {
     let zone = if role == Role::Edge { 1 } else { 0 };
-    ServerEntry {
+    Endpoint {
         id: id(name),
         zone: ZoneId(zone),
         role,
         cell: 0,
-        listed: Listed::Up,
+        state: EndpointState::Up,
         weight: 1.0,
         started: None,
     }
 }
 
 /// Four caches, two parents and the origin.
-pub fn fleet() -> Vec<ServerEntry> {
-    let mut all: Vec<ServerEntry> = (0..4).map(|n| entry(&format!("edge-{n}"), Role::Edge)).collect();
+pub fn fleet() -> Vec<Endpoint> {
+    let mut all: Vec<Endpoint> = (0..4).map(|n| entry(&format!("edge-{n}"), Role::Edge)).collect();
     all.extend((0..2).map(|n| entry(&format!("parent-{n}"), Role::Parent)));
     all.push(entry("origin", Role::Origin));
     all
 }
 
 /// The same, with hundreds of caches more here and in other zones, and a few parents more.
-pub fn large_fleet() -> Vec<ServerEntry> {
+pub fn large_fleet() -> Vec<Endpoint> {
     let mut all = fleet();
     for n in 0..300 {
-        all.push(ServerEntry { zone: ZoneId(1 + n % 30), ..entry(&format!("more-{n}"), Role::Edge) });
+        all.push(Endpoint { zone: ZoneId(1 + n % 30), ..entry(&format!("more-{n}"), Role::Edge) });
     }
     all.extend((2..12).map(|n| entry(&format!("parent-{n}"), Role::Parent)));
     all
@@ -121,15 +121,15 @@
 }
 
 impl Driver {
-    pub fn new(settings: Settings, servers: Vec<ServerEntry>) -> Self {
+    pub fn new(settings: Settings, servers: Vec<Endpoint>) -> Self {
         Self::at(1000.0, settings, 7, servers)
     }
 
     /// One of that seed that starts then.
-    pub fn at(now: Ms, settings: Settings, seed: u64, servers: Vec<ServerEntry>) -> Self {
+    pub fn at(now: Ms, settings: Settings, seed: u64, servers: Vec<Endpoint>) -> Self {
         let router = Router::new(settings, seed);
         let mut driver = Self { router, now, timers: Vec::new(), log: Vec::new() };
-        driver.tell(Event::Servers(ListMode::Whole, servers));
+        driver.tell(Event::Endpoints(EndpointUpdate::Complete, servers));
         driver
     }
 
@@ -169,7 +169,7 @@
         self.tell(Event::Request(request(n, class, object, 4000.0)))
     }
 
-    pub fn end(&mut self, n: usize, attempt: usize, server: &ServerId, end: End, note: Note) -> Vec<Action> {
+    pub fn end(&mut self, n: usize, attempt: usize, server: &ServerId, end: AttemptResult, note: FillReport) -> Vec<Action> {
         self.outcome(n, attempt, server, end, note, 100.0)
     }
 
@@ -178,48 +178,48 @@
         n: usize,
         attempt: usize,
         server: &ServerId,
-        end: End,
-        note: Note,
+        end: AttemptResult,
+        note: FillReport,
         delay: Ms,
     ) -> Vec<Action> {
         self.tell(Event::Outcome(Outcome {
             request: rid(n),
             attempt: AttemptNo(attempt),
             server: server.clone(),
-            end,
-            delay,
-            last: end == End::Served,
-            note,
-            source_wait: if note == Note::Hit { 0.0 } else { 20.0 },
-            load: Load::default(),
-            whole: true,
+            result: end,
+            latency: delay,
+            completes_request: end == AttemptResult::Served,
+            fill_report: note,
+            source_wait: if note == FillReport::Hit { 0.0 } else { 20.0 },
+            load: LoadReport::default(),
+            body_complete: true,
         }))
     }
 
     /// The list tells that a server has just started anew.
     pub fn restart(&mut self, name: &str, role: Role) {
         let started = Some(self.now);
-        self.tell(Event::Servers(ListMode::Changes, vec![ServerEntry { started, ..entry(name, role) }]));
+        self.tell(Event::Endpoints(EndpointUpdate::Delta, vec![Endpoint { started, ..entry(name, role) }]));
     }
 
     /// Asks for an object and serves it as a hit; returns where it went.
-    pub fn serve(&mut self, n: usize, class: ClassId, object: u64, note: Note) -> Fetch {
+    pub fn serve(&mut self, n: usize, class: ClassId, object: u64, note: FillReport) -> AttemptSpec {
         let fetch = fetch(&self.ask(n, class, object)).expect("a fetch");
-        self.end(n, 0, &fetch.server, End::Served, note);
+        self.end(n, 0, &fetch.server, AttemptResult::Served, note);
         fetch
     }
 }
 
 /// The first attempt among some actions.
-pub fn fetch(acts: &[Action]) -> Option<Fetch> {
+pub fn fetch(acts: &[Action]) -> Option<AttemptSpec> {
     acts.iter().find_map(|a| match a {
-        Action::Fetch(f) => Some(f.clone()),
+        Action::StartAttempt(f) => Some(f.clone()),
         _ => None,
     })
 }
 
 pub fn refused(acts: &[Action], n: usize) -> bool {
-    acts.iter().any(|a| matches!(a, Action::Refuse(r, _) if *r == rid(n)))
+    acts.iter().any(|a| matches!(a, Action::Reject(r, _) if *r == rid(n)))
 }
 
 pub fn failed(acts: &[Action], n: usize) -> bool {
@@ -227,5 +227,5 @@
 }
 
 pub fn reports(acts: &[Action], what: &str) -> usize {
-    acts.iter().filter(|a| matches!(a, Action::Report(text) if text.contains(what))).count()
+    acts.iter().filter(|a| matches!(a, Action::Log(text) if text.contains(what))).count()
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -7,7 +7,7 @@
 /// Serves so many hits, ten milliseconds apart, so that delays are known.
 fn usual(d: &mut Driver, from: usize, count: usize) {
     for n in from..from + count {
-        d.serve(n, SAFE, n as u64 % 60, Note::Hit);
+        d.serve(n, SAFE, n as u64 % 60, FillReport::Hit);
         d.wait(10.0);
     }
 }
@@ -20,7 +20,7 @@
     let f = fetch(&d.ask(1000, SAFE, 1)).expect("a fetch");
     let acts = d.wait(300.0);
     assert_eq!(reports(&acts, "out for"), 0);
-    assert!(d.outcome(1000, 0, &f.server, End::Served, Note::Hit, 300.0).is_empty());
+    assert!(d.outcome(1000, 0, &f.server, AttemptResult::Served, FillReport::Hit, 300.0).is_empty());
 }
 
 /// The first answers tell nothing of delays, so nothing is silent yet (stripbib-reader, rough-2).
@@ -39,14 +39,14 @@
 fn a_hung_parent_is_told_from_the_caches_that_wait_for_it() {
     let mut d = Driver::new(settings(), fleet());
     for n in 0..200 {
-        d.serve(n, SAFE, n as u64, Note::FilledBySource);
+        d.serve(n, SAFE, n as u64, FillReport::FilledBySource);
         d.wait(10.0);
     }
     let mut acts = Vec::new();
     for n in 1000..1400 {
         let Some(f) = fetch(&d.ask(n, SAFE, n as u64)) else { continue };
-        if f.fill_from != id("parent-1") {
-            d.end(n, 0, &f.server, End::Served, Note::FilledBySource);
+        if f.fill_source != id("parent-1") {
+            d.end(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource);
         }
         acts.extend(d.wait(10.0));
         if reports(&acts, "out for") > 0 {
@@ -59,7 +59,7 @@
     let (n, at) = acts
         .iter()
         .find_map(|a| match a {
-            Action::Cancel(r, at) => Some((r.clone(), *at)),
+            Action::CancelAttempt(r, at) => Some((r.clone(), *at)),
             _ => None,
         })
         .expect("something was called off");
@@ -67,7 +67,7 @@
         .log
         .iter()
         .find_map(|(_, a)| match a {
-            Action::Fetch(f) if f.request == n => Some(f.server.clone()),
+            Action::StartAttempt(f) if f.request == n => Some(f.server.clone()),
             _ => None,
         })
         .expect("its attempt");
@@ -75,15 +75,15 @@
         request: n,
         attempt: at,
         server,
-        end: End::Cancelled,
-        delay: 900.0,
-        last: false,
-        note: Note::Untold,
+        result: AttemptResult::Cancelled,
+        latency: 900.0,
+        completes_request: false,
+        fill_report: FillReport::NotReported,
         source_wait: 0.0,
-        load: Load::default(),
-        whole: true,
+        load: LoadReport::default(),
+        body_complete: true,
     }));
-    assert_ne!(fetch(&acts).expect("another attempt").fill_from, id("parent-1"));
+    assert_ne!(fetch(&acts).expect("another attempt").fill_source, id("parent-1"));
 }
 
 /// An origin that fails behind both parents takes neither out (dala-depot-cache, iae126f), and the request is not
@@ -96,7 +96,7 @@
     for n in 1000..1100 {
         let asked = d.ask(n, SAFE, n as u64);
         if let Some(f) = fetch(&asked) {
-            let end = d.end(n, 0, &f.server, End::Full, Note::OriginFailed);
+            let end = d.end(n, 0, &f.server, AttemptResult::Rejected, FillReport::OriginFailed);
             assert!(refused(&end, n));
             acts.extend(end);
         }
@@ -106,12 +106,12 @@
     let mut next = 0;
     for n in 2000..2200 {
         let Some(f) = fetch(&d.ask(n, SAFE, n as u64)) else { continue };
-        if f.fill_from == id(&format!("parent-{next}")) {
-            acts.extend(d.end(n, 0, &f.server, End::Error, Note::SourceFailed));
+        if f.fill_source == id(&format!("parent-{next}")) {
+            acts.extend(d.end(n, 0, &f.server, AttemptResult::Error, FillReport::SourceFailed));
             next = 1 - next;
         }
-        d.tell(Event::ClientLeft(rid(n)));
-        d.end(n, 0, &f.server, End::Cancelled, Note::Untold);
+        d.tell(Event::ClientDisconnected(rid(n)));
+        d.end(n, 0, &f.server, AttemptResult::Cancelled, FillReport::NotReported);
     }
     assert_eq!(reports(&acts, "out for"), 0);
     assert_eq!(reports(&acts, "parent"), 0, "{acts:?}");
@@ -126,11 +126,11 @@
         let f = fetch(&d.ask(n, SAFE, n as u64)).expect("a fetch");
         if f.server == id("edge-1") {
             met += 1;
-            let next = fetch(&d.end(n, 0, &f.server, End::Error, Note::Untold)).expect("another attempt");
+            let next = fetch(&d.end(n, 0, &f.server, AttemptResult::Error, FillReport::NotReported)).expect("another attempt");
             assert_ne!(next.server, id("edge-1"));
-            d.end(n, 1, &next.server, End::Served, Note::Hit);
+            d.end(n, 1, &next.server, AttemptResult::Served, FillReport::Hit);
         } else {
-            d.end(n, 0, &f.server, End::Served, Note::Hit);
+            d.end(n, 0, &f.server, AttemptResult::Served, FillReport::Hit);
         }
     }
     assert!(met > 20, "{met} requests met it: it is kept for those it serves");
@@ -140,19 +140,19 @@
 fn with_a_full_link() -> Driver {
     let mut d = Driver::new(settings(), fleet());
     for n in 0..400 {
-        d.serve(n, SAFE, n as u64 % 200, Note::FilledBySource);
+        d.serve(n, SAFE, n as u64 % 200, FillReport::FilledBySource);
     }
     for round in 0..10 {
         let first = 1000 + round * 40;
-        let out: Vec<(usize, Fetch)> = (first..first + 40)
+        let out: Vec<(usize, AttemptSpec)> = (first..first + 40)
             .filter_map(|n| fetch(&d.ask(n, SAFE, n as u64 % 200)).map(|f| (n, f)))
             .collect();
         d.wait(300.0);
         for (n, f) in out {
-            if f.fill_from == f.server {
-                d.end(n, 0, &f.server, End::Miss, Note::Untold);
+            if f.fill_source == f.server {
+                d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::NotReported);
             } else {
-                d.outcome(n, 0, &f.server, End::Served, Note::FilledBySource, 300.0);
+                d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource, 300.0);
             }
         }
     }
@@ -167,10 +167,10 @@
     let mut looks = 0;
     for n in 5000..5060 {
         let Some(f) = fetch(&d.ask(n, SAFE, n as u64)) else { continue };
-        if f.fill_from == f.server {
+        if f.fill_source == f.server {
             looks += 1;
             let now = d.now;
-            assert!(refused(&d.end(n, 0, &f.server, End::Miss, Note::Untold), n));
+            assert!(refused(&d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::NotReported), n));
             assert_eq!(now, d.now);
         }
     }
@@ -183,22 +183,22 @@
 fn a_slow_caches_fills_are_not_held_against_the_link() {
     let mut d = Driver::new(settings(), fleet());
     for n in 0..400 {
-        d.serve(n, SAFE, n as u64 % 200, if n % 2 == 0 { Note::Hit } else { Note::FilledBySource });
+        d.serve(n, SAFE, n as u64 % 200, if n % 2 == 0 { FillReport::Hit } else { FillReport::FilledBySource });
     }
     let slow = id("edge-0");
     for round in 0..10 {
         let first = 1000 + round * 40;
-        let out: Vec<(usize, Fetch)> = (first..first + 40)
+        let out: Vec<(usize, AttemptSpec)> = (first..first + 40)
             .filter_map(|n| fetch(&d.ask(n, SAFE, n as u64 % 200)).map(|f| (n, f)))
             .collect();
         d.wait(900.0);
         for (n, f) in out {
-            let note = if n % 2 == 0 || f.fill_from == f.server { Note::Hit } else { Note::FilledBySource };
-            d.outcome(n, 0, &f.server, End::Served, note, if f.server == slow { 900.0 } else { 100.0 });
+            let note = if n % 2 == 0 || f.fill_source == f.server { FillReport::Hit } else { FillReport::FilledBySource };
+            d.outcome(n, 0, &f.server, AttemptResult::Served, note, if f.server == slow { 900.0 } else { 100.0 });
         }
     }
     let fills = (5000..5060).filter_map(|n| fetch(&d.ask(n, SAFE, n as u64)));
-    let (fills, looks): (Vec<_>, Vec<_>) = fills.partition(|f| f.fill_from != f.server);
+    let (fills, looks): (Vec<_>, Vec<_>) = fills.partition(|f| f.fill_source != f.server);
     assert!(fills.len() > 20 && looks.is_empty(), "{} fills, {} looks", fills.len(), looks.len());
 }
 
@@ -208,9 +208,9 @@
     let mut d = with_a_full_link();
     for n in 5000..5100 {
         let Some(f) = fetch(&d.ask(n, SAFE, n as u64)) else { continue };
-        if f.fill_from == f.server {
-            let joined = fetch(&d.end(n, 0, &f.server, End::Miss, Note::Joined)).expect("it joins");
-            assert!(joined.join && joined.fill_from != joined.server);
+        if f.fill_source == f.server {
+            let joined = fetch(&d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::Joined)).expect("it joins");
+            assert!(joined.join_fill && joined.fill_source != joined.server);
             return;
         }
     }
@@ -221,23 +221,23 @@
 /// late answers close the link's gate (norte-recogida, i1c132f).
 #[test]
 fn a_location_without_caches_goes_past_them_within_its_link() {
-    let servers: Vec<ServerEntry> = fleet().into_iter().filter(|s| s.role != Role::Edge).collect();
+    let servers: Vec<Endpoint> = fleet().into_iter().filter(|s| s.role != Role::Edge).collect();
     let mut d = Driver::new(settings(), servers);
     let mut sent = 0;
     for n in 0..100 {
         let Some(f) = fetch(&d.ask(n, SAFE, n as u64)) else { continue };
-        assert!(f.server.0.starts_with("parent") && f.fill_from == id("origin") && f.rank == Rank::None);
+        assert!(f.server.0.starts_with("parent") && f.fill_source == id("origin") && f.rank == Rank::None);
         sent += 1;
     }
     assert_eq!(sent, 100, "nothing has been late yet");
     d.wait(900.0);
     for n in 0..100 {
         let key = d.log.iter().find_map(|(_, a)| match a {
-            Action::Fetch(f) if f.request == rid(n) => Some(f.server.clone()),
+            Action::StartAttempt(f) if f.request == rid(n) => Some(f.server.clone()),
             _ => None,
         });
-        d.end(n, 0, &key.expect("its server"), End::Late, Note::Untold);
-        d.tell(Event::ClientLeft(rid(n)));
+        d.end(n, 0, &key.expect("its server"), AttemptResult::TimedOut, FillReport::NotReported);
+        d.tell(Event::ClientDisconnected(rid(n)));
         d.wait(40.0);
     }
     let let_in = (1000..1100).filter(|n| fetch(&d.ask(*n, SAFE, *n as u64)).is_some()).count();
@@ -270,9 +270,9 @@
     let mut d = Driver::new(settings(), fleet());
     usual(&mut d, 0, 600);
     let now = d.now;
-    let cold = |s: ServerEntry| ServerEntry { started: Some(now), ..s };
-    d.tell(Event::Servers(
-        ListMode::Changes,
+    let cold = |s: Endpoint| Endpoint { started: Some(now), ..s };
+    d.tell(Event::Endpoints(
+        EndpointUpdate::Delta,
         fleet().into_iter().filter(|s| s.role == Role::Edge).map(cold).collect(),
     ));
     let sent = (1000..1100)
@@ -288,7 +288,7 @@
     let mut d = Driver::new(settings(), fleet());
     for n in 0..2 {
         let f = fetch(&d.ask(n, SAFE, 7)).expect("a fetch");
-        d.outcome(n, 0, &f.server, End::Served, Note::Hit, 3000.0);
+        d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 3000.0);
     }
     assert!(refused(&d.tell(Event::Request(request(2, SAFE, 7, 2000.0))), 2));
     assert!(fetch(&d.ask(3, SAFE, 7)).is_some(), "4 s are enough");
@@ -315,18 +315,18 @@
             }
         }
         for (n, server) in others {
-            d.end(n, 0, &server, End::Served, Note::Hit);
+            d.end(n, 0, &server, AttemptResult::Served, FillReport::Hit);
         }
         // Only the clock moves, no sweep: the silence is too short to have been judged.
         d.now += gap;
         for n in out {
-            d.end(n, 0, &id("edge-0"), End::Served, Note::Hit);
+            d.end(n, 0, &id("edge-0"), AttemptResult::Served, FillReport::Hit);
         }
         (2000..2200)
             .filter(|n| {
                 let f = fetch(&d.ask(*n, SAFE, *n as u64));
                 f.is_some_and(|f| {
-                    d.end(*n, 0, &f.server, End::Served, Note::Hit);
+                    d.end(*n, 0, &f.server, AttemptResult::Served, FillReport::Hit);
                     // What it was sent before counts until the window is over, whatever is inferred of a restart.
                     d.wait(10.0);
                     f.server == id("edge-0")
@@ -347,13 +347,13 @@
     for n in 0..400 {
         let f = fetch(&d.ask(n, SAFE, n as u64)).expect("a fetch");
         if n % 4 == 3 {
-            let next = d.end(n, 0, &f.server, End::Broken, Note::Untold);
+            let next = d.end(n, 0, &f.server, AttemptResult::ConnectionLost, FillReport::NotReported);
             let again = fetch(&next).expect("another attempt");
             assert_ne!(again.server, f.server);
             acts.extend(next);
-            acts.extend(d.end(n, 1, &again.server, End::Served, Note::Hit));
+            acts.extend(d.end(n, 1, &again.server, AttemptResult::Served, FillReport::Hit));
         } else {
-            acts.extend(d.end(n, 0, &f.server, End::Served, Note::Hit));
+            acts.extend(d.end(n, 0, &f.server, AttemptResult::Served, FillReport::Hit));
         }
     }
     assert_eq!(reports(&acts, "out for"), 0);
@@ -363,14 +363,14 @@
 #[test]
 fn a_trial_forgives_one_failure_after_a_success() {
     let mut d = Driver::new(settings(), fleet());
-    let step = |d: &mut Driver, n: usize, end: End| {
+    let step = |d: &mut Driver, n: usize, end: AttemptResult| {
         for object in 0..4000 {
             let n = n * 4000 + object;
             let f = fetch(&d.ask(n, SAFE, object as u64)).expect("a fetch");
             let at = f.server == id("edge-1");
-            let acts = d.end(n, 0, &f.server, if at { end } else { End::Served }, Note::Untold);
+            let acts = d.end(n, 0, &f.server, if at { end } else { AttemptResult::Served }, FillReport::NotReported);
             if let Some(next) = fetch(&acts) {
-                d.end(n, 1, &next.server, End::Served, Note::Hit);
+                d.end(n, 1, &next.server, AttemptResult::Served, FillReport::Hit);
             }
             if at {
                 return acts;
@@ -381,15 +381,15 @@
     let mut n = 0;
     loop {
         n += 1;
-        if reports(&step(&mut d, n, End::NoConnection), "edge-1 out for") > 0 {
+        if reports(&step(&mut d, n, AttemptResult::NoConnection), "edge-1 out for") > 0 {
             break;
         }
     }
     d.wait(1100.0);
-    assert_eq!(reports(&step(&mut d, 100, End::Error), "failed its trial"), 1);
+    assert_eq!(reports(&step(&mut d, 100, AttemptResult::Error), "failed its trial"), 1);
     d.wait(2100.0);
-    for (k, end) in [End::Served, End::Error, End::Served, End::Served].into_iter().enumerate() {
+    for (k, end) in [AttemptResult::Served, AttemptResult::Error, AttemptResult::Served, AttemptResult::Served].into_iter().enumerate() {
         assert_eq!(reports(&step(&mut d, 200 + k, end), "edge-1"), 0);
     }
-    assert_eq!(reports(&step(&mut d, 300, End::Served), "back after its trial"), 1);
+    assert_eq!(reports(&step(&mut d, 300, AttemptResult::Served), "back after its trial"), 1);
 }
--- a/tests/few_answers.rs
+++ b/tests/few_answers.rs
@@ -10,18 +10,18 @@
     s.zone_routers = zone_routers;
     let mut d = Driver::new(s, fleet());
     for n in 0..300 {
-        d.serve(n, SAFE, n as u64 % 60, Note::FilledBySource);
+        d.serve(n, SAFE, n as u64 % 60, FillReport::FilledBySource);
         d.wait(100.0);
     }
     let mut looks = 0;
     for n in 1000..1060 {
         let Some(f) = fetch(&d.ask(n, SAFE, n as u64 % 60)) else { continue };
         d.wait(600.0);
-        if f.fill_from == f.server {
+        if f.fill_source == f.server {
             looks += 1;
-            d.end(n, 0, &f.server, End::Miss, Note::Untold);
+            d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::NotReported);
         } else {
-            d.outcome(n, 0, &f.server, End::Served, Note::FilledBySource, 600.0);
+            d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource, 600.0);
         }
     }
     looks
@@ -42,9 +42,9 @@
     let (mut looks, mut out) = (0, std::collections::VecDeque::new());
     for n in asks {
         if let Some(f) = fetch(&d.ask(n, SAFE, n as u64 % 60)) {
-            if f.fill_from == f.server {
+            if f.fill_source == f.server {
                 looks += 1;
-                d.outcome(n, 0, &f.server, End::Served, Note::Hit, 400.0);
+                d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 400.0);
             } else {
                 out.push_back((d.now + delay, n, f.server));
             }
@@ -52,12 +52,12 @@
         d.wait(every);
         while out.front().is_some_and(|(due, ..)| *due <= d.now) {
             let (_, n, server) = out.pop_front().expect("just seen");
-            d.outcome(n, 0, &server, End::Served, Note::FilledBySource, delay);
+            d.outcome(n, 0, &server, AttemptResult::Served, FillReport::FilledBySource, delay);
         }
     }
     d.wait(delay);
     for (_, n, server) in out {
-        d.outcome(n, 0, &server, End::Served, Note::FilledBySource, delay);
+        d.outcome(n, 0, &server, AttemptResult::Served, FillReport::FilledBySource, delay);
     }
     looks
 }
@@ -84,7 +84,7 @@
         let mut d = Driver::new(settings(), fleet());
         for n in 0..100 {
             let f = fetch(&d.ask(n, SAFE, n as u64 % 60)).expect("a fetch");
-            d.outcome(n, 0, &f.server, End::Served, Note::Hit, 300.0);
+            d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 300.0);
             d.wait(10.0);
         }
         let (mut acts, mut met) = (Vec::new(), 0);
@@ -95,10 +95,10 @@
                 if f.server == id("edge-2") && met % every == 0 {
                     // Its client waits well over the usual time and leaves.
                     acts.extend(d.wait(400.0));
-                    d.tell(Event::ClientLeft(rid(n)));
-                    d.end(n, 0, &f.server, End::Cancelled, Note::Untold);
+                    d.tell(Event::ClientDisconnected(rid(n)));
+                    d.end(n, 0, &f.server, AttemptResult::Cancelled, FillReport::NotReported);
                 } else {
-                    d.outcome(n, 0, &f.server, End::Served, Note::Hit, 300.0);
+                    d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 300.0);
                 }
             }
             acts.extend(d.wait(50.0));
@@ -111,7 +111,7 @@
 }
 
 /// One router of a hundred, after two hundred fills of that kind, fifty milliseconds apart.
-fn one_of_a_hundred(note: Note) -> Driver {
+fn one_of_a_hundred(note: FillReport) -> Driver {
     let mut s = settings();
     s.routers = 100;
     let mut d = Driver::new(s, fleet());
@@ -127,19 +127,19 @@
 /// parents give only what they hold.
 #[test]
 fn an_origin_that_fails_behind_parents_is_spared_by_routers_with_little_traffic() {
-    let mut d = one_of_a_hundred(Note::FilledByOrigin);
+    let mut d = one_of_a_hundred(FillReport::FilledByOrigin);
     let mut spared = 0;
     for n in 1000..1100 {
         let Some(f) = fetch(&d.ask(n, SAFE, n as u64)) else { continue };
         d.wait(150.0);
-        if f.fill_from == f.server {
-            if let Some(f) = fetch(&d.end(n, 0, &f.server, End::Miss, Note::Untold)) {
-                spared += usize::from(f.held_only);
+        if f.fill_source == f.server {
+            if let Some(f) = fetch(&d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::NotReported)) {
+                spared += usize::from(f.cached_only);
             }
         } else {
-            spared += usize::from(f.held_only);
-            let end = if f.held_only { Note::SourceLacks } else { Note::OriginFailed };
-            d.outcome(n, 0, &f.server, End::Full, end, 150.0);
+            spared += usize::from(f.cached_only);
+            let end = if f.cached_only { FillReport::SourceMiss } else { FillReport::OriginFailed };
+            d.outcome(n, 0, &f.server, AttemptResult::Rejected, end, 150.0);
         }
     }
     assert!(spared > 30, "{spared} asked of parents alone");
@@ -149,20 +149,20 @@
 /// the next one (norte-recogida, big-1).
 #[test]
 fn a_parent_that_fails_fills_quickly_is_not_taken_for_full() {
-    let mut d = one_of_a_hundred(Note::FilledBySource);
+    let mut d = one_of_a_hundred(FillReport::FilledBySource);
     let mut failed = 0;
     for n in 1000..1200 {
         let f = fetch(&d.ask(n, SAFE, n as u64)).expect("a fetch");
-        assert_ne!(f.fill_from, f.server, "a look: a gate is closed");
+        assert_ne!(f.fill_source, f.server, "a look: a gate is closed");
         d.wait(50.0);
-        if f.fill_from == id("parent-1") {
+        if f.fill_source == id("parent-1") {
             failed += 1;
             let next =
-                fetch(&d.outcome(n, 0, &f.server, End::Error, Note::SourceFailed, 50.0)).expect("another");
-            assert_ne!(next.fill_from, id("parent-1"));
-            d.end(n, 1, &next.server, End::Served, Note::FilledBySource);
+                fetch(&d.outcome(n, 0, &f.server, AttemptResult::Error, FillReport::SourceFailed, 50.0)).expect("another");
+            assert_ne!(next.fill_source, id("parent-1"));
+            d.end(n, 1, &next.server, AttemptResult::Served, FillReport::FilledBySource);
         } else {
-            d.end(n, 0, &f.server, End::Served, Note::FilledBySource);
+            d.end(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource);
         }
     }
     assert!(failed > 60, "{failed} failed");
--- a/tests/grown.rs
+++ b/tests/grown.rs
@@ -7,9 +7,9 @@
 /// How often a request was answered finally by the router itself, and how often it was sent.
 fn answers_and_sends(d: &Driver, n: usize) -> (usize, usize) {
     let answers = d.log.iter().filter(|(_, a)| {
-        matches!(a, Action::Refuse(r, _) if *r == rid(n)) || matches!(a, Action::Fail(r) if *r == rid(n))
+        matches!(a, Action::Reject(r, _) if *r == rid(n)) || matches!(a, Action::Fail(r) if *r == rid(n))
     });
-    let sends = d.log.iter().filter(|(_, a)| matches!(a, Action::Fetch(f) if f.request == rid(n)));
+    let sends = d.log.iter().filter(|(_, a)| matches!(a, Action::StartAttempt(f) if f.request == rid(n)));
     (answers.count(), sends.count())
 }
 
@@ -22,26 +22,26 @@
     let first = fetch(&d.ask(0, WRITE, 1)).expect("a fetch");
     let mut left: Vec<ServerId> = Vec::new();
     for wave in 0..3 {
-        for listed in [Listed::Draining, Listed::Gone] {
+        for listed in [EndpointState::Draining, EndpointState::Removed] {
             let part = all.iter().enumerate().filter(|(n, _)| n % 3 == wave);
-            let told: Vec<ServerEntry> = part.map(|(_, e)| ServerEntry { listed, ..e.clone() }).collect();
+            let told: Vec<Endpoint> = part.map(|(_, e)| Endpoint { state: listed, ..e.clone() }).collect();
             left.extend(told.iter().map(|e| e.id.clone()));
-            d.tell(Event::Servers(ListMode::Changes, told));
+            d.tell(Event::Endpoints(EndpointUpdate::Delta, told));
             for n in 0..40 {
-                let n = 1 + wave * 200 + usize::from(listed == Listed::Gone) * 100 + n;
+                let n = 1 + wave * 200 + usize::from(listed == EndpointState::Removed) * 100 + n;
                 let acts = d.ask(n, SAFE, n as u64);
                 let Some(f) = fetch(&acts) else {
                     assert!(refused(&acts, n), "refused at once");
                     continue;
                 };
-                assert!(!left.contains(&f.server) && !left.contains(&f.fill_from), "wave {wave}");
-                d.end(n, 0, &f.server, End::Served, Note::Hit);
+                assert!(!left.contains(&f.server) && !left.contains(&f.fill_source), "wave {wave}");
+                d.end(n, 0, &f.server, AttemptResult::Served, FillReport::Hit);
             }
             d.wait(300.0);
         }
     }
     assert!(refused(&d.ask(900, SAFE, 1), 900), "nobody is left");
-    let acts = d.end(0, 0, &first.server, End::Broken, Note::Untold);
+    let acts = d.end(0, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported);
     assert!(failed(&acts, 0) && !refused(&acts, 0));
     assert_eq!(answers_and_sends(&d, 0), (1, 1));
 }
@@ -51,24 +51,24 @@
 fn a_list_that_makes_no_sense_gives_one_answer_each_and_no_panic() {
     let mut d = Driver::new(settings(), large_fleet());
     let odd = [0.0, -1.0, f64::NAN, f64::INFINITY, f64::MIN_POSITIVE];
-    let mut told: Vec<ServerEntry> = odd
+    let mut told: Vec<Endpoint> = odd
         .iter()
         .enumerate()
-        .map(|(n, weight)| ServerEntry { weight: *weight, ..entry(&format!("edge-{}", n % 2), Role::Edge) })
+        .map(|(n, weight)| Endpoint { weight: *weight, ..entry(&format!("edge-{}", n % 2), Role::Edge) })
         .collect();
-    told.push(ServerEntry { listed: Listed::Gone, ..entry("never-heard-of", Role::Parent) });
-    told.push(ServerEntry { zone: ZoneId(99), ..entry("from-nowhere", Role::Edge) });
-    told.push(ServerEntry { started: Some(f64::INFINITY), ..entry("from-the-future", Role::Edge) });
+    told.push(Endpoint { state: EndpointState::Removed, ..entry("never-heard-of", Role::Parent) });
+    told.push(Endpoint { zone: ZoneId(99), ..entry("from-nowhere", Role::Edge) });
+    told.push(Endpoint { started: Some(f64::INFINITY), ..entry("from-the-future", Role::Edge) });
     told.push(entry("origin", Role::Edge));
     let lists = [
-        (ListMode::Changes, told.clone()),
-        (ListMode::Whole, told),
-        (ListMode::Failed, Vec::new()),
-        (ListMode::Whole, Vec::new()),
+        (EndpointUpdate::Delta, told.clone()),
+        (EndpointUpdate::Complete, told),
+        (EndpointUpdate::Failed, Vec::new()),
+        (EndpointUpdate::Complete, Vec::new()),
     ];
     let mut n = 0;
     for (mode, list) in lists {
-        d.tell(Event::Servers(mode, list));
+        d.tell(Event::Endpoints(mode, list));
         for class in [SAFE, SMALL, WRITE, KEYED] {
             for object in 0..10 {
                 n += 1;
@@ -89,16 +89,16 @@
 fn a_cell_that_restarts_at_once_gets_its_cold_share_while_the_others_serve() {
     let mut d = Driver::new(settings(), fleet());
     for n in 0..600 {
-        d.serve(n, SAFE, n as u64, Note::FilledBySource);
+        d.serve(n, SAFE, n as u64, FillReport::FilledBySource);
         d.wait(10.0);
     }
     let started = Some(d.now);
     let cell = ["edge-0", "edge-1"];
-    let told = cell.iter().map(|name| ServerEntry { started, ..entry(name, Role::Edge) });
-    d.tell(Event::Servers(ListMode::Changes, told.collect()));
+    let told = cell.iter().map(|name| Endpoint { started, ..entry(name, Role::Edge) });
+    d.tell(Event::Endpoints(EndpointUpdate::Delta, told.collect()));
     let (mut cold, mut warm) = (0, 0);
     for n in 1000..1100 {
-        let f = d.serve(n, SAFE, n as u64 * 13, Note::Hit);
+        let f = d.serve(n, SAFE, n as u64 * 13, FillReport::Hit);
         *if cell.iter().any(|name| f.server == id(name)) { &mut cold } else { &mut warm } += 1;
         d.wait(10.0);
     }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -55,7 +55,7 @@
     assert_eq!(d.router.split(), SHADOW_ENTRIES / 2);
     // Misses with a short reuse distance and only parent fills: no L2 yet.
     for n in 0..60 {
-        d.serve(n, SAFE, n as u64 % 20, Note::FilledBySource);
+        d.serve(n, SAFE, n as u64 % 20, FillReport::FilledBySource);
         d.wait(20.0);
     }
     d.wait(PERIOD_MS);
@@ -68,10 +68,10 @@
     // A sweep over more objects than s1 holds, twice: every second look is at a distance just beyond s1.
     let many = SHADOW_ENTRIES / 2 + 50;
     for n in 0..2 * many {
-        let note = if n % 2 == 0 { Note::FilledBySource } else { Note::FilledByOrigin };
+        let note = if n % 2 == 0 { FillReport::FilledBySource } else { FillReport::FilledByOrigin };
         let fetch = fetch(&d.ask(n, SAFE, (n % many) as u64)).expect("a fetch");
-        let note = if n < 4 { note } else { Note::Hit };
-        d.end(n, 0, &fetch.server, End::Served, note);
+        let note = if n < 4 { note } else { FillReport::Hit };
+        d.end(n, 0, &fetch.server, AttemptResult::Served, note);
     }
     let before = d.router.split();
     d.wait(PERIOD_MS + 20.0);
@@ -83,12 +83,12 @@
 #[test]
 fn rank_follows_reuse_distance_and_later_parts_follow_the_first() {
     let mut d = Driver::new(settings(), fleet());
-    assert_eq!(d.serve(0, SAFE, 9, Note::Hit).rank, Rank::Low, "never seen");
+    assert_eq!(d.serve(0, SAFE, 9, FillReport::Hit).rank, Rank::Low, "never seen");
     let part =
         |n: usize, part: u64| Event::Request(Request { part: Part(part), ..request(n, SAFE, 9, 4000.0) });
     let acts = d.tell(part(1, 1));
     assert_eq!(fetch(&acts).map(|f| f.rank), Some(Rank::Low), "a later part is not filed");
-    assert_eq!(d.serve(2, SAFE, 9, Note::Hit).rank, Rank::Top, "the second first part was near");
+    assert_eq!(d.serve(2, SAFE, 9, FillReport::Hit).rank, Rank::Top, "the second first part was near");
     let acts = d.tell(part(3, 2));
     assert_eq!(fetch(&acts).map(|f| f.rank), Some(Rank::Top));
 }
@@ -97,16 +97,16 @@
 fn all_fills_are_kept_and_uncacheable_ones_pass() {
     let mut d = Driver::new(settings(), fleet());
     for n in 0..50 {
-        assert!(d.serve(n, SAFE, n as u64, Note::FilledBySource).rank >= Rank::Low);
+        assert!(d.serve(n, SAFE, n as u64, FillReport::FilledBySource).rank >= Rank::Low);
     }
-    assert_eq!(d.serve(99, WRITE, 1, Note::Untold).rank, Rank::None);
+    assert_eq!(d.serve(99, WRITE, 1, FillReport::NotReported).rank, Rank::None);
 }
 
 #[test]
 fn placement_is_stable_when_one_cache_leaves() {
-    let homes = |servers: Vec<ServerEntry>| -> Vec<Fetch> {
+    let homes = |servers: Vec<Endpoint>| -> Vec<AttemptSpec> {
         let mut d = Driver::new(settings(), servers);
-        (0..200).map(|n| d.serve(n, SAFE, n as u64 * 7919, Note::Hit)).collect()
+        (0..200).map(|n| d.serve(n, SAFE, n as u64 * 7919, FillReport::Hit)).collect()
     };
     let all = homes(fleet());
     let mut fewer = fleet();
@@ -120,10 +120,10 @@
         } else {
             assert_ne!(b.server, id("edge-1"));
         }
-        assert_eq!(a.fill_from, b.fill_from, "the parent does not depend on the caches");
+        assert_eq!(a.fill_source, b.fill_source, "the parent does not depend on the caches");
     }
     assert_eq!(all.iter().map(|f| &f.server).collect::<BTreeSet<_>>().len(), 4);
-    assert_eq!(all.iter().map(|f| &f.fill_from).collect::<BTreeSet<_>>().len(), 2);
+    assert_eq!(all.iter().map(|f| &f.fill_source).collect::<BTreeSet<_>>().len(), 2);
 }
 
 #[test]
@@ -135,8 +135,8 @@
     servers.iter_mut().filter(|s| s.role == Role::Edge).for_each(|s| s.zone = ZoneId(2));
     let mut there = Driver::new(there_settings, servers);
     for n in 0..50 {
-        let a = here.serve(n, SAFE, n as u64 * 31, Note::Hit);
-        let b = there.serve(n, SAFE, n as u64 * 31, Note::Hit);
-        assert_eq!(a.fill_from, b.fill_from);
+        let a = here.serve(n, SAFE, n as u64 * 31, FillReport::Hit);
+        let b = there.serve(n, SAFE, n as u64 * 31, FillReport::Hit);
+        assert_eq!(a.fill_source, b.fill_source);
     }
 }
--- a/tests/moved.rs
+++ b/tests/moved.rs
@@ -5,15 +5,15 @@
 use common::*;
 
 fn reporting_nothing() -> Settings {
-    Settings { direct: false, zone_routers: 20, lateral: Lateral::Zone, ..settings() }
+    Settings { direct_to_parents: false, zone_routers: 20, peer_fill: PeerFill::Zone, ..settings() }
 }
 
 /// Where an object is sent that was not asked for before, and from where it would be filled.
-fn look(d: &mut Driver, n: usize, object: u64) -> Fetch {
+fn look(d: &mut Driver, n: usize, object: u64) -> AttemptSpec {
     let acts = d.ask(n, SAFE, object);
     let f = fetch(&acts).unwrap_or_else(|| panic!("no fetch: {acts:?}"));
-    d.tell(Event::ClientLeft(rid(n)));
-    d.outcome(n, 0, &f.server, End::Cancelled, Note::Untold, 0.0);
+    d.tell(Event::ClientDisconnected(rid(n)));
+    d.outcome(n, 0, &f.server, AttemptResult::Cancelled, FillReport::NotReported, 0.0);
     f
 }
 
@@ -23,7 +23,7 @@
 }
 
 fn sources(d: &mut Driver, from: usize, name: &str) -> usize {
-    (0..100).filter(|o| look(d, from + o, 5000 + *o as u64).fill_from == id(name)).count()
+    (0..100).filter(|o| look(d, from + o, 5000 + *o as u64).fill_source == id(name)).count()
 }
 
 /// A cache that takes eight times as long as the zone's others for the same objects (an overloaded or ageing one,
@@ -35,7 +35,7 @@
     for n in 0..200 {
         let f = fetch(&d.ask(10_000 + n, SAFE, n as u64)).expect("a fetch");
         let took = if f.server == id("edge-0") { 800.0 } else { 100.0 };
-        d.outcome(10_000 + n, 0, &f.server, End::Served, Note::Hit, took);
+        d.outcome(10_000 + n, 0, &f.server, AttemptResult::Served, FillReport::Hit, took);
         d.wait(20.0);
     }
     let (after, other) = (homes(&mut d, 20_000, "edge-0"), homes(&mut d, 20_100, "edge-1"));
@@ -54,8 +54,8 @@
     let (before, cache) = (sources(&mut d, 0, "parent-0"), homes(&mut d, 100, "edge-0"));
     for n in 0..120 {
         let f = fetch(&d.ask(1000 + n, SAFE, n as u64)).expect("a fetch");
-        let took = if f.fill_from == id("parent-0") { 900.0 } else { 120.0 };
-        d.outcome(1000 + n, 0, &f.server, End::Served, Note::FilledBySource, took);
+        let took = if f.fill_source == id("parent-0") { 900.0 } else { 120.0 };
+        d.outcome(1000 + n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource, took);
         d.wait(20.0);
     }
     let after = sources(&mut d, 2000, "parent-0");
@@ -69,7 +69,7 @@
     let mut d = Driver::new(reporting_nothing(), fleet());
     for n in 0..80 {
         let f = fetch(&d.ask(n, SAFE, n as u64)).expect("a fetch");
-        d.outcome(n, 0, &f.server, End::Served, Note::Hit, 20.0);
+        d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 20.0);
     }
     let before = homes(&mut d, 1000, "edge-0");
     let mut stuck = Vec::new();
@@ -78,15 +78,15 @@
         if f.server == id("edge-0") && stuck.len() < 6 {
             stuck.push(n);
         } else {
-            d.outcome(n, 0, &f.server, End::Served, Note::Hit, 20.0);
+            d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 20.0);
         }
     }
     d.wait(340.0);
-    let told: Vec<_> = d.log.iter().filter(|(_, a)| matches!(a, Action::Report(_))).collect();
+    let told: Vec<_> = d.log.iter().filter(|(_, a)| matches!(a, Action::Log(_))).collect();
     assert!(stuck.len() >= 2 && told.is_empty(), "nothing is silent before 350 ms: {stuck:?} {told:?}");
     for n in stuck {
-        d.tell(Event::ClientLeft(rid(n)));
-        d.end(n, 0, &id("edge-0"), End::Cancelled, Note::Untold);
+        d.tell(Event::ClientDisconnected(rid(n)));
+        d.end(n, 0, &id("edge-0"), AttemptResult::Cancelled, FillReport::NotReported);
     }
     let after = homes(&mut d, 3000, "edge-0");
     assert!(after * 2 < before, "{before} objects before, {after} after");
@@ -97,22 +97,22 @@
 #[test]
 fn a_look_takes_a_copy_in_its_grace() {
     let mut set = reporting_nothing();
-    set.classes[SMALL.0].grace = 20_000.0;
+    set.classes[SMALL.0].stale_for = 20_000.0;
     let mut d = Driver::new(set, fleet());
     let f = fetch(&d.ask(0, SMALL, 1)).expect("a fetch");
     assert_eq!(f.max_age, None, "a fill brings a fresh one");
-    d.tell(Event::Servers(ListMode::Changes, gone(&["parent-0", "parent-1", "origin"])));
+    d.tell(Event::Endpoints(EndpointUpdate::Delta, gone(&["parent-0", "parent-1", "origin"])));
     let f = fetch(&d.ask(1, SMALL, 1)).expect("a look");
-    assert_eq!((f.max_age, f.fill_from == f.server), (Some(28_000.0), true));
+    assert_eq!((f.max_age, f.fill_source == f.server), (Some(28_000.0), true));
     d.tell(Event::Purged(GroupId(1), Some(ObjectId(1)), 0.0));
     d.wait(500.0);
     let f = fetch(&d.ask(2, SMALL, 1)).expect("a look");
     assert!(f.max_age.is_some_and(|age| age <= 500.0), "{:?}", f.max_age);
 }
 
-fn gone(names: &[&str]) -> Vec<ServerEntry> {
+fn gone(names: &[&str]) -> Vec<Endpoint> {
     let role = |name: &str| if name == "origin" { Role::Origin } else { Role::Parent };
-    names.iter().map(|n| ServerEntry { listed: Listed::Gone, ..entry(n, role(n)) }).collect()
+    names.iter().map(|n| Endpoint { state: EndpointState::Removed, ..entry(n, role(n)) }).collect()
 }
 
 /// A cold cache's budget is shared by the zone's routers, whatever its peers carried before: twenty routers together
@@ -121,21 +121,21 @@
 fn twenty_routers_share_a_cold_caches_budget() {
     let mut sent = 0.0;
     for seed in 0..20 {
-        let sized = |mut e: ServerEntry| {
+        let sized = |mut e: Endpoint| {
             e.weight = 4.0;
             e
         };
         let mut d = Driver::new(reporting_nothing(), fleet().into_iter().map(sized).collect());
         d.router = basaltgw::rules::Router::new(reporting_nothing(), seed);
         let started = Some(d.now);
-        let mut all: Vec<ServerEntry> = fleet().into_iter().map(sized).collect();
+        let mut all: Vec<Endpoint> = fleet().into_iter().map(sized).collect();
         all[0].started = started;
-        d.tell(Event::Servers(ListMode::Whole, all));
+        d.tell(Event::Endpoints(EndpointUpdate::Complete, all));
         for n in 0..50 {
             let acts = d.ask(n, SAFE, n as u64);
             let Some(f) = fetch(&acts) else { continue };
             sent += if f.server == id("edge-0") { 100.0 } else { 0.0 };
-            d.outcome(n, 0, &f.server, End::Served, Note::Hit, 100.0);
+            d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 100.0);
             d.wait(20.0);
         }
     }
@@ -151,12 +151,12 @@
     for n in 0..200 {
         let f = fetch(&old.ask(n, SAFE, n as u64)).expect("a fetch");
         let took = if f.server == id("edge-0") { 800.0 } else { 100.0 };
-        old.outcome(n, 0, &f.server, End::Served, Note::Hit, took);
+        old.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, took);
         old.wait(20.0);
     }
     old.restart("edge-2", Role::Edge);
     old.tell(Event::Purged(GroupId(3), None, 0.0));
-    let (mut learnt, at) = (old.router.learnt(), old.now);
+    let (mut learnt, at) = (old.router.snapshot(), old.now);
     assert_eq!(learnt.purges, [(None, Some(GroupId(3)), at)]);
     let start = |started| {
         let mut all = fleet();
@@ -169,8 +169,8 @@
     let usual = homes(&mut fresh, 0, "edge-0");
     let mut d = start(Some(at));
     // A cold start that another life had only inferred stays one.
-    learnt.servers[1].cold_since = Some(at);
-    assert_eq!(d.router.adopt(at, learnt.clone()), fleet().len());
+    learnt.servers[1].warmup_started = Some(at);
+    assert_eq!(d.router.restore(at, learnt.clone()), fleet().len());
     assert!(homes(&mut d, 0, "edge-0") * 3 < usual, "its size is cut from the first request on");
     assert!(
         homes(&mut d, 100, "edge-1") + homes(&mut d, 200, "edge-2") <= 12,
@@ -180,7 +180,7 @@
     let f =
         fetch(&d.tell(Event::Request(Request { group: GroupId(3), ..request(999, SAFE, object.0, 4000.0) })));
     assert!(f.is_some_and(|f| f.max_age.is_some_and(|age| age < 1000.0)), "the purge holds");
-    assert_eq!(start(Some(at + 1.0)).router.adopt(at, learnt), fleet().len() - 1, "a new process is unknown");
+    assert_eq!(start(Some(at + 1.0)).router.restore(at, learnt), fleet().len() - 1, "a new process is unknown");
 }
 
 /// A fill that takes more than the aim's stretch times its own sending time is late, so the link counts as full at that:
@@ -189,19 +189,19 @@
 fn the_link_is_full_where_its_fills_are_late() {
     let looks = |stretch: f64| {
         let mut set = reporting_nothing();
-        set.classes.iter_mut().for_each(|c| c.aim_stretch = stretch);
+        set.classes.iter_mut().for_each(|c| c.latency_objective_stretch = stretch);
         let mut d = Driver::new(set, fleet());
         for n in 0..100 {
             let f = fetch(&d.ask(n, SAFE, n as u64 % 50)).expect("a fetch");
-            d.outcome(n, 0, &f.server, End::Served, Note::Hit, 100.0);
+            d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 100.0);
         }
         let mut looks = 0;
         for n in 100..400 {
             let f = fetch(&d.ask(n, SAFE, n as u64 % 50)).expect("a fetch");
-            looks += usize::from(f.fill_from == f.server);
+            looks += usize::from(f.fill_source == f.server);
             d.wait(20.0);
             // 20 ms until the source's first byte, and 1.55 times what its bytes took as a hit (with few answers the limit is to the power 0.75).
-            d.outcome(n, 0, &f.server, End::Served, Note::FilledBySource, 175.0);
+            d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource, 175.0);
         }
         looks
     };
--- a/tests/planned.rs
+++ b/tests/planned.rs
@@ -13,7 +13,7 @@
     let edges: Vec<ServerId> = (0..4).map(|n| id(&format!("edge-{n}"))).collect();
     let of: HashMap<_, _> = edges.iter().map(|e| (e.clone(), Arc::clone(&shares))).collect();
     let origin: HashSet<ServerId> = edges.into_iter().filter(|_| origin).collect();
-    Event::Sources(Some(Arc::new(SourceTable { of, origin })))
+    Event::FillPlan(Some(Arc::new(FillPlan { sources: of, origin_allowed: origin })))
 }
 
 /// Sources of the first attempts for many objects.
@@ -22,8 +22,8 @@
     for object in objects {
         let n = 10_000 + object as usize;
         let first = fetch(&d.ask(n, SAFE, object)).expect("a fetch");
-        d.end(n, 0, &first.server, End::Served, Note::FilledBySource);
-        all.push((object, first.fill_from));
+        d.end(n, 0, &first.server, AttemptResult::Served, FillReport::FilledBySource);
+        all.push((object, first.fill_source));
     }
     all
 }
@@ -38,7 +38,7 @@
     d.tell(table(&[("parent-0", 1.0), ("parent-1", 1.0)], false));
     let planned = sources(&mut d, 0..60);
     assert_eq!(planned, flat, "a plan that permits every parent is the hash over all of them");
-    d.tell(Event::Sources(None));
+    d.tell(Event::FillPlan(None));
     assert_eq!(sources(&mut d, 0..60), flat);
 }
 
@@ -52,7 +52,7 @@
     let hash = address("parent-1");
     assert!(got.iter().all(|(o, s)| *s != id("parent-1") || within_share(*o, hash, 0.25)));
     let flat: Vec<_> = {
-        d.tell(Event::Sources(None));
+        d.tell(Event::FillPlan(None));
         sources(&mut d, 0..400)
     };
     let belongs =
@@ -65,14 +65,14 @@
 
 #[test]
 fn without_a_planned_source_the_origin_is_named_only_if_the_plan_permits_it() {
-    let gone = |name: &str| ServerEntry { listed: Listed::Gone, ..entry(name, Role::Parent) };
+    let gone = |name: &str| Endpoint { state: EndpointState::Removed, ..entry(name, Role::Parent) };
     for permitted in [false, true] {
         let mut d = Driver::new(settings(), fleet());
         d.tell(table(&[("parent-0", 1.0)], permitted));
-        d.tell(Event::Servers(ListMode::Changes, vec![gone("parent-0")]));
+        d.tell(Event::Endpoints(EndpointUpdate::Delta, vec![gone("parent-0")]));
         let first = fetch(&d.ask(1, SAFE, 5)).expect("a fetch");
         let expected = if permitted { id("origin") } else { first.server.clone() };
-        assert_eq!(first.fill_from, expected, "a look without a fill, where nothing may fill it");
+        assert_eq!(first.fill_source, expected, "a look without a fill, where nothing may fill it");
     }
 }
 
@@ -81,13 +81,13 @@
     let mut d = Driver::new(settings(), fleet());
     for n in 0..40 {
         let first = fetch(&d.ask(n, SAFE, 7)).expect("a fetch");
-        let acts = d.end(n, 0, &first.server, End::Miss, Note::Looped);
+        let acts = d.end(n, 0, &first.server, AttemptResult::CacheMiss, FillReport::LoopDetected);
         let second = fetch(&acts).expect("another attempt");
-        assert_ne!(second.fill_from, first.fill_from, "from another source");
-        d.end(n, 1, &second.server, End::Served, Note::FilledBySource);
+        assert_ne!(second.fill_source, first.fill_source, "from another source");
+        d.end(n, 1, &second.server, AttemptResult::Served, FillReport::FilledBySource);
         let next = fetch(&d.ask(1000 + n, SAFE, 7)).expect("a fetch");
-        assert_eq!(next.fill_from, first.fill_from, "the next request finds its home as before");
-        d.end(1000 + n, 0, &next.server, End::Served, Note::Hit);
+        assert_eq!(next.fill_source, first.fill_source, "the next request finds its home as before");
+        d.end(1000 + n, 0, &next.server, AttemptResult::Served, FillReport::Hit);
     }
 }
 
@@ -97,5 +97,5 @@
     d.tell(table(&[("parent-1", 1.0)], false));
     let first = fetch(&d.ask(1, WRITE, 5)).expect("a fetch");
     assert_eq!(first.server, id("origin"));
-    assert!(fetch(&d.end(1, 0, &first.server, End::Broken, Note::Untold)).is_none(), "it may have run");
+    assert!(fetch(&d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported)).is_none(), "it may have run");
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -65,19 +65,19 @@
     ]
 }
 
-const NOTES: [Note; 12] = [
-    Note::Untold,
-    Note::Hit,
-    Note::FilledBySource,
-    Note::FilledByOrigin,
-    Note::Joined,
-    Note::Old,
-    Note::SourceRefused,
-    Note::SourceFailed,
-    Note::SourceLacks,
-    Note::NoFillPlace,
-    Note::OriginFailed,
-    Note::Looped,
+const NOTES: [FillReport; 12] = [
+    FillReport::NotReported,
+    FillReport::Hit,
+    FillReport::FilledBySource,
+    FillReport::FilledByOrigin,
+    FillReport::Joined,
+    FillReport::Stale,
+    FillReport::SourceRejected,
+    FillReport::SourceFailed,
+    FillReport::SourceMiss,
+    FillReport::FillLimitReached,
+    FillReport::OriginFailed,
+    FillReport::LoopDetected,
 ];
 
 /// What the test knows of a request, from events and actions alone.
@@ -105,9 +105,9 @@
         large in any::<bool>(),
     ) {
         let mut s = settings();
-        (s.second_copies, s.direct) = (copies, direct);
-        let (settles, grace) = (s.purge_settles, s.purge_grace);
-        let effects: Vec<Effect> = s.classes.iter().map(|c| c.effect).collect();
+        (s.hedging, s.direct_to_parents) = (copies, direct);
+        let (settles, grace) = (s.purge_convergence_time, s.purge_grace);
+        let effects: Vec<Idempotency> = s.classes.iter().map(|c| c.idempotency).collect();
         let servers = if large { large_fleet() } else { fleet() };
         let mut d = Driver::new(s, servers.clone());
         let mut seen: BTreeMap<RequestId, Seen> = BTreeMap::new();
@@ -140,18 +140,18 @@
                     let (id, n) = open[pick % open.len()].clone();
                     let r = seen.get_mut(&id).expect("seen");
                     r.tries[n].1 = true;
-                    let end = End::ALL[end as usize];
+                    let end = AttemptResult::ALL[end as usize];
                     let proved =
-                        matches!(end, End::Full | End::NoConnection | End::NotSent | End::Miss | End::Served);
+                        matches!(end, AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss | AttemptResult::Served);
                     r.may_have_run |= !proved;
-                    if end == End::Served && !r.ended {
+                    if end == AttemptResult::Served && !r.ended {
                         r.ended = true;
                         r.answers += 1;
                     }
                     let (server, last) = (r.tries[n].0.clone(), r.ended);
                     d.tell(Event::Outcome(Outcome {
-                        request: id, attempt: AttemptNo(n), server, end, delay, last, note: NOTES[note as usize],
-                        source_wait: delay / 3.0, load: Load::default(), whole: true,
+                        request: id, attempt: AttemptNo(n), server, result: end, latency: delay, completes_request: last, fill_report: NOTES[note as usize],
+                        source_wait: delay / 3.0, load: LoadReport::default(), body_complete: true,
                     }));
                 }
                 Step::Leave { pick } => {
@@ -161,7 +161,7 @@
                         let id = open[pick % open.len()].clone();
                         let r = seen.get_mut(&id).expect("seen");
                         (r.ended, r.answers) = (true, 1);
-                        d.tell(Event::ClientLeft(id));
+                        d.tell(Event::ClientDisconnected(id));
                     }
                 }
                 Step::Plan { shares, origin } => {
@@ -170,29 +170,29 @@
                     };
                     let of = std::sync::Arc::new(shares.iter().enumerate().map(one).collect::<Vec<_>>());
                     let edges = ["edge-0", "edge-2", "edge-3"].map(id);
-                    let table = SourceTable {
-                        of: edges.iter().map(|e| (e.clone(), std::sync::Arc::clone(&of))).collect(),
-                        origin: edges.into_iter().filter(|_| origin).collect(),
+                    let table = FillPlan {
+                        sources: edges.iter().map(|e| (e.clone(), std::sync::Arc::clone(&of))).collect(),
+                        origin_allowed: edges.into_iter().filter(|_| origin).collect(),
                     };
-                    d.tell(Event::Sources((!shares.is_empty()).then(|| std::sync::Arc::new(table))));
+                    d.tell(Event::FillPlan((!shares.is_empty()).then(|| std::sync::Arc::new(table))));
                 }
                 Step::List { server, listed, restart } => {
                     let mut e = servers[server * servers.len() / 7].clone();
-                    e.listed = [Listed::Up, Listed::Draining, Listed::Gone][listed as usize];
+                    e.state = [EndpointState::Up, EndpointState::Draining, EndpointState::Removed][listed as usize];
                     e.started = restart.then_some(d.now);
-                    if e.listed == Listed::Up {
+                    if e.state == EndpointState::Up {
                         banned.remove(&e.id);
                     } else {
                         banned.insert(e.id.clone(), d.now);
                     }
-                    d.tell(Event::Servers(ListMode::Changes, vec![e]));
+                    d.tell(Event::Endpoints(EndpointUpdate::Delta, vec![e]));
                 }
                 Step::Whole { keep } => {
-                    let kept: Vec<ServerEntry> =
+                    let kept: Vec<Endpoint> =
                         servers.iter().enumerate().filter(|(n, _)| keep >> (n % 8) & 1 == 1).map(|(_, e)| e.clone()).collect();
                     banned = servers.iter().map(|e| (e.id.clone(), d.now)).collect();
                     kept.iter().for_each(|e| { banned.remove(&e.id); });
-                    d.tell(Event::Servers(ListMode::Whole, kept));
+                    d.tell(Event::Endpoints(EndpointUpdate::Complete, kept));
                 }
                 Step::Purge { object, group, age } => {
                     purges.push((object, group, d.now - age, d.now));
@@ -204,13 +204,13 @@
             }
             for (at, act) in &d.log[read..] {
                 match act {
-                    Action::Fetch(f) => {
+                    Action::StartAttempt(f) => {
                         let r = seen.get_mut(&f.request).expect("a request that came in");
                         prop_assert!(!r.ended, "sent after the end");
                         let out = r.tries.iter().filter(|t| !t.1).count();
-                        prop_assert!(out == 0 || (copies && out == 1 && effects[r.class] == Effect::Safe));
-                        prop_assert!(effects[r.class] != Effect::Unsafe || !r.may_have_run, "run twice");
-                        for name in [&f.server, &f.fill_from] {
+                        prop_assert!(out == 0 || (copies && out == 1 && effects[r.class] == Idempotency::Idempotent));
+                        prop_assert!(effects[r.class] != Idempotency::NonIdempotent || !r.may_have_run, "run twice");
+                        for name in [&f.server, &f.fill_source] {
                             prop_assert!(!banned.contains_key(name), "{name:?} drains or is gone");
                         }
                         for (object, group, purged, told) in &purges {
@@ -222,25 +222,25 @@
                         }
                         r.tries.push((f.server.clone(), false));
                     }
-                    Action::Refuse(id, _) | Action::Fail(id) => {
+                    Action::Reject(id, _) | Action::Fail(id) => {
                         let r = seen.get_mut(id).expect("a request that came in");
                         prop_assert!(!r.ended, "answered after the end");
                         prop_assert!(*at <= r.due, "answered late");
                         let untouched = !r.may_have_run && r.tries.iter().all(|t| t.1);
-                        if matches!(act, Action::Refuse(..)) && effects[r.class] == Effect::Unsafe {
+                        if matches!(act, Action::Reject(..)) && effects[r.class] == Idempotency::NonIdempotent {
                             prop_assert!(untouched, "refused though it may have run");
                         }
                         (r.ended, r.answers) = (true, r.answers + 1);
                     }
-                    Action::Cancel(id, n) => prop_assert!(n.0 < seen[id].tries.len()),
-                    Action::Timer(..) | Action::Subscribe | Action::Report(_) => {}
+                    Action::CancelAttempt(id, n) => prop_assert!(n.0 < seen[id].tries.len()),
+                    Action::Timer(..) | Action::WatchEndpoints | Action::Log(_) => {}
                 }
             }
             read = d.log.len();
         }
         d.wait(5000.0);
         for (at, act) in &d.log[read..] {
-            if let Action::Refuse(id, _) | Action::Fail(id) = act {
+            if let Action::Reject(id, _) | Action::Fail(id) = act {
                 let r = seen.get_mut(id).expect("a request that came in");
                 prop_assert!(!r.ended && *at <= r.due);
                 (r.ended, r.answers) = (true, r.answers + 1);
--- a/tests/settings/drawn.rs
+++ b/tests/settings/drawn.rs
@@ -15,7 +15,7 @@
         select(vec![0.0, 500.0]),
     );
     let kinds = (
-        select(vec![Effect::Safe, Effect::Safe, Effect::Keyed, Effect::Keyed, Effect::Unsafe]),
+        select(vec![Idempotency::Idempotent, Idempotency::Idempotent, Idempotency::IdempotencyKey, Idempotency::IdempotencyKey, Idempotency::NonIdempotent]),
         select(vec![KeyScope::All, KeyScope::Zone, KeyScope::Cell]),
         any::<bool>(),
         select(vec![0.0, 1.0, 2.0]),
@@ -23,15 +23,15 @@
     (times, kinds).prop_map(|((aim, deadline, key_window, fresh, grace), kinds)| {
         let (effect, key_scope, uncacheable, aim_stretch) = kinds;
         let base = common::class("drawn", effect);
-        Class { aim, aim_stretch, deadline, key_scope, key_window, fresh, grace, uncacheable, ..base }
+        Class { latency_objective: aim, latency_objective_stretch: aim_stretch, deadline, key_scope, key_window, fresh_for: fresh, stale_for: grace, uncacheable, ..base }
     })
 }
 
-pub fn cold() -> impl Strategy<Value = ColdRule> {
+pub fn cold() -> impl Strategy<Value = SlowStartPolicy> {
     let shares = select(vec![0.0, 0.1, 1.0]);
     let (spans, windows) = (select(vec![0.0, 300.0, 17_000.0]), select(vec![0.0, 100.0, 1500.0]));
     (shares, spans, select(vec![0.0, 2.0, 4.0]), windows)
-        .prop_map(|(share, span, multiple, window)| ColdRule { share, span, multiple, window })
+        .prop_map(|(share, span, multiple, window)| SlowStartPolicy { share, span, multiple, window })
 }
 
 pub fn drawn_settings() -> impl Strategy<Value = Settings> {
@@ -43,26 +43,26 @@
     (prop::collection::vec(class(), 0..7), rules, more, flags, size).prop_map(
         |(classes, (cold_edge, cold_parent, tick, drain_grace, purge_grace), more, f, size)| Settings {
             zone: ZoneId(0),
-            zone_hub: Vec::new(),
+            zone_parent_group: Vec::new(),
             zone_routers: size.0,
             routers: size.0 * size.1,
             classes,
-            cold_edge,
-            cold_parent,
+            edge_slow_start: cold_edge,
+            parent_slow_start: cold_parent,
             drain_grace,
             purge_grace,
-            purge_settles: more.0,
+            purge_convergence_time: more.0,
             max_retry_after: more.1,
             max_attempts: more.2,
-            second_copies: f[0],
+            hedging: f[0],
             cancel: f[1],
             retry_after: f[2],
-            direct: f[3],
-            joins: f[4],
-            must_subscribe: f[5],
-            rough_sizes: f[6],
-            weights_move: f[7],
-            pace_kb_per_s: size.2,
+            direct_to_parents: f[3],
+            fill_joining: f[4],
+            must_watch_endpoints: f[5],
+            approximate_weights: f[6],
+            dynamic_weights: f[7],
+            response_rate_kb_per_s: size.2,
             tick,
             ..settings()
         },
@@ -70,7 +70,7 @@
 }
 
 /// Edge caches of a few zones and sizes, parents, the origin; each of them may be lacking.
-pub fn drawn_fleet() -> impl Strategy<Value = Vec<ServerEntry>> {
+pub fn drawn_fleet() -> impl Strategy<Value = Vec<Endpoint>> {
     let weight = || select(vec![0.0, 1.0, 1.0, 4.0, -1.0, 1e-6, 1e6]);
     let edge = (0usize..3, weight(), 0u64..3);
     let edges = prop::collection::vec(edge, 0..6);
@@ -79,10 +79,10 @@
         for (n, (zone, weight, cell)) in edges.into_iter().enumerate() {
             // Half of them stand in the router's own zone.
             let zone = ZoneId(if n % 2 == 0 { 0 } else { zone });
-            all.push(ServerEntry { zone, weight, cell, ..entry(&format!("edge-{n}"), Role::Edge) });
+            all.push(Endpoint { zone, weight, cell, ..entry(&format!("edge-{n}"), Role::Edge) });
         }
         for (n, weight) in parents.into_iter().enumerate() {
-            all.push(ServerEntry { weight, ..entry(&format!("parent-{n}"), Role::Parent) });
+            all.push(Endpoint { weight, ..entry(&format!("parent-{n}"), Role::Parent) });
         }
         all.extend(origin.then(|| entry("origin", Role::Origin)));
         all
@@ -148,9 +148,9 @@
     prop_oneof![
         8 => (ask, sizes).prop_map(|((class, object, part, budget), (size, write))|
             Step::Ask { class, object, part, budget, size, write }),
-        9 => (any::<usize>(), 0..End::ALL.len(), 0..NOTES.len(), delays(), delays())
+        9 => (any::<usize>(), 0..AttemptResult::ALL.len(), 0..NOTES.len(), delays(), delays())
             .prop_map(|(pick, end, note, delay, wait)| Step::End { pick, end, note, delay, wait }),
-        1 => (any::<usize>(), 0usize..9, 0..End::ALL.len())
+        1 => (any::<usize>(), 0usize..9, 0..AttemptResult::ALL.len())
             .prop_map(|(pick, attempt, end)| Step::Unknown { pick, attempt, end }),
         1 => any::<usize>().prop_map(|pick| Step::Flow { pick }),
         1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
--- a/tests/settings/main.rs
+++ b/tests/settings/main.rs
@@ -25,7 +25,7 @@
         steps in prop::collection::vec(step(), 1..140),
     ) {
         let mut world = World::new(set, prompt);
-        world.list(ListMode::Whole, fleet.clone())?;
+        world.list(EndpointUpdate::Complete, fleet.clone())?;
         for (count, step) in steps.into_iter().enumerate() {
             world.step(step, &fleet, count)?;
             // The rest of the batch.
@@ -37,14 +37,14 @@
         }
         // What is out ends, and nothing is said or kept of it.
         for (id, n) in world.outs() {
-            world.end(&id, n, End::Late, Note::Untold, 9000.0, 0.0)?;
+            world.end(&id, n, AttemptResult::TimedOut, FillReport::NotReported, 9000.0, 0.0)?;
         }
         // An id that were still open would be passed over without a word.
         for (id, seen) in std::mem::take(&mut world.seen) {
             let request = common::request(0, ClassId(99), seen.object, 1000.0);
             let mut acts = Vec::new();
             world.router.handle(world.now, Event::Request(Request { id: id.clone(), ..request }), &mut acts);
-            prop_assert_eq!(acts, vec![Action::Refuse(id, 0.0)]);
+            prop_assert_eq!(acts, vec![Action::Reject(id, 0.0)]);
         }
     }
 }
@@ -54,18 +54,18 @@
     let mut d = common::Driver::new(settings(), common::fleet());
     for n in 0..4 {
         let sent = common::fetch(&d.ask(n, common::SAFE, 5)).expect("a fetch");
-        d.end(n, 0, &sent.server, End::Full, Note::SourceRefused);
+        d.end(n, 0, &sent.server, AttemptResult::Rejected, FillReport::SourceRejected);
         // Any list puts the servers in order by their sizes.
-        d.tell(Event::Servers(ListMode::Changes, Vec::new()));
+        d.tell(Event::Endpoints(EndpointUpdate::Delta, Vec::new()));
     }
-    let cuts: Vec<f64> = d.router.learnt().servers.iter().map(|s| s.cut).collect();
+    let cuts: Vec<f64> = d.router.snapshot().servers.iter().map(|s| s.weight_penalty_log).collect();
     assert!(cuts.iter().all(|c| c.is_finite()) && cuts.iter().any(|c| *c < 0.0), "{cuts:?}");
 }
 
 #[test]
 fn without_an_aim_a_quick_cache_is_not_taken_for_full() {
     let mut set = settings();
-    set.classes[0].aim = 0.0;
+    set.classes[0].latency_objective = 0.0;
     let edge = entry("edge-0", Role::Edge);
     let mut d = common::Driver::new(set, vec![edge.clone(), entry("parent-0", Role::Parent)]);
     let ask = |d: &mut common::Driver, n: usize| {
@@ -77,7 +77,7 @@
     }
     for n in 0..20 {
         d.wait(10.0);
-        d.outcome(n, 0, &edge.id, End::Served, Note::Hit, 12.0);
+        d.outcome(n, 0, &edge.id, AttemptResult::Served, FillReport::Hit, 12.0);
         assert!(ask(&mut d, 100 + n).is_some_and(|f| f.server == edge.id), "full after {n} quick answers");
     }
 }
@@ -86,12 +86,12 @@
 fn a_start_that_is_yet_to_come_by_the_own_clock_leaves_a_cold_server_its_budget() {
     for known in [false, true] {
         let mut set = settings();
-        set.classes[0].aim = 50.0;
+        set.classes[0].latency_objective = 50.0;
         let mut d = common::Driver::new(set, if known { common::fleet() } else { Vec::new() });
         // Its machine's clock is ahead by two seconds; it is the only one.
         let started = Some(d.now + 2000.0);
-        let cold = ServerEntry { started, ..entry("edge-0", Role::Edge) };
-        d.tell(Event::Servers(ListMode::Whole, vec![cold, entry("parent-0", Role::Parent)]));
+        let cold = Endpoint { started, ..entry("edge-0", Role::Edge) };
+        d.tell(Event::Endpoints(EndpointUpdate::Complete, vec![cold, entry("parent-0", Role::Parent)]));
         let edge = common::id("edge-0");
         let mut asked = 0;
         let mut sent = |d: &mut common::Driver| {
@@ -106,7 +106,7 @@
         // Before any answer nothing tells what a request takes.
         let first = sent(&mut d);
         assert_eq!(first.len(), 1, "one in a window");
-        d.outcome(first[0], 0, &edge, End::Served, Note::Hit, 50.0);
+        d.outcome(first[0], 0, &edge, AttemptResult::Served, FillReport::Hit, 50.0);
         // 2 times 0.2 of its capacity, taken to be 0.8 of its listed size: 320 ms' work in a second, of requests of 50 ms. After one
         // answer each is reckoned as 75 ms.
         assert_eq!(first.len() + sent(&mut d).len(), 4, "requests of 50 ms, reckoned upwards");
@@ -117,7 +117,7 @@
 fn servers_that_have_just_started_serve_where_no_rule_on_them_is_told() {
     for (multiple, window) in [(0.0, 1000.0), (2.0, 0.0), (0.0, 0.0)] {
         let mut set = settings();
-        set.cold_edge = ColdRule { multiple, window, ..set.cold_edge };
+        set.edge_slow_start = SlowStartPolicy { multiple, window, ..set.edge_slow_start };
         let mut d = common::Driver::new(set, vec![entry("parent-0", Role::Parent)]);
         d.restart("edge-0", Role::Edge);
         for n in 0..20 {
@@ -133,12 +133,12 @@
     let first = common::fetch(&d.ask(1, common::KEYED, 5)).expect("a fetch");
     assert!(first.timeout > 3000.0, "the first has the whole time");
     d.wait(800.0);
-    let again = d.end(1, 0, &first.server, End::Broken, Note::Untold);
+    let again = d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported);
     let again = common::fetch(&again).expect("within its window");
     // It has to arrive within the window, and what waits for a connection begins by then or never.
-    assert!((150.0..=180.0).contains(&(again.begin_by - d.now)), "{}", again.begin_by - d.now);
+    assert!((150.0..=180.0).contains(&(again.start_before - d.now)), "{}", again.start_before - d.now);
     d.wait(201.0);
-    let acts = d.end(1, 1, &again.server, End::NotSent, Note::Untold);
+    let acts = d.end(1, 1, &again.server, AttemptResult::NotSent, FillReport::NotReported);
     assert!(common::failed(&acts, 1), "no repeat is dropped any more: {acts:?}");
     // One that is still out when its client's time is up.
     d.ask(2, common::KEYED, 6);
@@ -150,7 +150,7 @@
     for tick in [0.1, 5.0, 10.0, 15.0, 19.0, 50.0] {
         let set = Settings { tick, ..settings() };
         let mut world = World::new(set, false);
-        world.list(ListMode::Whole, common::fleet()).expect("a list");
+        world.list(EndpointUpdate::Complete, common::fleet()).expect("a list");
         for n in 0..300 {
             let ask = Step::Ask {
                 class: Some(0),
--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -8,19 +8,19 @@
 use proptest::test_runner::TestCaseError;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const NOTES: [Note; 12] = [
-    Note::Untold,
-    Note::Hit,
-    Note::FilledBySource,
-    Note::FilledByOrigin,
-    Note::Joined,
-    Note::Old,
-    Note::SourceRefused,
-    Note::SourceFailed,
-    Note::SourceLacks,
-    Note::NoFillPlace,
-    Note::OriginFailed,
-    Note::Looped,
+pub const NOTES: [FillReport; 12] = [
+    FillReport::NotReported,
+    FillReport::Hit,
+    FillReport::FilledBySource,
+    FillReport::FilledByOrigin,
+    FillReport::Joined,
+    FillReport::Stale,
+    FillReport::SourceRejected,
+    FillReport::SourceFailed,
+    FillReport::SourceMiss,
+    FillReport::FillLimitReached,
+    FillReport::OriginFailed,
+    FillReport::LoopDetected,
 ];
 /// The least age limit that a request carries, since 0 stands for no limit.
 pub const AGE_LEAST: Ms = 1.0;
@@ -64,7 +64,7 @@
     pub prompt: bool,
     pub seen: BTreeMap<RequestId, Seen>,
     /// What the list has up.
-    pub up: BTreeMap<ServerId, ServerEntry>,
+    pub up: BTreeMap<ServerId, Endpoint>,
     pub listed: BTreeSet<ServerId>,
     pub purges: Vec<(Option<u64>, u64, Ms, Ms)>,
 }
@@ -90,9 +90,9 @@
         let mut acts = Vec::new();
         self.router.handle(self.now, event, &mut acts);
         acts.into_iter().try_for_each(|act| self.check(act))?;
-        for s in self.router.learnt().servers {
-            prop_assert!(s.cut.is_finite() && s.cut <= 0.0, "{:?} is cut by {}", s.id, s.cut);
-            prop_assert!(s.lag.is_none_or(f64::is_finite), "{:?} lags by {:?}", s.id, s.lag);
+        for s in self.router.snapshot().servers {
+            prop_assert!(s.weight_penalty_log.is_finite() && s.weight_penalty_log <= 0.0, "{:?} is cut by {}", s.id, s.weight_penalty_log);
+            prop_assert!(s.latency_ratio_log.is_none_or(f64::is_finite), "{:?} lags by {:?}", s.id, s.latency_ratio_log);
             prop_assert!(self.listed.contains(&s.id), "{:?} is not listed", s.id);
         }
         Ok(())
@@ -100,8 +100,8 @@
 
     pub fn check(&mut self, act: Action) -> Checked {
         match act {
-            Action::Fetch(fetch) => self.check_fetch(&fetch),
-            Action::Refuse(id, stay_away) => {
+            Action::StartAttempt(fetch) => self.check_fetch(&fetch),
+            Action::Reject(id, stay_away) => {
                 let most = if self.set.retry_after { self.set.max_retry_after } else { 0.0 };
                 prop_assert!((0.0..=most).contains(&stay_away), "away for {stay_away} of {most}");
                 let (class, since) = self.answered(&id)?;
@@ -109,18 +109,18 @@
                     return Ok(());
                 };
                 let within = self.now < since + class.key_window;
-                match class.effect {
-                    Effect::Safe => {}
-                    Effect::Keyed => prop_assert!(
+                match class.idempotency {
+                    Idempotency::Idempotent => {}
+                    Idempotency::IdempotencyKey => prop_assert!(
                         class.key_scope == KeyScope::All && within,
                         "refused though a repeat may run twice"
                     ),
-                    Effect::Unsafe => prop_assert!(false, "refused though it may have run"),
+                    Idempotency::NonIdempotent => prop_assert!(false, "refused though it may have run"),
                 }
                 Ok(())
             }
             Action::Fail(id) => self.answered(&id).map(|_| ()),
-            Action::Cancel(id, n) => {
+            Action::CancelAttempt(id, n) => {
                 prop_assert!(self.set.cancel, "called off where that is not allowed");
                 prop_assert!(n.0 < self.seen[&id].tries.len());
                 Ok(())
@@ -130,11 +130,11 @@
                 self.timers.push((self.now + after, token));
                 Ok(())
             }
-            Action::Subscribe => {
-                prop_assert!(self.set.must_subscribe);
+            Action::WatchEndpoints => {
+                prop_assert!(self.set.must_watch_endpoints);
                 Ok(())
             }
-            Action::Report(_) => Ok(()),
+            Action::Log(_) => Ok(()),
         }
     }
 
@@ -148,7 +148,7 @@
         Ok((seen.class, seen.since()))
     }
 
-    pub fn check_fetch(&mut self, f: &Fetch) -> Checked {
+    pub fn check_fetch(&mut self, f: &AttemptSpec) -> Checked {
         let (now, set) = (self.now, &self.set);
         let seen = self.seen.get_mut(&f.request).expect("a request that came in");
         prop_assert_eq!(seen.answers, 0, "sent after the end");
@@ -156,28 +156,28 @@
         prop_assert!(f.timeout.is_finite() && f.timeout > 0.0 && now + f.timeout <= seen.due);
         prop_assert!(seen.tries.len() < set.max_attempts, "beyond the limit of attempts");
         let out = seen.out();
-        prop_assert!(out == 0 || (set.second_copies && out == 1 && class.effect == Effect::Safe));
+        prop_assert!(out == 0 || (set.hedging && out == 1 && class.idempotency == Idempotency::Idempotent));
         if let Some(since) = seen.since() {
-            prop_assert!(class.effect != Effect::Unsafe, "run twice");
+            prop_assert!(class.idempotency != Idempotency::NonIdempotent, "run twice");
             let ends = since + class.key_window;
-            if class.effect == Effect::Keyed {
+            if class.idempotency == Idempotency::IdempotencyKey {
                 prop_assert!(class.key_scope == KeyScope::All, "sent outside the first one's group");
                 // What waits for a connection begins by then or never.
-                prop_assert!(now < f.begin_by && f.begin_by < ends, "sent after its window");
+                prop_assert!(now < f.start_before && f.start_before < ends, "sent after its window");
             }
         }
         let target = self.up.get(&f.server);
         prop_assert!(target.is_some(), "{:?} is not up", f.server);
         let target = target.expect("just seen");
         let near = target.role != Role::Edge || target.zone == set.zone;
-        prop_assert!(near && (target.role == Role::Edge || set.direct), "{:?} may not be asked", f.server);
-        if f.fill_from != f.server {
-            let source = self.up.get(&f.fill_from);
-            prop_assert!(source.is_some_and(|s| s.role != Role::Edge), "{:?} is no source", f.fill_from);
+        prop_assert!(near && (target.role == Role::Edge || set.direct_to_parents), "{:?} may not be asked", f.server);
+        if f.fill_source != f.server {
+            let source = self.up.get(&f.fill_source);
+            prop_assert!(source.is_some_and(|s| s.role != Role::Edge), "{:?} is no source", f.fill_source);
         }
         for (object, group, purged, told) in &self.purges {
             let named = object.map_or(*group == seen.object % 3, |o| o == seen.object);
-            if named && now > told + set.purge_grace && now < purged + set.purge_settles {
+            if named && now > told + set.purge_grace && now < purged + set.purge_convergence_time {
                 let age = f.max_age.unwrap_or(f64::INFINITY);
                 prop_assert!(
                     age > 0.0 && age <= (now - purged).max(AGE_LEAST),
@@ -191,14 +191,14 @@
     }
 
     /// Ends an attempt, as a transport tells it.
-    pub fn end(&mut self, id: &RequestId, n: usize, end: End, note: Note, delay: Ms, wait: Ms) -> Checked {
+    pub fn end(&mut self, id: &RequestId, n: usize, end: AttemptResult, note: FillReport, delay: Ms, wait: Ms) -> Checked {
         let seen = self.seen.get_mut(id).expect("a request that came in");
         let over = std::mem::replace(&mut seen.tries[n].over, true);
-        let proved = matches!(end, End::Full | End::NoConnection | End::NotSent | End::Miss | End::Served);
+        let proved = matches!(end, AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss | AttemptResult::Served);
         if !proved && !over {
             seen.ran = seen.ran.or(Some(seen.tries[n].sent));
         }
-        if end == End::Served && !over {
+        if end == AttemptResult::Served && !over {
             seen.answers = 1;
         }
         let (server, last) = (seen.tries[n].server.clone(), seen.answers > 0);
@@ -206,13 +206,13 @@
             request: id.clone(),
             attempt: AttemptNo(n),
             server,
-            end,
-            delay,
-            last,
-            note,
+            result: end,
+            latency: delay,
+            completes_request: last,
+            fill_report: note,
             source_wait: wait,
-            load: Load::default(),
-            whole: true,
+            load: LoadReport::default(),
+            body_complete: true,
         };
         self.tell(Event::Outcome(outcome))
     }
@@ -233,7 +233,7 @@
                 let t = &self.seen[&id].tries[n];
                 if t.until <= self.now && !t.over {
                     let took = self.now - t.sent;
-                    self.end(&id, n, End::Late, Note::Untold, took, 0.0)?;
+                    self.end(&id, n, AttemptResult::TimedOut, FillReport::NotReported, took, 0.0)?;
                 }
             }
         }
@@ -260,25 +260,25 @@
         Ok(())
     }
 
-    pub fn list(&mut self, mode: ListMode, entries: Vec<ServerEntry>) -> Checked {
-        if mode == ListMode::Whole {
+    pub fn list(&mut self, mode: EndpointUpdate, entries: Vec<Endpoint>) -> Checked {
+        if mode == EndpointUpdate::Complete {
             self.up.clear();
             self.listed.clear();
         }
         for e in &entries {
             self.up.remove(&e.id);
             self.listed.remove(&e.id);
-            if e.listed == Listed::Up {
+            if e.state == EndpointState::Up {
                 self.up.insert(e.id.clone(), e.clone());
             }
-            if e.listed != Listed::Gone {
+            if e.state != EndpointState::Removed {
                 self.listed.insert(e.id.clone());
             }
         }
-        self.tell(Event::Servers(mode, entries))
+        self.tell(Event::Endpoints(mode, entries))
     }
 
-    pub fn step(&mut self, step: Step, fleet: &[ServerEntry], count: usize) -> Checked {
+    pub fn step(&mut self, step: Step, fleet: &[Endpoint], count: usize) -> Checked {
         let open = |w: &Self| {
             let open = w.seen.iter().filter(|(_, s)| s.answers == 0);
             open.map(|(id, _)| id.clone()).collect::<Vec<_>>()
@@ -305,7 +305,7 @@
                 let Some((id, n)) = (!outs.is_empty()).then(|| outs[pick % outs.len()].clone()) else {
                     return Ok(());
                 };
-                self.end(&id, n, End::ALL[end], NOTES[note], delay, wait)
+                self.end(&id, n, AttemptResult::ALL[end], NOTES[note], delay, wait)
             }
             Step::Unknown { pick, attempt, end } => {
                 // An attempt that never was, or one that is over already; of a request that never was, or any.
@@ -315,18 +315,18 @@
                 if tries.get(attempt).is_some_and(|t| !t.over) {
                     return Ok(());
                 }
-                let end = if End::ALL[end] == End::Served { End::Broken } else { End::ALL[end] };
+                let end = if AttemptResult::ALL[end] == AttemptResult::Served { AttemptResult::ConnectionLost } else { AttemptResult::ALL[end] };
                 self.tell(Event::Outcome(Outcome {
                     request: id,
                     attempt: AttemptNo(attempt),
                     server: common::id("nobody"),
-                    end,
-                    delay: 10.0,
-                    last: false,
-                    note: Note::Untold,
+                    result: end,
+                    latency: 10.0,
+                    completes_request: false,
+                    fill_report: FillReport::NotReported,
                     source_wait: 0.0,
-                    load: Load::default(),
-                    whole: true,
+                    load: LoadReport::default(),
+                    body_complete: true,
                 }))
             }
             Step::Flow { pick } => {
@@ -336,7 +336,7 @@
                     return Ok(());
                 };
                 self.seen.get_mut(&id).expect("seen").answers = 1;
-                self.tell(Event::Flowing(id, AttemptNo(n)))
+                self.tell(Event::ResponseStarted(id, AttemptNo(n)))
             }
             Step::Leave { pick } => {
                 let open = open(self);
@@ -344,19 +344,19 @@
                     return Ok(());
                 };
                 self.seen.get_mut(&id).expect("seen").answers = 1;
-                self.tell(Event::ClientLeft(id))
+                self.tell(Event::ClientDisconnected(id))
             }
             Step::List { server, listed, started } => {
                 let Some(e) = (!fleet.is_empty()).then(|| fleet[server % fleet.len()].clone()) else {
                     return Ok(());
                 };
-                let listed = [Listed::Up, Listed::Draining, Listed::Gone][listed as usize];
+                let listed = [EndpointState::Up, EndpointState::Draining, EndpointState::Removed][listed as usize];
                 let started = started.map(|ago| self.now + ago);
-                self.list(ListMode::Changes, vec![ServerEntry { listed, started, ..e }])
+                self.list(EndpointUpdate::Delta, vec![Endpoint { state: listed, started, ..e }])
             }
             Step::Whole { keep } => {
                 let kept = fleet.iter().enumerate().filter(|(n, _)| keep >> (n % 8) & 1 == 1);
-                self.list(ListMode::Whole, kept.map(|(_, e)| e.clone()).collect())
+                self.list(EndpointUpdate::Complete, kept.map(|(_, e)| e.clone()).collect())
             }
             Step::Purge { object, group, age } => {
                 self.purges.push((object, group, self.now - age, self.now));
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -14,7 +14,7 @@
 /// What an answer without bytes takes.
 const CURRENT: Ms = 5.0;
 const OBJECTS: u64 = 300;
-const RULE: ColdRule = ColdRule { share: 0.24, span: 18_000.0, multiple: 2.5, window: 1_500.0 };
+const RULE: SlowStartPolicy = SlowStartPolicy { share: 0.24, span: 18_000.0, multiple: 2.5, window: 1_500.0 };
 /// The listed size of each cache, in answers at full pace.
 const SIZE: f64 = 4.0;
 const NAME: &str = "edge-0";
@@ -107,10 +107,10 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut set = settings();
-        (set.zone_routers, set.routers, set.rough_sizes) = (1, 1, false);
-        (set.cold_edge, set.cold_parent) = (RULE, RULE);
+        (set.zone_routers, set.routers, set.approximate_weights) = (1, 1, false);
+        (set.edge_slow_start, set.parent_slow_start) = (RULE, RULE);
         let mut driver = Driver::at(1_000.0, set.clone(), seed, Self::list(None));
-        driver.router.expect_written();
+        driver.router.report_writes();
         let mut world = Self {
             driver,
             set,
@@ -139,9 +139,9 @@
         world
     }
 
-    fn list(started: Option<Ms>) -> Vec<ServerEntry> {
-        let mut all: Vec<ServerEntry> =
-            fleet().into_iter().map(|e| ServerEntry { weight: SIZE, ..e }).collect();
+    fn list(started: Option<Ms>) -> Vec<Endpoint> {
+        let mut all: Vec<Endpoint> =
+            fleet().into_iter().map(|e| Endpoint { weight: SIZE, ..e }).collect();
         all.iter_mut().filter(|e| e.id == id(NAME)).for_each(|e| e.started = started);
         all
     }
@@ -180,18 +180,18 @@
             Step::Copies(of_ten) => self.copies_of_ten = *of_ten,
             Step::Pause(span) => self.paused = self.paused.max(now + span),
             Step::Late(span) => {
-                self.end_all(End::Broken);
+                self.end_all(AttemptResult::ConnectionLost);
                 self.connected = now + span;
             }
             Step::Crash { down, told_after } => {
                 self.up = false;
-                self.end_all(End::Broken);
+                self.end_all(AttemptResult::ConnectionLost);
                 self.at(now + down, Due::Start);
                 self.at(now + down + told_after, Due::Told(now + down));
             }
             Step::List(kind) => {
                 let started = [Some(self.listed), None, Some(self.listed - 3_000.0)][*kind as usize % 3];
-                self.tell(Event::Servers(ListMode::Whole, Self::list(started.filter(|at| *at > 0.0))));
+                self.tell(Event::Endpoints(EndpointUpdate::Complete, Self::list(started.filter(|at| *at > 0.0))));
             }
             Step::Restart => {
                 self.life += 1;
@@ -199,7 +199,7 @@
                 self.on_wire.clear();
                 let list = Self::list(Some(self.listed).filter(|at| *at > 0.0));
                 self.driver = Driver::at(now, self.set.clone(), self.life, list);
-                self.driver.router.expect_written();
+                self.driver.router.report_writes();
             }
             Step::Wait(span) => self.run(now + span),
         }
@@ -227,12 +227,12 @@
     fn act(&mut self, acts: Vec<Action>) {
         for act in acts {
             match act {
-                Action::Fetch(fetch) => self.begin(fetch),
-                Action::Cancel(request, number) => {
+                Action::StartAttempt(fetch) => self.begin(fetch),
+                Action::CancelAttempt(request, number) => {
                     let request = request.0[1..].parse().expect("a number");
                     let found = self.out.keys().find(|a| (a.request, a.number) == (request, number.0));
                     if let Some(attempt) = found.cloned() {
-                        self.over(attempt, End::Cancelled, Note::Untold, false);
+                        self.over(attempt, AttemptResult::Cancelled, FillReport::NotReported, false);
                     }
                 }
                 _ => {}
@@ -240,7 +240,7 @@
         }
     }
 
-    fn begin(&mut self, fetch: Fetch) {
+    fn begin(&mut self, fetch: AttemptSpec) {
         let request = fetch.request.0[1..].parse().expect("a number");
         let number = self.attempts.entry(request).or_default();
         let attempt = Attempt { life: self.life, request, number: *number, server: fetch.server };
@@ -252,25 +252,25 @@
         self.at(now + fetch.timeout, Due::TimeOut(attempt));
     }
 
-    fn end_all(&mut self, end: End) {
+    fn end_all(&mut self, end: AttemptResult) {
         let here: Vec<Attempt> = self.out.keys().filter(|a| a.server == id(NAME)).cloned().collect();
-        here.into_iter().for_each(|attempt| self.over(attempt, end, Note::Untold, false));
+        here.into_iter().for_each(|attempt| self.over(attempt, end, FillReport::NotReported, false));
     }
 
-    fn over(&mut self, attempt: Attempt, end: End, note: Note, whole: bool) {
+    fn over(&mut self, attempt: Attempt, end: AttemptResult, note: FillReport, whole: bool) {
         let Some(began) = self.out.remove(&attempt) else { return };
-        let end = if self.on_wire.remove(&attempt) { end } else { End::NotSent };
+        let end = if self.on_wire.remove(&attempt) { end } else { AttemptResult::NotSent };
         self.tell(Event::Outcome(Outcome {
             request: rid(attempt.request),
             attempt: AttemptNo(attempt.number),
             server: attempt.server,
-            end,
-            delay: self.driver.now - began,
-            last: end == End::Served,
-            note,
+            result: end,
+            latency: self.driver.now - began,
+            completes_request: end == AttemptResult::Served,
+            fill_report: note,
             source_wait: 0.0,
-            load: Load::default(),
-            whole,
+            load: LoadReport::default(),
+            body_complete: whole,
         }));
     }
 
@@ -285,10 +285,10 @@
             }
             Due::Written(attempt) if self.out.contains_key(&attempt) => {
                 if attempt.server == id(NAME) && !self.up {
-                    return self.over(attempt, End::NoConnection, Note::Untold, false);
+                    return self.over(attempt, AttemptResult::NoConnection, FillReport::NotReported, false);
                 }
                 self.on_wire.insert(attempt.clone());
-                self.tell(Event::Written(rid(attempt.request), AttemptNo(attempt.number)));
+                self.tell(Event::RequestWritten(rid(attempt.request), AttemptNo(attempt.number)));
                 self.at(now, Due::Arrive(attempt));
             }
             Due::Arrive(attempt) => {
@@ -312,9 +312,9 @@
                 }
                 let began = self.out.get(&attempt).copied().unwrap_or(now);
                 let whole = now - began > 2.0 * CURRENT;
-                self.over(attempt, End::Served, Note::Hit, whole);
+                self.over(attempt, AttemptResult::Served, FillReport::Hit, whole);
             }
-            Due::TimeOut(attempt) => self.over(attempt, End::Late, Note::Untold, false),
+            Due::TimeOut(attempt) => self.over(attempt, AttemptResult::TimedOut, FillReport::NotReported, false),
             Due::Start => {
                 self.up = true;
                 (self.started, self.told) = (now, None);
@@ -325,7 +325,7 @@
                     self.told = Some(now);
                 }
                 self.listed = self.listed.max(started);
-                self.tell(Event::Servers(ListMode::Whole, Self::list(Some(started))));
+                self.tell(Event::Endpoints(EndpointUpdate::Complete, Self::list(Some(started))));
             }
             Due::Written(_) => {}
         }
