--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -74,16 +74,24 @@
             ["o:1", "hub", "origin", 0, "removed", 1, 0]
         ]
     ]);
-    let Ok(Some(Event::Endpoints(EndpointUpdate::Complete, entries))) = read(list) else { panic!("a list") };
+    let Ok(Some(Event::Endpoints(EndpointUpdate::Complete, entries))) = read(list) else {
+        panic!("a list")
+    };
     assert_eq!((entries[0].id.clone(), entries[0].role, entries[0].cell), (cache(), Role::Edge, 2));
     assert_eq!(
         (entries[1].role, entries[1].state, entries[1].started),
         (Role::Parent, EndpointState::Draining, Some(6100.0))
     );
-    assert_eq!((entries[2].role, entries[2].state, entries[2].started), (Role::Origin, EndpointState::Removed, None));
+    assert_eq!(
+        (entries[2].role, entries[2].state, entries[2].started),
+        (Role::Origin, EndpointState::Removed, None)
+    );
     let patch = read(json!(["TARGETS", 3, 42, "patch", []]));
     assert_eq!(patch, Ok(Some(Event::Endpoints(EndpointUpdate::Delta, vec![]))));
-    assert_eq!(read(json!(["TARGETS", 3, 42, "broken"])), Ok(Some(Event::Endpoints(EndpointUpdate::Failed, vec![]))));
+    assert_eq!(
+        read(json!(["TARGETS", 3, 42, "broken"])),
+        Ok(Some(Event::Endpoints(EndpointUpdate::Failed, vec![])))
+    );
     let query = read(json!(["QUERY", 3, R, null, 640, 5, 240.0, 11, 4569004829183723u64, 3, "big"]));
     let expected = Request {
         id: rid(),
@@ -101,7 +109,10 @@
         panic!("a request of an unknown class")
     };
     assert_eq!((r.class, r.size_kb, r.object), (None, 0.0, ObjectId(0)));
-    assert_eq!(read(json!(["FLOWING", 3, R, 1, C, 9.25])), Ok(Some(Event::ResponseStarted(rid(), AttemptNo(1)))));
+    assert_eq!(
+        read(json!(["FLOWING", 3, R, 1, C, 9.25])),
+        Ok(Some(Event::ResponseStarted(rid(), AttemptNo(1))))
+    );
     let done = json!(["FINISHED", 3, R, 2, C, "GOOD", 18.5, true, 2, 9.4, {"busy": 0.62, "rif": 7, "x0": 0.4, "x1": 2}]);
     let expected = Outcome {
         request: rid(),
@@ -156,7 +167,10 @@
     let written = action(3, Action::StartAttempt(fetch(true, false, true)));
     assert_eq!(written, json!(["DELIVER_VIA", 3, R, C, 900.0, "p:1", 3, 1500.0, 9]));
     let plain = AttemptSpec { max_age: None, rank: Rank::Low, ..fetch(false, true, false) };
-    assert_eq!(action(3, Action::StartAttempt(plain)), json!(["DELIVER_VIA", 3, R, C, 900.0, "p:1", 1, 0.0, 2]));
+    assert_eq!(
+        action(3, Action::StartAttempt(plain)),
+        json!(["DELIVER_VIA", 3, R, C, 900.0, "p:1", 1, 0.0, 2])
+    );
     assert_eq!(action(3, Action::CancelAttempt(rid(), AttemptNo(4))), json!(["DROP_ATTEMPT", 3, R, 4]));
     assert_eq!(action(3, Action::Reject(rid(), 250.0)), json!(["PUSH_BACK", 3, R, 250.0]));
     assert_eq!(action(3, Action::Fail(rid())), json!(["ERROR", 3, R]));
--- a/crates/config/src/learnt.rs
+++ b/crates/config/src/learnt.rs
@@ -7,7 +7,7 @@
 use crate::value::BadInput;
 use basaltgw::api::{GroupId, Ms, ObjectId, ServerId};
 use basaltgw::hash::address;
-use basaltgw::rules::carry::{Snapshot, ServerSnapshot};
+use basaltgw::rules::carry::{ServerSnapshot, Snapshot};
 use garde::Validate;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -85,7 +85,12 @@
     };
     Ok(Snapshot {
         servers: file.servers.unwrap_or_default().into_iter().map(server).collect(),
-        sending_times: file.sending.unwrap_or_default().into_iter().map(|s| (s.class, s.ms, s.answers)).collect(),
+        sending_times: file
+            .sending
+            .unwrap_or_default()
+            .into_iter()
+            .map(|s| (s.class, s.ms, s.answers))
+            .collect(),
         purges: file
             .purges
             .unwrap_or_default()
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -3,7 +3,7 @@
 use crate::typed::{bounded, dashed, plain, typed, Amount, Whole};
 use crate::value::BadInput;
 use crate::{settings, Names};
-use basaltgw::api::{GroupId, EndpointState, Ms, ObjectId, Endpoint, ServerId, Settings};
+use basaltgw::api::{Endpoint, EndpointState, GroupId, Ms, ObjectId, ServerId, Settings};
 use garde::Validate;
 use serde::Deserialize;
 use serde_json::Value;
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::{fleet, Fleet, FleetFile};
 use crate::yaml::{schema, BadFile, Document};
-use basaltgw::api::{ServerId, SourceShare, FillPlan};
+use basaltgw::api::{FillPlan, ServerId, SourceShare};
 use basaltgw_hierarchy::{Cold, NodeId, NodeSpec, PlanSpec, Settings, Table, Tier, Version};
 use jsonschema::Validator;
 use serde::Deserialize;
@@ -235,7 +235,8 @@
         assert!(Arc::ptr_eq(a, b));
         assert_eq!(a[0], SourceShare { id: ServerId("h".into()), weight: 2.0, share: 0.5 });
         assert!(
-            plain.origin_allowed.contains(&ServerId("a".into())) && !plain.origin_allowed.contains(&ServerId("b".into()))
+            plain.origin_allowed.contains(&ServerId("a".into()))
+                && !plain.origin_allowed.contains(&ServerId("b".into()))
         );
     }
 }
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! What a router is told: defaults, checks, and messages that name the key.
 
-use basaltgw::api::{GroupId, EndpointState, ObjectId, Role};
+use basaltgw::api::{EndpointState, GroupId, ObjectId, Role};
 use basaltgw_config::{parse, read, Environment, Limits, News, Seq};
 use serde_json::{json, Value};
 
--- a/crates/config/tests/nonsense.rs
+++ b/crates/config/tests/nonsense.rs
@@ -99,7 +99,14 @@
         router.handle(now, event, &mut acts);
     }
     // Every note and end in turn, with time in between.
-    let ends = [AttemptResult::Served, AttemptResult::TimedOut, AttemptResult::Rejected, AttemptResult::Error, AttemptResult::CacheMiss, AttemptResult::NoConnection];
+    let ends = [
+        AttemptResult::Served,
+        AttemptResult::TimedOut,
+        AttemptResult::Rejected,
+        AttemptResult::Error,
+        AttemptResult::CacheMiss,
+        AttemptResult::NoConnection,
+    ];
     let notes = [
         FillReport::NotReported,
         FillReport::Hit,
@@ -151,7 +158,9 @@
     }
     for act in &acts {
         let fits = match act {
-            Action::StartAttempt(f) => f.timeout > 0.0 && f.timeout <= 4000.0 && f.max_age.is_none_or(|a| a > 0.0),
+            Action::StartAttempt(f) => {
+                f.timeout > 0.0 && f.timeout <= 4000.0 && f.max_age.is_none_or(|a| a > 0.0)
+            }
             Action::Reject(_, ms) => *ms >= 0.0 && *ms <= c.settings.max_retry_after,
             Action::Timer(ms, _) => *ms > 0.0 && ms.is_finite(),
             Action::CancelAttempt(..) | Action::Fail(_) | Action::WatchEndpoints | Action::Log(_) => true,
@@ -161,8 +170,9 @@
         }
     }
     let learnt = router.snapshot();
-    let finite =
-        |s: &basaltgw::rules::carry::ServerSnapshot| s.weight_penalty_log.is_finite() && s.latency_ratio_log.is_none_or(f64::is_finite);
+    let finite = |s: &basaltgw::rules::carry::ServerSnapshot| {
+        s.weight_penalty_log.is_finite() && s.latency_ratio_log.is_none_or(f64::is_finite)
+    };
     let sending = learnt.sending_times.iter().all(|(_, ms, _)| ms.is_finite());
     match learnt.servers.iter().find(|s| !finite(s)) {
         Some(s) => Err(format!("{s:?}")),
--- a/crates/control/src/control/commit.rs
+++ b/crates/control/src/control/commit.rs
@@ -2,7 +2,7 @@
 //!
 //! Several commits may be out at once, for a disk takes its time: each knows what rests on it.
 
-use super::{Control, Purge, Purges, Record, Step};
+use super::{Control, DiskWrite, Purge, Purges, Step};
 use crate::api::Action;
 use crate::purges::MOST_PURGES;
 use basaltgw_registers as holds;
@@ -11,18 +11,18 @@
 use std::collections::BTreeSet;
 
 /// Where holds are on the disk.
-pub const HOLDS: Space = Space(1);
+pub const REGISTERS_SPACE: Space = Space(1);
 /// Where purges are.
-pub const PURGES: Space = Space(2);
+pub const PURGES_SPACE: Space = Space(2);
 /// Where the table's register is as it was last adopted, under the empty key.
-pub const ADOPTED: Space = Space(3);
+pub const TABLE_SPACE: Space = Space(3);
 
 /// The purges of [`PURGES`], as they were found on the disk; `None` if one can't be read.
-pub fn read_purges(records: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>) -> Option<Purges> {
+pub fn decode_purges(records: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>) -> Option<Purges> {
     let mut purges = Purges::default();
     for (key, time) in records {
         let (group, object) = postcard::from_bytes(&key).ok()?;
-        purges.heard(Purge { group, object, time: u64::from_be_bytes(time.try_into().ok()?) });
+        purges.observe(Purge { group, object, time: u64::from_be_bytes(time.try_into().ok()?) });
     }
     Some(purges)
 }
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// If it can't be read.
-pub fn read_adopted(bytes: &[u8]) -> Result<(u64, Vec<u8>), postcard::Error> {
+pub fn decode_table_register(bytes: &[u8]) -> Result<(u64, Vec<u8>), postcard::Error> {
     postcard::from_bytes(bytes)
 }
 
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Commit {
     /// Batches of holds, by the holds' numbers.
-    pub batches: Vec<(u64, Vec<Record>)>,
+    pub batches: Vec<(u64, Vec<DiskWrite>)>,
     /// Purges newly heard.
     pub kept: Vec<Purge>,
     /// Purges that have settled.
@@ -84,11 +84,11 @@
     pub(super) fn writes(&mut self) -> Vec<Write> {
         let mut writes = Vec::new();
         let adopted = self.adopted.as_ref().and_then(|a| postcard::to_stdvec(a).ok());
-        writes.extend(adopted.map(|a| Write::Put(ADOPTED, Vec::new(), a)));
+        writes.extend(adopted.map(|a| Write::Put(TABLE_SPACE, Vec::new(), a)));
         for (_, records) in &mut self.batches {
             writes.extend(records.drain(..).map(|record| match record {
-                Record::Put(key, value) => Write::Put(HOLDS, key, value),
-                Record::Remove(key) => Write::Remove(HOLDS, key),
+                DiskWrite::Put(key, value) => Write::Put(REGISTERS_SPACE, key, value),
+                DiskWrite::Remove(key) => Write::Remove(REGISTERS_SPACE, key),
             }));
         }
         // What settled and was heard again since is kept.
@@ -96,10 +96,10 @@
             self.gone.remove(&(p.group, p.object));
         });
         let gone = self.gone.iter().filter_map(|key| postcard::to_stdvec(key).ok());
-        writes.extend(gone.map(|key| Write::Remove(PURGES, key)));
+        writes.extend(gone.map(|key| Write::Remove(PURGES_SPACE, key)));
         for purge in &self.kept {
             if let Ok(key) = postcard::to_stdvec(&(purge.group, purge.object)) {
-                writes.push(Write::Put(PURGES, key, purge.time.to_be_bytes().to_vec()));
+                writes.push(Write::Put(PURGES_SPACE, key, purge.time.to_be_bytes().to_vec()));
             }
         }
         writes
@@ -120,7 +120,7 @@
         });
         self.commits_ever += 1;
         self.open.insert(self.commits_ever, commit);
-        self.out.push(Action::Store(self.commits_ever, writes));
+        self.out.push(Action::Commit(self.commits_ever, writes));
     }
 
     /// A commit is on the disk, or is not: says what rests on it.
@@ -131,7 +131,7 @@
             false => self.counts.commits_failed += 1,
         }
         let Commit { batches, kept: _, gone, adopted, after, purges_since: _ } = commit;
-        batches.into_iter().for_each(|(batch, _)| self.ask_holds(now, holds::Event::Stored(batch, ok)));
+        batches.into_iter().for_each(|(batch, _)| self.ask_holds(now, holds::Event::BatchStored(batch, ok)));
         if !ok {
             self.forget_later(gone);
         }
@@ -160,7 +160,7 @@
 
     /// Nor the removal of settled purges: it is tried again with the next look.
     fn forget_later(&mut self, gone: BTreeSet<(u64, Option<u64>)>) {
-        let again = |key: &(u64, Option<u64>)| !self.parts.purges.knows(*key);
+        let again = |key: &(u64, Option<u64>)| !self.parts.purges.contains(*key);
         self.unforgotten.extend(gone.into_iter().filter(again));
         while self.unforgotten.len() > MOST_PURGES {
             self.unforgotten.pop_last();
--- a/crates/control/src/control/mod.rs
+++ b/crates/control/src/control/mod.rs
@@ -12,18 +12,18 @@
 mod spread;
 mod standing;
 
-use crate::api::{Action, Event, Question, Told};
+use crate::api::{Action, ControlNotification, ControlRequest, Event};
 use crate::counts::Counts;
 use crate::purges::{Purge, Purges};
-use crate::table::{Step, TableKeeper};
+use crate::table::{Step, TableManager};
 use basaltgw_membership as roster;
-use basaltgw_membership::Roster;
+use basaltgw_membership::Membership;
 use basaltgw_overlay as overlay;
 use basaltgw_registers as holds;
-use basaltgw_registers::{AskNo, Change, HoldKey, Holds, Record};
+use basaltgw_registers::{Change, DiskWrite, RecordKey, Registers, RequestNumber};
 use basaltgw_types::{Member, Ms, RouterId};
 use commit::Commit;
-pub use commit::{read_adopted, read_purges, ADOPTED, HOLDS, PURGES};
+pub use commit::{decode_purges, decode_table_register, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE};
 use spread::Spread;
 pub use spread::{OverlayParts, OverlayTimes};
 use standing::Standing;
@@ -33,7 +33,7 @@
 use std::sync::Arc;
 
 /// Purges and tables are looked over this often.
-pub const TIDY_MS: Ms = 250.0;
+pub const MAINTENANCE_INTERVAL_MS: Ms = 250.0;
 
 /// A change that nobody waits for is asked again after so long.
 const AGAIN_MS: Ms = 250.0;
@@ -58,11 +58,11 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Asker {
     /// The owner, under its own number.
-    Owner(AskNo),
+    Owner(RequestNumber),
     /// The owner, to take on an effect.
-    Taker(AskNo, HoldKey),
+    Taker(RequestNumber, RecordKey),
     /// The owner, to put down how an effect ended: with the change, which goes on being asked for.
-    Ender(AskNo, Change),
+    Ender(RequestNumber, Change),
     /// Nobody waits.
     Nobody,
     /// Nobody waits; an effect is put in doubt.
@@ -74,32 +74,32 @@
 }
 
 /// What a router's control part is made of.
-pub struct Parts {
+pub struct ControlParts {
     /// This router.
     pub me: Member,
     /// Its folder is of an earlier life of the process.
-    pub old: bool,
+    pub has_previous_data: bool,
     /// What is held.
-    pub holds: Holds,
+    pub registers: Registers,
     /// Who is there.
-    pub roster: Roster,
+    pub membership: Membership,
     /// Who keeps what.
-    pub table: TableKeeper,
+    pub table: TableManager,
     /// Purges that an earlier life has heard.
     pub purges: Purges,
     /// Time after which a purge has settled.
-    pub settles: Ms,
+    pub purge_convergence_time: Ms,
     /// At the end what is being put down is waited for so long.
-    pub ends: Ms,
+    pub shutdown_timeout: Ms,
     /// Names of the classes whose policies the owner is told, if it takes gathers.
-    pub gathers: Option<Vec<Arc<str>>>,
+    pub scatter_gather_classes: Option<Vec<Arc<str>>>,
     /// By which words for all travel; without it every router tells all others.
     pub overlay: Option<OverlayParts>,
 }
 
 /// The control part of a router; see the package.
 pub struct Control {
-    parts: Parts,
+    parts: ControlParts,
     start: Start,
     /// How words for all travel, with an overlay.
     spread: Option<Spread>,
@@ -107,12 +107,12 @@
     standing: Option<Standing>,
     timers: BinaryHeap<Reverse<(u64, u64, Due)>>,
     timers_ever: u64,
-    asked: BTreeMap<AskNo, Asker>,
+    asked: BTreeMap<RequestNumber, Asker>,
     asks: u64,
     /// Effects that this process has out: in which turn, and by which question of the owner's.
-    mine: BTreeMap<HoldKey, (u32, AskNo)>,
+    mine: BTreeMap<RecordKey, (u32, RequestNumber)>,
     /// Effects that are being put in doubt.
-    doubts: BTreeSet<HoldKey>,
+    doubts: BTreeSet<RecordKey>,
     pursuits: BTreeMap<u64, Pursuit>,
     pursuits_ever: u64,
     /// What goes into the next commit.
@@ -137,7 +137,7 @@
 
 /// A change that nobody waits for and that is asked again until it stands or can't.
 struct Pursuit {
-    key: HoldKey,
+    key: RecordKey,
     /// `None`: give back what was taken under the key and not told to the owner, once it is known in which turn.
     change: Option<Change>,
     /// When it is given up: the hold's own end is past by then.
@@ -159,8 +159,8 @@
 
 impl Control {
     /// The state before the first event; what an earlier life has kept is told.
-    pub fn new(now: Ms, mut parts: Parts, out: &mut Vec<Action>) -> Self {
-        let start = Start { at: now, old: parts.old, ..Start::default() };
+    pub fn new(now: Ms, mut parts: ControlParts, out: &mut Vec<Action>) -> Self {
+        let start = Start { at: now, old: parts.has_previous_data, ..Start::default() };
         let overlay = parts.overlay.take();
         let mut control = Self {
             start,
@@ -188,10 +188,10 @@
             parts,
         };
         let known: Vec<Purge> = control.parts.purges.all().collect();
-        known.into_iter().for_each(|p| control.tell(Told::Purge(p)));
+        known.into_iter().for_each(|p| control.tell(ControlNotification::Purge(p)));
         if let Some(map) = control.parts.table.map() {
             (control.counts.table_version, control.counts.table_epoch) = (map.version.0, map.epoch);
-            control.ask_holds(now, holds::Event::Map(map));
+            control.ask_holds(now, holds::Event::ShardMap(map));
         }
         control.policies();
         if let Some(overlay) = overlay {
@@ -206,34 +206,34 @@
     pub fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) {
         self.standing_at(now);
         match event {
-            Event::Up(hello) => self.up(now, &hello),
-            Event::Down(member, why) => self.down(now, &member, why),
-            Event::Unreached(router) => self.unreached(now, &router),
-            Event::Got { from, lane, body } => self.got(now, from, lane, body),
-            Event::Unsent(no) => {
+            Event::LinkUp(hello) => self.up(now, &hello),
+            Event::LinkDown(member, why) => self.down(now, &member, why),
+            Event::DialFailed(router) => self.unreached(now, &router),
+            Event::MessageReceived { from, lane, body } => self.got(now, from, lane, body),
+            Event::SendFailed(no) => {
                 self.counts.unsent += 1;
                 if no > 0 {
-                    self.ask_holds(now, holds::Event::Unsent(no));
+                    self.ask_holds(now, holds::Event::SendFailed(no));
                 }
             }
-            Event::Asked(question) => self.question(now, question),
-            Event::Due => self.all_due(now),
-            Event::Settle => self.settle(now),
-            Event::Stored(no, ok) => self.stored(now, no, ok),
+            Event::Request(question) => self.question(now, question),
+            Event::TimersDue => self.all_due(now),
+            Event::Flush => self.settle(now),
+            Event::CommitFinished(no, ok) => self.stored(now, no, ok),
         }
         self.standing_settled(now);
         out.append(&mut self.out);
     }
 
     /// When a timer or the next look over purges and table comes due: [`Event::Due`] is wanted then, and not before.
-    pub fn due(&self) -> Ms {
-        let look = (self.tidied + TIDY_MS).min(self.spread_due()).min(self.standing_due());
+    pub fn next_timer(&self) -> Ms {
+        let look = (self.tidied + MAINTENANCE_INTERVAL_MS).min(self.spread_due()).min(self.standing_due());
         // Half a microsecond later, so that what is due then is due by the microsecond too.
         self.timers.peek().map_or(look, |Reverse((at, ..))| look.min((*at as f64 + 0.5) / 1000.0))
     }
 
     /// The end was asked for, and nothing that can be waited for is left: what was said last may still be written.
-    pub fn over(&self, now: Ms) -> bool {
+    pub fn is_finished(&self, now: Ms) -> bool {
         let waits = |asker: &Asker| match asker {
             Asker::Taker(..) | Asker::Ender(..) | Asker::Nobody | Asker::Pursuit(_) => true,
             Asker::Owner(_) | Asker::Doubt | Asker::Table => false,
@@ -243,7 +243,7 @@
     }
 
     /// Changes that are not put down yet.
-    pub fn left(&self) -> usize {
+    pub fn pending_changes(&self) -> usize {
         self.pursuits.len()
     }
 
@@ -253,7 +253,7 @@
     }
 
     /// Brings the counts up to date.
-    pub fn sum_up(&mut self) {
+    pub fn refresh_counts(&mut self) {
         self.counts.peers_up = self.reached.len() as u64;
         self.counts.holds = self.hold_words();
         self.counts.overlay = self.overlay_words() + &self.standing_words();
@@ -265,23 +265,23 @@
     }
 
     /// What is held.
-    pub fn holds(&self) -> &Holds {
-        &self.parts.holds
+    pub fn registers(&self) -> &Registers {
+        &self.parts.registers
     }
 
     /// Who is there.
-    pub fn roster(&self) -> &Roster {
-        &self.parts.roster
+    pub fn membership(&self) -> &Membership {
+        &self.parts.membership
     }
 
     /// Who keeps what.
-    pub fn table(&self) -> &TableKeeper {
+    pub fn table(&self) -> &TableManager {
         &self.parts.table
     }
 
     /// Entries of each growing piece of state, by name: what a scale run adds up.
     pub fn state_sizes(&self) -> [(&'static str, usize); 9] {
-        let (holds, hold_bytes) = self.parts.holds.size();
+        let (holds, hold_bytes) = self.parts.registers.size();
         [
             ("holds", holds),
             ("hold_bytes", hold_bytes),
@@ -307,41 +307,47 @@
                 Due::Pursuit(no) => self.pursue(now, no),
             }
         }
-        if now >= self.tidied + TIDY_MS {
+        if now >= self.tidied + MAINTENANCE_INTERVAL_MS {
             self.tidied = now;
             self.tidy(now);
         }
-        self.spread(now, overlay::Event::Due);
+        self.spread(now, overlay::Event::TimersDue);
     }
 
-    fn question(&mut self, now: Ms, question: Question) {
+    fn question(&mut self, now: Ms, question: ControlRequest) {
         match question {
-            Question::Ask { no, key, change, within } => {
+            ControlRequest::ChangeRecord { number: no, key, change, timeout: within } => {
                 let asker = match &change {
-                    Change::Take(_) => Asker::Taker(no, key),
-                    Change::Done(..) => Asker::Ender(no, change.clone()),
-                    Change::Back(..) | Change::Doubt(_) | Change::Purge { .. } => Asker::Owner(no),
-                    Change::Name { .. } | Change::Use | Change::Owe { .. } => Asker::Owner(no),
-                    Change::SetTable { .. } | Change::Look | Change::End => Asker::Owner(no),
+                    Change::Acquire(_) => Asker::Taker(no, key),
+                    Change::Complete(..) => Asker::Ender(no, change.clone()),
+                    Change::Release(..) | Change::MarkOutcomeUnknown(_) | Change::Purge { .. } => {
+                        Asker::Owner(no)
+                    }
+                    Change::IssueTicket { .. } | Change::UseTicket | Change::SetContinuation { .. } => {
+                        Asker::Owner(no)
+                    }
+                    Change::SetTable { .. } | Change::Read | Change::Expire => Asker::Owner(no),
                 };
                 self.ask(now, asker, (key, change), within)
             }
-            Question::Pursue(key, change) => self.begin(now, key, Some(change)),
-            Question::Purge(purge) => {
-                if self.parts.purges.heard(purge) {
+            ControlRequest::ChangeInBackground(key, change) => self.begin(now, key, Some(change)),
+            ControlRequest::Purge(purge) => {
+                if self.parts.purges.observe(purge) {
                     self.next.keep(now, purge);
                     self.say_purge(now, purge);
                 }
             }
-            Question::Rules(name, text) => self.parts.table.rules(name, text),
-            Question::Heard(evidence) => self.ask_roster(now, roster::Event::Heard(evidence)),
-            Question::End(unheard) => {
-                self.ending = Some(now + self.parts.ends);
-                let heard = |no: &AskNo| unheard.binary_search(no).is_err();
+            ControlRequest::Rules(name, text) => self.parts.table.rules(name, text),
+            ControlRequest::ReportEvidence(evidence) => {
+                self.ask_roster(now, roster::Event::LocalEvidence(evidence))
+            }
+            ControlRequest::Shutdown(unheard) => {
+                self.ending = Some(now + self.parts.shutdown_timeout);
+                let heard = |no: &RequestNumber| unheard.binary_search(no).is_err();
                 let back: Vec<_> = self.mine.iter().filter(|(_, (_, no))| !heard(no)).collect();
                 let back: Vec<_> = back.into_iter().map(|(key, (turn, _))| (*key, *turn)).collect();
                 for (key, turn) in back {
-                    self.begin(now, key, Some(Change::Back(self.parts.me.clone(), turn)));
+                    self.begin(now, key, Some(Change::Release(self.parts.me.clone(), turn)));
                 }
             }
         }
--- a/crates/control/src/control/spread.rs
+++ b/crates/control/src/control/spread.rs
@@ -5,11 +5,11 @@
 
 use super::standing::{Standing, StandingLinks};
 use super::{Asker, Control};
-use crate::api::Told;
+use crate::api::ControlNotification;
 use crate::purges::Purge;
-use crate::words::{Word, MOST_SPREAD};
+use crate::words::{Message, MOST_SPREAD};
 use basaltgw_overlay as overlay;
-use basaltgw_overlay::{Action, Event, Kind, List, Overlay, Side};
+use basaltgw_overlay::{Action, Event, Kind, Overlay, RouterList, Side};
 use basaltgw_types::{Member, Ms, RouterId};
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt::Write as _;
@@ -40,7 +40,7 @@
 /// An overlay, and the list by which it goes.
 pub struct OverlayParts {
     overlay: Overlay,
-    list: Arc<List>,
+    list: Arc<RouterList>,
     batch: Ms,
     standing: Option<StandingLinks>,
 }
@@ -63,7 +63,12 @@
     ///
     /// # Errors
     /// If a time or bound can't be.
-    pub fn new(me: RouterId, list: List, times: OverlayTimes, drawn: u64) -> Result<Self, overlay::Bad> {
+    pub fn new(
+        me: RouterId,
+        list: RouterList,
+        times: OverlayTimes,
+        drawn: u64,
+    ) -> Result<Self, overlay::OverlayError> {
         Self::with_links(me, list, times, None, drawn)
     }
 
@@ -73,11 +78,11 @@
     /// If a time or bound can't be.
     pub fn with_links(
         me: RouterId,
-        list: List,
+        list: RouterList,
         times: OverlayTimes,
         standing: Option<StandingLinks>,
         drawn: u64,
-    ) -> Result<Self, overlay::Bad> {
+    ) -> Result<Self, overlay::OverlayError> {
         let (backoff_ms, most_backoff_ms) = match standing {
             Some(_) => (DIAL_BACKOFF_MS, MOST_DIAL_BACKOFF_MS),
             None => (BACKOFF_MS, MOST_BACKOFF_MS),
@@ -156,21 +161,21 @@
         }
         let (others, dials) = (list.len().saturating_sub(1), BTreeSet::new());
         self.spread = Some(Spread { overlay, others, batch, dials, missed: false });
-        self.spread(now, Event::List(list));
+        self.spread(now, Event::RouterListChanged(list));
         for purge in self.parts.purges.all().collect::<Vec<_>>() {
-            self.spread(now, Event::Known(Kind::Purge, purge.word()));
+            self.spread(now, Event::AlreadyKnown(Kind::Purge, purge.to_update()));
         }
     }
 
     /// Says a purge that the change log told here.
     pub(super) fn say_purge(&mut self, now: Ms, purge: Purge) {
         if self.spread.is_some() {
-            return self.spread(now, Event::Known(Kind::Purge, purge.word()));
+            return self.spread(now, Event::AlreadyKnown(Kind::Purge, purge.to_update()));
         }
-        let (key, change) = purge.change();
-        self.ask(now, Asker::Nobody, (key, change), self.parts.settles);
+        let (key, change) = purge.record_change();
+        self.ask(now, Asker::Nobody, (key, change), self.parts.purge_convergence_time);
         // Every router heeds it as soon as it hears of it; keepers hold it besides.
-        self.say_all(&Word::Purges { some: vec![purge], last: false });
+        self.say_all(&Message::PurgeSync { purges: vec![purge], last: false });
     }
 
     /// Lets the overlay decide, and does what it wants. Each dial that comes to nothing leaves a router alone for a while: it ends.
@@ -183,29 +188,29 @@
             for act in acts {
                 match act {
                     Action::Dial(router) => events.extend(self.dial(router)),
-                    Action::Close(member) => self.say_linked(&member, &Word::Neighbour { open: false }),
-                    Action::Send(member, _, frame) => self.say_linked(&member, &Word::Spread(frame)),
-                    Action::New(Kind::Purge, word, _) => match Purge::of_word(&word) {
+                    Action::Close(member) => self.say_linked(&member, &Message::OverlayLink { open: false }),
+                    Action::Send(member, _, frame) => self.say_linked(&member, &Message::OverlayFrame(frame)),
+                    Action::Deliver(Kind::Purge, word, _) => match Purge::from_update(&word) {
                         Some(purge) => self.purge_heard(now, purge),
                         None => self.counts.unreadable += 1,
                     },
                     // No such words are said yet.
-                    Action::New(Kind::Table | Kind::Evidence | Kind::Filling, ..) => {
+                    Action::Deliver(Kind::Table | Kind::Evidence | Kind::Background, ..) => {
                         self.counts.unreadable += 1
                     }
-                    Action::Missed { kind: Kind::Purge, origin, from, to } => {
+                    Action::GapDetected { kind: Kind::Purge, origin, from, to } => {
                         log::warn!("purges {from} to {to} of {origin:?} were missed");
                         self.spread.iter_mut().for_each(|s| s.missed = true);
                     }
-                    Action::Missed { kind: Kind::Table | Kind::Evidence | Kind::Filling, .. } => {}
-                    Action::Report(text) => log::info!("overlay: {text}"),
+                    Action::GapDetected { kind: Kind::Table | Kind::Evidence | Kind::Background, .. } => {}
+                    Action::Log(text) => log::info!("overlay: {text}"),
                 }
             }
         }
         let missed = self.spread.as_mut().is_some_and(|s| std::mem::take(&mut s.missed));
         // At a start neighbours tell all that has not settled, or everything counts as purged anyway.
         if missed && self.start.done {
-            self.tell(Told::PurgesMissed);
+            self.tell(ControlNotification::PurgesMissed);
         }
     }
 
@@ -213,22 +218,22 @@
     fn dial(&mut self, router: RouterId) -> Option<Event> {
         let Some(member) = self.reached.get(&router).cloned() else {
             if self.start.done && self.standing.is_none() {
-                return Some(Event::Refused(router));
+                return Some(Event::DialFailed(router));
             }
             self.spread.iter_mut().for_each(|s| {
                 s.dials.insert(router.clone());
             });
             return None;
         };
-        self.say_linked(&member, &Word::Neighbour { open: true });
+        self.say_linked(&member, &Message::OverlayLink { open: true });
         self.ask_neighbour(&member);
-        Some(Event::Up(member, Side::We))
+        Some(Event::LinkUp(member, Side::Local))
     }
 
     /// A start asks its neighbours alone for the purges that they know.
     fn ask_neighbour(&mut self, member: &Member) {
         if !self.start.done {
-            self.say(member, &Word::PurgesWanted);
+            self.say(member, &Message::PurgeSyncRequest);
         }
     }
 
@@ -245,7 +250,7 @@
     /// A link is down, and with it its use.
     pub(super) fn neighbour_lost(&mut self, now: Ms, member: &Member) {
         if self.spread.as_ref().is_some_and(|s| s.has(member)) {
-            self.spread(now, Event::Down(member.clone()));
+            self.spread(now, Event::LinkDown(member.clone()));
         }
     }
 
@@ -255,7 +260,7 @@
             self.counts.unreadable += 1;
         } else if open {
             self.ask_neighbour(from);
-            self.spread(now, Event::Up(from.clone(), Side::They));
+            self.spread(now, Event::LinkUp(from.clone(), Side::Remote));
         } else {
             self.neighbour_lost(now, from);
         }
@@ -264,7 +269,7 @@
     /// A frame; who is no neighbour is counted by the overlay.
     pub(super) fn frame(&mut self, now: Ms, from: &Member, frame: Vec<u8>) {
         match self.spread.is_some() {
-            true => self.spread(now, Event::Got(from.clone(), frame)),
+            true => self.spread(now, Event::FrameReceived(from.clone(), frame)),
             false => self.counts.unreadable += 1,
         }
     }
@@ -275,14 +280,14 @@
             return;
         }
         let dials = self.spread.as_mut().map(|s| std::mem::take(&mut s.dials)).unwrap_or_default();
-        dials.into_iter().for_each(|router| self.spread(now, Event::Refused(router)));
+        dials.into_iter().for_each(|router| self.spread(now, Event::DialFailed(router)));
     }
 
     /// When the overlay, or what waits to be put on the disk, wants to be looked at.
     pub(super) fn spread_due(&self) -> Ms {
         let Some(spread) = &self.spread else { return Ms::INFINITY };
         let kept = self.next.only_purges_since().map_or(Ms::INFINITY, |since| since + spread.batch);
-        spread.overlay.due().min(kept)
+        spread.overlay.next_timer().min(kept)
     }
 
     /// Purges alone wait for others before they go to the disk, but not at the end.
--- a/crates/control/src/control/standing.rs
+++ b/crates/control/src/control/standing.rs
@@ -6,10 +6,10 @@
 
 use super::Control;
 use crate::api::Action;
-use crate::words::Word;
+use crate::words::Message;
 use basaltgw_overlay as overlay;
 use basaltgw_registers as holds;
-use basaltgw_types::link::{Hello, Lane, Why};
+use basaltgw_types::link::{Hello, Lane, LinkError};
 use basaltgw_types::{Member, Ms, RouterId, TableHash, TableVersion};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write as _;
@@ -201,18 +201,18 @@
             }
             standing.touch(&to.router);
         }
-        self.out.push(Action::Send { no, to, lane, body });
+        self.out.push(Action::Send { number: no, to, lane, body });
     }
 
     /// Says something to a member over a link that there is: without one it is about nothing any more.
-    pub(super) fn say_linked(&mut self, to: &Member, word: &Word) {
+    pub(super) fn say_linked(&mut self, to: &Member, word: &Message) {
         if self.standing.is_none() || self.reached.get(&to.router) == Some(to) {
-            self.out.push(Action::Send { no: 0, to: to.clone(), lane: Lane::Table, body: word.bytes() });
+            self.out.push(Action::Send { number: 0, to: to.clone(), lane: Lane::Table, body: word.encode() });
         }
     }
 
     /// Says something to all that are linked, and to all routers of the table.
-    pub(super) fn say_members(&mut self, word: &Word) {
+    pub(super) fn say_members(&mut self, word: &Message) {
         let mut all: BTreeSet<Member> = self.reached.values().cloned().collect();
         if self.standing.is_some() {
             all.extend(self.parts.table.members().filter(|m| !self.reached.contains_key(&m.router)));
@@ -222,7 +222,7 @@
     }
 
     /// Says something to all that are linked, and to a router of the table.
-    pub(super) fn say_near(&mut self, word: &Word, and: Option<&RouterId>) {
+    pub(super) fn say_near(&mut self, word: &Message, and: Option<&RouterId>) {
         self.say_all(word);
         let and = and.filter(|r| !self.reached.contains_key(*r) && **r != self.parts.me.router);
         let member = and.and_then(|r| self.parts.table.members().find(|m| m.router == *r));
@@ -234,8 +234,8 @@
         let Some(standing) = &mut self.standing else { return false };
         standing.touch(&from.router);
         // Who is merely not linked must not be held to be down: rosters of routers with standing links say nothing.
-        standing.counters.unheard += u64::from(lane == Lane::Roster);
-        lane == Lane::Roster
+        standing.counters.unheard += u64::from(lane == Lane::Membership);
+        lane == Lane::Membership
     }
 
     /// A link is up, or said to be up still: what waited for it goes. True if nothing else is new.
@@ -254,7 +254,7 @@
         for word in standing.take(router) {
             let Waiting { no, to, lane, body, .. } = word;
             match to == *member {
-                true => self.out.push(Action::Send { no, to, lane, body }),
+                true => self.out.push(Action::Send { number: no, to, lane, body }),
                 false => standing.give_back(no, Back::Replaced),
             }
         }
@@ -272,16 +272,22 @@
     }
 
     /// A link is down. True if it was only closed for being idle: nothing is known of the router then.
-    pub(super) fn standing_down(&mut self, member: &Member, why: Why) -> bool {
+    pub(super) fn standing_down(&mut self, member: &Member, why: LinkError) -> bool {
         let Some(standing) = &mut self.standing else { return false };
         if self.reached.get(&member.router) == Some(member) {
             standing.resting.remove(&member.router);
             standing.tables.remove(&member.router);
         }
         match why {
-            Why::Idle => true,
-            Why::NoLink | Why::Full | Why::Broken | Why::Silent => false,
-            Why::Garbled | Why::Flooded | Why::Stranger | Why::Replaced => false,
+            LinkError::Idle => true,
+            LinkError::NotConnected
+            | LinkError::QueueFull
+            | LinkError::ConnectionLost
+            | LinkError::PeerTimeout => false,
+            LinkError::MalformedFrame
+            | LinkError::RateExceeded
+            | LinkError::PeerMismatch
+            | LinkError::Replaced => false,
         }
     }
 
@@ -295,7 +301,7 @@
         self.lost.entry(router.clone()).or_insert(now);
         if named && standing.gone.len() < MOST_GONE && standing.gone.insert(router.clone()) {
             let keepers = self.keepers_of(router);
-            keepers.into_iter().for_each(|m| self.ask_holds(now, holds::Event::Reached(m, false)));
+            keepers.into_iter().for_each(|m| self.ask_holds(now, holds::Event::PeerReachable(m, false)));
             self.parts.table.unreached(now, router);
         } else if self.parts.table.watched().contains(router) {
             self.parts.table.unreached(now, router);
@@ -317,7 +323,7 @@
         }
         self.standing_lost(now, router);
         if self.spread.as_mut().is_some_and(|s| s.dial_over(router)) {
-            self.spread(now, overlay::Event::Refused(router.clone()));
+            self.spread(now, overlay::Event::DialFailed(router.clone()));
         }
     }
 
@@ -335,19 +341,19 @@
         while let Some(no) = self.standing.as_mut().and_then(|s| s.back.pop_front()) {
             self.counts.unsent += 1;
             if no > 0 {
-                self.ask_holds(now, holds::Event::Unsent(no));
+                self.ask_holds(now, holds::Event::SendFailed(no));
             }
         }
         let wants = self.wants(now);
         let Some(standing) = &mut self.standing else { return };
         for router in wants.difference(&standing.wanted) {
-            self.out.push(Action::Want(router.clone(), true));
+            self.out.push(Action::SetLinkWanted(router.clone(), true));
         }
         // What is not dialled on may be back without being heard of.
         self.lost.retain(|router, _| wants.contains(router));
         self.parts.table.keep_lost(&wants);
         for router in standing.wanted.difference(&wants) {
-            self.out.push(Action::Want(router.clone(), false));
+            self.out.push(Action::SetLinkWanted(router.clone(), false));
             if self.reached.contains_key(router) {
                 standing.resting.insert(router.clone());
             }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -14,12 +14,12 @@
 pub mod table;
 pub mod words;
 
-pub use api::{Action, Event, Question, Told};
+pub use api::{Action, ControlNotification, ControlRequest, Event};
 pub use control::{
-    read_adopted, read_purges, Control, OverlayParts, OverlayTimes, Parts, StandingLinks, ADOPTED, HOLDS,
-    PURGES, TIDY_MS,
+    decode_purges, decode_table_register, Control, ControlParts, OverlayParts, OverlayTimes, StandingLinks,
+    MAINTENANCE_INTERVAL_MS, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE,
 };
 pub use counts::Counts;
 pub use gathers::Policies;
 pub use purges::{Purge, Purges};
-pub use table::{Founder, Given, TableKeeper};
+pub use table::{BootstrapMember, TableManager, TableManagerConfig};
--- a/crates/control/src/purges.rs
+++ b/crates/control/src/purges.rs
@@ -1,6 +1,6 @@
 //! Purges that some router has heard and that have not settled: what a router that starts anew has to heed, also where discovery is down.
 
-use basaltgw_registers::{Change, Hold, HoldKey, Kind};
+use basaltgw_registers::{Change, Kind, Record, RecordKey};
 use basaltgw_types::Ms;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -21,14 +21,14 @@
 
 impl Purge {
     /// As a hold and its change; alike at every router.
-    pub fn change(&self) -> (HoldKey, Change) {
+    pub fn record_change(&self) -> (RecordKey, Change) {
         let object = self.object.map_or(0, |o| o ^ 0x9e37_79b9_7f4a_7c15);
         let low = object.wrapping_mul(0x2545_f491_4f6c_dd1d)
             ^ self.group
             ^ (u64::from(self.object.is_some()) << 63);
         let name = u128::from(self.time) << 64 | u128::from(low);
         let (group, object, time) = (self.group, self.object, self.time);
-        (HoldKey { kind: Kind::Purge, name }, Change::Purge { group, object, time })
+        (RecordKey { kind: Kind::Purge, name }, Change::Purge { group, object, time })
     }
 
     /// Whether it has settled: caches have no older copy any more, so many milliseconds after it at this Unix time.
@@ -38,26 +38,30 @@
 
     /// As a word for all, the same bytes at every router. The time is first, for one word's time is much like that of the one before, and
     /// what is alike at the start isn't sent again.
-    pub fn word(&self) -> Vec<u8> {
+    pub fn to_update(&self) -> Vec<u8> {
         let rest = postcard::to_stdvec(&(self.group, self.object)).unwrap_or_default();
         [&self.time.to_be_bytes()[..], &rest].concat()
     }
 
     /// The purge of such a word; `None` if it is none, or has bytes left over.
-    pub fn of_word(word: &[u8]) -> Option<Self> {
+    pub fn from_update(word: &[u8]) -> Option<Self> {
         let (time, rest) = word.split_first_chunk()?;
         let ((group, object), left) = postcard::take_from_bytes(rest).ok()?;
         left.is_empty().then_some(Self { group, object, time: u64::from_be_bytes(*time) })
     }
 
     /// The purge that a hold keeps.
-    pub fn of(hold: &Hold) -> Option<Self> {
+    pub fn from_record(hold: &Record) -> Option<Self> {
         match hold {
-            Hold::Purged { group, object, time } => {
+            Record::Purged { group, object, time } => {
                 Some(Self { group: *group, object: *object, time: *time })
             }
-            Hold::Out { .. } | Hold::Free { .. } | Hold::Done(_) | Hold::Doubt | Hold::Ticket { .. } => None,
-            Hold::Debt { .. } | Hold::Table { .. } | Hold::Ended => None,
+            Record::Leased { .. }
+            | Record::Released { .. }
+            | Record::Completed(_)
+            | Record::OutcomeUnknown
+            | Record::Ticket { .. } => None,
+            Record::Continuation { .. } | Record::Table { .. } | Record::Tombstone => None,
         }
     }
 }
@@ -70,7 +74,7 @@
 
 impl Purges {
     /// True if it was not known yet.
-    pub fn heard(&mut self, purge: Purge) -> bool {
+    pub fn observe(&mut self, purge: Purge) -> bool {
         let key = (purge.group, purge.object);
         let new = self.latest.get(&key).is_none_or(|t| *t < purge.time);
         if new {
@@ -107,7 +111,7 @@
     }
 
     /// True if one of that group and object is known.
-    pub fn knows(&self, key: (u64, Option<u64>)) -> bool {
+    pub fn contains(&self, key: (u64, Option<u64>)) -> bool {
         self.latest.contains_key(&key)
     }
 
--- a/crates/control/src/table/mod.rs
+++ b/crates/control/src/table/mod.rs
@@ -4,10 +4,10 @@
 mod offers;
 mod ring;
 
-use crate::words::Word;
+use crate::words::Message;
 use basaltgw_membership::Presence;
 use basaltgw_placement::{compile, Action, Adoption, Ended, Event, Inventory, Register, RouterEntry, Table};
-use basaltgw_registers::{Change, Hold, HoldKey, Kind, Verdict};
+use basaltgw_registers::{Change, Kind, Record, RecordKey, Response};
 use basaltgw_types::link::Hello;
 use basaltgw_types::{Domain, Member, Ms, RouterId, ShardMap, TableHash, TableVersion};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 /// The register of the table.
-pub const TABLE: HoldKey = HoldKey { kind: Kind::Table, name: 0 };
+pub const TABLE: RecordKey = RecordKey { kind: Kind::Table, name: 0 };
 /// Time for a change of the register; it is tried again by whoever still wants it.
 const CHANGE_MS: Ms = 1_000.0;
 /// Founders ask in turn, by name: the next one so much later, if no table stands by then. Founders that ask at once take the votes from each
@@ -36,13 +36,13 @@
     /// Go by this map while the fleet is being founded.
     Found(Arc<ShardMap>),
     /// Ask for a change of the register.
-    Ask(HoldKey, Change, Ms),
+    Ask(RecordKey, Change, Ms),
     /// Say something to all that are reached, and with standing links to all routers of the table.
-    SayAll(Word),
+    SayAll(Message),
     /// Say something to those that are linked, and to that router; only with standing links.
-    SayNear(Word, Option<RouterId>),
+    SayNear(Message, Option<RouterId>),
     /// Say it to oneself, as the others hear it.
-    Own(Word),
+    Own(Message),
     /// Counted: a table was adopted.
     Adopted,
     /// One was taken back.
@@ -55,7 +55,7 @@
 
 /// A router of the fleet as the configuration lists it.
 #[derive(Clone, Debug)]
-pub struct Founder {
+pub struct BootstrapMember {
     /// Where it listens for peers.
     pub address: SocketAddr,
     /// Where it stands.
@@ -63,11 +63,11 @@
 }
 
 /// What the configuration says.
-pub struct Given {
+pub struct TableManagerConfig {
     /// This router.
     pub me: Member,
     /// All that are listed, this router with them.
-    pub founders: BTreeMap<RouterId, Founder>,
+    pub founders: BTreeMap<RouterId, BootstrapMember>,
     /// Holds that each has room for.
     pub capacity: u64,
     /// Rules, by file name and text.
@@ -77,8 +77,8 @@
 }
 
 /// See the module.
-pub struct TableKeeper {
-    given: Given,
+pub struct TableManager {
+    given: TableManagerConfig,
     adoption: Adoption,
     /// Those that are met, with the life of their folder.
     met: BTreeMap<RouterId, Member>,
@@ -110,12 +110,12 @@
     again: Ms,
 }
 
-impl TableKeeper {
+impl TableManager {
     /// With what an earlier life of the process has kept.
     ///
     /// # Errors
     /// If that can't be read.
-    pub fn new(given: Given, kept: Option<(u64, Vec<u8>)>) -> Result<Self, String> {
+    pub fn new(given: TableManagerConfig, kept: Option<(u64, Vec<u8>)>) -> Result<Self, String> {
         let mut keeper = Self {
             adoption: Adoption::new(given.me.clone()),
             met: BTreeMap::from([(given.me.router.clone(), given.me.clone())]),
@@ -278,7 +278,11 @@
                     steps.push(if founding { Step::Found(map) } else { Step::Map(map) });
                 }
                 Action::Say { turn, filled } => {
-                    let word = if filled { Word::Filled { turn } } else { Word::Checked { turn } };
+                    let word = if filled {
+                        Message::ReplicaSynced { term: turn }
+                    } else {
+                        Message::TableDurable { term: turn }
+                    };
                     steps.extend([self.evidence(word.clone()), Step::Own(word)]);
                 }
                 // The holds fill what a map newly gives them, and say so under its epoch.
@@ -331,7 +335,7 @@
             None => steps.push(Step::Adopted),
         }
         // Who is a step behind learns of it without asking.
-        let word = Word::TableIs { serial, body: body.to_vec() };
+        let word = Message::TableState { serial, body: body.to_vec() };
         steps.push(if here || !self.standing { Step::SayAll(word) } else { Step::SayNear(word, None) });
         steps
     }
@@ -342,13 +346,15 @@
     }
 
     /// The answer to the last change of the register that was asked for.
-    pub fn answered(&mut self, now: Ms, verdict: Verdict) -> Vec<Step> {
+    pub fn answered(&mut self, now: Ms, verdict: Response) -> Vec<Step> {
         self.asking = false;
         match verdict {
-            Verdict::Kept(Hold::Table { serial, body })
-            | Verdict::Stands(Some(Hold::Table { serial, body })) => self.adopted(now, serial, &body, true),
-            Verdict::Kept(_) | Verdict::Stands(_) => Vec::new(),
-            Verdict::Unkept { why, .. } => {
+            Response::Committed(Record::Table { serial, body })
+            | Response::Conflict(Some(Record::Table { serial, body })) => {
+                self.adopted(now, serial, &body, true)
+            }
+            Response::Committed(_) | Response::Conflict(_) => Vec::new(),
+            Response::Unavailable { reason: why, .. } => {
                 log::debug!("the table's register is not changed: {why:?}");
                 Vec::new()
             }
--- a/crates/control/src/table/offers.rs
+++ b/crates/control/src/table/offers.rs
@@ -1,7 +1,7 @@
 //! When a table is due, and what becomes of one that does not come on.
 
-use super::{Step, TableKeeper};
-use crate::words::Word;
+use super::{Step, TableManager};
+use crate::words::Message;
 use basaltgw_placement::{moves, Event, Offer, OfferNo, Refused, Register, Stage, Table};
 use basaltgw_types::{Member, Ms};
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 const OFFER_MS: Ms = 1_500.0;
 /// A table that is on its way in and has not come on for so long is taken back: one whom it needs is lost.
 const STUCK_MS: Ms = 6_000.0;
-impl TableKeeper {
+impl TableManager {
     /// New rules: compiled and offered with the next tick.
     pub fn rules(&mut self, name: String, text: String) {
         self.given.rules = vec![(name, text)];
@@ -57,8 +57,8 @@
             let (checked, filled) = self.adoption.heard();
             let me = &self.given.me;
             let word = match (checked.contains(me), filled.contains(me)) {
-                (_, true) => Some(Word::Filled { turn }),
-                (true, false) => Some(Word::Checked { turn }),
+                (_, true) => Some(Message::ReplicaSynced { term: turn }),
+                (true, false) => Some(Message::TableDurable { term: turn }),
                 (false, false) => None,
             };
             let stuck = now >= self.changed + STUCK_MS;
--- a/crates/control/src/table/ring.rs
+++ b/crates/control/src/table/ring.rs
@@ -1,8 +1,8 @@
 //! Who watches whom where not all routers are linked: each the next two of the list, in the order of names, round to the first again. Of
 //! routers that are not reached, the nearest before them that is speaks for all.
 
-use super::{Step, TableKeeper};
-use crate::words::Word;
+use super::{Step, TableManager};
+use crate::words::Message;
 use basaltgw_placement::Register;
 use basaltgw_types::{Member, Ms, RouterId};
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 /// And no more than so many in all.
 const MOST_WATCHED: usize = 64;
 
-impl TableKeeper {
+impl TableManager {
     /// From now on routers are linked only as they are needed.
     pub fn keep_standing_links(&mut self) {
         self.standing = true;
@@ -88,7 +88,7 @@
     }
 
     /// How what this router has on its disk is said: to whoever brings the table in, and to all once that has taken too long.
-    pub(super) fn evidence(&self, word: Word) -> Step {
+    pub(super) fn evidence(&self, word: Message) -> Step {
         let next = self.adoption.register().and_then(Register::next);
         match next.filter(|_| self.standing) {
             Some(next) => Step::SayNear(word, Some(next.by.clone())),
--- a/crates/control/tests/control/bytes.rs
+++ b/crates/control/tests/control/bytes.rs
@@ -1,14 +1,14 @@
 //! Whatever comes from outside: it costs a count, never a panic, and nothing is founded on it.
 
 use crate::net::{hello, member, overlay, parts, Disk, Net};
-use basaltgw_control::words::Word;
-use basaltgw_control::{Control, Event, Parts, Purge, Question};
-use basaltgw_types::link::{Lane, Why};
+use basaltgw_control::words::Message;
+use basaltgw_control::{Control, ControlParts, ControlRequest, Event, Purge};
+use basaltgw_types::link::{Lane, LinkError};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 fn lane() -> impl Strategy<Value = Lane> {
-    prop_oneof![Just(Lane::Roster), Just(Lane::Holds), Just(Lane::Table), Just(Lane::Gather)]
+    prop_oneof![Just(Lane::Membership), Just(Lane::Registers), Just(Lane::Table), Just(Lane::ScatterGather)]
 }
 
 /// Bytes of all kinds: any, words with any content, and cut ones.
@@ -18,16 +18,16 @@
     let word = (0..8, small, any_bytes.clone(), 0..200usize).prop_map(|(kind, n, body, cut)| {
         let purge = Purge { group: n, object: Some(n), time: n };
         let word = match kind {
-            0 => Word::PurgesWanted,
-            1 => Word::Purges { some: vec![purge; 3], last: n % 2 == 0 },
-            2 => Word::TableWanted,
-            3 => Word::TableIs { serial: n, body },
-            4 => Word::Checked { turn: n },
-            5 => Word::Neighbour { open: n % 2 == 0 },
-            6 => Word::Spread(body),
-            _ => Word::Filled { turn: n },
+            0 => Message::PurgeSyncRequest,
+            1 => Message::PurgeSync { purges: vec![purge; 3], last: n % 2 == 0 },
+            2 => Message::TableRequest,
+            3 => Message::TableState { serial: n, body },
+            4 => Message::TableDurable { term: n },
+            5 => Message::OverlayLink { open: n % 2 == 0 },
+            6 => Message::OverlayFrame(body),
+            _ => Message::ReplicaSynced { term: n },
         };
-        let mut bytes = word.bytes();
+        let mut bytes = word.encode();
         bytes.truncate(cut);
         bytes
     });
@@ -37,20 +37,20 @@
 fn event() -> impl Strategy<Value = Event> {
     let from = 0..5usize;
     let got = (from.clone(), lane(), body());
-    let got = got.prop_map(|(n, lane, body)| Event::Got { from: member(n), lane, body });
-    let purge = |n: u64| Event::Asked(Question::Purge(Purge { group: n, object: None, time: n }));
+    let got = got.prop_map(|(n, lane, body)| Event::MessageReceived { from: member(n), lane, body });
+    let purge = |n: u64| Event::Request(ControlRequest::Purge(Purge { group: n, object: None, time: n }));
     prop_oneof![
         8 => got,
-        1 => from.clone().prop_map(|n| Event::Up(hello(n))),
-        1 => from.clone().prop_map(|n| Event::Down(member(n), Why::Garbled)),
-        1 => from.clone().prop_map(|n| Event::Down(member(n), Why::Idle)),
-        1 => from.prop_map(|n| Event::Unreached(member(n).router)),
-        1 => any::<u64>().prop_map(Event::Unsent),
-        1 => (0..40u64, any::<bool>()).prop_map(|(no, ok)| Event::Stored(no, ok)),
+        1 => from.clone().prop_map(|n| Event::LinkUp(hello(n))),
+        1 => from.clone().prop_map(|n| Event::LinkDown(member(n), LinkError::MalformedFrame)),
+        1 => from.clone().prop_map(|n| Event::LinkDown(member(n), LinkError::Idle)),
+        1 => from.prop_map(|n| Event::DialFailed(member(n).router)),
+        1 => any::<u64>().prop_map(Event::SendFailed),
+        1 => (0..40u64, any::<bool>()).prop_map(|(no, ok)| Event::CommitFinished(no, ok)),
         1 => any::<u64>().prop_map(purge),
-        1 => Just(()).prop_map(|()| Event::Asked(Question::Rules("r".into(), "holds {".into()))),
-        2 => Just(()).prop_map(|()| Event::Due),
-        2 => Just(()).prop_map(|()| Event::Settle),
+        1 => Just(()).prop_map(|()| Event::Request(ControlRequest::Rules("r".into(), "holds {".into()))),
+        2 => Just(()).prop_map(|()| Event::TimersDue),
+        2 => Just(()).prop_map(|()| Event::Flush),
     ]
 }
 
@@ -65,13 +65,13 @@
     ) {
         let mut out = Vec::new();
         let mut now = 0.0;
-        let parts = Parts { overlay: overlay(0, 3, regions, 10_000.0, standing, 1), ..parts(0, 3, &BTreeMap::new()) };
+        let parts = ControlParts { overlay: overlay(0, 3, regions, 10_000.0, standing, 1), ..parts(0, 3, &BTreeMap::new()) };
         let mut control = Control::new(now, parts, &mut out);
         for (event, wait) in events {
             now += f64::from(wait);
             out.clear();
             control.handle(now, event, &mut out);
-            prop_assert!(control.due() > f64::NEG_INFINITY);
+            prop_assert!(control.next_timer() > f64::NEG_INFINITY);
         }
     }
 
@@ -80,7 +80,7 @@
         let mut net = Net::founded(Disk::Takes(0.0));
         let table = net.nodes[1].hello.table;
         for (lane, body) in all {
-            net.event(1, Event::Got { from: member(0), lane, body });
+            net.event(1, Event::MessageReceived { from: member(0), lane, body });
             net.step();
         }
         net.pass(1_000.0);
@@ -92,9 +92,9 @@
 fn what_is_on_no_lane_of_this_part_is_counted() {
     let mut net = Net::founded(Disk::Takes(0.0));
     for (lane, body) in
-        [(Lane::Gather, Vec::new()), (Lane::Table, vec![255; 9]), (Lane::Roster, vec![255; 9])]
+        [(Lane::ScatterGather, Vec::new()), (Lane::Table, vec![255; 9]), (Lane::Membership, vec![255; 9])]
     {
-        net.event(0, Event::Got { from: member(1), lane, body });
+        net.event(0, Event::MessageReceived { from: member(1), lane, body });
     }
     assert_eq!(net.nodes[0].control.counts().unreadable, 3);
 }
--- a/crates/control/tests/control/counts.rs
+++ b/crates/control/tests/control/counts.rs
@@ -11,7 +11,7 @@
                 tables_refused=0 members_replaced=0 ";
     assert_eq!(Counts::default().to_string(), text);
     let mut net = Net::founded(Disk::Takes(0.0));
-    net.nodes[0].control.sum_up();
+    net.nodes[0].control.refresh_counts();
     let text = net.nodes[0].control.counts().to_string();
     let names: Vec<&str> = text.split(' ').filter_map(|w| w.split('=').next()).collect();
     let last = ["holds_rounds", "holds_rounds_short", "holds_messages", "holds_batches", "holds_records"];
--- a/crates/control/tests/control/founding.rs
+++ b/crates/control/tests/control/founding.rs
@@ -1,7 +1,7 @@
 //! A fleet is founded, learns another table, and goes on after a restart.
 
 use crate::net::{parts, Disk, Net};
-use basaltgw_control::{Action, Control, Event, Question, Told};
+use basaltgw_control::{Action, Control, ControlNotification, ControlRequest, Event};
 use basaltgw_types::Ms;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
         assert!(tables.iter().all(|t| *t == tables[0] && t.0 .0 > 0), "{tables:?}");
         for node in &net.nodes {
             assert!(node.control.table().is_member());
-            assert_eq!(node.control.roster().others().count(), 2);
+            assert_eq!(node.control.membership().peers().count(), 2);
             assert_eq!((node.control.counts().peers_up, node.control.counts().commits_failed), (2, 0));
         }
     }
@@ -30,7 +30,7 @@
     assert!(!net.nodes[2].open.is_empty() && net.nodes[2].tables.is_empty() && net.version(2) == 0);
     net.nodes[2].disk = Disk::Takes(1.0);
     net.until(10_000.0, |net| (0..3).all(|n| net.version(n) > 0));
-    assert!(net.nodes[2].kept.contains_key(&(basaltgw_control::ADOPTED.0, Vec::new())));
+    assert!(net.nodes[2].kept.contains_key(&(basaltgw_control::TABLE_SPACE.0, Vec::new())));
 }
 
 #[test]
@@ -48,10 +48,10 @@
 #[test]
 fn an_end_is_over_when_nothing_is_left_to_wait_for() {
     let mut net = Net::founded(Disk::Takes(1.0));
-    assert!(!net.nodes[0].control.over(net.now + 1e9));
-    net.event(0, Event::Asked(Question::End(Vec::new())));
-    net.until(1_500.0, |net| net.nodes[0].control.over(net.now));
-    assert_eq!(net.nodes[0].control.left(), 0);
+    assert!(!net.nodes[0].control.is_finished(net.now + 1e9));
+    net.event(0, Event::Request(ControlRequest::Shutdown(Vec::new())));
+    net.until(1_500.0, |net| net.nodes[0].control.is_finished(net.now));
+    assert_eq!(net.nodes[0].control.pending_changes(), 0);
 }
 
 proptest! {
@@ -63,15 +63,15 @@
         let mut out = Vec::new();
         let mut control = Control::new(start, parts(0, 2, &BTreeMap::new()), &mut out);
         let hello = crate::net::hello(1);
-        control.handle(start, Event::Up(hello), &mut out);
+        control.handle(start, Event::LinkUp(hello), &mut out);
         let mut now: Ms = start;
         for _ in 0..200 {
-            let due = control.due().max(now);
+            let due = control.next_timer().max(now);
             now = due;
             out.clear();
-            control.handle(now, Event::Due, &mut out);
-            prop_assert!(control.due() > now, "due again at once at {now}");
-            prop_assert!(out.iter().all(|a| !matches!(a, Action::Tell(Told::Table(..)))));
+            control.handle(now, Event::TimersDue, &mut out);
+            prop_assert!(control.next_timer() > now, "due again at once at {now}");
+            prop_assert!(out.iter().all(|a| !matches!(a, Action::Notify(ControlNotification::Table(..)))));
         }
     }
 }
--- a/crates/control/tests/control/net/mod.rs
+++ b/crates/control/tests/control/net/mod.rs
@@ -1,10 +1,10 @@
 //! Routers' control parts joined by queues, each with a disk that takes time; a step is a millisecond.
 
-use basaltgw_control::words::Word;
-use basaltgw_control::{Action, Control, Event, Parts, Question, Told};
-use basaltgw_registers::{AskNo, Change, HoldKey, Verdict};
+use basaltgw_control::words::Message;
+use basaltgw_control::{Action, Control, ControlNotification, ControlParts, ControlRequest, Event};
+use basaltgw_registers::{Change, RecordKey, RequestNumber, Response};
 use basaltgw_storage::Write;
-use basaltgw_types::link::{Hello, Lane, Why, PROTOCOL};
+use basaltgw_types::link::{Hello, Lane, LinkError, PROTOCOL_VERSION};
 use basaltgw_types::{Domain, Incarnation, Member, Ms, RouterId, TableHash, TableVersion};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -48,7 +48,7 @@
     pub open: VecDeque<(Ms, u64, Vec<Write>)>,
     /// The most that were out at once.
     pub most_open: usize,
-    pub told: Vec<Told>,
+    pub told: Vec<ControlNotification>,
     /// Tables by which the own hello went.
     pub tables: Vec<TableVersion>,
     /// Nothing that it sends is taken.
@@ -90,7 +90,7 @@
 
 pub fn hello(n: usize) -> Hello {
     let (table, cluster) = ((TableVersion(0), TableHash([0; 32])), text("test"));
-    Hello { protocol: PROTOCOL, cluster, member: member(n), domain: domain(n), table }
+    Hello { protocol: PROTOCOL_VERSION, cluster, member: member(n), domain: domain(n), table }
 }
 
 impl Net {
@@ -144,7 +144,7 @@
     pub fn other_rules(&mut self, n: usize) {
         let before = self.version(n);
         let rules = RULES.replace("machines", "branches");
-        self.event(n, Event::Asked(Question::Rules("new".into(), rules)));
+        self.event(n, Event::Request(ControlRequest::Rules("new".into(), rules)));
         self.until(20_000.0, |net| (0..net.nodes.len()).all(|n| net.version(n) > before));
         self.pass(2_000.0);
     }
@@ -154,8 +154,8 @@
         for other in 0..self.nodes.len() {
             if other != n {
                 let (mine, theirs) = (self.nodes[n].hello.clone(), self.nodes[other].hello.clone());
-                self.event(other, Event::Up(mine));
-                self.event(n, Event::Up(theirs));
+                self.event(other, Event::LinkUp(mine));
+                self.event(n, Event::LinkUp(theirs));
             }
         }
     }
@@ -163,8 +163,8 @@
     /// Nothing goes between two any more.
     pub fn sever(&mut self, a: usize, b: usize) {
         self.severed.extend([(a, b), (b, a)]);
-        self.event(a, Event::Down(member(b), Why::Broken));
-        self.event(b, Event::Down(member(a), Why::Broken));
+        self.event(a, Event::LinkDown(member(b), LinkError::ConnectionLost));
+        self.event(b, Event::LinkDown(member(a), LinkError::ConnectionLost));
         self.wire.retain(|(_, from, to, ..)| (*from, *to) != (a, b) && (*from, *to) != (b, a));
     }
 
@@ -174,14 +174,14 @@
         self.severed.remove(&(b, a));
         let hellos = [a, b].map(|n| self.nodes[n].hello.clone());
         let [of_a, of_b] = hellos;
-        self.event(b, Event::Up(of_a));
-        self.event(a, Event::Up(of_b));
+        self.event(b, Event::LinkUp(of_a));
+        self.event(a, Event::LinkUp(of_b));
     }
 
     pub fn cut(&mut self, n: usize) {
         for other in (0..self.nodes.len()).filter(|o| *o != n) {
-            self.event(other, Event::Down(member(n), Why::Broken));
-            self.event(n, Event::Down(member(other), Why::Broken));
+            self.event(other, Event::LinkDown(member(n), LinkError::ConnectionLost));
+            self.event(n, Event::LinkDown(member(other), LinkError::ConnectionLost));
         }
         self.wire.retain(|(_, from, to, ..)| *from != n && *to != n);
     }
@@ -210,11 +210,13 @@
     fn act(&mut self, n: usize, out: Vec<Action>) {
         for action in out {
             match action {
-                Action::Want(router, yes) => self.want(n, &router, yes),
-                Action::Send { no, to, lane, body } => {
+                Action::SetLinkWanted(router, yes) => self.want(n, &router, yes),
+                Action::Send { number: no, to, lane, body } => {
                     let to = self.nodes.iter().position(|x| x.hello.member == to);
-                    let of_overlay =
-                        matches!(Word::read(&body), Some(Word::Neighbour { .. } | Word::Spread(_)));
+                    let of_overlay = matches!(
+                        Message::decode(&body),
+                        Some(Message::OverlayLink { .. } | Message::OverlayFrame(_))
+                    );
                     self.spread += u64::from(lane == Lane::Table && of_overlay);
                     self.sent = (self.sent.0 + 1, self.sent.1 + body.len() as u64);
                     let goes = |to: &usize| {
@@ -227,7 +229,7 @@
                         None => self.nodes[n].refused.push(no),
                     }
                 }
-                Action::Table(version, hash) => {
+                Action::AdvertiseTable(version, hash) => {
                     let node = &mut self.nodes[n];
                     node.hello.table = (version, hash);
                     node.tables.push(version);
@@ -237,10 +239,10 @@
                     let others: Vec<usize> =
                         (0..self.nodes.len()).filter(|o| *o != n).filter(linked).collect();
                     for other in others {
-                        self.event(other, Event::Up(hello.clone()));
+                        self.event(other, Event::LinkUp(hello.clone()));
                     }
                 }
-                Action::Store(no, writes) => {
+                Action::Commit(no, writes) => {
                     let node = &mut self.nodes[n];
                     let after = match node.disk {
                         Disk::Takes(after) => after,
@@ -249,7 +251,7 @@
                     node.open.push_back((self.now + after, no, writes));
                     node.most_open = node.most_open.max(node.open.len());
                 }
-                Action::Tell(told) => self.nodes[n].told.push(told),
+                Action::Notify(told) => self.nodes[n].told.push(told),
             }
         }
     }
@@ -261,7 +263,7 @@
         while self.wire.front().is_some_and(|(at, ..)| *at <= self.now) {
             let Some((_, from, to, lane, body)) = self.wire.pop_front() else { break };
             let from = self.nodes[from].hello.member.clone();
-            self.event(to, Event::Got { from, lane, body });
+            self.event(to, Event::MessageReceived { from, lane, body });
         }
         for n in 0..self.nodes.len() {
             let due = self.nodes[n].open.iter().take_while(|(at, ..)| *at <= self.now).count();
@@ -270,13 +272,13 @@
                     self.answer(n, self.nodes[n].disk != Disk::Fails);
                 }
             }
-            if self.nodes[n].control.due() <= self.now {
-                self.event(n, Event::Due);
+            if self.nodes[n].control.next_timer() <= self.now {
+                self.event(n, Event::TimersDue);
             }
             for no in std::mem::take(&mut self.nodes[n].refused) {
-                self.event(n, Event::Unsent(no));
+                self.event(n, Event::SendFailed(no));
             }
-            self.event(n, Event::Settle);
+            self.event(n, Event::Flush);
         }
     }
 
@@ -286,7 +288,7 @@
         if ok {
             write(&mut self.nodes[n].kept, writes);
         }
-        self.event(n, Event::Stored(no, ok));
+        self.event(n, Event::CommitFinished(no, ok));
     }
 
     pub fn pass(&mut self, span: Ms) {
@@ -305,37 +307,43 @@
         }
     }
 
-    pub fn ask(&mut self, n: usize, key: HoldKey, change: Change, within: Ms) -> AskNo {
+    pub fn ask(&mut self, n: usize, key: RecordKey, change: Change, within: Ms) -> RequestNumber {
         self.asks += 1;
-        let no = AskNo(self.asks);
-        self.event(n, Event::Asked(Question::Ask { no, key, change, within }));
+        let no = RequestNumber(self.asks);
+        self.event(
+            n,
+            Event::Request(ControlRequest::ChangeRecord { number: no, key, change, timeout: within }),
+        );
         no
     }
 
-    pub fn verdict(&self, n: usize, no: AskNo) -> Option<&Verdict> {
+    pub fn verdict(&self, n: usize, no: RequestNumber) -> Option<&Response> {
         self.nodes[n].told.iter().find_map(|told| match told {
-            Told::Verdict(of, verdict) if *of == no => Some(verdict),
-            Told::Verdict(..)
-            | Told::Purge(_)
-            | Told::PurgesKnown(_)
-            | Told::PurgesMissed
-            | Told::Table(..) => None,
-            Told::Policies(_) | Told::Evidence(..) => None,
+            ControlNotification::Response(of, verdict) if *of == no => Some(verdict),
+            ControlNotification::Response(..)
+            | ControlNotification::Purge(_)
+            | ControlNotification::PurgesKnown(_)
+            | ControlNotification::PurgesMissed
+            | ControlNotification::Table(..) => None,
+            ControlNotification::Policies(_) | ControlNotification::Evidence(..) => None,
         })
     }
 
     /// The version of the table that the router's owner was told last; 0 if none.
     pub fn version(&self, n: usize) -> u64 {
         let tables = self.nodes[n].told.iter().rev().find_map(|told| match told {
-            Told::Table(version, _) => Some(version.0),
-            Told::Verdict(..) | Told::Purge(_) | Told::PurgesKnown(_) | Told::PurgesMissed => None,
-            Told::Policies(_) | Told::Evidence(..) => None,
+            ControlNotification::Table(version, _) => Some(version.0),
+            ControlNotification::Response(..)
+            | ControlNotification::Purge(_)
+            | ControlNotification::PurgesKnown(_)
+            | ControlNotification::PurgesMissed => None,
+            ControlNotification::Policies(_) | ControlNotification::Evidence(..) => None,
         });
         tables.unwrap_or(0)
     }
 
     pub fn asked_purges(&self, n: usize) -> bool {
-        self.nodes[n].told.iter().any(|told| matches!(told, Told::PurgesKnown(true)))
+        self.nodes[n].told.iter().any(|told| matches!(told, ControlNotification::PurgesKnown(true)))
     }
 
     fn state(&self) -> String {
@@ -351,16 +359,16 @@
     let settles = if net.regions > 0 { SETTLES_FAR } else { SETTLES };
     let standing = net.links.as_ref().is_some_and(|l| !l.mesh.contains(&n));
     let overlay = overlay(n, of, net.regions, net.keep, standing, drawn);
-    let parts = Parts { overlay, settles, ..parts(n, of, &kept) };
+    let parts = ControlParts { overlay, purge_convergence_time: settles, ..parts(n, of, &kept) };
     let control = Control::new(net.now, parts, &mut out);
     let mut hello = hello(n);
     hello.table = control.table().version().unwrap_or(hello.table);
     let (mut told, mut first) = (Vec::new(), Vec::new());
     for action in out {
         match action {
-            Action::Tell(one) => told.push(one),
-            Action::Want(..) => first.push(action),
-            Action::Send { .. } | Action::Table(..) | Action::Store(..) => {}
+            Action::Notify(one) => told.push(one),
+            Action::SetLinkWanted(..) => first.push(action),
+            Action::Send { .. } | Action::AdvertiseTable(..) | Action::Commit(..) => {}
         }
     }
     let (open, tables, refused) = (VecDeque::new(), Vec::new(), Vec::new());
--- a/crates/control/tests/control/net/standing.rs
+++ b/crates/control/tests/control/net/standing.rs
@@ -2,7 +2,7 @@
 
 use super::{Disk, Net, SETTLES_FAR};
 use basaltgw_control::{Event, StandingLinks};
-use basaltgw_types::link::Why;
+use basaltgw_types::link::LinkError;
 use basaltgw_types::{Ms, RouterId};
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::collections::{BTreeSet, VecDeque};
@@ -91,7 +91,7 @@
         links.wants.insert((n, to));
         if links.up.contains_key(&pair(n, to)) {
             let hello = self.nodes[to].hello.clone();
-            links.told.push_back((n, Event::Up(hello)));
+            links.told.push_back((n, Event::LinkUp(hello)));
         }
     }
 
@@ -123,7 +123,7 @@
             } else {
                 dials.insert((from, to), now + AGAIN);
                 let name = RouterId(super::text(&format!("r{to}")));
-                told.push_back((from, Event::Unreached(name)));
+                told.push_back((from, Event::DialFailed(name)));
             }
         }
         let idle = |(a, b): (usize, usize), by: usize, used: Ms| {
@@ -135,12 +135,12 @@
             up.remove(&(a, b));
             *closed += 1;
             let [of_a, of_b] = [a, b].map(|n| self.nodes[n].hello.member.clone());
-            told.push_back((a, Event::Down(of_b, Why::Idle)));
-            told.push_back((b, Event::Down(of_a, Why::Idle)));
+            told.push_back((a, Event::LinkDown(of_b, LinkError::Idle)));
+            told.push_back((b, Event::LinkDown(of_a, LinkError::Idle)));
         }
         for (a, b) in new {
             let [of_a, of_b] = [a, b].map(|n| self.nodes[n].hello.clone());
-            told.extend([(a, Event::Up(of_b)), (b, Event::Up(of_a))]);
+            told.extend([(a, Event::LinkUp(of_b)), (b, Event::LinkUp(of_a))]);
         }
         for (n, event) in told {
             self.event(n, event);
@@ -154,8 +154,8 @@
         self.wire.retain(|(_, from, to, ..)| !of(*from, *to));
         for (a, b) in gone {
             let [of_a, of_b] = [a, b].map(|n| self.nodes[n].hello.member.clone());
-            self.event(a, Event::Down(of_b, Why::Broken));
-            self.event(b, Event::Down(of_a, Why::Broken));
+            self.event(a, Event::LinkDown(of_b, LinkError::ConnectionLost));
+            self.event(b, Event::LinkDown(of_a, LinkError::ConnectionLost));
         }
     }
 
--- a/crates/control/tests/control/standing.rs
+++ b/crates/control/tests/control/standing.rs
@@ -1,35 +1,35 @@
 //! Standing links: each router keeps a few, others come when words need them, and nobody is held to be lost for not being linked.
 
 use crate::net::{member, Net, IDLE};
-use basaltgw_control::{Event, Purge, Question, Told};
-use basaltgw_registers::{AskNo, Change, Hold, HoldKey, Kind, Outcome, Verdict};
-use basaltgw_types::link::{Lane, Why};
+use basaltgw_control::{ControlNotification, ControlRequest, Event, Purge};
+use basaltgw_registers::{Change, Kind, Outcome, Record, RecordKey, RequestNumber, Response};
+use basaltgw_types::link::{Lane, LinkError};
 
 /// As in the tests of the overlay: time in which a purge reaches all of a fleet at rest.
 const REACHES: f64 = 8_000.0;
 /// Longer than a link takes to be closed after its last word.
 const RESTS: f64 = 4.0 * IDLE;
 
-fn key(name: u128) -> HoldKey {
-    HoldKey { kind: Kind::Effect, name }
+fn key(name: u128) -> RecordKey {
+    RecordKey { kind: Kind::Execution, name }
 }
 
 fn word(net: &mut Net, n: usize, name: &str) -> u64 {
-    net.nodes[n].control.sum_up();
+    net.nodes[n].control.refresh_counts();
     let text = net.nodes[n].control.counts().to_string();
     let found = text.split(' ').find_map(|w| w.strip_prefix(&format!("{name}=")).map(str::to_string));
     found.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
 }
 
-fn ends(net: &mut Net, n: usize, key: HoldKey, change: Change) -> Verdict {
+fn ends(net: &mut Net, n: usize, key: RecordKey, change: Change) -> Response {
     let no = net.ask(n, key, change, 400.0);
     net.until(1_000.0, |net| net.verdict(n, no).is_some());
     net.verdict(n, no).cloned().expect("a verdict")
 }
 
 fn takes(net: &mut Net, n: usize, name: u128) -> u32 {
-    match ends(net, n, key(name), Change::Take(member(n))) {
-        Verdict::Kept(Hold::Out { owner, turn }) if owner == member(n) => turn,
+    match ends(net, n, key(name), Change::Acquire(member(n))) {
+        Response::Committed(Record::Leased { owner, term: turn }) if owner == member(n) => turn,
         other => panic!("r{n}: {other:?}"),
     }
 }
@@ -64,11 +64,12 @@
 fn a_purge_reaches_all_once_over_the_links_that_stand() {
     let mut net = Net::standing(12, 3, &[]);
     let one = Purge { group: 7, object: Some(1), time: net.now as u64 };
-    net.event(11, Event::Asked(Question::Purge(one)));
+    net.event(11, Event::Request(ControlRequest::Purge(one)));
     net.until(REACHES, |net| (0..12).all(|n| knows(net, n, one)));
     net.pass(REACHES);
-    let times =
-        |n: usize| net.nodes[n].told.iter().filter(|t| matches!(t, Told::Purge(p) if *p == one)).count();
+    let times = |n: usize| {
+        net.nodes[n].told.iter().filter(|t| matches!(t, ControlNotification::Purge(p) if *p == one)).count()
+    };
     assert!((0..11).all(|n| times(n) == 1) && times(11) == 0);
 }
 
@@ -84,15 +85,15 @@
         let apart: Vec<usize> = (0..of).filter(|n| *n != owner && !net.links_of(owner).contains(n)).collect();
         for other in apart.into_iter().take(3) {
             for _ in 0..4 {
-                let found = ends(&mut net, other, key(name), Change::Take(member(other)));
-                assert!(matches!(found, Verdict::Stands(Some(Hold::Out { .. }))), "{found:?}");
+                let found = ends(&mut net, other, key(name), Change::Acquire(member(other)));
+                assert!(matches!(found, Response::Conflict(Some(Record::Leased { .. }))), "{found:?}");
                 net.pass(300.0);
             }
             net.pass(RESTS);
         }
-        let done = Change::Done(member(owner), turn, Outcome::Served(vec![1]));
+        let done = Change::Complete(member(owner), turn, Outcome::Served(vec![1]));
         let end = ends(&mut net, owner, key(name), done);
-        assert!(matches!(end, Verdict::Kept(Hold::Done(Outcome::Served(_)))), "{end:?}");
+        assert!(matches!(end, Response::Committed(Record::Completed(Outcome::Served(_)))), "{end:?}");
     }
 }
 
@@ -106,9 +107,9 @@
         net.kill(owner);
         let begun = net.now;
         loop {
-            match ends(&mut net, asker, key(5), Change::Take(member(asker))) {
-                Verdict::Stands(Some(Hold::Doubt)) => break,
-                Verdict::Stands(Some(Hold::Out { .. })) | Verdict::Unkept { .. } => {}
+            match ends(&mut net, asker, key(5), Change::Acquire(member(asker))) {
+                Response::Conflict(Some(Record::OutcomeUnknown)) => break,
+                Response::Conflict(Some(Record::Leased { .. })) | Response::Unavailable { .. } => {}
                 other => panic!("{other:?}"),
             }
             assert!(net.now < begun + 4_000.0, "not in doubt");
@@ -127,8 +128,8 @@
     let mut refused = 0;
     for name in 0..20u128 {
         let begun = net.now;
-        match ends(&mut net, 4, key(name), Change::Take(member(4))) {
-            Verdict::Unkept { stay_away, .. } => {
+        match ends(&mut net, 4, key(name), Change::Acquire(member(4))) {
+            Response::Unavailable { retry_after: stay_away, .. } => {
                 assert!(stay_away > 0.0 && net.now <= begun + 400.0);
                 refused += 1;
             }
@@ -141,7 +142,10 @@
     // By now it is known of each keeper.
     for name in 100..110u128 {
         let begun = net.now;
-        assert!(matches!(ends(&mut net, 4, key(name), Change::Take(member(4))), Verdict::Unkept { .. }));
+        assert!(matches!(
+            ends(&mut net, 4, key(name), Change::Acquire(member(4))),
+            Response::Unavailable { .. }
+        ));
         assert!(net.now <= begun + 2.0);
     }
     // The others go on.
@@ -217,14 +221,14 @@
     let mut net = Net::standing(of, 3, &[]);
     for n in 0..of {
         let turn = takes(&mut net, n, n as u128);
-        ends(&mut net, n, key(n as u128), Change::Done(member(n), turn, Outcome::Served(vec![n as u8])));
+        ends(&mut net, n, key(n as u128), Change::Complete(member(n), turn, Outcome::Served(vec![n as u8])));
     }
     (0..of).for_each(|n| net.kill(n));
     (0..of).for_each(|n| net.renew(n));
     net.pass(5_000.0);
     for n in 0..of {
-        let found = ends(&mut net, (n + 4) % of, key(n as u128), Change::Look);
-        assert_eq!(found, Verdict::Stands(Some(Hold::Done(Outcome::Served(vec![n as u8])))));
+        let found = ends(&mut net, (n + 4) % of, key(n as u128), Change::Read);
+        assert_eq!(found, Response::Conflict(Some(Record::Completed(Outcome::Served(vec![n as u8])))));
     }
 }
 
@@ -235,7 +239,7 @@
     assert!([0, 4].iter().all(|n| net.links_of(*n).len() == of - 1));
     assert!((0..of).any(|n| net.links_of(n).len() < of - 1));
     let one = Purge { group: 7, object: Some(1), time: net.now as u64 };
-    net.event(8, Event::Asked(Question::Purge(one)));
+    net.event(8, Event::Request(ControlRequest::Purge(one)));
     net.until(REACHES, |net| (0..of).all(|n| knows(net, n, one)));
     for name in 0..45u128 {
         takes(&mut net, name as usize % of, name);
@@ -257,12 +261,12 @@
     let before = word(&mut net, 4, "unsent");
     let waited = word(&mut net, 4, "words_waited");
     net.divide(&[4]);
-    let asks: Vec<AskNo> =
-        (0..500u128).map(|name| net.ask(4, key(1_000 + name), Change::Take(member(4)), 400.0)).collect();
+    let asks: Vec<RequestNumber> =
+        (0..500u128).map(|name| net.ask(4, key(1_000 + name), Change::Acquire(member(4)), 400.0)).collect();
     assert!(word(&mut net, 4, "words_waiting") <= 64 * of as u64);
     // Dials fail after 3 ms, and words may wait for 400: they are given back at once.
     net.pass(50.0);
-    let unkept = |no: &AskNo| matches!(net.verdict(4, *no), Some(Verdict::Unkept { .. }));
+    let unkept = |no: &RequestNumber| matches!(net.verdict(4, *no), Some(Response::Unavailable { .. }));
     assert!(asks.iter().all(unkept));
     assert_eq!(word(&mut net, 4, "words_waiting"), 0);
     let back: u64 = ["full", "late", "unreached", "replaced"]
@@ -279,11 +283,11 @@
 fn rosters_say_nothing_where_links_stand() {
     let mut net = Net::standing(9, 3, &[]);
     let unheard = word(&mut net, 0, "roster_unheard");
-    net.event(0, Event::Got { from: member(1), lane: Lane::Roster, body: vec![1, 2, 3] });
+    net.event(0, Event::MessageReceived { from: member(1), lane: Lane::Membership, body: vec![1, 2, 3] });
     assert_eq!(word(&mut net, 0, "roster_unheard"), unheard + 1);
-    assert_eq!(net.nodes[0].control.roster().others().count(), 0);
+    assert_eq!(net.nodes[0].control.membership().peers().count(), 0);
     // A link that was closed for being idle says nothing of its router.
     let linked = net.links_of(0)[0];
-    net.event(0, Event::Down(member(linked), Why::Idle));
+    net.event(0, Event::LinkDown(member(linked), LinkError::Idle));
     assert_eq!(word(&mut net, 0, "links_gone"), 0);
 }
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -74,7 +74,11 @@
         let ran = match reply.end {
             AttemptResult::Served => Ran::Served((!unsafe_).then_some(reply.born)),
             AttemptResult::Rejected | AttemptResult::CacheMiss | AttemptResult::NotSent => Ran::Never,
-            AttemptResult::Error | AttemptResult::TimedOut | AttemptResult::ConnectionLost | AttemptResult::Cancelled | AttemptResult::NoConnection => Ran::Maybe,
+            AttemptResult::Error
+            | AttemptResult::TimedOut
+            | AttemptResult::ConnectionLost
+            | AttemptResult::Cancelled
+            | AttemptResult::NoConnection => Ran::Maybe,
         };
         self.checker.see(now, Seen::Ended((id.router, w.request), w.attempt, ran));
         let note = match reply.note {
--- a/crates/emulator/src/world/soak.rs
+++ b/crates/emulator/src/world/soak.rs
@@ -247,7 +247,10 @@
         binary: &Path,
         dir: &Path,
     ) -> Self {
-        let listing = nodes.iter().map(|n| (if n.spare { EndpointState::Removed } else { EndpointState::Up }, 0)).collect();
+        let listing = nodes
+            .iter()
+            .map(|n| (if n.spare { EndpointState::Removed } else { EndpointState::Up }, 0))
+            .collect();
         let mut report = SoakReport::default();
         for planned in plan {
             *report.planned.entry(planned.fault.name()).or_default() += 1;
--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -141,7 +141,7 @@
     setup.grown = Some(grown);
     setup.net.far = FAR_MS;
     if let Runs::Mesh(mesh) = &mut setup.kind {
-        mesh.holds.back_off_ms = BACK_OFF_MS;
+        mesh.holds.min_backoff_ms = BACK_OFF_MS;
     }
     setup
 }
--- a/crates/experiments/src/capacity/data/cold.rs
+++ b/crates/experiments/src/capacity/data/cold.rs
@@ -106,7 +106,8 @@
                     if f.fill_source == self.cold {
                         self.reached.push(now);
                     }
-                    let (note, end, last, load) = (FillReport::FilledBySource, AttemptResult::Served, true, LoadReport::default());
+                    let (note, end, last, load) =
+                        (FillReport::FilledBySource, AttemptResult::Served, true, LoadReport::default());
                     let (request, attempt, server) = (f.request, AttemptNo(0), f.server);
                     let (source_wait, delay) = (20.0, WORK + 20.0);
                     let outcome = Outcome {
--- a/crates/experiments/src/capacity/data/tables.rs
+++ b/crates/experiments/src/capacity/data/tables.rs
@@ -41,7 +41,8 @@
         let list = servers(expected, *n);
         let counted = first(expected, &list);
         let anew = least(TIMES, || {
-            let (mut router, event) = (fresh(expected), Event::Endpoints(EndpointUpdate::Complete, list.clone()));
+            let (mut router, event) =
+                (fresh(expected), Event::Endpoints(EndpointUpdate::Complete, list.clone()));
             timed(|| router.handle(1.0, event, &mut Vec::new())).1
         });
         let mut router = fresh(expected);
--- a/crates/experiments/src/capacity/data/world.rs
+++ b/crates/experiments/src/capacity/data/world.rs
@@ -147,7 +147,8 @@
                     let (note, source_wait) =
                         if filled { (FillReport::FilledBySource, FILL_MS) } else { (FillReport::Hit, 0.0) };
                     let delay = HIT_MS + source_wait;
-                    let (attempt, end, last, load) = (AttemptNo(0), AttemptResult::Served, true, LoadReport::default());
+                    let (attempt, end, last, load) =
+                        (AttemptNo(0), AttemptResult::Served, true, LoadReport::default());
                     let (request, server) = (f.request, f.server);
                     let outcome = Outcome {
                         request,
--- a/crates/fleet_simulation/examples/measure.rs
+++ b/crates/fleet_simulation/examples/measure.rs
@@ -79,8 +79,8 @@
             ("loss", _) => setup.net.loss = number,
             ("keepalive", _) => setup.net.keepalive_ms = number,
             ("silent", _) => setup.net.silent_ms = number,
-            ("again", Kind::Mesh(mesh)) => mesh.holds.again_ms = number,
-            ("back_off", Kind::Mesh(mesh)) => mesh.holds.back_off_ms = number,
+            ("again", Kind::Mesh(mesh)) => mesh.holds.retransmit_interval_ms = number,
+            ("back_off", Kind::Mesh(mesh)) => mesh.holds.min_backoff_ms = number,
             // Of the configuration, a minute; after the seconds.
             ("changes", Kind::Mesh(mesh)) => {
                 let from = setup.settle * 1_000.0;
--- a/crates/fleet_simulation/src/links/arrive.rs
+++ b/crates/fleet_simulation/src/links/arrive.rs
@@ -7,7 +7,7 @@
 use crate::queue::{Key, Line, Queue};
 use crate::{No, PartyEvent};
 use basaltgw_transport::limits::{HELLO, UNKNOWN};
-use basaltgw_types::link::Why;
+use basaltgw_types::link::LinkError;
 
 impl Links {
     /// A connect is answered, refused, or given up.
@@ -23,7 +23,7 @@
             if let Some(conn) = self.conn(key) {
                 conn.ends[1].stage = Stage::Closed;
             }
-            return self.shut(q, fleet, key, 0, Why::Broken, false);
+            return self.shut(q, fleet, key, 0, LinkError::ConnectionLost, false);
         }
         self.counts.bare(q.now(), from, Some(to), HEADERS);
         if let Some(conn) = self.conn(key) {
@@ -48,7 +48,7 @@
         match conn.ends[end].stage {
             Stage::Greeting | Stage::Going => {
                 self.counts.links.no_hello += 1;
-                self.shut(q, fleet, key, end, Why::Broken, true);
+                self.shut(q, fleet, key, end, LinkError::ConnectionLost, true);
             }
             Stage::Opening | Stage::Up(_) | Stage::Closed => {}
         }
@@ -63,15 +63,15 @@
         let (me, stage) = (conn.ends[end].router, conn.ends[end].stage);
         match (frame, stage) {
             (_, Stage::Closed) => {}
-            (Frame::Fin, Stage::Up(_)) => self.shut(q, fleet, key, end, Why::Broken, false),
+            (Frame::Fin, Stage::Up(_)) => self.shut(q, fleet, key, end, LinkError::ConnectionLost, false),
             (Frame::Fin, Stage::Opening | Stage::Greeting | Stage::Going) => {
                 self.counts.links.unmet += 1;
-                self.shut(q, fleet, key, end, Why::Broken, false);
+                self.shut(q, fleet, key, end, LinkError::ConnectionLost, false);
             }
             (Frame::Hello(body, go), Stage::Opening) if end == 1 => self.accept(q, fleet, key, &body, go),
             (Frame::Hello(body, go), Stage::Greeting) => self.greeted(q, fleet, key, 0, &body, go),
             (Frame::Hello(..), Stage::Opening | Stage::Going | Stage::Up(_)) => {
-                self.shut(q, fleet, key, end, Why::Garbled, true)
+                self.shut(q, fleet, key, end, LinkError::MalformedFrame, true)
             }
             (Frame::Go, Stage::Going) => self.go(q, fleet, key, end),
             (Frame::Table(body), Stage::Up(_)) => self.another_table(key, end, &body),
@@ -86,10 +86,10 @@
                 });
             }
             (Frame::Go | Frame::Table(_) | Frame::Lane(..), Stage::Opening | Stage::Greeting) => {
-                self.shut(q, fleet, key, end, Why::Garbled, true)
+                self.shut(q, fleet, key, end, LinkError::MalformedFrame, true)
             }
             (Frame::Go, Stage::Up(_)) | (Frame::Table(_) | Frame::Lane(..), Stage::Going) => {
-                self.shut(q, fleet, key, end, Why::Garbled, true)
+                self.shut(q, fleet, key, end, LinkError::MalformedFrame, true)
             }
         }
         self.pump(q, key, way);
@@ -106,7 +106,7 @@
         self.counts.links.accepted += 1;
         if self.hosts[me].me.is_none() || self.hosts[me].unknown >= UNKNOWN {
             self.counts.links.no_place += u64::from(self.hosts[me].me.is_some());
-            return self.shut(q, fleet, key, 1, Why::Broken, true);
+            return self.shut(q, fleet, key, 1, LinkError::ConnectionLost, true);
         }
         self.hosts[me].unknown += 1;
         if let Some(conn) = self.conn(key) {
@@ -119,7 +119,7 @@
     /// An end has the other's hello. The router with the smaller name says by `Go` that this connection is the link; on one only.
     fn greeted(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, end: usize, body: &[u8], go: bool) {
         let Ok(greeting) = postcard::from_bytes::<Greeting>(body) else {
-            return self.shut(q, fleet, key, end, Why::Garbled, true);
+            return self.shut(q, fleet, key, end, LinkError::MalformedFrame, true);
         };
         let Some(conn) = self.conn(key) else { return };
         let (me, peer) = (conn.ends[end].router, conn.ends[1 - end].router);
@@ -130,7 +130,7 @@
         if chooses {
             if self.has(me, peer, start) {
                 self.counts.links.second += 1;
-                return self.shut(q, fleet, key, end, Why::Broken, true);
+                return self.shut(q, fleet, key, end, LinkError::ConnectionLost, true);
             }
             self.known(key, end);
             self.raise(q, fleet, key, end);
--- a/crates/fleet_simulation/src/links/cuts.rs
+++ b/crates/fleet_simulation/src/links/cuts.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Fleet;
 use crate::queue::{Key, Line, Queue};
 use crate::{Micros, No};
-use basaltgw_types::link::Why;
+use basaltgw_types::link::LinkError;
 
 impl Links {
     /// Cuts routers off from all others; the cut's number, unless there are too many.
@@ -101,7 +101,7 @@
         let now = q.now();
         let Some(conn) = self.conn(key) else { return };
         if conn.ways[1 - end].silent == Some(now) && conn.ways[1 - end].stalled.is_some() {
-            self.shut(q, fleet, key, end, Why::Silent, true);
+            self.shut(q, fleet, key, end, LinkError::PeerTimeout, true);
         }
     }
 
@@ -122,7 +122,7 @@
             if gone && conn.ways[end].stalled.is_none() {
                 self.stall(q, key, end);
             }
-            self.shut(q, fleet, key, end, Why::Broken, !gone);
+            self.shut(q, fleet, key, end, LinkError::ConnectionLost, !gone);
         }
         let host = &mut self.hosts[no];
         host.up.clear();
@@ -141,7 +141,7 @@
                 continue;
             };
             if conn.ways[end].stalled.is_some() {
-                self.shut(q, fleet, key, 1 - end, Why::Broken, false);
+                self.shut(q, fleet, key, 1 - end, LinkError::ConnectionLost, false);
             }
         }
     }
--- a/crates/fleet_simulation/src/links/lanes.rs
+++ b/crates/fleet_simulation/src/links/lanes.rs
@@ -26,12 +26,14 @@
     /// Takes a frame, or gives it back if its lane is full.
     pub fn push(&mut self, frame: Waiting, limits: &Limits) -> Result<(), Waiting> {
         let queue = match frame.lane {
-            Lane::Roster => &mut self.0[0],
-            Lane::Holds => &mut self.0[1],
+            Lane::Membership => &mut self.0[0],
+            Lane::Registers => &mut self.0[1],
             Lane::Table => &mut self.0[2],
-            Lane::Gather => &mut self.0[3],
+            Lane::ScatterGather => &mut self.0[3],
         };
-        if queue.frames.len() >= limits.frames || queue.bytes + frame.body.len() > limits.bytes {
+        if queue.frames.len() >= limits.max_queued_frames
+            || queue.bytes + frame.body.len() > limits.max_queued_bytes
+        {
             return Err(frame);
         }
         queue.bytes += frame.body.len();
--- a/crates/fleet_simulation/src/links/mod.rs
+++ b/crates/fleet_simulation/src/links/mod.rs
@@ -19,7 +19,7 @@
 use crate::{Micros, No, PartyEvent};
 use basaltgw_transport::limits::{CONNECT, DIAL_FIRST, DIAL_MOST, GOOD};
 use basaltgw_transport::Limits;
-use basaltgw_types::link::{Hello, Lane, Why};
+use basaltgw_types::link::{Hello, Lane, LinkError};
 use basaltgw_types::{Member, RouterId, TableHash, TableVersion};
 use conn::{Conn, Frame, Greeting, Stage};
 use lanes::Waiting;
@@ -135,7 +135,7 @@
         for slot in open {
             let Some(conn) = self.conns.get(slot as usize).filter(|c| is_to(c)) else { continue };
             let (key, end) = (Key { slot, life: conn.life }, usize::from(conn.ends[1].router == from));
-            self.shut(q, fleet, key, end, Why::Broken, true);
+            self.shut(q, fleet, key, end, LinkError::ConnectionLost, true);
         }
     }
 
@@ -264,7 +264,11 @@
             Some((old, end, conn.ends[end].peer.as_ref().map(|(hello, _)| hello.member.clone())))
         });
         if let Some((old, end, member)) = found {
-            let why = if member.as_ref() == Some(&hello.member) { Why::Broken } else { Why::Replaced };
+            let why = if member.as_ref() == Some(&hello.member) {
+                LinkError::ConnectionLost
+            } else {
+                LinkError::Replaced
+            };
             self.shut(q, fleet, old, end, why, true);
         }
         self.counts.links.up += 1;
@@ -272,7 +276,7 @@
     }
 
     /// An end is closed, once; the other is told, unless nothing of it is left to tell.
-    fn shut(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, end: usize, why: Why, fin: bool) {
+    fn shut(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, end: usize, why: LinkError, fin: bool) {
         let now = q.now();
         let Some(conn) = self.conn(key) else { return };
         let (me, peer, stage) = (conn.ends[end].router, conn.ends[1 - end].router, conn.ends[end].stage);
@@ -305,10 +309,13 @@
             }
             let links = &mut self.counts.links;
             match why {
-                Why::Silent => links.silent += 1,
-                Why::Replaced => links.replaced += 1,
-                Why::NoLink | Why::Full | Why::Broken | Why::Garbled => links.broken += 1,
-                Why::Flooded | Why::Stranger | Why::Idle => links.broken += 1,
+                LinkError::PeerTimeout => links.silent += 1,
+                LinkError::Replaced => links.replaced += 1,
+                LinkError::NotConnected
+                | LinkError::QueueFull
+                | LinkError::ConnectionLost
+                | LinkError::MalformedFrame => links.broken += 1,
+                LinkError::RateExceeded | LinkError::PeerMismatch | LinkError::Idle => links.broken += 1,
             }
             links.unsent_broken += left.len() as u64;
             self.told.push((me, PartyEvent::Down(member, why)));
--- a/crates/fleet_simulation/src/mesh.rs
+++ b/crates/fleet_simulation/src/mesh.rs
@@ -3,11 +3,12 @@
 use crate::party::{Party, PartyAction, PartyEvent, Start, Word};
 use basaltgw_config::fleet::FleetLimits;
 use basaltgw_control::{
-    read_adopted, read_purges, Action, Control, Event, Founder, Given, Parts, Question, TableKeeper, Told,
-    ADOPTED, HOLDS, PURGES,
+    decode_purges, decode_table_register, Action, BootstrapMember, Control, ControlNotification,
+    ControlParts, ControlRequest, Event, TableManager, TableManagerConfig, PURGES_SPACE, REGISTERS_SPACE,
+    TABLE_SPACE,
 };
-use basaltgw_membership::{Presence, Roster, Settings as RosterSettings};
-use basaltgw_registers::{Holds, Settings as HoldSettings};
+use basaltgw_membership::{Membership, Presence, Settings as RosterSettings};
+use basaltgw_registers::{Registers, Settings as HoldSettings};
 use basaltgw_types::{Ms, TableHash, TableVersion};
 use std::collections::BTreeSet;
 
@@ -72,33 +73,34 @@
         let seat = fleet.seats.get(*no).ok_or("no such router")?;
         let limits = &set.limits;
         let hold_set = HoldSettings {
-            most_asks: limits.open_asks,
-            most_registers: limits.holds,
-            most_bytes: limits.hold_bytes,
-            most_outcome_bytes: limits.outcome_bytes,
-            most_message_bytes: limits.frame_bytes,
-            purge_keep_ms: (2.0 * set.settles).max(1_000.0),
-            fill_portion: limits.fill_portion,
-            fill_pause_ms: limits.fill_pause_ms.max(1.0),
+            max_open_requests: limits.open_asks,
+            max_registers: limits.holds,
+            max_bytes: limits.hold_bytes,
+            max_outcome_bytes: limits.outcome_bytes,
+            max_message_bytes: limits.frame_bytes,
+            purge_retention_ms: (2.0 * set.settles).max(1_000.0),
+            sync_batch: limits.fill_portion,
+            sync_pause_ms: limits.fill_pause_ms.max(1.0),
             ..set.holds.clone()
         };
         let seed = (*draw >> 64) as u64;
-        let holds =
-            Holds::new(me.clone(), hold_set, disk.read(HOLDS), seed).map_err(|e| format!("holds: {e}"))?;
-        let purges = read_purges(disk.read(PURGES)).ok_or("a purge that can't be read")?;
-        let kept = match disk.get(ADOPTED, &[]) {
-            Some(bytes) => Some(read_adopted(&bytes).map_err(|e| format!("the table kept: {e}"))?),
+        let holds = Registers::new(me.clone(), hold_set, disk.read(REGISTERS_SPACE), seed)
+            .map_err(|e| format!("holds: {e}"))?;
+        let purges = decode_purges(disk.read(PURGES_SPACE)).ok_or("a purge that can't be read")?;
+        let kept = match disk.get(TABLE_SPACE, &[]) {
+            Some(bytes) => Some(decode_table_register(&bytes).map_err(|e| format!("the table kept: {e}"))?),
             None => None,
         };
-        let founder = |s: &crate::fleet::Seat| Founder { address: s.address, domain: s.domain.clone() };
-        let given = Given {
+        let founder =
+            |s: &crate::fleet::Seat| BootstrapMember { address: s.address, domain: s.domain.clone() };
+        let given = TableManagerConfig {
             me: me.clone(),
             founders: fleet.seats.iter().map(|s| (s.router.clone(), founder(s))).collect(),
             capacity: limits.holds as u64,
             rules: vec![("rules".into(), set.rules.clone())],
             replace_after: limits.replace_after_ms,
         };
-        let table = TableKeeper::new(given, kept)?;
+        let table = TableManager::new(given, kept)?;
         let at = table.version();
         let listed: BTreeSet<_> =
             fleet.seats.iter().filter(|s| s.router != seat.router).map(|s| s.router.clone()).collect();
@@ -108,17 +110,17 @@
         let presence = Presence { member: me.clone(), address: seat.address, domain: seat.domain.clone() };
         let roster_set =
             RosterSettings { listed, most_members: set.most_members, ..RosterSettings::default() };
-        let roster = Roster::new(presence, roster_set, !seed).map_err(|e| format!("roster: {e}"))?;
-        let parts = Parts {
+        let roster = Membership::new(presence, roster_set, !seed).map_err(|e| format!("roster: {e}"))?;
+        let parts = ControlParts {
             me: me.clone(),
-            old: *old,
-            holds,
-            roster,
+            has_previous_data: *old,
+            registers: holds,
+            membership: roster,
             table,
             purges,
-            settles: set.settles,
-            ends: END_MS,
-            gathers: None,
+            purge_convergence_time: set.settles,
+            shutdown_timeout: END_MS,
+            scatter_gather_classes: None,
             overlay: None,
         };
         let mut acts = Vec::new();
@@ -142,20 +144,22 @@
     fn pass(&mut self, out: &mut Vec<PartyAction>) {
         let mut table = false;
         out.extend(self.acts.drain(..).map(|act| match act {
-            Action::Send { no, to, lane, body } => PartyAction::Send { no, to, lane, body },
-            Action::Want(router, true) => PartyAction::Dial(router),
-            Action::Want(router, false) => PartyAction::Close(router),
-            Action::Table(version, hash) => PartyAction::Table(version, hash),
-            Action::Store(no, writes) => PartyAction::Store(no, writes),
-            Action::Tell(told) => PartyAction::Told(match told {
-                Told::Purge(purge) => Word::Purge(purge),
-                Told::PurgesKnown(known) => Word::PurgesKnown(known),
-                Told::Table(version, hash) => {
+            Action::Send { number: no, to, lane, body } => PartyAction::Send { no, to, lane, body },
+            Action::SetLinkWanted(router, true) => PartyAction::Dial(router),
+            Action::SetLinkWanted(router, false) => PartyAction::Close(router),
+            Action::AdvertiseTable(version, hash) => PartyAction::Table(version, hash),
+            Action::Commit(no, writes) => PartyAction::Store(no, writes),
+            Action::Notify(told) => PartyAction::Told(match told {
+                ControlNotification::Purge(purge) => Word::Purge(purge),
+                ControlNotification::PurgesKnown(known) => Word::PurgesKnown(known),
+                ControlNotification::Table(version, hash) => {
                     table = true;
                     Word::Table(version, hash)
                 }
-                Told::PurgesMissed => Word::PurgesKnown(false),
-                Told::Verdict(..) | Told::Policies(_) | Told::Evidence(..) => Word::Other,
+                ControlNotification::PurgesMissed => Word::PurgesKnown(false),
+                ControlNotification::Response(..)
+                | ControlNotification::Policies(_)
+                | ControlNotification::Evidence(..) => Word::Other,
             }),
         }));
         let needed = self.control.table().table().and_then(|t| t.gather(CHANGED)?.needed.first().copied());
@@ -173,7 +177,7 @@
         let text =
             format!("{}gather class {CHANGED} {{ needs {made}  wait 100 ms  missing owed }}\n", self.rules);
         out.push(PartyAction::Told(Word::ChangeMade));
-        let rules = Event::Asked(Question::Rules("rules".into(), text));
+        let rules = Event::Request(ControlRequest::Rules("rules".into(), text));
         self.control.handle(now, rules, &mut self.acts);
     }
 }
@@ -182,21 +186,21 @@
     fn handle(&mut self, now: Ms, event: PartyEvent, out: &mut Vec<PartyAction>) {
         self.make_change(now, out);
         let event = match event {
-            PartyEvent::Up(hello) => Event::Up(hello),
-            PartyEvent::Down(member, why) => Event::Down(member, why),
-            PartyEvent::Got { from, lane, body } => Event::Got { from, lane, body },
-            PartyEvent::Unsent(no) => Event::Unsent(no),
-            PartyEvent::Heard(purge) => Event::Asked(Question::Purge(purge)),
-            PartyEvent::Due => Event::Due,
-            PartyEvent::Settle => Event::Settle,
-            PartyEvent::Stored(no, done) => Event::Stored(no, done),
+            PartyEvent::Up(hello) => Event::LinkUp(hello),
+            PartyEvent::Down(member, why) => Event::LinkDown(member, why),
+            PartyEvent::Got { from, lane, body } => Event::MessageReceived { from, lane, body },
+            PartyEvent::Unsent(no) => Event::SendFailed(no),
+            PartyEvent::Heard(purge) => Event::Request(ControlRequest::Purge(purge)),
+            PartyEvent::Due => Event::TimersDue,
+            PartyEvent::Settle => Event::Flush,
+            PartyEvent::Stored(no, done) => Event::CommitFinished(no, done),
         };
         self.control.handle(now, event, &mut self.acts);
         self.pass(out);
     }
 
     fn due(&self) -> Ms {
-        self.control.due().min(self.change.0)
+        self.control.next_timer().min(self.change.0)
     }
 
     fn counts(&self) -> Vec<(&'static str, u64)> {
--- a/crates/fleet_simulation/src/party.rs
+++ b/crates/fleet_simulation/src/party.rs
@@ -5,7 +5,7 @@
 use crate::No;
 use basaltgw_control::Purge;
 use basaltgw_storage::Write;
-use basaltgw_types::link::{Hello, Lane, Why};
+use basaltgw_types::link::{Hello, Lane, LinkError};
 use basaltgw_types::{Member, Ms, RouterId, TableHash, TableVersion};
 
 /// What a party is told.
@@ -14,7 +14,7 @@
     /// A link came up, or its peer goes by another table.
     Up(Hello),
     /// A link is down.
-    Down(Member, Why),
+    Down(Member, LinkError),
     /// Bytes came on a link.
     Got {
         /// From whom.
--- a/crates/fleet_simulation/src/run.rs
+++ b/crates/fleet_simulation/src/run.rs
@@ -134,10 +134,10 @@
     let set = WorldSettings {
         net: setup.net.clone(),
         limits: Limits {
-            frames: limits.lane_frames,
-            bytes: limits.lane_bytes,
-            frame: limits.frame_bytes,
-            ring: limits.ring,
+            max_queued_frames: limits.lane_frames,
+            max_queued_bytes: limits.lane_bytes,
+            max_frame_bytes: limits.frame_bytes,
+            ring_entries: limits.ring,
         },
         disk: setup.disk,
         hop: 0.05,
--- a/crates/fleet_simulation/src/sparse.rs
+++ b/crates/fleet_simulation/src/sparse.rs
@@ -3,8 +3,10 @@
 use crate::fleet::{Fleet, Seat};
 use crate::party::{Party, PartyAction, PartyEvent, Start, Word};
 use basaltgw_config::fleet::FleetLimits;
-use basaltgw_control::{read_purges, Purge, Purges, PURGES};
-use basaltgw_overlay::{Action, Event, Kind, List, Listed, Overlay, Settings, Shape, Side, CATCH_UP_MS};
+use basaltgw_control::{decode_purges, Purge, Purges, PURGES_SPACE};
+use basaltgw_overlay::{
+    Action, Event, Kind, Overlay, RouterEntry, RouterList, Settings, Shape, Side, CATCH_UP_MS,
+};
 use basaltgw_storage::Write;
 use basaltgw_types::link::Lane;
 use basaltgw_types::{Ms, RouterId, TableHash, TableVersion};
@@ -54,8 +56,8 @@
 ///
 /// # Errors
 /// If the shape can't be.
-pub fn list(fleet: &Fleet, shape: Shape) -> Result<Arc<List>, String> {
-    let listed = |s: &Seat| Listed {
+pub fn list(fleet: &Fleet, shape: Shape) -> Result<Arc<RouterList>, String> {
+    let listed = |s: &Seat| RouterEntry {
         router: s.router.clone(),
         region: format!("region{}", s.region).into(),
         zone: format!("zone{}", s.zone).into(),
@@ -63,7 +65,7 @@
         rack: format!("rack{}", s.rack).into(),
         control: s.control,
     };
-    let list = List::new(1, shape, fleet.seats.iter().map(listed).collect());
+    let list = RouterList::new(1, shape, fleet.seats.iter().map(listed).collect());
     list.map(Arc::new).map_err(|e| e.to_string())
 }
 
@@ -90,7 +92,7 @@
     /// If what is on the disk can't be read, or a setting can't be.
     pub fn start(
         set: &SparseSettings,
-        list: &Arc<List>,
+        list: &Arc<RouterList>,
         start: &Start,
         out: &mut Vec<PartyAction>,
     ) -> Result<Self, String> {
@@ -99,14 +101,14 @@
             overlay: overlay.map_err(|e| e.to_string())?,
             control: list.get(&start.me.router).is_some_and(|l| l.control),
             set: set.clone(),
-            purges: read_purges(start.disk.read(PURGES)).ok_or("a purge that can't be read")?,
+            purges: decode_purges(start.disk.read(PURGES_SPACE)).ok_or("a purge that can't be read")?,
             dials: BTreeMap::new(),
             writes: Vec::new(),
             stores: 0,
             founded: false,
             acts: Vec::new(),
         };
-        sparse.decide(start.now, Event::List(list.clone()), out);
+        sparse.decide(start.now, Event::RouterListChanged(list.clone()), out);
         Ok(sparse)
     }
 
@@ -130,15 +132,15 @@
                 Action::Send(to, _, body) => {
                     out.push(PartyAction::Send { no: 0, to, lane: Lane::Table, body })
                 }
-                Action::New(Kind::Purge, bytes, _) => {
+                Action::Deliver(Kind::Purge, bytes, _) => {
                     let purge = postcard::from_bytes(&bytes).ok().map(|p| self.narrow(p));
                     if let Some(purge) = purge.filter(|p| self.keep(now, *p)) {
                         out.push(PartyAction::Told(Word::Purge(purge)));
                     }
                 }
-                Action::New(Kind::Table | Kind::Evidence | Kind::Filling, ..) => {}
-                Action::Missed { .. } => out.push(PartyAction::Told(Word::PurgesKnown(false))),
-                Action::Report(_) => {}
+                Action::Deliver(Kind::Table | Kind::Evidence | Kind::Background, ..) => {}
+                Action::GapDetected { .. } => out.push(PartyAction::Told(Word::PurgesKnown(false))),
+                Action::Log(_) => {}
             }
         }
     }
@@ -146,12 +148,12 @@
     /// True if it was not known. What has settled is told and not kept.
     fn keep(&mut self, now: Ms, purge: Purge) -> bool {
         if purge.time as f64 + self.set.settles <= now {
-            return !self.purges.knows((purge.group, purge.object));
+            return !self.purges.contains((purge.group, purge.object));
         }
-        let new = self.purges.heard(purge);
+        let new = self.purges.observe(purge);
         if new {
             if let Some(key) = key(&purge) {
-                self.writes.push(Write::Put(PURGES, key, purge.time.to_be_bytes().to_vec()));
+                self.writes.push(Write::Put(PURGES_SPACE, key, purge.time.to_be_bytes().to_vec()));
             }
         }
         new
@@ -179,8 +181,8 @@
         }
         if let Ok(bytes) = postcard::to_stdvec(&self.wide(purge)) {
             let event = match self.set.alone {
-                true => Event::Say(Kind::Purge, bytes),
-                false => Event::Known(Kind::Purge, bytes),
+                true => Event::Publish(Kind::Purge, bytes),
+                false => Event::AlreadyKnown(Kind::Purge, bytes),
             };
             self.decide(now, event, out);
         }
@@ -193,16 +195,16 @@
         for router in late {
             self.dials.remove(&router);
             out.push(PartyAction::Close(router.clone()));
-            self.decide(now, Event::Refused(router), out);
+            self.decide(now, Event::DialFailed(router), out);
         }
     }
 
     /// What is due: the overlay's batch, and with it one commit.
     fn tick(&mut self, now: Ms, out: &mut Vec<PartyAction>) {
         self.give_up(now, out);
-        self.decide(now, Event::Due, out);
+        self.decide(now, Event::TimersDue, out);
         for gone in self.purges.take_settled(now, self.set.settles) {
-            self.writes.extend(key(&gone).map(|key| Write::Remove(PURGES, key)));
+            self.writes.extend(key(&gone).map(|key| Write::Remove(PURGES_SPACE, key)));
         }
         if !self.writes.is_empty() {
             self.stores += 1;
@@ -225,18 +227,18 @@
         match event {
             PartyEvent::Up(hello) => {
                 let dial = self.dials.get_mut(&hello.member.router);
-                let side = if dial.is_some() { Side::We } else { Side::They };
+                let side = if dial.is_some() { Side::Local } else { Side::Remote };
                 dial.into_iter().for_each(|at| *at = None);
-                self.decide(now, Event::Up(hello.member, side), out);
+                self.decide(now, Event::LinkUp(hello.member, side), out);
             }
             PartyEvent::Down(member, _) => {
                 // The overlay says when it is to be dialled again, and whom instead.
                 if self.dials.remove(&member.router).is_some() {
                     out.push(PartyAction::Close(member.router.clone()));
                 }
-                self.decide(now, Event::Down(member), out);
+                self.decide(now, Event::LinkDown(member), out);
             }
-            PartyEvent::Got { from, body, .. } => self.decide(now, Event::Got(from, body), out),
+            PartyEvent::Got { from, body, .. } => self.decide(now, Event::FrameReceived(from, body), out),
             PartyEvent::Heard(purge) => self.heard(now, purge, out),
             PartyEvent::Due => self.tick(now, out),
             // Digests find what was not written whole; a commit that was refused loses what would be fetched again.
@@ -245,7 +247,7 @@
     }
 
     fn due(&self) -> Ms {
-        self.overlay.due()
+        self.overlay.next_timer()
     }
 
     fn counts(&self) -> Vec<(&'static str, u64)> {
--- a/crates/fleet_simulation/src/world/process.rs
+++ b/crates/fleet_simulation/src/world/process.rs
@@ -5,7 +5,7 @@
 use crate::party::{PartyEvent, Start};
 use crate::queue::What;
 use crate::{micros, ms, Micros, No};
-use basaltgw_types::link::{Hello, PROTOCOL};
+use basaltgw_types::link::{Hello, PROTOCOL_VERSION};
 use basaltgw_types::{Incarnation, Member, TableHash, TableVersion};
 use rand::RngExt;
 use std::sync::Arc;
@@ -98,7 +98,7 @@
         let grown = bytes - self.taken(room);
         self.counted(no, time, grown);
         let hello = Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             cluster: Arc::from(CLUSTER),
             member: me,
             domain: seat.domain.clone(),
--- a/crates/fleet_simulation/tests/links.rs
+++ b/crates/fleet_simulation/tests/links.rs
@@ -4,7 +4,7 @@
 use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent, Start};
 use basaltgw_fleet_simulation::run::{run_with, Figures, Setup};
 use basaltgw_fleet_simulation::trouble::{Trouble, What};
-use basaltgw_types::link::{Lane, Why};
+use basaltgw_types::link::{Lane, LinkError};
 use basaltgw_types::{Member, Ms};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -58,7 +58,7 @@
                 for (to, number) in &mut self.links {
                     *number += 1;
                     let body = postcard::to_stdvec(number).expect("bytes");
-                    out.push(PartyAction::Send { no: 7, to: to.clone(), lane: Lane::Holds, body });
+                    out.push(PartyAction::Send { no: 7, to: to.clone(), lane: Lane::Registers, body });
                 }
             }
             PartyEvent::Unsent(no) => self.note(now, format!("unsent {no}")),
@@ -167,11 +167,11 @@
         Trouble { at: 10_000_000, what: What::Vanish(1, 3_000_000) },
     ];
     let (_, seen) = go(&troubled, None);
-    let down = |why: Why| {
+    let down = |why: LinkError| {
         let ends = format!("down r00001 {why:?}");
         seen.iter().filter(|(_, _, what)| *what == ends).map(|(at, ..)| *at).collect::<Vec<_>>()
     };
-    let (broken, silent) = (down(Why::Broken), down(Why::Silent));
+    let (broken, silent) = (down(LinkError::ConnectionLost), down(LinkError::PeerTimeout));
     assert!(broken.len() == 2 && broken.iter().all(|at| (6_000.0..6_166.0).contains(at)), "{seen:?}");
     assert!(silent.len() == 2 && silent.iter().all(|at| (10_750.0..11_166.0).contains(at)), "{seen:?}");
     let up = seen.iter().filter(|(at, me, what)| *at > 13_000.0 && me != "r00001" && what == "up r00001");
--- a/crates/fleet_simulation/tests/state.rs
+++ b/crates/fleet_simulation/tests/state.rs
@@ -38,7 +38,7 @@
                 out.push(PartyAction::Store(1, vec![put]));
                 for to in self.links.iter().cloned() {
                     let body = vec![0; PASSES];
-                    out.push(PartyAction::Send { no: 0, to, lane: Lane::Holds, body });
+                    out.push(PartyAction::Send { no: 0, to, lane: Lane::Registers, body });
                 }
             }
             PartyEvent::Down(..) | PartyEvent::Got { .. } | PartyEvent::Unsent(_) => {}
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -3,7 +3,7 @@
 //! It travels beside the SWIM library's messages and not as one of its broadcasts: those are sent on with the bytes that came,
 //! and an age has to grow while they wait.
 
-use crate::{Bad, Evidence, Settings};
+use crate::{Evidence, MembershipError, Settings};
 use basaltgw_types::{Member, Ms, RouterId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -52,7 +52,13 @@
     }
 
     /// Something was heard here.
-    pub fn heard(&mut self, now: Ms, me: &Member, evidence: Evidence, set: &Settings) -> Result<(), Bad> {
+    pub fn heard(
+        &mut self,
+        now: Ms,
+        me: &Member,
+        evidence: Evidence,
+        set: &Settings,
+    ) -> Result<(), MembershipError> {
         sound(&evidence)?;
         self.serial += 1;
         let item = Item { origin: me.clone(), start: self.start, serial: self.serial, evidence };
@@ -60,7 +66,7 @@
     }
 
     /// Another passes something sound on; whether it is news.
-    pub fn told(&mut self, now: Ms, item: &Item, set: &Settings) -> Result<bool, Bad> {
+    pub fn told(&mut self, now: Ms, item: &Item, set: &Settings) -> Result<bool, MembershipError> {
         if item.evidence.age >= set.evidence_span {
             return Ok(false);
         }
@@ -73,13 +79,13 @@
     }
 
     /// Whether there was room for it.
-    fn keep(&mut self, now: Ms, item: Item, set: &Settings) -> Result<bool, Bad> {
+    fn keep(&mut self, now: Ms, item: Item, set: &Settings) -> Result<bool, MembershipError> {
         let key = (item.origin.router.clone(), item.evidence.site.clone());
         if !self.kept.contains_key(&key) {
             let of_origin =
                 self.kept.range((key.0.clone(), Arc::from(""))..).take_while(|(k, _)| k.0 == key.0);
             if of_origin.count() >= set.most_sites {
-                return Err(Bad::Full("sites of one router", set.most_sites));
+                return Err(MembershipError::LimitReached("sites of one router", set.most_sites));
             }
             if self.kept.len() >= set.most_evidence {
                 // News before what is known long.
@@ -125,13 +131,19 @@
 }
 
 /// Whether it can be taken for what was heard of a site.
-pub(crate) fn sound(e: &Evidence) -> Result<(), Bad> {
+pub(crate) fn sound(e: &Evidence) -> Result<(), MembershipError> {
     let named = (1..=MOST_SITE).contains(&e.site.len()) && !e.site.chars().any(char::is_control);
     let span = |ms: Ms| ms.is_finite() && ms >= 0.0;
     match (named, span(e.latency), span(e.age)) {
         (true, true, true) => Ok(()),
-        (false, _, _) => Err(Bad::Evidence("site", format!("expected 1 to {MOST_SITE} bytes of plain text"))),
-        (_, false, _) => Err(Bad::Evidence("latency", format!("expected 0 ms or more, found {}", e.latency))),
-        (_, _, false) => Err(Bad::Evidence("age", format!("expected 0 ms or more, found {}", e.age))),
+        (false, _, _) => {
+            Err(MembershipError::Evidence("site", format!("expected 1 to {MOST_SITE} bytes of plain text")))
+        }
+        (_, false, _) => {
+            Err(MembershipError::Evidence("latency", format!("expected 0 ms or more, found {}", e.latency)))
+        }
+        (_, _, false) => {
+            Err(MembershipError::Evidence("age", format!("expected 0 ms or more, found {}", e.age)))
+        }
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -37,7 +37,7 @@
 mod talk;
 mod wire;
 
-pub use roster::{Counters, Roster};
+pub use roster::{Counters, Membership};
 pub use settings::Settings;
 
 use basaltgw_types::{Domain, Member, Ms, RouterId};
@@ -87,11 +87,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A link to a listed router is up, and its hello said this. The first event about a router; its bytes come after it.
-    Met(Presence),
+    LinkUp(Presence),
     /// Bytes of another roster.
-    Bytes(Member, Vec<u8>),
+    MessageReceived(Member, Vec<u8>),
     /// Something was heard of a site here.
-    Heard(Evidence),
+    LocalEvidence(Evidence),
     /// A timer came due; those that are due together come in the order of their times. One that is not known any more does nothing.
     Timer(u64),
     /// The own router ends in order.
@@ -106,22 +106,22 @@
     /// Wake it after this time.
     Timer(Ms, u64),
     /// A router's state has changed.
-    State(Presence, State),
+    StateChanged(Presence, State),
     /// Others have heard something of a site.
-    Told(Member, Evidence),
+    RemoteEvidence(Member, Evidence),
     /// A line for the operators.
-    Report(String),
+    Log(String),
 }
 
 /// Why an event was refused; nothing changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Bad {
+pub enum MembershipError {
     /// The router is not one that the configuration lists.
     #[error("{0}: expected a router that is listed")]
     NotListed(RouterId),
     /// A message speaks for another than its sender, or for the own name.
     #[error("{from}: a message that speaks for {says}")]
-    Stranger {
+    SenderMismatch {
         /// Who sent it.
         from: Member,
         /// For whom it speaks.
@@ -129,7 +129,7 @@
     },
     /// A message can't be read.
     #[error("a message of a roster: {0}")]
-    Garbled(String),
+    MalformedMessage(String),
     /// A message is longer than any roster writes.
     #[error("a message of a roster: expected at most {most} bytes, found {found}")]
     TooLong {
@@ -140,7 +140,7 @@
     },
     /// A bound is met.
     #[error("{0}: {1} are known, which is as many as may be")]
-    Full(&'static str, usize),
+    LimitReached(&'static str, usize),
     /// A field of evidence that can't be.
     #[error("evidence: {0}: {1}")]
     Evidence(&'static str, String),
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -4,7 +4,7 @@
 use crate::life::Life;
 use crate::sink::{token, Sink};
 use crate::wire::Wire;
-use crate::{Action, Bad, Event, Presence, Settings, State};
+use crate::{Action, Event, MembershipError, Presence, Settings, State};
 use basaltgw_types::{Member, Ms, RouterId};
 use foca::{Foca, NoCustomBroadcast, PostcardCodec, Timer};
 use rand::rngs::Xoshiro256PlusPlus;
@@ -45,7 +45,7 @@
 }
 
 /// Who is there and what is heard of them, as one router knows it.
-pub struct Roster {
+pub struct Membership {
     pub(crate) settings: Settings,
     pub(crate) foca: Foca<Life, PostcardCodec, Xoshiro256PlusPlus, NoCustomBroadcast>,
     /// What the library knows, by name.
@@ -55,22 +55,22 @@
     pub(crate) evidence: Store,
     /// The evidence's timer runs.
     armed: bool,
-    pub(crate) ended: bool,
+    pub(crate) has_left: bool,
     pub(crate) counters: Counters,
 }
 
-impl Roster {
+impl Membership {
     /// A roster that knows nobody yet. The same events and seed give the same actions.
     ///
     /// # Errors
     /// If a setting can't be.
-    pub fn new(me: Presence, settings: Settings, seed: u64) -> Result<Self, Bad> {
+    pub fn new(me: Presence, settings: Settings, seed: u64) -> Result<Self, MembershipError> {
         settings.fault()?;
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let start = rng.next_u64();
         let life = Life::new(me);
         if !life.plausible() {
-            return Err(Bad::Setting("me", "plain names"));
+            return Err(MembershipError::Setting("me", "plain names"));
         }
         Ok(Self {
             foca: Foca::new(life, settings.config(), rng, PostcardCodec),
@@ -80,7 +80,7 @@
             next_timer: EVIDENCE + 1,
             evidence: Store::new(start),
             armed: false,
-            ended: false,
+            has_left: false,
             counters: Counters::default(),
         })
     }
@@ -92,11 +92,11 @@
 
     /// Whether it left, or another life took its place: it says no more.
     pub fn ended(&self) -> bool {
-        self.ended
+        self.has_left
     }
 
     /// The current life of each other name, in the order of names.
-    pub fn others(&self) -> impl Iterator<Item = (&Presence, State)> {
+    pub fn peers(&self) -> impl Iterator<Item = (&Presence, State)> {
         self.known.values().map(|k| (&k.life.presence, k.state))
     }
 
@@ -109,15 +109,15 @@
     ///
     /// # Errors
     /// If the event can't be right; it changed nothing then, and the actions are as they were.
-    pub fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) -> Result<(), Bad> {
-        if self.ended {
+    pub fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) -> Result<(), MembershipError> {
+        if self.has_left {
             self.counters.after_end += 1;
             return Ok(());
         }
         let done = match event {
-            Event::Met(presence) => self.met(presence, out),
-            Event::Bytes(from, bytes) => self.bytes(now, &from, &bytes, out),
-            Event::Heard(evidence) => {
+            Event::LinkUp(presence) => self.met(presence, out),
+            Event::MessageReceived(from, bytes) => self.bytes(now, &from, &bytes, out),
+            Event::LocalEvidence(evidence) => {
                 let me = self.me().member.clone();
                 let heard = self.evidence.heard(now, &me, evidence, &self.settings);
                 self.arm(out);
@@ -139,7 +139,7 @@
             }
             Event::Leave => {
                 self.run(now, out, |foca, sink| foca.leave_cluster(sink));
-                self.ended = true;
+                self.has_left = true;
                 Ok(())
             }
         };
@@ -204,13 +204,13 @@
         let is = self.known.get(life.router());
         if let Some(former) = is.filter(|k| k.life.member() != life.member()) {
             let (was, is) = (&former.life.presence, life.member());
-            out.push(Action::Report(format!("{}: {is} has taken its place", was.member)));
+            out.push(Action::Log(format!("{}: {is} has taken its place", was.member)));
             if former.state != State::Down {
-                out.push(Action::State(was.clone(), State::Down));
+                out.push(Action::StateChanged(was.clone(), State::Down));
             }
         }
         if is.is_none_or(|k| k.life.presence != life.presence || k.state != state) {
-            out.push(Action::State(life.presence.clone(), state));
+            out.push(Action::StateChanged(life.presence.clone(), state));
         }
         self.known.insert(life.router().clone(), Known { life, state });
     }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,6 +1,6 @@
 //! Times and bounds of a roster.
 
-use crate::Bad;
+use crate::MembershipError;
 use basaltgw_types::{Ms, RouterId};
 use foca::{Config, PeriodicParams};
 use std::collections::BTreeSet;
@@ -74,7 +74,7 @@
 
 impl Settings {
     /// What is the matter with them, if anything.
-    pub(crate) fn fault(&self) -> Result<(), Bad> {
+    pub(crate) fn fault(&self) -> Result<(), MembershipError> {
         let time = |ms: Ms| ms > 0.0 && ms <= MOST_MS;
         let a_time = "more than 0 and at most a day in ms";
         let checks = [
@@ -98,7 +98,7 @@
             ((256..=65_536).contains(&self.evidence_bytes), "evidence_bytes", "256 to 65,536"),
         ];
         let first = checks.into_iter().find(|(fits, _, _)| !fits);
-        first.map_or(Ok(()), |(_, name, expected)| Err(Bad::Setting(name, expected)))
+        first.map_or(Ok(()), |(_, name, expected)| Err(MembershipError::Setting(name, expected)))
     }
 
     /// The longest message between two rosters.
--- a/crates/membership/src/talk.rs
+++ b/crates/membership/src/talk.rs
@@ -2,24 +2,27 @@
 
 use crate::evidence::{sound, Item};
 use crate::life::Life;
-use crate::roster::{state, Known, Roster};
+use crate::roster::{state, Known, Membership};
 use crate::wire::{Hello, Swim, Wire};
-use crate::{Action, Bad, Presence, State};
+use crate::{Action, MembershipError, Presence, State};
 use basaltgw_types::{Member, Ms, RouterId};
 
-impl Roster {
-    pub(crate) fn met(&mut self, who: Presence, out: &mut Vec<Action>) -> Result<(), Bad> {
+impl Membership {
+    pub(crate) fn met(&mut self, who: Presence, out: &mut Vec<Action>) -> Result<(), MembershipError> {
         self.listed(&who.member)?;
         self.hello(&who.member, out);
         Ok(())
     }
 
-    fn listed(&self, who: &Member) -> Result<(), Bad> {
+    fn listed(&self, who: &Member) -> Result<(), MembershipError> {
         if who.router == self.me().member.router {
-            return Err(Bad::Stranger { from: who.clone(), says: self.me().member.clone() });
+            return Err(MembershipError::SenderMismatch {
+                from: who.clone(),
+                says: self.me().member.clone(),
+            });
         }
         let listed = self.settings.listed.contains(&who.router);
-        listed.then_some(()).ok_or_else(|| Bad::NotListed(who.router.clone()))
+        listed.then_some(()).ok_or_else(|| MembershipError::NotListed(who.router.clone()))
     }
 
     /// Says who it is, and what it knows of the other's name.
@@ -35,7 +38,7 @@
         from: &Member,
         bytes: &[u8],
         out: &mut Vec<Action>,
-    ) -> Result<(), Bad> {
+    ) -> Result<(), MembershipError> {
         self.listed(from)?;
         self.counters.got += 1;
         match Wire::read(bytes, self.settings.most_bytes())? {
@@ -51,24 +54,30 @@
         }
     }
 
-    fn hello_of(&mut self, now: Ms, from: &Member, of: Hello, out: &mut Vec<Action>) -> Result<(), Bad> {
+    fn hello_of(
+        &mut self,
+        now: Ms,
+        from: &Member,
+        of: Hello,
+        out: &mut Vec<Action>,
+    ) -> Result<(), MembershipError> {
         let Hello { me: they, known: me } = of;
         let own = self.me().member.router.clone();
         let named = me.iter().find(|(l, _)| *l.router() != own).map(|(l, _)| l.member());
         if let Some(says) = Some(they.member()).filter(|m| *m != from).or(named) {
-            return Err(Bad::Stranger { from: from.clone(), says: says.clone() });
+            return Err(MembershipError::SenderMismatch { from: from.clone(), says: says.clone() });
         }
         let room = self.room();
         let is = self.known.get(&from.router);
         if is.is_none() && !room {
-            return Err(Bad::Full("routers", self.settings.most_members));
+            return Err(MembershipError::LimitReached("routers", self.settings.most_members));
         }
         // Whom another life has replaced, or who has not put itself after the one that is known, is told of it.
         let settled = is.is_none_or(|k| k.life.member() == from || they.replaces(&k.life));
         let down = is.is_some_and(|k| k.life == they && k.state == State::Down);
         if let Some((life, held_down)) = &me {
             self.own_name(now, life, *held_down, out);
-            if self.ended {
+            if self.has_left {
                 return Ok(());
             }
         }
@@ -101,13 +110,13 @@
         let me = self.foca.identity();
         let (same, after) = (life.member() == me.member(), life.generation >= me.generation);
         if life.replaces(me) {
-            out.push(Action::Report(format!(
+            out.push(Action::Log(format!(
                 "{}: another life, {}, has taken the place of this one",
                 me.member(),
                 life.member()
             )));
-            out.push(Action::State(me.presence.clone(), State::Down));
-            self.ended = true;
+            out.push(Action::StateChanged(me.presence.clone(), State::Down));
+            self.has_left = true;
             return;
         }
         let above = match same {
@@ -120,33 +129,33 @@
         match me.above(life) {
             Some(next) => {
                 if !same {
-                    out.push(Action::Report(format!(
-                        "{}: comes in place of {}",
-                        next.member(),
-                        life.member()
-                    )));
+                    out.push(Action::Log(format!("{}: comes in place of {}", next.member(), life.member())));
                 }
                 self.counters.returns += u64::from(same);
                 self.run(now, out, |foca, sink| foca.change_identity(next, sink));
             }
-            None => out.push(Action::Report(format!(
-                "{}: no number is left above {}",
-                me.member(),
-                life.generation
-            ))),
+            None => {
+                out.push(Action::Log(format!("{}: no number is left above {}", me.member(), life.generation)))
+            }
         }
     }
 
     /// A message of the library; whether its sender is current.
-    fn swim(&mut self, now: Ms, from: &Member, bytes: &[u8], out: &mut Vec<Action>) -> Result<bool, Bad> {
+    fn swim(
+        &mut self,
+        now: Ms,
+        from: &Member,
+        bytes: &[u8],
+        out: &mut Vec<Action>,
+    ) -> Result<bool, MembershipError> {
         let mut swim = Swim::read(bytes)?;
         if swim.header.src.member() != from {
             let says = swim.header.src.member().clone();
-            return Err(Bad::Stranger { from: from.clone(), says });
+            return Err(MembershipError::SenderMismatch { from: from.clone(), says });
         }
         let is = self.known.get(&from.router);
         if is.is_none() && !self.room() {
-            return Err(Bad::Full("routers", self.settings.most_members));
+            return Err(MembershipError::LimitReached("routers", self.settings.most_members));
         }
         if is.is_some_and(|k| k.life.member() != from && !swim.header.src.replaces(&k.life)) {
             self.counters.not_current += 1;
@@ -184,7 +193,7 @@
         self.counters.left_out += left_out as u64;
         for life in of_me {
             self.own_name(now, &life, false, out);
-            if self.ended {
+            if self.has_left {
                 return Ok(false);
             }
         }
@@ -210,7 +219,7 @@
             false => Ok(false),
         };
         match news {
-            Ok(true) => out.push(Action::Told(item.origin.clone(), item.evidence.clone())),
+            Ok(true) => out.push(Action::RemoteEvidence(item.origin.clone(), item.evidence.clone())),
             Ok(false) => self.counters.evidence_out += u64::from(!current),
             Err(_) => self.counters.evidence_out += 1,
         }
@@ -236,24 +245,24 @@
     }
 
     /// What r0, which knows the first life of r1, makes of a message of some life of it.
-    fn said(life: &Life, evidence: Vec<Item>) -> (Roster, Result<(), Bad>, Vec<Action>) {
+    fn said(life: &Life, evidence: Vec<Item>) -> (Membership, Result<(), MembershipError>, Vec<Action>) {
         let settings = Settings { listed: [RouterId("r1".into())].into(), ..Settings::default() };
-        let mut roster = Roster::new(presence("r0", 1), settings, 1).expect("a roster");
+        let mut roster = Membership::new(presence("r0", 1), settings, 1).expect("a roster");
         let (first, mut out) = (Life::new(presence("r1", 1)), Vec::new());
         let hello = Wire::Hello(Box::new(Hello { me: first.clone(), known: None })).write();
-        roster.handle(0.0, Event::Bytes(first.member().clone(), hello), &mut out).expect("met");
+        roster.handle(0.0, Event::MessageReceived(first.member().clone(), hello), &mut out).expect("met");
         let (dst, message) = (Life::new(presence("r0", 1)), Message::Ping(1));
         let header = Header { src: life.clone(), src_incarnation: 0, dst, message };
         let bytes = Swim { header, updates: Vec::new(), counted: false }.write().expect("a message");
         out.clear();
-        let event = Event::Bytes(life.member().clone(), Wire::Swim { bytes, evidence }.write());
+        let event = Event::MessageReceived(life.member().clone(), Wire::Swim { bytes, evidence }.write());
         let done = roster.handle(1.0, event, &mut out);
         (roster, done, out)
     }
 
     #[test]
     fn a_life_that_does_not_put_itself_after_the_known_one_is_told_of_it_and_not_heard() {
-        let known = |r: &Roster| r.others().map(|(p, _)| p.member.incarnation.0).collect::<Vec<_>>();
+        let known = |r: &Membership| r.peers().map(|(p, _)| p.member.incarnation.0).collect::<Vec<_>>();
         let new = Life { generation: 9, ..Life::new(presence("r1", 7)) };
         let (roster, done, out) = said(&new, Vec::new());
         assert_eq!((done, known(&roster), roster.counters().not_current), (Ok(()), vec![1], 1));
@@ -274,8 +283,11 @@
             Item { origin: sender.member().clone(), start: 1, serial: 1, evidence }
         };
         let (_, done, out) = said(&sender, vec![item(1.0)]);
-        assert!(done.is_ok() && out.iter().any(|a| matches!(a, Action::Told(..))), "{out:?}");
+        assert!(done.is_ok() && out.iter().any(|a| matches!(a, Action::RemoteEvidence(..))), "{out:?}");
         let (_, done, out) = said(&sender, vec![item(1.0), item(f64::NAN)]);
-        assert!(matches!(done, Err(Bad::Evidence("latency", _))) && out.is_empty(), "{done:?} {out:?}");
+        assert!(
+            matches!(done, Err(MembershipError::Evidence("latency", _))) && out.is_empty(),
+            "{done:?} {out:?}"
+        );
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::evidence::Item;
 use crate::life::Life;
-use crate::Bad;
+use crate::MembershipError;
 use foca::{Codec, Header, Member, Message, PostcardCodec};
 use serde::{Deserialize, Serialize};
 
@@ -35,13 +35,13 @@
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    pub fn read(bytes: &[u8], most: usize) -> Result<Self, Bad> {
+    pub fn read(bytes: &[u8], most: usize) -> Result<Self, MembershipError> {
         if bytes.len() > most {
-            return Err(Bad::TooLong { most, found: bytes.len() });
+            return Err(MembershipError::TooLong { most, found: bytes.len() });
         }
-        let garbled = |what: &str| Bad::Garbled(what.into());
-        let (wire, rest): (Self, _) =
-            postcard::take_from_bytes(bytes).map_err(|e| Bad::Garbled(format!("no message: {e}")))?;
+        let garbled = |what: &str| MembershipError::MalformedMessage(what.into());
+        let (wire, rest): (Self, _) = postcard::take_from_bytes(bytes)
+            .map_err(|e| MembershipError::MalformedMessage(format!("no message: {e}")))?;
         let lives = match &wire {
             Wire::Hello(h) => h.me.plausible() && h.known.as_ref().is_none_or(|(l, _)| l.plausible()),
             Wire::Swim { .. } => true,
@@ -63,8 +63,8 @@
 }
 
 impl Swim {
-    pub fn read(mut bytes: &[u8]) -> Result<Self, Bad> {
-        let garbled = |what: String| Bad::Garbled(what);
+    pub fn read(mut bytes: &[u8]) -> Result<Self, MembershipError> {
+        let garbled = |what: String| MembershipError::MalformedMessage(what);
         let header: Header<Life> =
             PostcardCodec.decode_header(&mut bytes).map_err(|e| garbled(format!("no header: {e}")))?;
         let named = match &header.message {
@@ -104,9 +104,10 @@
     }
 
     /// The library's bytes again, of what is still in it.
-    pub fn write(&self) -> Result<Vec<u8>, Bad> {
+    pub fn write(&self) -> Result<Vec<u8>, MembershipError> {
         let mut bytes = Vec::new();
-        let unwritten = |e: postcard::Error| Bad::Garbled(format!("can't be written again: {e}"));
+        let unwritten =
+            |e: postcard::Error| MembershipError::MalformedMessage(format!("can't be written again: {e}"));
         PostcardCodec.encode_header(&self.header, &mut bytes).map_err(unwritten)?;
         if self.counted {
             bytes.extend((self.updates.len() as u16).to_be_bytes());
--- a/crates/membership/tests/fleets.rs
+++ b/crates/membership/tests/fleets.rs
@@ -91,7 +91,7 @@
         let end = net.now + 3.0 * PERIOD;
         assert!(net.until(end, |n| n.all_hold(&who, State::Alive, &[again])));
         net.run(20.0 * PERIOD);
-        assert!(net.all_hold(&who, State::Alive, &[again]) && net.nodes[again].roster.others().count() == 7);
+        assert!(net.all_hold(&who, State::Alive, &[again]) && net.nodes[again].roster.peers().count() == 7);
     }
 }
 
@@ -129,7 +129,7 @@
 fn evidence_reaches_all_grows_older_and_ends() {
     let mut net = Net::of(60, 12);
     let start = net.now;
-    net.event(0, Event::Heard(evidence(100.0)));
+    net.event(0, Event::LocalEvidence(evidence(100.0)));
     let all = |n: &Net| n.nodes.iter().skip(1).all(|n| !n.evidence.is_empty());
     assert!(net.until(start + 5.0 * PERIOD, all), "it does not reach all");
     println!("evidence reached 60 routers after {:.0} ms", net.now - start);
@@ -143,7 +143,7 @@
         assert_eq!(Evidence { age: 100.0, ..what.clone() }, evidence(100.0));
     }
     // Newer news of the same site pass on, and nothing is left of either after its span.
-    net.event(0, Event::Heard(evidence(0.0)));
+    net.event(0, Event::LocalEvidence(evidence(0.0)));
     net.run(15.0 * PERIOD);
     assert!(net.nodes[1..].iter().all(|n| n.evidence.len() == 2));
     let late = net.start(60, 1, 60);
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -1,6 +1,6 @@
 //! Rosters in simulated time: messages take 0.5 to 5 ms and may be lost or cut off, as a seed says.
 
-use basaltgw_membership::{Action, Event, Evidence, Presence, Roster, Settings, State};
+use basaltgw_membership::{Action, Event, Evidence, Membership, Presence, Settings, State};
 use basaltgw_types::{Domain, Incarnation, Member, Ms, RouterId};
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
@@ -11,7 +11,7 @@
 type Queue = BinaryHeap<Reverse<(u64, u64, usize)>>;
 
 pub struct Node {
-    pub roster: Roster,
+    pub roster: Membership,
     /// What it was told last of each member.
     pub states: BTreeMap<Member, State>,
     pub evidence: Vec<(Ms, Member, Evidence)>,
@@ -82,7 +82,7 @@
     pub fn start(&mut self, name: usize, incarnation: u128, many: usize) -> usize {
         let who = presence(name, incarnation);
         self.current.insert(who.member.clone(), self.nodes.len());
-        let roster = Roster::new(who, listed(many), self.rng.random()).expect("settings");
+        let roster = Membership::new(who, listed(many), self.rng.random()).expect("settings");
         self.nodes.push(Node {
             roster,
             states: BTreeMap::new(),
@@ -97,7 +97,7 @@
     /// A link between two comes up.
     pub fn meet(&mut self, a: usize, b: usize) {
         for (at, other) in [(a, b), (b, a)] {
-            let event = Event::Met(self.nodes[other].roster.me().clone());
+            let event = Event::LinkUp(self.nodes[other].roster.me().clone());
             self.later(0.0, at, event);
         }
     }
@@ -132,15 +132,15 @@
                     let from = self.nodes[at].roster.me().member.clone();
                     if self.cut[at] == self.cut[there] && self.rng.random::<f64>() >= self.loss {
                         let delay = self.rng.random_range(0.5..5.0);
-                        self.later(delay, there, Event::Bytes(from, bytes));
+                        self.later(delay, there, Event::MessageReceived(from, bytes));
                     }
                 }
                 Action::Timer(after, no) => self.later(after, at, Event::Timer(no)),
-                Action::State(who, state) => {
+                Action::StateChanged(who, state) => {
                     self.nodes[at].states.insert(who.member, state);
                 }
-                Action::Told(who, what) => self.nodes[at].evidence.push((self.now, who, what)),
-                Action::Report(_) => {}
+                Action::RemoteEvidence(who, what) => self.nodes[at].evidence.push((self.now, who, what)),
+                Action::Log(_) => {}
             }
         }
     }
--- a/crates/node/src/caches/wire.rs
+++ b/crates/node/src/caches/wire.rs
@@ -3,7 +3,7 @@
 use crate::clients::WireId;
 use crate::outbox::{Counted, Meter};
 use crate::resp::{decimal, encode, Bounds, Decoder, FieldList, Fields};
-use basaltgw::api::{AttemptResult, LoadReport, Ms, FillReport, Rank, ServerId};
+use basaltgw::api::{AttemptResult, FillReport, LoadReport, Ms, Rank, ServerId};
 use std::rc::Rc;
 use std::sync::Arc;
 
--- a/crates/node/src/changelog/mod.rs
+++ b/crates/node/src/changelog/mod.rs
@@ -12,7 +12,7 @@
 pub use follower::Follower;
 
 use crate::limits::LOG_FRAME;
-use basaltgw::api::{GroupId, EndpointState, ObjectId, Endpoint, ServerId};
+use basaltgw::api::{Endpoint, EndpointState, GroupId, ObjectId, ServerId};
 use basaltgw_config::{Member, Names, News, Seq};
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/node/src/fleet/copies.rs
+++ b/crates/node/src/fleet/copies.rs
@@ -3,14 +3,14 @@
 //! Each turn hands the control part what peers and the owner said and what has come due, puts all that has to last into one commit, and only
 //! then tells the owner.
 
-use super::{FleetCounts, Question, Told};
+use super::{ControlNotification, ControlRequest, FleetCounts};
 use crate::clock::Clock;
 use async_channel::Sender;
 use basaltgw_control as control;
-use basaltgw_control::{Action, Control, Event, TIDY_MS};
+use basaltgw_control::{Action, Control, Event, MAINTENANCE_INTERVAL_MS};
 use basaltgw_storage::{Store, Write};
 use basaltgw_transport as peers;
-use basaltgw_transport::{Counts, Order, Port};
+use basaltgw_transport::{Counts, LinkCommand, Port};
 use basaltgw_types::{Ms, RouterId};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -26,15 +26,15 @@
 /// What the thread is handed.
 pub struct Parts {
     /// Of the control part.
-    pub control: control::Parts,
+    pub control: control::ControlParts,
     /// The disk.
     pub store: Store,
     /// To other routers.
     pub port: Port,
     /// From the owner.
-    pub questions: rtrb::Consumer<Question>,
+    pub questions: rtrb::Consumer<ControlRequest>,
     /// To the owner.
-    pub told: rtrb::Producer<Told>,
+    pub told: rtrb::Producer<ControlNotification>,
     /// Wakes it.
     pub bell: Sender<()>,
     /// The last counts, for the owner to print.
@@ -50,8 +50,8 @@
     control: Control,
     store: Store,
     port: Port,
-    questions: rtrb::Consumer<Question>,
-    told: rtrb::Producer<Told>,
+    questions: rtrb::Consumer<ControlRequest>,
+    told: rtrb::Producer<ControlNotification>,
     bell: Sender<()>,
     shown: Arc<Mutex<FleetCounts>>,
     counts: Arc<Counts>,
@@ -63,7 +63,7 @@
     /// Numbers of what the port did not take in this turn.
     refused: Vec<u64>,
     /// What the owner's ring had no room for yet.
-    waiting: VecDeque<Told>,
+    waiting: VecDeque<ControlNotification>,
     /// What the port had no room for yet: the latest of each router.
     wants: BTreeMap<RouterId, bool>,
 }
@@ -96,30 +96,31 @@
     pub fn run(mut self) -> Result<(), String> {
         let now = self.clock.now();
         self.act(now);
-        while !self.control.over(self.clock.now()) {
+        while !self.control.is_finished(self.clock.now()) {
             let busy = self.turn()?;
             if !busy {
-                let rest = (self.control.due() - self.clock.now()).clamp(0.0, REST.as_secs_f64() * 1000.0);
+                let rest =
+                    (self.control.next_timer() - self.clock.now()).clamp(0.0, REST.as_secs_f64() * 1000.0);
                 std::thread::park_timeout(Duration::from_secs_f64(rest / 1000.0));
             }
         }
-        let left = self.control.left();
+        let left = self.control.pending_changes();
         if left > 0 {
             log::warn!(
                 "{left} changes were not put down before the end: what they are about will be in doubt"
             );
         }
         self.heed_refused(self.clock.now());
-        self.control.sum_up();
+        self.control.refresh_counts();
         self.show(left as u64);
-        let _ = self.port.send(Order::End);
+        let _ = self.port.send(LinkCommand::Shutdown);
         Ok(())
     }
 
     /// One turn; true if there was something to do.
     fn turn(&mut self) -> Result<bool, String> {
         let now = self.clock.now();
-        let mut busy = self.control.due() <= now;
+        let mut busy = self.control.next_timer() <= now;
         self.want();
         for _ in 0..TURN {
             let Some(told) = self.port.next() else { break };
@@ -129,15 +130,15 @@
         for _ in 0..TURN {
             let Ok(question) = self.questions.pop() else { break };
             busy = true;
-            self.handle(now, Event::Asked(question));
+            self.handle(now, Event::Request(question));
         }
-        self.handle(now, Event::Due);
-        if now >= self.shown_at + TIDY_MS {
+        self.handle(now, Event::TimersDue);
+        if now >= self.shown_at + MAINTENANCE_INTERVAL_MS {
             self.shown_at = now;
             self.show(0);
         }
         self.heed_refused(now);
-        busy |= self.handle(now, Event::Settle);
+        busy |= self.handle(now, Event::Flush);
         self.flush()?;
         Ok(busy)
     }
@@ -153,26 +154,26 @@
         let mut stored = Vec::new();
         for action in out.drain(..) {
             match action {
-                Action::Send { no, to, lane, body } => {
-                    if self.port.send(Order::Send { no, to, lane, body }).is_err() {
+                Action::Send { number: no, to, lane, body } => {
+                    if self.port.send(LinkCommand::Send { number: no, to, lane, body }).is_err() {
                         self.refused.push(no);
                     }
                 }
-                Action::Want(router, yes) => {
+                Action::SetLinkWanted(router, yes) => {
                     self.wants.insert(router, yes);
                     self.want();
                 }
-                Action::Table(version, hash) => {
-                    let _ = self.port.send(Order::Table(version, hash));
+                Action::AdvertiseTable(version, hash) => {
+                    let _ = self.port.send(LinkCommand::AdvertiseTable(version, hash));
                 }
-                Action::Store(no, writes) => stored.push((no, self.commit(&writes))),
-                Action::Tell(told) => self.waiting.push_back(told),
+                Action::Commit(no, writes) => stored.push((no, self.commit(&writes))),
+                Action::Notify(told) => self.waiting.push_back(told),
             }
         }
         self.out = out;
         let done = stored.iter().any(|(_, ok)| *ok);
         for (no, ok) in stored {
-            self.handle(now, Event::Stored(no, ok));
+            self.handle(now, Event::CommitFinished(no, ok));
         }
         done
     }
@@ -180,7 +181,7 @@
     /// Tells the links who is wanted, as far as there is room.
     fn want(&mut self) {
         while let Some((router, yes)) = self.wants.pop_first() {
-            if self.port.send(Order::Want(router.clone(), yes)).is_err() {
+            if self.port.send(LinkCommand::SetWanted(router.clone(), yes)).is_err() {
                 self.wants.insert(router, yes);
                 return;
             }
@@ -198,7 +199,7 @@
     /// What the port had no room for is told once all of the turn has been done.
     fn heed_refused(&mut self, now: Ms) {
         for no in std::mem::take(&mut self.refused) {
-            self.handle(now, Event::Unsent(no));
+            self.handle(now, Event::SendFailed(no));
         }
     }
 
@@ -232,12 +233,12 @@
 }
 
 /// What the links tell, as the control part hears it.
-fn heard(told: peers::Told) -> Event {
+fn heard(told: peers::LinkEvent) -> Event {
     match told {
-        peers::Told::Up(hello) => Event::Up(hello),
-        peers::Told::Down(member, why) => Event::Down(member, why),
-        peers::Told::Got { from, lane, body } => Event::Got { from, lane, body },
-        peers::Told::Unreached(router) => Event::Unreached(router),
-        peers::Told::Unsent { no, .. } => Event::Unsent(no),
+        peers::LinkEvent::LinkUp(hello) => Event::LinkUp(hello),
+        peers::LinkEvent::LinkDown(member, why) => Event::LinkDown(member, why),
+        peers::LinkEvent::MessageReceived { from, lane, body } => Event::MessageReceived { from, lane, body },
+        peers::LinkEvent::DialFailed(router) => Event::DialFailed(router),
+        peers::LinkEvent::SendFailed { number: no, .. } => Event::SendFailed(no),
     }
 }
--- a/crates/node/src/fleet/gather.rs
+++ b/crates/node/src/fleet/gather.rs
@@ -2,15 +2,15 @@
 
 use super::port::Fleet;
 use super::purges::Purge;
-use super::Question;
+use super::ControlRequest;
 use crate::limits::{COPY_TAG, LONGEST_WAIT_MS, MOST_GROUP, MOST_KB, MOST_PART};
 use basaltgw::api::Class;
 pub use basaltgw_control::Policies;
 use basaltgw_membership as roster;
-use basaltgw_registers::{Change, HoldKey};
+use basaltgw_registers::{Change, RecordKey};
 use basaltgw_scatter_gather::Evidence;
-use basaltgw_transport::{Lane, Order, Told};
-use basaltgw_types::{Member, Ms, MOST_NAME};
+use basaltgw_transport::{Lane, LinkCommand, LinkEvent};
+use basaltgw_types::{Member, Ms, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -110,7 +110,7 @@
                     w.object.len() == OBJECT_DIGITS && w.object.bytes().all(|b| b.is_ascii_hexdigit());
                 let numbers =
                     w.part <= MOST_PART && w.group <= MOST_GROUP && (0.0..=MOST_KB).contains(&w.size_kb);
-                object && numbers && w.class.len() <= MOST_NAME && span(w.left)
+                object && numbers && w.class.len() <= MAX_NAME_BYTES && span(w.left)
             }
             Self::Have { took, purges, what, .. } => {
                 let what = match what {
@@ -129,24 +129,31 @@
 impl Fleet {
     /// Says something to another router; false if there is no room.
     pub fn say(&mut self, no: u64, to: &Member, word: &Word) -> bool {
-        let order = Order::Send { no, to: to.clone(), lane: Lane::Gather, body: word.bytes() };
+        let order =
+            LinkCommand::Send { number: no, to: to.clone(), lane: Lane::ScatterGather, body: word.bytes() };
         self.port.send(order).is_ok()
     }
 
     /// The next that the links have told.
-    pub fn from_peers(&mut self) -> Option<Told> {
+    pub fn from_peers(&mut self) -> Option<LinkEvent> {
         self.port.next()
     }
 
     /// Passes on what is heard of a site. It is advisory: where there is no room it is dropped, and counted.
     pub fn heard(&mut self, word: Evidence) {
         let Evidence { site, missed, answered, latency, age } = word;
-        self.put(Question::Heard(roster::Evidence { site: site.0, missed, answered, latency, age }));
+        self.put(ControlRequest::ReportEvidence(roster::Evidence {
+            site: site.0,
+            missed,
+            answered,
+            latency,
+            age,
+        }));
     }
 
     /// Has a change of a hold put down, however long it takes; nobody waits.
-    pub fn pursue(&mut self, key: HoldKey, change: Change) {
-        self.put_later(Question::Pursue(key, change));
+    pub fn pursue(&mut self, key: RecordKey, change: Change) {
+        self.put_later(ControlRequest::ChangeInBackground(key, change));
     }
 }
 
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -15,7 +15,7 @@
 pub mod stand_in;
 pub mod start;
 
-pub use basaltgw_control::{Question, Told};
+pub use basaltgw_control::{ControlNotification, ControlRequest};
 pub use port::{Fleet, Terms};
 use std::fmt;
 
--- a/crates/node/src/fleet/overlay.rs
+++ b/crates/node/src/fleet/overlay.rs
@@ -3,8 +3,8 @@
 use basaltgw_config::fleet::Fleet;
 use basaltgw_config::overlay::{Links, Standing};
 use basaltgw_control::{OverlayParts, OverlayTimes, StandingLinks};
-use basaltgw_overlay::{List, Listed, Shape};
-use basaltgw_transport::{Dials, Settings};
+use basaltgw_overlay::{RouterEntry, RouterList, Shape};
+use basaltgw_transport::{DialPolicy, Settings};
 use basaltgw_types::{Ms, RouterId};
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     let Some(of) = &set.overlay else { return Ok(None) };
     let keep = of.keep(settles)?;
     let times = OverlayTimes { batch: of.batch_ms, keep, settles, budget: of.budget_bytes_per_s };
-    let listed = |router: &RouterId, s: &Standing| Listed {
+    let listed = |router: &RouterId, s: &Standing| RouterEntry {
         router: router.clone(),
         region: Arc::clone(&s.region),
         zone: Arc::clone(&s.zone),
@@ -32,8 +32,8 @@
     };
     let mut all = vec![listed(&set.name, &of.standing)];
     all.extend(set.peers.iter().filter_map(|p| Some(listed(&p.name, p.standing.as_ref()?))));
-    let said = |e: basaltgw_overlay::Bad| format!("fleet.overlay: {e}");
-    let list = List::new(FIRST, Shape::default(), all).map_err(said)?;
+    let said = |e: basaltgw_overlay::OverlayError| format!("fleet.overlay: {e}");
+    let list = RouterList::new(FIRST, Shape::default(), all).map_err(said)?;
     let limits = &set.limits;
     let standing = match of.links {
         Links::Mesh => None,
@@ -52,8 +52,12 @@
 pub fn links(set: &Fleet) -> Settings {
     let span = |ms: Ms| Duration::from_secs_f64(ms / 1_000.0);
     let dials = match set.overlay.as_ref().map(|o| o.links) {
-        Some(Links::Standing { idle_ms }) => Dials::Wanted { idle: span(idle_ms) },
-        Some(Links::Mesh) | None => Dials::All,
+        Some(Links::Standing { idle_ms }) => DialPolicy::OnDemand { idle: span(idle_ms) },
+        Some(Links::Mesh) | None => DialPolicy::All,
     };
-    Settings { dials, alive: span(set.limits.alive_ms), silent: span(set.limits.silent_ms) }
+    Settings {
+        dial_policy: dials,
+        keepalive_interval: span(set.limits.alive_ms),
+        peer_timeout: span(set.limits.silent_ms),
+    }
 }
--- a/crates/node/src/fleet/port.rs
+++ b/crates/node/src/fleet/port.rs
@@ -1,12 +1,12 @@
 //! The owner's side of the fleet: what it asks, what it is told, and how it is with the threads.
 
 use super::gather::GatherSet;
-use super::{FleetCounts, Question, Told};
+use super::{ControlNotification, ControlRequest, FleetCounts};
 use crate::caches::RequestNo;
 use async_channel::Receiver;
 use basaltgw::api::Idempotency;
-use basaltgw_registers::{AskNo, Change, HoldKey, Outcome};
-use basaltgw_transport::{Port, Rest};
+use basaltgw_registers::{Change, Outcome, RecordKey, RequestNumber};
+use basaltgw_transport::{Port, TransportHandle};
 use basaltgw_types::{Member, Ms};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
@@ -70,7 +70,7 @@
     /// What is promised.
     pub terms: Terms,
     /// The requests that wait for an answer.
-    pub asks: BTreeMap<AskNo, (RequestNo, HoldKey)>,
+    pub asks: BTreeMap<RequestNumber, (RequestNo, RecordKey)>,
     /// Counts so far.
     pub counters: PromiseCounters,
     /// What was purged before this start is known, or counts as all.
@@ -82,12 +82,12 @@
     /// It ends in order.
     pub ending: bool,
     pub(super) ever: u64,
-    pub(super) questions: rtrb::Producer<Question>,
+    pub(super) questions: rtrb::Producer<ControlRequest>,
     /// What must not be lost and found no room, in its order.
-    pub(super) later: VecDeque<Question>,
-    pub(super) told: rtrb::Consumer<Told>,
+    pub(super) later: VecDeque<ControlRequest>,
+    pub(super) told: rtrb::Consumer<ControlNotification>,
     /// The copies' thread and the peers'; gone once they have ended.
-    pub(super) threads: Option<(JoinHandle<String>, Rest)>,
+    pub(super) threads: Option<(JoinHandle<String>, TransportHandle)>,
     /// To other routers, for parts of gathers.
     pub(super) port: Port,
     /// What the owner needs to take gathers, if it takes them; it is the owner's once that has joined.
@@ -103,8 +103,12 @@
         me: Member,
         effects: Vec<Idempotency>,
         terms: Terms,
-        (questions, told, bell): (rtrb::Producer<Question>, rtrb::Consumer<Told>, Receiver<()>),
-        (threads, port): (Option<(JoinHandle<String>, Rest)>, Port),
+        (questions, told, bell): (
+            rtrb::Producer<ControlRequest>,
+            rtrb::Consumer<ControlNotification>,
+            Receiver<()>,
+        ),
+        (threads, port): (Option<(JoinHandle<String>, TransportHandle)>, Port),
         gather: Option<GatherSet>,
         shown: Arc<Mutex<FleetCounts>>,
     ) -> Self {
@@ -132,7 +136,7 @@
     }
 
     /// Asks if there is room, after what waits for some.
-    pub(super) fn put(&mut self, question: Question) -> bool {
+    pub(super) fn put(&mut self, question: ControlRequest) -> bool {
         let put = self.flush() && self.questions.push(question).is_ok();
         self.counters.ring_full += u64::from(!put);
         self.threads.iter().for_each(|(copies, _)| copies.thread().unpark());
@@ -140,7 +144,7 @@
     }
 
     /// Asks as soon as there is room: nobody waits, and it must not be lost.
-    pub(super) fn put_later(&mut self, question: Question) {
+    pub(super) fn put_later(&mut self, question: ControlRequest) {
         if self.later.len() >= MOST_LATER {
             self.counters.ring_dropped += 1;
             return;
@@ -163,10 +167,16 @@
     }
 
     /// Asks for a request; nothing if there is no room.
-    pub fn ask(&mut self, request: RequestNo, key: HoldKey, change: Change, within: Ms) -> Option<AskNo> {
+    pub fn ask(
+        &mut self,
+        request: RequestNo,
+        key: RecordKey,
+        change: Change,
+        within: Ms,
+    ) -> Option<RequestNumber> {
         self.ever += 1;
-        let no = AskNo(self.ever);
-        let put = self.put(Question::Ask { no, key, change, within });
+        let no = RequestNumber(self.ever);
+        let put = self.put(ControlRequest::ChangeRecord { number: no, key, change, timeout: within });
         if put {
             self.asks.insert(no, (request, key));
         }
@@ -174,50 +184,52 @@
     }
 
     /// Puts down how something ended; nobody waits.
-    pub fn put_down(&mut self, key: HoldKey, turn: u32, outcome: Outcome) {
-        let change = Change::Done(self.me.clone(), turn, outcome);
-        self.put_later(Question::Pursue(key, change));
+    pub fn put_down(&mut self, key: RecordKey, turn: u32, outcome: Outcome) {
+        let change = Change::Complete(self.me.clone(), turn, outcome);
+        self.put_later(ControlRequest::ChangeInBackground(key, change));
     }
 
     /// Gives back what never ran; nobody waits. The turn says which taking is meant: the same request may have been taken again since.
-    pub fn give_back(&mut self, key: HoldKey, turn: u32) {
-        let change = Change::Back(self.me.clone(), turn);
-        self.put_later(Question::Pursue(key, change));
+    pub fn give_back(&mut self, key: RecordKey, turn: u32) {
+        let change = Change::Release(self.me.clone(), turn);
+        self.put_later(ControlRequest::ChangeInBackground(key, change));
     }
 
     /// A purge of the change log.
     pub fn purged(&mut self, purge: super::purges::Purge) {
         if self.terms.purges {
-            self.put_later(Question::Purge(purge));
+            self.put_later(ControlRequest::Purge(purge));
         }
     }
 
     /// New rules, by file name and text.
     pub fn rules(&mut self, name: String, text: String) {
-        self.put_later(Question::Rules(name, text));
+        self.put_later(ControlRequest::Rules(name, text));
     }
 
     /// The outcome as it is kept.
     pub fn outcome(&self, bytes: &[u8]) -> Outcome {
         match bytes.len() <= self.terms.outcome_bytes {
             true => Outcome::Served(bytes.to_vec()),
-            false => Outcome::ServedUntold,
+            false => Outcome::ServedBodyOmitted,
         }
     }
 
     /// The next that was told.
     #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Option<Told> {
+    pub fn next(&mut self) -> Option<ControlNotification> {
         // Without gathers nothing is asked of other routers directly; what they send all the same is counted and dropped.
         while let Some(told) = (!self.gathers).then(|| self.port.next()).flatten() {
-            self.counters.unasked += u64::from(matches!(told, basaltgw_transport::Told::Got { .. }));
+            self.counters.unasked +=
+                u64::from(matches!(told, basaltgw_transport::LinkEvent::MessageReceived { .. }));
         }
         self.told.pop().ok()
     }
 
     /// Why a thread has ended that should not have.
     pub fn lost(&mut self) -> Option<String> {
-        let over = |(copies, links): &(JoinHandle<String>, Rest)| copies.is_finished() || links.ended();
+        let over =
+            |(copies, links): &(JoinHandle<String>, TransportHandle)| copies.is_finished() || links.ended();
         if self.ending || !self.threads.as_ref().is_some_and(over) {
             return None;
         }
@@ -228,7 +240,7 @@
     pub fn end(&mut self) -> Option<String> {
         self.ending = true;
         let unheard = self.asks.keys().copied().collect();
-        self.later.push_back(Question::End(unheard));
+        self.later.push_back(ControlRequest::Shutdown(unheard));
         let (copies, links) = self.threads.take()?;
         // Without this word the thread would not end: it is waited for until there is room.
         while !self.flush() && !copies.is_finished() {
--- a/crates/node/src/fleet/stand_in.rs
+++ b/crates/node/src/fleet/stand_in.rs
@@ -1,20 +1,22 @@
 //! A fleet whose copies' thread is a test.
 
 use super::port::{Fleet, Terms};
-use super::{Question, Told};
+use super::{ControlNotification, ControlRequest};
 use basaltgw::api::Idempotency;
-use basaltgw_transport::{Hello, Lane, Limits, Port, Rest, Settings, User, PROTOCOL};
+use basaltgw_transport::{
+    Hello, Lane, Limits, Port, Settings, TransportHandle, TransportUser, PROTOCOL_VERSION,
+};
 use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
 use std::sync::Arc;
 
 /// The other ends of an owner's rings.
 pub struct Thread {
     /// What it is asked.
-    pub questions: rtrb::Consumer<Question>,
+    pub questions: rtrb::Consumer<ControlRequest>,
     /// What it tells.
-    pub told: rtrb::Producer<Told>,
+    pub told: rtrb::Producer<ControlNotification>,
     port: Port,
-    links: Rest,
+    links: TransportHandle,
 }
 
 /// A fleet of one router, of which nothing runs but its links; rings have so many places. The first class is safe, the second unsafe.
@@ -22,15 +24,16 @@
     let text = |t: &str| Arc::<str>::from(t);
     let me = Member { router: RouterId(text("r1")), incarnation: Incarnation(7) };
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         cluster: text("test"),
         member: me.clone(),
         domain: Domain { branch: text("north"), machine: text("m1") },
         table: (TableVersion(0), TableHash([0; 32])),
     };
-    let user = |lanes: Vec<Lane>| User { lanes, wake: Box::new(|| ()) };
-    let users = [user(vec![Lane::Gather]), user(vec![Lane::Roster, Lane::Holds, Lane::Table])];
-    let limits = Limits { frames: 4, bytes: 4096, frame: 1024, ring: 4 };
+    let user = |lanes: Vec<Lane>| TransportUser { lanes, wake: Box::new(|| ()) };
+    let users = [user(vec![Lane::ScatterGather]), user(vec![Lane::Membership, Lane::Registers, Lane::Table])];
+    let limits =
+        Limits { max_queued_frames: 4, max_queued_bytes: 4096, max_frame_bytes: 1024, ring_entries: 4 };
     let here = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
     let set = (limits, Settings::default());
     let links = basaltgw_transport::start(hello, here, Vec::new(), set, 1, users).expect("links");
@@ -46,7 +49,11 @@
 
 impl Fleet {
     /// Has a thread take its questions, to be waited for at the end.
-    pub fn served_by(&mut self, thread: Thread, mut each: impl FnMut(Question) -> bool + Send + 'static) {
+    pub fn served_by(
+        &mut self,
+        thread: Thread,
+        mut each: impl FnMut(ControlRequest) -> bool + Send + 'static,
+    ) {
         let Thread { mut questions, told, port, links } = thread;
         let run = move || {
             let mut goes_on = true;
--- a/crates/node/src/fleet/start.rs
+++ b/crates/node/src/fleet/start.rs
@@ -7,12 +7,14 @@
 use crate::clock::Clock;
 use basaltgw_config::fleet::Fleet as FleetConfig;
 use basaltgw_config::NodeConfig;
-use basaltgw_control::{purges::MOST_PURGES, read_adopted, read_purges, Parts as ControlParts};
-use basaltgw_control::{Founder, Given, TableKeeper, ADOPTED, HOLDS, PURGES};
-use basaltgw_membership::{Presence, Roster, Settings as RosterSettings};
-use basaltgw_registers::{Holds, Settings as HoldSettings};
+use basaltgw_control::{decode_purges, decode_table_register, purges::MOST_PURGES, ControlParts};
+use basaltgw_control::{
+    BootstrapMember, TableManager, TableManagerConfig, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE,
+};
+use basaltgw_membership::{Membership, Presence, Settings as RosterSettings};
+use basaltgw_registers::{Registers, Settings as HoldSettings};
 use basaltgw_storage::{Found, Limits as StoreLimits, Store};
-use basaltgw_transport::{Hello, Lane, Limits as LinkLimits, Listed, User, PROTOCOL};
+use basaltgw_transport::{Hello, Lane, Limits as LinkLimits, PeerConfig, TransportUser, PROTOCOL_VERSION};
 use basaltgw_types::{Member, Ms, TableHash, TableVersion};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -61,28 +63,28 @@
     let settles = config.settings.purge_convergence_time;
     let longest = config.settings.classes.iter().map(|c| c.deadline.max(c.key_window)).fold(0.0, f64::max);
     let hold_set = HoldSettings {
-        most_asks: limits.open_asks,
-        most_registers: limits.holds,
-        most_bytes: limits.hold_bytes,
-        most_outcome_bytes: limits.outcome_bytes,
-        most_message_bytes: limits.frame_bytes,
-        stay_away_most_ms: config.settings.max_retry_after.max(STAY_AWAY_MS),
-        effect_keep_ms: HoldSettings::usual().effect_keep_ms.max(2.0 * longest),
-        purge_keep_ms: (2.0 * settles).max(1_000.0),
-        fill_portion: limits.fill_portion,
-        fill_pause_ms: limits.fill_pause_ms.max(1.0),
+        max_open_requests: limits.open_asks,
+        max_registers: limits.holds,
+        max_bytes: limits.hold_bytes,
+        max_outcome_bytes: limits.outcome_bytes,
+        max_message_bytes: limits.frame_bytes,
+        max_retry_after_ms: config.settings.max_retry_after.max(STAY_AWAY_MS),
+        execution_retention_ms: HoldSettings::usual().execution_retention_ms.max(2.0 * longest),
+        purge_retention_ms: (2.0 * settles).max(1_000.0),
+        sync_batch: limits.fill_portion,
+        sync_pause_ms: limits.fill_pause_ms.max(1.0),
         ..HoldSettings::usual()
     };
-    let stay_away_least = hold_set.stay_away_least_ms;
-    let records = store.read(HOLDS).map_err(wrong)?;
-    let holds = Holds::new(me.clone(), hold_set, records, draw() as u64).map_err(wrong)?;
+    let stay_away_least = hold_set.min_retry_after_ms;
+    let records = store.read(REGISTERS_SPACE).map_err(wrong)?;
+    let holds = Registers::new(me.clone(), hold_set, records, draw() as u64).map_err(wrong)?;
     let unread = || wrong(format!("{}: a purge that can't be read", set.folder.display()));
-    let purges = read_purges(store.read(PURGES).map_err(wrong)?).ok_or_else(unread)?;
+    let purges = decode_purges(store.read(PURGES_SPACE).map_err(wrong)?).ok_or_else(unread)?;
     let table = table(set, &me, &store)?;
     let presence = Presence { member: me.clone(), address: set.listen, domain: set.domain.clone() };
     let listed = set.peers.iter().map(|p| p.name.clone()).collect();
     let roster_set = RosterSettings { listed, ..RosterSettings::default() };
-    let roster = Roster::new(presence, roster_set, draw() as u64).map_err(wrong)?;
+    let roster = Membership::new(presence, roster_set, draw() as u64).map_err(wrong)?;
 
     let (questions, asked) = rtrb::RingBuffer::new(limits.ring);
     let (tell, told) = rtrb::RingBuffer::new(limits.ring);
@@ -103,26 +105,29 @@
         }
     };
     let users = [
-        User { lanes: vec![Lane::Gather], wake: Box::new(ring_owner) },
-        User { lanes: vec![Lane::Roster, Lane::Holds, Lane::Table], wake: Box::new(wake_copies) },
+        TransportUser { lanes: vec![Lane::ScatterGather], wake: Box::new(ring_owner) },
+        TransportUser {
+            lanes: vec![Lane::Membership, Lane::Registers, Lane::Table],
+            wake: Box::new(wake_copies),
+        },
     ];
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         cluster: Arc::clone(&set.cluster),
         member: me.clone(),
         domain: set.domain.clone(),
         table: table.version().unwrap_or((TableVersion(0), TableHash([0; 32]))),
     };
-    let listed = set.peers.iter().map(|p| Listed {
+    let listed = set.peers.iter().map(|p| PeerConfig {
         router: p.name.clone(),
         address: p.address,
         domain: p.domain.clone(),
     });
     let link_limits = LinkLimits {
-        frames: limits.lane_frames,
-        bytes: limits.lane_bytes,
-        frame: limits.frame_bytes,
-        ring: limits.ring,
+        max_queued_frames: limits.lane_frames,
+        max_queued_bytes: limits.lane_bytes,
+        max_frame_bytes: limits.frame_bytes,
+        ring_entries: limits.ring,
     };
     let link_set = (link_limits, super::overlay::links(set));
     let links =
@@ -144,15 +149,18 @@
     });
     let control = ControlParts {
         me: me.clone(),
-        old,
-        holds,
-        roster,
+        has_previous_data: old,
+        registers: holds,
+        membership: roster,
         table,
         purges,
-        settles,
-        ends: (config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max) / END_SHARE)
+        purge_convergence_time: settles,
+        shutdown_timeout: (config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max)
+            / END_SHARE)
             .min(END_MS),
-        gathers: gather.as_ref().map(|g| g.classes.iter().map(|c| Arc::from(c.name.as_str())).collect()),
+        scatter_gather_classes: gather
+            .as_ref()
+            .map(|g| g.classes.iter().map(|c| Arc::from(c.name.as_str())).collect()),
         overlay: super::overlay::parts(set, settles, draw() as u64).map_err(wrong)?,
     };
     let parts = Parts {
@@ -194,28 +202,28 @@
 }
 
 /// The table's owner, with what was adopted before.
-fn table(set: &FleetConfig, me: &Member, store: &Store) -> io::Result<TableKeeper> {
+fn table(set: &FleetConfig, me: &Member, store: &Store) -> io::Result<TableManager> {
     let mut founders: BTreeMap<_, _> = set
         .peers
         .iter()
-        .map(|p| (p.name.clone(), Founder { address: p.address, domain: p.domain.clone() }))
+        .map(|p| (p.name.clone(), BootstrapMember { address: p.address, domain: p.domain.clone() }))
         .collect();
-    founders.insert(set.name.clone(), Founder { address: set.listen, domain: set.domain.clone() });
-    let kept = match store.get(ADOPTED, &[]).map_err(wrong)? {
+    founders.insert(set.name.clone(), BootstrapMember { address: set.listen, domain: set.domain.clone() });
+    let kept = match store.get(TABLE_SPACE, &[]).map_err(wrong)? {
         Some(bytes) => {
-            let found = read_adopted(&bytes);
+            let found = decode_table_register(&bytes);
             Some(found.map_err(|e| wrong(format!("{}: the table kept there: {e}", set.folder.display())))?)
         }
         None => None,
     };
-    let given = Given {
+    let given = TableManagerConfig {
         me: me.clone(),
         founders,
         capacity: set.limits.holds as u64,
         rules: rules(set),
         replace_after: set.limits.replace_after_ms,
     };
-    TableKeeper::new(given, kept).map_err(wrong)
+    TableManager::new(given, kept).map_err(wrong)
 }
 
 /// The rules of the file, or those that the section itself amounts to.
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -3,7 +3,7 @@
 //! [`crate::permissions`] decides beforehand; this sees what really happens, by its own reckoning, and counts what breaks a rule, by name,
 //! in every build. The first violation of each kind is logged with its ids; a debug build panics, so that tests fail where it happened.
 
-use basaltgw::api::{Idempotency, AttemptResult, Ms};
+use basaltgw::api::{AttemptResult, Idempotency, Ms};
 use std::cell::Cell;
 use std::fmt;
 use std::time::Duration;
@@ -140,7 +140,15 @@
 
 /// An attempt that is out, or whose end proves nothing.
 fn may_have_run(end: Option<AttemptResult>) -> bool {
-    !matches!(end, Some(AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss))
+    !matches!(
+        end,
+        Some(
+            AttemptResult::Rejected
+                | AttemptResult::NoConnection
+                | AttemptResult::NotSent
+                | AttemptResult::CacheMiss
+        )
+    )
 }
 
 #[cfg(test)]
@@ -169,12 +177,32 @@
         assert!(violates(Violation::SecondAnswer, |i| i.answered(false, ids())));
         assert!(!violates(Violation::SecondAnswer, |i| i.answered(true, ids())));
         let broken = [Some(AttemptResult::ConnectionLost)];
-        assert!(violates(Violation::RepeatAfterExecution, |i| i.attempted(Idempotency::NonIdempotent, broken, ids())));
-        assert!(violates(Violation::RepeatAfterExecution, |i| i.attempted(Idempotency::NonIdempotent, [None], ids())));
-        assert!(!violates(Violation::RepeatAfterExecution, |i| i.attempted(Idempotency::Idempotent, broken, ids())));
-        assert!(violates(Violation::RefusalAfterExecution, |i| i.refused(Idempotency::NonIdempotent, broken, ids())));
+        assert!(violates(Violation::RepeatAfterExecution, |i| i.attempted(
+            Idempotency::NonIdempotent,
+            broken,
+            ids()
+        )));
+        assert!(violates(Violation::RepeatAfterExecution, |i| i.attempted(
+            Idempotency::NonIdempotent,
+            [None],
+            ids()
+        )));
+        assert!(!violates(Violation::RepeatAfterExecution, |i| i.attempted(
+            Idempotency::Idempotent,
+            broken,
+            ids()
+        )));
+        assert!(violates(Violation::RefusalAfterExecution, |i| i.refused(
+            Idempotency::NonIdempotent,
+            broken,
+            ids()
+        )));
         let full = [Some(AttemptResult::Rejected)];
-        assert!(!violates(Violation::RefusalAfterExecution, |i| i.refused(Idempotency::NonIdempotent, full, ids())));
+        assert!(!violates(Violation::RefusalAfterExecution, |i| i.refused(
+            Idempotency::NonIdempotent,
+            full,
+            ids()
+        )));
         assert!(violates(Violation::ClosedOverRequest, |i| i.closed(1, ids())));
         assert!(!violates(Violation::ClosedOverRequest, |i| i.closed(0, ids())));
     }
--- a/crates/node/src/owner/attempts.rs
+++ b/crates/node/src/owner/attempts.rs
@@ -10,7 +10,9 @@
 use crate::limits::LONGEST_WAIT_MS;
 use crate::outbox::{Counted, FetchRoute, FetchTerms, FetchTime, OutgoingMessage, Stage};
 use crate::permissions::{may_begin, may_repeat, BeginState, EarlierAttempt};
-use basaltgw::api::{AttemptNo, AttemptResult, Event, AttemptSpec, LoadReport, Ms, FillReport, Outcome, ServerId};
+use basaltgw::api::{
+    AttemptNo, AttemptResult, AttemptSpec, Event, FillReport, LoadReport, Ms, Outcome, ServerId,
+};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -201,7 +203,12 @@
     /// Gives an attempt up at its server. It ends so, in a later batch, or as `never` if it was not sent. What is on its way is out
     /// until its abort is written: on another connection the request's next attempt could overtake that, and two would be out.
     /// `later`: the module is told in the next batch, since it is its own action.
-    pub(super) fn give_up(&mut self, (no, n): AttemptKey, (end, never): (AttemptResult, AttemptResult), later: bool) {
+    pub(super) fn give_up(
+        &mut self,
+        (no, n): AttemptKey,
+        (end, never): (AttemptResult, AttemptResult),
+        later: bool,
+    ) {
         let Some(open) = self.requests.get(no) else { return };
         let Some((conn, parcel)) = open.attempts.get(n.0).and_then(|a| a.way.as_ref()) else { return };
         if self.leaving.iter().any(|l| l.key == (no, n)) {
@@ -232,13 +239,15 @@
         let unsent = |a: &Attempt| matches!(a.stage(), Some(Stage::Waiting | Stage::TakenBack));
         let attempts = open.attempts.iter().enumerate().filter(|(_, a)| unsent(a));
         let keys: Vec<AttemptKey> = attempts.map(|(n, _)| (no, AttemptNo(n))).collect();
-        keys.into_iter().for_each(|key| self.give_up(key, (AttemptResult::Cancelled, AttemptResult::NotSent), true));
+        keys.into_iter()
+            .for_each(|key| self.give_up(key, (AttemptResult::Cancelled, AttemptResult::NotSent), true));
     }
 
     pub(super) fn time_out(&mut self, key: AttemptKey) {
         let attempt = self.requests.attempt(key);
         let Some((conn, _)) = attempt.and_then(|a| a.way.as_ref()) else { return };
-        let never = if self.caches.coming_up(*conn) { AttemptResult::NoConnection } else { AttemptResult::NotSent };
+        let never =
+            if self.caches.coming_up(*conn) { AttemptResult::NoConnection } else { AttemptResult::NotSent };
         self.give_up(key, (AttemptResult::TimedOut, never), false);
     }
 
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use basaltgw::api::{AttemptNo, Event, Ms};
 use basaltgw::rules::carry::Snapshot;
-use basaltgw_registers::AskNo;
+use basaltgw_registers::RequestNumber;
 use futures_lite::future;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -27,7 +27,7 @@
     Attempt(RequestNo, AttemptNo),
     Begin(RequestNo, AttemptNo),
     Look(RequestNo),
-    Promise(RequestNo, AskNo),
+    Promise(RequestNo, RequestNumber),
     Gather,
 }
 
--- a/crates/node/src/owner/gather.rs
+++ b/crates/node/src/owner/gather.rs
@@ -17,7 +17,7 @@
 use crate::fleet::gather::{GatherSet, Policies};
 use crate::fleet::purges::{purge, Purge, Purges};
 use crate::outbox::Counted;
-use basaltgw::api::{ClassId, Idempotency, GroupId, Ms, ObjectId};
+use basaltgw::api::{ClassId, GroupId, Idempotency, Ms, ObjectId};
 use basaltgw_scatter_gather as gather;
 use basaltgw_scatter_gather::{
     Action, AttemptNo, Decide, Event, GatherNo, Gathers, Missing, PartNo, PartSpec, Policy, Site, Times, Used,
@@ -320,7 +320,7 @@
     pub(super) fn gather_purged(&mut self, object: Option<ObjectId>, group: GroupId, time: Ms) {
         let Some(g) = &mut self.gathering else { return };
         let purge = purge(group, object, time);
-        if g.purges.heard(purge) {
+        if g.purges.observe(purge) {
             self.gather_tell(Event::Purged(told(purge)));
         }
     }
--- a/crates/node/src/owner/gather/debts.rs
+++ b/crates/node/src/owner/gather/debts.rs
@@ -5,7 +5,7 @@
 use crate::clients::Reply;
 use crate::fleet::start::draw;
 use basaltgw::api::Ms;
-use basaltgw_registers::{Change, Hold, HoldKey, Kind, Verdict};
+use basaltgw_registers::{Change, Kind, Record, RecordKey, Response};
 use std::sync::Arc;
 
 /// So much of a gather's time is left for its answer to be written, once its debt is waited for no longer.
@@ -21,8 +21,8 @@
     pub missing: Vec<u64>,
 }
 
-fn key(name: u128) -> HoldKey {
-    HoldKey { kind: Kind::Debt, name }
+fn key(name: u128) -> RecordKey {
+    RecordKey { kind: Kind::Continuation, name }
 }
 
 impl Owner {
@@ -39,7 +39,7 @@
         let Some(open) = self.gathering.as_mut().and_then(|g| g.open.get_mut(&no)) else { return };
         let (object, version) = (open.request.object.0, Arc::from(""));
         open.debt = Some(Debt { name, object, version, missing: Vec::new() });
-        if !self.debt_asked(no, name, Change::Look) {
+        if !self.debt_asked(no, name, Change::Read) {
             let back = self.fleet.as_ref().map_or(0.0, |f| f.terms.stay_away);
             self.gather_reply(no, Reply::Refused(back));
         }
@@ -57,7 +57,7 @@
         let missing: Vec<u64> = said.missing.iter().map(|n| u64::from(*n)).collect();
         let debt = Debt { name: draw(), object: open.request.object.0, version, missing };
         let (name, object, version) = (debt.name, debt.object, Arc::clone(&debt.version));
-        let change = Change::Owe { object, version, missing: debt.missing.clone() };
+        let change = Change::SetContinuation { object, version, missing: debt.missing.clone() };
         open.stage = Stage::Owing(Box::new(Owing { debt, said, held, decided: self.now }));
         if !self.debt_asked(no, name, change) {
             self.debt_said(no, false);
@@ -80,31 +80,35 @@
     }
 
     /// The fleet's answer to a gather's question; handed back if it is another's.
-    pub(in crate::owner) fn gather_verdict(&mut self, no: RequestNo, verdict: Verdict) -> Option<Verdict> {
+    pub(in crate::owner) fn gather_verdict(&mut self, no: RequestNo, verdict: Response) -> Option<Response> {
         let no = GatherNo(no.0);
         let Some(open) = self.gathering.as_mut().and_then(|g| g.open.get_mut(&no)) else {
             return Some(verdict);
         };
         match &open.stage {
             Stage::Looking => self.debt_found(no, verdict),
-            Stage::Owing(_) => self.debt_said(no, matches!(verdict, Verdict::Kept(Hold::Debt { .. }))),
+            Stage::Owing(_) => {
+                self.debt_said(no, matches!(verdict, Response::Committed(Record::Continuation { .. })))
+            }
             Stage::Out => {}
         }
         None
     }
 
     /// How the debt stands that a client asks for.
-    fn debt_found(&mut self, no: GatherNo, verdict: Verdict) {
+    fn debt_found(&mut self, no: GatherNo, verdict: Response) {
         let Some(g) = &mut self.gathering else { return };
         let Some(open) = g.open.get_mut(&no) else { return };
         let stands = match verdict {
-            Verdict::Kept(hold) => Some(hold),
-            Verdict::Stands(hold) => hold,
-            Verdict::Unkept { stay_away, .. } => return self.gather_reply(no, Reply::Refused(stay_away)),
+            Response::Committed(hold) => Some(hold),
+            Response::Conflict(hold) => hold,
+            Response::Unavailable { retry_after: stay_away, .. } => {
+                return self.gather_reply(no, Reply::Refused(stay_away))
+            }
         };
         let asked = |missing: &[u64]| open.parts.iter().all(|(p, _)| missing.contains(&u64::from(p.0)));
         match (stands, &mut open.debt) {
-            (Some(Hold::Debt { object, version, missing }), Some(debt))
+            (Some(Record::Continuation { object, version, missing }), Some(debt))
                 if object == debt.object && asked(&missing) =>
             {
                 (debt.version, debt.missing) = (version, missing);
@@ -124,15 +128,15 @@
         let Debt { name, object, version, .. } = debt;
         if missing.is_empty() {
             self.gathering.iter_mut().for_each(|g| g.counters.debts_paid += 1);
-            self.fleet.iter_mut().for_each(|f| f.pursue(key(name), Change::End));
+            self.fleet.iter_mut().for_each(|f| f.pursue(key(name), Change::Expire));
         } else {
-            let change = Change::Owe { object, version, missing };
+            let change = Change::SetContinuation { object, version, missing };
             self.fleet.iter_mut().for_each(|f| f.pursue(key(name), change.clone()));
         }
     }
 
     /// Nobody will ask for it.
     pub(super) fn debt_ends(&mut self, debt: &Debt) {
-        self.fleet.iter_mut().for_each(|f| f.pursue(key(debt.name), Change::End));
+        self.fleet.iter_mut().for_each(|f| f.pursue(key(debt.name), Change::Expire));
     }
 }
--- a/crates/node/src/owner/gather/peers.rs
+++ b/crates/node/src/owner/gather/peers.rs
@@ -6,9 +6,9 @@
 use crate::fleet::gather::{Brought, Want, Word};
 use crate::limits::{COPY_TAG, LONGEST_WAIT_MS};
 use crate::owner::asker::Asker;
-use basaltgw::api::{Idempotency, GroupId, Ms, ObjectId, Part};
+use basaltgw::api::{GroupId, Idempotency, Ms, ObjectId, Part};
 use basaltgw_scatter_gather::{AttemptNo, Event, How, PartNo, Site};
-use basaltgw_transport::Told;
+use basaltgw_transport::LinkEvent;
 use basaltgw_types::{Member, RouterId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -114,20 +114,20 @@
             let Some(told) = self.fleet.as_mut().and_then(|f| f.from_peers()) else { return };
             let Some(g) = &mut self.gathering else { return };
             match told {
-                Told::Up(hello) => {
+                LinkEvent::LinkUp(hello) => {
                     let (member, branch) = (hello.member, hello.domain.branch);
                     let before = g.peers.reached.insert(member.router.clone(), (member.clone(), branch));
                     before.filter(|(m, _)| *m != member).into_iter().for_each(|(m, _)| self.gather_lost(&m));
                     self.gather_fleet();
                 }
-                Told::Down(member, _) => {
+                LinkEvent::LinkDown(member, _) => {
                     if g.peers.reached.get(&member.router).is_some_and(|(m, _)| *m == member) {
                         g.peers.reached.remove(&member.router);
                     }
                     self.gather_lost(&member);
                     self.gather_fleet();
                 }
-                Told::Got { from, lane: _, body } => match Word::read(&body) {
+                LinkEvent::MessageReceived { from, lane: _, body } => match Word::read(&body) {
                     Some(Word::Want(want)) => self.gather_wanted(from, want),
                     Some(Word::Have { no, took, purges, what }) => match g.peers.wants.remove(&no) {
                         Some((to, key)) if to == from => {
@@ -154,8 +154,8 @@
                     None => g.counters.strange += 1,
                 },
                 // The owner wants none: gathers go over the links of a mesh.
-                Told::Unreached(_) => {}
-                Told::Unsent { no, .. } => {
+                LinkEvent::DialFailed(_) => {}
+                LinkEvent::SendFailed { number: no, .. } => {
                     g.counters.unsent += 1;
                     if let Some((_, key)) = g.peers.wants.remove(&no) {
                         self.gather_ended(key, How::Unreached);
@@ -189,8 +189,9 @@
         let class = self.names.class(&want.class);
         let Some(g) = &mut self.gathering else { return };
         let to = (from, want.no);
-        let safe =
-            |c: &basaltgw::api::ClassId| g.set.classes.get(c.0).is_some_and(|c| c.idempotency == Idempotency::Idempotent);
+        let safe = |c: &basaltgw::api::ClassId| {
+            g.set.classes.get(c.0).is_some_and(|c| c.idempotency == Idempotency::Idempotent)
+        };
         let object = u64::from_str_radix(&want.object, 16).ok();
         let (Some(class), Some(object)) = (class.filter(safe), object) else {
             g.counters.strange += 1;
--- a/crates/node/src/owner/learnt.rs
+++ b/crates/node/src/owner/learnt.rs
@@ -38,8 +38,11 @@
     /// next process than it is.
     pub(super) fn learnt_elsewhere(&self) -> (Snapshot, Ms) {
         let platform = &self.platform;
-        let learnt =
-            mapped(self.router.snapshot(), |local| platform.unix(local), |local| platform.unix_at_most(local));
+        let learnt = mapped(
+            self.router.snapshot(),
+            |local| platform.unix(local),
+            |local| platform.unix_at_most(local),
+        );
         (learnt, platform.unix_at_most(self.now))
     }
 }
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -38,7 +38,7 @@
 use crate::tree::Tree;
 use crate::{Input, Shared};
 use attempts::AbortingAttempt;
-use basaltgw::api::{Action, AttemptNo, Class, AttemptResult, Event, Ms, RequestId, ServerId};
+use basaltgw::api::{Action, AttemptNo, AttemptResult, Class, Event, Ms, RequestId, ServerId};
 use basaltgw::rules::carry::Snapshot;
 use basaltgw::rules::Router;
 use basaltgw_config::{Names, NodeConfig, OwnSettings, Place};
@@ -243,9 +243,9 @@
             match act {
                 Action::StartAttempt(fetch) => self.begin(fetch),
                 Action::CancelAttempt(request, n) => {
-                    number(&request)
-                        .into_iter()
-                        .for_each(|no| self.give_up((no, n), (AttemptResult::Cancelled, AttemptResult::NotSent), true));
+                    number(&request).into_iter().for_each(|no| {
+                        self.give_up((no, n), (AttemptResult::Cancelled, AttemptResult::NotSent), true)
+                    });
                 }
                 Action::Reject(request, stay_away) => {
                     number(&request).into_iter().for_each(|no| self.answer(no, Reply::Refused(stay_away)));
--- a/crates/node/src/owner/news.rs
+++ b/crates/node/src/owner/news.rs
@@ -5,7 +5,9 @@
 use super::Owner;
 use crate::breaks::{broken, Break};
 use crate::fleet::purges::purge;
-use basaltgw::api::{AttemptResult, Event, GroupId, EndpointUpdate, EndpointState, Ms, ObjectId, Endpoint, ServerId};
+use basaltgw::api::{
+    AttemptResult, Endpoint, EndpointState, EndpointUpdate, Event, GroupId, Ms, ObjectId, ServerId,
+};
 use basaltgw_config::{Member, News};
 use std::time::Instant;
 
@@ -174,6 +176,7 @@
     /// Takes back what waits to be written and was decided before the news.
     pub(super) fn recall(&mut self, overtaken: impl Fn(&Open, &Attempt) -> bool) {
         let keys = self.requests.waiting(overtaken);
-        keys.into_iter().for_each(|key| self.give_up(key, (AttemptResult::Cancelled, AttemptResult::NotSent), false));
+        keys.into_iter()
+            .for_each(|key| self.give_up(key, (AttemptResult::Cancelled, AttemptResult::NotSent), false));
     }
 }
