--- a/crates/node/src/owner/promise.rs
+++ b/crates/node/src/owner/promise.rs
@@ -7,11 +7,11 @@
 use super::Owner;
 use crate::caches::RequestNo;
 use crate::clients::{Reply, WireId};
-use crate::fleet::{Fleet, Told};
+use crate::fleet::{ControlNotification, Fleet};
 use crate::outbox::Counted;
 use crate::permissions::not_executed;
-use basaltgw::api::{ClassId, Idempotency, AttemptResult, Event, GroupId, Ms, ObjectId};
-use basaltgw_registers::{AskNo, Change, Hold, HoldKey, Kind, Outcome, Verdict};
+use basaltgw::api::{AttemptResult, ClassId, Event, GroupId, Idempotency, Ms, ObjectId};
+use basaltgw_registers::{Change, Kind, Outcome, Record, RecordKey, RequestNumber, Response};
 use std::sync::Arc;
 
 /// What another router has out is asked after so often, until its outcome is known or the client's time is over.
@@ -66,10 +66,10 @@
 }
 
 /// The hold of a request, by the client's id of it.
-pub(super) fn effect(id: &WireId) -> HoldKey {
+pub(super) fn effect(id: &WireId) -> RecordKey {
     // The id is 16 hex digits; what is not is no request.
     let name = u128::from(u64::from_str_radix(&id.0, 16).unwrap_or(u64::MAX));
-    HoldKey { kind: Kind::Effect, name }
+    RecordKey { kind: Kind::Execution, name }
 }
 
 impl Owner {
@@ -78,13 +78,16 @@
         let Some(fleet) = &mut self.fleet else { return false };
         let Some(open) = self.requests.get_mut(no) else { return false };
         let once = |class: ClassId| {
-            fleet.effects.get(class.0).is_some_and(|e| matches!(e, Idempotency::IdempotencyKey | Idempotency::NonIdempotent))
+            fleet
+                .effects
+                .get(class.0)
+                .is_some_and(|e| matches!(e, Idempotency::IdempotencyKey | Idempotency::NonIdempotent))
         };
         if !fleet.terms.effects || !open.class.is_some_and(once) {
             return false;
         }
         open.promise = Promise::Asked;
-        let (change, stay_away) = (Change::Take(fleet.me.clone()), fleet.terms.stay_away);
+        let (change, stay_away) = (Change::Acquire(fleet.me.clone()), fleet.terms.stay_away);
         if !self.ask_fleet(no, change) {
             self.fleet.iter_mut().for_each(|f| f.counters.turned_away += 1);
             self.not_taken(no, stay_away);
@@ -124,26 +127,28 @@
         });
         while let Some(told) = self.fleet.as_mut().and_then(Fleet::next) {
             match told {
-                Told::Verdict(ask, verdict) => self.verdict(ask, verdict),
-                Told::Purge(purge) => {
+                ControlNotification::Response(ask, verdict) => self.verdict(ask, verdict),
+                ControlNotification::Purge(purge) => {
                     let (group, object) = (GroupId(purge.group), purge.object.map(ObjectId));
                     self.purged_elsewhere(Purged { object, group, time: purge.time as Ms });
                 }
-                Told::PurgesKnown(known) => self.purges_known(known),
-                Told::PurgesMissed => {
+                ControlNotification::PurgesKnown(known) => self.purges_known(known),
+                ControlNotification::PurgesMissed => {
                     log::warn!(
                         "purges were missed: copies of before now are not served until they have settled"
                     );
                     self.all_purged();
                     self.recall(|_, _| true);
                 }
-                Told::Policies(policies) => {
+                ControlNotification::Policies(policies) => {
                     self.gathering.iter_mut().for_each(|g| g.policies = Arc::clone(&policies))
                 }
-                Told::Evidence(from, word) => {
+                ControlNotification::Evidence(from, word) => {
                     self.gather_tell(basaltgw_scatter_gather::Event::Heard(from, word))
                 }
-                Told::Table(version, hash) => log::info!("goes by table {} ({hash})", version.0),
+                ControlNotification::Table(version, hash) => {
+                    log::info!("goes by table {} ({hash})", version.0)
+                }
             }
         }
         self.gather_heard();
@@ -183,7 +188,7 @@
         }
     }
 
-    fn verdict(&mut self, ask: AskNo, verdict: Verdict) {
+    fn verdict(&mut self, ask: RequestNumber, verdict: Response) {
         let Some(fleet) = &mut self.fleet else { return };
         let Some((no, key)) = fleet.asks.remove(&ask) else { return };
         let Some(verdict) = self.gather_verdict(no, verdict) else { return };
@@ -192,8 +197,10 @@
         let Some(open) = self.requests.get_mut(no).filter(|o| waits(o)) else {
             // Nobody waits for it any more. What was taken for a client that has left is given back: it was never sent.
             match verdict {
-                Verdict::Kept(Hold::Out { owner, turn }) if owner == fleet.me => fleet.give_back(key, turn),
-                Verdict::Kept(_) | Verdict::Stands(_) | Verdict::Unkept { .. } => {}
+                Response::Committed(Record::Leased { owner, term: turn }) if owner == fleet.me => {
+                    fleet.give_back(key, turn)
+                }
+                Response::Committed(_) | Response::Conflict(_) | Response::Unavailable { .. } => {}
             }
             return;
         };
@@ -201,14 +208,14 @@
             Promise::Ending { body } => {
                 open.promise = Promise::Over;
                 match verdict {
-                    Verdict::Kept(_) | Verdict::Stands(Some(Hold::Done(_))) => {}
-                    Verdict::Stands(_) => {
+                    Response::Committed(_) | Response::Conflict(Some(Record::Completed(_))) => {}
+                    Response::Conflict(_) => {
                         // Others were told that nobody knows.
                         self.fleet.iter_mut().for_each(|f| f.counters.fenced += 1);
                         return self.pay_out(no, Reply::Failed);
                     }
                     // It was served, whoever keeps that; the copies' thread goes on putting it down.
-                    Verdict::Unkept { .. } => {}
+                    Response::Unavailable { .. } => {}
                 }
                 self.pay_out(no, Reply::Served(body.bytes()));
             }
@@ -219,7 +226,7 @@
 
     /// The time for a verdict is over, and none has come: the copies' thread stands still. The verdict that comes later finds nobody, and
     /// what was taken by it is given back then; what was to be put down is put down still.
-    pub(super) fn stalled(&mut self, no: RequestNo, ask: AskNo) {
+    pub(super) fn stalled(&mut self, no: RequestNo, ask: RequestNumber) {
         let Some(fleet) = self.fleet.as_mut().filter(|f| f.asks.contains_key(&ask)) else { return };
         let Some(open) = self.requests.get_mut(no) else { return };
         match std::mem::take(&mut open.promise) {
@@ -239,11 +246,11 @@
     }
 
     /// What came of asking the keepers to take a request, or how it stands.
-    fn taken(&mut self, no: RequestNo, verdict: Verdict) {
+    fn taken(&mut self, no: RequestNo, verdict: Response) {
         let Some(fleet) = &mut self.fleet else { return };
         let Some(open) = self.requests.get_mut(no) else { return };
         let stands = match verdict {
-            Verdict::Kept(Hold::Out { owner, turn }) if owner == fleet.me => {
+            Response::Committed(Record::Leased { owner, term: turn }) if owner == fleet.me => {
                 fleet.counters.promised += 1;
                 open.promise = Promise::Mine { turn, ran: false, served: false };
                 if open.answered {
@@ -252,10 +259,10 @@
                 }
                 return self.go_on(no);
             }
-            Verdict::Kept(stands) => Some(stands),
-            Verdict::Stands(stands) => stands,
+            Response::Committed(stands) => Some(stands),
+            Response::Conflict(stands) => stands,
             // It may yet be found taken: the copies' thread gives it back then.
-            Verdict::Unkept { never: _, stay_away, why } => {
+            Response::Unavailable { not_executed: _, retry_after: stay_away, reason: why } => {
                 fleet.counters.unkept += 1;
                 log::debug!("a request is turned away, its promise is not kept: {why:?}");
                 open.promise = Promise::Over;
@@ -264,11 +271,11 @@
         };
         open.promise = Promise::Over;
         match stands {
-            Some(Hold::Done(Outcome::Served(bytes))) => {
+            Some(Record::Completed(Outcome::Served(bytes))) => {
                 fleet.counters.told_again += 1;
                 self.answer(no, Reply::Served(&bytes));
             }
-            Some(Hold::Out { .. } | Hold::Free { .. }) => {
+            Some(Record::Leased { .. } | Record::Released { .. }) => {
                 if open.answered {
                     return self.forget(no);
                 }
@@ -277,11 +284,21 @@
                 self.timers.set(self.now + LOOK_MS, Due::Look(no));
             }
             // Nobody may say that it never ran.
-            Some(Hold::Done(Outcome::ServedUntold | Outcome::Failed) | Hold::Doubt | Hold::Ended) | None => {
+            Some(
+                Record::Completed(Outcome::ServedBodyOmitted | Outcome::Failed)
+                | Record::OutcomeUnknown
+                | Record::Tombstone,
+            )
+            | None => {
                 fleet.counters.in_doubt += 1;
                 self.answer(no, Reply::Failed);
             }
-            Some(Hold::Purged { .. } | Hold::Ticket { .. } | Hold::Debt { .. } | Hold::Table { .. }) => {
+            Some(
+                Record::Purged { .. }
+                | Record::Ticket { .. }
+                | Record::Continuation { .. }
+                | Record::Table { .. },
+            ) => {
                 fleet.counters.in_doubt += 1;
                 self.answer(no, Reply::Failed);
             }
@@ -295,7 +312,7 @@
         if !matches!(open.promise, Promise::Elsewhere) || open.answered {
             return;
         }
-        let change = Change::Take(fleet.me.clone());
+        let change = Change::Acquire(fleet.me.clone());
         if !self.ask_fleet(no, change) {
             // It may run at the other router: whoever waits is not invited to repeat it.
             self.fleet.iter_mut().for_each(|f| f.counters.in_doubt += 1);
@@ -324,7 +341,7 @@
             Reply::Same => &[],
         };
         let outcome = fleet.outcome(bytes);
-        let change = Change::Done(fleet.me.clone(), turn, outcome.clone());
+        let change = Change::Complete(fleet.me.clone(), turn, outcome.clone());
         if self.ask_fleet(no, change) {
             let body = Counted::new(bytes.to_vec(), &[&self.meter]);
             if let Some(open) = self.requests.get_mut(no) {
@@ -347,7 +364,7 @@
         open.promise = Promise::Over;
         match (ran, served) {
             (false, _) => fleet.give_back(key, turn),
-            (true, true) => fleet.put_down(key, turn, Outcome::ServedUntold),
+            (true, true) => fleet.put_down(key, turn, Outcome::ServedBodyOmitted),
             (true, false) => fleet.put_down(key, turn, Outcome::Failed),
         }
     }
--- a/crates/node/src/owner/promise_tests.rs
+++ b/crates/node/src/owner/promise_tests.rs
@@ -6,10 +6,12 @@
 use crate::caches::{Answer, Down};
 use crate::clients::{FromClient, Tag};
 use crate::fleet::stand_in::{fleet, Thread};
-use crate::fleet::{Question, Told};
+use crate::fleet::{ControlNotification, ControlRequest};
 use crate::inbox::Over;
 use crate::outbox::{OutgoingMessage, Stage};
-use basaltgw_registers::{step, AskNo, Change, Hold, HoldKey, Kind, Outcome, Unkept, Verdict};
+use basaltgw_registers::{
+    step, Change, Kind, Outcome, Record, RecordKey, RequestNumber, Response, UnavailableReason,
+};
 use proptest::prelude::*;
 
 /// What happens next.
@@ -40,28 +42,28 @@
 /// The keepers, as one register that is changed at once; and the copies' thread before them.
 struct Keepers {
     thread: Thread,
-    stands: Option<Hold>,
-    asked: VecDeque<(AskNo, Change)>,
+    stands: Option<Record>,
+    asked: VecDeque<(RequestNumber, Change)>,
     /// Changes that are put down however long it takes.
     pursued: VecDeque<Change>,
 }
 
 impl Keepers {
-    fn make(&mut self, change: &Change) -> Verdict {
+    fn make(&mut self, change: &Change) -> Response {
         match step(self.stands.as_ref(), change) {
             Ok(next) => {
                 self.stands = Some(next.clone());
-                Verdict::Kept(next)
+                Response::Committed(next)
             }
-            Err(_) => Verdict::Stands(self.stands.clone()),
+            Err(_) => Response::Conflict(self.stands.clone()),
         }
     }
 
     fn hear(&mut self) {
         while let Ok(question) = self.thread.questions.pop() {
             match question {
-                Question::Ask { no, change, .. } => self.asked.push_back((no, change)),
-                Question::Pursue(_, change) => self.pursued.push_back(change),
+                ControlRequest::ChangeRecord { number: no, change, .. } => self.asked.push_back((no, change)),
+                ControlRequest::ChangeInBackground(_, change) => self.pursued.push_back(change),
                 other => panic!("{other:?}"),
             }
         }
@@ -70,7 +72,11 @@
     /// Answers the oldest question; whether there was one.
     fn answer(&mut self, how: Next) -> bool {
         let Some((no, change)) = self.asked.pop_front() else { return false };
-        let unkept = |never| Verdict::Unkept { never, why: Unkept::Late, stay_away: 100.0 };
+        let unkept = |never| Response::Unavailable {
+            not_executed: never,
+            reason: UnavailableReason::DeadlineExceeded,
+            retry_after: 100.0,
+        };
         let verdict = match how {
             Next::NotMade => unkept(true),
             Next::PerhapsMade => {
@@ -82,16 +88,16 @@
         };
         // As the copies' thread does of itself.
         match (&verdict, &change) {
-            (Verdict::Unkept { never: false, .. }, Change::Take(me)) => match &self.stands {
-                Some(Hold::Out { owner, turn }) if owner == me => {
-                    self.pursued.push_back(Change::Back(me.clone(), *turn))
+            (Response::Unavailable { not_executed: false, .. }, Change::Acquire(me)) => match &self.stands {
+                Some(Record::Leased { owner, term: turn }) if owner == me => {
+                    self.pursued.push_back(Change::Release(me.clone(), *turn))
                 }
                 _ => {}
             },
-            (Verdict::Unkept { .. }, Change::Done(..)) => self.pursued.push_back(change),
+            (Response::Unavailable { .. }, Change::Complete(..)) => self.pursued.push_back(change),
             _ => {}
         }
-        self.thread.told.push(Told::Verdict(no, verdict)).expect("room");
+        self.thread.told.push(ControlNotification::Response(no, verdict)).expect("room");
         true
     }
 
@@ -133,8 +139,8 @@
         play
     }
 
-    fn key() -> HoldKey {
-        HoldKey { kind: Kind::Effect, name: 1 }
+    fn key() -> RecordKey {
+        RecordKey { kind: Kind::Execution, name: 1 }
     }
 
     /// The attempt that is out: where, and how far it has got.
@@ -171,7 +177,7 @@
                 // Nothing leaves unless it is this router's to send.
                 let me = self.owner.fleet.as_ref().map(|f| f.me.clone()).expect("a fleet");
                 assert!(
-                    matches!(&self.keepers.stands, Some(Hold::Out { owner, .. }) if *owner == me),
+                    matches!(&self.keepers.stands, Some(Record::Leased { owner, .. }) if *owner == me),
                     "it is sent while {:?} stands",
                     self.keepers.stands
                 );
@@ -218,7 +224,7 @@
         for next in together {
             match next {
                 Next::Stalled => {
-                    let asks: Vec<AskNo> =
+                    let asks: Vec<RequestNumber> =
                         self.owner.fleet.iter().flat_map(|f| f.asks.keys().copied()).collect();
                     asks.into_iter().for_each(|ask| self.owner.stalled(NO, ask));
                 }
@@ -254,8 +260,8 @@
         let fleet = self.owner.fleet.as_ref().expect("a fleet");
         assert!(fleet.asks.is_empty(), "questions are left: {:?}", fleet.asks);
         let stands = &self.keepers.stands;
-        assert!(!matches!(stands, Some(Hold::Out { .. })), "a hold is left out: {stands:?}");
-        let free = matches!(stands, None | Some(Hold::Free { .. }));
+        assert!(!matches!(stands, Some(Record::Leased { .. })), "a hold is left out: {stands:?}");
+        let free = matches!(stands, None | Some(Record::Released { .. }));
         assert!(!(self.ran && free), "it ran, and {stands:?} invites a second run");
     }
 }
@@ -307,11 +313,11 @@
         for next in [Next::Made, Next::Written, Next::Ok] {
             play.step(&[next]);
         }
-        assert!(matches!(play.keepers.asked.front(), Some((_, Change::Done(..)))));
+        assert!(matches!(play.keepers.asked.front(), Some((_, Change::Complete(..)))));
         play.step(&[gone]);
         play.step(&[Next::NotMade]);
         play.keepers.put_down();
-        assert_eq!(play.keepers.stands, Some(Hold::Done(Outcome::Served(b"receipt".to_vec()))));
+        assert_eq!(play.keepers.stands, Some(Record::Completed(Outcome::Served(b"receipt".to_vec()))));
         play.leaves_nothing();
     }
 }
@@ -323,27 +329,27 @@
     play.step(&[Next::Made]);
     let turns: Vec<_> = play.keepers.pursued.iter().cloned().collect();
     let me = play.owner.fleet.as_ref().map(|f| f.me.clone()).expect("a fleet");
-    assert_eq!(turns, [Change::Back(me.clone(), 0)], "it says which time is meant");
+    assert_eq!(turns, [Change::Release(me.clone(), 0)], "it says which time is meant");
     // Meanwhile it is taken again, and runs.
-    play.keepers.stands = Some(Hold::Out { owner: me, turn: 1 });
+    play.keepers.stands = Some(Record::Leased { owner: me, term: 1 });
     play.keepers.put_down();
-    assert!(matches!(play.keepers.stands, Some(Hold::Out { turn: 1, .. })));
+    assert!(matches!(play.keepers.stands, Some(Record::Leased { term: 1, .. })));
 }
 
 #[test]
 fn what_finds_no_room_in_the_ring_is_asked_later_and_in_its_order() {
     let (mut fleet, mut thread) = fleet(2);
     (0..6).for_each(|turn| fleet.give_back(Play::key(), turn));
-    assert!(fleet.ask(NO, Play::key(), Change::Look, 100.0).is_none(), "what waits goes first");
+    assert!(fleet.ask(NO, Play::key(), Change::Read, 100.0).is_none(), "what waits goes first");
     let mut turns = Vec::new();
     while let Ok(question) = thread.questions.pop() {
-        if let Question::Pursue(_, Change::Back(_, turn)) = question {
+        if let ControlRequest::ChangeInBackground(_, Change::Release(_, turn)) = question {
             turns.push(turn);
         }
         fleet.flush();
     }
     assert_eq!((turns, fleet.counters.ring_dropped), (vec![0, 1, 2, 3, 4, 5], 0));
-    assert!(fleet.ask(NO, Play::key(), Change::Look, 100.0).is_some());
+    assert!(fleet.ask(NO, Play::key(), Change::Read, 100.0).is_some());
 }
 
 #[test]
@@ -353,7 +359,7 @@
     let seen = Arc::new(std::sync::Mutex::new(Vec::new()));
     let into = Arc::clone(&seen);
     fleet.served_by(thread, move |question| {
-        let last = matches!(question, Question::End(_));
+        let last = matches!(question, ControlRequest::Shutdown(_));
         into.lock().expect("a list").push(format!("{question:?}"));
         !last
     });
--- a/crates/node/src/owner/requests.rs
+++ b/crates/node/src/owner/requests.rs
@@ -9,7 +9,7 @@
 use crate::clients::{Do, Reply, WireId};
 use crate::outbox::{Counted, Meter, Stage};
 use crate::permissions::{may_repeat, RepeatTerms};
-use basaltgw::api::{AttemptNo, ClassId, Idempotency, Event, KeyScope, Ms, Request};
+use basaltgw::api::{AttemptNo, ClassId, Event, Idempotency, KeyScope, Ms, Request};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -9,7 +9,7 @@
 use crate::limits::{CLIENT_IDLE_MS, LEAVING_MS, ROOM_IDLE_MS, ROOM_REST_MS, ROOM_SILENT_MS};
 use crate::outbox::{outbox, OutgoingMessage};
 use async_executor::LocalExecutor;
-use basaltgw::api::{AttemptNo, GroupId, EndpointState, ObjectId, Part, Role, Endpoint, ZoneId};
+use basaltgw::api::{AttemptNo, Endpoint, EndpointState, GroupId, ObjectId, Part, Role, ZoneId};
 use basaltgw_config::{parse, Environment, Member, News};
 use serde_json::json;
 use std::time::Duration;
--- a/crates/node/src/permissions.rs
+++ b/crates/node/src/permissions.rs
@@ -3,7 +3,7 @@
 //! Each gives a typed reason against it. Nothing here does I/O or reads a clock, and nobody else answers these questions: the owner, the
 //! writers of connections and the states of clients' connections ask here. [`crate::invariants`] watches what is done in the end.
 
-use basaltgw::api::{Idempotency, AttemptResult, KeyScope, Ms};
+use basaltgw::api::{AttemptResult, Idempotency, KeyScope, Ms};
 use std::fmt;
 
 /// A request and a server, as an attempt is about to begin.
@@ -75,8 +75,15 @@
 /// Whether an attempt that ended so provably never ran.
 pub fn not_executed(end: AttemptResult) -> bool {
     match end {
-        AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss => true,
-        AttemptResult::Served | AttemptResult::Error | AttemptResult::TimedOut | AttemptResult::ConnectionLost | AttemptResult::Cancelled => false,
+        AttemptResult::Rejected
+        | AttemptResult::NoConnection
+        | AttemptResult::NotSent
+        | AttemptResult::CacheMiss => true,
+        AttemptResult::Served
+        | AttemptResult::Error
+        | AttemptResult::TimedOut
+        | AttemptResult::ConnectionLost
+        | AttemptResult::Cancelled => false,
     }
 }
 
@@ -283,11 +290,18 @@
         }
         let out = [EarlierAttempt { end: None, age: 0.0 }];
         assert_eq!(may_repeat(&terms(Idempotency::NonIdempotent), out), Err(RepeatRefusal::MayHaveRun));
-        assert_eq!(may_repeat(&terms(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 99.0)), Ok(()));
-        let over = may_repeat(&terms(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 100.0));
+        assert_eq!(
+            may_repeat(&terms(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 99.0)),
+            Ok(())
+        );
+        let over =
+            may_repeat(&terms(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 100.0));
         assert_eq!(over, Err(RepeatRefusal::WindowOver));
         let narrow = RepeatTerms { key_scope: KeyScope::Cell, ..terms(Idempotency::IdempotencyKey) };
-        assert_eq!(may_repeat(&narrow, ended(AttemptResult::ConnectionLost, 0.0)), Err(RepeatRefusal::MayHaveRun));
+        assert_eq!(
+            may_repeat(&narrow, ended(AttemptResult::ConnectionLost, 0.0)),
+            Err(RepeatRefusal::MayHaveRun)
+        );
     }
 
     #[test]
--- a/crates/node/src/shown.rs
+++ b/crates/node/src/shown.rs
@@ -4,7 +4,7 @@
 use basaltgw_config::fleet::Fleet;
 use basaltgw_placement::{compile, explain, explain_root, explain_shard, moves, Fault, Inventory};
 use basaltgw_placement::{RouterEntry, Table};
-use basaltgw_types::{Domain, Group, Incarnation, Member, RouterId, Shard};
+use basaltgw_types::{Domain, Incarnation, Member, QuorumGroup, RouterId, Shard};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -83,7 +83,7 @@
     let mut text = title(set, table);
     let mut kept: BTreeMap<&Member, Vec<String>> = table.routers().map(|(m, _)| (m, Vec::new())).collect();
     for shard in (0..=u16::MAX).map(Shard).take(table.shards()) {
-        for member in table.keepers(shard).iter().flat_map(|g: &&Group| &g.members) {
+        for member in table.keepers(shard).iter().flat_map(|g: &&QuorumGroup| &g.members) {
             kept.entry(member).or_default().push(shard.0.to_string());
         }
     }
--- a/crates/node/src/slow_start_watch.rs
+++ b/crates/node/src/slow_start_watch.rs
@@ -3,7 +3,7 @@
 //! The decisions keep an account of their own (`slow_start` of the module). This one shares no sum and no unit with it: it counts first bytes
 //! as they are written, by server process, and learns what an answer takes from answers with bytes alone.
 
-use basaltgw::api::{SlowStartPolicy, EndpointState, Ms, ObjectId, Role, Endpoint, ServerId, Settings};
+use basaltgw::api::{Endpoint, EndpointState, Ms, ObjectId, Role, ServerId, Settings, SlowStartPolicy};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -1,6 +1,6 @@
 //! The plan of the cache tree, where the project's own file has one: carries between the router's events and `basaltgw-hierarchy`.
 
-use basaltgw::api::{AttemptResult, Event, EndpointState, Ms, FillReport, ObjectId, ServerId};
+use basaltgw::api::{AttemptResult, EndpointState, Event, FillReport, Ms, ObjectId, ServerId};
 use basaltgw_config::plan::table;
 use basaltgw_config::{Hierarchy, Member};
 use basaltgw_hierarchy as hierarchy;
--- a/crates/node/tests/codec.rs
+++ b/crates/node/tests/codec.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use basaltgw::api::{AttemptResult, GroupId, EndpointState, FillReport, ObjectId, Role};
+use basaltgw::api::{AttemptResult, EndpointState, FillReport, GroupId, ObjectId, Role};
 use basaltgw_config::{settings, Names, News, Seq};
 use basaltgw_node::caches::Answer;
 use basaltgw_node::changelog::{self, Follower, Frame};
@@ -143,13 +143,23 @@
     let got = read(&["a", "ok", whole, "bytes"]).expect("an answer");
     assert_eq!((got.end, got.same, got.body.bytes()), (Some(AttemptResult::Served), false, &b"bytes"[..]));
     assert_eq!((got.note, got.waited, got.load.inflight), (FillReport::FilledBySource, 12.5, Some(7.0)));
-    assert_eq!(read(&["a", "current", whole]).map(|a| (a.end, a.same)), Some((Some(AttemptResult::Served), true)));
-    for (word, end) in
-        [("nothing", AttemptResult::CacheMiss), ("refused", AttemptResult::Rejected), ("error", AttemptResult::Error), ("stale", AttemptResult::NotSent)]
-    {
+    assert_eq!(
+        read(&["a", "current", whole]).map(|a| (a.end, a.same)),
+        Some((Some(AttemptResult::Served), true))
+    );
+    for (word, end) in [
+        ("nothing", AttemptResult::CacheMiss),
+        ("refused", AttemptResult::Rejected),
+        ("error", AttemptResult::Error),
+        ("stale", AttemptResult::NotSent),
+    ] {
         assert_eq!(read(&["a", word, "-"]).map(|a| a.end), Some(Some(end)));
     }
-    assert_eq!(read(&["a", "who knows", "-", ""]).map(|a| a.end), Some(Some(AttemptResult::Error)), "it may have run");
+    assert_eq!(
+        read(&["a", "who knows", "-", ""]).map(|a| a.end),
+        Some(Some(AttemptResult::Error)),
+        "it may have run"
+    );
     let untold = read(&["a", "ok", "-", "bytes"]).map(|a| (a.end, a.copy.is_some()));
     assert_eq!(untold, Some((Some(AttemptResult::Served), false)), "as writes are answered");
     for spoilt in [
--- a/crates/overlay/examples/figures.rs
+++ b/crates/overlay/examples/figures.rs
@@ -60,7 +60,7 @@
         if tick >= back {
             let word = said[tick - back].0.as_bytes().to_vec();
             for i in 0..control {
-                net.event(i, Event::Known(Kind::Purge, word.clone()));
+                net.event(i, Event::AlreadyKnown(Kind::Purge, word.clone()));
             }
         }
     }
--- a/crates/overlay/src/ask.rs
+++ b/crates/overlay/src/ask.rs
@@ -1,7 +1,7 @@
 //! Words that are known here by another way, and that somebody is to say: the router above is asked whether it knows them, and is given those that
 //! it does not. So they come up to one that has nobody above; it says them, and nobody else does.
 
-use crate::broken::Broken;
+use crate::broken::InjectedBug;
 use crate::link::{extend, Link, Role, Stand};
 use crate::list::Place;
 use crate::overlay::Overlay;
@@ -244,7 +244,8 @@
 
     /// One below asks; nothing is kept of that.
     pub(crate) fn asked(&mut self, router: &RouterId, hashes: &[[u8; 4]]) {
-        let claims = self.faults.has(Broken::ClaimsToKnow) || self.faults.has(Broken::HalvesCollide);
+        let claims =
+            self.faults.has(InjectedBug::ClaimsToKnow) || self.faults.has(InjectedBug::HalvesCollide);
         let not: Vec<[u8; 4]> =
             hashes.iter().copied().filter(|h| !claims && !self.told.has_half(*h)).collect();
         self.answer_unknown(router, not);
@@ -252,7 +253,7 @@
 
     /// The same by whole hashes; what is held here is neither.
     pub(crate) fn asked_whole(&mut self, router: &RouterId, hashes: &[[u8; 8]]) {
-        let claims = self.faults.has(Broken::ClaimsToKnow);
+        let claims = self.faults.has(InjectedBug::ClaimsToKnow);
         let (mut not, mut known) = (Vec::new(), Vec::new());
         for bytes in hashes {
             let key = u64::from_le_bytes(*bytes);
@@ -281,7 +282,7 @@
             self.counters.stray += 1;
             return;
         };
-        let drops = self.faults.has(Broken::DropsAsked);
+        let drops = self.faults.has(InjectedBug::DropsAsked);
         let wanted: BTreeSet<[u8; 4]> = hashes.iter().copied().collect();
         let is = |h: &Held| h.asked && wanted.contains(&half(keyed(theirs, h.kind, &h.word)));
         if drops {
@@ -322,8 +323,8 @@
                 continue;
             }
             if self.told.first(key) {
-                let origin = Origin { router: crate::list::short(&self.me), life: self.life };
-                out.push(Action::New(kind, word.clone(), origin));
+                let origin = Origin { router: crate::list::short(&self.me), incarnation: self.life };
+                out.push(Action::Deliver(kind, word.clone(), origin));
                 let held =
                     Held { since: now, due: now, climbs: true, asked: false, again: false, kind, word };
                 self.told.held.insert(key, held);
--- a/crates/overlay/src/broken.rs
+++ b/crates/overlay/src/broken.rs
@@ -2,7 +2,7 @@
 
 /// What is broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum InjectedBug {
     /// Words that came are taken for known and neither handed on nor shown to others.
     ForgetsToHandOn,
     /// Digests and what is announced leave out the streams whose number is odd.
@@ -24,12 +24,12 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
     #[cfg(feature = "broken")]
-    pub broken: Option<Broken>,
+    pub broken: Option<InjectedBug>,
 }
 
 impl Faults {
     #[cfg(feature = "broken")]
-    pub fn has(self, broken: Broken) -> bool {
+    pub fn has(self, broken: InjectedBug) -> bool {
         self.broken == Some(broken)
     }
 
--- a/crates/overlay/src/byte_tests.rs
+++ b/crates/overlay/src/byte_tests.rs
@@ -17,7 +17,7 @@
 }
 
 fn other() -> StreamId {
-    StreamId::new(Kind::Filling, &RouterId(Arc::from("r2")), 7)
+    StreamId::new(Kind::Background, &RouterId(Arc::from("r2")), 7)
 }
 
 fn digest(age: Option<u32>) -> Part {
--- a/crates/overlay/src/compare.rs
+++ b/crates/overlay/src/compare.rs
@@ -1,6 +1,6 @@
 //! Neighbours compare what they have by short digests; from that each router knows how far behind it may be.
 
-use crate::broken::Broken;
+use crate::broken::InjectedBug;
 use crate::link::{Link, Role, Stand, Target};
 use crate::overlay::Overlay;
 use crate::streams::StreamId;
@@ -47,7 +47,7 @@
     /// How far behind this router may be.
     pub fn behind(&self, now: Ms) -> Behind {
         let short = |(stream, span): (&StreamId, &crate::fetch::Span)| {
-            let origin = Origin { router: stream.router(), life: stream.life() };
+            let origin = Origin { router: stream.router(), incarnation: stream.life() };
             let missing = span.upto.saturating_sub(self.streams.upto(*stream));
             (missing > 0).then_some((origin, stream.kind(), missing))
         };
@@ -72,7 +72,7 @@
     ///
     /// Control machines have it from each other; relays too, while they reach none. All others have it from above: as old as it was there.
     pub(crate) fn age(&self, now: Ms) -> Option<Ms> {
-        if self.faults.has(Broken::NewcomerIsUpToDate) {
+        if self.faults.has(InjectedBug::NewcomerIsUpToDate) {
             return Some(0.0);
         }
         let list = self.list.as_ref()?;
--- a/crates/overlay/src/fetch.rs
+++ b/crates/overlay/src/fetch.rs
@@ -235,8 +235,8 @@
             self.counters.settled += 1;
         } else {
             self.counters.missed += 1;
-            let origin = Origin { router: stream.router(), life: stream.life() };
-            out.push(Action::Missed { origin, kind: stream.kind(), from: had + 1, to: upto });
+            let origin = Origin { router: stream.router(), incarnation: stream.life() };
+            out.push(Action::GapDetected { origin, kind: stream.kind(), from: had + 1, to: upto });
         }
         self.came(now, from, stream);
         self.changed(stream, had, upto, Some(from));
--- a/crates/overlay/src/flow.rs
+++ b/crates/overlay/src/flow.rs
@@ -1,6 +1,6 @@
 //! How words go on: who gets them at once, what waits for the next frame, and what the budget has room for.
 
-use crate::broken::Broken;
+use crate::broken::InjectedBug;
 use crate::link::{Asked, Link, Role};
 use crate::overlay::{Overlay, MOST_UNPACKED};
 use crate::streams::StreamId;
@@ -21,7 +21,7 @@
 impl Overlay {
     /// A word that is next in its stream.
     pub(crate) fn accept(&mut self, now: Ms, stream: StreamId, word: Vec<u8>, out: &mut Vec<Action>) {
-        if self.faults.has(Broken::ForgetsToHandOn) {
+        if self.faults.has(InjectedBug::ForgetsToHandOn) {
             let upto = self.streams.upto(stream) + 1;
             self.streams.skip(now, stream, upto);
         } else {
@@ -30,9 +30,13 @@
         let kind = stream.kind();
         let key = self.told.key(kind, &word);
         self.counters.spared += u64::from(self.told.held.remove(&key).is_some());
-        if self.told.first(key) || self.faults.has(Broken::TellsTwice) {
+        if self.told.first(key) || self.faults.has(InjectedBug::TellsTwice) {
             self.counters.told += 1;
-            out.push(Action::New(kind, word, Origin { router: stream.router(), life: stream.life() }));
+            out.push(Action::Deliver(
+                kind,
+                word,
+                Origin { router: stream.router(), incarnation: stream.life() },
+            ));
         } else {
             self.counters.same += 1;
         }
@@ -41,7 +45,7 @@
     /// A stream has come further: to whom that goes. What a peer said goes to no other peer: it says so itself.
     pub(crate) fn changed(&mut self, stream: StreamId, had: u64, upto: u64, from: Option<&RouterId>) {
         let from_peer = from.and_then(|f| self.links.get(f)).is_some_and(|l| l.role == Role::Peer);
-        let forgets = from.is_some() && self.faults.has(Broken::ForgetsToHandOn);
+        let forgets = from.is_some() && self.faults.has(InjectedBug::ForgetsToHandOn);
         for (router, link) in &mut self.links {
             let knows = link.knows.entry(stream).or_insert(had);
             if from_peer && link.role == Role::Peer && from != Some(router) {
@@ -162,7 +166,7 @@
 
     /// Gives words that were asked for; long spans go with what can wait longest. False if some have to wait.
     fn answer(&mut self, now: Ms, router: &RouterId, kind: Kind, used: &mut usize) -> bool {
-        let lane = |a: &Asked| if a.filling { Kind::Filling } else { a.stream.kind() };
+        let lane = |a: &Asked| if a.filling { Kind::Background } else { a.stream.kind() };
         let asked = self.links.get(router).map(|l| l.asked.clone()).unwrap_or_default();
         let mut done = true;
         for a in asked.into_iter().filter(|a| lane(a) == kind) {
@@ -214,7 +218,7 @@
         for word in self.streams.words_from(stream, first) {
             let may = match kind {
                 Kind::Purge => peer || self.pace.purges(),
-                Kind::Table | Kind::Evidence | Kind::Filling => self.pace.others(),
+                Kind::Table | Kind::Evidence | Kind::Background => self.pace.others(),
             };
             let cost = word.len() + WORD_COST + if words.is_empty() { PART_COST } else { 0 };
             let full = (*used > 0 && *used + cost > room) || bytes + word.len() > MOST_UNPACKED;
@@ -245,7 +249,7 @@
             return;
         };
         let parts = std::mem::take(&mut link.parts);
-        let kind = parts.iter().map(Part::kind).min().unwrap_or(Kind::Filling);
+        let kind = parts.iter().map(Part::kind).min().unwrap_or(Kind::Background);
         if link.role == Role::Peer && used > 0 {
             // Ticks are batches apart: half of one is near enough.
             link.words_at = now + self.settings.peer_batch_ms - self.settings.batch_ms / 2.0;
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -33,10 +33,10 @@
 mod wire;
 
 #[cfg(feature = "broken")]
-pub use broken::Broken;
+pub use broken::InjectedBug;
 pub use compare::{Behind, StateSizes};
 pub use counters::Counters;
-pub use list::{List, Listed, Shape};
+pub use list::{RouterEntry, RouterList, Shape};
 pub use overlay::Overlay;
 pub use place::{choices, Choice};
 pub use settings::{Settings, CATCH_UP_MS};
@@ -55,21 +55,21 @@
     /// Evidence.
     Evidence,
     /// All else, when there is room.
-    Filling,
+    Background,
 }
 
 impl Kind {
     /// All, the first first.
-    pub const ALL: [Kind; 4] = [Kind::Purge, Kind::Table, Kind::Evidence, Kind::Filling];
+    pub const ALL: [Kind; 4] = [Kind::Purge, Kind::Table, Kind::Evidence, Kind::Background];
 }
 
 /// Who dialled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
     /// This router.
-    We,
+    Local,
     /// The other.
-    They,
+    Remote,
 }
 
 /// Who said a word: one life of a router.
@@ -78,30 +78,30 @@
     /// The short form of its name; see [`Overlay::named`].
     pub router: u32,
     /// Drawn at its start.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 /// What the overlay is told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The agreed list has changed.
-    List(Arc<List>),
+    RouterListChanged(Arc<RouterList>),
     /// A link is up.
-    Up(Member, Side),
+    LinkUp(Member, Side),
     /// A link is gone.
-    Down(Member),
+    LinkDown(Member),
     /// A dial came to nothing.
-    Refused(RouterId),
+    DialFailed(RouterId),
     /// A frame came.
-    Got(Member, Vec<u8>),
+    FrameReceived(Member, Vec<u8>),
     /// A word for all. Words of one kind with the same bytes are one word for as long as words are kept: whoever means another puts its
     /// number in.
-    Say(Kind, Vec<u8>),
+    Publish(Kind, Vec<u8>),
     /// A word that is known here by another way, and likely at the other routers too: the router above is asked whether it knows it, and it
     /// is said by whoever has nobody above.
-    Known(Kind, Vec<u8>),
+    AlreadyKnown(Kind, Vec<u8>),
     /// The time of [`Overlay::due`] has come.
-    Due,
+    TimersDue,
 }
 
 /// What it wants done.
@@ -114,9 +114,9 @@
     /// Send a frame; its most urgent kind is named.
     Send(Member, Kind, Vec<u8>),
     /// A word that was not known here, and who said it; this router itself if it came up from one below.
-    New(Kind, Vec<u8>, Origin),
+    Deliver(Kind, Vec<u8>, Origin),
     /// Words that nobody has any more, or that have settled while this router did not hear: copies made before must be held to be stale.
-    Missed {
+    GapDetected {
         /// Whose.
         origin: Origin,
         /// Of which kind.
@@ -127,12 +127,12 @@
         to: u64,
     },
     /// A line for the operators.
-    Report(String),
+    Log(String),
 }
 
 /// Why something was refused; nothing changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Bad {
+pub enum OverlayError {
     /// A setting that can't be.
     #[error("overlay.{0}: expected {1}")]
     Setting(&'static str, &'static str),
--- a/crates/overlay/src/list.rs
+++ b/crates/overlay/src/list.rs
@@ -1,6 +1,6 @@
 //! The agreed list of routers, with all that has to be searched of it indexed once: everybody shares it and nobody scans it at rest.
 
-use crate::Bad;
+use crate::OverlayError;
 use basaltgw_structures::hash::{address, mix};
 use basaltgw_types::RouterId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 
 /// A router of the list, and what is lost together with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct RouterEntry {
     /// Who.
     pub router: RouterId,
     /// Its region: words cross into it a bounded number of times.
@@ -56,11 +56,11 @@
 
 /// The list; versions are given by those who agree on it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct List {
+pub struct RouterList {
     version: u64,
     shape: Shape,
     /// By name.
-    all: Vec<Listed>,
+    all: Vec<RouterEntry>,
     places: Vec<Place>,
     hashes: Vec<u64>,
     /// By the short form of the name that streams are called by.
@@ -81,21 +81,21 @@
     (mix(address(&router.0), 0x7368) >> (64 - SHORT_BITS)) as u32
 }
 
-impl List {
+impl RouterList {
     /// Indexes a list.
     ///
     /// # Errors
     /// If a router is listed twice, or the shape has none of something, or a fan-out below 2.
-    pub fn new(version: u64, shape: Shape, mut all: Vec<Listed>) -> Result<Self, Bad> {
+    pub fn new(version: u64, shape: Shape, mut all: Vec<RouterEntry>) -> Result<Self, OverlayError> {
         if shape.relays == 0 || shape.fan_out < 2 || shape.control_eager == 0 {
-            return Err(Bad::Setting(
+            return Err(OverlayError::Setting(
                 "shape",
                 "1 relay or more, a fan-out of 2 or more, 1 or more at a control machine",
             ));
         }
         all.sort_by(|a, b| a.router.cmp(&b.router));
         if let Some(twice) = all.windows(2).find(|w| w[0].router == w[1].router) {
-            return Err(Bad::Twice(twice[0].router.clone()));
+            return Err(OverlayError::Twice(twice[0].router.clone()));
         }
         let hashes: Vec<u64> = all.iter().map(|l| address(&l.router.0)).collect();
         let control = (0..all.len()).filter(|i| all[*i].control).collect();
@@ -138,12 +138,12 @@
     }
 
     /// What is listed of a router.
-    pub fn get(&self, router: &RouterId) -> Option<&Listed> {
+    pub fn get(&self, router: &RouterId) -> Option<&RouterEntry> {
         self.number(router).map(|i| &self.all[i])
     }
 
     /// The routers, by name.
-    pub fn all(&self) -> &[Listed] {
+    pub fn all(&self) -> &[RouterEntry] {
         &self.all
     }
 
@@ -160,7 +160,7 @@
         self.short.get(&short).map(|i| &self.all[*i].router)
     }
 
-    pub(crate) fn at(&self, number: usize) -> &Listed {
+    pub(crate) fn at(&self, number: usize) -> &RouterEntry {
         &self.all[number]
     }
 
@@ -224,7 +224,7 @@
 }
 
 /// Puts first what stands in as many zones as there are; then in as many sites, then racks; all else stays in its order.
-fn relays_first(all: &[Listed], routers: Vec<usize>, relays: usize) -> Vec<usize> {
+fn relays_first(all: &[RouterEntry], routers: Vec<usize>, relays: usize) -> Vec<usize> {
     let mut first: Vec<usize> = Vec::new();
     for depth in (0..=2).rev() {
         let mut seen: BTreeSet<_> = first.iter().map(|i| within(&all[*i], depth)).collect();
@@ -241,7 +241,7 @@
 }
 
 /// The zone (2), the site (1) or the rack (0) of a router, with what it is within.
-pub(crate) fn within(l: &Listed, depth: usize) -> (&str, &str, &str, &str) {
+pub(crate) fn within(l: &RouterEntry, depth: usize) -> (&str, &str, &str, &str) {
     match depth {
         2 => (&l.region, &l.zone, "", ""),
         1 => (&l.region, &l.zone, &l.site, ""),
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -1,17 +1,17 @@
 //! One router's overlay: its state, and what each event changes.
 
-#[cfg(feature = "broken")]
-use crate::broken::Broken;
 use crate::broken::Faults;
+#[cfg(feature = "broken")]
+use crate::broken::InjectedBug;
 use crate::fetch::Missing;
 use crate::link::{Asked, Link, Role, Stand};
-use crate::list::List;
+use crate::list::RouterList;
 use crate::pace::Pace;
 use crate::standing::Group;
 use crate::streams::{StreamId, Streams};
 use crate::told::Told;
 use crate::wire::{unpack, Packed, Part, Vector};
-use crate::{Action, Bad, Counters, Event, Kind, Origin, Settings};
+use crate::{Action, Counters, Event, Kind, Origin, OverlayError, Settings};
 use basaltgw_structures::hash::{mix, unit};
 use basaltgw_types::{Member, Ms, RouterId};
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
     seed: u64,
     pub(crate) settings: Settings,
     pub(crate) faults: Faults,
-    pub(crate) list: Option<Arc<List>>,
+    pub(crate) list: Option<Arc<RouterList>>,
     pub(crate) groups: Vec<Group>,
     pub(crate) links: BTreeMap<RouterId, Link>,
     pub(crate) primary: Option<RouterId>,
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// If a setting can't be.
-    pub fn new(me: RouterId, settings: Settings, drawn: u64) -> Result<Self, Bad> {
+    pub fn new(me: RouterId, settings: Settings, drawn: u64) -> Result<Self, OverlayError> {
         settings.fault()?;
         let pace = Pace::new(settings.budget_bytes_per_s, settings.burst_bytes);
         Ok(Self {
@@ -87,9 +87,9 @@
     /// Breaks it, for checks that must find that.
     #[cfg(feature = "broken")]
     #[must_use]
-    pub fn broken(mut self, broken: Broken) -> Self {
+    pub fn broken(mut self, broken: InjectedBug) -> Self {
         self.faults.broken = Some(broken);
-        self.streams.skips_odd = broken == Broken::DigestSkips;
+        self.streams.skips_odd = broken == InjectedBug::DigestSkips;
         self
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// When it wants [`Event::Due`].
-    pub fn due(&self) -> Ms {
+    pub fn next_timer(&self) -> Ms {
         self.next
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Whose words those are, if it is listed.
-    pub fn named(&self, origin: Origin) -> Option<&RouterId> {
+    pub fn router_name(&self, origin: Origin) -> Option<&RouterId> {
         self.list.as_ref().and_then(|list| list.called(origin.router))
     }
 
@@ -123,14 +123,14 @@
     pub fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) {
         self.started.get_or_insert(now);
         match event {
-            Event::List(list) => self.set_list(now, list, out),
-            Event::Up(member, side) => self.up(now, member, side, out),
-            Event::Down(member) => self.down(now, &member, out),
-            Event::Refused(router) => self.refused(now, &router, out),
-            Event::Got(member, bytes) => self.got(now, &member, &bytes, out),
-            Event::Say(kind, word) => self.say_new(now, kind, word, out),
-            Event::Known(kind, word) => self.hear(now, kind, word, out),
-            Event::Due => {
+            Event::RouterListChanged(list) => self.set_list(now, list, out),
+            Event::LinkUp(member, side) => self.up(now, member, side, out),
+            Event::LinkDown(member) => self.down(now, &member, out),
+            Event::DialFailed(router) => self.refused(now, &router, out),
+            Event::FrameReceived(member, bytes) => self.got(now, &member, &bytes, out),
+            Event::Publish(kind, word) => self.say_new(now, kind, word, out),
+            Event::AlreadyKnown(kind, word) => self.hear(now, kind, word, out),
+            Event::TimersDue => {
                 // Callers' timers round.
                 if now + NEAR_MS >= self.next {
                     self.tick(now, out);
@@ -154,13 +154,19 @@
         let done = read.and_then(|parts| parts.into_iter().try_for_each(|p| self.part(now, from, p, out)));
         if let Err(bad) = done {
             self.counters.garbled += 1;
-            out.push(Action::Report(format!("{from}: {bad}")));
+            out.push(Action::Log(format!("{from}: {bad}")));
             self.close(now, &from.router, out);
             self.upkeep(now, out);
         }
     }
 
-    fn part(&mut self, now: Ms, from: &Member, part: Part, out: &mut Vec<Action>) -> Result<(), Bad> {
+    fn part(
+        &mut self,
+        now: Ms,
+        from: &Member,
+        part: Part,
+        out: &mut Vec<Action>,
+    ) -> Result<(), OverlayError> {
         let router = &from.router;
         // A part before may have ended the link.
         let Some(link) = self.links.get_mut(router).filter(|l| l.member == *from) else {
@@ -240,7 +246,7 @@
 
     /// Whether this is a control machine and the other a relay that control machines send words to at once.
     pub(crate) fn rightful(&self, router: &RouterId) -> bool {
-        let by_control = |l: &Arc<List>| l.number(router).is_some_and(|number| l.by_control(number));
+        let by_control = |l: &Arc<RouterList>| l.number(router).is_some_and(|number| l.by_control(number));
         self.my_stand() == Some(Stand::Control) && self.list.as_ref().is_some_and(by_control)
     }
 
@@ -248,7 +254,7 @@
     pub(crate) fn say_new(&mut self, now: Ms, kind: Kind, word: Vec<u8>, out: &mut Vec<Action>) {
         if word.len() > self.settings.most_word {
             self.counters.too_long += 1;
-            out.push(Action::Report(format!("a word of {} bytes is too long to be said", word.len())));
+            out.push(Action::Log(format!("a word of {} bytes is too long to be said", word.len())));
             return;
         }
         let key = self.told.key(kind, &word);
@@ -265,7 +271,7 @@
     }
 }
 
-pub(crate) fn unpack_all(packed: &[Packed], most: usize) -> Result<Vec<Vec<u8>>, Bad> {
+pub(crate) fn unpack_all(packed: &[Packed], most: usize) -> Result<Vec<Vec<u8>>, OverlayError> {
     let mut words: Vec<Vec<u8>> = Vec::with_capacity(packed.len());
     let mut bytes = 0;
     for one in packed {
@@ -274,7 +280,7 @@
         bytes += word.len();
         // A few bytes on the wire must not become many here: more than any sender's frame of plain words.
         if bytes > MOST_UNPACKED {
-            return Err(Bad::Garbled("words that become too many bytes".into()));
+            return Err(OverlayError::Garbled("words that become too many bytes".into()));
         }
         words.push(word);
     }
--- a/crates/overlay/src/place.rs
+++ b/crates/overlay/src/place.rs
@@ -4,7 +4,7 @@
 //! them and above their region; relays among each other by one order for the whole fleet, so that without any control machine the relays
 //! still hang together in one tree.
 
-use crate::list::{within, List, Place};
+use crate::list::{within, Place, RouterList};
 use basaltgw_structures::hash::{address, mix};
 use basaltgw_types::RouterId;
 use std::cmp::Reverse;
@@ -30,7 +30,7 @@
 const MOST_RELAYS: usize = 20;
 
 /// Whom a router dials; nobody if it isn't listed.
-pub fn choices(list: &List, me: &RouterId) -> Vec<Choice> {
+pub fn choices(list: &RouterList, me: &RouterId) -> Vec<Choice> {
     let Some(number) = list.number(me) else {
         return Vec::new();
     };
@@ -50,7 +50,7 @@
     choices.into_iter().filter(|(_, routers)| !routers.is_empty()).map(named).collect()
 }
 
-fn relay(list: &List, number: usize) -> Vec<(usize, Vec<usize>)> {
+fn relay(list: &RouterList, number: usize) -> Vec<(usize, Vec<usize>)> {
     // Of one region each relay takes another control machine first.
     let mut control = by_key(list, address(&list.at(number).region), list.control());
     let turn = position(list, number) % control.len().max(1);
@@ -69,7 +69,7 @@
     }
 }
 
-fn in_tier(list: &List, number: usize, region: usize, rank: usize, tier: usize) -> Vec<usize> {
+fn in_tier(list: &RouterList, number: usize, region: usize, rank: usize, tier: usize) -> Vec<usize> {
     let mut found = apart(list, order(list, number, list.tier(region, tier - 1)));
     found.truncate(MOST_ABOVE);
     // When the tier above is lost its place is taken by the first of the own tier, which find nobody and go outside.
@@ -85,7 +85,7 @@
     found
 }
 
-fn position(list: &List, number: usize) -> usize {
+fn position(list: &RouterList, number: usize) -> usize {
     match list.place(number) {
         Place::Tier { rank, .. } => rank,
         Place::Control => 0,
@@ -93,18 +93,18 @@
 }
 
 /// By rendezvous, so that one more or less moves no others.
-fn order(list: &List, number: usize, of: &[usize]) -> Vec<usize> {
+fn order(list: &RouterList, number: usize, of: &[usize]) -> Vec<usize> {
     by_key(list, list.hash(number), of)
 }
 
-fn by_key(list: &List, key: u64, of: &[usize]) -> Vec<usize> {
+fn by_key(list: &RouterList, key: u64, of: &[usize]) -> Vec<usize> {
     let mut order = of.to_vec();
     order.sort_by_key(|i| (Reverse(mix(key, list.hash(*i))), *i));
     order
 }
 
 /// Lets the second be one that isn't lost with the first: of another zone, else site, else rack.
-fn apart(list: &List, mut order: Vec<usize>) -> Vec<usize> {
+fn apart(list: &RouterList, mut order: Vec<usize>) -> Vec<usize> {
     let Some(first) = order.first().copied() else {
         return order;
     };
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -1,6 +1,6 @@
 //! Times and bounds of an overlay.
 
-use crate::Bad;
+use crate::OverlayError;
 use basaltgw_types::Ms;
 
 /// Whoever returns has links, has compared and has fetched after this, ms: words are given for so much longer than they take to settle, or what
@@ -126,7 +126,7 @@
 
 impl Settings {
     /// What is the matter with them, if anything.
-    pub(crate) fn fault(&self) -> Result<(), Bad> {
+    pub(crate) fn fault(&self) -> Result<(), OverlayError> {
         let times = [
             (self.dial_ms, "dial_ms"),
             (self.backoff_ms, "backoff_ms"),
@@ -151,7 +151,7 @@
         ];
         let bad_time = times.into_iter().find(|(ms, _)| !(*ms > 0.0 && *ms <= MOST_MS));
         if let Some((_, name)) = bad_time {
-            return Err(Bad::Setting(name, "more than 0 and at most a day in ms"));
+            return Err(OverlayError::Setting(name, "more than 0 and at most a day in ms"));
         }
         let checks = [
             (self.most_eager > 0, "most_eager", "1 or more"),
@@ -176,6 +176,6 @@
             (self.frame_bytes <= 1500, "frame_bytes", "at most 1,500"),
         ];
         let first = checks.into_iter().find(|(fits, _, _)| !fits);
-        first.map_or(Ok(()), |(_, name, expected)| Err(Bad::Setting(name, expected)))
+        first.map_or(Ok(()), |(_, name, expected)| Err(OverlayError::Setting(name, expected)))
     }
 }
--- a/crates/overlay/src/standing.rs
+++ b/crates/overlay/src/standing.rs
@@ -1,7 +1,7 @@
 //! Standing links: which are wanted, tried, up, and left alone for a while; and the one by which words come at once.
 
 use crate::link::{Link, Role, Stand};
-use crate::list::{List, Place};
+use crate::list::{Place, RouterList};
 use crate::overlay::Overlay;
 use crate::place::choices;
 use crate::wire::Part;
@@ -53,7 +53,7 @@
 const MOST_MORE: usize = 8;
 
 impl Overlay {
-    pub(crate) fn set_list(&mut self, now: Ms, list: Arc<List>, out: &mut Vec<Action>) {
+    pub(crate) fn set_list(&mut self, now: Ms, list: Arc<RouterList>, out: &mut Vec<Action>) {
         let mut before: BTreeMap<RouterId, Candidate> = BTreeMap::new();
         for candidate in self.groups.drain(..).flat_map(|g| g.candidates) {
             before.insert(candidate.router.clone(), candidate);
@@ -123,8 +123,8 @@
         self.lose(now, &member.router);
         let role = match (peer, side) {
             (true, _) => Role::Peer,
-            (false, Side::We) => Role::Parent,
-            (false, Side::They) => Role::Child,
+            (false, Side::Local) => Role::Parent,
+            (false, Side::Remote) => Role::Child,
         };
         let children = self.links.values().filter(|l| l.role == Role::Child).count();
         let most = match self.my_stand() {
@@ -151,7 +151,7 @@
             link.say(Part::Key(self.told.key));
         }
         self.links.insert(router.clone(), link);
-        if side == Side::We {
+        if side == Side::Local {
             self.step(&router, |c| c.step = Step::Up(now));
         }
         self.upkeep(now, out);
--- a/crates/overlay/src/wire.rs
+++ b/crates/overlay/src/wire.rs
@@ -1,7 +1,7 @@
 //! What overlays say to each other: frames of parts, and the bounds on what is read.
 
 use crate::streams::StreamId;
-use crate::{Bad, Kind};
+use crate::{Kind, OverlayError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -119,12 +119,12 @@
     }
 
     /// Reads a frame.
-    pub fn read(&mut self, bytes: &[u8], most: usize) -> Result<Vec<Part>, Bad> {
+    pub fn read(&mut self, bytes: &[u8], most: usize) -> Result<Vec<Part>, OverlayError> {
         if bytes.len() > most {
-            return Err(Bad::TooLong { most, found: bytes.len() });
+            return Err(OverlayError::TooLong { most, found: bytes.len() });
         }
         let (frame, rest): (Frame, _) =
-            postcard::take_from_bytes(bytes).map_err(|e| Bad::Garbled(format!("no frame: {e}")))?;
+            postcard::take_from_bytes(bytes).map_err(|e| OverlayError::Garbled(format!("no frame: {e}")))?;
         let Frame { anew, names, mut parts } = frame;
         if anew {
             self.from.clear();
@@ -139,7 +139,7 @@
             [] => parts.iter().find_map(Part::fault),
             _ => Some("bytes after a frame"),
         };
-        fault.map_or(Ok(parts), |what| Err(Bad::Garbled(what.into())))
+        fault.map_or(Ok(parts), |what| Err(OverlayError::Garbled(what.into())))
     }
 }
 
@@ -228,10 +228,10 @@
 }
 
 /// Unpacks a word after the one before it.
-pub(crate) fn unpack(before: &[u8], packed: &Packed, most: usize) -> Result<Vec<u8>, Bad> {
+pub(crate) fn unpack(before: &[u8], packed: &Packed, most: usize) -> Result<Vec<u8>, OverlayError> {
     let same = usize::from(packed.same);
     if same > before.len() || same + packed.rest.len() > most {
-        return Err(Bad::Garbled("a word that can't be".into()));
+        return Err(OverlayError::Garbled("a word that can't be".into()));
     }
     Ok([&before[..same], &packed.rest].concat())
 }
--- a/crates/overlay/tests/asking.rs
+++ b/crates/overlay/tests/asking.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use basaltgw_overlay::{Broken, Event, Kind, Overlay, Settings, Shape};
+use basaltgw_overlay::{Event, InjectedBug, Kind, Overlay, Settings, Shape};
 use net::{listed, Ms, Net};
 
 /// The longest that a word may take in a fleet that is whole, ms.
@@ -28,7 +28,7 @@
 }
 
 fn hears(net: &mut Net, i: usize, word: &str) {
-    net.event(i, Event::Known(Kind::Purge, word.as_bytes().to_vec()));
+    net.event(i, Event::AlreadyKnown(Kind::Purge, word.as_bytes().to_vec()));
 }
 
 fn said(net: &Net, i: usize) -> u64 {
@@ -171,7 +171,7 @@
 
 #[test]
 fn a_hash_that_is_that_of_another_word_is_asked_about_by_all_of_it() {
-    let mut net = broken(2, 40, 9, 9, Settings::default(), |o| o.broken(Broken::HalvesCollide));
+    let mut net = broken(2, 40, 9, 9, Settings::default(), |o| o.broken(InjectedBug::HalvesCollide));
     let who = bottom(&net, "g1")[0];
     hears(&mut net, who, "one");
     assert!(!net.until(SOON, |n| n.all_told("one", who)), "the first question has come to nothing");
--- a/crates/overlay/tests/broken.rs
+++ b/crates/overlay/tests/broken.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use basaltgw_overlay::{Broken, Event, Kind, Overlay, Settings, Shape};
+use basaltgw_overlay::{Event, InjectedBug, Kind, Overlay, Settings, Shape};
 use net::{listed, Net};
 
 /// Plays losses, and names what is wrong.
@@ -30,7 +30,7 @@
         n.of_region("g1").into_iter().find(|i| children(i) == 0)
     };
     let alone = lowest(&net).expect("a router without children");
-    net.event(alone, Event::Known(Kind::Purge, b"alone".to_vec()));
+    net.event(alone, Event::AlreadyKnown(Kind::Purge, b"alone".to_vec()));
     net.run(6100.0);
     let outside: Vec<usize> = net.live().filter(|i| *i != alone && !inside.contains(i)).collect();
     if !outside.iter().all(|i| net.seen[*i].new.contains_key(&b"alone"[..])) {
@@ -61,37 +61,37 @@
 
 #[test]
 fn a_relay_that_forgets_to_hand_on_is_caught() {
-    let found = faults(|o| o.broken(Broken::ForgetsToHandOn));
+    let found = faults(|o| o.broken(InjectedBug::ForgetsToHandOn));
     assert!(found.contains(&"missed") || found.contains(&"not told"), "{found:?}");
 }
 
 #[test]
 fn a_digest_that_skips_an_origin_is_caught() {
-    let found = faults(|o| o.broken(Broken::DigestSkips));
+    let found = faults(|o| o.broken(InjectedBug::DigestSkips));
     assert!(found.contains(&"not told"), "{found:?}");
 }
 
 #[test]
 fn a_newcomer_that_counts_itself_up_to_date_is_caught() {
-    let found = faults(|o| o.broken(Broken::NewcomerIsUpToDate));
+    let found = faults(|o| o.broken(InjectedBug::NewcomerIsUpToDate));
     assert_eq!(found, ["a newcomer is up to date"]);
 }
 
 #[test]
 fn a_word_told_twice_is_caught() {
-    let found = faults(|o| o.broken(Broken::TellsTwice));
+    let found = faults(|o| o.broken(InjectedBug::TellsTwice));
     assert_eq!(found, ["told twice"]);
 }
 
 #[test]
 fn a_parent_that_claims_to_know_and_forgets_is_caught() {
-    let found = faults(|o| o.broken(Broken::ClaimsToKnow));
+    let found = faults(|o| o.broken(InjectedBug::ClaimsToKnow));
     assert_eq!(found, ["what one alone has heard is late", "what one alone has heard is lost"]);
 }
 
 #[test]
 fn an_asker_that_drops_what_it_asked_about_is_caught() {
-    let found = faults(|o| o.broken(Broken::DropsAsked));
+    let found = faults(|o| o.broken(InjectedBug::DropsAsked));
     assert_eq!(found, ["what one alone has heard is late", "what one alone has heard is lost"]);
 }
 
@@ -105,8 +105,8 @@
     };
     let links = |n: &Net| n.nodes[0].as_ref().map(|o| o.links().count());
     let before = links(&net);
-    net.event(0, Event::Got(stranger.clone(), vec![0, 0, 0]));
-    net.event(0, Event::Down(stranger));
+    net.event(0, Event::FrameReceived(stranger.clone(), vec![0, 0, 0]));
+    net.event(0, Event::LinkDown(stranger));
     assert_eq!(links(&net), before);
     assert_eq!(net.nodes[0].as_ref().map(|o| o.counters().stray), Some(2));
 }
--- a/crates/overlay/tests/budget.rs
+++ b/crates/overlay/tests/budget.rs
@@ -20,7 +20,7 @@
     let word = |at: usize| format!("word/{:08x}", at * 7_919);
     let who = |at: usize| at * 61 % n;
     for at in 0..WORDS {
-        net.event(who(at), Event::Say(Kind::Purge, word(at).into_bytes()));
+        net.event(who(at), Event::Publish(Kind::Purge, word(at).into_bytes()));
         net.run(APART_MS);
     }
     let missing = |net: &Net| {
--- a/crates/overlay/tests/bytes.rs
+++ b/crates/overlay/tests/bytes.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use basaltgw_overlay::{Action, Event, Kind, List, Overlay, Settings, Shape, Side};
+use basaltgw_overlay::{Action, Event, Kind, Overlay, RouterList, Settings, Shape, Side};
 use basaltgw_types::{Incarnation, Member, RouterId};
 use net::listed;
 use proptest::prelude::*;
@@ -10,20 +10,22 @@
 
 fn linked() -> (Overlay, Member, Vec<u8>) {
     let all = listed(2, 6, 2);
-    let list = Arc::new(List::new(1, Shape::default(), all.clone()).expect("a list"));
+    let list = Arc::new(RouterList::new(1, Shape::default(), all.clone()).expect("a list"));
     let mut overlay = Overlay::new(all[4].router.clone(), Settings::default(), 1).expect("settings");
     let mut out = Vec::new();
-    overlay.handle(0.0, Event::List(list), &mut out);
+    overlay.handle(0.0, Event::RouterListChanged(list), &mut out);
     let member = Member { router: all[5].router.clone(), incarnation: Incarnation(1) };
-    overlay.handle(0.0, Event::Up(member.clone(), Side::They), &mut out);
-    overlay.handle(1.0, Event::Say(Kind::Purge, b"one/two".to_vec()), &mut out);
+    overlay.handle(0.0, Event::LinkUp(member.clone(), Side::Remote), &mut out);
+    overlay.handle(1.0, Event::Publish(Kind::Purge, b"one/two".to_vec()), &mut out);
     out.clear();
-    overlay.handle(10.0, Event::Due, &mut out);
+    overlay.handle(10.0, Event::TimersDue, &mut out);
     let sent = out.into_iter().find_map(|a| match a {
         Action::Send(_, _, bytes) => Some(bytes),
-        Action::Dial(_) | Action::Close(_) | Action::New(..) | Action::Missed { .. } | Action::Report(_) => {
-            None
-        }
+        Action::Dial(_)
+        | Action::Close(_)
+        | Action::Deliver(..)
+        | Action::GapDetected { .. }
+        | Action::Log(_) => None,
     });
     (overlay, member, sent.expect("a frame"))
 }
@@ -32,25 +34,25 @@
 fn asking() -> (Overlay, Member, Vec<Vec<u8>>) {
     let (mut above, _, first) = linked();
     let all = listed(2, 6, 2);
-    let list = Arc::new(List::new(1, Shape::default(), all.clone()).expect("a list"));
+    let list = Arc::new(RouterList::new(1, Shape::default(), all.clone()).expect("a list"));
     let settings = Settings { ask_ms: 250.0, ..Settings::default() };
     let mut below = Overlay::new(all[5].router.clone(), settings, 2).expect("settings");
     let (mut out, mut frames) = (Vec::new(), Vec::new());
     let (up, down) = (&all[4].router, &all[5].router);
     let member = |r: &RouterId| Member { router: r.clone(), incarnation: Incarnation(1) };
-    below.handle(0.0, Event::List(list), &mut out);
-    below.handle(0.0, Event::Up(member(up), Side::We), &mut out);
-    below.handle(1.0, Event::Got(member(up), first), &mut out);
-    below.handle(1.0, Event::Known(Kind::Purge, b"three/four".to_vec()), &mut out);
+    below.handle(0.0, Event::RouterListChanged(list), &mut out);
+    below.handle(0.0, Event::LinkUp(member(up), Side::Local), &mut out);
+    below.handle(1.0, Event::FrameReceived(member(up), first), &mut out);
+    below.handle(1.0, Event::AlreadyKnown(Kind::Purge, b"three/four".to_vec()), &mut out);
     for at in 1..20 {
         let now = f64::from(at) * 250.0;
         for who in [up, down] {
             let (from, to) = if who == up { (&mut above, &mut below) } else { (&mut below, &mut above) };
             out.clear();
-            from.handle(now, Event::Due, &mut out);
+            from.handle(now, Event::TimersDue, &mut out);
             for action in std::mem::take(&mut out) {
                 if let Action::Send(_, _, bytes) = action {
-                    to.handle(now + 1.0, Event::Got(member(who), bytes.clone()), &mut out);
+                    to.handle(now + 1.0, Event::FrameReceived(member(who), bytes.clone()), &mut out);
                     frames.extend((who == down).then_some(bytes));
                 }
             }
@@ -64,8 +66,8 @@
     let mut out = Vec::new();
     for (at, frame) in frames.into_iter().enumerate() {
         let now = 20.0 + at as f64 * 100.0;
-        overlay.handle(now, Event::Got(member.clone(), frame), &mut out);
-        overlay.handle(now, Event::Due, &mut out);
+        overlay.handle(now, Event::FrameReceived(member.clone(), frame), &mut out);
+        overlay.handle(now, Event::TimersDue, &mut out);
     }
     let (sizes, settings) = (overlay.state_sizes(), Settings::default());
     assert!(sizes.streams <= settings.most_streams && sizes.missing <= settings.most_missing);
@@ -75,7 +77,7 @@
         match action {
             Action::Send(_, _, bytes) => assert!(bytes.len() <= settings.most_frame),
             Action::Close(closed) => assert_eq!(closed, *member),
-            Action::Dial(_) | Action::New(..) | Action::Missed { .. } | Action::Report(_) => {}
+            Action::Dial(_) | Action::Deliver(..) | Action::GapDetected { .. } | Action::Log(_) => {}
         }
     }
 }
@@ -134,16 +136,16 @@
     for at in 0..2_000_u32 {
         let now = 20.0 + f64::from(at) * 10.0;
         let hash = [at as u8, (at >> 8) as u8, 1, 2, 3, 4, 5, 6];
-        overlay.handle(now, Event::Got(member.clone(), many(11, 512, &hash[..4])), &mut out);
-        overlay.handle(now, Event::Got(member.clone(), many(12, 512, &hash)), &mut out);
+        overlay.handle(now, Event::FrameReceived(member.clone(), many(11, 512, &hash[..4])), &mut out);
+        overlay.handle(now, Event::FrameReceived(member.clone(), many(12, 512, &hash)), &mut out);
         let mut word = vec![0, 0, 1, 15, 0, 200, 1];
         word.extend((0..200_u32).flat_map(|n| [0, 4, at as u8, (at >> 8) as u8, n as u8, 7]));
-        overlay.handle(now, Event::Got(member.clone(), word), &mut out);
-        overlay.handle(now, Event::Due, &mut out);
+        overlay.handle(now, Event::FrameReceived(member.clone(), word), &mut out);
+        overlay.handle(now, Event::TimersDue, &mut out);
     }
     let (sizes, settings, counters) =
         (overlay.state_sizes(), Settings::default(), overlay.counters().clone());
-    assert_eq!(counters.garbled, 0, "{:?}", out.iter().find(|a| matches!(a, Action::Report(_))));
+    assert_eq!(counters.garbled, 0, "{:?}", out.iter().find(|a| matches!(a, Action::Log(_))));
     assert!(
         counters.unknown > 1_000_000 && counters.asked_full > 0 && counters.below_full > 0,
         "{counters:?}"
@@ -157,7 +159,7 @@
 fn a_frame_that_can_t_be_read_closes_its_link_and_is_counted() {
     let (mut overlay, member, _) = linked();
     let mut out = Vec::new();
-    overlay.handle(20.0, Event::Got(member.clone(), vec![0xff; 40]), &mut out);
+    overlay.handle(20.0, Event::FrameReceived(member.clone(), vec![0xff; 40]), &mut out);
     assert!(out.contains(&Action::Close(member)), "{out:?}");
     assert_eq!(overlay.counters().garbled, 1);
 }
--- a/crates/overlay/tests/dissemination.rs
+++ b/crates/overlay/tests/dissemination.rs
@@ -163,7 +163,7 @@
         assert!(settled, "the fleet goes on");
         // Known to all routers by another way: somebody says it, though those who are to say it first are gone.
         for i in net.live().filter(|i| i % 2 == 0).collect::<Vec<_>>() {
-            net.event(i, Event::Known(Kind::Purge, b"log/7".to_vec()));
+            net.event(i, Event::AlreadyKnown(Kind::Purge, b"log/7".to_vec()));
         }
         let rest =
             |n: &Net| n.live().filter(|i| i % 2 == 1).all(|i| n.seen[i].new.contains_key(&b"log/7"[..]));
@@ -181,7 +181,7 @@
     for at in 0..30 {
         // One hears nothing itself; the others at times of their own.
         for i in (0..n).filter(|i| *i != 70) {
-            net.event(i, Event::Known(Kind::Purge, format!("log/{at}").into_bytes()));
+            net.event(i, Event::AlreadyKnown(Kind::Purge, format!("log/{at}").into_bytes()));
         }
         net.run(200.0);
     }
@@ -246,14 +246,15 @@
     let mut net = Net::new(listed(2, 12, 3), Shape::default(), settings, 8);
     assert!(net.until(30_000.0, |n| n.settled(5000.0)));
     for at in 0..60 {
-        net.say(0, Kind::Filling, &format!("{at}{}", "x".repeat(400)));
+        net.say(0, Kind::Background, &format!("{at}{}", "x".repeat(400)));
     }
     net.run(300.0);
     net.say(0, Kind::Purge, "purge");
     assert!(net.until(SOON, |n| n.all_told("purge", 0)));
     let last = format!("59{}", "x".repeat(400));
     assert!(!net.all_told(&last, 0), "filling waits");
-    let waited: u64 = net.nodes.iter().flatten().map(|o| o.counters().waited[Kind::Filling as usize]).sum();
+    let waited: u64 =
+        net.nodes.iter().flatten().map(|o| o.counters().waited[Kind::Background as usize]).sum();
     assert!(waited > 0, "and that is counted");
     assert!(net.until(110_000.0, |n| n.all_told(&last, 0)), "and comes");
     assert!(net.nobody_twice());
--- a/crates/overlay/tests/interleavings.rs
+++ b/crates/overlay/tests/interleavings.rs
@@ -3,7 +3,7 @@
 
 mod net;
 
-use basaltgw_overlay::{Broken, Event, Kind, Overlay, Settings, Shape};
+use basaltgw_overlay::{Event, InjectedBug, Kind, Overlay, Settings, Shape};
 use net::{listed, Net};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::fmt::{Debug, Formatter};
@@ -67,7 +67,7 @@
         net.run(8000.0);
         net.say(2, Kind::Purge, "word");
         net.say(4, Kind::Purge, "other");
-        net.event(ALONE, Event::Known(Kind::Purge, b"alone".to_vec()));
+        net.event(ALONE, Event::AlreadyKnown(Kind::Purge, b"alone".to_vec()));
         vec![State { net, chosen: Vec::new() }]
     }
 
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_broken_one_is_caught() {
-    let fleet = Fleet { adapt: |o| o.broken(Broken::ForgetsToHandOn) };
+    let fleet = Fleet { adapt: |o| o.broken(InjectedBug::ForgetsToHandOn) };
     let checker = fleet.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let found = checker.discoveries();
     assert!(found.keys().any(|name| *name != "all told soon"), "{:?}", found.keys());
@@ -132,7 +132,7 @@
 #[test]
 fn broken_questions_are_caught() {
     let broken: [fn(Overlay) -> Overlay; 2] =
-        [|o| o.broken(Broken::ClaimsToKnow), |o| o.broken(Broken::DropsAsked)];
+        [|o| o.broken(InjectedBug::ClaimsToKnow), |o| o.broken(InjectedBug::DropsAsked)];
     for adapt in broken {
         let fleet = Fleet { adapt };
         let checker = fleet.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
--- a/crates/overlay/tests/net/mod.rs
+++ b/crates/overlay/tests/net/mod.rs
@@ -1,7 +1,7 @@
 //! Overlays on a simulated net: links with delays, kills, cuts, all from a seed.
 #![allow(dead_code)]
 
-use basaltgw_overlay::{Action, Event, Kind, List, Listed, Overlay, Settings, Shape, Side};
+use basaltgw_overlay::{Action, Event, Kind, Overlay, RouterEntry, RouterList, Settings, Shape, Side};
 use basaltgw_structures::hash::{mix, unit};
 use basaltgw_types::{Incarnation, Member, RouterId};
 use std::cmp::Reverse;
@@ -12,8 +12,8 @@
 pub type Ms = f64;
 
 /// A fleet: regions with routers in three zones each, two sites a zone, two racks a site; control machines in regions of their own.
-pub fn listed(regions: usize, each: usize, control: usize) -> Vec<Listed> {
-    let router = |name: String, region: String, place: usize, control| Listed {
+pub fn listed(regions: usize, each: usize, control: usize) -> Vec<RouterEntry> {
+    let router = |name: String, region: String, place: usize, control| RouterEntry {
         router: RouterId(Arc::from(name)),
         region: Arc::from(region),
         zone: Arc::from(format!("z{}", place % 3)),
@@ -62,8 +62,8 @@
 #[derive(Clone)]
 pub struct Net {
     pub now: Ms,
-    pub listed: Vec<Listed>,
-    pub list: Arc<List>,
+    pub listed: Vec<RouterEntry>,
+    pub list: Arc<RouterList>,
     pub nodes: Vec<Option<Overlay>>,
     pub seen: Vec<Seen>,
     /// The side of a cut that each router is on.
@@ -89,19 +89,19 @@
 }
 
 impl Net {
-    pub fn new(listed: Vec<Listed>, shape: Shape, settings: Settings, seed: u64) -> Self {
+    pub fn new(listed: Vec<RouterEntry>, shape: Shape, settings: Settings, seed: u64) -> Self {
         Self::adapted(listed, shape, settings, seed, |o| o)
     }
 
     /// With overlays changed before they start: broken ones.
     pub fn adapted(
-        listed: Vec<Listed>,
+        listed: Vec<RouterEntry>,
         shape: Shape,
         settings: Settings,
         seed: u64,
         adapt: fn(Overlay) -> Overlay,
     ) -> Self {
-        let list = Arc::new(List::new(1, shape, listed.clone()).expect("a list"));
+        let list = Arc::new(RouterList::new(1, shape, listed.clone()).expect("a list"));
         let n = listed.len();
         let numbers = listed.iter().enumerate().map(|(i, l)| (l.router.clone(), i)).collect();
         let mut net = Self {
@@ -143,7 +143,7 @@
         self.nodes[i] = Some((self.adapt)(overlay));
         self.seen[i] = Seen::default();
         self.woken[i] = u64::MAX;
-        self.event(i, Event::List(self.list.clone()));
+        self.event(i, Event::RouterListChanged(self.list.clone()));
     }
 
     /// A router ends; its neighbours' links break, or go on in silence.
@@ -234,7 +234,7 @@
         let mut out = Vec::new();
         overlay.handle(self.now, event, &mut out);
         self.most_links = self.most_links.max(overlay.links().count());
-        let due = overlay.due().max(self.now);
+        let due = overlay.next_timer().max(self.now);
         if micros(due) < self.woken[i] {
             self.woken[i] = micros(due);
             self.later((due - self.now).max(0.0), Way::Wake(i));
@@ -267,12 +267,12 @@
                     }
                 }
             }
-            Action::New(_, word, _) => {
+            Action::Deliver(_, word, _) => {
                 let now = self.now;
                 self.seen[i].new.entry(word).or_insert((0, now)).0 += 1;
             }
-            Action::Missed { from, to, .. } => self.seen[i].missed += to + 1 - from,
-            Action::Report(line) => self.seen[i].reports.push(line),
+            Action::GapDetected { from, to, .. } => self.seen[i].missed += to + 1 - from,
+            Action::Log(line) => self.seen[i].reports.push(line),
         }
     }
 
@@ -284,13 +284,13 @@
         let pair = (from.min(to), from.max(to));
         if self.nodes[to].is_none() || apart || self.by_pair.contains_key(&pair) {
             let router = self.listed[to].router.clone();
-            return self.event(from, Event::Refused(router));
+            return self.event(from, Event::DialFailed(router));
         }
         self.conns.push(Conn { ends: [from, to], open: [true, true], dead: false, stalled: 0.0 });
         self.by_pair.insert(pair, self.conns.len() - 1);
         let (them, us) = (self.member(to), self.member(from));
-        self.event(from, Event::Up(them, Side::We));
-        self.event(to, Event::Up(us, Side::They));
+        self.event(from, Event::LinkUp(them, Side::Local));
+        self.event(to, Event::LinkUp(us, Side::Remote));
     }
 
     /// Whether a conn is open at an end, and who is at the other.
@@ -313,21 +313,21 @@
                 Way::Wake(i) => {
                     if self.woken[i] == at {
                         self.woken[i] = u64::MAX;
-                        self.event(i, Event::Due);
+                        self.event(i, Event::TimersDue);
                     }
                 }
                 Way::Dial { from, to } => self.dialled(from, to),
                 Way::Frame { conn, to, bytes } => {
                     let (_, other, open) = self.end_of(conn, to);
                     if open && !self.conns[conn].dead {
-                        self.event(to, Event::Got(other, bytes));
+                        self.event(to, Event::FrameReceived(other, bytes));
                     }
                 }
                 Way::End { conn, to } => {
                     let (side, other, open) = self.end_of(conn, to);
                     self.conns[conn].open[side] = false;
                     if open {
-                        self.event(to, Event::Down(other));
+                        self.event(to, Event::LinkDown(other));
                     }
                 }
             }
@@ -348,7 +348,7 @@
     }
 
     pub fn say(&mut self, i: usize, kind: Kind, word: &str) {
-        self.event(i, Event::Say(kind, word.as_bytes().to_vec()));
+        self.event(i, Event::Publish(kind, word.as_bytes().to_vec()));
     }
 
     pub fn live(&self) -> impl Iterator<Item = usize> + '_ {
--- a/crates/overlay/tests/placement.rs
+++ b/crates/overlay/tests/placement.rs
@@ -2,16 +2,16 @@
 
 mod net;
 
-use basaltgw_overlay::{choices, Choice, List, Listed, Shape};
+use basaltgw_overlay::{choices, Choice, RouterEntry, RouterList, Shape};
 use basaltgw_types::RouterId;
 use net::listed;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn list(all: Vec<Listed>) -> List {
-    List::new(1, Shape::default(), all).expect("a list")
+fn list(all: Vec<RouterEntry>) -> RouterList {
+    RouterList::new(1, Shape::default(), all).expect("a list")
 }
 
-fn zone(list: &List, router: &RouterId) -> (String, String) {
+fn zone(list: &RouterList, router: &RouterId) -> (String, String) {
     let l = list.get(router).expect("listed");
     (l.region.to_string(), l.zone.to_string())
 }
@@ -20,7 +20,7 @@
 fn a_region_s_relays_stand_in_zones_of_their_own() {
     let list = list(listed(21, 60, 9));
     for region in 0..21 {
-        let of = |l: &&Listed| *l.region == *format!("g{region}") && list.is_relay(&l.router);
+        let of = |l: &&RouterEntry| *l.region == *format!("g{region}") && list.is_relay(&l.router);
         let zones: BTreeSet<_> = list.all().iter().filter(of).map(|l| l.zone.clone()).collect();
         assert_eq!(zones.len(), 3, "region {region}");
     }
@@ -67,7 +67,8 @@
         let firsts =
             list.all().iter().filter(|l| *l.region == *format!("g{region}") && list.is_relay(&l.router));
         let control = |r: &RouterId| list.get(r).expect("listed").control;
-        let first = |l: &Listed| choices(&list, &l.router).into_iter().flat_map(|c| c.routers).find(control);
+        let first =
+            |l: &RouterEntry| choices(&list, &l.router).into_iter().flat_map(|c| c.routers).find(control);
         let firsts: BTreeSet<_> = firsts.map(first).collect();
         assert_eq!(firsts.len(), 3, "region {region}: three control machines");
     }
@@ -95,9 +96,9 @@
     assert!(left.is_empty(), "{left:?}");
 }
 
-fn standing(list: &List) -> BTreeMap<RouterId, BTreeSet<RouterId>> {
+fn standing(list: &RouterList) -> BTreeMap<RouterId, BTreeSet<RouterId>> {
     let firsts = |c: Choice| c.routers.into_iter().take(c.need);
-    let of = |l: &Listed| choices(list, &l.router).into_iter().flat_map(firsts).collect();
+    let of = |l: &RouterEntry| choices(list, &l.router).into_iter().flat_map(firsts).collect();
     list.all().iter().map(|l| (l.router.clone(), of(l))).collect()
 }
 
@@ -130,7 +131,7 @@
 fn a_list_that_can_t_be_is_refused_by_name() {
     let mut all = listed(1, 3, 1);
     all.push(all[1].clone());
-    let bad = List::new(1, Shape::default(), all).expect_err("twice");
+    let bad = RouterList::new(1, Shape::default(), all).expect_err("twice");
     assert_eq!(bad.to_string(), "list: r0-0 is listed twice");
-    assert!(List::new(1, Shape { relays: 0, ..Shape::default() }, listed(1, 3, 1)).is_err());
+    assert!(RouterList::new(1, Shape { relays: 0, ..Shape::default() }, listed(1, 3, 1)).is_err());
 }
--- a/crates/overlay/tests/settled.rs
+++ b/crates/overlay/tests/settled.rs
@@ -88,7 +88,7 @@
     let i = net.nodes.len() - 1;
     net.sides[i] = 1;
     net.cut();
-    net.event(i, Event::Known(Kind::Purge, b"alone".to_vec()));
+    net.event(i, Event::AlreadyKnown(Kind::Purge, b"alone".to_vec()));
     net.run(20_000.0);
     net.sides[i] = 0;
     assert!(net.until(30_000.0, |n| n.all_told("alone", i)));
--- a/crates/placement/benches/table.rs
+++ b/crates/placement/benches/table.rs
@@ -33,7 +33,7 @@
     let (table, mut shard) = (table(n), 0);
     bencher.bench_local(|| {
         shard = (shard + 1) % SHARDS;
-        black_box(table.keepers(Shard(shard)).map(|g| g.need))
+        black_box(table.keepers(Shard(shard)).map(|g| g.quorum))
     });
 }
 
--- a/crates/placement/examples/measure.rs
+++ b/crates/placement/examples/measure.rs
@@ -81,7 +81,7 @@
     }
 
     fn memory(&self) -> usize {
-        let group = |g: &basaltgw_types::Group| size_of_val(g) + g.members.len() * size_of::<Member>();
+        let group = |g: &basaltgw_types::QuorumGroup| size_of_val(g) + g.members.len() * size_of::<Member>();
         let groups = (0..SHARDS).filter_map(|s| self.0.as_ref().and_then(|t| t.keepers(Shard(s as u16))));
         groups.map(group).sum::<usize>() + self.written()
     }
--- a/crates/placement/src/adoption.rs
+++ b/crates/placement/src/adoption.rs
@@ -229,7 +229,7 @@
         }
         self.founding = None;
         self.evidence = Evidence { turn: register.turn(), ..Evidence::default() };
-        let mine = |group: &basaltgw_types::Group| group.members.contains(&self.me);
+        let mine = |group: &basaltgw_types::QuorumGroup| group.members.contains(&self.me);
         // Even who kept a shard before may lack what a majority of the others kept, and would be counted among the new ones.
         let comes = register.changing().into_iter().filter(|(_, _, to)| mine(to));
         let fill: Vec<Shard> = comes.filter_map(|(shard, ..)| shard).collect();
--- a/crates/placement/src/explain.rs
+++ b/crates/placement/src/explain.rs
@@ -2,7 +2,7 @@
 
 use crate::body::Origin;
 use crate::table::{Allowed, Table};
-use basaltgw_types::{Group, Shard};
+use basaltgw_types::{QuorumGroup, Shard};
 use std::fmt::Write;
 
 fn rule(origin: Option<&Origin>) -> String {
@@ -62,8 +62,8 @@
     explain_group(table, &title, &table.root(), table.origin(table.body().root_rule))
 }
 
-fn explain_group(table: &Table, title: &str, group: &Group, origin: Option<&Origin>) -> String {
-    let mut out = format!("{title}: {} of {} needed\n", group.need, group.members.len());
+fn explain_group(table: &Table, title: &str, group: &QuorumGroup, origin: Option<&Origin>) -> String {
+    let mut out = format!("{title}: {} of {} needed\n", group.quorum, group.members.len());
     for (i, member) in group.members.iter().enumerate() {
         if let Some((_, domain)) = table.routers().find(|(m, _)| *m == member) {
             let _ = writeln!(
--- a/crates/placement/src/model.rs
+++ b/crates/placement/src/model.rs
@@ -6,7 +6,7 @@
 use crate::body::{Body, Keeper};
 use crate::register::{Broken, Evidence, Offer, Refused, Register, Stage};
 use crate::table::Table;
-use basaltgw_types::{Group, Member, RouterId, Shard, TableHash};
+use basaltgw_types::{Member, QuorumGroup, RouterId, Shard, TableHash};
 use stateright::{Checker, Model, Property};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -66,7 +66,7 @@
 
 impl Course {
     fn new(registers: Vec<Register>) -> Self {
-        let mask = |g: &Group| {
+        let mask = |g: &QuorumGroup| {
             (0..ROUTERS).filter(|r| g.members.contains(&Fleet::member(*r))).fold(0, |m, r| m | 1 << r)
         };
         let mut groups: Vec<[Vec<u8>; 2]> = Vec::new();
--- a/crates/placement/src/register.rs
+++ b/crates/placement/src/register.rs
@@ -8,7 +8,7 @@
 use crate::body::MOST_TABLE;
 use crate::steps::{portions, step_map};
 use crate::table::{BadTable, Table};
-use basaltgw_types::{Group, Member, RouterId, Shard, ShardMap, TableHash, TableVersion};
+use basaltgw_types::{Member, QuorumGroup, RouterId, Shard, ShardMap, TableHash, TableVersion};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::sync::Arc;
@@ -281,7 +281,7 @@
     }
 
     /// The groups that are left and those that are gone to, of each shard that moves in this step (`None`: the root).
-    pub fn changing(&self) -> Vec<(Option<Shard>, Group, Group)> {
+    pub fn changing(&self) -> Vec<(Option<Shard>, QuorumGroup, QuorumGroup)> {
         let (Some(next), Stage::Both { back, .. }) = (&self.next, &self.stage) else { return Vec::new() };
         let (from, to) = if *back { (&next.table, &self.table) } else { (&self.table, &next.table) };
         let pair = |s: Shard| Some((Some(s), from.keepers(s)?.clone(), to.keepers(s)?.clone()));
@@ -291,13 +291,14 @@
     }
 
     fn enough(&self, evidence: &Evidence) -> bool {
-        let count =
-            |group: &Group, who: &BTreeSet<Member>| group.members.iter().filter(|m| who.contains(m)).count();
+        let count = |group: &QuorumGroup, who: &BTreeSet<Member>| {
+            group.members.iter().filter(|m| who.contains(m)).count()
+        };
         match (&self.stage, &self.next) {
             (Stage::Offered, Some(next)) => next.table.routers().all(|(m, _)| evidence.checked.contains(m)),
             (Stage::Checked, Some(_)) => true,
             (Stage::Both { .. }, Some(_)) => self.changing().iter().all(|(_, from, to)| {
-                count(from, &evidence.checked) >= from.need && count(to, &evidence.filled) >= to.need
+                count(from, &evidence.checked) >= from.quorum && count(to, &evidence.filled) >= to.quorum
             }),
             (Stage::Idle, _) | (Stage::Offered | Stage::Checked | Stage::Both { .. }, None) => false,
         }
--- a/crates/placement/src/steps.rs
+++ b/crates/placement/src/steps.rs
@@ -1,7 +1,7 @@
 //! From one table to the next, by portions: each is kept by both, then by the new keepers alone.
 
 use crate::table::Table;
-use basaltgw_types::{Group, Keepers, Member, Shard, ShardMap, TableVersion};
+use basaltgw_types::{Member, QuorumGroup, ReplicaSet, Shard, ShardMap, TableVersion};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -34,19 +34,23 @@
 }
 
 /// Who left and who joined from one group to another.
-fn change(old: &Group, new: &Group) -> (Vec<Member>, Vec<Member>) {
-    let without =
-        |a: &Group, b: &Group| a.members.iter().filter(|m| !b.members.contains(m)).cloned().collect();
+fn change(old: &QuorumGroup, new: &QuorumGroup) -> (Vec<Member>, Vec<Member>) {
+    let without = |a: &QuorumGroup, b: &QuorumGroup| {
+        a.members.iter().filter(|m| !b.members.contains(m)).cloned().collect()
+    };
     (without(old, new), without(new, old))
 }
 
-fn pairs<'a>(old: &'a Table, new: &'a Table) -> impl Iterator<Item = (Shard, &'a Group, &'a Group)> {
+fn pairs<'a>(
+    old: &'a Table,
+    new: &'a Table,
+) -> impl Iterator<Item = (Shard, &'a QuorumGroup, &'a QuorumGroup)> {
     (0..=u16::MAX).map(Shard).map_while(move |s| Some((s, old.keepers(s)?, new.keepers(s)?)))
 }
 
 /// True if the same routers keep it, in whatever order.
-fn same(old: &Group, new: &Group) -> bool {
-    let set = |g: &Group| g.members.iter().cloned().collect::<BTreeSet<_>>();
+fn same(old: &QuorumGroup, new: &QuorumGroup) -> bool {
+    let set = |g: &QuorumGroup| g.members.iter().cloned().collect::<BTreeSet<_>>();
     set(old) == set(new)
 }
 
@@ -114,16 +118,16 @@
 /// back (`back`) the new one.
 pub(crate) fn step_map(old: &Table, new: &Table, k: usize, back: bool, epoch: u64) -> ShardMap {
     let mut map = old.map(epoch);
-    let both = |old: &Group, new: &Group| match same(old, new) {
-        true => Keepers { groups: vec![old.clone()] },
-        false if back => Keepers { groups: vec![new.clone(), old.clone()] },
-        false => Keepers { groups: vec![old.clone(), new.clone()] },
+    let both = |old: &QuorumGroup, new: &QuorumGroup| match same(old, new) {
+        true => ReplicaSet { groups: vec![old.clone()] },
+        false if back => ReplicaSet { groups: vec![new.clone(), old.clone()] },
+        false => ReplicaSet { groups: vec![old.clone(), new.clone()] },
     };
     for (step, portion) in portions(old, new).iter().enumerate().take(k + 1) {
         for shard in portion {
             let (Some(was), Some(is)) = (old.keepers(*shard), new.keepers(*shard)) else { continue };
             map.shards[usize::from(shard.0)] =
-                if step < k { Keepers { groups: vec![is.clone()] } } else { both(was, is) };
+                if step < k { ReplicaSet { groups: vec![is.clone()] } } else { both(was, is) };
         }
     }
     map.root = both(&old.root(), &new.root());
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -4,7 +4,7 @@
 use crate::gather::GatherRule;
 use crate::register::Refused;
 use basaltgw_types::{
-    Domain, Group, Incarnation, Keepers, Member, RouterId, Shard, ShardMap, TableHash, TableVersion,
+    Domain, Incarnation, Member, QuorumGroup, ReplicaSet, RouterId, Shard, ShardMap, TableHash, TableVersion,
 };
 use fixedbitset::FixedBitSet;
 use std::collections::HashMap;
@@ -76,7 +76,7 @@
     bytes: Arc<[u8]>,
     hash: TableHash,
     routers: Vec<Member>,
-    shards: Vec<Group>,
+    shards: Vec<QuorumGroup>,
     bounds: Vec<Bounds>,
     caches: HashMap<Arc<str>, CacheNo>,
     classes: HashMap<Arc<str>, usize>,
@@ -115,7 +115,7 @@
         let routers: Vec<Member> = body.routers.iter().map(member).collect();
         let who = |places: &[u16]| places.iter().map(|p| routers[usize::from(*p)].clone()).collect();
         let copies = usize::from(body.copies);
-        let shards = body.keepers.chunks(copies).map(|k| Group::majority(who(k))).collect();
+        let shards = body.keepers.chunks(copies).map(|k| QuorumGroup::majority(who(k))).collect();
         let allowed = |ids: &Option<Ids>| ids.as_ref().map(Allowed::new);
         let bounds = body.homes.iter().map(|h| Bounds {
             serve: allowed(&h.serve),
@@ -220,13 +220,13 @@
     }
 
     /// Who keeps a shard, in the order of preference; `None` if there is no such shard.
-    pub fn keepers(&self, shard: Shard) -> Option<&Group> {
+    pub fn keepers(&self, shard: Shard) -> Option<&QuorumGroup> {
         self.shards.get(usize::from(shard.0))
     }
 
     /// Who keeps the register of the table.
-    pub fn root(&self) -> Group {
-        Group::majority(self.who(&self.body.root))
+    pub fn root(&self) -> QuorumGroup {
+        QuorumGroup::majority(self.who(&self.body.root))
     }
 
     fn who(&self, places: &[u16]) -> Vec<Member> {
@@ -235,7 +235,7 @@
 
     /// The keepers of all shards, each by one group.
     pub fn map(&self, epoch: u64) -> ShardMap {
-        let one = |group: Group| Keepers { groups: vec![group] };
+        let one = |group: QuorumGroup| ReplicaSet { groups: vec![group] };
         ShardMap {
             epoch,
             version: self.version(),
@@ -251,7 +251,7 @@
         let mut map = self.map(0);
         if !self.body.founders.is_empty() {
             let members = self.who(&self.body.founders);
-            map.root = Keepers { groups: vec![Group { need: members.len(), members }] };
+            map.root = ReplicaSet { groups: vec![QuorumGroup { quorum: members.len(), members }] };
         }
         map
     }
--- a/crates/placement/tests/lookups.rs
+++ b/crates/placement/tests/lookups.rs
@@ -14,10 +14,10 @@
     assert!(map
         .shards
         .iter()
-        .all(|k| k.groups.len() == 1 && k.groups[0].members.len() == 3 && k.groups[0].need == 2));
-    assert_eq!((map.root.groups[0].members.len(), map.root.groups[0].need), (3, 2));
+        .all(|k| k.groups.len() == 1 && k.groups[0].members.len() == 3 && k.groups[0].quorum == 2));
+    assert_eq!((map.root.groups[0].members.len(), map.root.groups[0].quorum), (3, 2));
     let founding = table.founding_map().root;
-    assert_eq!((founding.groups[0].members.len(), founding.groups[0].need), (5, 5));
+    assert_eq!((founding.groups[0].members.len(), founding.groups[0].quorum), (5, 5));
     assert_eq!(table.keepers(Shard(256)), None);
 }
 
--- a/crates/registers/examples/fleet.rs
+++ b/crates/registers/examples/fleet.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/net/mod.rs"]
 mod net;
 
-use basaltgw_registers::{Change, Event, Hold, Outcome, Settings, Verdict};
+use basaltgw_registers::{Change, Event, Outcome, Record, Response, Settings};
 use basaltgw_types::Member;
 use net::{effect, map, Faults, Net};
 use std::collections::BTreeMap;
@@ -38,15 +38,15 @@
     by: Member,
 }
 
-fn counted(net: &Net, of: impl Fn(&basaltgw_registers::Holds) -> u64) -> u64 {
+fn counted(net: &Net, of: impl Fn(&basaltgw_registers::Registers) -> u64) -> u64 {
     net.nodes.iter().filter_map(|n| n.holds.as_ref()).map(of).sum()
 }
 
 fn reach(net: &mut Net, router: usize, yes: bool) {
     let all: Vec<Member> = net.nodes.iter().map(|n| n.me.clone()).collect();
     for other in (0..all.len()).filter(|r| *r != router) {
-        net.give(router, Event::Reached(all[other].clone(), yes));
-        net.give(other, Event::Reached(all[router].clone(), yes));
+        net.give(router, Event::PeerReachable(all[other].clone(), yes));
+        net.give(other, Event::PeerReachable(all[router].clone(), yes));
         match yes {
             true => net.cut.retain(|c| c.0 != router && c.1 != router),
             false => net.cut.extend([(router, other), (other, router)]),
@@ -65,7 +65,7 @@
     net.start(router);
     (0..net.nodes.len())
         .filter(|r| *r != router)
-        .for_each(|r| net.give(r, Event::Reached(old.clone(), false)));
+        .for_each(|r| net.give(r, Event::PeerReachable(old.clone(), false)));
     let [both, _] = net::joint(&net.map, &new_map(net, net.map.epoch + 2));
     net.filled.clear();
     net.adopt(both, 20.0);
@@ -74,7 +74,7 @@
 fn run(routers: usize, promises: usize, seed: u64) -> Sums {
     let mut net = Net::new(routers, SHARDS.min(routers * 8), COPIES, seed);
     net.map = new_map(&net, 1).into();
-    net.set = Settings { most_tries: 8, ..net.set.clone() };
+    net.set = Settings { max_attempts: 8, ..net.set.clone() };
     (0..routers).for_each(|r| {
         net.kill(r);
         net.start(r);
@@ -97,7 +97,7 @@
             };
             let (by, name) = (net.nodes[router].me.clone(), u128::from(net::mix(seed, taken as u64)) << 64);
             let at = net.now;
-            let no = net.ask(router, effect(name), Change::Take(by.clone()), 1_000.0);
+            let no = net.ask(router, effect(name), Change::Acquire(by.clone()), 1_000.0);
             asked.insert(no, Asked { at, name, by });
             taken += 1;
         }
@@ -105,19 +105,19 @@
             let (at, no, verdict) = (net.answers[i].at, net.answers[i].no, net.answers[i].verdict.clone());
             let Some(one) = asked.remove(&no) else { continue };
             match verdict {
-                Verdict::Kept(_) => {
+                Response::Committed(_) => {
                     sums.promised += 1;
                     sums.waits.push(at - one.at);
                     // Its owner ends each second one; nobody waits for that here.
                     if one.name >> 64 & 1 == 0 {
                         let router = net.answers[i].router;
-                        let done = Change::Done(one.by.clone(), 0, Outcome::ServedUntold);
+                        let done = Change::Complete(one.by.clone(), 0, Outcome::ServedBodyOmitted);
                         net.ask(router, effect(one.name), done, 1_000.0);
                     }
                     kept.insert(one.name, one.by);
                 }
-                Verdict::Stands(hold) => panic!("a fresh name stands: {hold:?}"),
-                Verdict::Unkept { never, .. } => {
+                Response::Conflict(hold) => panic!("a fresh name stands: {hold:?}"),
+                Response::Unavailable { not_executed: never, .. } => {
                     sums.refused += 1;
                     sums.never += u64::from(never);
                     sums.at_once += u64::from(at == one.at);
@@ -160,12 +160,14 @@
     net.run(200.0);
     for (name, by) in &kept {
         let router = net.pick(routers);
-        let no = net.ask(router, effect(*name), Change::Look, 5_000.0);
+        let no = net.ask(router, effect(*name), Change::Read, 5_000.0);
         net.run_until(10_000.0, |net| net.answers.last().is_some_and(|a| a.no == no));
         let safe = match net.answers.last().map(|a| &a.verdict) {
-            Some(Verdict::Stands(Some(Hold::Out { owner, .. }))) => owner == by,
-            Some(Verdict::Stands(Some(Hold::Done(_)))) => true,
-            Some(Verdict::Stands(_) | Verdict::Kept(_) | Verdict::Unkept { .. }) | None => false,
+            Some(Response::Conflict(Some(Record::Leased { owner, .. }))) => owner == by,
+            Some(Response::Conflict(Some(Record::Completed(_)))) => true,
+            Some(Response::Conflict(_) | Response::Committed(_) | Response::Unavailable { .. }) | None => {
+                false
+            }
         };
         sums.lost += u64::from(!safe);
     }
--- a/crates/registers/src/acceptor.rs
+++ b/crates/registers/src/acceptor.rs
@@ -2,9 +2,9 @@
 
 use crate::disk::{Disk, Register};
 use crate::message::{Ballot, Body, Letter, Listed, Place, Value, Why};
-use crate::{Action, Bad, Broken, Hold, HoldKey, Kind, Settings};
+use crate::{Action, InjectedBug, Kind, OpenError, Record, RecordKey, Settings};
 use basaltgw_structures::hash::mix;
-use basaltgw_types::{Keepers, Member, Ms, Shard, ShardMap};
+use basaltgw_types::{Member, Ms, ReplicaSet, Shard, ShardMap};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::sync::Arc;
@@ -27,12 +27,12 @@
     pub me: Member,
     pub map: Option<Arc<ShardMap>>,
     pub disk: Disk,
-    registers: BTreeMap<HoldKey, Kept>,
+    registers: BTreeMap<RecordKey, Kept>,
     bytes: usize,
 }
 
 /// Where a hold is kept under a map.
-pub(crate) fn place(map: &ShardMap, key: &HoldKey) -> Option<Place> {
+pub(crate) fn place(map: &ShardMap, key: &RecordKey) -> Option<Place> {
     if key.kind == Kind::Table {
         return Some(Place::Root);
     }
@@ -42,7 +42,7 @@
 }
 
 /// Who keeps a place.
-pub(crate) fn keepers(map: &ShardMap, place: Place) -> Option<&Keepers> {
+pub(crate) fn keepers(map: &ShardMap, place: Place) -> Option<&ReplicaSet> {
     match place {
         Place::Root => Some(&map.root),
         Place::Shard(Shard(s)) => map.shards.get(usize::from(s)),
@@ -50,7 +50,7 @@
 }
 
 /// True if a member is among the keepers.
-pub(crate) fn among(keepers: &Keepers, member: &Member) -> bool {
+pub(crate) fn among(keepers: &ReplicaSet, member: &Member) -> bool {
     keepers.groups.iter().any(|g| g.members.contains(member))
 }
 
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// As [`Disk::open`].
-    pub fn new(me: Member, records: Vec<(Vec<u8>, Vec<u8>)>) -> Result<Self, Bad> {
+    pub fn new(me: Member, records: Vec<(Vec<u8>, Vec<u8>)>) -> Result<Self, OpenError> {
         let (disk, found) = Disk::open(&me, records)?;
         let mut it = Self { me, map: None, disk, registers: BTreeMap::new(), bytes: 0 };
         for (key, register) in found {
@@ -81,12 +81,12 @@
     }
 
     /// Registers, by name.
-    pub fn registers(&self) -> &BTreeMap<HoldKey, Kept> {
+    pub fn registers(&self) -> &BTreeMap<RecordKey, Kept> {
         &self.registers
     }
 
     /// What it holds there itself.
-    pub fn hold(&self, key: &HoldKey) -> Option<&Hold> {
+    pub fn hold(&self, key: &RecordKey) -> Option<&Record> {
         self.registers.get(key)?.register.accepted.as_ref().map(|(_, v)| &v.hold)
     }
 
@@ -102,7 +102,7 @@
         from: &Member,
         letter: Letter,
         set: &Settings,
-        how: Broken,
+        how: InjectedBug,
     ) -> Option<Letter> {
         let (round, epoch) = (letter.round, self.epoch());
         let answer = |body| Letter { to: from.clone(), epoch, round, body };
@@ -111,7 +111,7 @@
             Body::List(place, after, most) => {
                 // Only who goes by the asker's epoch may tell: from then on it refuses the words of earlier ones.
                 if letter.epoch == epoch && epoch > 0 {
-                    let most = (*most as usize).min(set.fill_portion);
+                    let most = (*most as usize).min(set.sync_batch);
                     let (keys, more) = self.list(*place, *after, most);
                     self.disk.after(answer(Body::Listed(*place, *after, keys, more)));
                 }
@@ -124,10 +124,10 @@
             std::cmp::Ordering::Less => Some(Why::OldTable),
             std::cmp::Ordering::Greater => Some(Why::NotYet),
             std::cmp::Ordering::Equal if !self.keeps(&key) => Some(Why::NoKeeper),
-            std::cmp::Ordering::Equal if self.disk.waiting() >= set.most_waiting => Some(Why::Full),
+            std::cmp::Ordering::Equal if self.disk.waiting() >= set.max_pending_replies => Some(Why::Full),
             std::cmp::Ordering::Equal if known => None,
             std::cmp::Ordering::Equal => {
-                let room = self.registers.len() < set.most_registers && self.bytes < set.most_bytes;
+                let room = self.registers.len() < set.max_registers && self.bytes < set.max_bytes;
                 (!room).then_some(Why::Full)
             }
         };
@@ -146,15 +146,15 @@
     }
 
     /// True if this member keeps that hold under its map.
-    fn keeps(&self, key: &HoldKey) -> bool {
+    fn keeps(&self, key: &RecordKey) -> bool {
         let map = self.map.as_deref();
         let found = map.and_then(|m| place(m, key).and_then(|p| keepers(m, p)));
         found.is_some_and(|k| among(k, &self.me))
     }
 
     /// Why a ballot comes too late, if it does. A register that was dropped has promised up to the floor.
-    fn outvoted(&self, key: &HoldKey, ballot: &Ballot, how: Broken) -> Option<Why> {
-        if how == Broken::VoteTakenBack {
+    fn outvoted(&self, key: &RecordKey, ballot: &Ballot, how: InjectedBug) -> Option<Why> {
+        if how == InjectedBug::VoteTakenBack {
             return None;
         }
         let promised = match self.registers.get(key) {
@@ -166,7 +166,7 @@
         Some(Why::Outvoted(promised))
     }
 
-    fn prepare(&mut self, now: Ms, key: HoldKey, ballot: Ballot) -> Body {
+    fn prepare(&mut self, now: Ms, key: RecordKey, ballot: Ballot) -> Body {
         let fresh = || Kept {
             register: Register { promised: ballot.clone(), accepted: None, epoch: 0 },
             since: now,
@@ -180,7 +180,14 @@
         Body::Promised(ballot, kept.register.accepted.clone())
     }
 
-    fn accept(&mut self, now: Ms, key: HoldKey, ballot: Ballot, value: Value, next: Option<Ballot>) -> Body {
+    fn accept(
+        &mut self,
+        now: Ms,
+        key: RecordKey,
+        ballot: Ballot,
+        value: Value,
+        next: Option<Ballot>,
+    ) -> Body {
         let moved = self.hold(&key) != Some(&value.hold);
         let before = self.registers.get(&key).map(|k| (k.since, k.bytes));
         let promised = next.filter(|n| *n > ballot).unwrap_or_else(|| ballot.clone());
@@ -193,7 +200,7 @@
     }
 
     /// Forgets a register; what it promised is kept as the floor.
-    pub fn drop(&mut self, key: &HoldKey) {
+    pub fn drop(&mut self, key: &RecordKey) {
         if let Some(kept) = self.registers.remove(key) {
             self.bytes -= kept.bytes;
             self.disk.drop(*key, kept.register.promised.counter);
@@ -207,7 +214,7 @@
     }
 
     /// The registers of a place, in order, after one.
-    fn list(&self, of: Place, after: Option<HoldKey>, most: usize) -> (Vec<Listed>, bool) {
+    fn list(&self, of: Place, after: Option<RecordKey>, most: usize) -> (Vec<Listed>, bool) {
         let Some(map) = self.map.as_deref() else { return (Vec::new(), false) };
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let there = self.registers.range((from, Bound::Unbounded));
@@ -225,13 +232,17 @@
 }
 
 /// The bytes of a hold that have no bound of their own.
-pub(crate) fn hold_bytes(hold: &Hold) -> usize {
+pub(crate) fn hold_bytes(hold: &Record) -> usize {
     match hold {
-        Hold::Done(crate::Outcome::Served(bytes)) => bytes.len(),
-        Hold::Done(crate::Outcome::ServedUntold | crate::Outcome::Failed) => 0,
-        Hold::Ticket { server, .. } => server.len(),
-        Hold::Debt { version, missing, .. } => version.len() + 8 * missing.len(),
-        Hold::Table { body, .. } => body.len(),
-        Hold::Out { .. } | Hold::Free { .. } | Hold::Doubt | Hold::Purged { .. } | Hold::Ended => 0,
+        Record::Completed(crate::Outcome::Served(bytes)) => bytes.len(),
+        Record::Completed(crate::Outcome::ServedBodyOmitted | crate::Outcome::Failed) => 0,
+        Record::Ticket { server, .. } => server.len(),
+        Record::Continuation { version, missing, .. } => version.len() + 8 * missing.len(),
+        Record::Table { body, .. } => body.len(),
+        Record::Leased { .. }
+        | Record::Released { .. }
+        | Record::OutcomeUnknown
+        | Record::Purged { .. }
+        | Record::Tombstone => 0,
     }
 }
--- a/crates/registers/src/byte_tests.rs
+++ b/crates/registers/src/byte_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::disk::{record_key, Meta, Register};
 use crate::message::{decode, encode, Ballot, Body, Letter, Place, Value, Why};
-use crate::{Change, Hold, HoldKey, Kind, Outcome};
+use crate::{Change, Kind, Outcome, Record, RecordKey};
 use basaltgw_types::{Incarnation, Member, RouterId, Shard};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
@@ -26,8 +26,8 @@
     }
 }
 
-fn key(kind: Kind) -> HoldKey {
-    HoldKey { kind, name: 0x0fed_cba9_8765_4321_0011_2233_4455_6677 }
+fn key(kind: Kind) -> RecordKey {
+    RecordKey { kind, name: 0x0fed_cba9_8765_4321_0011_2233_4455_6677 }
 }
 
 fn ballot(counter: u64) -> Ballot {
@@ -37,34 +37,43 @@
 #[test]
 fn every_form_of_a_record_has_the_bytes_written_down() {
     let text = || Arc::from("v-1");
-    same(Hold::Out { owner: member(), turn: 2 }, "0100027231909eb8e8c0e1828589909cb0d080c181820202");
-    same(Hold::Free { turn: 300 }, "0101ac02");
-    same(Hold::Done(Outcome::Served(b"body".to_vec())), "01020004626f6479");
-    same(Hold::Done(Outcome::ServedUntold), "010201");
-    same(Hold::Done(Outcome::Failed), "010202");
-    same(Hold::Doubt, "0103");
-    same(Hold::Purged { group: 7, object: Some(9), time: 1_700_000_000_123 }, "0104070109fbd095ffbc31");
-    same(Hold::Purged { group: 7, object: None, time: 1_700_000_000_123 }, "01040700fbd095ffbc31");
-    same(Hold::Ticket { server: text(), by: member().router, used: true }, "010503762d3102723101");
-    same(Hold::Debt { object: 9, version: text(), missing: vec![1, 300] }, "01060903762d310201ac02");
-    same(Hold::Table { serial: 5, body: vec![1, 2, 3] }, "01070503010203");
-    same(Hold::Ended, "0108");
+    same(Record::Leased { owner: member(), term: 2 }, "0100027231909eb8e8c0e1828589909cb0d080c181820202");
+    same(Record::Released { term: 300 }, "0101ac02");
+    same(Record::Completed(Outcome::Served(b"body".to_vec())), "01020004626f6479");
+    same(Record::Completed(Outcome::ServedBodyOmitted), "010201");
+    same(Record::Completed(Outcome::Failed), "010202");
+    same(Record::OutcomeUnknown, "0103");
+    same(Record::Purged { group: 7, object: Some(9), time: 1_700_000_000_123 }, "0104070109fbd095ffbc31");
+    same(Record::Purged { group: 7, object: None, time: 1_700_000_000_123 }, "01040700fbd095ffbc31");
+    same(Record::Ticket { server: text(), by: member().router, used: true }, "010503762d3102723101");
+    same(
+        Record::Continuation { object: 9, version: text(), missing: vec![1, 300] },
+        "01060903762d310201ac02",
+    );
+    same(Record::Table { serial: 5, body: vec![1, 2, 3] }, "01070503010203");
+    same(Record::Tombstone, "0108");
 }
 
 #[test]
 fn every_change_has_the_bytes_written_down() {
     let text = || Arc::from("v-1");
-    same(Change::Take(member()), "0100027231909eb8e8c0e1828589909cb0d080c1818202");
-    same(Change::Back(member(), 2), "0101027231909eb8e8c0e1828589909cb0d080c181820202");
-    same(Change::Done(member(), 2, Outcome::Failed), "0102027231909eb8e8c0e1828589909cb0d080c18182020202");
-    same(Change::Doubt(2), "010302");
+    same(Change::Acquire(member()), "0100027231909eb8e8c0e1828589909cb0d080c1818202");
+    same(Change::Release(member(), 2), "0101027231909eb8e8c0e1828589909cb0d080c181820202");
+    same(
+        Change::Complete(member(), 2, Outcome::Failed),
+        "0102027231909eb8e8c0e1828589909cb0d080c18182020202",
+    );
+    same(Change::MarkOutcomeUnknown(2), "010302");
     same(Change::Purge { group: 7, object: Some(9), time: 1_700_000_000_123 }, "0104070109fbd095ffbc31");
-    same(Change::Name { server: text(), by: member().router }, "010503762d31027231");
-    same(Change::Use, "0106");
-    same(Change::Owe { object: 9, version: text(), missing: vec![1, 300] }, "01070903762d310201ac02");
+    same(Change::IssueTicket { server: text(), by: member().router }, "010503762d31027231");
+    same(Change::UseTicket, "0106");
+    same(
+        Change::SetContinuation { object: 9, version: text(), missing: vec![1, 300] },
+        "01070903762d310201ac02",
+    );
     same(Change::SetTable { from: 4, body: vec![1, 2, 3] }, "01080403010203");
-    same(Change::Look, "0109");
-    same(Change::End, "010a");
+    same(Change::Read, "0109");
+    same(Change::Expire, "010a");
 }
 
 #[test]
@@ -73,17 +82,17 @@
         Meta { me: member(), run: 4, epoch: 5, floor: 6 },
         "01027231909eb8e8c0e1828589909cb0d080c1818202040506",
     );
-    let value = Value { hold: Hold::Doubt, changes: vec![ballot(9), ballot(8)] };
+    let value = Value { hold: Record::OutcomeUnknown, changes: vec![ballot(9), ballot(8)] };
     same(Register { promised: ballot(10), accepted: Some((ballot(9), value)), epoch: 5 }, "010a027231909eb8e8c0e1828589909cb0d080c1818202030109027231909eb8e8c0e1828589909cb0d080c181820203030209027231909eb8e8c0e1828589909cb0d080c18182020308027231909eb8e8c0e1828589909cb0d080c18182020305");
     same(
         Register { promised: ballot(10), accepted: None, epoch: 0 },
         "010a027231909eb8e8c0e1828589909cb0d080c1818202030000",
     );
     let keys = [
-        (Kind::Effect, "010100f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f"),
+        (Kind::Execution, "010100f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f"),
         (Kind::Purge, "010101f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f"),
         (Kind::Ticket, "010102f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f"),
-        (Kind::Debt, "010103f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f"),
+        (Kind::Continuation, "010103f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f"),
         (Kind::Table, "010104f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f"),
     ];
     for (kind, expected) in keys {
@@ -94,8 +103,8 @@
 #[test]
 fn every_message_between_replicas_has_the_bytes_written_down() {
     let letter = |body| Letter { to: member(), epoch: 5, round: 77, body };
-    let value = || Value { hold: Hold::Free { turn: 1 }, changes: vec![ballot(9)] };
-    let k = key(Kind::Effect);
+    let value = || Value { hold: Record::Released { term: 1 }, changes: vec![ballot(9)] };
+    let k = key(Kind::Execution);
     let refused = |why| letter(Body::Refused(ballot(9), why));
     same(letter(Body::Prepare(k, ballot(9))), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0000f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f09027231909eb8e8c0e1828589909cb0d080c181820203");
     same(letter(Body::Accept(k, ballot(9), value(), Some(ballot(10)))), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0100f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f09027231909eb8e8c0e1828589909cb0d080c18182020301010109027231909eb8e8c0e1828589909cb0d080c181820203010a027231909eb8e8c0e1828589909cb0d080c181820203");
--- a/crates/registers/src/counters.rs
+++ b/crates/registers/src/counters.rs
@@ -1,7 +1,7 @@
 //! What is counted, by cause.
 
 use crate::message::Why;
-use crate::Unkept;
+use crate::UnavailableReason;
 use std::collections::BTreeMap;
 
 /// Counted since the start of the program.
@@ -14,7 +14,7 @@
     /// Answered with what stands.
     pub stands: u64,
     /// Not kept, by cause; the own upkeep's too.
-    pub unkept: BTreeMap<Unkept, u64>,
+    pub unkept: BTreeMap<UnavailableReason, u64>,
     /// Rounds begun.
     pub rounds: u64,
     /// Of them, those that needed no preparing.
--- a/crates/registers/src/disk.rs
+++ b/crates/registers/src/disk.rs
@@ -1,7 +1,7 @@
 //! What goes to the disk, and what waits for it: one batch is out at a time, and all that comes meanwhile goes in the next (group commit).
 
 use crate::message::{decode, encode, BadBytes, Ballot, Body, Letter, Value, Why};
-use crate::{Action, Bad, HoldKey, Record};
+use crate::{Action, DiskWrite, OpenError, RecordKey};
 use basaltgw_types::Member;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,8 +48,8 @@
     meta_dirty: bool,
     /// True once this run's number is on the disk: before, no ballot may be named.
     pub runs: bool,
-    dirty: BTreeSet<HoldKey>,
-    gone: BTreeSet<HoldKey>,
+    dirty: BTreeSet<RecordKey>,
+    gone: BTreeSet<RecordKey>,
     waiting: Vec<Letter>,
     out: Option<Batch>,
     /// The last batch failed: the own facts alone are not tried again before something else happens.
@@ -74,26 +74,26 @@
     pub fn open(
         me: &Member,
         records: Vec<(Vec<u8>, Vec<u8>)>,
-    ) -> Result<(Self, BTreeMap<HoldKey, Register>), Bad> {
+    ) -> Result<(Self, BTreeMap<RecordKey, Register>), OpenError> {
         let mut registers = BTreeMap::new();
         let mut found: Option<Meta> = None;
         for (key, value) in records {
-            let bad = |why: BadBytes| Bad::Record { key: hex(&key), why: why.to_string() };
+            let bad = |why: BadBytes| OpenError::Record { key: hex(&key), why: why.to_string() };
             match key.split_first() {
                 Some((&META, [])) => found = Some(decode(&value).map_err(bad)?),
                 Some((&REGISTER, rest)) => {
-                    let name: HoldKey = decode(rest).map_err(bad)?;
+                    let name: RecordKey = decode(rest).map_err(bad)?;
                     registers.insert(name, decode(&value).map_err(bad)?);
                 }
                 Some(_) | None => return Err(bad(BadBytes::Form)),
             }
         }
         if found.is_none() && !registers.is_empty() {
-            return Err(Bad::NoMeta);
+            return Err(OpenError::NoMeta);
         }
         let mut meta = found.unwrap_or(Meta { me: me.clone(), run: 0, epoch: 0, floor: 0 });
         if meta.me != *me {
-            return Err(Bad::Foreign { found: meta.me, expected: me.clone() });
+            return Err(OpenError::Foreign { found: meta.me, expected: me.clone() });
         }
         meta.run = meta.run.saturating_add(1);
         let disk = Self {
@@ -132,7 +132,7 @@
     }
 
     /// A register has changed, and an answer goes once it is stored.
-    pub fn change(&mut self, key: HoldKey, reply: Letter) {
+    pub fn change(&mut self, key: RecordKey, reply: Letter) {
         self.gone.remove(&key);
         self.dirty.insert(key);
         self.waiting.push(reply);
@@ -144,7 +144,7 @@
     }
 
     /// A register was dropped, which had promised up to that counter.
-    pub fn drop(&mut self, key: HoldKey, counter: u64) {
+    pub fn drop(&mut self, key: RecordKey, counter: u64) {
         self.dirty.remove(&key);
         self.gone.insert(key);
         if counter > self.meta.floor {
@@ -154,20 +154,20 @@
     }
 
     /// Sends the next batch out, if there is one and none is out.
-    pub fn flush(&mut self, registers: impl Fn(&HoldKey) -> Option<Register>, acts: &mut Vec<Action>) {
+    pub fn flush(&mut self, registers: impl Fn(&RecordKey) -> Option<Register>, acts: &mut Vec<Action>) {
         let alone = self.dirty.is_empty() && self.gone.is_empty() && self.waiting.is_empty();
         if self.out.is_some() || alone && (self.failed || !self.meta_dirty) {
             return;
         }
         let meta = std::mem::take(&mut self.meta_dirty);
-        let facts = meta.then(|| encode(&self.meta)).flatten().map(|v| Record::Put(vec![META], v));
-        let mut records: Vec<Record> = facts.into_iter().collect();
+        let facts = meta.then(|| encode(&self.meta)).flatten().map(|v| DiskWrite::Put(vec![META], v));
+        let mut records: Vec<DiskWrite> = facts.into_iter().collect();
         for key in std::mem::take(&mut self.dirty) {
             let bytes = registers(&key).and_then(|r| encode(&r));
-            records.extend(record_key(&key).zip(bytes).map(|(k, v)| Record::Put(k, v)));
+            records.extend(record_key(&key).zip(bytes).map(|(k, v)| DiskWrite::Put(k, v)));
         }
         let gone = std::mem::take(&mut self.gone);
-        records.extend(gone.iter().filter_map(record_key).map(Record::Remove));
+        records.extend(gone.iter().filter_map(record_key).map(DiskWrite::Remove));
         self.batches += 1;
         self.records += records.len() as u64;
         self.out = Some(Batch { no: self.batches, replies: std::mem::take(&mut self.waiting), meta });
@@ -206,7 +206,7 @@
 }
 
 /// The key of a register's record.
-pub(crate) fn record_key(key: &HoldKey) -> Option<Vec<u8>> {
+pub(crate) fn record_key(key: &RecordKey) -> Option<Vec<u8>> {
     let mut bytes = vec![REGISTER];
     bytes.extend(encode(key)?);
     Some(bytes)
--- a/crates/registers/src/ends.rs
+++ b/crates/registers/src/ends.rs
@@ -1,10 +1,10 @@
 //! The ends of holds, and the dropping of what need not be remembered any more; by portions, on this keeper's own clock.
 
 use crate::acceptor::{keepers, place, Kept};
-use crate::holds::Holds;
+use crate::holds::Registers;
 use crate::proposer::Ended;
 use crate::round::{Ask, Origin};
-use crate::{Action, Change, Hold, HoldKey, Settings, Verdict};
+use crate::{Action, Change, Record, RecordKey, Response, Settings};
 use basaltgw_types::{Ms, ShardMap};
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -21,9 +21,9 @@
 /// Where the sweep is.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sweep {
-    after: Option<HoldKey>,
+    after: Option<RecordKey>,
     /// Holds that are being ended.
-    under_way: BTreeSet<HoldKey>,
+    under_way: BTreeSet<RecordKey>,
 }
 
 /// What is due for a register.
@@ -35,26 +35,28 @@
 }
 
 /// How long a hold is kept as it is, if it ends at all.
-fn span(hold: &Hold, set: &Settings) -> Option<Ms> {
+fn span(hold: &Record, set: &Settings) -> Option<Ms> {
     match hold {
-        Hold::Out { .. } | Hold::Free { .. } | Hold::Done(_) | Hold::Doubt => Some(set.effect_keep_ms),
-        Hold::Purged { .. } => Some(set.purge_keep_ms),
-        Hold::Ticket { .. } => Some(set.ticket_keep_ms),
-        Hold::Debt { .. } => Some(set.debt_keep_ms),
-        Hold::Ended => Some(set.late_ms),
-        Hold::Table { .. } => None,
+        Record::Leased { .. } | Record::Released { .. } | Record::Completed(_) | Record::OutcomeUnknown => {
+            Some(set.execution_retention_ms)
+        }
+        Record::Purged { .. } => Some(set.purge_retention_ms),
+        Record::Ticket { .. } => Some(set.ticket_retention_ms),
+        Record::Continuation { .. } => Some(set.continuation_retention_ms),
+        Record::Tombstone => Some(set.tombstone_retention_ms),
+        Record::Table { .. } => None,
     }
 }
 
-impl Holds {
+impl Registers {
     /// One look, at a portion of the registers.
     pub(crate) fn sweep(&mut self, now: Ms, ended: &mut Vec<Ended>, acts: &mut Vec<Action>) {
-        acts.push(Action::Timer(self.set.sweep_ms, SWEEP));
+        acts.push(Action::Timer(self.set.expiry_interval_ms, SWEEP));
         self.acceptor.disk.try_again();
         let Some(map) = self.acceptor.map.clone() else { return };
         let from = self.sweep.after.map_or(Bound::Unbounded, Bound::Excluded);
         let there =
-            self.acceptor.registers().range((from, Bound::Unbounded)).take(LOOKS * self.set.sweep_portion);
+            self.acceptor.registers().range((from, Bound::Unbounded)).take(LOOKS * self.set.expiry_batch);
         let (mut looked, mut due) = (None, Vec::new());
         for (key, kept) in there {
             looked = Some(*key);
@@ -62,7 +64,7 @@
                 Due::Nothing => {}
                 what => due.push((*key, what)),
             }
-            if due.len() >= self.set.sweep_portion {
+            if due.len() >= self.set.expiry_batch {
                 break;
             }
         }
@@ -76,7 +78,7 @@
                     self.proposer.counters.dropped += 1;
                 }
                 Due::Change(change) => {
-                    let within = PATIENCE * self.set.again_ms;
+                    let within = PATIENCE * self.set.retransmit_interval_ms;
                     self.sweep.under_way.insert(key);
                     ended.extend(self.proposer.ask(
                         now,
@@ -88,7 +90,7 @@
         }
     }
 
-    fn due(&self, now: Ms, map: &ShardMap, key: &HoldKey, kept: &Kept) -> Due {
+    fn due(&self, now: Ms, map: &ShardMap, key: &RecordKey, kept: &Kept) -> Due {
         let found = place(map, key).and_then(|p| keepers(map, p));
         let Some(found) = found else { return Due::Drop };
         let me = &self.acceptor.me;
@@ -97,31 +99,34 @@
         let Some(rank) = rank else { return Due::Drop };
         let age = now - kept.since;
         let Some((_, value)) = &kept.register.accepted else {
-            return if age >= self.set.late_ms { Due::Drop } else { Due::Nothing };
+            return if age >= self.set.tombstone_retention_ms { Due::Drop } else { Due::Nothing };
         };
         let Some(span) = span(&value.hold, &self.set) else { return Due::Nothing };
-        if value.hold == Hold::Ended {
+        if value.hold == Record::Tombstone {
             return if age >= span { Due::Drop } else { Due::Nothing };
         }
         // The first of a group ends it; the others only if that one did not.
-        if age < span + rank as f64 * self.set.stagger_ms || self.sweep.under_way.contains(key) {
+        if age < span + rank as f64 * self.set.expiry_stagger_ms || self.sweep.under_way.contains(key) {
             return Due::Nothing;
         }
         match &value.hold {
-            Hold::Out { turn, .. } => Due::Change(Change::Doubt(*turn)),
-            Hold::Free { .. } | Hold::Done(_) | Hold::Doubt | Hold::Purged { .. } => Due::Change(Change::End),
-            Hold::Ticket { .. } | Hold::Debt { .. } => Due::Change(Change::End),
-            Hold::Ended | Hold::Table { .. } => Due::Nothing,
+            Record::Leased { term: turn, .. } => Due::Change(Change::MarkOutcomeUnknown(*turn)),
+            Record::Released { .. }
+            | Record::Completed(_)
+            | Record::OutcomeUnknown
+            | Record::Purged { .. } => Due::Change(Change::Expire),
+            Record::Ticket { .. } | Record::Continuation { .. } => Due::Change(Change::Expire),
+            Record::Tombstone | Record::Table { .. } => Due::Nothing,
         }
     }
 
     /// An end was made, or not; then a later look finds it again.
-    pub(crate) fn swept(&mut self, key: &HoldKey, verdict: &Verdict) {
+    pub(crate) fn swept(&mut self, key: &RecordKey, verdict: &Response) {
         self.sweep.under_way.remove(key);
         match verdict {
-            Verdict::Kept(Hold::Doubt) => self.proposer.counters.doubted += 1,
-            Verdict::Kept(_) => self.proposer.counters.ended += 1,
-            Verdict::Stands(_) | Verdict::Unkept { .. } => {}
+            Response::Committed(Record::OutcomeUnknown) => self.proposer.counters.doubted += 1,
+            Response::Committed(_) => self.proposer.counters.ended += 1,
+            Response::Conflict(_) | Response::Unavailable { .. } => {}
         }
     }
 }
--- a/crates/registers/src/fill.rs
+++ b/crates/registers/src/fill.rs
@@ -5,12 +5,12 @@
 //! brings it to enough disks of both.
 
 use crate::acceptor::{among, keepers};
-use crate::holds::Holds;
+use crate::holds::Registers;
 use crate::message::{Ballot, Body, Letter, Listed, Place};
 use crate::proposer::Ended;
 use crate::round::{Ask, Origin};
-use crate::{Action, Change, HoldKey, Verdict};
-use basaltgw_types::{Keepers, Member, Ms, Shard, ShardMap};
+use crate::{Action, Change, RecordKey, Response};
+use basaltgw_types::{Member, Ms, ReplicaSet, Shard, ShardMap};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The timer of filling.
@@ -36,7 +36,7 @@
     task: Task,
     place: Place,
     /// Names after this one are listed.
-    after: Option<HoldKey>,
+    after: Option<RecordKey>,
     /// Who is asked, and how many must answer.
     listers: Vec<Member>,
     need: usize,
@@ -44,10 +44,10 @@
     /// Until the lists are whole.
     listing: bool,
     /// Up to where they are; `None`: to the end.
-    upto: Option<HoldKey>,
+    upto: Option<RecordKey>,
     /// With the highest ballot that a list told of it.
-    todo: BTreeMap<HoldKey, Ballot>,
-    under_way: BTreeMap<HoldKey, Ballot>,
+    todo: BTreeMap<RecordKey, Ballot>,
+    under_way: BTreeMap<RecordKey, Ballot>,
     began: Ms,
     said: Ms,
     /// A look failed: none before then.
@@ -63,12 +63,12 @@
 }
 
 /// Places under a map, each with its keepers.
-fn places(map: &ShardMap) -> impl Iterator<Item = (Place, &Keepers)> {
+fn places(map: &ShardMap) -> impl Iterator<Item = (Place, &ReplicaSet)> {
     let shards = map.shards.iter().zip(0u16..).map(|(k, s)| (Place::Shard(Shard(s)), k));
     std::iter::once((Place::Root, &map.root)).chain(shards)
 }
 
-impl Holds {
+impl Registers {
     /// Another map: what is newly kept here is filled, after what a restart may have missed.
     pub(crate) fn refill(&mut self, before: Option<&ShardMap>, map: &ShardMap, acts: &mut Vec<Action>) {
         let me = &self.acceptor.me;
@@ -116,7 +116,7 @@
     fn arm_fill(&mut self, acts: &mut Vec<Action>) {
         let idle = self.filling.tasks.is_empty() && self.filling.portion.is_none();
         if !idle && !std::mem::replace(&mut self.filling.armed, true) {
-            acts.push(Action::Timer(self.set.fill_pause_ms, FILL));
+            acts.push(Action::Timer(self.set.sync_pause_ms, FILL));
         }
     }
 
@@ -128,14 +128,20 @@
             Some(portion) if portion.listing => self.still_listing(now, portion, ended, acts),
             Some(portion) if now < portion.rest => self.filling.portion = Some(portion),
             Some(mut portion) => {
-                while portion.under_way.len() < self.set.fill_portion {
+                while portion.under_way.len() < self.set.sync_batch {
                     let Some((key, ballot)) = portion.todo.pop_first() else { break };
                     // A word that was merely on its way has come by now.
                     if matches!(portion.task, Task::CatchUp(_)) && !self.lacks(&key, &ballot) {
                         continue;
                     }
                     portion.under_way.insert(key, ballot);
-                    let look = Ask::new(Origin::Fill, key, Change::Look, now, PATIENCE * self.set.again_ms);
+                    let look = Ask::new(
+                        Origin::Fill,
+                        key,
+                        Change::Read,
+                        now,
+                        PATIENCE * self.set.retransmit_interval_ms,
+                    );
                     ended.extend(self.proposer.ask(now, look, acts));
                 }
                 let done = portion.under_way.is_empty() && portion.todo.is_empty();
@@ -146,7 +152,7 @@
                     }
                     (true, None) => {
                         if let (Task::Fill(_), Place::Shard(shard)) = (portion.task, portion.place) {
-                            acts.push(Action::Filled(self.acceptor.epoch(), Some(shard)));
+                            acts.push(Action::ShardSynced(self.acceptor.epoch(), Some(shard)));
                         }
                         self.next_task(now, ended, acts);
                     }
@@ -159,7 +165,7 @@
     fn next_task(&mut self, now: Ms, ended: &mut Vec<Ended>, acts: &mut Vec<Action>) {
         match self.filling.tasks.pop_front() {
             None => {}
-            Some(Task::Tell) => acts.push(Action::Filled(self.acceptor.epoch(), None)),
+            Some(Task::Tell) => acts.push(Action::ShardSynced(self.acceptor.epoch(), None)),
             Some(task @ (Task::Fill(place) | Task::CatchUp(place))) => {
                 self.list(now, task, place, None, ended, acts)
             }
@@ -172,7 +178,7 @@
         now: Ms,
         task: Task,
         place: Place,
-        after: Option<HoldKey>,
+        after: Option<RecordKey>,
         ended: &mut Vec<Ended>,
         acts: &mut Vec<Action>,
     ) {
@@ -182,7 +188,7 @@
         let Some(group) = group else { return };
         let listers: Vec<Member> = group.members.iter().filter(|m| *m != me).cloned().collect();
         // What this keeper has counts as its own list.
-        let need = group.need - usize::from(listers.len() < group.members.len()).min(group.need);
+        let need = group.quorum - usize::from(listers.len() < group.members.len()).min(group.quorum);
         let heard = BTreeMap::new();
         let (todo, under_way) = (BTreeMap::new(), BTreeMap::new());
         let portion = Portion {
@@ -213,8 +219,8 @@
         ended: &mut Vec<Ended>,
         acts: &mut Vec<Action>,
     ) {
-        let again = now >= portion.said + self.set.again_ms;
-        if now < portion.began + PATIENCE * self.set.again_ms {
+        let again = now >= portion.said + self.set.retransmit_interval_ms;
+        if now < portion.began + PATIENCE * self.set.retransmit_interval_ms {
             portion.said = if again { now } else { portion.said };
             self.filling.portion = Some(portion);
             if again {
@@ -233,11 +239,8 @@
 
     fn say_list(&mut self, now: Ms, ended: &mut Vec<Ended>, acts: &mut Vec<Action>) {
         let Some(portion) = &self.filling.portion else { return };
-        let body = Body::List(
-            portion.place,
-            portion.after,
-            u32::try_from(self.set.fill_portion).unwrap_or(u32::MAX),
-        );
+        let body =
+            Body::List(portion.place, portion.after, u32::try_from(self.set.sync_batch).unwrap_or(u32::MAX));
         let silent =
             portion.listers.iter().filter(|m| !portion.heard.contains_key(*m) && self.proposer.reaches(m));
         let epoch = self.acceptor.epoch();
@@ -279,7 +282,7 @@
         let breaks = portion.heard.values().filter(|(_, more)| *more).filter_map(|(keys, _)| keys.last());
         portion.upto = breaks.map(|last| last.0).min();
         let upto = portion.upto;
-        let within = |key: &HoldKey| upto.is_none_or(|u| *key <= u);
+        let within = |key: &RecordKey| upto.is_none_or(|u| *key <= u);
         for (key, ballot) in portion.heard.values().flat_map(|(keys, _)| keys) {
             if let Some(ballot) = ballot.as_ref().filter(|_| within(key)) {
                 let highest = portion.todo.entry(*key).or_insert_with(|| ballot.clone());
@@ -290,20 +293,20 @@
     }
 
     /// True if what this keeper has there is older than that ballot.
-    fn lacks(&self, key: &HoldKey, ballot: &Ballot) -> bool {
+    fn lacks(&self, key: &RecordKey, ballot: &Ballot) -> bool {
         let own = self.acceptor.registers().get(key).and_then(|kept| kept.register.accepted.as_ref());
         own.is_none_or(|own| own.0 < *ballot)
     }
 
     /// A look that filling asked for has ended; one that failed comes again after a rest.
-    pub(crate) fn filled(&mut self, now: Ms, key: &HoldKey, verdict: &Verdict) {
+    pub(crate) fn filled(&mut self, now: Ms, key: &RecordKey, verdict: &Response) {
         let Some(portion) = &mut self.filling.portion else { return };
         if let Some(ballot) = portion.under_way.remove(key) {
             match verdict {
-                Verdict::Kept(_) | Verdict::Stands(_) => self.proposer.counters.filled += 1,
-                Verdict::Unkept { .. } => {
+                Response::Committed(_) | Response::Conflict(_) => self.proposer.counters.filled += 1,
+                Response::Unavailable { .. } => {
                     portion.todo.insert(*key, ballot);
-                    portion.rest = now + self.set.again_ms;
+                    portion.rest = now + self.set.retransmit_interval_ms;
                 }
             }
         }
--- a/crates/registers/src/holds.rs
+++ b/crates/registers/src/holds.rs
@@ -6,16 +6,16 @@
 use crate::message::{encode, Body, Letter};
 use crate::proposer::{Ended, Proposer};
 use crate::round::{Ask, Origin};
-use crate::{Action, BadSettings, Counters, Event, Hold, HoldKey, Settings, Verdict};
-use basaltgw_types::{Keepers, Member, Ms, ShardMap};
+use crate::{Action, Counters, Event, InvalidSetting, Record, RecordKey, Response, Settings};
+use basaltgw_types::{Member, Ms, ReplicaSet, ShardMap};
 use std::sync::Arc;
 
 /// Why holds can't begin.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Bad {
+pub enum OpenError {
     /// A setting.
     #[error(transparent)]
-    Settings(#[from] BadSettings),
+    Settings(#[from] InvalidSetting),
     /// A record that can't be read.
     #[error("holds: record {key}: {why}")]
     Record {
@@ -39,7 +39,7 @@
 
 /// A way to be broken on purpose, for checkers that must notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum InjectedBug {
     /// Not at all.
     Sound,
     /// Says that a change is kept once a single keeper has it.
@@ -50,7 +50,7 @@
 
 /// The holds of one router.
 #[derive(Clone, Debug)]
-pub struct Holds {
+pub struct Registers {
     pub(crate) set: Settings,
     pub(crate) acceptor: Acceptor,
     pub(crate) proposer: Proposer,
@@ -63,12 +63,17 @@
     behind: (u64, Ms),
 }
 
-impl Holds {
+impl Registers {
     /// Takes up what the disk holds: all records that were ever stored and not removed. `seed` draws waits.
     ///
     /// # Errors
     /// If a setting can't be, or a record can't be read or is another member's.
-    pub fn new(me: Member, set: Settings, records: Vec<(Vec<u8>, Vec<u8>)>, seed: u64) -> Result<Self, Bad> {
+    pub fn new(
+        me: Member,
+        set: Settings,
+        records: Vec<(Vec<u8>, Vec<u8>)>,
+        seed: u64,
+    ) -> Result<Self, OpenError> {
         set.check()?;
         let acceptor = Acceptor::new(me.clone(), records)?;
         let proposer = Proposer::new(me, set.clone(), acceptor.disk.meta.run, seed);
@@ -79,7 +84,7 @@
 
     /// Breaks it.
     #[cfg(any(test, feature = "broken"))]
-    pub fn break_as(&mut self, how: Broken) {
+    pub fn break_as(&mut self, how: InjectedBug) {
         self.proposer.how = how;
     }
 
@@ -90,26 +95,26 @@
         let mut ended: Vec<Ended> = Vec::new();
         if !std::mem::replace(&mut self.begun, true) {
             self.acceptor.begin(now);
-            acts.push(Action::Timer(self.set.sweep_ms, SWEEP));
+            acts.push(Action::Timer(self.set.expiry_interval_ms, SWEEP));
         }
         match event {
-            Event::Ask { no, key, change, within } => {
+            Event::Request { number: no, key, change, timeout: within } => {
                 self.proposer.counters.asked += 1;
                 self.acceptor.disk.try_again();
                 let ask = Ask::new(Origin::Asked(no), key, change, now, within);
                 ended.extend(self.proposer.ask(now, ask, acts));
             }
-            Event::Bytes(from, bytes) => self.bytes(now, &from, &bytes, &mut ended, acts),
-            Event::Unsent(no) => ended.extend(self.proposer.unsent(now, no, acts)),
-            Event::Reached(member, yes) => {
+            Event::MessageReceived(from, bytes) => self.bytes(now, &from, &bytes, &mut ended, acts),
+            Event::SendFailed(no) => ended.extend(self.proposer.unsent(now, no, acts)),
+            Event::PeerReachable(member, yes) => {
                 let back = yes && !self.proposer.reaches(&member);
                 ended.extend(self.proposer.reached(now, &member, yes, acts));
                 if back {
                     self.catch_up(&member, acts);
                 }
             }
-            Event::Map(map) => self.map(now, map, &mut ended, acts),
-            Event::Stored(no, ok) => self.stored(now, no, ok, &mut ended, acts),
+            Event::ShardMap(map) => self.map(now, map, &mut ended, acts),
+            Event::BatchStored(no, ok) => self.stored(now, no, ok, &mut ended, acts),
             Event::Timer(SWEEP) => self.sweep(now, &mut ended, acts),
             Event::Timer(FILL) => self.fill(now, &mut ended, acts),
             Event::Timer(no) => ended.extend(self.proposer.timer(now, no, acts)),
@@ -125,15 +130,15 @@
     }
 
     /// What this keeper knows to stand there: advisory, others may know better.
-    pub fn stands(&self, key: &HoldKey) -> Option<&Hold> {
+    pub fn stands(&self, key: &RecordKey) -> Option<&Record> {
         self.acceptor.hold(key)
     }
 
     /// The purges kept here, with their age in milliseconds as far as this run knows.
-    pub fn purges(&self) -> impl Iterator<Item = (&HoldKey, &Hold, Ms)> {
+    pub fn purges(&self) -> impl Iterator<Item = (&RecordKey, &Record, Ms)> {
         let kept = self.acceptor.registers().iter();
         kept.filter_map(|(key, kept)| match kept.register.accepted.as_ref().map(|a| &a.1.hold) {
-            Some(hold @ Hold::Purged { .. }) => Some((key, hold, self.now - kept.since)),
+            Some(hold @ Record::Purged { .. }) => Some((key, hold, self.now - kept.since)),
             Some(_) | None => None,
         })
     }
@@ -186,7 +191,7 @@
         ended: &mut Vec<Ended>,
         acts: &mut Vec<Action>,
     ) {
-        let letter = (bytes.len() <= self.set.most_message_bytes).then(|| Letter::read(bytes));
+        let letter = (bytes.len() <= self.set.max_message_bytes).then(|| Letter::read(bytes));
         match letter {
             Some(Ok(letter)) if letter.to == self.acceptor.me => self.letter(now, from, letter, ended, acts),
             Some(Ok(_)) => self.proposer.counters.not_for_me += 1,
@@ -218,10 +223,10 @@
 
     /// Another goes by a later epoch.
     fn ahead(&mut self, now: Ms, epoch: u64, from: &Member, acts: &mut Vec<Action>) {
-        let told = self.behind.0 >= epoch && now < self.behind.1 + self.set.again_ms;
+        let told = self.behind.0 >= epoch && now < self.behind.1 + self.set.retransmit_interval_ms;
         if epoch > self.acceptor.epoch() && !told {
             self.behind = (epoch, now);
-            acts.push(Action::Behind(epoch, from.clone()));
+            acts.push(Action::StaleEpoch(epoch, from.clone()));
         }
     }
 
@@ -253,7 +258,7 @@
     fn map(&mut self, now: Ms, map: Arc<ShardMap>, ended: &mut Vec<Ended>, acts: &mut Vec<Action>) {
         if !map.shards.iter().chain([&map.root]).all(meets) || map.shards.len() > usize::from(u16::MAX) {
             self.proposer.counters.bad_maps += 1;
-            acts.push(Action::Report(format!(
+            acts.push(Action::Log(format!(
                 "holds: map of epoch {} dropped: a group's halves need not meet",
                 map.epoch
             )));
@@ -276,11 +281,11 @@
         match origin {
             Origin::Asked(no) => {
                 match &verdict {
-                    Verdict::Kept(_) => self.proposer.counters.kept += 1,
-                    Verdict::Stands(_) => self.proposer.counters.stands += 1,
-                    Verdict::Unkept { .. } => {}
+                    Response::Committed(_) => self.proposer.counters.kept += 1,
+                    Response::Conflict(_) => self.proposer.counters.stands += 1,
+                    Response::Unavailable { .. } => {}
                 }
-                acts.push(Action::Answer(no, key, verdict));
+                acts.push(Action::Respond(no, key, verdict));
             }
             Origin::Upkeep => self.swept(&key, &verdict),
             Origin::Fill => self.filled(self.now, &key, &verdict),
@@ -289,10 +294,10 @@
 }
 
 /// True if any two quorums of each group meet, and no member counts twice.
-fn meets(keepers: &Keepers) -> bool {
-    let sound = |g: &basaltgw_types::Group| {
+fn meets(keepers: &ReplicaSet) -> bool {
+    let sound = |g: &basaltgw_types::QuorumGroup| {
         let once = (1..g.members.len()).all(|i| !g.members[..i].contains(&g.members[i]));
-        once && g.need <= g.members.len() && 2 * g.need > g.members.len()
+        once && g.quorum <= g.members.len() && 2 * g.quorum > g.members.len()
     };
     !keepers.groups.is_empty() && keepers.groups.iter().all(sound)
 }
--- a/crates/registers/src/lib.rs
+++ b/crates/registers/src/lib.rs
@@ -24,8 +24,8 @@
 mod step;
 
 pub use counters::Counters;
-pub use holds::{Bad, Broken, Holds};
-pub use settings::{BadSettings, Settings};
+pub use holds::{InjectedBug, OpenError, Registers};
+pub use settings::{InvalidSetting, Settings};
 pub use step::{fits, step, Refused};
 
 use basaltgw_types::{Member, Ms, RouterId, ShardMap};
@@ -36,20 +36,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// A keyed or unsafe request that has been taken on.
-    Effect,
+    Execution,
     /// A purge that was heard and has not settled.
     Purge,
     /// A time to come back that a refusal named.
     Ticket,
     /// Parts that a partial answer still owes.
-    Debt,
+    Continuation,
     /// Which table holds, and which is on its way in; kept by the root group.
     Table,
 }
 
 /// A hold's name; its shard comes from it alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct HoldKey {
+pub struct RecordKey {
     /// Its kind.
     pub kind: Kind,
     /// A hash of what it is about (a request's id, an object, a ticket's number).
@@ -58,7 +58,7 @@
 
 /// A router's question, numbered by the asker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AskNo(pub u64);
+pub struct RequestNumber(pub u64);
 
 /// How an effect came out, for whoever asks again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -66,30 +66,30 @@
     /// Served, with these bytes (bounded by the settings; a longer answer is `ServedUntold`).
     Served(Vec<u8>),
     /// Served; the bytes were too many to keep.
-    ServedUntold,
+    ServedBodyOmitted,
     /// It ran, or may have, and failed.
     Failed,
 }
 
 /// What a register holds. Ends are counted on the keepers' own clocks from when they heard, as spans: they free room, and safety does not rest on them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Hold {
+pub enum Record {
     /// An effect that its owner may have sent on.
-    Out {
+    Leased {
         /// Who alone may send it.
         owner: Member,
         /// The takers before it that proved it never ran, counted: an earlier owner's word no longer counts.
-        turn: u32,
+        term: u32,
     },
     /// An effect whose owner proved that it never ran: whoever comes may take it.
-    Free {
+    Released {
         /// See [`Hold::Out`].
-        turn: u32,
+        term: u32,
     },
     /// An effect that has ended.
-    Done(Outcome),
+    Completed(Outcome),
     /// An effect whose owner was lost with it out: it never invites a repeat.
-    Doubt,
+    OutcomeUnknown,
     /// A purge of an object or a whole group, in Unix milliseconds of its cause.
     Purged {
         /// The group.
@@ -109,7 +109,7 @@
         used: bool,
     },
     /// Parts owed.
-    Debt {
+    Continuation {
         /// The object.
         object: u64,
         /// The version of what was answered: the rest must be of it too.
@@ -125,20 +125,20 @@
         body: Vec<u8>,
     },
     /// It has ended and was cleared away: a late word on it finds this for as long as words may be under way.
-    Ended,
+    Tombstone,
 }
 
 /// What may be done to a hold; each moves it forward or is refused with what stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// Take an effect on: from nothing or `Free`.
-    Take(Member),
+    Acquire(Member),
     /// Its owner proves that it never ran.
-    Back(Member, u32),
+    Release(Member, u32),
     /// Its owner ends it.
-    Done(Member, u32, Outcome),
+    Complete(Member, u32, Outcome),
     /// Its owner is lost, or asks no more: nobody may send it again. From `Out` only.
-    Doubt(u32),
+    MarkOutcomeUnknown(u32),
     /// Keep a purge.
     Purge {
         /// See [`Hold::Purged`].
@@ -149,16 +149,16 @@
         time: u64,
     },
     /// Name a ticket.
-    Name {
+    IssueTicket {
         /// See [`Hold::Ticket`].
         server: Arc<str>,
         /// See [`Hold::Ticket`].
         by: RouterId,
     },
     /// Use a ticket: once.
-    Use,
+    UseTicket,
     /// Owe parts, or fewer of them.
-    Owe {
+    SetContinuation {
         /// See [`Hold::Debt`].
         object: u64,
         /// See [`Hold::Debt`].
@@ -174,84 +174,101 @@
         body: Vec<u8>,
     },
     /// Only read: what stands is made sure of on enough keepers.
-    Look,
+    Read,
     /// Its end has come.
-    End,
+    Expire,
 }
 
 /// The answer to a question: exactly one for each.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Response {
     /// The change was made and is on enough disks; this is what stands.
-    Kept(Hold),
+    Committed(Record),
     /// It was not made, for what stands (`None`: nothing does).
-    Stands(Option<Hold>),
+    Conflict(Option<Record>),
     /// Enough keepers can't be had in time. `never`: no keeper can ever come to hold the change, so the request provably never ran;
     /// else it may yet be found made. With a time to come back.
-    Unkept {
+    Unavailable {
         /// See [`Verdict::Unkept`].
-        never: bool,
+        not_executed: bool,
         /// Why, in a word for counters.
-        why: Unkept,
+        reason: UnavailableReason,
         /// Milliseconds.
-        stay_away: Ms,
+        retry_after: Ms,
     },
 }
 
 /// Why something is not kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Unkept {
+pub enum UnavailableReason {
     /// There is no table yet.
-    NoTable,
+    NoPlacement,
     /// Too few keepers are reached: a minority, or a cut.
-    TooFew,
+    NoQuorum,
     /// The time given has passed.
-    Late,
+    DeadlineExceeded,
     /// Others were quicker too often.
     Contended,
     /// A bound is met (here or at a keeper).
-    Full,
+    ResourceExhausted,
     /// The own disk takes nothing.
-    NoDisk,
+    StorageFailed,
     /// The table that was gone by is an old one.
-    OldTable,
+    StalePlacement,
     /// The own incarnation may not vouch (yet).
-    NotFilled,
+    NotCaughtUp,
     /// The change is none for a hold of that kind.
-    Misfit,
+    InvalidTransition,
+}
+
+impl UnavailableReason {
+    /// The end of the name of its counter, `holds_unkept_NAME`, as operators' pages have it.
+    pub fn counter_name(self) -> &'static str {
+        match self {
+            Self::NoPlacement => "notable",
+            Self::NoQuorum => "toofew",
+            Self::DeadlineExceeded => "late",
+            Self::Contended => "contended",
+            Self::ResourceExhausted => "full",
+            Self::StorageFailed => "nodisk",
+            Self::StalePlacement => "oldtable",
+            Self::NotCaughtUp => "notfilled",
+            Self::InvalidTransition => "misfit",
+        }
+    }
 }
 
 /// What the package is told.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A question: the change is to be on enough disks within `within` milliseconds.
-    Ask {
+    Request {
         /// Its number.
-        no: AskNo,
+        number: RequestNumber,
         /// About which hold.
-        key: HoldKey,
+        key: RecordKey,
         /// What is to change.
         change: Change,
         /// Time for it.
-        within: Ms,
+        timeout: Ms,
     },
     /// Bytes of another router's holds.
-    Bytes(Member, Vec<u8>),
+    MessageReceived(Member, Vec<u8>),
     /// What was sent under this number was not written; it may have reached nobody.
-    Unsent(u64),
+    SendFailed(u64),
     /// A router is reached, or not any more: advisory, so that nothing is waited for that can't come.
-    Reached(Member, bool),
+    PeerReachable(Member, bool),
     /// Who keeps what from now on.
-    Map(Arc<ShardMap>),
+    ShardMap(Arc<ShardMap>),
     /// Batch `no` is on the disk, or (`false`) will never be.
-    Stored(u64, bool),
+    BatchStored(u64, bool),
     /// A timer came due.
     Timer(u64),
 }
 
 /// A record for the disk: opaque to whoever stores it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Record {
+pub enum DiskWrite {
     /// Set.
     Put(Vec<u8>, Vec<u8>),
     /// Removed.
@@ -264,16 +281,16 @@
     /// Carry bytes to another router's holds, under a number for [`Event::Unsent`].
     Send(u64, Member, Vec<u8>),
     /// Put records on the disk, all or none, and say so under this number.
-    Store(u64, Vec<Record>),
+    Store(u64, Vec<DiskWrite>),
     /// The answer to a question.
-    Answer(AskNo, HoldKey, Verdict),
+    Respond(RequestNumber, RecordKey, Response),
     /// Wake it after this time.
     Timer(Ms, u64),
     /// Under the map of this epoch a shard is filled here, or (`None`, once for each map and run) all that the map newly gives this keeper.
     /// The table's owner may go on once all new keepers have said so.
-    Filled(u64, Option<basaltgw_types::Shard>),
+    ShardSynced(u64, Option<basaltgw_types::Shard>),
     /// Another goes by this later epoch of the map: it is to be fetched, from that member or any.
-    Behind(u64, Member),
+    StaleEpoch(u64, Member),
     /// A line for the operators.
-    Report(String),
+    Log(String),
 }
--- a/crates/registers/src/message.rs
+++ b/crates/registers/src/message.rs
@@ -1,6 +1,6 @@
 //! What keepers and askers say to each other: in a version of its own, to one member by its full name, under one epoch of the map.
 
-use crate::{Hold, HoldKey};
+use crate::{Record, RecordKey};
 use basaltgw_types::{Member, Shard};
 use serde::{Deserialize, Serialize};
 
@@ -28,7 +28,7 @@
 /// a change can tell whether it was made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Value {
-    pub hold: Hold,
+    pub hold: Record,
     pub changes: Vec<Ballot>,
 }
 
@@ -47,7 +47,7 @@
 
 impl Value {
     /// What a change made of what stood.
-    pub fn made(hold: Hold, before: Option<&Value>, by: Ballot) -> Self {
+    pub fn made(hold: Record, before: Option<&Value>, by: Ballot) -> Self {
         let before = before.iter().flat_map(|v| &v.changes).cloned();
         Self { hold, changes: std::iter::once(by).chain(before).take(MOST_CHANGES).collect() }
     }
@@ -89,21 +89,21 @@
 }
 
 /// A register's name with the ballot of what is accepted there, if anything is.
-pub(crate) type Listed = (HoldKey, Option<Ballot>);
+pub(crate) type Listed = (RecordKey, Option<Ballot>);
 
 /// A word, or the answer to one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Body {
-    Prepare(HoldKey, Ballot),
+    Prepare(RecordKey, Ballot),
     /// With a ballot that is promised along with it, so that the same member's next change needs one round.
-    Accept(HoldKey, Ballot, Value, Option<Ballot>),
+    Accept(RecordKey, Ballot, Value, Option<Ballot>),
     /// The registers of a place, after one, at most so many.
-    List(Place, Option<HoldKey>, u32),
+    List(Place, Option<RecordKey>, u32),
     Promised(Ballot, Option<(Ballot, Value)>),
     Accepted(Ballot),
     Refused(Ballot, Why),
     /// In order; with whether there are more.
-    Listed(Place, Option<HoldKey>, Vec<Listed>, bool),
+    Listed(Place, Option<RecordKey>, Vec<Listed>, bool),
 }
 
 impl Body {
--- a/crates/registers/src/model_tests.rs
+++ b/crates/registers/src/model_tests.rs
@@ -2,8 +2,13 @@
 //! be explained by one order of the changes in every state.
 
 use crate::message::Letter;
-use crate::{Action, AskNo, Broken, Change, Event, HoldKey, Holds, Kind, Record, Settings, Verdict};
-use basaltgw_types::{Group, Incarnation, Keepers, Member, RouterId, ShardMap, TableHash, TableVersion};
+use crate::{
+    Action, Change, DiskWrite, Event, InjectedBug, Kind, RecordKey, Registers, RequestNumber, Response,
+    Settings,
+};
+use basaltgw_types::{
+    Incarnation, Member, QuorumGroup, ReplicaSet, RouterId, ShardMap, TableHash, TableVersion,
+};
 use linear::{explained, Seen};
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::collections::BTreeMap;
@@ -12,12 +17,12 @@
 use std::time::{Duration, Instant};
 
 mod api {
-    pub use crate::{step, Change, Hold, Verdict};
+    pub use crate::{step, Change, Record, Response};
 }
 #[path = "../tests/net/linear.rs"]
 mod linear;
 
-const KEY: HoldKey = HoldKey { kind: Kind::Effect, name: 1 };
+const KEY: RecordKey = RecordKey { kind: Kind::Execution, name: 1 };
 
 /// What is checked.
 #[derive(Clone)]
@@ -29,15 +34,15 @@
     crash: bool,
     /// Keeper 2 may lose its disk, and is replaced by its next life through a map that needs both.
     wipe: bool,
-    broken: Broken,
+    broken: InjectedBug,
 }
 
 #[derive(Clone, Debug)]
 struct Node {
     me: Member,
-    holds: Holds,
+    holds: Registers,
     disk: BTreeMap<Vec<u8>, Vec<u8>>,
-    store: Option<(u64, Vec<Record>)>,
+    store: Option<(u64, Vec<DiskWrite>)>,
     /// The present timer of each question.
     timers: BTreeMap<u64, u64>,
     fills: bool,
@@ -86,21 +91,21 @@
 }
 
 fn settings(tries: u32) -> Settings {
-    Settings { most_tries: tries, ..Settings::usual() }
+    Settings { max_attempts: tries, ..Settings::usual() }
 }
 
 /// Epoch 1: the three founders; 2: with the next life of the third beside; 3: that one alone.
 fn map(epoch: u64) -> Arc<ShardMap> {
-    let first = Group::majority((0..3).map(|r| member(r, 1)).collect());
-    let next = Group::majority(vec![member(0, 1), member(1, 1), member(2, 2)]);
+    let first = QuorumGroup::majority((0..3).map(|r| member(r, 1)).collect());
+    let next = QuorumGroup::majority(vec![member(0, 1), member(1, 1), member(2, 2)]);
     let groups = match epoch {
         1 => vec![first],
         2 => vec![first, next],
         _ => vec![next],
     };
-    let keepers = Keepers { groups };
+    let keepers = ReplicaSet { groups };
     // The table's own register stays where it is: one place less to fill.
-    let root = Keepers { groups: vec![Group::majority(vec![member(0, 1), member(1, 1)])] };
+    let root = ReplicaSet { groups: vec![QuorumGroup::majority(vec![member(0, 1), member(1, 1)])] };
     let version = TableVersion(epoch);
     Arc::new(ShardMap { epoch, version, hash: TableHash([0; 32]), shards: vec![keepers], root })
 }
@@ -108,7 +113,7 @@
 impl Check {
     fn node(&self, me: Member, disk: BTreeMap<Vec<u8>, Vec<u8>>) -> Node {
         let records = disk.clone().into_iter().collect();
-        let mut holds = Holds::new(me.clone(), settings(self.tries), records, 1).expect("own records");
+        let mut holds = Registers::new(me.clone(), settings(self.tries), records, 1).expect("own records");
         holds.break_as(self.broken);
         Node { me, holds, disk, store: None, timers: BTreeMap::new(), fills: false }
     }
@@ -130,17 +135,17 @@
                     Action::Store(no, records) if self.slow_disk(router) => node.store = Some((no, records)),
                     Action::Store(no, records) => {
                         write(&mut node.disk, &records);
-                        events.push(Event::Stored(no, true));
+                        events.push(Event::BatchStored(no, true));
                     }
                     Action::Timer(_, no) if no > 1 => drop(node.timers.insert(no >> 24, no)),
                     Action::Timer(_, no) => node.fills |= no == 1,
-                    Action::Answer(AskNo(no), _, verdict) => {
+                    Action::Respond(RequestNumber(no), _, verdict) => {
                         node.timers.clear();
                         world.places += 1;
                         world.seen[no as usize].answered = Some((world.places, verdict));
                     }
-                    Action::Filled(2, None) => world.filled |= router == 2,
-                    Action::Filled(..) | Action::Behind(..) | Action::Report(_) => {}
+                    Action::ShardSynced(2, None) => world.filled |= router == 2,
+                    Action::ShardSynced(..) | Action::StaleEpoch(..) | Action::Log(_) => {}
                 }
             }
         }
@@ -171,11 +176,11 @@
     }
 }
 
-fn write(disk: &mut BTreeMap<Vec<u8>, Vec<u8>>, records: &[Record]) {
+fn write(disk: &mut BTreeMap<Vec<u8>, Vec<u8>>, records: &[DiskWrite]) {
     for record in records {
         match record {
-            Record::Put(key, value) => drop(disk.insert(key.clone(), value.clone())),
-            Record::Remove(key) => drop(disk.remove(key)),
+            DiskWrite::Put(key, value) => drop(disk.insert(key.clone(), value.clone())),
+            DiskWrite::Remove(key) => drop(disk.remove(key)),
         }
     }
 }
@@ -199,7 +204,7 @@
             stage: 1,
             print: 0,
         };
-        (0..3).for_each(|r| self.give(&mut world, r, Event::Map(map(1))));
+        (0..3).for_each(|r| self.give(&mut world, r, Event::ShardMap(map(1))));
         vec![self.given(world)]
     }
 
@@ -233,13 +238,13 @@
                 self.give(
                     &mut world,
                     router,
-                    Event::Ask { no: AskNo(i as u64), key: KEY, change, within: 1e9 },
+                    Event::Request { number: RequestNumber(i as u64), key: KEY, change, timeout: 1e9 },
                 );
             }
             Step::Deliver(i) => {
                 let (from, to, bytes) = world.wire.remove(i);
                 let router = world.nodes.iter().position(|n| n.me.router == to.router)?;
-                self.give(&mut world, router, Event::Bytes(from, bytes));
+                self.give(&mut world, router, Event::MessageReceived(from, bytes));
             }
             Step::Timer(router, 1) => {
                 world.nodes[router].fills = false;
@@ -252,20 +257,20 @@
             Step::Stored(router) => {
                 let (no, records) = world.nodes[router].store.take()?;
                 write(&mut world.nodes[router].disk, &records);
-                self.give(&mut world, router, Event::Stored(no, true));
+                self.give(&mut world, router, Event::BatchStored(no, true));
             }
             Step::Crash => {
                 world.fallen = true;
                 world.nodes[2] = self.node(member(2, 1), world.nodes[2].disk.clone());
-                self.give(&mut world, 2, Event::Map(map(1)));
+                self.give(&mut world, 2, Event::ShardMap(map(1)));
             }
             Step::Wipe => {
                 world.fallen = true;
                 world.wire.retain(|(_, to, _)| to.router != member(2, 1).router);
                 world.nodes[2] = self.node(member(2, 2), BTreeMap::new());
-                self.give(&mut world, 2, Event::Map(map(1)));
+                self.give(&mut world, 2, Event::ShardMap(map(1)));
             }
-            Step::Map(router, epoch) => self.give(&mut world, router, Event::Map(map(epoch))),
+            Step::Map(router, epoch) => self.give(&mut world, router, Event::ShardMap(map(epoch))),
             Step::Stage(stage) => world.stage = stage,
         }
         Some(self.given(world))
@@ -278,7 +283,7 @@
                 explained(&seen)
             }),
             Property::sometimes("all are answered, one of them kept", |_, w: &World| {
-                let kept = |s: &Seen| matches!(s.answered, Some((_, Verdict::Kept(_))));
+                let kept = |s: &Seen| matches!(s.answered, Some((_, Response::Committed(_))));
                 w.seen.iter().all(|s| s.answered.is_some()) && w.seen.iter().any(kept)
             }),
             Property::sometimes("the last map is gone by", |m: &Self, w: &World| {
@@ -303,21 +308,21 @@
 
 #[test]
 fn two_askers() {
-    let asks = vec![(0, Change::Take(member(0, 1)), 1), (1, Change::Take(member(1, 1)), 1)];
-    sound(Check { asks, tries: 1, crash: false, wipe: false, broken: Broken::Sound });
+    let asks = vec![(0, Change::Acquire(member(0, 1)), 1), (1, Change::Acquire(member(1, 1)), 1)];
+    sound(Check { asks, tries: 1, crash: false, wipe: false, broken: InjectedBug::Sound });
 }
 
 #[test]
 fn a_keeper_that_crashes() {
-    let asks = vec![(0, Change::Take(member(0, 1)), 1), (1, Change::Look, 1)];
-    sound(Check { asks, tries: 1, crash: true, wipe: false, broken: Broken::Sound });
+    let asks = vec![(0, Change::Acquire(member(0, 1)), 1), (1, Change::Read, 1)];
+    sound(Check { asks, tries: 1, crash: true, wipe: false, broken: InjectedBug::Sound });
 }
 
 /// Too many orders to take each: walks drawn from a seed, through some ten thousands of steps.
 #[test]
 fn a_keeper_that_loses_its_disk_and_is_filled_again() {
-    let asks = vec![(0, Change::Take(member(0, 1)), 1), (1, Change::Look, 3)];
-    let model = Check { asks, tries: 3, crash: false, wipe: true, broken: Broken::Sound };
+    let asks = vec![(0, Change::Acquire(member(0, 1)), 1), (1, Change::Read, 3)];
+    let model = Check { asks, tries: 3, crash: false, wipe: true, broken: InjectedBug::Sound };
     let walks = model.checker().threads(1).timeout(PATIENCE).target_state_count(40_000);
     let walked = walks.spawn_simulation(7, UniformChooser).join();
     println!("{} steps", walked.state_count());
@@ -327,8 +332,8 @@
 
 #[test]
 fn broken_builds_are_caught() {
-    for broken in [Broken::SaysBeforeCopied, Broken::VoteTakenBack] {
-        let asks = vec![(0, Change::Take(member(0, 1)), 1), (1, Change::Take(member(1, 1)), 1)];
+    for broken in [InjectedBug::SaysBeforeCopied, InjectedBug::VoteTakenBack] {
+        let asks = vec![(0, Change::Acquire(member(0, 1)), 1), (1, Change::Acquire(member(1, 1)), 1)];
         let model = Check { asks, tries: 1, crash: false, wipe: false, broken };
         let checked = model.checker().threads(3).timeout(PATIENCE).spawn_bfs().join();
         assert!(checked.discovery("one order explains it").is_some(), "{broken:?}");
--- a/crates/registers/src/proposer.rs
+++ b/crates/registers/src/proposer.rs
@@ -3,7 +3,9 @@
 use crate::acceptor::{hold_bytes, keepers, place};
 use crate::message::{encode, Ballot, Body, Led, Letter, Value, Why};
 use crate::round::{Ask, Origin, Out, Phase, Tally, Vote};
-use crate::{step, Action, Broken, Change, Counters, Hold, HoldKey, Settings, Unkept, Verdict};
+use crate::{
+    step, Action, Change, Counters, InjectedBug, Record, RecordKey, Response, Settings, UnavailableReason,
+};
 use basaltgw_types::{Member, Ms, ShardMap};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -33,7 +35,7 @@
 pub(crate) struct Proposer {
     pub me: Member,
     pub set: Settings,
-    pub how: Broken,
+    pub how: InjectedBug,
     /// Words to the own keeper.
     pub home: VecDeque<Letter>,
     pub counters: Counters,
@@ -43,8 +45,8 @@
     pub counter: u64,
     pub asks: BTreeMap<u64, Ask>,
     pub next_ask: u64,
-    pub primed: BTreeMap<HoldKey, Primed>,
-    pub primed_order: VecDeque<HoldKey>,
+    pub primed: BTreeMap<RecordKey, Primed>,
+    pub primed_order: VecDeque<RecordKey>,
     gone: BTreeSet<Member>,
     pub rolls: u64,
     pub seed: u64,
@@ -52,15 +54,15 @@
 }
 
 /// What a question came to, for whoever asked.
-pub(crate) type Ended = (Origin, HoldKey, Verdict);
+pub(crate) type Ended = (Origin, RecordKey, Response);
 
 impl Proposer {
     pub fn new(me: Member, set: Settings, run: u64, seed: u64) -> Self {
         Self {
             me,
-            round_ms: set.again_ms,
+            round_ms: set.retransmit_interval_ms,
             set,
-            how: Broken::Sound,
+            how: InjectedBug::Sound,
             home: VecDeque::new(),
             counters: Counters::default(),
             map: None,
@@ -85,15 +87,15 @@
     /// A question. Answers it at once if it can't be had.
     pub fn ask(&mut self, now: Ms, mut ask: Ask, acts: &mut Vec<Action>) -> Option<Ended> {
         if !step::fits(ask.key.kind, &ask.change) {
-            return Some(self.unkept(ask, Unkept::Misfit));
+            return Some(self.unkept(ask, UnavailableReason::InvalidTransition));
         }
-        if let Change::Done(_, _, outcome) = &mut ask.change {
-            if matches!(outcome, crate::Outcome::Served(b) if b.len() > self.set.most_outcome_bytes) {
-                *outcome = crate::Outcome::ServedUntold;
+        if let Change::Complete(_, _, outcome) = &mut ask.change {
+            if matches!(outcome, crate::Outcome::Served(b) if b.len() > self.set.max_outcome_bytes) {
+                *outcome = crate::Outcome::ServedBodyOmitted;
             }
         }
-        if self.asks.len() >= self.set.most_asks {
-            return Some(self.unkept(ask, Unkept::Full));
+        if self.asks.len() >= self.set.max_open_requests {
+            return Some(self.unkept(ask, UnavailableReason::ResourceExhausted));
         }
         let id = self.next_ask;
         self.next_ask += 1;
@@ -111,7 +113,7 @@
         for (id, ask) in asks {
             match self.ready {
                 true => ended.extend(self.go_on(now, id, ask, acts)),
-                false => ended.push(self.unkept(ask, Unkept::NoDisk)),
+                false => ended.push(self.unkept(ask, UnavailableReason::StorageFailed)),
             }
         }
         ended
@@ -213,7 +215,11 @@
             return None;
         }
         if now + EARLY_MS >= ask.until {
-            let why = if ask.phase == Phase::Waiting && ask.tries > 0 { ask.last } else { Unkept::Late };
+            let why = if ask.phase == Phase::Waiting && ask.tries > 0 {
+                ask.last
+            } else {
+                UnavailableReason::DeadlineExceeded
+            };
             return Some(self.unkept(ask, why));
         }
         if ask.phase == Phase::Waiting {
@@ -221,7 +227,7 @@
         }
         self.counters.said_again += 1;
         self.say(id, &mut ask, true, acts);
-        self.arm(now, id, &mut ask, self.set.again_ms, acts);
+        self.arm(now, id, &mut ask, self.set.retransmit_interval_ms, acts);
         self.asks.insert(id, ask);
         None
     }
@@ -230,15 +236,18 @@
     fn go_on(&mut self, now: Ms, id: u64, mut ask: Ask, acts: &mut Vec<Action>) -> Option<Ended> {
         let map = self.map.clone();
         let found = map.as_deref().and_then(|m| Some((m.epoch, keepers(m, place(m, &ask.key)?)?)));
-        let Some((epoch, found)) = found else { return Some(self.unkept(ask, Unkept::NoTable)) };
+        let Some((epoch, found)) = found else {
+            return Some(self.unkept(ask, UnavailableReason::NoPlacement));
+        };
         if now + EARLY_MS >= ask.until {
-            return Some(self.unkept(ask, Unkept::Late));
+            return Some(self.unkept(ask, UnavailableReason::DeadlineExceeded));
         }
-        let few = |g: &basaltgw_types::Group| g.members.iter().filter(|m| self.reaches(m)).count() < g.need;
+        let few =
+            |g: &basaltgw_types::QuorumGroup| g.members.iter().filter(|m| self.reaches(m)).count() < g.quorum;
         if found.groups.iter().any(few) {
-            return Some(self.unkept(ask, Unkept::TooFew));
+            return Some(self.unkept(ask, UnavailableReason::NoQuorum));
         }
-        if ask.tries >= self.set.most_tries {
+        if ask.tries >= self.set.max_attempts {
             let why = ask.last;
             return Some(self.unkept(ask, why));
         }
@@ -269,7 +278,7 @@
         ask.ballot = Some(self.ballot());
         ask.turn(Phase::Preparing);
         self.say(id, &mut ask, false, acts);
-        self.arm(now, id, &mut ask, self.set.again_ms, acts);
+        self.arm(now, id, &mut ask, self.set.retransmit_interval_ms, acts);
         self.settle(now, id, ask, acts)
     }
 
@@ -283,17 +292,17 @@
         changed: bool,
         acts: &mut Vec<Action>,
     ) -> Option<Ended> {
-        if hold_bytes(&value.hold) + MESSAGE_BYTES > self.set.most_message_bytes {
-            return Some(self.unkept(ask, Unkept::Full));
+        if hold_bytes(&value.hold) + MESSAGE_BYTES > self.set.max_message_bytes {
+            return Some(self.unkept(ask, UnavailableReason::ResourceExhausted));
         }
-        let goes_on = matches!(value.hold, Hold::Out { .. } | Hold::Debt { .. });
+        let goes_on = matches!(value.hold, Record::Leased { .. } | Record::Continuation { .. });
         let next = (changed && goes_on && matches!(ask.origin, Origin::Asked(_))).then(|| self.ballot());
         if let Some(by) = value.changes.first().filter(|by| changed && !ask.proposed.contains(by)) {
             ask.proposed.push(by.clone());
         }
         ask.turn(Phase::Accepting { value, changed, next });
         self.say(id, &mut ask, false, acts);
-        self.arm(now, id, &mut ask, self.set.again_ms, acts);
+        self.arm(now, id, &mut ask, self.set.retransmit_interval_ms, acts);
         self.settle(now, id, ask, acts)
     }
 
@@ -354,8 +363,8 @@
                     self.prime(ask.key, Primed { epoch: ask.epoch, next, value: value.clone() });
                 }
                 let verdict = match changed {
-                    true => Verdict::Kept(value.hold),
-                    false => Verdict::Stands(Some(value.hold)),
+                    true => Response::Committed(value.hold),
+                    false => Response::Conflict(Some(value.hold)),
                 };
                 Some((ask.origin, ask.key, verdict))
             }
@@ -375,7 +384,7 @@
         }
         if led.iter().any(|led| matches!(led, Led::Before | Led::Unknown)) {
             // It was made, or may have been, and others went on from there: neither "kept" nor "not made" would be true.
-            return Some(self.unkept(ask, Unkept::Contended));
+            return Some(self.unkept(ask, UnavailableReason::Contended));
         }
         match (step::step(told.as_ref().map(|t| &t.0.hold), &ask.change), told, ask.ballot.clone()) {
             (Ok(hold), told, Some(ballot)) => {
@@ -383,13 +392,13 @@
                 self.propose(now, id, ask, value, true, acts)
             }
             (Err(_), None, _) if ask.proposed.is_empty() => {
-                Some((ask.origin, ask.key, Verdict::Stands(None)))
+                Some((ask.origin, ask.key, Response::Conflict(None)))
             }
             (Err(_), Some((value, true)), _) => {
-                Some((ask.origin, ask.key, Verdict::Stands(Some(value.hold))))
+                Some((ask.origin, ask.key, Response::Conflict(Some(value.hold))))
             }
             (Err(_), Some((value, false)), _) => self.propose(now, id, ask, value, false, acts),
-            (Err(_), None, _) | (Ok(_), _, None) => Some(self.unkept(ask, Unkept::Contended)),
+            (Err(_), None, _) | (Ok(_), _, None) => Some(self.unkept(ask, UnavailableReason::Contended)),
         }
     }
 }
--- a/crates/registers/src/retry.rs
+++ b/crates/registers/src/retry.rs
@@ -3,7 +3,7 @@
 use crate::message::{Ballot, Why, MOST_COUNTER};
 use crate::proposer::{Ended, Primed, Proposer, LOW_BITS};
 use crate::round::{Ask, Phase};
-use crate::{Action, HoldKey, Unkept, Verdict};
+use crate::{Action, RecordKey, Response, UnavailableReason};
 use basaltgw_structures::hash::{mix, unit};
 use basaltgw_types::Ms;
 
@@ -16,16 +16,16 @@
         let soft = ask.refusals().any(|why| matches!(why, Why::Outvoted(_)));
         let table = ask.refusals().any(|why| matches!(why, Why::OldTable | Why::NotYet));
         let hard = ask.refusals().find_map(|why| match why {
-            Why::NoDisk => Some(Unkept::NoDisk),
-            Why::Full => Some(Unkept::Full),
-            Why::NoKeeper => Some(Unkept::OldTable),
+            Why::NoDisk => Some(UnavailableReason::StorageFailed),
+            Why::Full => Some(UnavailableReason::ResourceExhausted),
+            Why::NoKeeper => Some(UnavailableReason::StalePlacement),
             Why::Outvoted(_) | Why::OldTable | Why::NotYet => None,
         });
         if !soft && !table {
-            return Some(self.unkept(ask, hard.unwrap_or(Unkept::TooFew)));
+            return Some(self.unkept(ask, hard.unwrap_or(UnavailableReason::NoQuorum)));
         }
-        ask.last = if soft { Unkept::Contended } else { Unkept::OldTable };
-        if ask.tries >= self.set.most_tries {
+        ask.last = if soft { UnavailableReason::Contended } else { UnavailableReason::StalePlacement };
+        if ask.tries >= self.set.max_attempts {
             let why = ask.last;
             return Some(self.unkept(ask, why));
         }
@@ -33,7 +33,7 @@
         let doublings = i32::try_from(ask.tries).unwrap_or(MOST_DOUBLINGS).min(MOST_DOUBLINGS);
         let wait = match soft && ask.tries == 1 {
             true => 0.0,
-            false => self.set.back_off_ms * 2f64.powi(doublings) * (0.5 + 0.5 * self.roll()),
+            false => self.set.min_backoff_ms * 2f64.powi(doublings) * (0.5 + 0.5 * self.roll()),
         };
         ask.turn(Phase::Waiting);
         self.arm(now, id, &mut ask, wait, acts);
@@ -42,18 +42,27 @@
     }
 
     /// The refusal of a question.
-    pub(crate) fn unkept(&mut self, ask: Ask, why: Unkept) -> Ended {
+    pub(crate) fn unkept(&mut self, ask: Ask, why: UnavailableReason) -> Ended {
         *self.counters.unkept.entry(why).or_default() += 1;
         let never = ask.never();
         let rounds = match why {
-            Unkept::Late | Unkept::Contended | Unkept::Full => 4.0,
-            Unkept::NoTable | Unkept::TooFew | Unkept::NoDisk | Unkept::OldTable => 16.0,
-            Unkept::NotFilled | Unkept::Misfit => 16.0,
+            UnavailableReason::DeadlineExceeded
+            | UnavailableReason::Contended
+            | UnavailableReason::ResourceExhausted => 4.0,
+            UnavailableReason::NoPlacement
+            | UnavailableReason::NoQuorum
+            | UnavailableReason::StorageFailed
+            | UnavailableReason::StalePlacement => 16.0,
+            UnavailableReason::NotCaughtUp | UnavailableReason::InvalidTransition => 16.0,
         };
-        let (least, most) = (self.set.stay_away_least_ms, self.set.stay_away_most_ms);
+        let (least, most) = (self.set.min_retry_after_ms, self.set.max_retry_after_ms);
         // Drawn, so that those turned away together do not come back together.
         let stay_away = (self.round_ms.max(least) * rounds * (0.5 + 0.5 * self.roll())).clamp(least, most);
-        (ask.origin, ask.key, Verdict::Unkept { never, why, stay_away })
+        (
+            ask.origin,
+            ask.key,
+            Response::Unavailable { not_executed: never, reason: why, retry_after: stay_away },
+        )
     }
 
     /// Wakes a question after a while, or when its time is up; the timer before is void.
@@ -70,14 +79,14 @@
     }
 
     /// Remembers what the next change of a hold needs; the oldest is forgotten for it.
-    pub(crate) fn prime(&mut self, key: HoldKey, primed: Primed) {
-        if self.set.most_primed == 0 {
+    pub(crate) fn prime(&mut self, key: RecordKey, primed: Primed) {
+        if self.set.max_prepared == 0 {
             return;
         }
         if self.primed.insert(key, primed).is_none() {
             self.primed_order.push_back(key);
         }
-        while self.primed_order.len() > self.set.most_primed {
+        while self.primed_order.len() > self.set.max_prepared {
             let oldest = self.primed_order.pop_front();
             oldest.and_then(|key| self.primed.remove(&key));
         }
--- a/crates/registers/src/round.rs
+++ b/crates/registers/src/round.rs
@@ -1,15 +1,15 @@
 //! One question under way: its rounds, the votes of the present one, and what may still be made of it.
 
 use crate::message::{Ballot, Value, Why};
-use crate::{AskNo, Broken, Change, HoldKey, Unkept};
-use basaltgw_types::{Group, Keepers, Member, Ms};
+use crate::{Change, InjectedBug, RecordKey, RequestNumber, UnavailableReason};
+use basaltgw_types::{Member, Ms, QuorumGroup, ReplicaSet};
 use std::collections::BTreeMap;
 
 /// Who asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Origin {
     /// The router.
-    Asked(AskNo),
+    Asked(RequestNumber),
     /// This keeper, as a hold's end has come.
     Upkeep,
     /// This keeper, which fills up: only done once it has the hold itself.
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Ask {
     pub origin: Origin,
-    pub key: HoldKey,
+    pub key: RecordKey,
     pub change: Change,
     /// When it came, and by when it must be answered.
     pub since: Ms,
@@ -70,7 +70,7 @@
     pub phase: Phase,
     pub ballot: Option<Ballot>,
     pub epoch: u64,
-    pub keepers: Keepers,
+    pub keepers: ReplicaSet,
     pub votes: BTreeMap<Member, Vote>,
     /// The ballots at which it proposed its change.
     pub proposed: Vec<Ballot>,
@@ -82,11 +82,11 @@
     /// The present timer's number: earlier ones are void.
     pub timer: u32,
     /// Why the last round came to nothing.
-    pub last: Unkept,
+    pub last: UnavailableReason,
 }
 
 impl Ask {
-    pub fn new(origin: Origin, key: HoldKey, change: Change, now: Ms, within: Ms) -> Self {
+    pub fn new(origin: Origin, key: RecordKey, change: Change, now: Ms, within: Ms) -> Self {
         Self {
             origin,
             key,
@@ -97,14 +97,14 @@
             phase: Phase::Waiting,
             ballot: None,
             epoch: 0,
-            keepers: Keepers { groups: Vec::new() },
+            keepers: ReplicaSet { groups: Vec::new() },
             votes: BTreeMap::new(),
             proposed: Vec::new(),
             outs: BTreeMap::new(),
             words: 0,
             home: false,
             timer: 0,
-            last: Unkept::Late,
+            last: UnavailableReason::DeadlineExceeded,
         }
     }
 
@@ -132,13 +132,14 @@
     }
 
     /// Counts the votes of the present phase.
-    pub fn tally(&self, me: &Member, how: Broken) -> Tally {
+    pub fn tally(&self, me: &Member, how: InjectedBug) -> Tally {
         let mine = |m: &&Member| self.votes.get(*m).is_some_and(Vote::good);
         let lost = |m: &&Member| self.votes.get(*m).is_some_and(|v| !v.good());
-        let told = how == Broken::SaysBeforeCopied && matches!(self.phase, Phase::Accepting { .. });
+        let told = how == InjectedBug::SaysBeforeCopied && matches!(self.phase, Phase::Accepting { .. });
         let groups = &self.keepers.groups;
-        let enough = |g: &Group| g.members.iter().filter(mine).count() >= if told { 1 } else { g.need };
-        let beyond = |g: &Group| g.members.len() - g.members.iter().filter(lost).count() < g.need;
+        let enough =
+            |g: &QuorumGroup| g.members.iter().filter(mine).count() >= if told { 1 } else { g.quorum };
+        let beyond = |g: &QuorumGroup| g.members.len() - g.members.iter().filter(lost).count() < g.quorum;
         let must = self.origin == Origin::Fill && groups.iter().any(|g| g.members.contains(me));
         let home = self.votes.get(me);
         if groups.iter().any(beyond) || must && home.is_some_and(|v| !v.good()) {
@@ -158,7 +159,7 @@
         };
         let (ballot, value) = self.votes.keys().filter_map(told).max_by_key(|t| t.0)?;
         let has = |m: &&Member| told(m).is_some_and(|t| t.0 == ballot);
-        let enough = self.keepers.groups.iter().all(|g| g.members.iter().filter(has).count() >= g.need);
+        let enough = self.keepers.groups.iter().all(|g| g.members.iter().filter(has).count() >= g.quorum);
         Some((ballot, value, enough && (self.origin != Origin::Fill || has(&me))))
     }
 
--- a/crates/registers/src/step.rs
+++ b/crates/registers/src/step.rs
@@ -1,6 +1,6 @@
 //! How a hold moves: forward only, by a pure function of what stands and what is to change.
 
-use crate::{Change, Hold, Kind};
+use crate::{Change, Kind, Record};
 
 /// The change is none that follows from what stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -11,38 +11,45 @@
 ///
 /// # Errors
 /// If the change does not follow from what stands; reading is always "refused", so that what stands is told.
-pub fn step(at: Option<&Hold>, change: &Change) -> Result<Hold, Refused> {
+pub fn step(at: Option<&Record>, change: &Change) -> Result<Record, Refused> {
     let next = match change {
-        Change::Take(by) => take(at).map(|turn| Hold::Out { owner: by.clone(), turn }),
-        Change::Back(by, turn) => owned(at, by, *turn).then(|| Hold::Free { turn: turn.saturating_add(1) }),
-        Change::Done(by, turn, outcome) => owned(at, by, *turn).then(|| Hold::Done(outcome.clone())),
-        Change::Doubt(of) => matches!(at, Some(Hold::Out { turn, .. }) if turn == of).then_some(Hold::Doubt),
+        Change::Acquire(by) => take(at).map(|turn| Record::Leased { owner: by.clone(), term: turn }),
+        Change::Release(by, turn) => {
+            owned(at, by, *turn).then(|| Record::Released { term: turn.saturating_add(1) })
+        }
+        Change::Complete(by, turn, outcome) => {
+            owned(at, by, *turn).then(|| Record::Completed(outcome.clone()))
+        }
+        Change::MarkOutcomeUnknown(of) => matches!(at, Some(Record::Leased { term: turn, .. }) if turn == of)
+            .then_some(Record::OutcomeUnknown),
         Change::Purge { group, object, time } => purge(at, *group, *object, *time),
-        Change::Name { server, by } => {
-            at.is_none().then(|| Hold::Ticket { server: server.clone(), by: by.clone(), used: false })
+        Change::IssueTicket { server, by } => {
+            at.is_none().then(|| Record::Ticket { server: server.clone(), by: by.clone(), used: false })
         }
-        Change::Use => match at {
-            Some(Hold::Ticket { server, by, used: false }) => {
-                Some(Hold::Ticket { server: server.clone(), by: by.clone(), used: true })
+        Change::UseTicket => match at {
+            Some(Record::Ticket { server, by, used: false }) => {
+                Some(Record::Ticket { server: server.clone(), by: by.clone(), used: true })
             }
             None | Some(_) => None,
         },
-        Change::Owe { object, version, missing } => owes(at, *object, version, missing).then(|| Hold::Debt {
-            object: *object,
-            version: version.clone(),
-            missing: missing.clone(),
-        }),
+        Change::SetContinuation { object, version, missing } => {
+            owes(at, *object, version, missing).then(|| Record::Continuation {
+                object: *object,
+                version: version.clone(),
+                missing: missing.clone(),
+            })
+        }
         Change::SetTable { from, body } => {
             let serial = match at {
                 None => Some(0),
-                Some(Hold::Table { serial, .. }) => Some(*serial),
+                Some(Record::Table { serial, .. }) => Some(*serial),
                 Some(_) => None,
             };
             (serial == Some(*from))
-                .then(|| Hold::Table { serial: from.saturating_add(1), body: body.clone() })
+                .then(|| Record::Table { serial: from.saturating_add(1), body: body.clone() })
         }
-        Change::Look => None,
-        Change::End => at.filter(|at| ends(at)).map(|_| Hold::Ended),
+        Change::Read => None,
+        Change::Expire => at.filter(|at| ends(at)).map(|_| Record::Tombstone),
     };
     next.ok_or(Refused)
 }
@@ -50,45 +57,47 @@
 /// True if a change is one for holds of that kind.
 pub fn fits(kind: Kind, change: &Change) -> bool {
     match change {
-        Change::Take(_) | Change::Back(..) | Change::Done(..) | Change::Doubt(_) => kind == Kind::Effect,
+        Change::Acquire(_) | Change::Release(..) | Change::Complete(..) | Change::MarkOutcomeUnknown(_) => {
+            kind == Kind::Execution
+        }
         Change::Purge { .. } => kind == Kind::Purge,
-        Change::Name { .. } | Change::Use => kind == Kind::Ticket,
-        Change::Owe { .. } => kind == Kind::Debt,
+        Change::IssueTicket { .. } | Change::UseTicket => kind == Kind::Ticket,
+        Change::SetContinuation { .. } => kind == Kind::Continuation,
         Change::SetTable { .. } => kind == Kind::Table,
-        Change::End => kind != Kind::Table,
-        Change::Look => true,
+        Change::Expire => kind != Kind::Table,
+        Change::Read => true,
     }
 }
 
 /// The turn in which an effect may be taken on.
-fn take(at: Option<&Hold>) -> Option<u32> {
+fn take(at: Option<&Record>) -> Option<u32> {
     match at {
         None => Some(0),
-        Some(Hold::Free { turn }) => Some(*turn),
+        Some(Record::Released { term: turn }) => Some(*turn),
         Some(_) => None,
     }
 }
 
 /// True if it is out with that owner in that turn: nobody else's word counts.
-fn owned(at: Option<&Hold>, by: &basaltgw_types::Member, of: u32) -> bool {
-    matches!(at, Some(Hold::Out { owner, turn }) if owner == by && *turn == of)
+fn owned(at: Option<&Record>, by: &basaltgw_types::Member, of: u32) -> bool {
+    matches!(at, Some(Record::Leased { owner, term: turn }) if owner == by && *turn == of)
 }
 
 /// A purge may be kept from nothing, anew after its end, and for a later cause; the same again stands already.
-fn purge(at: Option<&Hold>, group: u64, object: Option<u64>, time: u64) -> Option<Hold> {
+fn purge(at: Option<&Record>, group: u64, object: Option<u64>, time: u64) -> Option<Record> {
     let later = match at {
-        None | Some(Hold::Ended) => true,
-        Some(Hold::Purged { group: g, object: o, time: t }) => *g == group && *o == object && *t < time,
+        None | Some(Record::Tombstone) => true,
+        Some(Record::Purged { group: g, object: o, time: t }) => *g == group && *o == object && *t < time,
         Some(_) => false,
     };
-    later.then_some(Hold::Purged { group, object, time })
+    later.then_some(Record::Purged { group, object, time })
 }
 
 /// A debt may begin, or shrink: of the same version of the same object, and with nothing missing that was not before.
-fn owes(at: Option<&Hold>, object: u64, version: &str, missing: &[u64]) -> bool {
+fn owes(at: Option<&Record>, object: u64, version: &str, missing: &[u64]) -> bool {
     match at {
         None => true,
-        Some(Hold::Debt { object: o, version: v, missing: before }) => {
+        Some(Record::Continuation { object: o, version: v, missing: before }) => {
             *o == object
                 && v.as_ref() == version
                 && missing.len() < before.len()
@@ -99,11 +108,11 @@
 }
 
 /// What may be cleared away. What is out may run yet, so it must be in doubt first; the table's register never ends.
-fn ends(at: &Hold) -> bool {
+fn ends(at: &Record) -> bool {
     match at {
-        Hold::Free { .. } | Hold::Done(_) | Hold::Doubt => true,
-        Hold::Purged { .. } | Hold::Ticket { .. } | Hold::Debt { .. } => true,
-        Hold::Out { .. } | Hold::Table { .. } | Hold::Ended => false,
+        Record::Released { .. } | Record::Completed(_) | Record::OutcomeUnknown => true,
+        Record::Purged { .. } | Record::Ticket { .. } | Record::Continuation { .. } => true,
+        Record::Leased { .. } | Record::Table { .. } | Record::Tombstone => false,
     }
 }
 
--- a/crates/registers/src/step_tests.rs
+++ b/crates/registers/src/step_tests.rs
@@ -7,58 +7,66 @@
     Member { router: RouterId(Arc::from("r")), incarnation: Incarnation(n) }
 }
 
-fn holds() -> Vec<Hold> {
-    let out = |n, turn| Hold::Out { owner: member(n), turn };
-    let debt = |missing: &[u64]| Hold::Debt { object: 1, version: Arc::from("v"), missing: missing.to_vec() };
-    let ticket = |used| Hold::Ticket { server: Arc::from("s"), by: RouterId(Arc::from("r")), used };
+fn holds() -> Vec<Record> {
+    let out = |n, turn| Record::Leased { owner: member(n), term: turn };
+    let debt = |missing: &[u64]| Record::Continuation {
+        object: 1,
+        version: Arc::from("v"),
+        missing: missing.to_vec(),
+    };
+    let ticket = |used| Record::Ticket { server: Arc::from("s"), by: RouterId(Arc::from("r")), used };
     vec![
         out(1, 0),
         out(2, 0),
         out(1, 1),
-        Hold::Free { turn: 1 },
-        Hold::Done(Outcome::Failed),
-        Hold::Doubt,
-        Hold::Purged { group: 1, object: None, time: 5 },
+        Record::Released { term: 1 },
+        Record::Completed(Outcome::Failed),
+        Record::OutcomeUnknown,
+        Record::Purged { group: 1, object: None, time: 5 },
         ticket(false),
         ticket(true),
         debt(&[1, 2]),
         debt(&[2]),
-        Hold::Table { serial: 1, body: vec![1] },
-        Hold::Ended,
+        Record::Table { serial: 1, body: vec![1] },
+        Record::Tombstone,
     ]
 }
 
 fn changes() -> Vec<Change> {
-    let owe = |missing: &[u64]| Change::Owe { object: 1, version: Arc::from("v"), missing: missing.to_vec() };
+    let owe = |missing: &[u64]| Change::SetContinuation {
+        object: 1,
+        version: Arc::from("v"),
+        missing: missing.to_vec(),
+    };
     let purge = |time| Change::Purge { group: 1, object: None, time };
     vec![
-        Change::Take(member(1)),
-        Change::Take(member(2)),
-        Change::Back(member(1), 0),
-        Change::Back(member(2), 0),
-        Change::Done(member(1), 0, Outcome::Failed),
-        Change::Done(member(1), 1, Outcome::ServedUntold),
-        Change::Doubt(0),
-        Change::Doubt(1),
+        Change::Acquire(member(1)),
+        Change::Acquire(member(2)),
+        Change::Release(member(1), 0),
+        Change::Release(member(2), 0),
+        Change::Complete(member(1), 0, Outcome::Failed),
+        Change::Complete(member(1), 1, Outcome::ServedBodyOmitted),
+        Change::MarkOutcomeUnknown(0),
+        Change::MarkOutcomeUnknown(1),
         purge(5),
         purge(6),
-        Change::Name { server: Arc::from("s"), by: RouterId(Arc::from("r")) },
-        Change::Use,
+        Change::IssueTicket { server: Arc::from("s"), by: RouterId(Arc::from("r")) },
+        Change::UseTicket,
         owe(&[1, 2]),
         owe(&[2]),
         owe(&[1]),
         owe(&[3]),
         Change::SetTable { from: 0, body: vec![2] },
         Change::SetTable { from: 1, body: vec![2] },
-        Change::Look,
-        Change::End,
+        Change::Read,
+        Change::Expire,
     ]
 }
 
 /// The whole table, a row for each hold: which changes it allows, by their place in [`changes`].
 #[test]
 fn each_change_follows_from_what_it_may_and_from_nothing_else() {
-    let allowed = |at: Option<&Hold>| -> Vec<usize> {
+    let allowed = |at: Option<&Record>| -> Vec<usize> {
         let all = changes();
         (0..all.len()).filter(|i| step(at, &all[*i]).is_ok()).collect()
     };
@@ -86,20 +94,20 @@
 #[test]
 fn nothing_but_a_purge_comes_back_from_its_end() {
     // Whatever is done in whatever order, an effect ends as it ended, and turns only grow.
-    let rank = |hold: &Hold| match hold {
-        Hold::Out { turn, .. } => 2 * u64::from(*turn),
-        Hold::Free { turn } => 2 * u64::from(*turn) - 1,
-        Hold::Done(_) | Hold::Doubt => 1 << 40,
-        Hold::Purged { time, .. } => *time,
-        Hold::Ticket { used, .. } => u64::from(*used),
-        Hold::Debt { missing, .. } => 10 - missing.len() as u64,
-        Hold::Table { serial, .. } => *serial,
-        Hold::Ended => 1 << 41,
+    let rank = |hold: &Record| match hold {
+        Record::Leased { term: turn, .. } => 2 * u64::from(*turn),
+        Record::Released { term: turn } => 2 * u64::from(*turn) - 1,
+        Record::Completed(_) | Record::OutcomeUnknown => 1 << 40,
+        Record::Purged { time, .. } => *time,
+        Record::Ticket { used, .. } => u64::from(*used),
+        Record::Continuation { missing, .. } => 10 - missing.len() as u64,
+        Record::Table { serial, .. } => *serial,
+        Record::Tombstone => 1 << 41,
     };
     for hold in holds() {
         for change in changes() {
             if let Ok(next) = step(Some(&hold), &change) {
-                let again = hold == Hold::Ended && matches!(next, Hold::Purged { .. });
+                let again = hold == Record::Tombstone && matches!(next, Record::Purged { .. });
                 assert!(again || rank(&next) > rank(&hold), "{hold:?} {change:?} {next:?}");
             }
         }
@@ -108,18 +116,21 @@
 
 #[test]
 fn each_change_is_of_one_kind() {
-    let kinds = [Kind::Effect, Kind::Purge, Kind::Ticket, Kind::Debt, Kind::Table];
+    let kinds = [Kind::Execution, Kind::Purge, Kind::Ticket, Kind::Continuation, Kind::Table];
     for change in changes() {
         let fit = kinds.iter().filter(|kind| fits(**kind, &change)).count();
         let expected = match change {
-            Change::Look => 5,
-            Change::End => 4,
-            Change::Take(_)
-            | Change::Back(..)
-            | Change::Done(..)
-            | Change::Doubt(_)
+            Change::Read => 5,
+            Change::Expire => 4,
+            Change::Acquire(_)
+            | Change::Release(..)
+            | Change::Complete(..)
+            | Change::MarkOutcomeUnknown(_)
             | Change::Purge { .. } => 1,
-            Change::Name { .. } | Change::Use | Change::Owe { .. } | Change::SetTable { .. } => 1,
+            Change::IssueTicket { .. }
+            | Change::UseTicket
+            | Change::SetContinuation { .. }
+            | Change::SetTable { .. } => 1,
         };
         assert_eq!(fit, expected, "{change:?}");
     }
