--- a/crates/registers/tests/chaos.rs
+++ b/crates/registers/tests/chaos.rs
@@ -3,7 +3,7 @@
 
 mod net;
 
-use basaltgw_registers::{Broken, Change, Hold, Kind, Outcome, Settings, Verdict};
+use basaltgw_registers::{Change, InjectedBug, Kind, Outcome, Record, Response, Settings};
 use basaltgw_types::Member;
 use net::linear::{explained, Seen};
 use net::{effect, map, Faults, Net};
@@ -24,17 +24,17 @@
 }
 
 /// A change that this router might want, by what it last saw of the hold.
-fn draw(net: &mut Net, me: &Member, seen: Option<&Hold>) -> Change {
+fn draw(net: &mut Net, me: &Member, seen: Option<&Record>) -> Change {
     let turn = match seen {
-        Some(Hold::Out { turn, .. } | Hold::Free { turn }) => *turn,
+        Some(Record::Leased { term: turn, .. } | Record::Released { term: turn }) => *turn,
         Some(_) | None => 0,
     };
     match net.pick(8) {
-        0..=2 => Change::Take(me.clone()),
-        3 => Change::Back(me.clone(), turn),
-        4 => Change::Done(me.clone(), turn, Outcome::Failed),
-        5 if net.roll() < 0.3 => Change::Doubt(turn),
-        _ => Change::Look,
+        0..=2 => Change::Acquire(me.clone()),
+        3 => Change::Release(me.clone(), turn),
+        4 => Change::Complete(me.clone(), turn, Outcome::Failed),
+        5 if net.roll() < 0.3 => Change::MarkOutcomeUnknown(turn),
+        _ => Change::Read,
     }
 }
 
@@ -50,10 +50,10 @@
     all
 }
 
-fn run(seed: u64, copies: usize, broken: Broken) -> Run {
+fn run(seed: u64, copies: usize, broken: InjectedBug) -> Run {
     let mut net = Net::new(6, 2, copies, seed);
     net.broken = broken;
-    net.set = Settings { again_ms: 15.0, most_tries: 6, ..net.set.clone() };
+    net.set = Settings { retransmit_interval_ms: 15.0, max_attempts: 6, ..net.set.clone() };
     (0..6).for_each(|r| {
         net.kill(r);
         net.start(r);
@@ -61,7 +61,7 @@
     net.faults = Faults { lost: 0.05, twice: 0.1, delay: (0.2, 6.0), disk: (0.1, 3.0), disk_fails: 0.02 };
     let mut run = Run::default();
     let mut asked: BTreeMap<u64, (u128, usize, Change)> = BTreeMap::new();
-    let mut last: BTreeMap<u128, Hold> = BTreeMap::new();
+    let mut last: BTreeMap<u128, Record> = BTreeMap::new();
     let mut broken_until: Vec<(usize, usize)> = Vec::new();
     let mut move_wanted = None;
     for step in 0..STEPS {
@@ -77,7 +77,7 @@
         let pace = net.roll() * 25.0;
         net.run(pace);
         for a in &net.answers {
-            if let Verdict::Kept(hold) | Verdict::Stands(Some(hold)) = &a.verdict {
+            if let Response::Committed(hold) | Response::Conflict(Some(hold)) = &a.verdict {
                 last.insert(a.key.name, hold.clone());
             }
         }
@@ -86,17 +86,21 @@
     for name in 0..HOLDS {
         let at = 2 * net.answers.len();
         let router = net.pick(6);
-        let no = net.ask(router, effect(name), Change::Look, 5_000.0);
-        asked.insert(no, (name, at, Change::Look));
+        let no = net.ask(router, effect(name), Change::Read, 5_000.0);
+        asked.insert(no, (name, at, Change::Read));
         assert!(net.run_until(6_000.0, |net| net.answer(no).is_some()), "seed {seed}");
-        assert!(!matches!(net.answer(no), Some(Verdict::Unkept { .. })), "seed {seed}: {:?}", net.answer(no));
+        assert!(
+            !matches!(net.answer(no), Some(Response::Unavailable { .. })),
+            "seed {seed}: {:?}",
+            net.answer(no)
+        );
     }
     for a in &net.answers {
-        assert_eq!(a.key.kind, Kind::Effect);
+        assert_eq!(a.key.kind, Kind::Execution);
         match a.verdict {
-            Verdict::Kept(_) => run.kept += 1,
-            Verdict::Stands(_) => {}
-            Verdict::Unkept { never, .. } => {
+            Response::Committed(_) => run.kept += 1,
+            Response::Conflict(_) => {}
+            Response::Unavailable { not_executed: never, .. } => {
                 run.unkept += 1;
                 run.never += usize::from(never);
             }
@@ -187,7 +191,7 @@
     let mut sum = Run::default();
     for seed in 0..150 {
         let copies = if seed % 3 == 0 { 5 } else { 3 };
-        let run = run(seed, copies, Broken::Sound);
+        let run = run(seed, copies, InjectedBug::Sound);
         assert!(run.explained, "seed {seed}");
         sum.kept += run.kept;
         sum.unkept += run.unkept;
@@ -205,10 +209,10 @@
 
 #[test]
 fn a_build_that_says_kept_before_it_is_copied_is_caught() {
-    assert!((0..200).any(|seed| !run(seed, 3, Broken::SaysBeforeCopied).explained));
+    assert!((0..200).any(|seed| !run(seed, 3, InjectedBug::SaysBeforeCopied).explained));
 }
 
 #[test]
 fn a_build_that_takes_a_vote_back_is_caught() {
-    assert!((0..200).any(|seed| !run(seed, 3, Broken::VoteTakenBack).explained));
+    assert!((0..200).any(|seed| !run(seed, 3, InjectedBug::VoteTakenBack).explained));
 }
--- a/crates/registers/tests/crashes.rs
+++ b/crates/registers/tests/crashes.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use basaltgw_registers::{Change, Hold, Outcome, Verdict};
+use basaltgw_registers::{Change, Outcome, Record, Response};
 use basaltgw_types::Member;
 use net::{effect, map, Net};
 
@@ -14,7 +14,7 @@
     let mut net = Net::new(copies, 1, copies, seed);
     net.run(10.0);
     let owner = net.nodes[0].me.clone();
-    let no = net.ask(0, effect(1), Change::Take(owner.clone()), 500.0);
+    let no = net.ask(0, effect(1), Change::Acquire(owner.clone()), 500.0);
     for _ in 0..step {
         net.step(f64::MAX);
     }
@@ -34,30 +34,30 @@
     let answer = net.answer(no).cloned();
     // Whoever is asked says the same, and the same again.
     let last = copies - 1;
-    let found = net.ask_now(last, effect(1), Change::Look);
-    assert_eq!(net.ask_now(1, effect(1), Change::Look), found);
-    let out = Hold::Out { owner: owner.clone(), turn: 0 };
+    let found = net.ask_now(last, effect(1), Change::Read);
+    assert_eq!(net.ask_now(1, effect(1), Change::Read), found);
+    let out = Record::Leased { owner: owner.clone(), term: 0 };
     match answer {
-        Some(Verdict::Kept(hold)) => {
+        Some(Response::Committed(hold)) => {
             assert_eq!(
                 (hold, found),
-                (out.clone(), Verdict::Stands(Some(out))),
+                (out.clone(), Response::Conflict(Some(out))),
                 "{victims:?} {step} {wiped}"
             );
             // The copies are made up again: the loss of others loses nothing either.
             net.wipe(1);
-            assert!(matches!(net.ask_now(last, effect(1), Change::Look), Verdict::Stands(Some(_))));
+            assert!(matches!(net.ask_now(last, effect(1), Change::Read), Response::Conflict(Some(_))));
             true
         }
-        Some(Verdict::Unkept { never: true, .. }) => {
-            assert_eq!(found, Verdict::Stands(None), "{victims:?} {step} {wiped}");
+        Some(Response::Unavailable { not_executed: true, .. }) => {
+            assert_eq!(found, Response::Conflict(None), "{victims:?} {step} {wiped}");
             false
         }
-        Some(Verdict::Unkept { never: false, .. }) | None => {
-            assert!([Verdict::Stands(None), Verdict::Stands(Some(out))].contains(&found));
+        Some(Response::Unavailable { not_executed: false, .. }) | None => {
+            assert!([Response::Conflict(None), Response::Conflict(Some(out))].contains(&found));
             false
         }
-        Some(Verdict::Stands(what)) => panic!("nobody else asked: {what:?}"),
+        Some(Response::Conflict(what)) => panic!("nobody else asked: {what:?}"),
     }
 }
 
@@ -85,18 +85,28 @@
 fn an_owner_lost_with_it_out_leaves_a_doubt_that_never_invites_a_repeat() {
     let mut net = Net::new(3, 1, 3, 1);
     let (first, second) = (net.nodes[0].me.clone(), net.nodes[1].me.clone());
-    net.ask_now(0, effect(1), Change::Take(first.clone()));
+    net.ask_now(0, effect(1), Change::Acquire(first.clone()));
     net.freeze(0);
-    let late = net.ask(0, effect(1), Change::Done(first, 0, Outcome::Served(vec![1])), 1_000.0);
+    let late = net.ask(0, effect(1), Change::Complete(first, 0, Outcome::Served(vec![1])), 1_000.0);
     assert!(matches!(
-        net.ask_now(1, effect(1), Change::Take(second.clone())),
-        Verdict::Stands(Some(Hold::Out { .. }))
+        net.ask_now(1, effect(1), Change::Acquire(second.clone())),
+        Response::Conflict(Some(Record::Leased { .. }))
     ));
-    assert_eq!(net.ask_now(1, effect(1), Change::Doubt(0)), Verdict::Kept(Hold::Doubt));
+    assert_eq!(
+        net.ask_now(1, effect(1), Change::MarkOutcomeUnknown(0)),
+        Response::Committed(Record::OutcomeUnknown)
+    );
     net.wake(0);
     assert!(net.run_until(5_000.0, |net| net.answer(late).is_some()));
-    assert_eq!(net.answer(late), Some(&Verdict::Stands(Some(Hold::Doubt))), "it may not answer any more");
-    assert_eq!(net.ask_now(1, effect(1), Change::Take(second)), Verdict::Stands(Some(Hold::Doubt)));
+    assert_eq!(
+        net.answer(late),
+        Some(&Response::Conflict(Some(Record::OutcomeUnknown))),
+        "it may not answer any more"
+    );
+    assert_eq!(
+        net.ask_now(1, effect(1), Change::Acquire(second)),
+        Response::Conflict(Some(Record::OutcomeUnknown))
+    );
 }
 
 #[test]
@@ -109,13 +119,13 @@
         let cuts = (0..5).flat_map(|a| (0..5).map(move |b| (a, b))).filter(|(a, b)| across(*a, *b));
         // One way only, for every other seed.
         net.cut.extend(cuts.filter(|(a, _)| seed % 2 == 0 || *a < 2));
-        let minor = net.ask(0, effect(1), Change::Take(members[0].clone()), 100.0);
-        let major = net.ask(3, effect(1), Change::Take(members[3].clone()), 100.0);
+        let minor = net.ask(0, effect(1), Change::Acquire(members[0].clone()), 100.0);
+        let major = net.ask(3, effect(1), Change::Acquire(members[3].clone()), 100.0);
         net.run(200.0);
-        assert!(matches!(net.answer(minor), Some(Verdict::Unkept { .. })), "{:?}", net.answer(minor));
-        assert!(matches!(net.answer(major), Some(Verdict::Kept(_))));
+        assert!(matches!(net.answer(minor), Some(Response::Unavailable { .. })), "{:?}", net.answer(minor));
+        assert!(matches!(net.answer(major), Some(Response::Committed(_))));
         net.cut.clear();
-        let out = Hold::Out { owner: members[3].clone(), turn: 0 };
-        assert_eq!(net.ask_now(0, effect(1), Change::Look), Verdict::Stands(Some(out)));
+        let out = Record::Leased { owner: members[3].clone(), term: 0 };
+        assert_eq!(net.ask_now(0, effect(1), Change::Read), Response::Conflict(Some(out)));
     }
 }
--- a/crates/registers/tests/moves.rs
+++ b/crates/registers/tests/moves.rs
@@ -2,19 +2,19 @@
 
 mod net;
 
-use basaltgw_registers::{Change, Event, Hold, Verdict};
+use basaltgw_registers::{Change, Event, Record, Response};
 use basaltgw_types::Member;
 use net::{effect, map, member, Net};
 
 fn take(net: &mut Net, router: usize, name: u128) -> bool {
     let me = net.nodes[router].me.clone();
-    matches!(net.ask_now(router, effect(name), Change::Take(me)), Verdict::Kept(_))
+    matches!(net.ask_now(router, effect(name), Change::Acquire(me)), Response::Committed(_))
 }
 
 fn all_stand(net: &mut Net, router: usize, names: std::ops::Range<u128>) {
     for name in names {
-        let found = net.ask_now(router, effect(name), Change::Look);
-        assert!(matches!(found, Verdict::Stands(Some(Hold::Out { .. }))), "{name}: {found:?}");
+        let found = net.ask_now(router, effect(name), Change::Read);
+        assert!(matches!(found, Response::Conflict(Some(Record::Leased { .. }))), "{name}: {found:?}");
     }
 }
 
@@ -107,11 +107,11 @@
     net.run(10.0);
     // It wakes with its old map, and a question under it; the keepers refuse its words, it learns, and asks again.
     let me: Member = member(3, 4);
-    let no = net.ask(3, effect(7), Change::Take(me), 5_000.0);
+    let no = net.ask(3, effect(7), Change::Acquire(me), 5_000.0);
     assert!(net.answer(no).is_none());
     net.wake(3);
     assert!(net.run_until(5_000.0, |net| net.answer(no).is_some()));
-    assert!(matches!(net.answer(no), Some(Verdict::Kept(_))));
+    assert!(matches!(net.answer(no), Some(Response::Committed(_))));
 }
 
 #[test]
@@ -123,12 +123,12 @@
     net.map = both.into();
     net.filled.clear();
     net.fetches = false;
-    (3..6).for_each(|r| net.give(r, Event::Map(net.map.clone())));
+    (3..6).for_each(|r| net.give(r, Event::ShardMap(net.map.clone())));
     // By the old epoch a promise is still kept by the old group alone: a list from before it would miss it.
     net.run(500.0);
     assert!(take(&mut net, 0, 1));
     assert_eq!(net.filled, [], "filled from keepers that take words of the old epoch");
-    (0..2).for_each(|r| net.give(r, Event::Map(net.map.clone())));
+    (0..2).for_each(|r| net.give(r, Event::ShardMap(net.map.clone())));
     assert!(net.run_until(5_000.0, |net| (3..6).all(|r| net.filled.contains(&(r, None)))));
     assert!((3..6).all(|r| net.nodes[r].holds.as_ref().is_some_and(|h| h.stands(&effect(1)).is_some())));
 }
--- a/crates/registers/tests/net/linear.rs
+++ b/crates/registers/tests/net/linear.rs
@@ -1,15 +1,15 @@
 //! What askers saw of one hold, and whether one order of the changes explains it (by stateright's tester).
 
-use super::api::{step, Change, Hold, Verdict};
+use super::api::{step, Change, Record, Response};
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
 /// A hold that only one asker at a time uses.
 #[derive(Clone, Debug, Default)]
-pub struct Alone(Option<Hold>);
+pub struct Alone(Option<Record>);
 
 impl SequentialSpec for Alone {
     type Op = Change;
-    type Ret = Result<Hold, Option<Hold>>;
+    type Ret = Result<Record, Option<Record>>;
 
     fn invoke(&mut self, change: &Change) -> Self::Ret {
         match step(self.0.as_ref(), change) {
@@ -27,7 +27,7 @@
 pub struct Seen {
     pub asked: usize,
     pub change: Change,
-    pub answered: Option<(usize, Verdict)>,
+    pub answered: Option<(usize, Response)>,
 }
 
 /// True if one order explains all that was seen. What was provably never made must not be needed; what may have been made may be.
@@ -35,9 +35,11 @@
     let mut order: Vec<(usize, usize, bool)> = Vec::new();
     for (thread, one) in seen.iter().enumerate() {
         match &one.answered {
-            Some((_, Verdict::Unkept { never: true, .. })) => {}
-            Some((_, Verdict::Unkept { never: false, .. })) | None => order.push((one.asked, thread, false)),
-            Some((at, Verdict::Kept(_) | Verdict::Stands(_))) => {
+            Some((_, Response::Unavailable { not_executed: true, .. })) => {}
+            Some((_, Response::Unavailable { not_executed: false, .. })) | None => {
+                order.push((one.asked, thread, false))
+            }
+            Some((at, Response::Committed(_) | Response::Conflict(_))) => {
                 order.extend([(one.asked, thread, false), (*at, thread, true)]);
             }
         }
@@ -50,9 +52,9 @@
                 tester.on_invoke(thread, seen[thread].change.clone()).expect("one question for each thread");
                 continue;
             }
-            (true, Some((_, Verdict::Kept(hold)))) => Ok(hold.clone()),
-            (true, Some((_, Verdict::Stands(hold)))) => Err(hold.clone()),
-            (true, Some((_, Verdict::Unkept { .. }))) => continue,
+            (true, Some((_, Response::Committed(hold)))) => Ok(hold.clone()),
+            (true, Some((_, Response::Conflict(hold)))) => Err(hold.clone()),
+            (true, Some((_, Response::Unavailable { .. }))) => continue,
         };
         tester.on_return(thread, told).expect("one answer for each question");
     }
--- a/crates/registers/tests/net/mod.rs
+++ b/crates/registers/tests/net/mod.rs
@@ -5,14 +5,15 @@
 
 /// What the checker needs, by whatever name this crate has where it is used.
 mod api {
-    pub use basaltgw_registers::{step, Change, Hold, Verdict};
+    pub use basaltgw_registers::{step, Change, Record, Response};
 }
 
 use basaltgw_registers::{
-    Action, AskNo, Broken, Change, Event, HoldKey, Holds, Kind, Record, Settings, Verdict,
+    Action, Change, DiskWrite, Event, InjectedBug, Kind, RecordKey, Registers, RequestNumber, Response,
+    Settings,
 };
 use basaltgw_types::{
-    Group, Incarnation, Keepers, Member, RouterId, Shard, ShardMap, TableHash, TableVersion,
+    Incarnation, Member, QuorumGroup, ReplicaSet, RouterId, Shard, ShardMap, TableHash, TableVersion,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -37,14 +38,14 @@
 enum What {
     Bytes(Member, Member, Vec<u8>),
     Timer(usize, u64, u64),
-    Stored(usize, u64, u64, Vec<Record>, bool),
+    Stored(usize, u64, u64, Vec<DiskWrite>, bool),
     Given(usize, Event),
 }
 
 /// A router: its process, and the folder that outlives it.
 pub struct Node {
     pub me: Member,
-    pub holds: Option<Holds>,
+    pub holds: Option<Registers>,
     pub disk: BTreeMap<Vec<u8>, Vec<u8>>,
     pub disk_full: bool,
     life: u64,
@@ -55,8 +56,8 @@
     pub at: f64,
     pub router: usize,
     pub no: u64,
-    pub key: HoldKey,
-    pub verdict: Verdict,
+    pub key: RecordKey,
+    pub verdict: Response,
 }
 
 pub struct Net {
@@ -72,7 +73,7 @@
     pub fetches: bool,
     /// Directed links on which nothing passes, and nobody is told.
     pub cut: BTreeSet<(usize, usize)>,
-    pub broken: Broken,
+    pub broken: InjectedBug,
     pub messages: u64,
     /// Words that a process gave out, counted over all, for faults at every step.
     pub steps: u64,
@@ -96,14 +97,14 @@
     member.router.0.strip_prefix('r')?.parse().ok()
 }
 
-pub fn effect(name: u128) -> HoldKey {
-    HoldKey { kind: Kind::Effect, name }
+pub fn effect(name: u128) -> RecordKey {
+    RecordKey { kind: Kind::Execution, name }
 }
 
 /// A map in which shard `s` is kept by `copies` of the members, from the `s`th on.
 pub fn map(epoch: u64, shards: usize, copies: usize, members: &[Member]) -> ShardMap {
     let group = |s: usize| (0..copies).map(|i| members[(s + i) % members.len()].clone()).collect();
-    let keepers = |s: usize| Keepers { groups: vec![Group::majority(group(s))] };
+    let keepers = |s: usize| ReplicaSet { groups: vec![QuorumGroup::majority(group(s))] };
     ShardMap {
         epoch,
         version: TableVersion(epoch),
@@ -115,9 +116,9 @@
 
 /// Both maps at once, and then the later one alone.
 pub fn joint(old: &ShardMap, new: &ShardMap) -> [ShardMap; 2] {
-    let both = |a: &Keepers, b: &Keepers| match a == b {
+    let both = |a: &ReplicaSet, b: &ReplicaSet| match a == b {
         true => a.clone(),
-        false => Keepers { groups: vec![a.groups[0].clone(), b.groups[0].clone()] },
+        false => ReplicaSet { groups: vec![a.groups[0].clone(), b.groups[0].clone()] },
     };
     let shards = old.shards.iter().zip(&new.shards).map(|(a, b)| both(a, b)).collect();
     let root = both(&old.root, &new.root);
@@ -135,14 +136,14 @@
             now: 0.0,
             nodes: members.into_iter().map(fresh).collect(),
             faults: Faults::none(),
-            set: Settings { again_ms: 20.0, fill_pause_ms: 1.0, ..Settings::usual() },
+            set: Settings { retransmit_interval_ms: 20.0, sync_pause_ms: 1.0, ..Settings::usual() },
             map,
             answers: Vec::new(),
             filled: Vec::new(),
             behind: 0,
             fetches: true,
             cut: BTreeSet::new(),
-            broken: Broken::Sound,
+            broken: InjectedBug::Sound,
             messages: 0,
             steps: 0,
             queue: BTreeMap::new(),
@@ -170,12 +171,13 @@
         let seed = mix(self.seed, router as u64);
         let node = &mut self.nodes[router];
         let records = node.disk.clone().into_iter().collect();
-        let mut holds = Holds::new(node.me.clone(), self.set.clone(), records, seed).expect("own records");
+        let mut holds =
+            Registers::new(node.me.clone(), self.set.clone(), records, seed).expect("own records");
         holds.break_as(self.broken);
         node.holds = Some(holds);
         node.life += 1;
         node.frozen = None;
-        self.give(router, Event::Map(self.map.clone()));
+        self.give(router, Event::ShardMap(self.map.clone()));
     }
 
     /// Kills a router's process; what was on its way to the disk is there or not.
@@ -221,7 +223,7 @@
         self.map = Arc::new(map);
         for r in 0..self.nodes.len() {
             let wait = self.roll() * within;
-            self.after(wait, What::Given(r, Event::Map(self.map.clone())));
+            self.after(wait, What::Given(r, Event::ShardMap(self.map.clone())));
         }
     }
 
@@ -245,20 +247,23 @@
     }
 
     /// Asks, and returns the question's number.
-    pub fn ask(&mut self, router: usize, key: HoldKey, change: Change, within: f64) -> u64 {
+    pub fn ask(&mut self, router: usize, key: RecordKey, change: Change, within: f64) -> u64 {
         self.asks += 1;
-        self.happen(What::Given(router, Event::Ask { no: AskNo(self.asks), key, change, within }));
+        self.happen(What::Given(
+            router,
+            Event::Request { number: RequestNumber(self.asks), key, change, timeout: within },
+        ));
         self.asks
     }
 
     /// Asks and runs until the answer is there.
-    pub fn ask_now(&mut self, router: usize, key: HoldKey, change: Change) -> Verdict {
+    pub fn ask_now(&mut self, router: usize, key: RecordKey, change: Change) -> Response {
         let no = self.ask(router, key, change, 2_000.0);
         self.run_until(5_000.0, |net| net.answer(no).is_some());
         self.answer(no).cloned().expect("an answer to each question")
     }
 
-    pub fn answer(&self, no: u64) -> Option<&Verdict> {
+    pub fn answer(&self, no: u64) -> Option<&Response> {
         self.answers.iter().find(|a| a.no == no).map(|a| &a.verdict)
     }
 
@@ -303,13 +308,13 @@
         }
         let life = self.nodes[router].life;
         match what {
-            What::Bytes(from, _, bytes) => self.give(router, Event::Bytes(from, bytes)),
+            What::Bytes(from, _, bytes) => self.give(router, Event::MessageReceived(from, bytes)),
             What::Timer(_, of, no) if of == life => self.give(router, Event::Timer(no)),
             What::Stored(_, of, no, records, ok) if of == life => {
                 if ok {
                     write(&mut self.nodes[router].disk, &records);
                 }
-                self.give(router, Event::Stored(no, ok));
+                self.give(router, Event::BatchStored(no, ok));
             }
             What::Given(_, event) => self.give(router, event),
             What::Timer(..) | What::Stored(..) => {}
@@ -332,20 +337,22 @@
                     let wait = self.between(self.faults.disk);
                     self.after(wait, What::Stored(router, life, no, records, ok));
                 }
-                Action::Answer(AskNo(no), key, verdict) => {
+                Action::Respond(RequestNumber(no), key, verdict) => {
                     self.answers.push(Answered { at: now, router, no, key, verdict });
                 }
                 Action::Timer(wait, no) => self.after(wait, What::Timer(router, life, no)),
-                Action::Filled(epoch, shard) if epoch == self.map.epoch => self.filled.push((router, shard)),
-                Action::Filled(..) => {}
-                Action::Behind(epoch, _) => {
+                Action::ShardSynced(epoch, shard) if epoch == self.map.epoch => {
+                    self.filled.push((router, shard))
+                }
+                Action::ShardSynced(..) => {}
+                Action::StaleEpoch(epoch, _) => {
                     self.behind += 1;
                     if self.map.epoch >= epoch && self.fetches {
                         let map = self.map.clone();
-                        self.after(2.0, What::Given(router, Event::Map(map)));
+                        self.after(2.0, What::Given(router, Event::ShardMap(map)));
                     }
                 }
-                Action::Report(_) => {}
+                Action::Log(_) => {}
             }
         }
     }
@@ -376,11 +383,11 @@
     }
 }
 
-fn write(disk: &mut BTreeMap<Vec<u8>, Vec<u8>>, records: &[Record]) {
+fn write(disk: &mut BTreeMap<Vec<u8>, Vec<u8>>, records: &[DiskWrite]) {
     for record in records {
         match record {
-            Record::Put(key, value) => drop(disk.insert(key.clone(), value.clone())),
-            Record::Remove(key) => drop(disk.remove(key)),
+            DiskWrite::Put(key, value) => drop(disk.insert(key.clone(), value.clone())),
+            DiskWrite::Remove(key) => drop(disk.remove(key)),
         }
     }
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -557,7 +557,16 @@
             self.asks.iter().filter(|(_, a)| a.at == node && a.came <= self.now).map(|(n, _)| *n).collect();
         for no in there {
             if told {
-                self.send(no, Reply { end: AttemptResult::ConnectionLost, note: FillReport::NotReported, born: 0.0, waited: 0.0 }, 0.0);
+                self.send(
+                    no,
+                    Reply {
+                        end: AttemptResult::ConnectionLost,
+                        note: FillReport::NotReported,
+                        born: 0.0,
+                        waited: 0.0,
+                    },
+                    0.0,
+                );
             } else if let Some(ask) = self.asks.get_mut(&no) {
                 ask.token += 1;
             }
@@ -599,7 +608,12 @@
             if !n.vanished {
                 self.word(no, AttemptResult::NoConnection, FillReport::NotReported);
             } else if matches!(asker, Asker::Router(_)) {
-                let silent = Reply { end: AttemptResult::NoConnection, note: FillReport::NotReported, born: 0.0, waited: 0.0 };
+                let silent = Reply {
+                    end: AttemptResult::NoConnection,
+                    note: FillReport::NotReported,
+                    born: 0.0,
+                    waited: 0.0,
+                };
                 self.send(no, silent, CONNECT_MS);
             }
             return;
@@ -852,7 +866,9 @@
                 }
                 again.into_iter().for_each(|w| self.miss(w.0));
             }
-            (AttemptResult::CacheMiss, FillReport::LoopDetected | FillReport::SourceMiss) if !fill.spec.named => {
+            (AttemptResult::CacheMiss, FillReport::LoopDetected | FillReport::SourceMiss)
+                if !fill.spec.named =>
+            {
                 let (spec, trail, hops) = (fill.spec, fill.trail.clone(), fill.hops);
                 let mut tried = std::mem::take(&mut fill.tried);
                 let source = fill.source;
--- a/crates/simulator/src/sim/days.rs
+++ b/crates/simulator/src/sim/days.rs
@@ -95,7 +95,12 @@
                         r,
                         no,
                         n,
-                        Reply { end: AttemptResult::TimedOut, note: FillReport::NotReported, born: 0.0, waited: 0.0 },
+                        Reply {
+                            end: AttemptResult::TimedOut,
+                            note: FillReport::NotReported,
+                            born: 0.0,
+                            waited: 0.0,
+                        },
                         false,
                     );
                 }
--- a/crates/simulator/src/sim/requests.rs
+++ b/crates/simulator/src/sim/requests.rs
@@ -63,8 +63,12 @@
                         self.seats[r].open.get(&no).and_then(|o| o.attempts.get(n.0)).is_some_and(|a| a.out);
                     if out {
                         self.fleet.abort(self.now, ask_id(r, no, n.0));
-                        let called_off =
-                            Reply { end: AttemptResult::Cancelled, note: FillReport::NotReported, born: 0.0, waited: 0.0 };
+                        let called_off = Reply {
+                            end: AttemptResult::Cancelled,
+                            note: FillReport::NotReported,
+                            born: 0.0,
+                            waited: 0.0,
+                        };
                         self.ended(r, no, n.0, called_off, true);
                     }
                 }
@@ -127,8 +131,14 @@
         let first = !open.answered;
         let ran = match reply.end {
             AttemptResult::Served => Ran::Served((!unsafe_).then_some(reply.born)),
-            AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss => Ran::Never,
-            AttemptResult::Error | AttemptResult::TimedOut | AttemptResult::ConnectionLost | AttemptResult::Cancelled => Ran::Maybe,
+            AttemptResult::Rejected
+            | AttemptResult::NoConnection
+            | AttemptResult::NotSent
+            | AttemptResult::CacheMiss => Ran::Never,
+            AttemptResult::Error
+            | AttemptResult::TimedOut
+            | AttemptResult::ConnectionLost
+            | AttemptResult::Cancelled => Ran::Maybe,
         };
         self.checker.see(self.now, Seen::Ended((r, no), n, ran));
         if reply.end == AttemptResult::Served && first {
@@ -136,7 +146,9 @@
         }
         if let Some(source) = source {
             let how = match (reply.end, reply.note) {
-                (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => Some(tree::How::Answered),
+                (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => {
+                    Some(tree::How::Answered)
+                }
                 (_, FillReport::SourceRejected) => Some(tree::How::Refused),
                 (_, FillReport::SourceFailed) => Some(tree::How::Failed),
                 (_, FillReport::LoopDetected) => Some(tree::How::Looped),
--- a/crates/simulator/src/sim/setup.rs
+++ b/crates/simulator/src/sim/setup.rs
@@ -101,7 +101,11 @@
         latency_objective: c.aim_ms,
         latency_objective_stretch: AIM_STRETCH,
         deadline: c.deadline_ms,
-        idempotency: if c.effect == EffectSpec::Safe { Idempotency::Idempotent } else { Idempotency::NonIdempotent },
+        idempotency: if c.effect == EffectSpec::Safe {
+            Idempotency::Idempotent
+        } else {
+            Idempotency::NonIdempotent
+        },
         key_scope: KeyScope::All,
         key_window: 0.0,
         priority_weight: c.worth,
--- a/crates/simulator/tests/breakers.rs
+++ b/crates/simulator/tests/breakers.rs
@@ -67,9 +67,15 @@
     s.script
         .push(on("archive", Moment { for_ms: 8_000.0, factor: 0.5, ..moment(10_000.0, What::LoseAnswers) }));
     let again = || {
-        |r: &mut Router, now, event: Event, acts: &mut Vec<Action>, held: &mut HashMap<RequestId, AttemptSpec>| {
+        |r: &mut Router,
+         now,
+         event: Event,
+         acts: &mut Vec<Action>,
+         held: &mut HashMap<RequestId, AttemptSpec>| {
             let late = match &event {
-                Event::Outcome(o) if o.result == AttemptResult::TimedOut && !o.completes_request => Some(o.request.clone()),
+                Event::Outcome(o) if o.result == AttemptResult::TimedOut && !o.completes_request => {
+                    Some(o.request.clone())
+                }
                 _ => None,
             };
             r.handle(now, event, acts);
@@ -96,7 +102,8 @@
         vec![on("edge-1-1", moment(5_000.0, What::Drain)), on("district-1", moment(8_000.0, What::Drain))];
     let deaf = || {
         |r: &mut Router, now, event: Event, acts: &mut Vec<Action>, _: &mut _| {
-            if matches!(&event, Event::Endpoints(_, e) if e.iter().any(|e| e.state == EndpointState::Draining)) {
+            if matches!(&event, Event::Endpoints(_, e) if e.iter().any(|e| e.state == EndpointState::Draining))
+            {
                 return;
             }
             r.handle(now, event, acts);
--- a/crates/transport/src/byte_tests.rs
+++ b/crates/transport/src/byte_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::{Codec, Frame, Kind};
 use crate::hub::Greeting;
-use crate::{Hello, Lane, PROTOCOL};
+use crate::{Hello, Lane, PROTOCOL_VERSION};
 use asynchronous_codec::{Decoder, Encoder};
 use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
 use bytes::BytesMut;
@@ -20,7 +20,7 @@
 fn the_hello_and_the_table_have_the_bytes_written_down() {
     let incarnation = Incarnation(0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10);
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         cluster: Arc::from("fleet"),
         member: Member { router: RouterId(Arc::from("r1")), incarnation },
         domain: Domain { branch: Arc::from("b1"), machine: Arc::from("m1") },
@@ -42,10 +42,10 @@
         (Kind::Go, b"", "000000013c0c8ea102"),
         (Kind::Table, b"ab", "00000003225d3dd9036162"),
         (Kind::Close, b"", "00000001d56f2b9404"),
-        (Kind::Lane(Lane::Roster), b"ab", "000000033c3d20f0106162"),
-        (Kind::Lane(Lane::Holds), b"ab", "000000033dff4ac7116162"),
+        (Kind::Lane(Lane::Membership), b"ab", "000000033c3d20f0106162"),
+        (Kind::Lane(Lane::Registers), b"ab", "000000033dff4ac7116162"),
         (Kind::Lane(Lane::Table), b"ab", "000000033fb9f49e126162"),
-        (Kind::Lane(Lane::Gather), b"ab", "000000033e7b9ea9136162"),
+        (Kind::Lane(Lane::ScatterGather), b"ab", "000000033e7b9ea9136162"),
     ];
     let mut codec = Codec { most: 100 };
     for (kind, body, expected) in cases {
--- a/crates/transport/src/codec.rs
+++ b/crates/transport/src/codec.rs
@@ -34,16 +34,16 @@
             Self::Go => 2,
             Self::Table => 3,
             Self::Close => 4,
-            Self::Lane(Lane::Roster) => 16,
-            Self::Lane(Lane::Holds) => 17,
+            Self::Lane(Lane::Membership) => 16,
+            Self::Lane(Lane::Registers) => 17,
             Self::Lane(Lane::Table) => 18,
-            Self::Lane(Lane::Gather) => 19,
+            Self::Lane(Lane::ScatterGather) => 19,
         }
     }
 
     fn from_number(number: u8) -> Option<Self> {
         let all = [Self::Alive, Self::Hello, Self::Go, Self::Table, Self::Close];
-        let lanes = [Lane::Roster, Lane::Holds, Lane::Table, Lane::Gather].map(Self::Lane);
+        let lanes = [Lane::Membership, Lane::Registers, Lane::Table, Lane::ScatterGather].map(Self::Lane);
         all.into_iter().chain(lanes).find(|k| k.number() == number)
     }
 
--- a/crates/transport/src/hub.rs
+++ b/crates/transport/src/hub.rs
@@ -4,7 +4,7 @@
 use crate::lanes::{Lanes, Waiting};
 use crate::limits::SAID;
 use crate::outbox::Outbox;
-use crate::{Hello, Lane, Limits, Listed, Order, Settings, Told, Why, PROTOCOL};
+use crate::{Hello, Lane, Limits, LinkCommand, LinkError, LinkEvent, PeerConfig, Settings, PROTOCOL_VERSION};
 use basaltgw_types::{name, Member, RouterId};
 use event_listener::Event;
 use serde::{Deserialize, Serialize};
@@ -55,7 +55,7 @@
 /// See the module.
 pub struct Hub {
     pub me: RefCell<Greeting>,
-    pub listed: BTreeMap<RouterId, Listed>,
+    pub listed: BTreeMap<RouterId, PeerConfig>,
     pub limits: Limits,
     pub settings: Settings,
     /// Which of the users want a router.
@@ -86,7 +86,7 @@
 impl Hub {
     pub fn new(
         me: Greeting,
-        listed: BTreeMap<RouterId, Listed>,
+        listed: BTreeMap<RouterId, PeerConfig>,
         (limits, settings): (Limits, Settings),
         outboxes: [Outbox; 2],
         counts: Arc<Counts>,
@@ -120,25 +120,25 @@
     }
 
     /// Reads a hello; a reason if its speaker is a stranger, or if it can't be read.
-    pub fn judge(&self, body: &[u8]) -> Result<Greeting, (Why, String)> {
-        let stranger = |why: String| Err((Why::Stranger, why));
+    pub fn judge(&self, body: &[u8]) -> Result<Greeting, (LinkError, String)> {
+        let stranger = |why: String| Err((LinkError::PeerMismatch, why));
         // The protocol comes first, whatever follows: another version may say something else after it.
         let Ok((protocol, _)) = postcard::take_from_bytes::<u16>(body) else {
-            return Err((Why::Garbled, "a hello without a protocol".into()));
+            return Err((LinkError::MalformedFrame, "a hello without a protocol".into()));
         };
-        if protocol != PROTOCOL {
-            return stranger(format!("protocol {protocol}, expected {PROTOCOL}"));
+        if protocol != PROTOCOL_VERSION {
+            return stranger(format!("protocol {protocol}, expected {PROTOCOL_VERSION}"));
         }
         let greeting = match postcard::take_from_bytes::<Greeting>(body) {
             Ok((greeting, [])) => greeting,
-            Ok(_) | Err(_) => return Err((Why::Garbled, "a hello that can't be read".into())),
+            Ok(_) | Err(_) => return Err((LinkError::MalformedFrame, "a hello that can't be read".into())),
         };
         let hello = &greeting.hello;
         let me = &self.me.borrow().hello;
         let router = &hello.member.router;
         for text in [&hello.cluster, &router.0, &hello.domain.branch, &hello.domain.machine] {
             if let Err(bad) = name(text) {
-                return Err((Why::Garbled, bad.to_string()));
+                return Err((LinkError::MalformedFrame, bad.to_string()));
             }
         }
         if hello.cluster != me.cluster {
@@ -170,7 +170,7 @@
         let old = self.links.borrow().get(&router).cloned();
         if let Some(old) = old {
             let same = old.member() == hello.member;
-            self.down(&old, if same { Why::Broken } else { Why::Replaced });
+            self.down(&old, if same { LinkError::ConnectionLost } else { LinkError::Replaced });
         }
         let link = Rc::new(Link {
             greeting: RefCell::new(greeting),
@@ -194,12 +194,12 @@
     /// Tells both users of a link that is up, or of its peer's table.
     pub fn tell_up(&self, hello: Hello) {
         for outbox in &self.outboxes {
-            outbox.borrow_mut().up(&hello.member.router, Told::Up(hello.clone()));
+            outbox.borrow_mut().up(&hello.member.router, LinkEvent::LinkUp(hello.clone()));
         }
     }
 
     /// A link is gone, once: what waited on it is unsent.
-    pub fn down(&self, link: &Rc<Link>, why: Why) {
+    pub fn down(&self, link: &Rc<Link>, why: LinkError) {
         if link.gone.replace(true) {
             return;
         }
@@ -210,21 +210,28 @@
         }
         drop(links);
         count(match why {
-            Why::Silent => &self.counts.peer_silent,
-            Why::Garbled => &self.counts.peer_garbled,
-            Why::Flooded => &self.counts.peer_flooded,
-            Why::Replaced => &self.counts.peer_replaced,
-            Why::Idle => &self.counts.peer_idle,
-            Why::NoLink | Why::Full | Why::Broken | Why::Stranger => &self.counts.peer_broken,
+            LinkError::PeerTimeout => &self.counts.peer_silent,
+            LinkError::MalformedFrame => &self.counts.peer_garbled,
+            LinkError::RateExceeded => &self.counts.peer_flooded,
+            LinkError::Replaced => &self.counts.peer_replaced,
+            LinkError::Idle => &self.counts.peer_idle,
+            LinkError::NotConnected
+            | LinkError::QueueFull
+            | LinkError::ConnectionLost
+            | LinkError::PeerMismatch => &self.counts.peer_broken,
         });
         for outbox in &self.outboxes {
-            outbox.borrow_mut().down(&member.router, Told::Down(member.clone(), why));
+            outbox.borrow_mut().down(&member.router, LinkEvent::LinkDown(member.clone(), why));
         }
         // Only the frame that was begun may have reached somebody.
         if let Some(frame) = link.writing.take() {
-            self.unsent(frame.user, frame.no, member.clone(), Why::Broken);
+            self.unsent(frame.user, frame.no, member.clone(), LinkError::ConnectionLost);
         }
-        let never = if matches!(why, Why::Broken | Why::Idle) { Why::NoLink } else { why };
+        let never = if matches!(why, LinkError::ConnectionLost | LinkError::Idle) {
+            LinkError::NotConnected
+        } else {
+            why
+        };
         for frame in link.lanes.borrow_mut().take() {
             self.unsent(frame.user, frame.no, member.clone(), never);
         }
@@ -232,13 +239,17 @@
         self.changed.notify(usize::MAX);
     }
 
-    fn unsent(&self, user: usize, no: u64, to: Member, why: Why) {
+    fn unsent(&self, user: usize, no: u64, to: Member, why: LinkError) {
         count(match why {
-            Why::NoLink | Why::Stranger | Why::Idle => &self.counts.peer_unsent_no_link,
-            Why::Full => &self.counts.peer_unsent_full,
-            Why::Broken | Why::Silent | Why::Garbled | Why::Flooded | Why::Replaced => {
-                &self.counts.peer_unsent_broken
+            LinkError::NotConnected | LinkError::PeerMismatch | LinkError::Idle => {
+                &self.counts.peer_unsent_no_link
             }
+            LinkError::QueueFull => &self.counts.peer_unsent_full,
+            LinkError::ConnectionLost
+            | LinkError::PeerTimeout
+            | LinkError::MalformedFrame
+            | LinkError::RateExceeded
+            | LinkError::Replaced => &self.counts.peer_unsent_broken,
         });
         if let Some(outbox) = self.outboxes.get(user) {
             outbox.borrow_mut().unsent(no, to, why);
@@ -246,26 +257,26 @@
     }
 
     /// Carries out an order of a user.
-    pub fn order(&self, user: usize, order: Order) {
+    pub fn order(&self, user: usize, order: LinkCommand) {
         match order {
-            Order::Send { no, to, lane, body } => {
+            LinkCommand::Send { number: no, to, lane, body } => {
                 let link = self.links.borrow().get(&to.router).filter(|l| l.member() == to).cloned();
-                let Some(link) = link else { return self.unsent(user, no, to, Why::NoLink) };
+                let Some(link) = link else { return self.unsent(user, no, to, LinkError::NotConnected) };
                 let taken = link.lanes.borrow_mut().push(Waiting { no, user, lane, body });
                 match taken {
                     Ok(()) => _ = link.wake.notify(usize::MAX),
-                    Err(frame) => self.unsent(user, frame.no, to, Why::Full),
+                    Err(frame) => self.unsent(user, frame.no, to, LinkError::QueueFull),
                 }
             }
-            Order::Want(router, yes) => self.want(user, router, yes),
-            Order::Table(version, hash) => {
+            LinkCommand::SetWanted(router, yes) => self.want(user, router, yes),
+            LinkCommand::AdvertiseTable(version, hash) => {
                 self.me.borrow_mut().hello.table = (version, hash);
                 for link in self.links.borrow().values() {
                     link.table.set(true);
                     link.wake.notify(usize::MAX);
                 }
             }
-            Order::End => self.end(),
+            LinkCommand::Shutdown => self.end(),
         }
     }
 
@@ -283,7 +294,7 @@
         for (outbox, open) in self.outboxes.iter().zip(open.iter_mut()) {
             let mut outbox = outbox.borrow_mut();
             if *open && outbox.lanes.contains(&lane) {
-                let told = Told::Got { from: from.clone(), lane, body: body.to_vec() };
+                let told = LinkEvent::MessageReceived { from: from.clone(), lane, body: body.to_vec() };
                 *open = !outbox.got(told);
             } else {
                 *open = false;
--- a/crates/transport/src/lanes.rs
+++ b/crates/transport/src/lanes.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 /// The lanes in the order in which they are written.
-pub const LANES: [Lane; 4] = [Lane::Roster, Lane::Holds, Lane::Table, Lane::Gather];
+pub const LANES: [Lane; 4] = [Lane::Membership, Lane::Registers, Lane::Table, Lane::ScatterGather];
 
 /// A frame that was taken.
 #[derive(Debug, PartialEq, Eq)]
@@ -36,16 +36,16 @@
 
 impl Lanes {
     pub fn new(limits: &Limits) -> Self {
-        Self { queues: Default::default(), frames: limits.frames, bytes: limits.bytes }
+        Self { queues: Default::default(), frames: limits.max_queued_frames, bytes: limits.max_queued_bytes }
     }
 
     /// Takes a frame, or gives it back if its lane is full.
     pub fn push(&mut self, frame: Waiting) -> Result<(), Waiting> {
         let queue = match frame.lane {
-            Lane::Roster => &mut self.queues[0],
-            Lane::Holds => &mut self.queues[1],
+            Lane::Membership => &mut self.queues[0],
+            Lane::Registers => &mut self.queues[1],
             Lane::Table => &mut self.queues[2],
-            Lane::Gather => &mut self.queues[3],
+            Lane::ScatterGather => &mut self.queues[3],
         };
         if queue.frames.len() >= self.frames || queue.bytes + frame.body.len() > self.bytes {
             return Err(frame);
@@ -80,7 +80,8 @@
 mod tests {
     use super::*;
 
-    const LIMITS: Limits = Limits { frames: 100, bytes: 1000, frame: 10, ring: 1 };
+    const LIMITS: Limits =
+        Limits { max_queued_frames: 100, max_queued_bytes: 1000, max_frame_bytes: 10, ring_entries: 1 };
 
     fn frame(no: u64, lane: Lane) -> Waiting {
         Waiting { no, user: 0, lane, body: vec![0; 4] }
@@ -105,14 +106,17 @@
 
     #[test]
     fn a_lane_is_bounded_in_frames_and_bytes_by_itself() {
-        let mut lanes = Lanes::new(&Limits { frames: 3, bytes: 9, ..LIMITS });
-        assert!(lanes.push(frame(0, Lane::Gather)).is_ok() && lanes.push(frame(1, Lane::Gather)).is_ok());
-        assert_eq!(lanes.push(frame(2, Lane::Gather)), Err(frame(2, Lane::Gather)), "bytes");
-        assert!(lanes.push(frame(3, Lane::Holds)).is_ok());
-        let empty = |no| Waiting { body: vec![], ..frame(no, Lane::Gather) };
+        let mut lanes = Lanes::new(&Limits { max_queued_frames: 3, max_queued_bytes: 9, ..LIMITS });
+        assert!(
+            lanes.push(frame(0, Lane::ScatterGather)).is_ok()
+                && lanes.push(frame(1, Lane::ScatterGather)).is_ok()
+        );
+        assert_eq!(lanes.push(frame(2, Lane::ScatterGather)), Err(frame(2, Lane::ScatterGather)), "bytes");
+        assert!(lanes.push(frame(3, Lane::Registers)).is_ok());
+        let empty = |no| Waiting { body: vec![], ..frame(no, Lane::ScatterGather) };
         assert!(lanes.push(empty(4)).is_ok());
         assert_eq!(lanes.push(empty(5)), Err(empty(5)), "frames");
         assert_eq!(lanes.take().len(), 4);
-        assert!(lanes.pop().is_none() && lanes.push(frame(6, Lane::Gather)).is_ok());
+        assert!(lanes.pop().is_none() && lanes.push(frame(6, Lane::ScatterGather)).is_ok());
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -23,8 +23,8 @@
 mod wants;
 
 pub use counts::Counts;
-pub use port::{Ended, Links, Port, Refused, Rest, User};
-pub use settings::{Dials, Settings};
+pub use port::{CommandError, Links, Port, TransportEnded, TransportHandle, TransportUser};
+pub use settings::{DialPolicy, Settings};
 pub use thread::start;
 
 /// The frames as bytes, for tests that play a peer.
@@ -32,13 +32,13 @@
     pub use crate::codec::{BadFrame, Codec, Frame, Kind};
 }
 
-pub use basaltgw_types::link::{Hello, Lane, Why, PROTOCOL};
+pub use basaltgw_types::link::{Hello, Lane, LinkError, PROTOCOL_VERSION};
 use basaltgw_types::{Domain, Member, RouterId, TableHash, TableVersion};
 use std::net::SocketAddr;
 
 /// A peer as the configuration lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct PeerConfig {
     /// Its name.
     pub router: RouterId,
     /// Where it listens for peers.
@@ -51,22 +51,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Frames that wait to be written on a lane.
-    pub frames: usize,
+    pub max_queued_frames: usize,
     /// Their bytes; also the bytes of bodies that each of a user's two rings holds. At least one frame.
-    pub bytes: usize,
+    pub max_queued_bytes: usize,
     /// The longest frame, in bytes.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// Entries of a ring.
-    pub ring: usize,
+    pub ring_entries: usize,
 }
 
 /// What is asked of the links.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum LinkCommand {
     /// Carry bytes to a router. `no` comes back in [`Told::Unsent`] if they were not written whole.
     Send {
         /// The sender's number for it.
-        no: u64,
+        number: u64,
         /// To whom; only to this life of it.
         to: Member,
         /// On which lane.
@@ -76,24 +76,24 @@
     },
     /// A router is wanted from now on, or no more; only where [`Dials::Wanted`]. While any user wants it, it is dialled until a link is up; each
     /// try that comes to nothing is answered by [`Told::Unreached`]. If a link is up it is told again: it is not closed for being idle then.
-    Want(RouterId, bool),
+    SetWanted(RouterId, bool),
     /// The table by which the own hello goes from now on.
-    Table(TableVersion, TableHash),
+    AdvertiseTable(TableVersion, TableHash),
     /// End in order.
-    End,
+    Shutdown,
 }
 
 /// What the links tell.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum LinkEvent {
     /// A link came up, or its peer goes by another table.
-    Up(Hello),
+    LinkUp(Hello),
     /// A link is down.
-    Down(Member, Why),
+    LinkDown(Member, LinkError),
     /// A router that this user wants was dialled and not reached. It is dialled again while it is wanted.
-    Unreached(RouterId),
+    DialFailed(RouterId),
     /// Bytes came.
-    Got {
+    MessageReceived {
         /// From whom.
         from: Member,
         /// On which lane.
@@ -102,12 +102,12 @@
         body: Vec<u8>,
     },
     /// What was to be sent was not written whole: it may have reached nobody, or (if `Broken`) somebody.
-    Unsent {
+    SendFailed {
         /// The sender's number.
-        no: u64,
+        number: u64,
         /// To whom.
         to: Member,
         /// Why.
-        why: Why,
+        error: LinkError,
     },
 }
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -5,7 +5,7 @@
 use crate::hub::{Greeting, Hub, Link};
 use crate::limits::{HELLO, OWN_PER_S, READ_PER_S, STUCK, WHOLE};
 use crate::wants::Place;
-use crate::Why;
+use crate::LinkError;
 use async_io::{Async, Timer};
 use asynchronous_codec::{Encoder, FramedRead};
 use basaltgw_types::{RouterId, TableHash, TableVersion};
@@ -46,7 +46,7 @@
     /// There is a link already.
     Second,
     /// A stranger, or garbled.
-    Bad(Why, String),
+    Bad(LinkError, String),
 }
 
 /// What became of a connection.
@@ -100,7 +100,7 @@
             count(&hub.counts.peer_second);
             return End::Second;
         }
-        Err(NoLink::Bad(Why::Garbled, text)) => {
+        Err(NoLink::Bad(LinkError::MalformedFrame, text)) => {
             hub.refuse(&hub.counts.peer_garbled, &text);
             return End::Refused;
         }
@@ -110,21 +110,21 @@
         }
     };
     // Whatever way this ends, a task that is dropped included, the link is told to be gone.
-    let up = Up { hub: hub.clone(), link: link.clone(), why: Cell::new(Why::Broken) };
+    let up = Up { hub: hub.clone(), link: link.clone(), why: Cell::new(LinkError::ConnectionLost) };
     let since = Instant::now();
-    frames.decoder_mut().most = hub.limits.frame;
+    frames.decoder_mut().most = hub.limits.max_frame_bytes;
     heard.set(since);
     let closed = async {
         let listener = link.closed.listen();
         if !link.gone.get() {
             listener.await;
         }
-        Why::Broken
+        LinkError::ConnectionLost
     };
     let reader = reader(hub, &link, &mut frames, &heard);
     let writer = writer(hub, &link, &stream, first);
     let why = future::or(closed, future::or(reader, writer)).await;
-    up.why.set(if link.closing.get() { Why::Idle } else { why });
+    up.why.set(if link.closing.get() { LinkError::Idle } else { why });
     drop(up);
     if since.elapsed() >= crate::limits::GOOD {
         End::Good
@@ -137,7 +137,7 @@
 struct Up {
     hub: Rc<Hub>,
     link: Rc<Link>,
-    why: Cell<Why>,
+    why: Cell<LinkError>,
 }
 
 impl Drop for Up {
@@ -155,12 +155,13 @@
 ) -> Result<(Rc<Link>, BytesMut), NoLink> {
     let own = |kinds: &[Kind]| {
         let me = hub.me.borrow();
-        let hello = postcard::to_stdvec(&*me).map_err(|e| NoLink::Bad(Why::Garbled, e.to_string()))?;
+        let hello =
+            postcard::to_stdvec(&*me).map_err(|e| NoLink::Bad(LinkError::MalformedFrame, e.to_string()))?;
         let mut bytes = BytesMut::new();
         for kind in kinds {
             let body = if *kind == Kind::Hello { &hello[..] } else { &[] };
             let done = Codec { most: 0 }.encode((*kind, body), &mut bytes);
-            done.map_err(|e| NoLink::Bad(Why::Garbled, e.to_string()))?;
+            done.map_err(|e| NoLink::Bad(LinkError::MalformedFrame, e.to_string()))?;
         }
         Ok(bytes)
     };
@@ -173,7 +174,7 @@
     let greeting: Greeting = greeting.map_err(|(why, text)| NoLink::Bad(why, text))?;
     let router = &greeting.hello.member.router;
     if let Some(expected) = dialled.filter(|d| *d != router) {
-        return Err(NoLink::Bad(Why::Stranger, format!("dialled {expected}, found {router}")));
+        return Err(NoLink::Bad(LinkError::PeerMismatch, format!("dialled {expected}, found {router}")));
     }
     if hub.chooses(router) {
         if hub.has(&greeting) {
@@ -196,24 +197,24 @@
         Some(Ok(frame)) if frame.kind == kind => Ok(frame.body),
         Some(Ok(frame)) => {
             let text = format!("expected {kind:?}, found {:?} of {} bytes", frame.kind, frame.body.len());
-            Err(NoLink::Bad(Why::Garbled, text))
+            Err(NoLink::Bad(LinkError::MalformedFrame, text))
         }
         Some(Err(BadFrame::Io(_))) | None => Err(NoLink::Broke),
-        Some(Err(bad)) => Err(NoLink::Bad(Why::Garbled, bad.to_string())),
+        Some(Err(bad)) => Err(NoLink::Bad(LinkError::MalformedFrame, bad.to_string())),
     }
 }
 
 /// Reads until something ends the link.
-async fn reader(hub: &Rc<Hub>, link: &Rc<Link>, frames: &mut Frames, heard: &Cell<Instant>) -> Why {
+async fn reader(hub: &Rc<Hub>, link: &Rc<Link>, frames: &mut Frames, heard: &Cell<Instant>) -> LinkError {
     let (mut second, mut bytes, mut own) = (Instant::now(), 0, 0);
-    let silent = hub.settings.silent;
+    let silent = hub.settings.peer_timeout;
     loop {
         let silence = async {
             let begun = Instant::now();
             loop {
                 let end = (heard.get() + silent).min(begun + WHOLE.max(silent));
                 if Instant::now() >= end {
-                    return Err(Why::Silent);
+                    return Err(LinkError::PeerTimeout);
                 }
                 Timer::at(end).await;
             }
@@ -222,10 +223,10 @@
         let frame = future::or(async { Ok(frames.next().await) }, silence).await;
         let Frame { kind, body } = match frame {
             Ok(Some(Ok(frame))) => frame,
-            Ok(None | Some(Err(BadFrame::Io(_)))) => return Why::Broken,
+            Ok(None | Some(Err(BadFrame::Io(_)))) => return LinkError::ConnectionLost,
             Ok(Some(Err(bad))) => {
                 log::warn!("peers: {} sent {bad}", link.member());
-                return Why::Garbled;
+                return LinkError::MalformedFrame;
             }
             Err(why) => return why,
         };
@@ -244,14 +245,14 @@
             Kind::Alive | Kind::Table => {
                 own += 1;
                 if own > OWN_PER_S {
-                    return Why::Flooded;
+                    return LinkError::RateExceeded;
                 }
                 if kind == Kind::Table && !new_table(hub, link, &body) {
-                    return Why::Garbled;
+                    return LinkError::MalformedFrame;
                 }
             }
-            Kind::Close => return Why::Idle,
-            Kind::Hello | Kind::Go => return Why::Garbled,
+            Kind::Close => return LinkError::Idle,
+            Kind::Hello | Kind::Go => return LinkError::MalformedFrame,
         }
         if bytes > READ_PER_S {
             count(&hub.counts.peer_paced);
@@ -288,19 +289,19 @@
 }
 
 /// Writes what waits, a sign of life when nothing does, until something ends the link.
-async fn writer(hub: &Rc<Hub>, link: &Rc<Link>, stream: &Async<TcpStream>, mut bytes: BytesMut) -> Why {
-    let mut codec = Codec { most: hub.limits.frame };
+async fn writer(hub: &Rc<Hub>, link: &Rc<Link>, stream: &Async<TcpStream>, mut bytes: BytesMut) -> LinkError {
+    let mut codec = Codec { most: hub.limits.max_frame_bytes };
     loop {
         let mut out = &bytes[..];
         while !out.is_empty() {
             let stuck = async {
-                Timer::after(STUCK.max(2 * hub.settings.silent)).await;
+                Timer::after(STUCK.max(2 * hub.settings.peer_timeout)).await;
                 Err(io::ErrorKind::TimedOut.into())
             };
             match future::or((&*stream).write(out), stuck).await {
                 Ok(n @ 1..) => out = out.get(n..).unwrap_or_default(),
-                Err(e) if e.kind() == io::ErrorKind::TimedOut => return Why::Silent,
-                Ok(0) | Err(_) => return Why::Broken,
+                Err(e) if e.kind() == io::ErrorKind::TimedOut => return LinkError::PeerTimeout,
+                Ok(0) | Err(_) => return LinkError::ConnectionLost,
             }
         }
         if let Some(frame) = link.writing.take() {
@@ -323,10 +324,10 @@
             let table = hub.me.borrow().hello.table;
             postcard::to_stdvec(&table).map(|body| codec.encode((Kind::Table, &body), &mut bytes)).is_ok()
         } else if hub.ending.get() {
-            return Why::Broken;
+            return LinkError::ConnectionLost;
         } else {
             let idle = async {
-                Timer::after(hub.settings.alive).await;
+                Timer::after(hub.settings.keepalive_interval).await;
                 true
             };
             let woken = async {
@@ -340,15 +341,15 @@
             alone && codec.encode((kind, &[]), &mut bytes).is_ok()
         };
         if !encoded && link.writing.borrow().is_some() {
-            return Why::Broken;
+            return LinkError::ConnectionLost;
         }
     }
 }
 
 /// Ends the writing in order. What the peer has written is still read; it closes when it reads that, and else is not waited for long.
-async fn closed(stream: &Async<TcpStream>) -> Why {
+async fn closed(stream: &Async<TcpStream>) -> LinkError {
     if stream.get_ref().shutdown(Shutdown::Write).is_ok() {
         Timer::after(HELLO).await;
     }
-    Why::Idle
+    LinkError::Idle
 }
--- a/crates/transport/src/outbox.rs
+++ b/crates/transport/src/outbox.rs
@@ -1,7 +1,7 @@
 //! The links' end of a port: orders out, and news that wait for room in the ring.
 
-use crate::port::{hold, Held, Port, User};
-use crate::{Lane, Limits, Order, Told, Why};
+use crate::port::{hold, Held, Port, TransportUser};
+use crate::{Lane, Limits, LinkCommand, LinkError, LinkEvent};
 use async_channel::Receiver;
 use basaltgw_types::RouterId;
 use rtrb::{Consumer, Producer, PushError, RingBuffer};
@@ -13,19 +13,19 @@
 #[derive(Debug, Default)]
 struct News {
     /// An older link is down.
-    down: Option<Told>,
+    down: Option<LinkEvent>,
     /// It could not be reached.
-    unreached: Option<Told>,
+    unreached: Option<LinkEvent>,
     /// A newer link is up.
-    up: Option<Told>,
+    up: Option<LinkEvent>,
 }
 
 /// The links' end of a port.
 pub struct Outbox {
-    orders: Consumer<Order>,
+    orders: Consumer<LinkCommand>,
     pub bell: Receiver<()>,
     pub lanes: Vec<Lane>,
-    told: Option<Producer<Told>>,
+    told: Option<Producer<LinkEvent>>,
     starved: Arc<AtomicBool>,
     held: Held,
     /// Bytes that a ring may hold.
@@ -36,28 +36,28 @@
     /// Peers that the user was last told to be up.
     up: BTreeSet<RouterId>,
     /// Unsent frames without room: no more than were taken. While there are any, no order is taken.
-    unsent: VecDeque<Told>,
+    unsent: VecDeque<LinkEvent>,
 }
 
 /// Both ends of a port, and the event of there being room in its ring.
-pub fn port(user: User, limits: &Limits) -> (Port, Outbox) {
-    let (orders, orders_out) = RingBuffer::new(limits.ring);
-    let (told, told_out) = RingBuffer::new(limits.ring);
+pub fn port(user: TransportUser, limits: &Limits) -> (Port, Outbox) {
+    let (orders, orders_out) = RingBuffer::new(limits.ring_entries);
+    let (told, told_out) = RingBuffer::new(limits.ring_entries);
     let (bell, bell_out) = async_channel::bounded(1);
     let starved = Arc::new(AtomicBool::new(false));
     let held = Held::default();
     let (starved_too, held_too) = (starved.clone(), held.clone());
     let port = Port { orders, told: told_out, bell, starved: starved_too, held: held_too, limits: *limits };
-    let User { lanes, wake } = user;
+    let TransportUser { lanes, wake } = user;
     let told = Some(told);
     let (news, up, unsent) = (BTreeMap::new(), BTreeSet::new(), VecDeque::new());
-    let (orders, bell, most) = (orders_out, bell_out, limits.bytes);
+    let (orders, bell, most) = (orders_out, bell_out, limits.max_queued_bytes);
     (port, Outbox { orders, bell, lanes, told, starved, held, most, wake, news, up, unsent })
 }
 
 impl Outbox {
     /// Tells something. Without room it is handed back, and the bell rings once there is some.
-    fn push(&mut self, told: Told) -> Option<Told> {
+    fn push(&mut self, told: LinkEvent) -> Option<LinkEvent> {
         let Some(ring) = &mut self.told else { return Some(told) };
         let bytes = told.bytes();
         let mut once = |told| {
@@ -81,12 +81,12 @@
     }
 
     /// Tells bytes that came; whether there was room, and nothing older waits for some.
-    pub fn got(&mut self, told: Told) -> bool {
+    pub fn got(&mut self, told: LinkEvent) -> bool {
         self.flush() && self.push(told).is_none()
     }
 
     /// A link is up, or its peer's table another.
-    pub fn up(&mut self, router: &RouterId, told: Told) {
+    pub fn up(&mut self, router: &RouterId, told: LinkEvent) {
         let waiting = self.news.entry(router.clone()).or_default();
         (waiting.unreached, waiting.up) = (None, Some(told));
         self.flush();
@@ -94,12 +94,12 @@
 
     /// A router that the user wants could not be reached.
     pub fn unreached(&mut self, router: &RouterId) {
-        self.news.entry(router.clone()).or_default().unreached = Some(Told::Unreached(router.clone()));
+        self.news.entry(router.clone()).or_default().unreached = Some(LinkEvent::DialFailed(router.clone()));
         self.flush();
     }
 
     /// A link is down. If it was never told that it is up, nothing is.
-    pub fn down(&mut self, router: &RouterId, told: Told) {
+    pub fn down(&mut self, router: &RouterId, told: LinkEvent) {
         let waiting = self.news.entry(router.clone()).or_default();
         waiting.up = None;
         if waiting.down.is_none() && self.up.contains(router) {
@@ -109,8 +109,8 @@
     }
 
     /// A frame was not written whole.
-    pub fn unsent(&mut self, no: u64, to: basaltgw_types::Member, why: Why) {
-        self.unsent.push_back(Told::Unsent { no, to, why });
+    pub fn unsent(&mut self, no: u64, to: basaltgw_types::Member, why: LinkError) {
+        self.unsent.push_back(LinkEvent::SendFailed { number: no, to, error: why });
         self.flush();
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// The next order, if there is one.
-    pub fn order(&mut self) -> Option<Order> {
+    pub fn order(&mut self) -> Option<LinkCommand> {
         let order = self.orders.pop().ok()?;
         self.held.orders.fetch_sub(order.bytes(), SeqCst);
         Some(order)
--- a/crates/transport/src/port.rs
+++ b/crates/transport/src/port.rs
@@ -1,7 +1,7 @@
 //! The rings between the links' thread and its two users.
 
 use crate::counts::Counts;
-use crate::{Lane, Limits, Order, Told};
+use crate::{Lane, Limits, LinkCommand, LinkEvent};
 use async_channel::Sender;
 use rtrb::{Consumer, Producer, PushError};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 
 /// A user of the links, as it is handed in at the start.
-pub struct User {
+pub struct TransportUser {
     /// The lanes whose frames it takes. A lane of both users' is told to both.
     pub lanes: Vec<Lane>,
     /// Called from the links' thread after something was told, and when that thread ends: wakes the user. Must neither wait nor panic.
@@ -19,38 +19,38 @@
 
 /// An order that was not taken; it is handed back.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum CommandError {
     /// The ring is full: try again after something was told, or give up.
     #[error("the ring of orders is full")]
-    Full(Order),
+    QueueFull(LinkCommand),
     /// Longer than a frame may be.
-    #[error("a frame longer than {most} bytes")]
-    Long {
+    #[error("a frame longer than {max_bytes} bytes")]
+    FrameTooLong {
         /// The order.
-        order: Order,
+        command: LinkCommand,
         /// The bound.
-        most: usize,
+        max_bytes: usize,
     },
     /// The links' thread has ended.
     #[error("the links have ended")]
-    Ended(Order),
+    Ended(LinkCommand),
 }
 
 /// How the links' thread ended.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the links' thread ended: {0}")]
-pub struct Ended(pub String);
+pub struct TransportEnded(pub String);
 
 /// The running links.
 #[derive(Debug)]
 pub struct Links {
     pub(crate) ports: (Port, Port),
-    pub(crate) rest: Rest,
+    pub(crate) rest: TransportHandle,
 }
 
 /// What is left of [`Links`] once its ports are with their users: the thread and the counters.
 #[derive(Debug)]
-pub struct Rest {
+pub struct TransportHandle {
     pub(crate) thread: JoinHandle<()>,
     pub(crate) counts: Arc<Counts>,
     pub(crate) address: SocketAddr,
@@ -58,12 +58,12 @@
 
 impl Links {
     /// The ports, in the order in which the users were handed in, and what watches over the thread.
-    pub fn split(self) -> (Port, Port, Rest) {
+    pub fn split(self) -> (Port, Port, TransportHandle) {
         (self.ports.0, self.ports.1, self.rest)
     }
 }
 
-impl Rest {
+impl TransportHandle {
     /// Whether the thread has ended, in order or not.
     pub fn ended(&self) -> bool {
         self.thread.is_finished()
@@ -73,12 +73,12 @@
     ///
     /// # Errors
     /// [`Ended`] with the cause if it was not [`Order::End`] or a dropped [`Port`].
-    pub fn join(self) -> Result<(), Ended> {
+    pub fn join(self) -> Result<(), TransportEnded> {
         let text = |cause: Box<dyn std::any::Any + Send>| match cause.downcast::<String>() {
             Ok(text) => *text,
             Err(cause) => (*cause.downcast::<&str>().unwrap_or(Box::new("a panic without words"))).into(),
         };
-        self.thread.join().map_err(|cause| Ended(text(cause)))
+        self.thread.join().map_err(|cause| TransportEnded(text(cause)))
     }
 
     /// What was counted so far.
@@ -95,8 +95,8 @@
 /// A user's end: orders in, news out. Neither waits. Dropping one of the two ends the links in order.
 #[derive(Debug)]
 pub struct Port {
-    pub(crate) orders: Producer<Order>,
-    pub(crate) told: Consumer<Told>,
+    pub(crate) orders: Producer<LinkCommand>,
+    pub(crate) told: Consumer<LinkEvent>,
     pub(crate) bell: Sender<()>,
     pub(crate) starved: Arc<AtomicBool>,
     pub(crate) held: Held,
@@ -116,20 +116,20 @@
     bytes == 0 || held.fetch_update(SeqCst, SeqCst, fits).is_ok()
 }
 
-impl Order {
+impl LinkCommand {
     pub(crate) fn bytes(&self) -> usize {
         match self {
             Self::Send { body, .. } => body.len(),
-            Self::Want(..) | Self::Table(..) | Self::End => 0,
+            Self::SetWanted(..) | Self::AdvertiseTable(..) | Self::Shutdown => 0,
         }
     }
 }
 
-impl Told {
+impl LinkEvent {
     pub(crate) fn bytes(&self) -> usize {
         match self {
-            Self::Got { body, .. } => body.len(),
-            Self::Up(_) | Self::Down(..) | Self::Unreached(_) | Self::Unsent { .. } => 0,
+            Self::MessageReceived { body, .. } => body.len(),
+            Self::LinkUp(_) | Self::LinkDown(..) | Self::DialFailed(_) | Self::SendFailed { .. } => 0,
         }
     }
 }
@@ -139,21 +139,21 @@
     ///
     /// # Errors
     /// [`Refused`], at once, with the order.
-    pub fn send(&mut self, order: Order) -> Result<(), Refused> {
+    pub fn send(&mut self, order: LinkCommand) -> Result<(), CommandError> {
         if self.ended() {
-            return Err(Refused::Ended(order));
+            return Err(CommandError::Ended(order));
         }
-        let Limits { frame: most, bytes: ring, .. } = self.limits;
+        let Limits { max_frame_bytes: most, max_queued_bytes: ring, .. } = self.limits;
         let bytes = order.bytes();
         if bytes > most {
-            return Err(Refused::Long { order, most });
+            return Err(CommandError::FrameTooLong { command: order, max_bytes: most });
         }
         if !hold(&self.held.orders, bytes, ring) {
-            return Err(Refused::Full(order));
+            return Err(CommandError::QueueFull(order));
         }
         if let Err(PushError::Full(order)) = self.orders.push(order) {
             self.held.orders.fetch_sub(bytes, SeqCst);
-            return Err(Refused::Full(order));
+            return Err(CommandError::QueueFull(order));
         }
         // A bell that rings already is enough.
         let _ = self.bell.try_send(());
@@ -167,10 +167,10 @@
 }
 
 impl Iterator for Port {
-    type Item = Told;
+    type Item = LinkEvent;
 
     /// The next that was told, if there is something.
-    fn next(&mut self) -> Option<Told> {
+    fn next(&mut self) -> Option<LinkEvent> {
         let told = self.told.pop().ok();
         if let Some(told) = &told {
             self.held.told.fetch_sub(told.bytes(), SeqCst);
--- a/crates/transport/src/settings.rs
+++ b/crates/transport/src/settings.rs
@@ -8,11 +8,11 @@
 
 /// Which of the listed routers are dialled. Links that others dial are taken from each of them either way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dials {
+pub enum DialPolicy {
     /// All.
     All,
     /// Those that a user wants ([`crate::Order::Want`]).
-    Wanted {
+    OnDemand {
         /// A link that was dialled here, that nobody here wants any more and on which nothing but signs of life has gone for so long is closed.
         idle: Duration,
     },
@@ -22,28 +22,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Who is dialled.
-    pub dials: Dials,
+    pub dial_policy: DialPolicy,
     /// Without anything else to write, a sign of life is written each time.
-    pub alive: Duration,
+    pub keepalive_interval: Duration,
     /// A link on which no byte came for so long is silent. At least three signs of life of the peer.
-    pub silent: Duration,
+    pub peer_timeout: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { dials: Dials::All, alive: KEEPALIVE, silent: SILENT }
+        Self { dial_policy: DialPolicy::All, keepalive_interval: KEEPALIVE, peer_timeout: SILENT }
     }
 }
 
 impl Settings {
     /// What is the matter with them, if anything.
     pub(crate) fn fault(&self) -> Result<(), String> {
-        match self.alive.checked_mul(SIGNS) {
-            _ if self.alive.is_zero() => Err("alive: expected more than 0".into()),
-            Some(least) if least <= self.silent => Ok(()),
+        match self.keepalive_interval.checked_mul(SIGNS) {
+            _ if self.keepalive_interval.is_zero() => Err("alive: expected more than 0".into()),
+            Some(least) if least <= self.peer_timeout => Ok(()),
             Some(_) | None => Err(format!(
                 "silent: expected {SIGNS} times {:?} or more, found {:?}",
-                self.alive, self.silent
+                self.keepalive_interval, self.peer_timeout
             )),
         }
     }
--- a/crates/transport/src/thread.rs
+++ b/crates/transport/src/thread.rs
@@ -6,8 +6,8 @@
 use crate::limits::{ACCEPT_AGAIN, CONNECT, DIAL_FIRST, DIAL_MOST, ENDING, ORDER_ROW, UNKNOWN, UNMET};
 use crate::link::{connection, End};
 use crate::outbox::port;
-use crate::port::{Links, Rest, User};
-use crate::{Dials, Hello, Limits, Listed, Settings, Why, PROTOCOL};
+use crate::port::{Links, TransportHandle, TransportUser};
+use crate::{DialPolicy, Hello, Limits, LinkError, PeerConfig, Settings, PROTOCOL_VERSION};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use basaltgw_types::RouterId;
@@ -30,13 +30,18 @@
 pub fn start(
     me: Hello,
     listen: SocketAddr,
-    listed: Vec<Listed>,
+    listed: Vec<PeerConfig>,
     (limits, settings): (Limits, Settings),
     draw: u64,
-    users: [User; 2],
+    users: [TransportUser; 2],
 ) -> io::Result<Links> {
     let wrong = |what: String| Err(io::Error::new(io::ErrorKind::InvalidInput, what));
-    let Limits { frames, bytes, frame, ring } = limits;
+    let Limits {
+        max_queued_frames: frames,
+        max_queued_bytes: bytes,
+        max_frame_bytes: frame,
+        ring_entries: ring,
+    } = limits;
     if frames == 0
         || bytes < frame
         || frame == 0
@@ -50,8 +55,8 @@
     if let Err(what) = settings.fault() {
         return wrong(format!("settings of links: {what}"));
     }
-    if me.protocol != PROTOCOL {
-        return wrong(format!("the own protocol is {}, expected {PROTOCOL}", me.protocol));
+    if me.protocol != PROTOCOL_VERSION {
+        return wrong(format!("the own protocol is {}, expected {PROTOCOL_VERSION}", me.protocol));
     }
     if let Some(lane) = LANES.iter().find(|l| !users.iter().any(|u| u.lanes.contains(l))) {
         return wrong(format!("no user takes the lane {lane:?}"));
@@ -75,7 +80,7 @@
         run(listener, Hub::new(me, by_name, (limits, settings), [out_one, out_two], counted))
     };
     let thread = std::thread::Builder::new().name("peers".into()).spawn(run)?;
-    Ok(Links { ports: (one, two), rest: Rest { thread, counts, address } })
+    Ok(Links { ports: (one, two), rest: TransportHandle { thread, counts, address } })
 }
 
 /// What the thread's main task does next.
@@ -94,9 +99,9 @@
         tasks.spawn(seen(hub.clone(), orders(hub.clone(), user))).detach();
     }
     let dials = |name: RouterId| tasks.spawn(seen(hub.clone(), dial(hub.clone(), name))).detach();
-    match hub.settings.dials {
-        Dials::All => hub.listed.keys().cloned().for_each(dials),
-        Dials::Wanted { .. } => {}
+    match hub.settings.dial_policy {
+        DialPolicy::All => hub.listed.keys().cloned().for_each(dials),
+        DialPolicy::OnDemand { .. } => {}
     }
     let body = async {
         loop {
@@ -133,7 +138,7 @@
         let late = async { _ = Timer::after(ENDING).await };
         future::or(empty, late).await;
         let links: Vec<_> = hub.links.borrow().values().cloned().collect();
-        links.iter().for_each(|link| hub.down(link, Why::NoLink));
+        links.iter().for_each(|link| hub.down(link, LinkError::NotConnected));
     };
     async_io::block_on(tasks.run(body));
     // The thread ends as its task did: whoever joins it has the cause.
--- a/crates/transport/src/wants.rs
+++ b/crates/transport/src/wants.rs
@@ -3,7 +3,7 @@
 use crate::counts::count;
 use crate::hub::{Hub, Link};
 use crate::limits::DIALS;
-use crate::{Dials, Told};
+use crate::{DialPolicy, LinkEvent};
 use basaltgw_types::RouterId;
 use std::rc::Rc;
 
@@ -20,15 +20,15 @@
 impl Hub {
     /// Whether a router is to be dialled while there is no link to it.
     pub fn wanted(&self, router: &RouterId) -> bool {
-        match self.settings.dials {
-            Dials::All => true,
-            Dials::Wanted { .. } => self.wants.borrow().contains_key(router),
+        match self.settings.dial_policy {
+            DialPolicy::All => true,
+            DialPolicy::OnDemand { .. } => self.wants.borrow().contains_key(router),
         }
     }
 
     /// A user wants a router, or does no more.
     pub fn want(&self, user: usize, router: RouterId, yes: bool) {
-        if self.settings.dials == Dials::All {
+        if self.settings.dial_policy == DialPolicy::All {
             return;
         }
         if !self.listed.contains_key(&router) {
@@ -54,7 +54,7 @@
         if let Some(link) = link {
             let hello = link.greeting.borrow().hello.clone();
             let outbox = self.outboxes.get(user);
-            outbox.into_iter().for_each(|o| o.borrow_mut().up(&router, Told::Up(hello.clone())));
+            outbox.into_iter().for_each(|o| o.borrow_mut().up(&router, LinkEvent::LinkUp(hello.clone())));
         }
         // Also beside a link, for when it goes.
         if self.dialling.borrow_mut().insert(router.clone()) {
@@ -79,7 +79,7 @@
 
     /// A place to dial, once there is one; none is needed where all are dialled.
     pub async fn place(self: &Rc<Self>) -> Option<Place> {
-        if self.settings.dials == Dials::All {
+        if self.settings.dial_policy == DialPolicy::All {
             return None;
         }
         while self.dials.get() >= DIALS {
@@ -106,7 +106,7 @@
 
     /// True if a link is to be closed: dialled here, wanted by nobody here, and nothing of users has gone for long enough.
     pub fn idle(&self, link: &Link) -> bool {
-        let Dials::Wanted { idle } = self.settings.dials else { return false };
+        let DialPolicy::OnDemand { idle } = self.settings.dial_policy else { return false };
         link.dialled && link.used.get().elapsed() >= idle && !self.wanted(&link.member().router)
     }
 }
--- a/crates/transport/tests/codec.rs
+++ b/crates/transport/tests/codec.rs
@@ -16,8 +16,13 @@
         Just((Kind::Close, 0)),
         Just((Kind::Hello, 1000)),
         Just((Kind::Table, 1000)),
-        prop_oneof![Just(Lane::Roster), Just(Lane::Holds), Just(Lane::Table), Just(Lane::Gather)]
-            .prop_map(|lane| (Kind::Lane(lane), MOST)),
+        prop_oneof![
+            Just(Lane::Membership),
+            Just(Lane::Registers),
+            Just(Lane::Table),
+            Just(Lane::ScatterGather)
+        ]
+        .prop_map(|lane| (Kind::Lane(lane), MOST)),
     ]
 }
 
@@ -84,12 +89,12 @@
 
 #[test]
 fn what_is_too_long_is_not_written() {
-    for (kind, length) in [(Kind::Alive, 1), (Kind::Hello, 1025), (Kind::Lane(Lane::Holds), MOST + 1)] {
+    for (kind, length) in [(Kind::Alive, 1), (Kind::Hello, 1025), (Kind::Lane(Lane::Registers), MOST + 1)] {
         let body = vec![0; length];
         assert!(Codec { most: MOST }.encode((kind, &body), &mut BytesMut::new()).is_err());
         // Nor is it read, or room made for it, where another one wrote it.
         let mut bytes = BytesMut::new();
-        Codec { most: 100 * MOST }.encode((Kind::Lane(Lane::Holds), &body), &mut bytes).unwrap();
+        Codec { most: 100 * MOST }.encode((Kind::Lane(Lane::Registers), &body), &mut bytes).unwrap();
         bytes[8] = [0, 1, 17][[1, 1025, MOST + 1].iter().position(|l| *l == length).unwrap()];
         bytes.truncate(9);
         assert!(Codec { most: MOST }.decode(&mut bytes).is_err(), "{kind:?}");
--- a/crates/transport/tests/on_loopback/common.rs
+++ b/crates/transport/tests/on_loopback/common.rs
@@ -3,7 +3,8 @@
 use asynchronous_codec::{Decoder, Encoder};
 use basaltgw_transport::frames::{Codec, Frame, Kind};
 use basaltgw_transport::{
-    start, Hello, Lane, Limits, Listed, Order, Port, Rest, Settings, Told, User, PROTOCOL,
+    start, Hello, Lane, Limits, LinkCommand, LinkEvent, PeerConfig, Port, Settings, TransportHandle,
+    TransportUser, PROTOCOL_VERSION,
 };
 use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
 use bytes::BytesMut;
@@ -13,7 +14,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub const LIMITS: Limits = Limits { frames: 1000, bytes: 4 << 20, frame: 1 << 20, ring: 256 };
+pub const LIMITS: Limits = Limits {
+    max_queued_frames: 1000,
+    max_queued_bytes: 4 << 20,
+    max_frame_bytes: 1 << 20,
+    ring_entries: 256,
+};
 
 /// An address of its own on loopback: processes by their id, tests by counting.
 pub fn address() -> SocketAddr {
@@ -34,7 +40,7 @@
 pub fn hello(name: &str, life: u128) -> Hello {
     let table = (TableVersion(1), TableHash([7; 32]));
     Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         cluster: Arc::from("test"),
         member: member(name, life),
         domain: domain(name),
@@ -42,21 +48,21 @@
     }
 }
 
-pub fn listed(name: &str, address: SocketAddr) -> Listed {
-    Listed { router: member(name, 0).router, address, domain: domain(name) }
+pub fn listed(name: &str, address: SocketAddr) -> PeerConfig {
+    PeerConfig { router: member(name, 0).router, address, domain: domain(name) }
 }
 
 /// A router's links: the owner's port takes gathers and news, the other one the rest and news.
 pub struct Node {
     pub owner: Port,
     pub copies: Port,
-    pub rest: Rest,
+    pub rest: TransportHandle,
     pub me: Member,
     pub address: SocketAddr,
 }
 
 impl Node {
-    pub fn new(name: &str, life: u128, address: SocketAddr, peers: &[Listed], limits: Limits) -> Self {
+    pub fn new(name: &str, life: u128, address: SocketAddr, peers: &[PeerConfig], limits: Limits) -> Self {
         Self::with(name, life, address, peers, (limits, Settings::default()))
     }
 
@@ -64,11 +70,14 @@
         name: &str,
         life: u128,
         address: SocketAddr,
-        peers: &[Listed],
+        peers: &[PeerConfig],
         set: (Limits, Settings),
     ) -> Self {
-        let user = |lanes: &[Lane]| User { lanes: lanes.to_vec(), wake: Box::new(|| ()) };
-        let users = [user(&[Lane::Gather, Lane::Roster]), user(&[Lane::Holds, Lane::Table, Lane::Roster])];
+        let user = |lanes: &[Lane]| TransportUser { lanes: lanes.to_vec(), wake: Box::new(|| ()) };
+        let users = [
+            user(&[Lane::ScatterGather, Lane::Membership]),
+            user(&[Lane::Registers, Lane::Table, Lane::Membership]),
+        ];
         let draw = life as u64 * 1000 + u64::from(address.port());
         let links = start(hello(name, life), address, peers.to_vec(), set, draw, users).unwrap();
         let (owner, copies, rest) = links.split();
@@ -81,7 +90,7 @@
 }
 
 pub fn send(port: &mut Port, no: u64, to: &Member, lane: Lane, body: &[u8]) {
-    let order = Order::Send { no, to: to.clone(), lane, body: body.to_vec() };
+    let order = LinkCommand::Send { number: no, to: to.clone(), lane, body: body.to_vec() };
     wait("room for an order", || port.send(order.clone()).ok());
 }
 
@@ -98,27 +107,27 @@
 }
 
 /// Waits until a port tells something of a kind; the rest is dropped.
-pub fn told<T>(port: &mut Port, what: &str, mut which: impl FnMut(&Told) -> Option<T>) -> T {
+pub fn told<T>(port: &mut Port, what: &str, mut which: impl FnMut(&LinkEvent) -> Option<T>) -> T {
     wait(what, || port.find_map(|t| which(&t)))
 }
 
 pub fn up(port: &mut Port, member: &Member) -> Hello {
     told(port, &format!("{member} up"), |t| match t {
-        Told::Up(hello) if hello.member == *member => Some(hello.clone()),
+        LinkEvent::LinkUp(hello) if hello.member == *member => Some(hello.clone()),
         _ => None,
     })
 }
 
-pub fn down(port: &mut Port, member: &Member) -> basaltgw_transport::Why {
+pub fn down(port: &mut Port, member: &Member) -> basaltgw_transport::LinkError {
     told(port, &format!("{member} down"), |t| match t {
-        Told::Down(m, why) if m == member => Some(*why),
+        LinkEvent::LinkDown(m, why) if m == member => Some(*why),
         _ => None,
     })
 }
 
 pub fn got(port: &mut Port, member: &Member) -> (Lane, Vec<u8>) {
     told(port, &format!("a frame of {member}"), |t| match t {
-        Told::Got { from, lane, body } if from == member => Some((*lane, body.clone())),
+        LinkEvent::MessageReceived { from, lane, body } if from == member => Some((*lane, body.clone())),
         _ => None,
     })
 }
@@ -171,7 +180,7 @@
     /// The next frame; none if the connection is closed.
     pub fn read(&mut self) -> Option<Frame> {
         loop {
-            if let Some(frame) = (Codec { most: LIMITS.frame }).decode(&mut self.buffer).unwrap() {
+            if let Some(frame) = (Codec { most: LIMITS.max_frame_bytes }).decode(&mut self.buffer).unwrap() {
                 return Some(frame);
             }
             let mut some = [0; 4096];
@@ -194,6 +203,6 @@
 
 pub fn bytes(kind: Kind, body: &[u8]) -> BytesMut {
     let mut bytes = BytesMut::new();
-    Codec { most: LIMITS.frame }.encode((kind, body), &mut bytes).unwrap();
+    Codec { most: LIMITS.max_frame_bytes }.encode((kind, body), &mut bytes).unwrap();
     bytes
 }
--- a/crates/transport/tests/on_loopback/links.rs
+++ b/crates/transport/tests/on_loopback/links.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use basaltgw_transport::frames::Kind;
-use basaltgw_transport::{Lane, Order, Refused, Settings, Told, Why};
+use basaltgw_transport::{CommandError, Lane, LinkCommand, LinkError, LinkEvent, Settings};
 use basaltgw_types::{TableHash, TableVersion};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -19,7 +19,8 @@
         assert_eq!(up(port, &a.me), hello("a", 1));
     }
     for no in 0..50u64 {
-        for (lane, long) in [(Lane::Gather, 10), (Lane::Roster, 0), (Lane::Holds, 100), (Lane::Table, 50_000)]
+        for (lane, long) in
+            [(Lane::ScatterGather, 10), (Lane::Membership, 0), (Lane::Registers, 100), (Lane::Table, 50_000)]
         {
             send(&mut a.owner, no, &b.me, lane, &vec![no as u8; long]);
             send(&mut b.copies, no, &a.me, lane, &vec![no as u8; long]);
@@ -28,14 +29,16 @@
     // Each user gets its lanes, each lane in order, and nothing went down meanwhile.
     for (node, from) in [(&mut a, &member("b", 2)), (&mut b, &member("a", 1))] {
         for (port, lanes) in [
-            (&mut node.owner, [(Lane::Gather, 10), (Lane::Roster, 0), (Lane::Roster, 0)]),
-            (&mut node.copies, [(Lane::Holds, 100), (Lane::Roster, 0), (Lane::Table, 50_000)]),
+            (&mut node.owner, [(Lane::ScatterGather, 10), (Lane::Membership, 0), (Lane::Membership, 0)]),
+            (&mut node.copies, [(Lane::Registers, 100), (Lane::Membership, 0), (Lane::Table, 50_000)]),
         ] {
             let mut next = [0; 4];
             let total = if lanes[1] == lanes[2] { 100 } else { 150 };
             for _ in 0..total {
                 let (lane, body) = told(port, "a frame", |t| match t {
-                    Told::Got { from: f, lane, body } if f == from => Some((*lane, body.clone())),
+                    LinkEvent::MessageReceived { from: f, lane, body } if f == from => {
+                        Some((*lane, body.clone()))
+                    }
                     other => panic!("{other:?}"),
                 });
                 let (_, long) = lanes.iter().find(|(l, _)| *l == lane).unwrap();
@@ -55,7 +58,7 @@
     up(&mut a.owner, &b.me);
     up(&mut b.copies, &a.me);
     let table = (TableVersion(2), TableHash([9; 32]));
-    a.copies.send(Order::Table(table.0, table.1)).unwrap();
+    a.copies.send(LinkCommand::AdvertiseTable(table.0, table.1)).unwrap();
     assert_eq!(up(&mut b.copies, &a.me).table, table);
 }
 
@@ -69,16 +72,17 @@
     assert_eq!(Raw::dial(a.address, &hello("z", 1), 1).read(), None);
     assert_eq!(a.count("peer_second"), 1);
     let mut new = Raw::alive(a.address, &hello("z", 2), 2);
-    assert_eq!(down(&mut a.owner, &first), Why::Replaced);
+    assert_eq!(down(&mut a.owner, &first), LinkError::Replaced);
     up(&mut a.owner, &second);
     wait("the old connection's end", || old.read().is_none().then_some(()));
     // What is for the old life does not reach the new one.
-    send(&mut a.owner, 1, &first, Lane::Holds, b"old");
-    send(&mut a.owner, 2, &second, Lane::Holds, b"new");
-    let unsent = told(&mut a.owner, "unsent", |t| matches!(t, Told::Unsent { .. }).then(|| t.clone()));
-    assert_eq!(unsent, Told::Unsent { no: 1, to: first, why: Why::NoLink });
+    send(&mut a.owner, 1, &first, Lane::Registers, b"old");
+    send(&mut a.owner, 2, &second, Lane::Registers, b"new");
+    let unsent =
+        told(&mut a.owner, "unsent", |t| matches!(t, LinkEvent::SendFailed { .. }).then(|| t.clone()));
+    assert_eq!(unsent, LinkEvent::SendFailed { number: 1, to: first, error: LinkError::NotConnected });
     let frame = wait("a frame", || new.read().filter(|f| f.kind != Kind::Alive));
-    assert_eq!((frame.kind, &frame.body[..]), (Kind::Lane(Lane::Holds), &b"new"[..]));
+    assert_eq!((frame.kind, &frame.body[..]), (Kind::Lane(Lane::Registers), &b"new"[..]));
 }
 
 #[test]
@@ -89,15 +93,18 @@
     up(&mut a.copies, &b.me);
     up(&mut b.copies, &a.me);
     for no in 0..50 {
-        send(&mut b.copies, no, &a.me, Lane::Holds, &[no as u8; 1000]);
+        send(&mut b.copies, no, &a.me, Lane::Registers, &[no as u8; 1000]);
     }
-    b.copies.send(Order::End).unwrap();
+    b.copies.send(LinkCommand::Shutdown).unwrap();
     for no in 0..50 {
-        assert_eq!(got(&mut a.copies, &b.me), (Lane::Holds, vec![no; 1000]));
+        assert_eq!(got(&mut a.copies, &b.me), (Lane::Registers, vec![no; 1000]));
     }
     down(&mut a.copies, &b.me);
     wait("the end", || b.rest.ended().then_some(()));
-    assert!(b.owner.ended() && matches!(b.owner.send(Order::End), Err(Refused::Ended(Order::End))));
+    assert!(
+        b.owner.ended()
+            && matches!(b.owner.send(LinkCommand::Shutdown), Err(CommandError::Ended(LinkCommand::Shutdown)))
+    );
     assert_eq!(b.rest.join(), Ok(()));
     let b = Node::new("b", 2, address(), &[listed("a", at_a)], LIMITS);
     up(&mut a.copies, &b.me);
@@ -109,19 +116,20 @@
     drop(a.owner);
     assert_eq!(a.rest.join(), Ok(()));
     let first = Arc::new(AtomicBool::new(true));
-    let users =
-        [[Lane::Gather, Lane::Roster], [Lane::Holds, Lane::Table]].map(|lanes| basaltgw_transport::User {
+    let users = [[Lane::ScatterGather, Lane::Membership], [Lane::Registers, Lane::Table]].map(|lanes| {
+        basaltgw_transport::TransportUser {
             lanes: lanes.to_vec(),
             wake: {
                 let first = first.clone();
                 Box::new(move || assert!(!first.swap(false, Ordering::SeqCst), "woken"))
             },
-        });
+        }
+    });
     let links =
         basaltgw_transport::start(hello("a", 1), address(), vec![], (LIMITS, Settings::default()), 1, users)
             .unwrap();
     let (mut one, two, rest) = links.split();
-    send(&mut one, 1, &member("b", 1), Lane::Holds, b"");
+    send(&mut one, 1, &member("b", 1), Lane::Registers, b"");
     wait("the end", || two.ended().then_some(()));
     assert_eq!(rest.join().unwrap_err().0, "woken");
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -14,22 +14,22 @@
 pub type Ms = f64;
 
 /// The longest name of a router, branch, machine or cluster, in bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// A name that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("expected 1 to {MOST_NAME} bytes of letters, digits, '-', '_' and '.', found {0:?}")]
-pub struct BadName(pub String);
+#[error("expected 1 to {MAX_NAME_BYTES} bytes of letters, digits, '-', '_' and '.', found {0:?}")]
+pub struct InvalidName(pub String);
 
 /// Checks a name; all kinds of names are spelled alike.
 ///
 /// # Errors
 /// If it is empty, longer than [`MOST_NAME`], or has other characters than letters, digits, `-`, `_` and `.`.
-pub fn name(text: &str) -> Result<Arc<str>, BadName> {
+pub fn name(text: &str) -> Result<Arc<str>, InvalidName> {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    match !text.is_empty() && text.len() <= MOST_NAME && text.chars().all(plain) {
+    match !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(plain) {
         true => Ok(Arc::from(text)),
-        false => Err(BadName(text.chars().take(MOST_NAME).collect())),
+        false => Err(InvalidName(text.chars().take(MAX_NAME_BYTES).collect())),
     }
 }
 
@@ -73,26 +73,26 @@
 
 /// Routers of which a certain number must have something on their disks before it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Group {
+pub struct QuorumGroup {
     /// Who, in the order of preference.
     pub members: Vec<Member>,
     /// How many of them it takes: a majority, or all while a fleet is founded.
-    pub need: usize,
+    pub quorum: usize,
 }
 
-impl Group {
+impl QuorumGroup {
     /// A group in which any two majorities meet.
     pub fn majority(members: Vec<Member>) -> Self {
         let need = members.len() / 2 + 1;
-        Self { members, need }
+        Self { members, quorum: need }
     }
 }
 
 /// Who keeps a shard. While it moves there are two groups and a promise needs both; else one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Keepers {
+pub struct ReplicaSet {
     /// The groups, the older first; never empty.
-    pub groups: Vec<Group>,
+    pub groups: Vec<QuorumGroup>,
 }
 
 /// The keepers of all shards under one version of the table, as `crates/placement` made it and `crates/registers` uses it.
@@ -105,9 +105,9 @@
     /// Its hash.
     pub hash: TableHash,
     /// By shard.
-    pub shards: Vec<Keepers>,
+    pub shards: Vec<ReplicaSet>,
     /// Who keeps the register of the table itself.
-    pub root: Keepers,
+    pub root: ReplicaSet,
 }
 
 impl fmt::Display for RouterId {
@@ -141,7 +141,7 @@
     #[test]
     fn names_are_plain_and_short() {
         assert!(name("north-1.a_b").is_ok());
-        for bad in ["", "a b", "a/b", "ü", &"x".repeat(MOST_NAME + 1)] {
+        for bad in ["", "a b", "a/b", "ü", &"x".repeat(MAX_NAME_BYTES + 1)] {
             assert!(name(bad).is_err(), "{bad:?}");
         }
     }
@@ -153,8 +153,8 @@
                 router: RouterId(Arc::from(format!("r{i}"))),
                 incarnation: Incarnation(i),
             });
-            let group = Group::majority(members.collect());
-            assert!(2 * group.need > group.members.len() && group.need <= group.members.len());
+            let group = QuorumGroup::majority(members.collect());
+            assert!(2 * group.quorum > group.members.len() && group.quorum <= group.members.len());
         }
     }
 }
--- a/crates/types/src/link.rs
+++ b/crates/types/src/link.rs
@@ -5,19 +5,19 @@
 use std::sync::Arc;
 
 /// The version of the frames; another is refused with its number named.
-pub const PROTOCOL: u16 = 1;
+pub const PROTOCOL_VERSION: u16 = 1;
 
 /// What a frame is for: each lane has its own bounds, and is written in this order where several wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Lane {
     /// What is heard of routers.
-    Roster,
+    Membership,
     /// Copies of holds, and the table's register.
-    Holds,
+    Registers,
     /// Tables, in portions.
     Table,
     /// Parts that a gather asks for, and their answers.
-    Gather,
+    ScatterGather,
 }
 
 /// The first message on a link, both ways.
@@ -37,21 +37,21 @@
 
 /// Why a link is down, or a frame was not written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Why {
+pub enum LinkError {
     /// There is no link to it now.
-    NoLink,
+    NotConnected,
     /// Its lane is full.
-    Full,
+    QueueFull,
     /// The link broke with it unwritten, or in part.
-    Broken,
+    ConnectionLost,
     /// The peer was silent.
-    Silent,
+    PeerTimeout,
     /// The peer sent what can't be read.
-    Garbled,
+    MalformedFrame,
     /// The peer sent more than it may.
-    Flooded,
+    RateExceeded,
     /// The peer is not the one that is listed, or of another fleet or protocol.
-    Stranger,
+    PeerMismatch,
     /// Another life of the router has taken its place.
     Replaced,
     /// Whoever dialled the link has closed it in order: it was idle and not wanted. Says nothing of the peer's health.
--- a/src/api.rs
+++ b/src/api.rs
@@ -5,7 +5,7 @@
 
 mod settings;
 
-pub use settings::{Class, SlowStartPolicy, Idempotency, KeyScope, PeerFill, Settings};
+pub use settings::{Class, Idempotency, KeyScope, PeerFill, Settings, SlowStartPolicy};
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -55,7 +55,9 @@
         match event {
             Event::Endpoints(mode, entries) => self.on_list(mode, entries, acts),
             Event::Request(req) => self.on_request(req, acts),
-            Event::ResponseStarted(id, _) => self.open.get_mut(&id).into_iter().for_each(|open| open.done = true),
+            Event::ResponseStarted(id, _) => {
+                self.open.get_mut(&id).into_iter().for_each(|open| open.done = true)
+            }
             Event::RequestWritten(id, attempt) => self.on_written(&id, attempt),
             Event::Outcome(outcome) => self.on_outcome(outcome, acts),
             Event::ClientDisconnected(id) => {
@@ -137,7 +139,14 @@
         source.into_iter().for_each(|i| self.servers[i].out = self.servers[i].out.saturating_sub(1));
         self.settle(server, source, key, &o);
         self.learn(at, &o);
-        let proved = matches!(o.result, AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss | AttemptResult::Served);
+        let proved = matches!(
+            o.result,
+            AttemptResult::Rejected
+                | AttemptResult::NoConnection
+                | AttemptResult::NotSent
+                | AttemptResult::CacheMiss
+                | AttemptResult::Served
+        );
         let open = &mut self.open[at];
         if !proved {
             open.may_have_run.get_or_insert(sent);
--- a/src/rules/attempts.rs
+++ b/src/rules/attempts.rs
@@ -20,7 +20,9 @@
         let class = &self.set.classes[open.class];
         match (class.idempotency, open.may_run_since()) {
             (Idempotency::Idempotent, _) | (_, None) => f64::INFINITY,
-            (Idempotency::IdempotencyKey, Some(since)) if class.key_scope == KeyScope::All => since + class.key_window,
+            (Idempotency::IdempotencyKey, Some(since)) if class.key_scope == KeyScope::All => {
+                since + class.key_window
+            }
             (Idempotency::IdempotencyKey | Idempotency::NonIdempotent, Some(_)) => f64::NEG_INFINITY,
         }
     }
--- a/src/rules/health.rs
+++ b/src/rules/health.rs
@@ -48,13 +48,16 @@
             (s.answered, s.mute) = (now, 0.0);
         }
         use FillReport::{FillLimitReached, Hit, Joined, NotReported, SourceFailed, Stale};
-        let mute = matches!(o.fill_report, NotReported | Hit | Stale | Joined | FillLimitReached | SourceFailed);
+        let mute =
+            matches!(o.fill_report, NotReported | Hit | Stale | Joined | FillLimitReached | SourceFailed);
         let heard = source.filter(|_| !mute).map(|i| &mut self.servers[i]);
         heard.into_iter().for_each(|s| (s.answered, s.mute) = (now, 0.0));
         match (o.fill_report, o.result) {
             (_, AttemptResult::Served) => {
                 self.mark(server, Mark::Served, acts);
-                if let (Some(i), FillReport::FilledBySource | FillReport::FilledByOrigin) = (source, o.fill_report) {
+                if let (Some(i), FillReport::FilledBySource | FillReport::FilledByOrigin) =
+                    (source, o.fill_report)
+                {
                     self.mark(i, Mark::Served, acts);
                 }
             }
@@ -64,9 +67,18 @@
             (FillReport::SourceMiss | FillReport::FillLimitReached | FillReport::OriginFailed, _) => {}
             // Only a trial minds: the request goes on at once, and a share of failures is no reason to
             // leave a cache that serves the rest.
-            (_, AttemptResult::Error | AttemptResult::ConnectionLost) => self.mark(server, Mark::Failed, acts),
+            (_, AttemptResult::Error | AttemptResult::ConnectionLost) => {
+                self.mark(server, Mark::Failed, acts)
+            }
             (_, AttemptResult::NoConnection) => self.mark(server, Mark::Refused, acts),
-            (_, AttemptResult::Rejected | AttemptResult::CacheMiss | AttemptResult::TimedOut | AttemptResult::Cancelled | AttemptResult::NotSent) => {}
+            (
+                _,
+                AttemptResult::Rejected
+                | AttemptResult::CacheMiss
+                | AttemptResult::TimedOut
+                | AttemptResult::Cancelled
+                | AttemptResult::NotSent,
+            ) => {}
         }
     }
 
@@ -153,7 +165,8 @@
     /// Calls off what waits on a server; the request's next attempt passes it over.
     pub(super) fn move_off(&mut self, silent: usize, acts: &mut Vec<Action>) {
         let waits_on = |t: &Try| !t.over && (t.server == silent || t.source == Some(silent));
-        let safe: Vec<bool> = self.set.classes.iter().map(|c| c.idempotency == Idempotency::Idempotent).collect();
+        let safe: Vec<bool> =
+            self.set.classes.iter().map(|c| c.idempotency == Idempotency::Idempotent).collect();
         for t in self.open.values_mut().flat_map(|o| &mut o.tries).filter(|t| waits_on(t)) {
             t.fault = Some(silent);
         }
--- a/src/rules/refusals.rs
+++ b/src/rules/refusals.rs
@@ -14,7 +14,8 @@
         let id = open.req.id.clone();
         if !open.done {
             // So long that the client's next try may still be in time.
-            let hold_off = (HOLD_OFF_OF_AIM * self.set.classes[open.class].latency_objective).min(self.set.max_retry_after);
+            let hold_off = (HOLD_OFF_OF_AIM * self.set.classes[open.class].latency_objective)
+                .min(self.set.max_retry_after);
             let hold_off = if self.set.retry_after { hold_off } else { 0.0 };
             acts.push(if refuse { Action::Reject(id, hold_off) } else { Action::Fail(id) });
         }
--- a/src/rules/room.rs
+++ b/src/rules/room.rs
@@ -118,10 +118,13 @@
             self.servers[i].gate.level.add(self.now, o.latency * share);
             // What a parent's origin did is the origin's, so that what the parent holds still comes.
             // So is what ran out of time at a parent that has answered since.
-            let held_up = o.fill_report == FillReport::SourceFailed && self.servers[i].answered > self.now - o.latency;
-            let behind = held_up || matches!(o.fill_report, FillReport::FilledByOrigin | FillReport::OriginFailed);
+            let held_up =
+                o.fill_report == FillReport::SourceFailed && self.servers[i].answered > self.now - o.latency;
+            let behind =
+                held_up || matches!(o.fill_report, FillReport::FilledByOrigin | FillReport::OriginFailed);
             let at_fault = self.origin().filter(|_| behind).unwrap_or(i);
-            let untold = if o.fill_report == FillReport::NotReported { self.beyond.get().unwrap_or(1.0) } else { 0.0 };
+            let untold =
+                if o.fill_report == FillReport::NotReported { self.beyond.get().unwrap_or(1.0) } else { 0.0 };
             if let Some(origin) = self.origin().filter(|p| *p != i) {
                 let asked = if behind { 1.0 } else { untold };
                 self.servers[origin].gate.level.add(self.now, o.latency * share * asked);
@@ -130,7 +133,9 @@
             let gate = &mut self.servers[at_fault].gate;
             match o.fill_report {
                 FillReport::FilledBySource | FillReport::FilledByOrigin => gate.grow(self.now, fills),
-                FillReport::OriginFailed if o.result != AttemptResult::Rejected => gate.full(self.now, fills, GATE_WASTE),
+                FillReport::OriginFailed if o.result != AttemptResult::Rejected => {
+                    gate.full(self.now, fills, GATE_WASTE)
+                }
                 FillReport::SourceFailed if held_up => gate.full(self.now, fills, GATE_WASTE),
                 FillReport::SourceRejected | FillReport::OriginFailed => gate.full(self.now, fills, GATE_CUT),
                 _ => {}
@@ -146,11 +151,15 @@
         let (behind, here) = (source.map_or(0.0, |i| self.excess(i)), self.excess(server));
         match (o.result, o.fill_report, source) {
             (AttemptResult::Served, FillReport::Hit, _) if edge && timed => self.resize(server, took, true),
-            (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin, Some(i)) if edge && timed => {
+            (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin, Some(i))
+                if edge && timed =>
+            {
                 self.resize(server, took - behind, true);
                 self.resize(i, took - here, true);
             }
-            (_, FillReport::SourceRejected | FillReport::SourceFailed, Some(i)) => self.resize(i, f64::INFINITY, false),
+            (_, FillReport::SourceRejected | FillReport::SourceFailed, Some(i)) => {
+                self.resize(i, f64::INFINITY, false)
+            }
             (AttemptResult::TimedOut, ..) => self.find_lag(server, source, took),
             _ => {}
         }
@@ -185,10 +194,14 @@
                     gate.answer(self.now, took.max(late.unwrap_or(took)), SLOW_CACHE, out);
                 }
             }
-            (AttemptResult::Served, FillReport::Hit | FillReport::FilledBySource | FillReport::FilledByOrigin) => {
+            (
+                AttemptResult::Served,
+                FillReport::Hit | FillReport::FilledBySource | FillReport::FilledByOrigin,
+            ) => {
                 // What the cache is slower by with hits than its zone's middle one is not the link's.
                 let slow = took - gate.slow.get().zip(middle).map_or(0.0, |(s, m)| (s - m).max(0.0));
-                let aims = self.set.classes.iter().filter(|c| !c.uncacheable && c.latency_objective_stretch > 1.0);
+                let aims =
+                    self.set.classes.iter().filter(|c| !c.uncacheable && c.latency_objective_stretch > 1.0);
                 let limit = aims.map(|c| c.latency_objective_stretch).fold(SLOW_LINK, f64::min);
                 self.link.answer(self.now, slow, limit, fills);
             }
--- a/src/rules/servers.rs
+++ b/src/rules/servers.rs
@@ -88,8 +88,9 @@
             let (at, origin) = (Arc::as_ptr(of), table.origin_allowed.contains(id));
             let made = same.iter().find(|s| (s.0, s.1) == (at, origin)).map(|s| Rc::clone(&s.2));
             let planned = made.unwrap_or_else(|| {
-                let up =
-                    |s: &&SourceShare| self.servers.get(&s.id).is_some_and(|s| s.entry.state == EndpointState::Up);
+                let up = |s: &&SourceShare| {
+                    self.servers.get(&s.id).is_some_and(|s| s.entry.state == EndpointState::Up)
+                };
                 let place =
                     |s: &SourceShare| self.servers.get_index_of(&s.id).map(|i| (i, s.weight, s.share));
                 let all: Vec<_> = of.iter().filter(up).filter_map(place).collect();
--- a/src/rules/slow_start.rs
+++ b/src/rules/slow_start.rs
@@ -112,7 +112,10 @@
         let now = self.now;
         let s = &mut self.servers[server];
         let tolerance = if s.entry.role == Role::Edge { edge } else { parent };
-        if matches!(o.result, AttemptResult::Served | AttemptResult::Error | AttemptResult::Rejected | AttemptResult::CacheMiss) {
+        if matches!(
+            o.result,
+            AttemptResult::Served | AttemptResult::Error | AttemptResult::Rejected | AttemptResult::CacheMiss
+        ) {
             s.sent.answered(now, key, tolerance);
         } else {
             s.sent.settle(now, key, tolerance);
@@ -120,7 +123,8 @@
         let Some(i) = source else { return };
         // What was held, or filled by another request, took nothing from the source; an old copy is renewed
         // from it behind the answer.
-        if o.result == AttemptResult::Served && matches!(o.fill_report, FillReport::Hit | FillReport::Joined) {
+        if o.result == AttemptResult::Served && matches!(o.fill_report, FillReport::Hit | FillReport::Joined)
+        {
             self.servers[i].sent.take_back(key);
         } else {
             self.servers[i].sent.settle(now, key, parent);
--- a/src/rules/split.rs
+++ b/src/rules/split.rs
@@ -67,7 +67,9 @@
             let (mean, deviation) = &mut self.delay[class];
             deviation.add((beyond - mean.get().unwrap_or(0.0)).abs(), AVERAGE_SHARE);
             mean.add(beyond, AVERAGE_SHARE);
-            if let Some(known) = self.known.get_mut(&req.object).filter(|_| filled || o.fill_report == FillReport::Hit) {
+            if let Some(known) =
+                self.known.get_mut(&req.object).filter(|_| filled || o.fill_report == FillReport::Hit)
+            {
                 let took = (o.latency - o.source_wait).max(1.0);
                 known.learn(took);
                 self.sending[class].add(known.least, AVERAGE_SHARE);
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::account::SendAccount;
 use crate::api::{
-    GroupId, EndpointState, Ms, ObjectId, Rank, Request, RequestId, Endpoint, ServerId, Settings, FillPlan,
+    Endpoint, EndpointState, FillPlan, GroupId, Ms, ObjectId, Rank, Request, RequestId, ServerId, Settings,
 };
 use crate::known::Known;
 use crate::rules::{GATE_LEVEL_MS, SHADOW_ENTRIES};
@@ -361,10 +361,16 @@
     use super::*;
     use crate::api::{Role, ZoneId};
 
-    fn put(table: &mut IndexMap<ServerId, Server>, name: &str, listed: EndpointState, held: Option<usize>) -> usize {
+    fn put(
+        table: &mut IndexMap<ServerId, Server>,
+        name: &str,
+        listed: EndpointState,
+        held: Option<usize>,
+    ) -> usize {
         let id = ServerId(name.into());
         let (zone, role) = (ZoneId(0), Role::Edge);
-        let entry = Endpoint { id: id.clone(), zone, role, cell: 0, state: listed, weight: 1.0, started: None };
+        let entry =
+            Endpoint { id: id.clone(), zone, role, cell: 0, state: listed, weight: 1.0, started: None };
         let new = || Server::new(entry.clone(), 0, 0.0, Gate::new(0.0, 1.0, 1));
         place(table, &id, new, |i| Some(i) == held).entry = entry.clone();
         table.get_index_of(&id).expect("its place")
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -178,8 +178,18 @@
         self.at(self.now + opening, Due::Written(k, life, rid(n)));
         let (end, last, load) = (AttemptResult::Served, true, LoadReport::default());
         let (request, attempt, server, source_wait) = (rid(n), AttemptNo(0), f.server, waited);
-        let outcome =
-            Outcome { request, attempt, server, result: end, latency: delay, completes_request: last, fill_report: note, source_wait, load, body_complete: true };
+        let outcome = Outcome {
+            request,
+            attempt,
+            server,
+            result: end,
+            latency: delay,
+            completes_request: last,
+            fill_report: note,
+            source_wait,
+            load,
+            body_complete: true,
+        };
         self.at(self.now + delay, Due::Answer(k, life, Box::new(outcome)));
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -45,7 +45,12 @@
         zone_routers: 1,
         routers: 2,
         zone_parent_group: vec![ZoneId(0), ZoneId(0)],
-        classes: vec![class("safe", Idempotency::Idempotent), small, write, class("keyed", Idempotency::IdempotencyKey)],
+        classes: vec![
+            class("safe", Idempotency::Idempotent),
+            small,
+            write,
+            class("keyed", Idempotency::IdempotencyKey),
+        ],
         edge_slow_start: SlowStartPolicy { share: 0.2, span: 10_000.0, multiple: 2.0, window: 1000.0 },
         parent_slow_start: SlowStartPolicy { share: 0.1, span: 10_000.0, multiple: 2.0, window: 1000.0 },
         drain_grace: 250.0,
@@ -169,7 +174,14 @@
         self.tell(Event::Request(request(n, class, object, 4000.0)))
     }
 
-    pub fn end(&mut self, n: usize, attempt: usize, server: &ServerId, end: AttemptResult, note: FillReport) -> Vec<Action> {
+    pub fn end(
+        &mut self,
+        n: usize,
+        attempt: usize,
+        server: &ServerId,
+        end: AttemptResult,
+        note: FillReport,
+    ) -> Vec<Action> {
         self.outcome(n, attempt, server, end, note, 100.0)
     }
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -126,7 +126,8 @@
         let f = fetch(&d.ask(n, SAFE, n as u64)).expect("a fetch");
         if f.server == id("edge-1") {
             met += 1;
-            let next = fetch(&d.end(n, 0, &f.server, AttemptResult::Error, FillReport::NotReported)).expect("another attempt");
+            let next = fetch(&d.end(n, 0, &f.server, AttemptResult::Error, FillReport::NotReported))
+                .expect("another attempt");
             assert_ne!(next.server, id("edge-1"));
             d.end(n, 1, &next.server, AttemptResult::Served, FillReport::Hit);
         } else {
@@ -183,7 +184,12 @@
 fn a_slow_caches_fills_are_not_held_against_the_link() {
     let mut d = Driver::new(settings(), fleet());
     for n in 0..400 {
-        d.serve(n, SAFE, n as u64 % 200, if n % 2 == 0 { FillReport::Hit } else { FillReport::FilledBySource });
+        d.serve(
+            n,
+            SAFE,
+            n as u64 % 200,
+            if n % 2 == 0 { FillReport::Hit } else { FillReport::FilledBySource },
+        );
     }
     let slow = id("edge-0");
     for round in 0..10 {
@@ -193,8 +199,19 @@
             .collect();
         d.wait(900.0);
         for (n, f) in out {
-            let note = if n % 2 == 0 || f.fill_source == f.server { FillReport::Hit } else { FillReport::FilledBySource };
-            d.outcome(n, 0, &f.server, AttemptResult::Served, note, if f.server == slow { 900.0 } else { 100.0 });
+            let note = if n % 2 == 0 || f.fill_source == f.server {
+                FillReport::Hit
+            } else {
+                FillReport::FilledBySource
+            };
+            d.outcome(
+                n,
+                0,
+                &f.server,
+                AttemptResult::Served,
+                note,
+                if f.server == slow { 900.0 } else { 100.0 },
+            );
         }
     }
     let fills = (5000..5060).filter_map(|n| fetch(&d.ask(n, SAFE, n as u64)));
@@ -209,7 +226,8 @@
     for n in 5000..5100 {
         let Some(f) = fetch(&d.ask(n, SAFE, n as u64)) else { continue };
         if f.fill_source == f.server {
-            let joined = fetch(&d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::Joined)).expect("it joins");
+            let joined = fetch(&d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::Joined))
+                .expect("it joins");
             assert!(joined.join_fill && joined.fill_source != joined.server);
             return;
         }
@@ -368,7 +386,8 @@
             let n = n * 4000 + object;
             let f = fetch(&d.ask(n, SAFE, object as u64)).expect("a fetch");
             let at = f.server == id("edge-1");
-            let acts = d.end(n, 0, &f.server, if at { end } else { AttemptResult::Served }, FillReport::NotReported);
+            let acts =
+                d.end(n, 0, &f.server, if at { end } else { AttemptResult::Served }, FillReport::NotReported);
             if let Some(next) = fetch(&acts) {
                 d.end(n, 1, &next.server, AttemptResult::Served, FillReport::Hit);
             }
@@ -388,7 +407,11 @@
     d.wait(1100.0);
     assert_eq!(reports(&step(&mut d, 100, AttemptResult::Error), "failed its trial"), 1);
     d.wait(2100.0);
-    for (k, end) in [AttemptResult::Served, AttemptResult::Error, AttemptResult::Served, AttemptResult::Served].into_iter().enumerate() {
+    for (k, end) in
+        [AttemptResult::Served, AttemptResult::Error, AttemptResult::Served, AttemptResult::Served]
+            .into_iter()
+            .enumerate()
+    {
         assert_eq!(reports(&step(&mut d, 200 + k, end), "edge-1"), 0);
     }
     assert_eq!(reports(&step(&mut d, 300, AttemptResult::Served), "back after its trial"), 1);
--- a/tests/few_answers.rs
+++ b/tests/few_answers.rs
@@ -133,7 +133,8 @@
         let Some(f) = fetch(&d.ask(n, SAFE, n as u64)) else { continue };
         d.wait(150.0);
         if f.fill_source == f.server {
-            if let Some(f) = fetch(&d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::NotReported)) {
+            if let Some(f) = fetch(&d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::NotReported))
+            {
                 spared += usize::from(f.cached_only);
             }
         } else {
@@ -158,7 +159,8 @@
         if f.fill_source == id("parent-1") {
             failed += 1;
             let next =
-                fetch(&d.outcome(n, 0, &f.server, AttemptResult::Error, FillReport::SourceFailed, 50.0)).expect("another");
+                fetch(&d.outcome(n, 0, &f.server, AttemptResult::Error, FillReport::SourceFailed, 50.0))
+                    .expect("another");
             assert_ne!(next.fill_source, id("parent-1"));
             d.end(n, 1, &next.server, AttemptResult::Served, FillReport::FilledBySource);
         } else {
--- a/tests/five_rules.rs
+++ b/tests/five_rules.rs
@@ -42,8 +42,14 @@
     let first = fetch(&d.ask(1, SAFE, 5)).expect("a fetch");
     assert!(d.tell(Event::ClientDisconnected(rid(1))).iter().all(|a| matches!(a, Action::CancelAttempt(..))));
     assert!(d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported).is_empty());
-    assert!(d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported).is_empty(), "a repeated outcome");
-    assert!(d.end(77, 3, &first.server, AttemptResult::TimedOut, FillReport::NotReported).is_empty(), "an unknown request");
+    assert!(
+        d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported).is_empty(),
+        "a repeated outcome"
+    );
+    assert!(
+        d.end(77, 3, &first.server, AttemptResult::TimedOut, FillReport::NotReported).is_empty(),
+        "an unknown request"
+    );
     d.wait(6000.0);
     assert!(!d.log.iter().any(|(_, a)| matches!(a, Action::Reject(..) | Action::Fail(_))));
 }
@@ -60,7 +66,12 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
-    for end in [AttemptResult::Error, AttemptResult::TimedOut, AttemptResult::ConnectionLost, AttemptResult::Cancelled] {
+    for end in [
+        AttemptResult::Error,
+        AttemptResult::TimedOut,
+        AttemptResult::ConnectionLost,
+        AttemptResult::Cancelled,
+    ] {
         let mut d = Driver::new(settings(), fleet());
         let first = fetch(&d.ask(1, WRITE, 5)).expect("a fetch");
         assert_eq!(first.server, id("origin"));
@@ -96,18 +107,21 @@
     let first = fetch(&d.ask(1, KEYED, 5)).expect("a fetch");
     assert_eq!(first.start_before, f64::INFINITY, "none may have run");
     d.wait(200.0);
-    let second = fetch(&d.end(1, 0, &first.server, AttemptResult::NotSent, FillReport::NotReported)).expect("a fetch");
+    let second =
+        fetch(&d.end(1, 0, &first.server, AttemptResult::NotSent, FillReport::NotReported)).expect("a fetch");
     assert_eq!(second.start_before, f64::INFINITY, "none has run");
     let since = d.now;
     d.wait(200.0);
-    let third = fetch(&d.end(1, 1, &second.server, AttemptResult::ConnectionLost, FillReport::NotReported)).expect("a fetch");
+    let third = fetch(&d.end(1, 1, &second.server, AttemptResult::ConnectionLost, FillReport::NotReported))
+        .expect("a fetch");
     assert!(
         sent < since && third.start_before < since + window,
         "it may have run since then: {}",
         third.start_before
     );
     let first = fetch(&d.ask(2, SAFE, 6)).expect("a fetch");
-    let again = fetch(&d.end(2, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported)).expect("a fetch");
+    let again = fetch(&d.end(2, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported))
+        .expect("a fetch");
     assert_eq!(again.start_before, f64::INFINITY);
     // What is given back at the end of its time finds no other way.
     d.wait(third.start_before - d.now);
@@ -120,10 +134,16 @@
     let mut d = Driver::new(settings(), fleet());
     let first = fetch(&d.ask(1, KEYED, 5)).expect("a fetch");
     d.wait(200.0);
-    assert!(fetch(&d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported)).is_some(), "within");
+    assert!(
+        fetch(&d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported)).is_some(),
+        "within"
+    );
     let first = fetch(&d.ask(2, KEYED, 6)).expect("a fetch");
     d.wait(1100.0);
-    assert!(fetch(&d.end(2, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported)).is_none(), "after the window");
+    assert!(
+        fetch(&d.end(2, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported)).is_none(),
+        "after the window"
+    );
     let mut narrow = settings();
     narrow.classes[KEYED.0].key_scope = KeyScope::Cell;
     let mut d = Driver::new(narrow, fleet());
@@ -195,7 +215,10 @@
 #[test]
 fn what_a_whole_list_lacks_is_gone() {
     let mut d = Driver::new(settings(), fleet());
-    d.tell(Event::Endpoints(EndpointUpdate::Complete, fleet().into_iter().filter(|s| s.id != id("edge-3")).collect()));
+    d.tell(Event::Endpoints(
+        EndpointUpdate::Complete,
+        fleet().into_iter().filter(|s| s.id != id("edge-3")).collect(),
+    ));
     for n in 0..100 {
         assert_ne!(d.serve(n, SAFE, n as u64, FillReport::Hit).server, id("edge-3"));
     }
--- a/tests/moved.rs
+++ b/tests/moved.rs
@@ -180,7 +180,11 @@
     let f =
         fetch(&d.tell(Event::Request(Request { group: GroupId(3), ..request(999, SAFE, object.0, 4000.0) })));
     assert!(f.is_some_and(|f| f.max_age.is_some_and(|age| age < 1000.0)), "the purge holds");
-    assert_eq!(start(Some(at + 1.0)).router.restore(at, learnt), fleet().len() - 1, "a new process is unknown");
+    assert_eq!(
+        start(Some(at + 1.0)).router.restore(at, learnt),
+        fleet().len() - 1,
+        "a new process is unknown"
+    );
 }
 
 /// A fill that takes more than the aim's stretch times its own sending time is late, so the link counts as full at that:
--- a/tests/origin.rs
+++ b/tests/origin.rs
@@ -38,7 +38,8 @@
             if f.cached_only || f.fill_source == f.server {
                 let note = if f.cached_only { FillReport::SourceMiss } else { FillReport::NotReported };
                 next.extend(
-                    fetch(&d.end(n, attempt, &f.server, AttemptResult::CacheMiss, note)).map(|f| (n, attempt + 1, f)),
+                    fetch(&d.end(n, attempt, &f.server, AttemptResult::CacheMiss, note))
+                        .map(|f| (n, attempt + 1, f)),
                 );
             } else {
                 calls += usize::from(n >= 1050);
--- a/tests/planned.rs
+++ b/tests/planned.rs
@@ -97,5 +97,8 @@
     d.tell(table(&[("parent-1", 1.0)], false));
     let first = fetch(&d.ask(1, WRITE, 5)).expect("a fetch");
     assert_eq!(first.server, id("origin"));
-    assert!(fetch(&d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported)).is_none(), "it may have run");
+    assert!(
+        fetch(&d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported)).is_none(),
+        "it may have run"
+    );
 }
--- a/tests/settings/drawn.rs
+++ b/tests/settings/drawn.rs
@@ -15,7 +15,13 @@
         select(vec![0.0, 500.0]),
     );
     let kinds = (
-        select(vec![Idempotency::Idempotent, Idempotency::Idempotent, Idempotency::IdempotencyKey, Idempotency::IdempotencyKey, Idempotency::NonIdempotent]),
+        select(vec![
+            Idempotency::Idempotent,
+            Idempotency::Idempotent,
+            Idempotency::IdempotencyKey,
+            Idempotency::IdempotencyKey,
+            Idempotency::NonIdempotent,
+        ]),
         select(vec![KeyScope::All, KeyScope::Zone, KeyScope::Cell]),
         any::<bool>(),
         select(vec![0.0, 1.0, 2.0]),
@@ -23,7 +29,17 @@
     (times, kinds).prop_map(|((aim, deadline, key_window, fresh, grace), kinds)| {
         let (effect, key_scope, uncacheable, aim_stretch) = kinds;
         let base = common::class("drawn", effect);
-        Class { latency_objective: aim, latency_objective_stretch: aim_stretch, deadline, key_scope, key_window, fresh_for: fresh, stale_for: grace, uncacheable, ..base }
+        Class {
+            latency_objective: aim,
+            latency_objective_stretch: aim_stretch,
+            deadline,
+            key_scope,
+            key_window,
+            fresh_for: fresh,
+            stale_for: grace,
+            uncacheable,
+            ..base
+        }
     })
 }
 
--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -91,8 +91,18 @@
         self.router.handle(self.now, event, &mut acts);
         acts.into_iter().try_for_each(|act| self.check(act))?;
         for s in self.router.snapshot().servers {
-            prop_assert!(s.weight_penalty_log.is_finite() && s.weight_penalty_log <= 0.0, "{:?} is cut by {}", s.id, s.weight_penalty_log);
-            prop_assert!(s.latency_ratio_log.is_none_or(f64::is_finite), "{:?} lags by {:?}", s.id, s.latency_ratio_log);
+            prop_assert!(
+                s.weight_penalty_log.is_finite() && s.weight_penalty_log <= 0.0,
+                "{:?} is cut by {}",
+                s.id,
+                s.weight_penalty_log
+            );
+            prop_assert!(
+                s.latency_ratio_log.is_none_or(f64::is_finite),
+                "{:?} lags by {:?}",
+                s.id,
+                s.latency_ratio_log
+            );
             prop_assert!(self.listed.contains(&s.id), "{:?} is not listed", s.id);
         }
         Ok(())
@@ -170,7 +180,11 @@
         prop_assert!(target.is_some(), "{:?} is not up", f.server);
         let target = target.expect("just seen");
         let near = target.role != Role::Edge || target.zone == set.zone;
-        prop_assert!(near && (target.role == Role::Edge || set.direct_to_parents), "{:?} may not be asked", f.server);
+        prop_assert!(
+            near && (target.role == Role::Edge || set.direct_to_parents),
+            "{:?} may not be asked",
+            f.server
+        );
         if f.fill_source != f.server {
             let source = self.up.get(&f.fill_source);
             prop_assert!(source.is_some_and(|s| s.role != Role::Edge), "{:?} is no source", f.fill_source);
@@ -191,10 +205,25 @@
     }
 
     /// Ends an attempt, as a transport tells it.
-    pub fn end(&mut self, id: &RequestId, n: usize, end: AttemptResult, note: FillReport, delay: Ms, wait: Ms) -> Checked {
+    pub fn end(
+        &mut self,
+        id: &RequestId,
+        n: usize,
+        end: AttemptResult,
+        note: FillReport,
+        delay: Ms,
+        wait: Ms,
+    ) -> Checked {
         let seen = self.seen.get_mut(id).expect("a request that came in");
         let over = std::mem::replace(&mut seen.tries[n].over, true);
-        let proved = matches!(end, AttemptResult::Rejected | AttemptResult::NoConnection | AttemptResult::NotSent | AttemptResult::CacheMiss | AttemptResult::Served);
+        let proved = matches!(
+            end,
+            AttemptResult::Rejected
+                | AttemptResult::NoConnection
+                | AttemptResult::NotSent
+                | AttemptResult::CacheMiss
+                | AttemptResult::Served
+        );
         if !proved && !over {
             seen.ran = seen.ran.or(Some(seen.tries[n].sent));
         }
@@ -315,7 +344,11 @@
                 if tries.get(attempt).is_some_and(|t| !t.over) {
                     return Ok(());
                 }
-                let end = if AttemptResult::ALL[end] == AttemptResult::Served { AttemptResult::ConnectionLost } else { AttemptResult::ALL[end] };
+                let end = if AttemptResult::ALL[end] == AttemptResult::Served {
+                    AttemptResult::ConnectionLost
+                } else {
+                    AttemptResult::ALL[end]
+                };
                 self.tell(Event::Outcome(Outcome {
                     request: id,
                     attempt: AttemptNo(attempt),
@@ -350,7 +383,8 @@
                 let Some(e) = (!fleet.is_empty()).then(|| fleet[server % fleet.len()].clone()) else {
                     return Ok(());
                 };
-                let listed = [EndpointState::Up, EndpointState::Draining, EndpointState::Removed][listed as usize];
+                let listed =
+                    [EndpointState::Up, EndpointState::Draining, EndpointState::Removed][listed as usize];
                 let started = started.map(|ago| self.now + ago);
                 self.list(EndpointUpdate::Delta, vec![Endpoint { state: listed, started, ..e }])
             }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -140,8 +140,7 @@
     }
 
     fn list(started: Option<Ms>) -> Vec<Endpoint> {
-        let mut all: Vec<Endpoint> =
-            fleet().into_iter().map(|e| Endpoint { weight: SIZE, ..e }).collect();
+        let mut all: Vec<Endpoint> = fleet().into_iter().map(|e| Endpoint { weight: SIZE, ..e }).collect();
         all.iter_mut().filter(|e| e.id == id(NAME)).for_each(|e| e.started = started);
         all
     }
@@ -191,7 +190,10 @@
             }
             Step::List(kind) => {
                 let started = [Some(self.listed), None, Some(self.listed - 3_000.0)][*kind as usize % 3];
-                self.tell(Event::Endpoints(EndpointUpdate::Complete, Self::list(started.filter(|at| *at > 0.0))));
+                self.tell(Event::Endpoints(
+                    EndpointUpdate::Complete,
+                    Self::list(started.filter(|at| *at > 0.0)),
+                ));
             }
             Step::Restart => {
                 self.life += 1;
@@ -314,7 +316,9 @@
                 let whole = now - began > 2.0 * CURRENT;
                 self.over(attempt, AttemptResult::Served, FillReport::Hit, whole);
             }
-            Due::TimeOut(attempt) => self.over(attempt, AttemptResult::TimedOut, FillReport::NotReported, false),
+            Due::TimeOut(attempt) => {
+                self.over(attempt, AttemptResult::TimedOut, FillReport::NotReported, false)
+            }
             Due::Start => {
                 self.up = true;
                 (self.started, self.told) = (now, None);
