--- a/crates/config/src/learnt.rs
+++ b/crates/config/src/learnt.rs
@@ -7,7 +7,7 @@
 use crate::value::BadInput;
 use basaltgw::api::{GroupId, Ms, ObjectId, ServerId};
 use basaltgw::hash::address;
-use basaltgw::rules::carry::{ServerSnapshot, Snapshot};
+use basaltgw::routing::snapshot::{ServerSnapshot, Snapshot};
 use garde::Validate;
 use serde::Deserialize;
 use serde_json::{json, Value};
--- a/crates/config/tests/bytes.rs
+++ b/crates/config/tests/bytes.rs
@@ -2,7 +2,7 @@
 
 use basaltgw::api::{GroupId, ObjectId, ServerId};
 use basaltgw::hash::{address, mix};
-use basaltgw::rules::carry::{ServerSnapshot, Snapshot};
+use basaltgw::routing::snapshot::{ServerSnapshot, Snapshot};
 use basaltgw_config::learnt::{read, write};
 use std::sync::Arc;
 
--- a/crates/config/tests/nonsense.rs
+++ b/crates/config/tests/nonsense.rs
@@ -1,7 +1,7 @@
 //! A configuration in which one value is nonsense is refused by that value's key, or nothing that is reckoned with it is nonsense.
 
 use basaltgw::api::*;
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use basaltgw_config::{parse, Environment, News, NodeConfig};
 use serde_json::{json, Value};
 use std::time::Duration;
@@ -170,7 +170,7 @@
         }
     }
     let learnt = router.snapshot();
-    let finite = |s: &basaltgw::rules::carry::ServerSnapshot| {
+    let finite = |s: &basaltgw::routing::snapshot::ServerSnapshot| {
         s.weight_penalty_log.is_finite() && s.latency_ratio_log.is_none_or(f64::is_finite)
     };
     let sending = learnt.sending_times.iter().all(|(_, ms, _)| ms.is_finite());
--- a/crates/experiments/src/capacity/data/cold.rs
+++ b/crates/experiments/src/capacity/data/cold.rs
@@ -5,7 +5,7 @@
 use crate::capacity::row::{Kind, Row};
 use basaltgw::api::*;
 use basaltgw::hash::{mix, unit};
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use basaltgw_simulator::{draw, rng, Rng};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/experiments/src/capacity/data/decisions.rs
+++ b/crates/experiments/src/capacity/data/decisions.rs
@@ -5,7 +5,7 @@
 use super::{Expected, Sizes};
 use crate::capacity::meter::{least, taken, timed};
 use crate::capacity::row::{Kind, Row};
-use basaltgw::rules::SHADOW_ENTRIES;
+use basaltgw::routing::SHADOW_ENTRIES;
 use basaltgw_simulator::rng;
 
 /// Batches of which the least counts.
--- a/crates/experiments/src/capacity/data/tables.rs
+++ b/crates/experiments/src/capacity/data/tables.rs
@@ -6,7 +6,7 @@
 use crate::capacity::meter::{least, taken, timed, Taken};
 use crate::capacity::row::{Kind, Row};
 use basaltgw::api::*;
-use basaltgw::rules::{Router, SHADOW_ENTRIES};
+use basaltgw::routing::{Router, SHADOW_ENTRIES};
 use basaltgw_simulator::{draw, rng};
 
 /// Repetitions of which the least counts.
--- a/crates/experiments/src/capacity/data/world.rs
+++ b/crates/experiments/src/capacity/data/world.rs
@@ -3,7 +3,7 @@
 use super::Expected;
 use crate::capacity::meter::{taken, Taken};
 use basaltgw::api::*;
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use basaltgw_simulator::{draw, Rng};
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/experiments/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::{Experiment, Must, On, Variant};
 use basaltgw::api::{Action, Event, Ms, Settings};
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use basaltgw_emulator::Sockets;
 use basaltgw_simulator::checker::Rule;
 use basaltgw_simulator::fleet::Counts;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -33,7 +33,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
-use basaltgw::rules::carry::Snapshot;
+use basaltgw::routing::snapshot::Snapshot;
 use basaltgw_config::{learnt, Carry, Hierarchy, News, NodeConfig, OwnSettings};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/node/src/owner/attempts.rs
+++ b/crates/node/src/owner/attempts.rs
@@ -88,7 +88,7 @@
             max_attempts: self.max_attempts,
             listed: self.servers.contains_key(&fetch.server),
         };
-        let repeat = may_repeat(&self.repeat_terms(open), open.attempts.iter().map(|a| a.earlier(self.now)));
+        let repeat = may_repeat(&self.retry_policy(open), open.attempts.iter().map(|a| a.earlier(self.now)));
         let refusal = match (may_begin(&state), repeat) {
             (Ok(()), Ok(())) => None,
             (Err(refusal), _) => Some(refusal.to_string()),
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -10,7 +10,7 @@
 use async_executor::Task;
 use async_io::Timer;
 use basaltgw::api::{AttemptNo, Event, Ms};
-use basaltgw::rules::carry::Snapshot;
+use basaltgw::routing::snapshot::Snapshot;
 use basaltgw_registers::RequestNumber;
 use futures_lite::future;
 use std::cmp::Reverse;
--- a/crates/node/src/owner/learnt.rs
+++ b/crates/node/src/owner/learnt.rs
@@ -2,7 +2,7 @@
 
 use super::Owner;
 use basaltgw::api::Ms;
-use basaltgw::rules::carry::Snapshot;
+use basaltgw::routing::snapshot::Snapshot;
 
 /// Maps all times that go along: starts as they are listed, by which servers are known again, and what happened at some time.
 fn mapped(
--- a/crates/node/src/owner/requests.rs
+++ b/crates/node/src/owner/requests.rs
@@ -8,14 +8,14 @@
 use crate::clients::presence::Wanted;
 use crate::clients::{Do, Reply, WireId};
 use crate::outbox::{Counted, Meter, Stage};
-use crate::permissions::{may_repeat, RepeatTerms};
+use crate::permissions::{may_repeat, RetryPolicy};
 use basaltgw::api::{AttemptNo, ClassId, Event, Idempotency, KeyScope, Ms, Request};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// Of a request whose class the settings do not have.
-const NO_REPEATS: RepeatTerms =
-    RepeatTerms { effect: Idempotency::NonIdempotent, key_scope: KeyScope::Cell, key_window: 0.0 };
+const NO_RETRIES: RetryPolicy =
+    RetryPolicy { idempotency: Idempotency::NonIdempotent, key_scope: KeyScope::Cell, key_window: 0.0 };
 
 /// A request whose answer is owed, or whose attempts are not all over.
 pub(super) struct Open {
@@ -198,14 +198,10 @@
         self.tell(event);
     }
 
-    /// What repeats of a request may do, by its class; one without a class has no attempts.
-    pub(super) fn repeat_terms(&self, open: &Open) -> RepeatTerms {
+    /// The retry policy of a request's class; a request without a class has no attempts.
+    pub(super) fn retry_policy(&self, open: &Open) -> RetryPolicy {
         let class = open.class.and_then(|c| self.classes.get(c.0));
-        class.map_or(NO_REPEATS, |c| RepeatTerms {
-            effect: c.idempotency,
-            key_scope: c.key_scope,
-            key_window: c.key_window,
-        })
+        class.map_or(NO_RETRIES, RetryPolicy::of)
     }
 
     /// A refusal invites the client to repeat its request: where a repeat could run twice it is a failure instead.
@@ -213,7 +209,7 @@
         let Some(open) = self.requests.get(no) else { return reply };
         let Reply::Refused(_) = reply else { return reply };
         let earlier = open.attempts.iter().map(|a| a.earlier(self.now));
-        match may_repeat(&self.repeat_terms(open), earlier) {
+        match may_repeat(&self.retry_policy(open), earlier) {
             Ok(()) => reply,
             Err(refusal) => {
                 log::debug!("request {}: failed and not refused, {refusal}", no.0);
@@ -227,9 +223,9 @@
         let reply = self.harmless(no, reply);
         // What ran is put down before it is said.
         if let (Reply::Refused(_), Some(open)) = (reply, self.requests.get(no)) {
-            let (terms, earlier) =
-                (self.repeat_terms(open), open.attempts.iter().map(|a| a.earlier(self.now).end));
-            self.invariants.refused(terms.effect, earlier, format_args!("request {}", no.0));
+            let (policy, earlier) =
+                (self.retry_policy(open), open.attempts.iter().map(|a| a.earlier(self.now).end));
+            self.invariants.refused(policy.idempotency, earlier, format_args!("request {}", no.0));
         }
         if !self.ends(no, reply) {
             self.pay_out(no, reply);
--- a/crates/node/src/permissions.rs
+++ b/crates/node/src/permissions.rs
@@ -3,7 +3,8 @@
 //! Each gives a typed reason against it. Nothing here does I/O or reads a clock, and nobody else answers these questions: the owner, the
 //! writers of connections and the states of clients' connections ask here. [`crate::invariants`] watches what is done in the end.
 
-use basaltgw::api::{AttemptResult, Idempotency, KeyScope, Ms};
+use basaltgw::api::{AttemptResult, Ms};
+pub use basaltgw::routing::retry::{not_executed, RetryPolicy, RetryRefusal};
 use std::fmt;
 
 /// A request and a server, as an attempt is about to begin.
@@ -52,17 +53,6 @@
     }
 }
 
-/// What repeats of a request may do.
-#[derive(Clone, Copy, Debug)]
-pub struct RepeatTerms {
-    /// The effect of its class.
-    pub effect: Idempotency,
-    /// Where servers know a repeat by its key.
-    pub key_scope: KeyScope,
-    /// For how long they do.
-    pub key_window: Ms,
-}
-
 /// An earlier attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierAttempt {
@@ -72,48 +62,18 @@
     pub age: Ms,
 }
 
-/// Whether an attempt that ended so provably never ran.
-pub fn not_executed(end: AttemptResult) -> bool {
-    match end {
-        AttemptResult::Rejected
-        | AttemptResult::NoConnection
-        | AttemptResult::NotSent
-        | AttemptResult::CacheMiss => true,
-        AttemptResult::Served
-        | AttemptResult::Error
-        | AttemptResult::TimedOut
-        | AttemptResult::ConnectionLost
-        | AttemptResult::Cancelled => false,
-    }
-}
-
-/// Why a request is neither sent again nor refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatRefusal {
-    /// An attempt may have run, and the request must not run twice.
-    MayHaveRun,
-    /// The time is over in which servers know a repeat by its key.
-    WindowOver,
-}
-
-/// Whether a request may be sent again, or be refused, which invites the client to send it again.
+/// Whether a request may be sent again, or be rejected, which invites the client to send it again.
+///
+/// # Errors
+/// [`RetryRefusal`] with the reason against it.
 pub fn may_repeat(
-    terms: &RepeatTerms,
+    policy: &RetryPolicy,
     earlier: impl IntoIterator<Item = EarlierAttempt>,
-) -> Result<(), RepeatRefusal> {
+) -> Result<(), RetryRefusal> {
     let may_have_run = earlier.into_iter().filter(|a| !a.end.is_some_and(not_executed));
     let oldest = may_have_run.map(|a| a.age).reduce(f64::max);
-    match (terms.effect, oldest) {
-        (Idempotency::Idempotent, _) | (_, None) => Ok(()),
-        (Idempotency::IdempotencyKey, Some(age)) if terms.key_scope == KeyScope::All => {
-            if age < terms.key_window {
-                Ok(())
-            } else {
-                Err(RepeatRefusal::WindowOver)
-            }
-        }
-        (Idempotency::IdempotencyKey | Idempotency::NonIdempotent, Some(_)) => Err(RepeatRefusal::MayHaveRun),
-    }
+    // Ages count back from now, which is 0 here.
+    policy.check(0.0, oldest.map(|age| -age))
 }
 
 /// A message to a server, as its first byte is about to be written.
@@ -230,10 +190,6 @@
         AttemptsUsed => "no more attempts are allowed",
         NotListed => "the server is not listed",
     }
-    RepeatRefusal {
-        MayHaveRun => "an attempt may have run",
-        WindowOver => "the window of its key is over",
-    }
     SendRefusal {
         TakenBack => "it was taken back",
         WindowOver => "the time to begin it is over",
@@ -254,6 +210,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use basaltgw::api::{Idempotency, KeyScope};
 
     const BEGIN: BeginState = BeginState {
         client_waits: true,
@@ -281,26 +238,26 @@
 
     #[test]
     fn request_is_repeated_only_if_no_repeat_can_run_twice() {
-        let terms = |effect| RepeatTerms { effect, key_scope: KeyScope::All, key_window: 100.0 };
+        let policy = |idempotency| RetryPolicy { idempotency, key_scope: KeyScope::All, key_window: 100.0 };
         let ended = |end, age| [EarlierAttempt { end: Some(end), age }];
         for end in AttemptResult::ALL {
-            assert_eq!(may_repeat(&terms(Idempotency::Idempotent), ended(end, 1e9)), Ok(()));
-            let unsafe_one = may_repeat(&terms(Idempotency::NonIdempotent), ended(end, 0.0));
+            assert_eq!(may_repeat(&policy(Idempotency::Idempotent), ended(end, 1e9)), Ok(()));
+            let unsafe_one = may_repeat(&policy(Idempotency::NonIdempotent), ended(end, 0.0));
             assert_eq!(unsafe_one.is_ok(), not_executed(end), "{end:?}");
         }
         let out = [EarlierAttempt { end: None, age: 0.0 }];
-        assert_eq!(may_repeat(&terms(Idempotency::NonIdempotent), out), Err(RepeatRefusal::MayHaveRun));
+        assert_eq!(may_repeat(&policy(Idempotency::NonIdempotent), out), Err(RetryRefusal::MayHaveExecuted));
         assert_eq!(
-            may_repeat(&terms(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 99.0)),
+            may_repeat(&policy(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 99.0)),
             Ok(())
         );
         let over =
-            may_repeat(&terms(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 100.0));
-        assert_eq!(over, Err(RepeatRefusal::WindowOver));
-        let narrow = RepeatTerms { key_scope: KeyScope::Cell, ..terms(Idempotency::IdempotencyKey) };
+            may_repeat(&policy(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 100.0));
+        assert_eq!(over, Err(RetryRefusal::KeyWindowExpired));
+        let narrow = RetryPolicy { key_scope: KeyScope::Cell, ..policy(Idempotency::IdempotencyKey) };
         assert_eq!(
             may_repeat(&narrow, ended(AttemptResult::ConnectionLost, 0.0)),
-            Err(RepeatRefusal::MayHaveRun)
+            Err(RetryRefusal::MayHaveExecuted)
         );
     }
 
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -13,7 +13,7 @@
 use crate::spec::{EffectSpec, FleetSpec, LoadSpec, Moment, PlanShape, What};
 use crate::{micros, rng, Ms, Rng};
 use basaltgw::api::*;
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use basaltgw_config::plan::table;
 use basaltgw_hierarchy as tree;
 use basaltgw_hierarchy::{FillKey, NodeId, NodeSpec, Plan, PlanSpec, Reshape, Tier, Version};
--- a/crates/simulator/tests/breakers.rs
+++ b/crates/simulator/tests/breakers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use basaltgw::api::*;
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use basaltgw_simulator::checker::Rule;
 use basaltgw_simulator::sim::{run, Decide, Setup};
 use basaltgw_simulator::spec::{Moment, What};
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small fleet.
 #![allow(dead_code)]
 
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use basaltgw_hierarchy::Settings;
 use basaltgw_simulator::sim::{run, Decide, Figures, Setup};
 use basaltgw_simulator::spec::*;
--- a/crates/simulator/tests/sizes.rs
+++ b/crates/simulator/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! Large objects beside small ones of their class, in simulated time, with sizes that no router is told.
 
 mod common;
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use basaltgw_simulator::sim::{run, ClassFigures, Decide, Setup};
 use basaltgw_simulator::spec::*;
 use common::*;
--- a/src/rules/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,5 +1,6 @@
 //! Retries and copies: whether a request may go out again, what is sent, and how old a copy may be.
 
+use super::retry::RetryPolicy;
 use super::Router;
 use crate::api::*;
 use crate::state::{Found, Health, Open, Try};
@@ -17,14 +18,7 @@
     /// Until when the class allows another attempt or a refusal: an unsafe request only if none may have run,
     /// a keyed one within its window if its group is all servers (narrower groups get none).
     pub(super) fn harmless_until(&self, open: &Open) -> Ms {
-        let class = &self.set.classes[open.class];
-        match (class.idempotency, open.may_run_since()) {
-            (Idempotency::Idempotent, _) | (_, None) => f64::INFINITY,
-            (Idempotency::IdempotencyKey, Some(since)) if class.key_scope == KeyScope::All => {
-                since + class.key_window
-            }
-            (Idempotency::IdempotencyKey | Idempotency::NonIdempotent, Some(_)) => f64::NEG_INFINITY,
-        }
+        RetryPolicy::of(&self.set.classes[open.class]).safe_until(open.may_run_since())
     }
 
     /// Sends a request to a server that may name a source, which may be held to what it holds.
--- a/src/rules.rs
+++ b/src/routing/mod.rs
@@ -5,26 +5,27 @@
 //! a bounded search. All else is an exception and says when it acts.
 //!
 //! Here is the one way of a request through all of it, each step with the file that decides it: filed and
-//! ranked (`split`), a target and a source chosen (`choice`) among servers that are known (`servers`), well
-//! (`health`) and have room (`room`, `slow_start`), sent (`attempts`), and sent again or given up
-//! (`refusals`).
+//! ranked (`ranking`), a target and a source chosen (`selection`) among servers that are known (`endpoints`),
+//! healthy (`outlier_ejection`) and have capacity (`concurrency_limit`, `slow_start`), sent (`attempts`), and
+//! retried (`retry`) or given up (`load_shedding`).
 
 mod attempts;
-mod choice;
-mod health;
-mod refusals;
-mod room;
-mod servers;
+mod concurrency_limit;
+mod endpoints;
+mod load_shedding;
+mod outlier_ejection;
+mod ranking;
+pub mod retry;
+mod selection;
 mod slow_start;
-mod split;
 
-pub use crate::carry;
+pub use crate::snapshot;
 pub use crate::state::Router;
-pub use split::{best_split, AVERAGE_SHARE, PERIOD_MS, SHADOW_ENTRIES, SPLIT_STEP};
+pub use ranking::{best_split, AVERAGE_SHARE, PERIOD_MS, SHADOW_ENTRIES, SPLIT_STEP};
 
 use crate::api::*;
 use crate::state::{Found, Open};
-pub(crate) use room::GATE_LEVEL_MS;
+pub(crate) use concurrency_limit::GATE_LEVEL_MS;
 
 /// Milliseconds between two sweeps over what is open: the grain of all guards that act by time.
 pub const SWEEP_MS: Ms = 20.0;
@@ -139,16 +140,8 @@
         source.into_iter().for_each(|i| self.servers[i].out = self.servers[i].out.saturating_sub(1));
         self.settle(server, source, key, &o);
         self.learn(at, &o);
-        let proved = matches!(
-            o.result,
-            AttemptResult::Rejected
-                | AttemptResult::NoConnection
-                | AttemptResult::NotSent
-                | AttemptResult::CacheMiss
-                | AttemptResult::Served
-        );
         let open = &mut self.open[at];
-        if !proved {
+        if !retry::not_executed(o.result) {
             open.may_have_run.get_or_insert(sent);
         }
         if o.result == AttemptResult::CacheMiss && o.fill_report != FillReport::LoopDetected {
--- a/src/carry.rs
+++ b/src/snapshot.rs
@@ -6,7 +6,7 @@
 //! the split (other clients), shares of fills, and what is open.
 
 use crate::api::*;
-use crate::rules::Router;
+use crate::routing::Router;
 use crate::state::{Health, Server};
 
 /// What was learnt of a server.
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,7 +5,7 @@
     Endpoint, EndpointState, FillPlan, GroupId, Ms, ObjectId, Rank, Request, RequestId, ServerId, Settings,
 };
 use crate::known::Known;
-use crate::rules::{GATE_LEVEL_MS, SHADOW_ENTRIES};
+use crate::routing::{GATE_LEVEL_MS, SHADOW_ENTRIES};
 use crate::shadow::ShadowList;
 use crate::window::{Average, DecayingRate};
 use crate::work::WorkEstimate;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use basaltgw::api::*;
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use std::sync::Arc;
 
 pub const SAFE: ClassId = ClassId(0);
--- a/tests/five_rules.rs
+++ b/tests/five_rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use basaltgw::api::*;
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use common::*;
 
 // 1. One final answer, in time.
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use basaltgw::api::*;
-use basaltgw::rules::{best_split, PERIOD_MS, SHADOW_ENTRIES, SPLIT_STEP};
+use basaltgw::routing::{best_split, PERIOD_MS, SHADOW_ENTRIES, SPLIT_STEP};
 use basaltgw::shadow::ShadowList;
 use common::*;
 use std::collections::BTreeSet;
--- a/tests/moved.rs
+++ b/tests/moved.rs
@@ -126,7 +126,7 @@
             e
         };
         let mut d = Driver::new(reporting_nothing(), fleet().into_iter().map(sized).collect());
-        d.router = basaltgw::rules::Router::new(reporting_nothing(), seed);
+        d.router = basaltgw::routing::Router::new(reporting_nothing(), seed);
         let started = Some(d.now);
         let mut all: Vec<Endpoint> = fleet().into_iter().map(sized).collect();
         all[0].started = started;
--- a/tests/policy_file.rs
+++ b/tests/policy_file.rs
@@ -25,8 +25,8 @@
 #[test]
 fn the_policy_files_stay_within_their_limits() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let folder = std::fs::read_dir(root.join("src/rules")).expect("the module's folder");
-    let there = folder.map(|f| f.expect("an entry").path()).chain([root.join("src/rules.rs")]).collect();
+    let folder = std::fs::read_dir(root.join("src/routing")).expect("the module's folder");
+    let there = folder.map(|f| f.expect("an entry").path()).collect();
     assert_eq!(named(root), there, "deploy/balancer.toml names every file of the module and no other");
     for path in &there {
         let text = read(path);
--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -3,7 +3,7 @@
 use crate::common::{self, rid};
 use crate::drawn::Step;
 use basaltgw::api::*;
-use basaltgw::rules::Router;
+use basaltgw::routing::Router;
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
 use std::collections::{BTreeMap, BTreeSet};
