--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -9,7 +9,7 @@
 pub use read::{event, Message};
 pub use write::action;
 
-use basaltgw::{api::Action, rules::Router};
+use basaltgw::{api::Action, routing::Router};
 use basaltgw_config::value::number;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -2,8 +2,8 @@
 
 use super::{Router, GATE_LEVEL_MS, SWEEP_MS};
 use crate::api::*;
-use crate::carry::Snapshot;
 use crate::hash::address;
+use crate::snapshot::Snapshot;
 use crate::state::{place, Gate, Health, Open, Planned, Server};
 use crate::window::{sorted, Average};
 use crate::work::WorkEstimate;
