--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -1,7 +1,8 @@
 //! Whether a request may run again: the one rule that decides on retries, hedged requests and rejections.
 //!
-//! A rejection invites the client to send its request again, so it falls under the same rule as a retry. The inputs are the idempotency that
-//! the class's settings state and the time at which the first attempt was sent that may have been executed. Times are in milliseconds.
+//! A rejection invites the client to send its request again, so it falls under the same rule as a retry. The
+//! inputs are the idempotency that the class's settings state, and the time at which the first attempt was
+//! sent that may have been executed. Times are in milliseconds.
 
 use crate::api::{AttemptResult, Class, Idempotency, KeyScope, Ms};
 use std::fmt;
@@ -58,10 +59,12 @@
         Self { idempotency: class.idempotency, key_scope: class.key_scope, key_window: class.key_window }
     }
 
-    /// The time until which the request may run again, infinite if it always may and negative infinity if it never may.
+    /// The time until which the request may run again: infinite if it always may, negative infinity if it
+    /// never may.
     ///
-    /// `first_possible_execution` is the time at which the first attempt was sent that may have been executed, or may yet be.
-    /// Servers outside a narrower [`KeyScope`] would not recognise the key, so such requests are not retried.
+    /// `first_possible_execution` is the time at which the first attempt was sent that may have been
+    /// executed, or may yet be. Servers outside a narrower [`KeyScope`] would not recognise the key, so such requests
+    /// are not retried.
     pub fn safe_until(&self, first_possible_execution: Option<Ms>) -> Ms {
         match (self.idempotency, first_possible_execution) {
             (Idempotency::Idempotent, _) | (_, None) => f64::INFINITY,
