--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -63,8 +63,8 @@
     /// never may.
     ///
     /// `first_possible_execution` is the time at which the first attempt was sent that may have been
-    /// executed, or may yet be. Servers outside a narrower [`KeyScope`] would not recognise the key, so such requests
-    /// are not retried.
+    /// executed, or may yet be. Servers outside a narrower [`KeyScope`] would not recognise the key, so such
+    /// requests are not retried.
     pub fn safe_until(&self, first_possible_execution: Option<Ms>) -> Ms {
         match (self.idempotency, first_possible_execution) {
             (Idempotency::Idempotent, _) | (_, None) => f64::INFINITY,
