--- a/crates/overlay/src/broken.rs
+++ b/crates/overlay/src/broken.rs
@@ -34,7 +34,7 @@
     }
 
     #[cfg(not(feature = "broken"))]
-    pub fn has(self, _: Broken) -> bool {
+    pub fn has(self, _: InjectedBug) -> bool {
         false
     }
 }
