--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,8 +1,6 @@
 //! The section `fleet` of the project's own file: who the router is among the others, and what it may take on for them.
 
-use crate::overlay::{
-    overlay, sizes as overlay_sizes, standing, Overlay, OverlayFile, Standing, StandingFile,
-};
+use crate::overlay::{self, overlay, standing, Overlay, OverlayFile, Standing, StandingFile};
 use crate::yaml::{BadFile, Document};
 use basaltgw_types::{Domain, RouterId};
 use serde::Deserialize;
@@ -237,7 +235,9 @@
     };
     distinct(document, &fleet)?;
     sizes(document, &fleet.limits)?;
-    overlay_sizes(document, &fleet)?;
+    if let Some(overlay) = &fleet.overlay {
+        overlay::check(document, overlay, fleet.limits.frame_bytes, fleet.gather)?;
+    }
     let rules = of.rules.map(|file| rules(document, &file)).transpose()?;
     Ok(Fleet { rules, ..fleet })
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,13 +1,13 @@
-//! The one reader of configuration: the settings, and what a router on sockets is told besides.
+//! Reads and checks all configuration: the settings of the decision module, those of a router on sockets, and the snapshot file.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod fleet;
-pub mod learnt;
 mod node;
 pub mod overlay;
 pub mod plan;
 mod settings;
+pub mod snapshot;
 mod typed;
 pub mod value;
 pub mod yaml;
--- a/crates/config/src/overlay.rs
+++ b/crates/config/src/overlay.rs
@@ -1,6 +1,5 @@
 //! The key `overlay` of the section `fleet`: where a router stands in the overlay, and its times and bounds.
 
-use crate::fleet::Fleet;
 use crate::yaml::{BadFile, Document};
 use basaltgw_types::{Domain, Ms};
 use serde::Deserialize;
@@ -128,15 +127,19 @@
     })
 }
 
-/// A frame of the overlay fits into one between routers, and what asks any router at any time has a link to it.
-pub(crate) fn sizes(document: &Document, fleet: &Fleet) -> Result<(), BadFile> {
-    let is = fleet.limits.frame_bytes;
-    if fleet.overlay.is_some() && is < LEAST_FRAME_BYTES {
-        let what = format!("expected {LEAST_FRAME_BYTES} or more, for fleet.overlay, found {is}");
+/// Checks the overlay against the rest of the section: its frames fit into those between routers, and scatter-gather has the links of a
+/// mesh.
+pub(crate) fn check(
+    document: &Document,
+    overlay: &Overlay,
+    frame_bytes: usize,
+    gather: bool,
+) -> Result<(), BadFile> {
+    if frame_bytes < LEAST_FRAME_BYTES {
+        let what = format!("expected {LEAST_FRAME_BYTES} or more, for fleet.overlay, found {frame_bytes}");
         return Err(document.fault("/fleet/limits/frame_bytes", what));
     }
-    let standing = fleet.overlay.as_ref().is_some_and(|o| o.links != Links::Mesh);
-    if standing && fleet.gather {
+    if overlay.links != Links::Mesh && gather {
         let what = "expected false with `fleet.overlay.links: standing`: gathers ask routers over the links of a mesh";
         return Err(document.fault("/fleet/gather", what));
     }
--- a/crates/config/tests/bytes.rs
+++ b/crates/config/tests/bytes.rs
@@ -3,7 +3,7 @@
 use basaltgw::api::{GroupId, ObjectId, ServerId};
 use basaltgw::hash::{address, mix};
 use basaltgw::routing::snapshot::{ServerSnapshot, Snapshot};
-use basaltgw_config::learnt::{read, write};
+use basaltgw_config::snapshot::{read, write};
 use std::sync::Arc;
 
 const WRITTEN: &str = concat!(
@@ -27,13 +27,13 @@
         ejected: out,
         warmup_started: cold_since,
     };
-    let learnt = Snapshot {
+    let snapshot = Snapshot {
         servers: vec![server("s-1", true, Some(0.25), Some(9000.0)), server("s-2", false, None, None)],
         sending_times: vec![("pages".into(), 310.0, 20)],
         purges: vec![(Some(ObjectId(u64::MAX)), None, 8000.0), (None, Some(GroupId(7)), 7000.0)],
     };
-    assert_eq!(write(&learnt, 10_000.0), WRITTEN);
-    assert_eq!(read(WRITTEN, 12_000.0, 5000.0), Ok(learnt));
+    assert_eq!(write(&snapshot, 10_000.0), WRITTEN);
+    assert_eq!(read(WRITTEN, 12_000.0, 5000.0), Ok(snapshot));
 }
 
 #[test]
--- a/crates/node/src/breaks.rs
+++ b/crates/node/src/breaks.rs
@@ -1,28 +1,28 @@
-//! Deliberate breaks, for showing that the soak test catches them. Only a build with the feature `breaks` has any, and it breaks only what the
-//! variable `GW_BREAK` names; in every other build this is a constant.
+//! Deliberate faults that show that the soak test detects them. Only a build with the feature `breaks` has them, and it activates only the one
+//! that the variable `GW_BREAK` names; in every other build [`broken`] is a constant.
 
-/// A rule that is broken on purpose.
+/// A rule that can be broken on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Break {
-    /// Purges are not heeded.
+    /// Purges are ignored.
     PurgeIgnored,
-    /// Each answer is given twice.
+    /// Each answer is sent twice.
     SecondAnswer,
-    /// What may have run is said to have never run.
+    /// A request that may have been executed counts as not executed.
     RepeatAfterExecution,
-    /// What clients take back goes on.
+    /// Cancellations are ignored.
     CancelIgnored,
     /// Connections are closed over open requests.
     CloseOverRequest,
-    /// Drains are not heeded.
+    /// Draining servers are sent attempts.
     DrainIgnored,
-    /// All time is taken from the wall clock.
+    /// The monotonic clock reads the wall clock.
     WallClock,
-    /// Deadlines are passed on as they were when a request was read.
+    /// Deadlines are passed on as they were when the request was read.
     StaleDeadline,
 }
 
-/// Whether this is broken here.
+/// Whether this rule is broken.
 #[cfg(feature = "breaks")]
 pub fn broken(which: Break) -> bool {
     static NAMED: std::sync::OnceLock<Option<Break>> = std::sync::OnceLock::new();
@@ -42,7 +42,7 @@
     *named == Some(which)
 }
 
-/// Nothing is broken in this build.
+/// No rule is broken in this build.
 #[cfg(not(feature = "breaks"))]
 pub const fn broken(_: Break) -> bool {
     false
--- a/crates/node/src/caches/conn.rs
+++ b/crates/node/src/caches/conn.rs
@@ -1,13 +1,18 @@
-//! A connection to a server: its state as the owner holds it, and the task that reads and writes its socket.
+//! A connection to a server: its state, and the task that reads and writes its socket.
 
-use super::{Answer, AttemptKey, ConnId, Down};
-use crate::clients::WireId;
+use super::ids::{AttemptKey, ConnId, Down};
+use super::wire::Answer;
+use crate::clients::message::WireId;
 use crate::clock::late;
-use crate::inbox::{either, read_all, Over};
-use crate::limits::{CONNECT_REST, FROM_CACHE, PROVEN_MS, SERVER_STALLED, SILENT_MS};
+use crate::connection::CloseReason;
+use crate::inbox::{either, read_all, DecodedMessage};
+use crate::limits::{
+    CONNECT_RETRY_INTERVAL, SERVER_READ_LIMITS, SERVER_STALLED, SILENT_CONNECTION_MS, VALIDATED_FOR_MS,
+};
+use crate::messages::{Input, Shared};
 use crate::outbox::{write_all, Drained, FetchTerms, Outbox, OutgoingMessage};
 use crate::resp::encode;
-use crate::{socket, Input, Shared};
+use crate::socket;
 use async_io::{Async, Timer};
 use basaltgw::api::{Ms, ServerId};
 use basaltgw_config::Place;
@@ -19,145 +24,146 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Ids that a connection remembers as given up.
-const ABORTED_KEPT: usize = 1024;
+/// Ids of cancelled attempts that a connection remembers; beyond them it is retired.
+const MAX_ABORTED_IDS: usize = 1024;
 
-/// A connection as the owner holds it. Dropped, it is closed once what is in its outbox is written.
+/// The state of a connection. Dropped, the connection is closed once its queue is written.
 pub(super) struct Conn {
     pub server: ServerId,
     pub place: Place,
-    pub out: Outbox,
+    pub outbox: Outbox,
     pub up: bool,
-    /// It takes no more requests.
+    /// It takes no more attempts.
     pub retired: bool,
     pub open: BTreeMap<WireId, AttemptKey>,
-    /// Given up here; an answer may still be on its way.
+    /// Cancelled attempts; an answer may still be on its way.
     aborted: BTreeSet<WireId>,
-    /// When something was asked after the last that was heard.
-    pub asked: Option<Ms>,
-    pub used: Ms,
-    /// Its last answer.
-    heard: Option<Ms>,
-    /// Under this tag it was asked whether it works; what is to be written waits for the answer.
-    pub proving: Option<WireId>,
-    held: Vec<Rc<OutgoingMessage>>,
-    /// Since when its server takes nothing new.
+    /// Since when answers are awaited and nothing came.
+    pub awaiting_since: Option<Ms>,
+    pub last_used: Ms,
+    last_answer: Option<Ms>,
+    /// The tag of the health probe that is not answered.
+    pub probe: Option<WireId>,
+    /// Attempts that are queued when the probe is answered.
+    behind_probe: Vec<Rc<OutgoingMessage>>,
+    /// Since when its server takes no new attempts.
     pub drained: Drained,
 }
 
 impl Conn {
-    /// One that is coming up.
-    pub(super) fn new(now: Ms, server: ServerId, place: Place, out: Outbox) -> Self {
+    /// A connection that is connecting.
+    pub(super) fn new(now: Ms, server: ServerId, place: Place, outbox: Outbox) -> Self {
         Self {
             server,
             place,
-            out,
+            outbox,
             up: false,
             retired: false,
             open: BTreeMap::new(),
             aborted: BTreeSet::new(),
-            asked: None,
-            used: now,
-            heard: None,
-            proving: None,
-            held: Vec::new(),
+            awaiting_since: None,
+            last_used: now,
+            last_answer: None,
+            probe: None,
+            behind_probe: Vec::new(),
             drained: Rc::default(),
         }
     }
 
-    /// Nothing is open on it, and nothing waits to be written.
+    /// Whether it has no open attempt and no unwritten byte.
     pub(super) fn idle(&self) -> bool {
-        self.open.is_empty() && self.out.unsent() == 0
+        self.open.is_empty() && self.outbox.unsent() == 0
     }
 
-    /// Something was asked, and nothing at all came for long.
+    /// Whether it has awaited answers for long, and nothing came.
     fn silent(&self, now: Ms) -> bool {
-        self.up && self.asked.is_some_and(|t| now - t >= SILENT_MS)
+        self.up && self.awaiting_since.is_some_and(|t| now - t >= SILENT_CONNECTION_MS)
     }
 
-    /// Nobody knows whether it works: it is new, or nothing was open on it for a while. Connections are cut when they are new or
-    /// idle, and a request that crosses this may have run.
-    fn unproven(&self, now: Ms) -> bool {
-        self.open.is_empty() && self.heard.is_none_or(|t| now - t > PROVEN_MS)
+    /// Whether it has to be probed before an attempt is written: it is new or was idle. A peer may close such a connection at any time, and
+    /// an attempt that crosses the close may have been executed.
+    fn unvalidated(&self, now: Ms) -> bool {
+        self.open.is_empty() && self.last_answer.is_none_or(|t| now - t > VALIDATED_FOR_MS)
     }
 
-    /// Puts a request in line, behind a proof where one is needed.
-    pub(super) fn put(
+    /// Queues an attempt, behind a health probe where one is needed.
+    pub(super) fn send(
         &mut self,
         now: Ms,
         at: ConnId,
         bytes: Vec<u8>,
         terms: FetchTerms,
     ) -> Rc<OutgoingMessage> {
-        if self.proving.is_none() && self.unproven(now) {
+        if self.probe.is_none() && self.unvalidated(now) {
             let tag = WireId(Arc::from(at.0.to_string()));
-            self.out.put(encode(&[b"alive", tag.0.as_bytes()]));
-            self.proving = Some(tag);
+            self.outbox.put(encode(&[b"alive", tag.0.as_bytes()]));
+            self.probe = Some(tag);
         }
-        let parcel = self.out.hold(bytes, FetchTerms { drained: Rc::clone(&self.drained), ..terms });
-        match self.proving {
-            Some(_) => self.held.push(Rc::clone(&parcel)),
-            None => self.out.release(&parcel),
+        let message = self.outbox.hold(bytes, FetchTerms { drained: Rc::clone(&self.drained), ..terms });
+        match self.probe {
+            Some(_) => self.behind_probe.push(Rc::clone(&message)),
+            None => self.outbox.release(&message),
         }
-        parcel
+        message
     }
 
-    /// Whether it takes an attempt. None under an id for which it has been asked before: an answer to that one, or a second
-    /// copy of it, would pass for this one's.
-    pub(super) fn takes(&self, now: Ms, id: &WireId, streams: usize) -> bool {
+    /// Whether it takes an attempt. None with the id of an earlier attempt on it, whose answer, or a duplicate of it, would count as the
+    /// answer to the new one.
+    pub(super) fn accepts(&self, now: Ms, id: &WireId, streams: usize) -> bool {
         let free = self.open.len() < streams && !self.open.contains_key(id) && !self.aborted.contains(id);
         free && !self.retired && !self.silent(now)
     }
 
-    /// Something came; the open attempt that it is for, if there is one.
+    /// Notes an answer; returns the open attempt that it is for, if there is one.
     pub(super) fn answered(&mut self, now: Ms, id: &WireId) -> Option<AttemptKey> {
         let key = self.open.remove(id);
-        self.heard = Some(now);
-        if self.proving.as_ref() == Some(id) {
-            self.proving = None;
-            std::mem::take(&mut self.held).iter().for_each(|parcel| self.out.release(parcel));
+        self.last_answer = Some(now);
+        if self.probe.as_ref() == Some(id) {
+            self.probe = None;
+            let waiting = std::mem::take(&mut self.behind_probe);
+            waiting.iter().for_each(|message| self.outbox.release(message));
         }
-        self.asked = Some(now).filter(|_| !self.open.is_empty());
-        self.used = now;
+        self.awaiting_since = Some(now).filter(|_| !self.open.is_empty());
+        self.last_used = now;
         if key.is_none() {
             self.aborted.remove(id);
         }
         key
     }
 
-    /// Puts the `abort` of an attempt in line, and behind it an `alive` under this tag.
+    /// Queues the `abort` of an attempt, and behind it a probe under this tag.
     pub(super) fn abort(&mut self, id: &WireId, tag: &WireId) {
-        if self.aborted.len() >= ABORTED_KEPT {
+        if self.aborted.len() >= MAX_ABORTED_IDS {
             self.aborted.clear();
             self.retired = true;
         }
         self.aborted.insert(id.clone());
-        self.out.put(encode(&[b"abort", id.0.as_bytes()]));
-        self.out.put(encode(&[b"alive", tag.0.as_bytes()]));
+        self.outbox.put(encode(&[b"abort", id.0.as_bytes()]));
+        self.outbox.put(encode(&[b"alive", tag.0.as_bytes()]));
     }
 }
 
-/// Connects, within the time for it. What this machine is short of for a moment is tried again.
-async fn connect(place: Place, limit: Duration) -> Result<Async<TcpStream>, Down> {
-    let short = Cell::new(false);
-    let tries = async {
+/// Connects within the time-out; retries while this machine is short of a resource.
+async fn connect(place: Place, timeout: Duration) -> Result<Async<TcpStream>, Down> {
+    let short_of_resource = Cell::new(false);
+    let attempts = async {
         loop {
             match Async::<TcpStream>::connect(place.address).await {
                 Err(e) if socket::is_local(&e) => {
-                    log::debug!("{}: {e}, tried again", place.address);
-                    short.set(true);
-                    Timer::after(CONNECT_REST).await;
+                    log::debug!("connect to {} failed, retrying: {e}", place.address);
+                    short_of_resource.set(true);
+                    Timer::after(CONNECT_RETRY_INTERVAL).await;
                 }
                 result => {
-                    short.set(false);
+                    short_of_resource.set(false);
                     return result;
                 }
             }
         }
     };
-    future::or(tries, late(limit)).await.map_err(|e| {
-        log::debug!("{}: {e}", place.address);
-        if short.get() {
+    future::or(attempts, late(timeout)).await.map_err(|e| {
+        log::debug!("connect to {} failed: {e}", place.address);
+        if short_of_resource.get() {
             Down::Shortage
         } else {
             Down::NeverUp
@@ -165,29 +171,31 @@
     })
 }
 
-/// A connection from its start to its end; the socket is closed when this returns.
+/// A connection from connect to close; the socket is closed when this returns.
 pub(super) async fn connection(
     at: ConnId,
     place: Place,
-    limit: Duration,
+    timeout: Duration,
     shared: &Shared,
-    parcels: async_channel::Receiver<Rc<OutgoingMessage>>,
+    outgoing: async_channel::Receiver<Rc<OutgoingMessage>>,
 ) -> Down {
-    let socket = match connect(place, limit).await {
+    let socket = match connect(place, timeout).await {
         Ok(socket) => socket,
         Err(down) => return down,
     };
     if let Err(e) = socket.get_ref().set_nodelay(true) {
-        log::debug!("{}: {e}", place.address);
+        log::debug!("connection {} to {}: TCP_NODELAY failed: {e}", at.0, place.address);
     }
     if shared.queue.send(Input::CacheUp(at)).await.is_ok() {
         let read = async {
-            let typed = |words, _, _| Answer::read(words, &[&shared.meter]).map(|a| Input::Cache(at, a));
-            read_all(&socket, FROM_CACHE, shared, || false, typed, None).await
+            let decode = |decoded: DecodedMessage| {
+                Some(Input::Cache(at, Answer::read(decoded.words, &[&shared.meter])?))
+            };
+            read_all(&socket, SERVER_READ_LIMITS, shared, || false, decode, None).await
         };
-        let over = either(read, write_all(&socket, parcels, || late(SERVER_STALLED))).await;
-        log::debug!("connection {} to {}: {over:?}", at.0, place.address);
-        return Down::Ended(over);
+        let reason = either(read, write_all(&socket, outgoing, || late(SERVER_STALLED))).await;
+        log::debug!("connection {} to {}: closed: {reason:?}", at.0, place.address);
+        return Down::Ended(reason);
     }
-    Down::Ended(Over::Ended)
+    Down::Ended(CloseReason::Ended)
 }
--- a/crates/node/src/caches/wire.rs
+++ b/crates/node/src/caches/wire.rs
@@ -1,44 +1,44 @@
-//! What is said to servers and what they say: attempts and their answers, as the protocol has them.
+//! Encodes attempts and decodes their answers. The protocol's names of fields and words are mapped to ours here only.
 
-use crate::clients::WireId;
+use crate::clients::message::WireId;
 use crate::outbox::{Counted, Meter};
 use crate::resp::{decimal, encode, Bounds, Decoder, FieldList, Fields};
 use basaltgw::api::{AttemptResult, FillReport, LoadReport, Ms, Rank, ServerId};
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Which copy of an object's bytes they are.
+/// The version of a cached copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CopyTag {
-    /// Its version.
+    /// The version's name.
     pub version: Arc<str>,
-    /// When the origin gave it out, in Unix milliseconds.
+    /// When the origin served it, in Unix milliseconds.
     pub born: u64,
 }
 
-/// What a server says of an attempt.
+/// A server's answer.
 #[derive(Debug)]
 pub struct Answer {
     /// The request's id.
     pub id: WireId,
-    /// How the attempt ended; `None` for what answers no attempt.
+    /// The attempt's result; `None` for the answer to a health probe.
     pub end: Option<AttemptResult>,
-    /// The client's copy is the one.
+    /// The client's copy is current; the answer has no body.
     pub same: bool,
-    /// Which copy this is, as it must tell of what can be kept.
+    /// The copy, which a server has to name where it may be cached.
     pub copy: Option<CopyTag>,
-    /// How it came about.
+    /// How the server got the object.
     pub note: FillReport,
-    /// Time spent waiting for the source.
+    /// Time that the server spent waiting for its source, in milliseconds.
     pub waited: Ms,
-    /// The load report.
+    /// The server's load report.
     pub load: LoadReport,
     /// The object's bytes.
     pub body: Counted,
 }
 
 impl Answer {
-    /// Reads an answer; `None` if it can't be read as the protocol has it. What serves has to be wholly readable.
+    /// Decodes an answer; `None` if it is malformed.
     pub fn read(words: Vec<Vec<u8>>, meters: &[&Rc<Meter>]) -> Option<Self> {
         let mut words = words.into_iter();
         let id = words.next()?;
@@ -63,7 +63,7 @@
             b"error" => Some(AttemptResult::Error),
             b"stale" => Some(AttemptResult::NotSent),
             b"yes" => None,
-            // Whatever it means, the attempt may have run.
+            // The attempt may have been executed, whatever an unknown word means.
             _ => Some(AttemptResult::Error),
         };
         let waited = match fields.get("waited") {
@@ -75,15 +75,15 @@
             end,
             same: word == b"current",
             copy,
-            note: note(fields.get("note")),
+            note: fill_report(fields.get("note")),
             waited,
-            load: fields.get("load").map(load).unwrap_or_default(),
+            load: fields.get("load").map(load_report).unwrap_or_default(),
             body: Counted::new(body.unwrap_or_default(), meters),
         })
     }
 }
 
-fn note(word: Option<&str>) -> FillReport {
+fn fill_report(word: Option<&str>) -> FillReport {
     match word {
         Some("hit") => FillReport::Hit,
         Some("filled") => FillReport::FilledBySource,
@@ -95,14 +95,14 @@
         Some("src_lacks") => FillReport::SourceMiss,
         Some("no_slot") => FillReport::FillLimitReached,
         Some("origin_failed") => FillReport::OriginFailed,
-        // Of caches that heed a plan; see docs/hierarchy.md.
+        // Of caches that take part in a plan; see docs/hierarchy.md.
         Some("src_looped") => FillReport::LoopDetected,
-        // A note that is not known tells nothing.
+        // An unknown note carries no information.
         Some(_) | None => FillReport::NotReported,
     }
 }
 
-fn load(report: &str) -> LoadReport {
+fn load_report(report: &str) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in report.split(';').filter_map(|pair| pair.split_once(':')) {
         let value = value.parse().ok().filter(|v: &f64| v.is_finite());
@@ -117,47 +117,47 @@
     load
 }
 
-/// An attempt as it is written to a server.
+/// An attempt to be encoded.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask<'a> {
     /// The request's id.
     pub id: &'a WireId,
     /// Its class.
     pub class: &'a str,
-    /// The object, as the client wrote it.
+    /// The object as the client wrote it.
     pub object: &'a str,
     /// The part.
     pub part: u64,
-    /// How long the router waits.
+    /// The attempt's time-out in milliseconds.
     pub wait: Ms,
-    /// Who supplies a miss.
+    /// The source of a miss.
     pub from: Option<&'a ServerId>,
-    /// How the copy is kept.
+    /// The rank at which the copy is cached.
     pub rank: Rank,
-    /// The oldest copy that will do.
+    /// The highest age of a copy that may be served, in milliseconds.
     pub oldest: Option<Ms>,
-    /// Join a fill under way.
+    /// Join a fill that is in progress.
     pub share: bool,
-    /// The source gives only what it holds.
+    /// The source serves a cached copy only.
     pub peek: bool,
-    /// Renew behind.
+    /// Serve stale, and revalidate in the background.
     pub renew: bool,
     /// The tag of the client's copy.
     pub seen: Option<&'a str>,
-    /// The client's key for repeats.
+    /// The idempotency key.
     pub key: Option<&'a str>,
     /// The body.
     pub body: &'a [u8],
 }
 
 impl Ask<'_> {
-    /// Its bytes.
+    /// Encodes it.
     pub fn encode(&self) -> Vec<u8> {
         let mut fields = FieldList::default();
         fields.add("c", self.class);
         fields.add("k", self.object);
         fields.add("p", self.part);
-        fields.add("w", wait_told(self.wait));
+        fields.add("w", encoded_wait(self.wait));
         if let Some(from) = self.from {
             fields.add("from", &*from.0);
         }
@@ -168,7 +168,7 @@
             Rank::Top => fields.add("rank", 3),
         }
         if let Some(oldest) = self.oldest {
-            // 0 would stand for the class's fresh time.
+            // 0 would mean the class's freshness time.
             fields.add("oldest", oldest.floor().max(1.0));
         }
         let modes = [(self.share, "share"), (self.peek, "peek"), (self.renew, "swr")];
@@ -186,53 +186,27 @@
     }
 }
 
-/// How long the router waits, as it is told: 0 would be no time at all.
-fn wait_told(wait: Ms) -> Ms {
+/// A time-out as it is encoded: whole milliseconds, at least 1, since 0 would be no time at all.
+fn encoded_wait(wait: Ms) -> Ms {
     wait.floor().max(1.0)
 }
 
-/// A fetch anew, with another time for which the router waits; `None` of what is no fetch.
+/// Encodes an attempt anew with another time-out; `None` if the bytes are no attempt.
 pub fn with_wait(fetch: &[u8], wait: Ms) -> Option<Vec<u8>> {
     let mut decoder = Decoder::new(Bounds { words: 4, bytes: fetch.len() });
     decoder.feed(fetch);
     let words = decoder.message().ok()??;
     let fields = std::str::from_utf8(words.get(2)?).ok()?;
-    let told = wait_told(wait).to_string();
-    let each = fields.split(',').map(|field| match field.split_once('=') {
-        Some(("w", _)) => format!("w={told}"),
+    let wait = encoded_wait(wait);
+    let replaced = fields.split(',').map(|field| match field.split_once('=') {
+        Some(("w", _)) => format!("w={wait}"),
         _ => field.to_string(),
     });
-    let fields = each.collect::<Vec<_>>().join(",");
+    let fields = replaced.collect::<Vec<_>>().join(",");
     let mut words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
     words[2] = fields.as_bytes();
     Some(encode(&words))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn fetch_is_written_anew_with_another_wait_and_nothing_else_changed() {
-        let id = WireId(Arc::from("00000000000000ff"));
-        let ask = |wait| Ask {
-            id: &id,
-            class: "pages",
-            object: "0000000000000007",
-            part: 3,
-            wait,
-            from: None,
-            rank: Rank::Top,
-            oldest: Some(40.0),
-            share: true,
-            peek: false,
-            renew: true,
-            seen: None,
-            key: Some("w1"),
-            body: b"w=9,\r\n body",
-        };
-        assert_eq!(with_wait(&ask(1_500.0).encode(), 70.9), Some(ask(70.0).encode()));
-        assert_eq!(with_wait(&ask(1_500.0).encode(), 0.0), Some(ask(1.0).encode()));
-        assert_eq!(with_wait(b"*1\r\n$5\r\nabort\r\n", 1.0), None);
-    }
-}
+mod tests;
--- a/crates/node/src/changelog/follow.rs
+++ b/crates/node/src/changelog/follow.rs
@@ -1,85 +1,76 @@
-//! The connection to the change log that runs, and the one that is tried beside it.
+//! Follows the change log over an active connection and, where that one is suspect, a standby beside it.
+//!
+//! Inputs: frames, connection errors, a new address, and the time since the last frame. A standby is opened when the active connection sent
+//! no complete frame for [`crate::limits::CHANGELOG_HEDGE_AFTER`], or when empty frames name events that were not sent; it takes over with
+//! its first frame. Failed connections are retried with exponential backoff.
 
 use super::watch::Watch;
-use super::{Follower, Frame};
-use crate::limits::{LOG_ASK, LOG_ASK_MOST, LOG_REST, LOG_REST_MOST};
-use crate::Input;
+use super::{Follower, Frame, ReconnectReason};
+use crate::limits::{
+    CHANGELOG_BACKOFF_MAX, CHANGELOG_BACKOFF_MIN, CHANGELOG_RECHECK_MAX, CHANGELOG_RECHECK_MIN,
+};
+use crate::messages::Input;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use basaltgw_config::{Names, Seq};
 use futures_lite::future;
-use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Why a second connection is tried beside the one that runs.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
-    /// Nothing whole has come for longer than frames are apart.
-    Quiet,
-    /// Its empty frames name events that it has not told.
-    Behind,
-}
-
-impl fmt::Display for Doubt {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Self::Quiet => "it was quiet",
-            Self::Behind => "it named events that it did not tell",
-        })
-    }
+/// What the follower waits for.
+enum Next {
+    AddressChanged(SocketAddr),
+    Active(io::Result<Frame>),
+    Standby(io::Result<Frame>),
+    /// A connection is due: a standby with its reason, else the active one.
+    Connect(Option<ReconnectReason>),
 }
 
-/// What came first.
-enum Next {
-    Moved(SocketAddr),
-    Running(io::Result<Frame>),
-    Beside(io::Result<Frame>),
-    /// A connection is due; with a doubt, beside the one that runs.
-    Open(Option<Doubt>),
+/// When missing events are asked for on another connection. An event may just be late, so each recheck in vain doubles the interval.
+struct RecheckTimer {
+    interval: Duration,
+    due: Option<Instant>,
 }
 
-/// How soon a log is asked again that names what it does not tell: what it tells late needs no asking, so each time in vain doubles
-/// the wait.
-struct Pace {
-    wait: Duration,
-    at: Option<Instant>,
+/// A connection that replaces the active one with its first complete frame.
+struct Standby {
+    watch: Watch,
+    reason: ReconnectReason,
 }
 
-/// The connections, two at most.
+/// The connections to the change log, at most two.
 struct Watches {
-    at: SocketAddr,
-    running: Option<Watch>,
-    /// It takes over with its first whole frame.
-    beside: Option<(Watch, Doubt)>,
+    address: SocketAddr,
+    active: Option<Watch>,
+    standby: Option<Standby>,
     follower: Follower,
-    /// The rest after the next connection that gives nothing.
-    rest: Duration,
-    /// None is opened before this.
+    /// The backoff after the next connection that sends nothing.
+    backoff: Duration,
+    /// No connection is opened before this.
     not_before: Instant,
-    pace: Pace,
+    recheck: RecheckTimer,
 }
 
-/// Follows the change log for good; `moves` tells where else it is from then on.
+/// Follows the change log from the event after `from` until the owner is gone; `moves` sends a new address.
 pub async fn follow(
-    at: SocketAddr,
+    address: SocketAddr,
     moves: Receiver<SocketAddr>,
     from: Seq,
     names: Names,
     urgent: Sender<Input>,
 ) {
     let mut watches = Watches {
-        at,
-        running: None,
-        beside: None,
+        address,
+        active: None,
+        standby: None,
         follower: Follower::new(from),
-        rest: LOG_REST,
+        backoff: CHANGELOG_BACKOFF_MIN,
         not_before: Instant::now(),
-        pace: Pace { wait: LOG_ASK, at: None },
+        recheck: RecheckTimer { interval: CHANGELOG_RECHECK_MIN, due: None },
     };
     loop {
-        // Not given up for a new address: what is taken is told.
+        // A new address doesn't interrupt this: an event that was taken reaches the owner.
         for input in watches.step(&moves, &names).await {
             if urgent.send(input).await.is_err() {
                 return;
@@ -88,140 +79,143 @@
     }
 }
 
-async fn frame(of: Option<&mut Watch>, names: &Names) -> io::Result<Frame> {
-    match of {
+async fn frame(watch: Option<&mut Watch>, names: &Names) -> io::Result<Frame> {
+    match watch {
         Some(watch) => watch.frame(names).await,
         None => future::pending().await,
     }
 }
 
 impl Watches {
-    /// Waits for what comes next; gives what the owner is to hear of it.
+    /// Waits for what comes next; returns the owner's inputs.
     async fn step(&mut self, moves: &Receiver<SocketAddr>, names: &Names) -> Vec<Input> {
         match self.next(moves, names).await {
-            Next::Moved(at) => {
-                self.at = at;
-                (self.rest, self.not_before) = (LOG_REST, Instant::now());
-                self.beside = None;
-                self.running = None;
-                self.lost(&format!("it is at {at} now"))
-            }
-            Next::Open(doubt) => self.open(doubt),
-            Next::Running(Ok(frame)) => self.take(frame, None),
-            Next::Running(Err(e)) => self.over(&e.to_string()),
-            Next::Beside(Ok(frame)) => {
-                let doubt = self.beside.as_ref().map(|(_, doubt)| *doubt);
-                self.take(frame, doubt)
+            Next::AddressChanged(address) => self.move_to(address),
+            Next::Connect(reason) => self.connect(reason),
+            Next::Active(Ok(frame)) => self.take(frame, None),
+            Next::Active(Err(e)) => self.active_failed(&e.to_string()),
+            Next::Standby(Ok(frame)) => {
+                let reason = self.standby.as_ref().map(|standby| standby.reason);
+                self.take(frame, reason)
             }
-            Next::Beside(Err(e)) => self.beside_over(&e.to_string()),
+            Next::Standby(Err(e)) => self.standby_failed(&e.to_string()),
         }
     }
 
     async fn next(&mut self, moves: &Receiver<SocketAddr>, names: &Names) -> Next {
-        let due = self.due();
-        let Self { at, running, beside, .. } = self;
+        let due = self.next_connection();
+        let Self { address, active, standby, .. } = self;
         let moved = async {
             loop {
                 match moves.recv().await {
-                    Ok(to) if to == *at => {}
-                    Ok(to) => return Next::Moved(to),
+                    Ok(to) if to == *address => {}
+                    Ok(to) => return Next::AddressChanged(to),
                     Err(_) => future::pending().await,
                 }
             }
         };
-        let running = async { Next::Running(frame(running.as_mut(), names).await) };
-        let beside = async { Next::Beside(frame(beside.as_mut().map(|(w, _)| w), names).await) };
-        let open = async {
+        let active = async { Next::Active(frame(active.as_mut(), names).await) };
+        let standby = async { Next::Standby(frame(standby.as_mut().map(|s| &mut s.watch), names).await) };
+        let connect = async {
             match due {
-                Some((at, doubt)) => {
+                Some((at, reason)) => {
                     Timer::at(at).await;
-                    Next::Open(doubt)
+                    Next::Connect(reason)
                 }
                 None => future::pending().await,
             }
         };
-        future::or(moved, future::or(running, future::or(beside, open))).await
+        future::or(moved, future::or(active, future::or(standby, connect))).await
     }
 
-    /// When a connection is to be opened, and for what doubt about the one that runs.
-    fn due(&self) -> Option<(Instant, Option<Doubt>)> {
-        if self.beside.is_some() {
+    /// When the next connection is opened, with the reason of a standby; `None` while there are two.
+    fn next_connection(&self) -> Option<(Instant, Option<ReconnectReason>)> {
+        if self.standby.is_some() {
             return None;
         }
-        let due = match (&self.running, self.pace.at) {
+        let (at, reason) = match (&self.active, self.recheck.due) {
             (None, _) => (self.not_before, None),
-            (Some(watch), Some(at)) if at < watch.doubtful() => (at, Some(Doubt::Behind)),
-            (Some(watch), _) => (watch.doubtful(), Some(Doubt::Quiet)),
+            (Some(watch), Some(at)) if at < watch.suspect_at() => (at, Some(ReconnectReason::MissingEvents)),
+            (Some(watch), _) => (watch.suspect_at(), Some(ReconnectReason::Silent)),
         };
-        Some((due.0.max(self.not_before), due.1))
+        Some((at.max(self.not_before), reason))
+    }
+
+    fn move_to(&mut self, address: SocketAddr) -> Vec<Input> {
+        self.address = address;
+        (self.backoff, self.not_before) = (CHANGELOG_BACKOFF_MIN, Instant::now());
+        self.standby = None;
+        self.active = None;
+        self.lost(&format!("address changed to {address}"))
     }
 
-    fn open(&mut self, doubt: Option<Doubt>) -> Vec<Input> {
-        let watch = Watch::open(self.at, self.follower.last());
-        let Some(doubt) = doubt else {
-            self.running = Some(watch);
+    fn connect(&mut self, reason: Option<ReconnectReason>) -> Vec<Input> {
+        let watch = Watch::open(self.address, self.follower.last());
+        let Some(reason) = reason else {
+            self.active = Some(watch);
             return Vec::new();
         };
-        if doubt == Doubt::Behind {
-            self.pace = Pace { wait: (self.pace.wait * 2).min(LOG_ASK_MOST), at: None };
+        if reason == ReconnectReason::MissingEvents {
+            let interval = (self.recheck.interval * 2).min(CHANGELOG_RECHECK_MAX);
+            self.recheck = RecheckTimer { interval, due: None };
         }
-        self.beside = Some((watch, doubt));
-        vec![Input::LogDoubted(doubt)]
+        self.standby = Some(Standby { watch, reason });
+        vec![Input::LogDoubted(reason)]
     }
 
-    /// Takes a frame of the running connection, or the first of the one beside it.
-    fn take(&mut self, frame: Frame, first_beside: Option<Doubt>) -> Vec<Input> {
+    /// Takes a frame of the active connection, or the first frame of the standby with its reason.
+    fn take(&mut self, frame: Frame, standby: Option<ReconnectReason>) -> Vec<Input> {
         let known = self.follower.last();
-        let news = match self.follower.take(frame) {
-            Ok(news) => news,
+        let event = match self.follower.take(frame) {
+            Ok(event) => event,
             Err(e) => {
-                // It counts as met again only on a connection that asked for it since.
-                self.beside = None;
-                return self.over(&e.to_string());
+                // The fault counts as repeated only on a connection that requested the event since.
+                self.standby = None;
+                return self.active_failed(&e.to_string());
             }
         };
         let mut inputs = Vec::new();
-        if let Some((watch, doubt)) = self.beside.take_if(|_| first_beside.is_some()) {
-            self.running = Some(watch);
-            inputs = self.lost(&format!("{doubt}, and another connection took over"));
-            if doubt == Doubt::Behind && self.follower.last() > known {
-                self.pace.wait = LOG_ASK;
+        if let Some(Standby { watch, reason }) = self.standby.take_if(|_| standby.is_some()) {
+            self.active = Some(watch);
+            inputs = self.lost(&format!("{reason}, replaced by a standby connection"));
+            if reason == ReconnectReason::MissingEvents && self.follower.last() > known {
+                self.recheck.interval = CHANGELOG_RECHECK_MIN;
             }
         }
-        self.pace.at = match self.pace.at {
+        self.recheck.due = match self.recheck.due {
             _ if !self.follower.behind() => None,
-            None => Some(Instant::now() + self.pace.wait),
-            at => at,
+            None => Some(Instant::now() + self.recheck.interval),
+            due => due,
         };
-        inputs.extend(news.map(Input::News));
+        inputs.extend(event.map(Input::News));
         inputs
     }
 
-    /// The running connection is over; the one beside it goes on in its place.
-    fn over(&mut self, why: &str) -> Vec<Input> {
-        let heard = self.running.take().is_some_and(|w| w.heard());
-        self.running = self.beside.take().map(|(watch, _)| watch);
-        self.tire(heard);
+    /// The active connection failed; the standby, if there is one, replaces it.
+    fn active_failed(&mut self, why: &str) -> Vec<Input> {
+        let received = self.active.take().is_some_and(|watch| watch.has_received());
+        self.active = self.standby.take().map(|standby| standby.watch);
+        self.back_off(received);
         self.lost(why)
     }
 
-    fn beside_over(&mut self, why: &str) -> Vec<Input> {
-        let heard = self.beside.take().is_some_and(|(w, _)| w.heard());
-        self.tire(heard);
+    fn standby_failed(&mut self, why: &str) -> Vec<Input> {
+        let received = self.standby.take().is_some_and(|standby| standby.watch.has_received());
+        self.back_off(received);
         self.lost(why)
     }
 
-    /// After a connection that gave something the rest is short again.
-    fn tire(&mut self, heard: bool) {
-        if heard {
-            self.rest = LOG_REST;
+    /// Delays the next connection; a connection that sent a frame resets the backoff.
+    fn back_off(&mut self, received: bool) {
+        if received {
+            self.backoff = CHANGELOG_BACKOFF_MIN;
         }
-        self.not_before = Instant::now() + self.rest;
-        self.rest = (self.rest * 2).min(LOG_REST_MOST);
+        self.not_before = Instant::now() + self.backoff;
+        self.backoff = (self.backoff * 2).min(CHANGELOG_BACKOFF_MAX);
     }
 
     fn lost(&self, why: &str) -> Vec<Input> {
-        log::info!("change log: {why}; resumed after event {}", self.follower.last().0);
+        log::info!("change log: connection lost ({why}), resuming after event {}", self.follower.last().0);
         vec![Input::LogLost]
     }
 }
--- a/crates/node/src/changelog/follower.rs
+++ b/crates/node/src/changelog/follower.rs
@@ -1,62 +1,65 @@
-//! Which event comes next.
+//! Decides which event is taken next. Inputs: the frames of all connections, in the order of their arrival; no time.
+//!
+//! An event is taken once. A gap, or an event that can't be decoded, ends the connection, since the next one may bring what is missing;
+//! when the next connection meets the same fault, the change log has nothing better, and the events behind it are taken.
 
 use super::{BadFrame, Frame};
 use basaltgw_config::{News, Seq};
 
-/// Which event comes next, and what a fault means for the connection. Frames of all connections go through it, so none tells an
-/// event a second time.
+/// The position in the change log, over all connections.
 #[derive(Debug)]
 pub struct Follower {
     last: Seq,
-    /// The number of the latest empty frame. Above `last` it tells that events are held back, or were left out.
-    empty: Seq,
-    /// A gap or an unreadable event was met here. Met again on the next connection, the log has nothing better, and
-    /// what follows must not wait for it.
+    /// The number of the latest empty frame. Above `last`, events are missing.
+    last_empty: Seq,
+    /// The event at which the last connection met a gap or could not decode.
     fault: Option<Seq>,
 }
 
 impl Follower {
-    /// A follower that has events up to `last`.
+    /// A follower that has all events up to `last`.
     pub fn new(last: Seq) -> Self {
-        Self { last, empty: last, fault: None }
+        Self { last, last_empty: last, fault: None }
     }
 
-    /// The last event it has.
+    /// The last event taken.
     pub fn last(&self) -> Seq {
         self.last
     }
 
-    /// True if the log has named an event that it has not told.
+    /// Whether the change log has named an event that it has not sent.
     pub fn behind(&self) -> bool {
-        self.empty > self.last
+        self.last_empty > self.last
     }
 
-    /// What a frame tells if it is the next event. An event that is known already is passed over. After an error the
-    /// connection is of no more use.
+    /// Takes a frame; returns its event if that is the next one, `None` for a known event or an empty frame.
+    ///
+    /// # Errors
+    /// On the first meeting with a gap or an event that can't be decoded; the connection has to be closed.
     pub fn take(&mut self, frame: Frame) -> Result<Option<News>, BadFrame> {
         let known = frame.seq <= self.last;
-        let news = match frame.news {
+        let event = match frame.news {
             Ok(None) => {
-                self.empty = frame.seq;
+                self.last_empty = frame.seq;
                 return Ok(None);
             }
             Ok(Some(_)) if known => return Ok(None),
             Err(e) if known => return Err(e),
-            news => news,
+            event => event,
         };
-        let again = self.fault.replace(frame.seq) == Some(frame.seq);
-        if frame.seq.0 > self.last.0 + 1 && !again {
-            return Err(BadFrame("a gap"));
+        let repeated = self.fault.replace(frame.seq) == Some(frame.seq);
+        if frame.seq.0 > self.last.0 + 1 && !repeated {
+            return Err(BadFrame("a gap between events"));
         }
-        let news = match news {
-            Err(e) if !again => return Err(e),
+        let event = match event {
+            Err(e) if !repeated => return Err(e),
             Err(e) => {
-                log::warn!("change log: event {} is passed over: {e}", frame.seq.0);
+                log::warn!("change log: event {} skipped: {e}", frame.seq.0);
                 None
             }
-            Ok(news) => news,
+            Ok(event) => event,
         };
         (self.last, self.fault) = (frame.seq, None);
-        Ok(news)
+        Ok(event)
     }
 }
--- a/crates/node/src/changelog/mod.rs
+++ b/crates/node/src/changelog/mod.rs
@@ -1,28 +1,32 @@
-//! The change log: a stream of numbered frames, followed from the last event that is known.
+//! The change log: a stream of numbered frames that is followed from the last known event.
 //!
-//! - here: frames, and what is read from them;
-//! - `follower`: which event comes next, over all connections;
-//! - `watch`: one connection; `follow`: the one that runs, and the one that is tried beside it.
+//! - here: decodes frames and their events;
+//! - `follower`: decides which event is taken next, over all connections;
+//! - `watch`: one connection; `follow`: the active connection and its standby;
+//! - `reconnect_reason`: why a standby is opened.
 
 mod follow;
 mod follower;
+pub(crate) mod reconnect_reason;
 mod watch;
 
-pub use follow::{follow, Doubt};
+pub use follow::follow;
 pub use follower::Follower;
+pub use reconnect_reason::ReconnectReason;
 
-use crate::limits::LOG_FRAME;
+use crate::limits::CHANGELOG_FRAME_MAX_BYTES;
 use basaltgw::api::{Endpoint, EndpointState, GroupId, ObjectId, ServerId};
 use basaltgw_config::{Member, Names, News, Seq};
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Number and kind, which every frame has.
-const HEAD: usize = 9;
-const RECORD: usize = 27;
+/// The event number (8 bytes) and kind (1 byte) of each frame.
+const HEADER_BYTES: usize = 9;
+/// One endpoint in a list.
+const RECORD_BYTES: usize = 27;
 
-/// A frame that can't be read.
+/// What is wrong with a frame that can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadFrame(&'static str);
 
@@ -32,16 +36,16 @@
     }
 }
 
-/// A frame: the event's number and the event; none in an empty frame.
+/// A frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// The number.
+    /// The event's number.
     pub seq: Seq,
-    /// What it tells, if that can be read.
+    /// The event; `None` in an empty frame.
     pub news: Result<Option<News>, BadFrame>,
 }
 
-/// Reads big-endian numbers off a payload.
+/// Reads big-endian numbers off the front of a payload.
 struct Bytes<'a>(&'a [u8]);
 
 impl Bytes<'_> {
@@ -52,50 +56,52 @@
     }
 }
 
-/// Takes bytes in any pieces and gives whole frames. Fed only when it has no whole frame left, it holds less than the longest frame
-/// and a piece.
+/// Splits a byte stream into frames. Fed only when it has no complete frame left, it buffers less than the longest frame and one read.
 #[derive(Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
-    /// Those before this are done with.
-    from: usize,
+    /// Bytes before this are decoded.
+    decoded: usize,
 }
 
 impl Decoder {
-    /// Takes bytes in.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        // Once for each piece, not for each frame: a piece may hold a thousand.
-        self.bytes.drain(..self.from);
-        self.from = 0;
+        // Here and not for each frame, since one read may bring a thousand frames.
+        self.bytes.drain(..self.decoded);
+        self.decoded = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Bytes that are held.
+    /// Bytes that are buffered.
     pub fn held(&self) -> usize {
         self.bytes.len()
     }
 
-    /// The next whole frame, if there is one.
+    /// The next complete frame, if there is one.
+    ///
+    /// # Errors
+    /// If its length is out of bounds or its number is cut short; the stream can't be decoded any further.
     pub fn frame(&mut self, names: &Names) -> Result<Option<Frame>, BadFrame> {
-        let unread = self.bytes.get(self.from..).unwrap_or_default();
+        let unread = self.bytes.get(self.decoded..).unwrap_or_default();
         let Some((length, rest)) = unread.split_first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
-        if !(HEAD..=LOG_FRAME).contains(&length) {
+        if !(HEADER_BYTES..=CHANGELOG_FRAME_MAX_BYTES).contains(&length) {
             return Err(BadFrame("a length out of bounds"));
         }
         let Some(body) = rest.get(..length) else { return Ok(None) };
         let mut body = Bytes(body);
-        let frame = Frame { seq: Seq(body.number(8)?), news: news(body, names) };
-        self.from += 4 + length;
+        let frame = Frame { seq: Seq(body.number(8)?), news: event(body, names) };
+        self.decoded += 4 + length;
         Ok(Some(frame))
     }
 }
 
-fn news(mut b: Bytes<'_>, names: &Names) -> Result<Option<News>, BadFrame> {
+fn event(mut b: Bytes<'_>, names: &Names) -> Result<Option<News>, BadFrame> {
     let news = match b.number(1)? {
         0 => None,
         kind @ (1 | 2) => {
-            let mut members = Vec::with_capacity(b.0.len() / RECORD);
+            let mut members = Vec::with_capacity(b.0.len() / RECORD_BYTES);
             while !b.0.is_empty() {
                 members.push(record(&mut b, names)?);
             }
--- /dev/null
+++ b/crates/node/src/changelog/reconnect_reason.rs
@@ -0,0 +1,21 @@
+//! Why a second connection to the change log is opened.
+
+use std::fmt;
+
+/// Why a second connection is opened beside the active one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReconnectReason {
+    /// No complete frame came for longer than the interval of frames.
+    Silent,
+    /// Empty frames name events that were not sent.
+    MissingEvents,
+}
+
+impl fmt::Display for ReconnectReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Silent => "no frame in time",
+            Self::MissingEvents => "events missing",
+        })
+    }
+}
--- a/crates/node/src/changelog/watch.rs
+++ b/crates/node/src/changelog/watch.rs
@@ -2,7 +2,7 @@
 
 use super::{Decoder, Frame};
 use crate::clock::late;
-use crate::limits::{LOG_CONNECT, LOG_DOUBT, LOG_SILENT, READ_BYTES};
+use crate::limits::{CHANGELOG_CONNECT_TIMEOUT, CHANGELOG_HEDGE_AFTER, CHANGELOG_READ_TIMEOUT, READ_BYTES};
 use crate::socket as io_socket;
 use async_io::Async;
 use basaltgw_config::{Names, Seq};
@@ -15,77 +15,81 @@
 
 type Socket = Async<TcpStream>;
 
-enum Stage {
-    /// It is coming up, and is then told the last event that is known.
-    Coming(Pin<Box<dyn Future<Output = io::Result<Socket>>>>),
-    /// It is read from.
-    Up(Socket, Vec<u8>),
+enum State {
+    /// Connecting, then requesting the events after the last known one.
+    Connecting(Pin<Box<dyn Future<Output = io::Result<Socket>>>>),
+    /// Open, with the buffer of its reads.
+    Open(Socket, Vec<u8>),
 }
 
 /// A connection to the change log. Dropped, it is closed.
 pub struct Watch {
-    stage: Stage,
+    state: State,
     decoder: Decoder,
-    /// When it was opened, or gave its last whole frame. Bytes without a whole frame are silence.
-    sign: Instant,
-    /// It is over if it gives nothing before this.
-    until: Instant,
-    heard: bool,
+    /// When it was opened, or sent its last complete frame; partial frames don't count.
+    last_frame: Instant,
+    /// It times out at this.
+    timeout_at: Instant,
+    has_received: bool,
 }
 
 impl Watch {
-    /// Opens one that goes on after this event.
-    pub fn open(at: SocketAddr, last: Seq) -> Self {
-        let coming = async move {
-            let mut socket = Async::<TcpStream>::connect(at).await?;
+    /// Connects and requests the events after `last`.
+    pub fn open(address: SocketAddr, last: Seq) -> Self {
+        let connecting = async move {
+            let mut socket = Async::<TcpStream>::connect(address).await?;
             socket.get_ref().set_nodelay(true)?;
             io_socket::write_whole(&mut socket, &last.0.to_be_bytes()).await?;
             Ok(socket)
         };
-        let sign = Instant::now();
-        let stage = Stage::Coming(Box::pin(coming));
-        Self { stage, decoder: Decoder::default(), sign, until: sign + LOG_CONNECT, heard: false }
+        let last_frame = Instant::now();
+        let state = State::Connecting(Box::pin(connecting));
+        let timeout_at = last_frame + CHANGELOG_CONNECT_TIMEOUT;
+        Self { state, decoder: Decoder::default(), last_frame, timeout_at, has_received: false }
     }
 
-    /// True once it has given a whole frame.
-    pub fn heard(&self) -> bool {
-        self.heard
+    /// Whether it has sent a complete frame.
+    pub fn has_received(&self) -> bool {
+        self.has_received
     }
 
-    /// From when on another is tried beside it.
-    pub fn doubtful(&self) -> Instant {
-        self.sign + LOG_DOUBT
+    /// When a standby is opened beside it unless a frame comes.
+    pub fn suspect_at(&self) -> Instant {
+        self.last_frame + CHANGELOG_HEDGE_AFTER
     }
 
-    /// The next frame, or why there is none any more. Given up while it waits, it loses nothing.
+    /// Waits for the next frame. Cancel safe.
+    ///
+    /// # Errors
+    /// If the connection is closed, times out, or sends a frame that can't be decoded.
     pub async fn frame(&mut self, names: &Names) -> io::Result<Frame> {
         loop {
             let bad = |e: super::BadFrame| io::Error::new(io::ErrorKind::InvalidData, e.to_string());
             if let Some(frame) = self.decoder.frame(names).map_err(bad)? {
-                self.heard = true;
-                self.sign = Instant::now();
-                self.until = self.sign + LOG_SILENT;
+                self.has_received = true;
+                self.last_frame = Instant::now();
+                self.timeout_at = self.last_frame + CHANGELOG_READ_TIMEOUT;
                 return Ok(frame);
             }
-            let rest = self.until.saturating_duration_since(Instant::now());
-            future::or(self.more(), late(rest)).await?;
+            let left = self.timeout_at.saturating_duration_since(Instant::now());
+            future::or(self.advance(), late(left)).await?;
         }
     }
 
-    /// Comes up, or reads a piece.
-    async fn more(&mut self) -> io::Result<()> {
-        match &mut self.stage {
-            Stage::Coming(coming) => {
-                let socket = coming.await?;
-                self.stage = Stage::Up(socket, vec![0; READ_BYTES]);
-                self.until = Instant::now() + LOG_SILENT;
+    /// Completes the connect, or reads once.
+    async fn advance(&mut self) -> io::Result<()> {
+        match &mut self.state {
+            State::Connecting(connecting) => {
+                let socket = connecting.await?;
+                self.state = State::Open(socket, vec![0; READ_BYTES]);
+                self.timeout_at = Instant::now() + CHANGELOG_READ_TIMEOUT;
             }
-            Stage::Up(socket, piece) => {
-                let n = io_socket::read(socket, piece).await?;
+            State::Open(socket, chunk) => {
+                let n = io_socket::read(socket, chunk).await?;
                 if n == 0 {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
-                self.decoder.feed(piece.get(..n).unwrap_or_default());
+                self.decoder.feed(chunk.get(..n).unwrap_or_default());
             }
         }
         Ok(())
--- /dev/null
+++ b/crates/node/src/clients/message.rs
@@ -0,0 +1,145 @@
+//! Decodes clients' messages: `DO` (request), `UNDO` (cancellation), `PING` (health probe).
+//!
+//! A request is valid only if every field is as the protocol defines it; nothing is guessed.
+
+use crate::limits::{COPY_TAG, LONGEST_WAIT_MS, MAX_BODY_BYTES, MOST_GROUP, MOST_KB, MOST_PART};
+use crate::resp::{decimal, whole, Fields};
+use basaltgw::api::{GroupId, Ms, ObjectId, Part};
+use std::sync::Arc;
+
+/// A client's connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ClientId(pub u64);
+/// A request's number on its client's connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Tag(pub u64);
+/// A request's id as the client gives it, passed on to servers.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct WireId(pub Arc<str>);
+
+/// A decoded request; text fields that are passed on are as the client wrote them.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Do {
+    /// The request's id.
+    pub id: WireId,
+    /// Its class.
+    pub class: String,
+    /// The object.
+    pub object: ObjectId,
+    /// The object as the client wrote it.
+    pub object_text: String,
+    /// The part.
+    pub part: Part,
+    /// The object's group.
+    pub group: GroupId,
+    /// The part's size in KB; 0 if unknown.
+    pub size_kb: f64,
+    /// How long the client waits, in milliseconds.
+    pub left: Ms,
+    /// The tag of the copy that the client has.
+    pub got: Option<String>,
+    /// The idempotency key; servers recognize a repeat by it, whatever its id.
+    pub key: Option<String>,
+    /// The client has presented this id before, or does so elsewhere at the same time. Used only with leases on requests.
+    pub again: bool,
+    /// Several parts instead of the one, not parsed.
+    pub parts: Option<String>,
+    /// The continuation of an earlier partial answer, not parsed.
+    pub debt: Option<String>,
+    /// The body.
+    pub body: Vec<u8>,
+}
+
+/// A client's message.
+#[derive(Clone, Debug, PartialEq)]
+pub enum FromClient {
+    /// A request.
+    Do(Tag, Box<Do>),
+    /// A cancellation.
+    Undo(Tag),
+    /// A health probe.
+    Ping(Tag),
+    /// A malformed request whose tag is readable, so that it can be answered.
+    Unreadable(Tag),
+}
+
+impl FromClient {
+    /// Decodes a message; `None` without a readable tag, since nothing can be answered then.
+    pub fn read(words: Vec<Vec<u8>>) -> Option<Self> {
+        let mut words = words.into_iter();
+        let verb = words.next()?;
+        let tag = Tag(tag(&words.next()?)?);
+        Some(match verb.as_slice() {
+            b"DO" => match request(words) {
+                Some(request) => Self::Do(tag, Box::new(request)),
+                None => Self::Unreadable(tag),
+            },
+            b"UNDO" => Self::Undo(tag),
+            b"PING" => Self::Ping(tag),
+            _ => Self::Unreadable(tag),
+        })
+    }
+
+    /// The same message where its end is uncertain, for example because its word count is too low: a request may have lost words and
+    /// counts as malformed.
+    pub fn in_doubt(self) -> Self {
+        match self {
+            Self::Do(tag, _) => Self::Unreadable(tag),
+            Self::Undo(_) | Self::Ping(_) | Self::Unreadable(_) => self,
+        }
+    }
+}
+
+/// A number of 1 or more without leading zeros, since the answer repeats it.
+fn tag(word: &[u8]) -> Option<u64> {
+    let text = std::str::from_utf8(word).ok().filter(|t| !t.starts_with('0'))?;
+    whole(text)
+}
+
+/// 16 hex digits.
+fn hex(text: &str) -> Option<u64> {
+    let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    u64::from_str_radix(text, 16).ok().filter(|_| digits)
+}
+
+/// Whether a copy tag or idempotency key can be passed on unchanged: nothing in it may end a field.
+fn opaque(text: &str) -> bool {
+    (1..=COPY_TAG).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_alphanumeric())
+}
+
+/// Decodes the words behind verb and tag.
+fn request(mut words: impl Iterator<Item = Vec<u8>>) -> Option<Do> {
+    let class = String::from_utf8(words.next()?).ok()?;
+    let fields = words.next()?;
+    let fields = Fields::read(&fields)?;
+    let body = words.next().unwrap_or_default();
+    if words.next().is_some() || body.len() > MAX_BODY_BYTES {
+        return None;
+    }
+    let (id, object_text) = (fields.get("i")?, fields.get("o")?);
+    hex(id)?;
+    let size_kb = match fields.get("m") {
+        Some(size) => decimal(size).filter(|m| *m > 0.0 && *m <= MOST_KB)?,
+        None => 0.0,
+    };
+    let (got, key) = (fields.get("got"), fields.get("k"));
+    if !got.is_none_or(opaque) || !key.is_none_or(opaque) {
+        return None;
+    }
+    Some(Do {
+        id: WireId(Arc::from(id)),
+        class,
+        object: ObjectId(hex(object_text)?),
+        object_text: object_text.to_string(),
+        part: Part(fields.whole("nth", MOST_PART)?),
+        group: GroupId(fields.whole("batch", MOST_GROUP)?),
+        size_kb,
+        left: fields.decimal("d").filter(|d| *d <= LONGEST_WAIT_MS)?,
+        got: got.map(str::to_string),
+        key: key.map(str::to_string),
+        again: fields.get("again") == Some("1"),
+        parts: fields.get("parts").map(str::to_string),
+        debt: fields.get("debt").map(str::to_string),
+        body,
+    })
+}
--- /dev/null
+++ b/crates/node/src/clients/mod.rs
@@ -0,0 +1,147 @@
+//! Clients: accepting connections, and the task of each.
+//!
+//! - `message`: decodes what clients send; `response`: encodes what they get;
+//! - `parts`: requests for several parts and their answers;
+//! - `slot`: a connection's slot, and its lingering close.
+
+pub mod message;
+pub mod parts;
+mod response;
+mod slot;
+
+pub use message::{ClientId, Do, FromClient, Tag, WireId};
+pub use response::{answer, pong, Reply};
+
+use crate::connection::{CloseReason, ConnectionEvent, ConnectionSlots, ConnectionState};
+use crate::inbox::{read_all, ClientReader, DecodedMessage};
+use crate::limits::{
+    ACCEPTS_PER_TURN, ACCEPT_RETRY_INTERVAL, CLIENT_READ_LIMITS, CLIENT_UNSENT_MAX_BYTES, LISTEN_BACKLOG,
+    RETRY_INTERVAL,
+};
+use crate::messages::{Input, Shared};
+use crate::outbox::{outbox, write_all, Meter};
+use crate::socket;
+use async_io::{Async, Timer};
+use futures_lite::future;
+use slot::ConnectionSlot;
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::Instant;
+
+/// Accepts clients until shutdown stops it, and then those in the backlog. Without a free slot it asks the owner to close idle clients;
+/// until one is free, connections wait in the backlog.
+pub async fn accept(
+    listener: Async<TcpListener>,
+    max_clients: usize,
+    slots: Rc<ConnectionSlots>,
+    shared: Shared,
+) {
+    let mut accepted: u64 = 0;
+    let mut turns: usize = 0;
+    // Since when connections may wait in the backlog: while no slot was free, or accepts failed.
+    let mut waiting_since = None;
+    // Bounded, so that clients that keep connecting don't delay the shutdown.
+    let mut accepted_at_end = 0;
+    while accepted_at_end < LISTEN_BACKLOG {
+        if waiting_since.is_some() && !socket::readable(&listener) {
+            waiting_since = None;
+        }
+        while slots.taken() >= max_clients {
+            waiting_since.get_or_insert_with(Instant::now);
+            if shared.queue.send(Input::RoomWanted).await.is_err() {
+                return;
+            }
+            Timer::after(RETRY_INTERVAL).await;
+        }
+        let ended = async {
+            slots.ended().await;
+            None
+        };
+        // The backlog is accepted before the end takes effect.
+        match future::or(async { Some(listener.accept().await) }, ended).await {
+            Some(Ok((socket, _))) => {
+                accepted += 1;
+                let slot = ConnectionSlot::take(&slots);
+                let since = waiting_since.unwrap_or_else(|| shared.stalls.accepted());
+                let task = connection(ClientId(accepted), socket, shared.clone(), slot, since);
+                shared.executor.spawn(task).detach();
+            }
+            Some(Err(e)) => {
+                log::debug!("accept failed: {e}");
+                waiting_since.get_or_insert_with(Instant::now);
+                Timer::after(ACCEPT_RETRY_INTERVAL).await;
+            }
+            None => return,
+        }
+        accepted_at_end += i32::from(slots.ending());
+        turns += 1;
+        if turns.is_multiple_of(ACCEPTS_PER_TURN) {
+            future::yield_now().await;
+        }
+    }
+}
+
+/// A client's connection from accept to close; the socket is closed when this returns. It may have waited in the backlog since
+/// `waiting_since`.
+async fn connection(
+    id: ClientId,
+    socket: Async<TcpStream>,
+    shared: Shared,
+    slot: ConnectionSlot,
+    waiting_since: Instant,
+) {
+    if let Err(e) = socket.get_ref().set_nodelay(true) {
+        log::debug!("client {}: TCP_NODELAY failed: {e}", id.0);
+    }
+    let buffered = Rc::new(Meter::default());
+    let state = Rc::new(ConnectionState::watched(slot.slots(), &shared.invariants));
+    let (outbox, outgoing) = outbox(&shared.meter, &buffered);
+    if shared.queue.send(Input::ClientOpen(id, outbox, Rc::clone(&state))).await.is_err() {
+        return;
+    }
+    let read = async {
+        let paused = || buffered.held() > CLIENT_UNSENT_MAX_BYTES;
+        let decode = |decoded: DecodedMessage| {
+            let message = FromClient::read(decoded.words)?;
+            state.presence().read(&message);
+            let message = if decoded.boundary_uncertain { message.in_doubt() } else { message };
+            Some(Input::Client(id, message, decoded.read_at))
+        };
+        let client = ClientReader { state: &state, waiting_since };
+        let reason = read_all(&socket, CLIENT_READ_LIMITS, &shared, paused, decode, Some(client)).await;
+        log::debug!("client {}: reading stopped: {reason:?}", id.0);
+        state.tell(ConnectionEvent::ReadStopped);
+        let lingers = reason != CloseReason::Ended;
+        if lingers && shared.queue.send(Input::ClientStopped(id, reason)).await.is_ok() {
+            slot.discard(&socket, &state, reason).await;
+        }
+    };
+    let write = async {
+        if write_all(&socket, outgoing, || slot.stalled()).await {
+            slot.linger(&socket, &state).await;
+        }
+    };
+    future::or(read, write).await;
+    state.tell(ConnectionEvent::Closed);
+    state.presence().leave();
+    // The owner is gone only when the process ends.
+    let _ = shared.queue.send(Input::ClientClosed(id)).await;
+}
+
+/// The paths of before `connection`, until the owner's imports are renamed (pending-e).
+#[doc(hidden)]
+pub mod life {
+    pub use crate::connection::{
+        ConnectionEvent as Event, ConnectionPhase as State, ConnectionState as Life, IdleReason as Quiet,
+    };
+}
+/// See [`life`].
+#[doc(hidden)]
+pub mod places {
+    pub use crate::connection::ConnectionSlots as Places;
+}
+/// See [`life`].
+#[doc(hidden)]
+pub mod presence {
+    pub use crate::connection::{ClientLiveness as Presence, RequestLiveness as Wanted};
+}
--- /dev/null
+++ b/crates/node/src/clients/slot.rs
@@ -0,0 +1,106 @@
+//! A client connection's slot, and the lingering close that ends it.
+
+use crate::clock::late;
+use crate::connection::{
+    CloseReason, ConnectionEvent, ConnectionPhase, ConnectionSlots, ConnectionState, IdleReason,
+};
+use crate::limits::{
+    CLIENT_WRITE_TIMEOUT, CLIENT_WRITE_TIMEOUT_AT_SHUTDOWN, LINGER_MAX_BYTES, LINGER_TIMEOUT,
+    LINGER_TIMEOUT_WHEN_FULL, READ_BYTES,
+};
+use crate::socket as io_socket;
+use async_io::{Async, Timer};
+use futures_lite::future;
+use std::cell::Cell;
+use std::io;
+use std::net::{Shutdown, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// The slot of one connection, free again when dropped.
+pub(super) struct ConnectionSlot {
+    slots: Rc<ConnectionSlots>,
+    lingering: Cell<bool>,
+    linger_timeout: Cell<Duration>,
+}
+
+impl ConnectionSlot {
+    pub(super) fn take(slots: &Rc<ConnectionSlots>) -> Self {
+        slots.take();
+        Self {
+            slots: Rc::clone(slots),
+            lingering: Cell::new(false),
+            linger_timeout: Cell::new(LINGER_TIMEOUT),
+        }
+    }
+
+    pub(super) fn slots(&self) -> &Rc<ConnectionSlots> {
+        &self.slots
+    }
+
+    /// Waits for the time after which a client that takes no byte counts as gone; shorter during shutdown.
+    pub(super) async fn stalled(&self) -> io::Result<usize> {
+        let at_shutdown = async {
+            self.slots.ended().await;
+            late(CLIENT_WRITE_TIMEOUT_AT_SHUTDOWN).await
+        };
+        let gone = future::or(late(CLIENT_WRITE_TIMEOUT), at_shutdown).await;
+        self.slots.count_stalled();
+        gone
+    }
+
+    /// Shuts our side down and waits for the client's close, which its reader sees, up to the linger timeout. A socket that is closed
+    /// with unread bytes, or that receives bytes later, is reset, and answers that the client has not read are lost.
+    pub(super) async fn linger(&self, socket: &Async<TcpStream>, state: &ConnectionState) {
+        if let Err(e) = socket.get_ref().shutdown(Shutdown::Write) {
+            log::debug!("shutdown of a client's socket failed: {e}");
+        }
+        state.tell(ConnectionEvent::WriteShutdown);
+        // A client that sent no message has no answer that a reset could lose.
+        if state.has_received() {
+            self.lingering.set(true);
+            self.slots.start_lingering();
+            Timer::after(self.linger_timeout.get()).await;
+            self.slots.count_lingered();
+        }
+    }
+
+    /// Reads and discards until the client's close or up to a number of bytes; beyond it the writer's timeout decides.
+    pub(super) async fn discard(
+        &self,
+        mut socket: &Async<TcpStream>,
+        state: &ConnectionState,
+        reason: CloseReason,
+    ) {
+        if reason == CloseReason::Quiet(IdleReason::Room) {
+            self.linger_timeout.set(LINGER_TIMEOUT_WHEN_FULL);
+        }
+        let mut chunk = vec![0; READ_BYTES];
+        let mut left = LINGER_MAX_BYTES;
+        while left > 0 {
+            match io_socket::read(&mut socket, &mut chunk).await {
+                Ok(n) if n > 0 => {
+                    if left == LINGER_MAX_BYTES && matches!(reason, CloseReason::Quiet(_)) {
+                        self.slots.count_unread();
+                    }
+                    left = left.saturating_sub(n);
+                }
+                Ok(_) | Err(_) => return,
+            }
+            future::yield_now().await;
+        }
+        if state.state() != ConnectionPhase::HalfClosed {
+            future::pending::<()>().await;
+        }
+        self.slots.count_lingered();
+    }
+}
+
+impl Drop for ConnectionSlot {
+    fn drop(&mut self) {
+        self.slots.release();
+        if self.lingering.get() {
+            self.slots.stop_lingering();
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/connection/mod.rs
@@ -0,0 +1,16 @@
+//! What the reader, the writer and the owner of a client's connection share. Nothing here reads or writes a socket.
+//!
+//! - `close_reason`: why a connection is closed or no longer read;
+//! - `state`: the phases of a connection and the events that lead from one to the next;
+//! - `liveness`: whether a client still waits for its requests;
+//! - `slots`: how many connections are open, and whether new ones are accepted.
+
+mod close_reason;
+mod liveness;
+mod slots;
+mod state;
+
+pub use close_reason::{CloseReason, IdleReason};
+pub use liveness::{ClientLiveness, RequestLiveness};
+pub use slots::ConnectionSlots;
+pub use state::{ConnectionEvent, ConnectionPhase, ConnectionState};
--- /dev/null
+++ b/crates/node/src/connection/slots.rs
@@ -0,0 +1,107 @@
+//! How many clients' connections are open, and whether new ones are accepted.
+
+use async_channel::{Receiver, Sender};
+use std::cell::Cell;
+
+/// The slots of all clients' connections. A slot is taken until its socket is closed.
+#[derive(Debug)]
+pub struct ConnectionSlots {
+    taken: Cell<usize>,
+    /// Of `taken`: half closed, to be closed within the linger timeout.
+    lingering: Cell<usize>,
+    closes_crossed: Cell<u64>,
+    closes_unread: Cell<u64>,
+    closes_lingered: Cell<u64>,
+    closed_stalled: Cell<u64>,
+    /// Closed once only what is in the backlog is still accepted.
+    accept_end: (Sender<()>, Receiver<()>),
+}
+
+impl Default for ConnectionSlots {
+    fn default() -> Self {
+        Self {
+            taken: Cell::default(),
+            lingering: Cell::default(),
+            closes_crossed: Cell::default(),
+            closes_unread: Cell::default(),
+            closes_lingered: Cell::default(),
+            closed_stalled: Cell::default(),
+            accept_end: async_channel::bounded(1),
+        }
+    }
+}
+
+fn increment(count: &Cell<u64>) {
+    count.set(count.get() + 1);
+}
+
+impl ConnectionSlots {
+    /// Connections whose sockets are not closed.
+    pub fn taken(&self) -> usize {
+        self.taken.get()
+    }
+
+    /// Those of them that are half closed.
+    pub fn lingering(&self) -> usize {
+        self.lingering.get()
+    }
+
+    /// Close requests that a message crossed, closes with unread bytes behind them, closes that reached the linger bound, closes of
+    /// clients that took no byte.
+    pub fn counts(&self) -> [u64; 4] {
+        [&self.closes_crossed, &self.closes_unread, &self.closes_lingered, &self.closed_stalled]
+            .map(Cell::get)
+    }
+
+    /// Stops accepting: from now on only what is in the backlog is accepted.
+    pub fn end(&self) {
+        self.accept_end.0.close();
+    }
+
+    /// Whether accepting has stopped.
+    pub fn ending(&self) -> bool {
+        self.accept_end.0.is_closed()
+    }
+
+    /// Waits until accepting has stopped.
+    pub async fn ended(&self) {
+        // Nothing is ever sent; the receive returns when the channel is closed.
+        let _ = self.accept_end.1.recv().await;
+    }
+
+    pub(crate) fn take(&self) {
+        self.taken.set(self.taken.get() + 1);
+    }
+
+    pub(crate) fn release(&self) {
+        self.taken.set(self.taken.get().saturating_sub(1));
+    }
+
+    pub(crate) fn start_lingering(&self) {
+        self.lingering.set(self.lingering.get() + 1);
+    }
+
+    pub(crate) fn stop_lingering(&self) {
+        self.lingering.set(self.lingering.get().saturating_sub(1));
+    }
+
+    /// Counts a close request that a message crossed.
+    pub(crate) fn count_crossed(&self) {
+        increment(&self.closes_crossed);
+    }
+
+    /// Counts a close after which unread bytes came.
+    pub(crate) fn count_unread(&self) {
+        increment(&self.closes_unread);
+    }
+
+    /// Counts a close that reached the bound of lingering.
+    pub(crate) fn count_lingered(&self) {
+        increment(&self.closes_lingered);
+    }
+
+    /// Counts a close of a client that took no byte.
+    pub(crate) fn count_stalled(&self) {
+        increment(&self.closed_stalled);
+    }
+}
--- /dev/null
+++ b/crates/node/src/connection/state.rs
@@ -0,0 +1,213 @@
+//! The state of a client's connection from accept to close. Events of its reader, its writer and the owner meet in one match, so that each
+//! pair of events that cross has one outcome.
+
+use super::close_reason::{CloseReason, IdleReason};
+use super::liveness::ClientLiveness;
+use super::slots::ConnectionSlots;
+use crate::breaks::{broken, Break};
+use crate::invariants::Invariants;
+use crate::limits::PARTIAL_MESSAGE_AT_SHUTDOWN;
+use crate::permissions::{may_close, CloseState};
+use async_channel::{Receiver, Sender};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How far a connection is. Phases only advance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionPhase {
+    /// Messages are read and queued for the owner.
+    Open {
+        /// Messages that the owner has not taken from the queue.
+        on_way: u32,
+        /// Why the owner wants it closed; cleared when a message crosses the request.
+        asked: Option<IdleReason>,
+    },
+    /// No more messages are read. Open requests are answered unless the owner cancelled them, and queued answers are written.
+    Closing,
+    /// Our side is shut down (FIN). Received bytes are discarded, within a bound of time and bytes.
+    HalfClosed,
+    /// Closed.
+    Closed,
+}
+
+/// An event on a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionEvent {
+    /// The reader queues a message for the owner.
+    Enqueued,
+    /// The reader, asked to close, finds the socket empty and no message begun.
+    AtRest,
+    /// The reader, asked to close, is in the middle of a message.
+    MidMessage,
+    /// The reader stops: what came can't be decoded, or not in time.
+    ReadStopped,
+    /// The owner takes a message from the queue.
+    Taken,
+    /// The owner wants it closed.
+    Asked(IdleReason),
+    /// The owner drops the client with all its open requests.
+    Dropped,
+    /// The writer has written all that is queued and shut our side down.
+    WriteShutdown,
+    /// The peer is gone, or the bound of the half-closed phase is reached.
+    Closed,
+}
+
+impl ConnectionPhase {
+    /// The phase that follows an event.
+    pub fn after(self, event: ConnectionEvent) -> Self {
+        use ConnectionEvent as E;
+        use ConnectionPhase::{Closed, Closing, HalfClosed, Open};
+        match (self, event) {
+            (Open { on_way, asked }, E::Enqueued) => Open { on_way: on_way.saturating_add(1), asked },
+            // A message that crossed the close request is answered, and the request lapses.
+            (Open { on_way, .. }, E::Taken) => Open { on_way: on_way.saturating_sub(1), asked: None },
+            (Open { on_way, asked }, E::Asked(why)) => Open { on_way, asked: asked.or(Some(why)) },
+            (Open { on_way, asked }, E::AtRest) => {
+                let may = may_close(&CloseState { wanted: asked.is_some(), on_way });
+                if may.is_ok() || broken(Break::CloseOverRequest) {
+                    Closing
+                } else {
+                    Open { on_way, asked: None }
+                }
+            }
+            (Open { on_way, .. }, E::MidMessage) => Open { on_way, asked: None },
+            (Open { .. }, E::ReadStopped | E::Dropped) => Closing,
+            // The owner dropped the outbox without an event: no one is left to queue messages for.
+            (Open { .. } | Closing, E::WriteShutdown) => HalfClosed,
+            // Messages queued before the reader stopped are still taken; close requests are too late.
+            (
+                Closing,
+                E::Enqueued
+                | E::AtRest
+                | E::MidMessage
+                | E::ReadStopped
+                | E::Taken
+                | E::Asked(_)
+                | E::Dropped,
+            ) => Closing,
+            (
+                HalfClosed,
+                E::Enqueued
+                | E::AtRest
+                | E::MidMessage
+                | E::ReadStopped
+                | E::Taken
+                | E::Asked(_)
+                | E::Dropped
+                | E::WriteShutdown,
+            ) => HalfClosed,
+            (Open { .. } | Closing | HalfClosed, E::Closed) => Closed,
+            (Closed, _) => Closed,
+        }
+    }
+
+    /// Whether messages are still read.
+    pub fn reads(self) -> bool {
+        matches!(self, Self::Open { .. })
+    }
+}
+
+/// A connection's phase, shared by its task and the owner.
+#[derive(Debug)]
+pub struct ConnectionState {
+    phase: Cell<ConnectionPhase>,
+    /// A complete message was received, so answers may have been written too.
+    has_received: Cell<bool>,
+    /// Wakes the reader when the owner asks for a close.
+    close_requests: (Sender<()>, Receiver<()>),
+    slots: Rc<ConnectionSlots>,
+    liveness: Rc<ClientLiveness>,
+    invariants: Rc<Invariants>,
+}
+
+impl ConnectionState {
+    /// A connection that was just accepted.
+    pub fn new(slots: &Rc<ConnectionSlots>) -> Self {
+        Self {
+            phase: Cell::new(ConnectionPhase::Open { on_way: 0, asked: None }),
+            has_received: Cell::new(false),
+            close_requests: async_channel::bounded(1),
+            slots: Rc::clone(slots),
+            liveness: Rc::default(),
+            invariants: Rc::default(),
+        }
+    }
+
+    /// The same, with this invariant checker.
+    pub fn watched(slots: &Rc<ConnectionSlots>, invariants: &Rc<Invariants>) -> Self {
+        Self { invariants: Rc::clone(invariants), ..Self::new(slots) }
+    }
+
+    /// The invariant checker.
+    pub fn invariants(&self) -> &Invariants {
+        &self.invariants
+    }
+
+    /// Whether its client still waits for its requests.
+    pub fn presence(&self) -> &Rc<ClientLiveness> {
+        &self.liveness
+    }
+
+    /// The current phase.
+    pub fn state(&self) -> ConnectionPhase {
+        self.phase.get()
+    }
+
+    /// Applies an event; returns the phase after it.
+    pub fn tell(&self, event: ConnectionEvent) -> ConnectionPhase {
+        let (before, after) = (self.phase.get(), self.phase.get().after(event));
+        self.phase.set(after);
+        if let (ConnectionPhase::Open { asked: Some(_), .. }, ConnectionPhase::Open { asked: None, .. }) =
+            (before, after)
+        {
+            self.slots.count_crossed();
+        }
+        if matches!(event, ConnectionEvent::Asked(_) | ConnectionEvent::Dropped) {
+            // A wake-up that is already queued wakes the reader as well.
+            let _ = self.close_requests.0.try_send(());
+        }
+        after
+    }
+
+    /// Why the owner wants it closed, while that request is undecided.
+    pub fn asked(&self) -> Option<IdleReason> {
+        match self.state() {
+            ConnectionPhase::Open { asked, .. } => asked,
+            ConnectionPhase::Closing | ConnectionPhase::HalfClosed | ConnectionPhase::Closed => None,
+        }
+    }
+
+    /// Waits until the owner wants the connection closed or drops the client.
+    pub async fn close_requested(&self) {
+        while let ConnectionPhase::Open { asked: None, .. } = self.state() {
+            if self.close_requests.1.recv().await.is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Decides a close request when the reader finds the socket empty; `partial_for` is the age of a partial message. Returns why the
+    /// reader stops, or `None` if it goes on.
+    pub fn stops(&self, partial_for: Option<Duration>) -> Option<CloseReason> {
+        let asked = self.asked();
+        // Shutdown waits for a partial message for a bounded time only.
+        let mid_message = partial_for
+            .is_some_and(|age| asked != Some(IdleReason::End) || age < PARTIAL_MESSAGE_AT_SHUTDOWN);
+        let event = if mid_message { ConnectionEvent::MidMessage } else { ConnectionEvent::AtRest };
+        (!self.tell(event).reads()).then_some(asked.map_or(CloseReason::Dropped, CloseReason::Quiet))
+    }
+
+    /// Notes a decoded message that the reader is about to queue; false if the connection no longer takes any.
+    pub fn hands(&self) -> bool {
+        let open = self.tell(ConnectionEvent::Enqueued).reads();
+        self.has_received.set(self.has_received.get() || open);
+        open
+    }
+
+    /// Whether a complete message was received.
+    pub fn has_received(&self) -> bool {
+        self.has_received.get()
+    }
+}
--- a/crates/node/src/counters/groups.rs
+++ b/crates/node/src/counters/groups.rs
@@ -1,6 +1,6 @@
-//! The groups, by who is counted.
+//! The groups of counters.
 
-use super::kinds::{group, Count, Kind, Level, Value};
+use super::kinds::{group, Count, Level, Metric, Value};
 use prometheus_client::registry::Registry;
 
 group! {
@@ -10,82 +10,81 @@
         connected: Count = "clients",
         /// Clients that are connected.
         now: Level<u64> = "clients_now",
-        /// Requests taken in.
+        /// Requests accepted.
         requests: Count = "requests",
-        /// Clients' connections closed here for what could not be read.
+        /// Clients' connections closed for malformed bytes.
         closed_unreadable: Count = "closed_unreadable",
-        /// Clients' connections closed here for having said nothing.
+        /// Clients' connections closed without a first message in time.
         closed_silent: Count = "closed_silent",
-        /// Clients' connections closed here for a message without an end.
+        /// Clients' connections closed for an incomplete message.
         closed_unfinished: Count = "closed_unfinished",
-        /// Clients' connections closed here for having been idle.
+        /// Clients' connections closed after the idle timeout.
         closed_idle: Count = "closed_idle",
-        /// Clients' connections closed here for the place.
+        /// Clients' connections closed to free their slot.
         closed_for_room: Count = "closed_for_room",
-        /// Clients' connections closed here at the end of the process.
+        /// Clients' connections closed at shutdown.
         closed_at_end: Count = "closed_at_end",
-        /// Clients' connections closed here for a tag used twice, too many requests at once, or going on with what can't be
-        /// understood.
+        /// Clients' connections closed for a repeated tag, or too many open, cancelled or malformed requests.
         closed_broken_rule: Count = "closed_broken_rule",
-        /// Messages of clients that could not be read as what they should be.
+        /// Malformed messages of clients.
         unreadable: Count = "unreadable",
-        /// Requests that clients gave up, or left with their connection.
+        /// Requests cancelled by clients or closed with their connection.
         left: Count = "left",
-        /// Of those left: the client had given them up, or was gone, when their turn came, and they were not taken in.
+        /// Of `left`: cancelled before they were accepted.
         left_early: Count = "left_early",
         /// Answers: served.
         served: Count = "served",
-        /// Answers: the client's copy holds.
+        /// Answers: the client's copy is current.
         same: Count = "same",
-        /// Answers: refused.
+        /// Answers: rejected.
         refused: Count = "refused",
         /// Answers: failed.
         failed: Count = "failed",
-        /// Turned away before the module, for the number open.
+        /// Requests rejected before the decision module, for the number of open ones.
         turned_away: Count = "turned_away",
-        /// Answered, but taken back before the answer was begun, since the client had given up.
+        /// Answers recalled before their first byte, since the client had cancelled.
         taken_back: Count = "taken_back",
-        /// Served, but failed for want of memory before they were begun.
+        /// Served answers replaced by a failure under memory pressure.
         withheld: Count = "withheld",
-        /// Closes of connections at rest that were not made, since something was on its way from the client.
+        /// Closes of idle connections abandoned, since a message of the client crossed them.
         closes_crossed: Count = "closes_crossed",
-        /// Closes of connections at rest after which something came that was not read.
+        /// Closes of idle connections after which unread bytes came.
         closes_unread: Count = "closes_unread",
-        /// Closes that waited for the client's own up to the bound in time or bytes.
+        /// Lingering closes that reached their bound in time or bytes.
         closes_lingered: Count = "closes_lingered",
-        /// Clients' connections closed here for having taken no byte of an answer for long.
+        /// Clients' connections closed after the write timeout.
         closed_stalled: Count = "closed_stalled",
     }
 }
 
 group! {
-    /// Attempts, and their ends.
+    /// Attempts and their results.
     Attempts {
         /// Attempts made.
         made: Count = "attempts",
-        /// Attempts that ended served.
+        /// Attempts that were served.
         served: Count = "attempts_served",
         /// Attempts that ended with an error.
         error: Count = "attempts_error",
-        /// Attempts that ended turned away.
+        /// Attempts that were rejected.
         full: Count = "attempts_full",
-        /// Attempts that ended without an answer in time.
+        /// Attempts that timed out.
         late: Count = "attempts_late",
-        /// Attempts that ended for want of a connection.
+        /// Attempts without a connection.
         no_connection: Count = "attempts_no_connection",
-        /// Attempts that ended with their connection.
+        /// Attempts whose connection was lost.
         broken: Count = "attempts_broken",
-        /// Attempts that ended called off.
+        /// Attempts that were cancelled.
         cancelled: Count = "attempts_cancelled",
-        /// Attempts that ended before they were written whole.
+        /// Attempts that were not completely written.
         not_sent: Count = "attempts_not_sent",
-        /// Attempts that ended with a source that lacks the object.
+        /// Attempts whose source lacks the object.
         miss: Count = "attempts_miss",
-        /// Answers of servers to no open attempt.
+        /// Answers of servers without an open attempt.
         late_answers: Count = "late_answers",
-        /// Attempts that had no connection before the time by which they had to begin.
+        /// Attempts whose first byte was not written in time.
         window_over: Count = "window_over",
-        /// Attempts given up whose server did not show in time that it knows.
+        /// Cancelled attempts whose `abort` was not confirmed in time.
         unheeded: Count = "unheeded",
     }
 }
@@ -99,41 +98,41 @@
         now: Level<u64> = "conns_now",
         /// Connections to servers that never came up.
         failed: Count = "conns_failed",
-        /// Connections to servers closed for what could not be read.
+        /// Connections to servers closed for malformed bytes.
         unreadable: Count = "conns_unreadable",
-        /// Connections to servers closed for stopping in mid-answer.
+        /// Connections to servers closed for an incomplete answer.
         unfinished: Count = "conns_unfinished",
-        /// Connections to servers that did not come up for want of something on this machine.
+        /// Connections to servers that failed for a resource shortage of this machine.
         shortages: Count = "conns_shortages",
     }
 }
 
 group! {
-    /// The change log, and what it told.
+    /// The change log and its events.
     ChangeLog {
         /// Servers that are listed.
         servers_now: Level<u64> = "servers_now",
-        /// Events of the change log: lists.
+        /// Endpoint lists received.
         lists: Count = "lists",
-        /// Events of the change log: purges.
+        /// Purges received.
         purges: Count = "purges",
-        /// Connections to the change log that ended, whatever for.
+        /// Connections to the change log that ended for any reason.
         lost: Count = "log_lost",
-        /// Second connections to the change log tried since the first was quiet.
+        /// Second connections to the change log for want of frames.
         quiet: Count = "log_quiet",
-        /// Second connections to the change log tried since the first named events that it had not told.
+        /// Second connections to the change log for missing events.
         behind: Count = "log_behind",
     }
 }
 
 group! {
-    /// Files: the configuration, and what an earlier life has learnt.
+    /// The configuration and the snapshot.
     Files {
-        /// Configurations read again.
+        /// Configurations reloaded.
         reloads: Count = "reloads",
-        /// Configurations read again that could not be used.
+        /// Reloads that were rejected.
         reloads_refused: Count = "reloads_refused",
-        /// Servers of which what an earlier life has learnt was taken over.
+        /// Servers restored from the snapshot.
         carried: Count = "carried",
     }
 }
@@ -141,63 +140,63 @@
 group! {
     /// Memory.
     Memory {
-        /// Bytes that messages hold.
+        /// Bytes buffered by messages.
         held: Level<u64> = "held",
-        /// Bytes that messages held, the most so far.
+        /// The most bytes buffered by messages so far.
         held_most: Level<u64> = "held_most",
     }
 }
 
 group! {
-    /// Plans of the tree.
+    /// Plans of the cache tree.
     Tree {
-        /// Plans that came in.
+        /// Plans read.
         offered: Count = "plans",
-        /// Plans that were refused.
+        /// Plans rejected.
         refused: Count = "plans_refused",
-        /// Changes that were ended.
+        /// Topology changes completed.
         ended: Count = "plans_ended",
-        /// Fills that met themselves, as caches told.
+        /// Fill loops that caches detected.
         loops: Count = "loops",
-        /// Pairs set aside for a fill that met itself.
+        /// Pairs of cache and source disabled for a loop.
         set_aside: Count = "loops_set_aside",
     }
 }
 
 group! {
-    /// What broke a rule, by the rule; see `invariants`.
+    /// Violated invariants, by name; see `invariants`.
     Violations {
         /// Answers to requests that were not open.
         second_answer: Count = "violated_second_answer",
         /// Attempts that began after their client had left.
         attempt_after_client_left: Count = "violated_attempt_after_client_left",
-        /// Requests sent again that must not run twice, and may have run.
+        /// Non-idempotent requests retried that may have been executed.
         repeat_after_execution: Count = "violated_repeat_after_execution",
-        /// Requests refused that must not run twice, and may have run.
+        /// Non-idempotent requests rejected that may have been executed.
         refusal_after_execution: Count = "violated_refusal_after_execution",
-        /// Attempts sent to a server that drains or is gone.
+        /// Attempts sent to a draining or removed server.
         sent_to_drained: Count = "violated_sent_to_drained",
-        /// Attempts that told their server of more time than the client had left.
+        /// Attempts with a longer time-out than the client had left.
         deadline_exceeded: Count = "violated_deadline_exceeded",
-        /// Clients' connections closed over a request without an answer.
+        /// Clients' connections closed with an unanswered request.
         closed_over_request: Count = "violated_closed_over_request",
-        /// Sends to a server that had just started, beyond what all routers may send.
+        /// Sends to a server in slow start beyond the budget of all routers.
         slow_start_exceeded: Count = "violated_slow_start_exceeded",
-        /// The highest share of the slow-start bound that a server had from this router.
+        /// The highest part of the slow-start budget that this router sent to a server.
         slow_start_highest: Level<f64> = "slow_start_highest_share",
-        /// Times that the process stood still; no violation, but what may lead to one.
+        /// Pauses of the process; not violations themselves.
         stops: Count = "process_stops",
-        /// Lines that were not logged, since nobody took them.
+        /// Log lines dropped, since standard error did not take them.
         log_dropped: Count = "log_dropped",
     }
 }
 
 group! {
-    /// Batches given to the module.
+    /// Batches given to the decision module.
     Batches {
-        /// Batches given to the module.
+        /// Batches given to the decision module.
         given: Count = "batches",
-        /// The longest that a batch took, in milliseconds.
+        /// The longest batch, in milliseconds.
         longest: Level<f64> = "batch_longest_ms",
     }
 }
--- a/crates/node/src/counters/kinds.rs
+++ b/crates/node/src/counters/kinds.rs
@@ -1,4 +1,4 @@
-//! What counts: on the owner's thread as cheap as a plain number, and readable from others by a registry.
+//! Counter and gauge types: written by the owner's thread at the cost of a plain number, readable by other threads through a registry.
 
 use prometheus_client::metrics::counter::{Atomic, Counter};
 use prometheus_client::metrics::gauge::{self, Gauge};
@@ -8,18 +8,18 @@
 use std::marker::PhantomData;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A number that one thread at a time adds to, and any may read: without the locked addition that many writers need.
+/// A number with a single writer, so that an increment needs no locked instruction.
 #[derive(Debug, Default)]
-struct OneWriter(AtomicU64);
+struct SingleWriter(AtomicU64);
 
-impl Atomic<u64> for OneWriter {
+impl Atomic<u64> for SingleWriter {
     fn inc(&self) -> u64 {
         self.inc_by(1)
     }
 
-    fn inc_by(&self, more: u64) -> u64 {
+    fn inc_by(&self, amount: u64) -> u64 {
         let before = self.get();
-        self.0.store(before.wrapping_add(more), Ordering::Relaxed);
+        self.0.store(before.wrapping_add(amount), Ordering::Relaxed);
         before
     }
 
@@ -28,33 +28,33 @@
     }
 }
 
-/// Counts up. Neither cloned nor shared between threads, so that it has one writer.
+/// A counter. Neither cloned nor shared between threads, so that it has a single writer.
 #[derive(Debug, Default)]
-pub struct Count(Counter<u64, OneWriter>, PhantomData<Cell<()>>);
+pub struct Count(Counter<u64, SingleWriter>, PhantomData<Cell<()>>);
 
 impl Count {
-    /// One more.
+    /// Adds 1.
     pub fn one(&self) {
         self.more(1);
     }
 
-    /// So many more.
-    pub fn more(&self, many: u64) {
-        self.0.inc_by(many);
+    /// Adds an amount.
+    pub fn more(&self, amount: u64) {
+        self.0.inc_by(amount);
     }
 
-    /// So many by now, as counted elsewhere.
-    pub fn reached(&self, many: u64) {
-        self.0.inner().0.store(many, Ordering::Relaxed);
+    /// Sets the value to one that was counted elsewhere.
+    pub fn reached(&self, value: u64) {
+        self.0.inner().0.store(value, Ordering::Relaxed);
     }
 
-    /// How many so far.
+    /// The value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// Goes up and down.
+/// A gauge.
 #[derive(Debug, Default)]
 pub struct Level<N>(Gauge<N, AtomicU64>, PhantomData<Cell<()>>);
 
@@ -62,25 +62,25 @@
 where
     AtomicU64: gauge::Atomic<N>,
 {
-    /// It is so much now.
-    pub fn set(&self, now: N) {
-        self.0.set(now);
+    /// Sets the value.
+    pub fn set(&self, value: N) {
+        self.0.set(value);
     }
 
-    /// The most so far is at least this.
-    pub fn raise(&self, to: N) {
-        if to > self.get() {
-            self.set(to);
+    /// Raises the value to at least this.
+    pub fn raise(&self, value: N) {
+        if value > self.get() {
+            self.set(value);
         }
     }
 
-    /// How much it is.
+    /// The value.
     pub fn get(&self) -> N {
         self.0.get()
     }
 }
 
-/// A value as the line of counters has it.
+/// A value as it is formatted in the line of counters.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Value {
     Whole(u64),
@@ -96,62 +96,61 @@
     }
 }
 
-/// What a group is made of.
-pub(super) trait Kind {
+/// A member of a group.
+pub(super) trait Metric {
     fn value(&self) -> Value;
-    fn register(&self, registry: &mut Registry, word: &str, help: &str);
+    fn register(&self, registry: &mut Registry, name: &str, help: &str);
 }
 
-impl Kind for Count {
+impl Metric for Count {
     fn value(&self) -> Value {
         Value::Whole(self.get())
     }
 
-    fn register(&self, registry: &mut Registry, word: &str, help: &str) {
-        registry.register(word, help, self.0.clone());
+    fn register(&self, registry: &mut Registry, name: &str, help: &str) {
+        registry.register(name, help, self.0.clone());
     }
 }
 
-impl Kind for Level<u64> {
+impl Metric for Level<u64> {
     fn value(&self) -> Value {
         Value::Whole(self.get())
     }
 
-    fn register(&self, registry: &mut Registry, word: &str, help: &str) {
-        registry.register(word, help, self.0.clone());
+    fn register(&self, registry: &mut Registry, name: &str, help: &str) {
+        registry.register(name, help, self.0.clone());
     }
 }
 
-impl Kind for Level<f64> {
+impl Metric for Level<f64> {
     fn value(&self) -> Value {
         Value::Millis(self.get())
     }
 
-    fn register(&self, registry: &mut Registry, word: &str, help: &str) {
-        registry.register(word, help, self.0.clone());
+    fn register(&self, registry: &mut Registry, name: &str, help: &str) {
+        registry.register(name, help, self.0.clone());
     }
 }
 
-/// Those that count one thing's doings: a struct of [`Count`]s and [`Level`]s, each with its word in the line, under which it is
-/// registered too, with its documentation for help.
+/// Defines a group: a struct of [`Count`]s and [`Level`]s, each with its name in the line and the registry; its doc comment is the help text.
 macro_rules! group {
     (
         $(#[$about:meta])*
-        $group:ident { $($(#[doc = $help:literal])+ $field:ident: $kind:ty = $word:literal,)+ }
+        $group:ident { $($(#[doc = $help:literal])+ $field:ident: $kind:ty = $name:literal,)+ }
     ) => {
         $(#[$about])*
         #[derive(Debug, Default)]
         pub struct $group { $($(#[doc = $help])+ pub $field: $kind,)+ }
 
         impl $group {
-            /// Its words and values, in the order in which they are declared.
-            pub(super) fn words(&self) -> Vec<(&'static str, Value)> {
-                vec![$(($word, self.$field.value()),)+]
+            /// Names and values, in the order of declaration.
+            pub(super) fn named_values(&self) -> Vec<(&'static str, Value)> {
+                vec![$(($name, self.$field.value()),)+]
             }
 
             pub(super) fn register(&self, registry: &mut Registry) {
-                // The registry ends each help with a stop itself.
-                $(self.$field.register(registry, $word, concat!($($help),+).trim().trim_end_matches('.'));)+
+                // The registry adds the full stop to each help text.
+                $(self.$field.register(registry, $name, concat!($($help),+).trim().trim_end_matches('.'));)+
             }
         }
     };
--- a/crates/node/src/counters/mod.rs
+++ b/crates/node/src/counters/mod.rs
@@ -1,4 +1,4 @@
-//! What a router took in, sent and answered, by who is counted.
+//! Counters of a router, in groups. The line of counters and the registry use the same names.
 
 mod groups;
 mod kinds;
@@ -6,7 +6,7 @@
 pub use groups::{Attempts, Batches, ChangeLog, Clients, Conns, Files, Memory, Tree, Violations};
 pub use kinds::{Count, Level};
 
-use crate::changelog::Doubt;
+use crate::changelog::reconnect_reason::ReconnectReason;
 use crate::clients::Reply;
 use crate::invariants::{Invariants, Violation};
 use crate::tree::TreeCounters;
@@ -15,18 +15,18 @@
 use prometheus_client::registry::Registry;
 use std::fmt;
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Clients, their requests and their answers.
     pub clients: Clients,
-    /// Attempts, and their ends.
+    /// Attempts and their results.
     pub attempts: Attempts,
     /// Connections to servers.
     pub conns: Conns,
-    /// The change log, and what it told.
+    /// The change log and its events.
     pub log: ChangeLog,
-    /// The configuration, and what an earlier life has learnt.
+    /// The configuration and the snapshot.
     pub files: Files,
     /// Memory.
     pub memory: Memory,
@@ -34,14 +34,14 @@
     pub tree: Tree,
     /// Batches given to the module.
     pub batches: Batches,
-    /// What broke a rule.
+    /// Violated invariants.
     pub violations: Violations,
 }
 
 impl Attempts {
-    /// Counts the end of an attempt.
-    pub fn ended(&self, end: AttemptResult) {
-        let count = match end {
+    /// Counts the result of an attempt.
+    pub fn ended(&self, result: AttemptResult) {
+        let count = match result {
             AttemptResult::Served => &self.served,
             AttemptResult::Error => &self.error,
             AttemptResult::Rejected => &self.full,
@@ -57,11 +57,11 @@
 }
 
 impl ChangeLog {
-    /// Counts a second connection, by its cause.
-    pub fn doubted(&self, doubt: Doubt) {
-        match doubt {
-            Doubt::Quiet => &self.quiet,
-            Doubt::Behind => &self.behind,
+    /// Counts a second connection by its reason.
+    pub fn doubted(&self, reason: ReconnectReason) {
+        match reason {
+            ReconnectReason::Silent => &self.quiet,
+            ReconnectReason::MissingEvents => &self.behind,
         }
         .one();
     }
@@ -81,7 +81,7 @@
 }
 
 impl Tree {
-    /// Takes over what the tree has counted itself.
+    /// Copies the tree's own counters.
     pub fn reached(&self, counted: &TreeCounters) {
         self.offered.reached(counted.offered);
         self.refused.reached(counted.refused);
@@ -92,7 +92,7 @@
 }
 
 impl Violations {
-    /// Takes over what the checker has counted.
+    /// Copies the counts of the invariant checker.
     pub fn reached(&self, invariants: &Invariants) {
         for violation in Violation::ALL {
             let count = match violation {
@@ -111,8 +111,8 @@
 }
 
 impl Counters {
-    /// All of them for whoever reads them from another thread, under their words in the line. What is `_now`, `held`, `conns`, `closes_` and the
-    /// plans' is as of when the line was last asked for.
+    /// A registry of all counters that other threads may read. `*_now`, `held`, `conns`, `closes_*` and the plans' counters are as of when the
+    /// line was last logged.
     pub fn registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("basaltgw");
         let Self { clients, attempts, conns, log, files, memory, tree, batches, violations } = self;
@@ -128,93 +128,39 @@
         registry
     }
 
-    /// The words of the line and their values, in its order.
-    fn words(&self) -> Vec<(&'static str, Value)> {
+    /// The names and values of the line, in its order.
+    fn named_values(&self) -> Vec<(&'static str, Value)> {
         let Self { clients, attempts, conns, log, files, memory, tree, batches, violations } = self;
         let groups = [
-            clients.words(),
-            attempts.words(),
-            conns.words(),
-            log.words(),
-            files.words(),
-            memory.words(),
-            tree.words(),
-            batches.words(),
-            violations.words(),
+            clients.named_values(),
+            attempts.named_values(),
+            conns.named_values(),
+            log.named_values(),
+            files.named_values(),
+            memory.named_values(),
+            tree.named_values(),
+            batches.named_values(),
+            violations.named_values(),
         ];
-        let mut words = groups.concat();
-        // The one that stands outside its group: those who read the line are used to it there.
-        let at = |word| words.iter().position(|(w, _)| *w == word);
+        let mut values = groups.concat();
+        // `unheeded` keeps its place in the line, outside its group.
+        let at = |name| values.iter().position(|(n, _)| *n == name);
         if let (Some(from), Some(to)) = (at("unheeded"), at("log_lost")) {
-            words[from..to].rotate_left(1);
+            values[from..to].rotate_left(1);
         }
-        words
+        values
     }
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, (word, value)) in self.words().into_iter().enumerate() {
+        for (at, (name, value)) in self.named_values().into_iter().enumerate() {
             let space = if at == 0 { "" } else { " " };
-            write!(f, "{space}{word}={value}")?;
+            write!(f, "{space}{name}={value}")?;
         }
         Ok(())
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_line_keeps_its_words_and_their_order() {
-        let counters = Counters::default();
-        counters.batches.longest.raise(1.236);
-        counters.batches.longest.raise(0.5);
-        counters.attempts.unheeded.more(3);
-        counters.attempts.ended(AttemptResult::CacheMiss);
-        counters.log.lost.one();
-        counters.clients.answered(&Reply::Same);
-        assert_eq!(
-            counters.to_string(),
-            "clients=0 clients_now=0 requests=0 closed_unreadable=0 closed_silent=0 closed_unfinished=0 \
-             closed_idle=0 closed_for_room=0 closed_at_end=0 closed_broken_rule=0 unreadable=0 left=0 left_early=0 served=0 same=1 \
-             refused=0 failed=0 turned_away=0 taken_back=0 withheld=0 closes_crossed=0 closes_unread=0 \
-             closes_lingered=0 closed_stalled=0 attempts=0 attempts_served=0 attempts_error=0 \
-             attempts_full=0 attempts_late=0 attempts_no_connection=0 attempts_broken=0 attempts_cancelled=0 \
-             attempts_not_sent=0 attempts_miss=1 late_answers=0 window_over=0 conns=0 conns_now=0 conns_failed=0 \
-             conns_unreadable=0 conns_unfinished=0 conns_shortages=0 servers_now=0 lists=0 purges=0 unheeded=3 log_lost=1 log_quiet=0 \
-             log_behind=0 reloads=0 reloads_refused=0 carried=0 held=0 held_most=0 plans=0 plans_refused=0 plans_ended=0 loops=0 \
-             loops_set_aside=0 batches=0 batch_longest_ms=1.24 violated_second_answer=0 \
-             violated_attempt_after_client_left=0 violated_repeat_after_execution=0 violated_refusal_after_execution=0 \
-             violated_sent_to_drained=0 violated_deadline_exceeded=0 violated_closed_over_request=0 \
-             violated_slow_start_exceeded=0 slow_start_highest_share=0.00 process_stops=0 log_dropped=0"
-        );
-    }
-
-    #[test]
-    fn a_registry_on_another_thread_reads_each_word_with_its_value() {
-        let counters = Counters::default();
-        let registry = counters.registry();
-        counters.clients.requests.more(7);
-        counters.memory.held.set(4096);
-        let read = std::thread::spawn(move || {
-            let mut text = String::new();
-            prometheus_client::encoding::text::encode(&mut text, &registry).map(|()| text)
-        });
-        let text = read.join().expect("a thread that ends").expect("text");
-        let value = |name: &str| {
-            let found = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(' '));
-            found.and_then(|n| n.parse::<f64>().ok())
-        };
-        for (word, told) in counters.words() {
-            let name = format!("basaltgw_{word}");
-            let read = value(&name).or_else(|| value(&format!("{name}_total")));
-            let told = match told {
-                Value::Whole(n) => n as f64,
-                Value::Millis(ms) => ms,
-            };
-            assert_eq!(read, Some(told), "{word}");
-        }
-    }
-}
+mod tests;
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -1,11 +1,17 @@
-//! Messages on their way from a socket: the one loop that reads, decodes and hands them to the owner.
+//! Reads a connection: decodes messages and queues them for the owner, within the connection's limits of time and size.
+//!
+//! Reading pauses while all buffered messages use too much memory, the peer is slow to read, or the owner's queue is full. A client is
+//! watched meanwhile, so that its close and its cancellations still take effect.
 
-use crate::clients::life::{Life, Quiet};
-use crate::clients::FromClient;
-use crate::limits::{AHEAD_BYTES, AHEAD_MESSAGES, READ_BYTES, WAIT};
-use crate::outbox::Holding;
-use crate::resp::{Bounds, Decoder, Malformed};
-use crate::{socket, Input, Shared};
+pub use crate::connection::CloseReason as Over;
+
+use crate::clients::message::FromClient;
+use crate::connection::{CloseReason, ConnectionState};
+use crate::limits::{ReadLimits, READ_AHEAD_BYTES, READ_AHEAD_MESSAGES, READ_BYTES, RETRY_INTERVAL};
+use crate::messages::{Input, Shared};
+use crate::outbox::BufferReservation;
+use crate::resp::{Decoder, Malformed};
+use crate::socket;
 use async_channel::TrySendError;
 use async_io::{Async, Timer};
 use basaltgw::api::Ms;
@@ -17,321 +23,332 @@
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-/// What may be read on a connection, and how long it may take.
-#[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// What a message may hold.
-    pub bounds: Bounds,
-    /// The first message has to be whole after this; `None` where it may take any time to begin.
-    pub first: Option<Duration>,
-    /// A message has to be whole this long after its first byte.
-    pub whole: Duration,
-    /// A message that has begun goes on after no more than this.
-    pub gap: Duration,
-    /// While the reading is held up, the peer is watched: its end counts at once, whatever of it is not handed over or not read,
-    /// and a little is read ahead for what it takes back.
-    pub watched: bool,
+/// A client's connection that waited in the backlog for no longer than this counts as accepted at once.
+const ACCEPTED_AT_ONCE: Duration = Duration::from_millis(10);
+
+/// A message as it was decoded.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DecodedMessage {
+    /// Its words.
+    pub words: Vec<Vec<u8>>,
+    /// When its last byte was received, in milliseconds of the router's clock.
+    pub read_at: Ms,
+    /// The bytes behind it can't be decoded, so it may not be complete.
+    pub boundary_uncertain: bool,
 }
 
-/// Why no more is read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
-    /// The connection ended.
-    Ended,
-    /// It sent what can't be read.
-    Unreadable(Malformed),
-    /// It never said anything.
-    Silent,
-    /// It stopped in mid-message.
-    Unfinished,
-    /// The owner wanted it closed, and nothing crossed that.
-    Quiet(Quiet),
-    /// The owner has dropped it.
-    Dropped,
+/// What the reader of a client's connection needs besides the socket.
+#[derive(Clone, Copy, Debug)]
+pub struct ClientReader<'a> {
+    /// The connection's state; the owner may ask for a close by it.
+    pub state: &'a ConnectionState,
+    /// Since when the connection may have waited in the backlog.
+    pub waiting_since: Instant,
 }
 
 /// What a reader waits for.
-enum Next {
+enum ReadEvent {
     Read(std::io::Result<usize>),
-    Late,
-    Wanted,
+    TimedOut,
+    CloseRequested,
 }
 
-/// A connection that waited for no longer was accepted as it came.
-const ACCEPTED_AT_ONCE: Duration = Duration::from_millis(10);
-
-/// Why reading is held up.
+/// Why reading is paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum HeldUp {
-    /// Messages of all connections hold too much.
+enum PauseReason {
+    /// Buffered messages of all connections use too much memory.
     Memory,
-    /// Too much waits for this peer, which reads slowly.
-    Unsent,
-    /// The owner's queue has no room.
-    Queue,
+    /// Too many bytes wait to be written to this peer.
+    SlowPeer,
+    /// The owner's queue is full.
+    QueueFull,
 }
 
-/// Runs a connection's two sides until one is over. What is written ends when its outbox is dropped, or the peer takes no more.
-pub async fn either(read: impl Future<Output = Over>, write: impl Future<Output = bool>) -> Over {
+/// Runs a connection's reader and writer until one of them ends.
+pub async fn either(
+    read: impl Future<Output = CloseReason>,
+    write: impl Future<Output = bool>,
+) -> CloseReason {
     let written = async {
         write.await;
-        Over::Ended
+        CloseReason::Ended
     };
     future::or(read, written).await
 }
 
-/// Reads messages until the connection ends, sends what can't be read, or takes too long. `full` holds the reading up;
-/// `typed` makes an input of a message whose last byte was read at that time and behind which something came with it that can't be read,
-/// or not; `None` if it makes no sense at all. It sees all messages of a piece before the first of them is handed over. Where the
-/// connection is a client's, it has a state, by which the owner may want it closed, and may have waited to be accepted since that time.
+/// Reads messages until the connection ends, sends what can't be decoded, or exceeds a time limit; returns why it stops.
+///
+/// While `paused` returns true, reading pauses. `decode` makes an input of a message, or `None` of one that makes no sense; it sees all
+/// messages of a read before the first of them is queued. `client` is given for a client's connection.
 pub async fn read_all(
     socket: &Async<TcpStream>,
-    terms: Terms,
+    limits: ReadLimits,
     shared: &Shared,
-    full: impl Fn() -> bool,
-    typed: impl Fn(Vec<Vec<u8>>, Ms, bool) -> Option<Input>,
-    client: Option<(&Life, Instant)>,
-) -> Over {
-    let (life, accepted) = client.unzip();
-    // What is there at once came while the connection waited to be accepted.
-    let waited = accepted.filter(|since| since.elapsed() > ACCEPTED_AT_ONCE && socket::readable(socket));
+    paused: impl Fn() -> bool,
+    decode: impl Fn(DecodedMessage) -> Option<Input>,
+    client: Option<ClientReader<'_>>,
+) -> CloseReason {
+    // Bytes that are readable at once came while the connection waited in the backlog.
+    let accepted_late = client
+        .map(|client| client.waiting_since)
+        .filter(|since| since.elapsed() > ACCEPTED_AT_ONCE && socket::readable(socket));
     let mut reader = Reader {
         socket,
-        terms,
+        limits,
         shared,
-        typed,
-        life,
-        decoder: Decoder::new(terms.bounds),
-        piece: vec![0; READ_BYTES],
-        kept: VecDeque::new(),
-        kept_bytes: 0,
-        fault: None,
-        first: terms.first.map(|t| Instant::now() + t),
-        begun: None,
-        empty_since: waited.unwrap_or_else(Instant::now),
-        lain: waited.is_some(),
-        holding: Holding::new(&shared.meter),
+        decode,
+        state: client.map(|client| client.state),
+        decoder: Decoder::new(limits.bounds),
+        chunk: vec![0; READ_BYTES],
+        pending: VecDeque::new(),
+        pending_bytes: 0,
+        failure: None,
+        first_message_due: limits.first_message.map(|t| Instant::now() + t),
+        message_started: None,
+        empty_since: accepted_late.unwrap_or_else(Instant::now),
+        waited_in_backlog: accepted_late.is_some(),
+        buffered: BufferReservation::new(&shared.meter),
     };
     loop {
-        if let Err(over) = reader.next(&full).await {
-            return over;
+        if let Err(reason) = reader.next(&paused).await {
+            return reason;
         }
-        // A peer at full speed leaves the thread to the others after each piece.
+        // A peer at full speed leaves the thread to the others after each read.
         future::yield_now().await;
     }
 }
 
 /// A connection's reading side.
-struct Reader<'a, T> {
+struct Reader<'a, D> {
     socket: &'a Async<TcpStream>,
-    terms: Terms,
+    limits: ReadLimits,
     shared: &'a Shared,
-    typed: T,
-    life: Option<&'a Life>,
+    decode: D,
+    state: Option<&'a ConnectionState>,
     decoder: Decoder,
-    piece: Vec<u8>,
-    /// Whole messages that are not handed over: those of one piece, and what was read ahead.
-    kept: VecDeque<Input>,
-    kept_bytes: usize,
-    /// What ends the connection once they are.
-    fault: Option<Over>,
-    /// When the first message has to be whole.
-    first: Option<Instant>,
-    /// Since when a message has been under way.
-    begun: Option<Instant>,
-    /// When the socket was last known to hold nothing more.
+    chunk: Vec<u8>,
+    /// Decoded messages that are not queued: those of one read, and what was read ahead.
+    pending: VecDeque<Input>,
+    pending_bytes: usize,
+    /// Ends the connection once `pending` is empty.
+    failure: Option<CloseReason>,
+    first_message_due: Option<Instant>,
+    /// When the first byte of the partial message was received.
+    message_started: Option<Instant>,
+    /// When the socket was last known to be empty.
     empty_since: Instant,
-    /// What is read first came while the connection waited to be accepted, since then.
-    lain: bool,
-    holding: Holding,
+    /// The next bytes were received while the connection waited in the backlog, since `empty_since`.
+    waited_in_backlog: bool,
+    buffered: BufferReservation,
 }
 
-impl<T: Fn(Vec<Vec<u8>>, Ms, bool) -> Option<Input>> Reader<'_, T> {
-    /// Reads a piece and hands over what is whole.
-    async fn next(&mut self, full: &impl Fn() -> bool) -> Result<(), Over> {
-        while let Some(why) = self.held_up(full) {
-            // What takes requests back holds nothing and frees what they hold.
-            while self.kept.front().is_some_and(takes_back) && !self.shared.queue.is_full() {
-                self.hand_over(1).await?;
+impl<D: Fn(DecodedMessage) -> Option<Input>> Reader<'_, D> {
+    /// Reads once and queues the complete messages.
+    async fn next(&mut self, paused: &impl Fn() -> bool) -> Result<(), CloseReason> {
+        while let Some(why) = self.pause_reason(paused) {
+            // Cancellations use no memory and free what their requests use.
+            while self.pending.front().is_some_and(is_cancellation) && !self.shared.queue.is_full() {
+                self.enqueue(1).await?;
             }
-            self.look(why).await?;
+            self.wait_paused(why).await?;
         }
         // What was read ahead comes first.
-        if self.kept.is_empty() && self.fault.is_none() {
+        if self.pending.is_empty() && self.failure.is_none() {
             let n = self.read().await?;
-            self.take(n);
+            self.decode_chunk(n);
         }
-        self.hand_over(self.kept.len()).await?;
-        match self.fault.filter(|_| self.kept.is_empty()) {
-            Some(fault) => Err(fault),
+        self.enqueue(self.pending.len()).await?;
+        match self.failure.filter(|_| self.pending.is_empty()) {
+            Some(reason) => Err(reason),
             None => Ok(()),
         }
     }
 
-    fn held_up(&self, full: &impl Fn() -> bool) -> Option<HeldUp> {
+    fn pause_reason(&self, paused: &impl Fn() -> bool) -> Option<PauseReason> {
         if self.shared.meter.held() > self.shared.held_limit {
-            return Some(HeldUp::Memory);
+            return Some(PauseReason::Memory);
         }
-        full().then_some(HeldUp::Unsent)
+        paused().then_some(PauseReason::SlowPeer)
     }
 
-    /// Reads what has come, in its time.
-    async fn read(&mut self) -> Result<usize, Over> {
-        let end = self.begun.map(|t| (t + self.terms.whole).min(Instant::now() + self.terms.gap));
-        let end = end.into_iter().chain(self.first).min();
-        let late = async {
-            match end {
-                Some(end) => Timer::at(end).await,
+    /// Reads what was received, within the time limits; returns the number of bytes, 0 if a close request lapsed.
+    async fn read(&mut self) -> Result<usize, CloseReason> {
+        match self.wait_readable().await {
+            ReadEvent::Read(Ok(n)) if n > 0 => Ok(n),
+            ReadEvent::Read(Ok(_) | Err(_)) => Err(CloseReason::Ended),
+            ReadEvent::TimedOut if self.message_started.is_none() => Err(CloseReason::Silent),
+            ReadEvent::TimedOut => Err(CloseReason::Unfinished),
+            ReadEvent::CloseRequested => {
+                let partial_for = self.message_started.map(|t| t.elapsed());
+                match self.state.and_then(|state| state.stops(partial_for)) {
+                    Some(reason) => Err(reason),
+                    None => Ok(0),
+                }
+            }
+        }
+    }
+
+    /// Waits for bytes, a time limit or a close request, in this order where several are ready.
+    async fn wait_readable(&mut self) -> ReadEvent {
+        let message_due =
+            self.message_started.map(|t| (t + self.limits.message).min(Instant::now() + self.limits.gap));
+        let due = message_due.into_iter().chain(self.first_message_due).min();
+        let timeout = async {
+            match due {
+                Some(due) => Timer::at(due).await,
                 None => future::pending().await,
             };
-            Next::Late
+            ReadEvent::TimedOut
         };
-        let wanted = async {
-            match self.life {
-                Some(life) => life.wanted().await,
+        let close_requested = async {
+            match self.state {
+                Some(state) => state.close_requested().await,
                 None => future::pending().await,
             }
-            Next::Wanted
+            ReadEvent::CloseRequested
         };
-        let (mut socket, piece) = (self.socket, &mut self.piece);
-        // What has come is read before it is called late, and before the connection is said to rest.
+        let (mut socket, chunk) = (self.socket, &mut self.chunk);
         let empty_since = &mut self.empty_since;
         let read = async {
-            let mut reading = pin!(socket::read(&mut socket, piece));
-            let noted = future::poll_fn(|cx| {
+            let mut reading = pin!(socket::read(&mut socket, chunk));
+            let result = future::poll_fn(|cx| {
                 let polled = reading.as_mut().poll(cx);
-                // A short read proves nothing: only one that has to wait found the socket empty.
+                // Only a read that has to wait proves that the socket is empty; a short read doesn't.
                 if polled.is_pending() {
                     *empty_since = Instant::now();
                 }
                 polled
             });
-            Next::Read(noted.await)
+            ReadEvent::Read(result.await)
         };
-        match future::or(read, future::or(late, wanted)).await {
-            Next::Read(Ok(n)) if n > 0 => Ok(n),
-            Next::Read(Ok(_) | Err(_)) => Err(Over::Ended),
-            Next::Late if self.begun.is_none() => Err(Over::Silent),
-            Next::Late => Err(Over::Unfinished),
-            Next::Wanted => match self.life.and_then(|l| l.stops(self.begun.map(|t| t.elapsed()))) {
-                Some(over) => Err(over),
-                None => Ok(0),
-            },
-        }
+        future::or(read, future::or(timeout, close_requested)).await
     }
 
-    /// Decodes the piece's first bytes.
-    fn take(&mut self, n: usize) {
-        self.decoder.feed(self.piece.get(..n).unwrap_or_default());
-        // What lay in the socket during a stop of the process came at some time of it, at its beginning for all that is known.
-        let waited = match std::mem::take(&mut self.lain) {
-            true => self.empty_since.elapsed(),
-            false => self.shared.stalls.waited(self.empty_since),
-        };
-        let now = self.shared.clock.now() - waited.as_secs_f64() * 1000.0;
+    /// Decodes the first bytes of the chunk.
+    fn decode_chunk(&mut self, bytes: usize) {
+        self.decoder.feed(self.chunk.get(..bytes).unwrap_or_default());
+        let read_at = self.receive_time();
         let mut next = self.decoder.message();
-        while self.fault.is_none() {
+        while self.failure.is_none() {
             let words = match next {
                 Ok(Some(words)) => words,
                 Ok(None) => break,
                 Err(e) => {
-                    self.fault = Some(Over::Unreadable(e));
+                    self.failure = Some(CloseReason::Unreadable(e));
                     break;
                 }
             };
-            // Where what follows can't be read, so is where this one ends.
             next = self.decoder.message();
-            (self.begun, self.first) = (None, None);
-            self.kept_bytes += words.iter().map(Vec::len).sum::<usize>();
-            match (self.typed)(words, now, next.is_err()) {
-                Some(input) if self.life.is_none_or(Life::hands) => self.kept.push_back(input),
-                Some(_) => self.fault = Some(Over::Dropped),
-                None => self.fault = Some(Over::Unreadable(Malformed::SENSELESS)),
+            (self.message_started, self.first_message_due) = (None, None);
+            self.pending_bytes += words.iter().map(Vec::len).sum::<usize>();
+            match (self.decode)(DecodedMessage { words, read_at, boundary_uncertain: next.is_err() }) {
+                Some(input) if self.state.is_none_or(ConnectionState::hands) => self.pending.push_back(input),
+                Some(_) => self.failure = Some(CloseReason::Dropped),
+                None => self.failure = Some(CloseReason::Unreadable(Malformed::SENSELESS)),
             }
         }
-        self.holding.set(self.decoder.held());
+        self.buffered.set(self.decoder.held());
         if self.decoder.mid_message() {
-            self.begun.get_or_insert_with(Instant::now);
+            self.message_started.get_or_insert_with(Instant::now);
         }
     }
 
-    /// Hands over the first of what is kept, waiting for room.
-    async fn hand_over(&mut self, many: usize) -> Result<(), Over> {
-        for _ in 0..many {
-            let Some(input) = self.kept.pop_front() else { break };
-            if self.life.is_some_and(|l| !l.state().reads()) {
-                return Err(Over::Dropped);
+    /// When the bytes just read were received: as early as possible where they waited in the socket during a pause of the process.
+    fn receive_time(&mut self) -> Ms {
+        let waited = match std::mem::take(&mut self.waited_in_backlog) {
+            true => self.empty_since.elapsed(),
+            false => self.shared.stalls.waited(self.empty_since),
+        };
+        self.shared.clock.now() - waited.as_secs_f64() * 1000.0
+    }
+
+    /// Queues the first pending messages for the owner, waiting for capacity.
+    async fn enqueue(&mut self, count: usize) -> Result<(), CloseReason> {
+        for _ in 0..count {
+            let Some(input) = self.pending.pop_front() else { break };
+            if self.state.is_some_and(|state| !state.state().reads()) {
+                return Err(CloseReason::Dropped);
             }
             match self.shared.queue.try_send(input) {
                 Ok(()) => {}
-                Err(TrySendError::Closed(_)) => return Err(Over::Ended),
-                Err(TrySendError::Full(input)) => {
-                    let queue = &self.shared.queue;
-                    let mut send = pin!(queue.send(input));
-                    let sent = loop {
-                        let sent = async { Some(send.as_mut().await.map_err(|_| Over::Ended)) };
-                        let look = async { self.look(HeldUp::Queue).await.err().map(Err) };
-                        if let Some(sent) = future::or(sent, look).await {
-                            break sent;
-                        }
-                    };
-                    sent?;
-                }
+                Err(TrySendError::Closed(_)) => return Err(CloseReason::Ended),
+                Err(TrySendError::Full(input)) => self.enqueue_when_free(input).await?,
             }
         }
-        if self.kept.is_empty() {
-            self.kept_bytes = 0;
+        if self.pending.is_empty() {
+            self.pending_bytes = 0;
         }
         Ok(())
     }
 
-    /// Waits a little while the reading is held up. A peer that is watched may end meanwhile, and a little of what it sends is read.
-    async fn look(&mut self, why: HeldUp) -> Result<(), Over> {
-        let since = Instant::now();
-        let room = AHEAD_BYTES.saturating_sub(self.kept_bytes + self.decoder.held());
-        let ahead =
-            self.terms.watched && self.fault.is_none() && self.kept.len() < AHEAD_MESSAGES && room > 0;
-        if ahead {
-            let (mut socket, piece) = (self.socket, self.piece.get_mut(..room).unwrap_or_default());
-            let waited = async {
-                Timer::after(WAIT).await;
-                None
-            };
-            match future::or(async { Some(socket::read(&mut socket, piece).await) }, waited).await {
-                Some(Ok(n)) if n > 0 => self.take(n),
-                Some(Ok(_) | Err(_)) => return Err(Over::Ended),
-                None => {}
+    /// Waits until the owner's queue takes a message.
+    async fn enqueue_when_free(&mut self, input: Input) -> Result<(), CloseReason> {
+        let queue = &self.shared.queue;
+        let mut send = pin!(queue.send(input));
+        loop {
+            let sent = async { Some(send.as_mut().await.map_err(|_| CloseReason::Ended)) };
+            let paused = async { self.wait_paused(PauseReason::QueueFull).await.err().map(Err) };
+            if let Some(result) = future::or(sent, paused).await {
+                return result;
             }
-        } else if self.terms.watched && ended(self.socket) {
-            return Err(Over::Ended);
+        }
+    }
+
+    /// Waits for one retry interval while reading is paused. The close of a watched peer ends the wait, and a bounded amount is read ahead.
+    async fn wait_paused(&mut self, why: PauseReason) -> Result<(), CloseReason> {
+        let since = Instant::now();
+        let read_ahead = READ_AHEAD_BYTES.saturating_sub(self.pending_bytes + self.decoder.held());
+        let reads_ahead = self.limits.watched
+            && self.failure.is_none()
+            && self.pending.len() < READ_AHEAD_MESSAGES
+            && read_ahead > 0;
+        if reads_ahead {
+            self.read_ahead(read_ahead).await?;
+        } else if self.limits.watched && peer_closed(self.socket) {
+            return Err(CloseReason::Ended);
         } else {
-            Timer::after(WAIT).await;
+            Timer::after(RETRY_INTERVAL).await;
         }
         match why {
-            // Half messages that fill the memory must come to their end by themselves.
-            HeldUp::Memory if self.begun.is_some_and(|t| t.elapsed() > self.terms.whole) => {
-                Err(Over::Unfinished)
+            // Partial messages that use up the memory have to time out.
+            PauseReason::Memory
+                if self.message_started.is_some_and(|t| t.elapsed() > self.limits.message) =>
+            {
+                Err(CloseReason::Unfinished)
             }
-            HeldUp::Memory => Ok(()),
-            // That it can't go on is not the message's fault.
-            HeldUp::Unsent | HeldUp::Queue => {
-                self.begun = self.begun.map(|t| t + since.elapsed());
+            PauseReason::Memory => Ok(()),
+            // The time of the pause doesn't count against the partial message.
+            PauseReason::SlowPeer | PauseReason::QueueFull => {
+                self.message_started = self.message_started.map(|t| t + since.elapsed());
                 Ok(())
             }
         }
     }
+
+    /// Reads at most `bytes`, for one retry interval.
+    async fn read_ahead(&mut self, bytes: usize) -> Result<(), CloseReason> {
+        let (mut socket, chunk) = (self.socket, self.chunk.get_mut(..bytes).unwrap_or_default());
+        let timeout = async {
+            Timer::after(RETRY_INTERVAL).await;
+            None
+        };
+        match future::or(async { Some(socket::read(&mut socket, chunk).await) }, timeout).await {
+            Some(Ok(n)) if n > 0 => self.decode_chunk(n),
+            Some(Ok(_) | Err(_)) => return Err(CloseReason::Ended),
+            None => {}
+        }
+        Ok(())
+    }
 }
 
-/// It takes a request back.
-fn takes_back(input: &Input) -> bool {
+fn is_cancellation(input: &Input) -> bool {
     matches!(input, Input::Client(_, FromClient::Undo(_), _))
 }
 
-/// The peer has closed its side or all of it, whatever of what it sent before is not read. Where that can't be asked, it is seen when the
-/// reading goes on.
-fn ended(socket: &Async<TcpStream>) -> bool {
+/// Whether the peer has closed its side, even if bytes before the close are unread. Where that can't be polled, the next read shows it.
+fn peer_closed(socket: &Async<TcpStream>) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::RDHUP)];
     let polled = poll(&mut fds, Some(&Timespec::default()));
-    let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    polled.is_ok() && fds.iter().any(|fd| fd.revents().intersects(over))
+    let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    polled.is_ok() && fds.iter().any(|fd| fd.revents().intersects(closed))
 }
--- a/crates/node/src/log_writer.rs
+++ b/crates/node/src/log_writer.rs
@@ -1,31 +1,31 @@
-//! Where log lines go: standard error, which never holds the router up.
+//! Writes log lines to standard error without blocking.
 //!
-//! A pipe that nobody reads fills, and a write to it would stop the thread that serves requests. So a line is written only while there is
-//! room for it; else it is dropped and counted, and the next line that is written says how many were.
+//! A write to a full pipe would block the thread that serves requests. A line is therefore written only while standard error takes it;
+//! otherwise it is dropped and counted, and the next line that is written is preceded by the number of dropped ones.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A pipe that is ready for writing takes so many bytes without waiting (PIPE_BUF).
-const WRITTEN_AT_ONCE: usize = 4_096;
+/// Bytes that a writable pipe takes without blocking (PIPE_BUF).
+const CHUNK_BYTES: usize = 4_096;
 
 /// Lines dropped since the start.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
-/// Those of them that no line has told of yet.
-static NO_REPORT: AtomicU64 = AtomicU64::new(0);
+/// Those of them that no line has reported yet.
+static UNREPORTED: AtomicU64 = AtomicU64::new(0);
 
 /// Lines dropped since the start.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Standard error; a line is a write.
+/// Standard error; each write is one line.
 #[derive(Debug, Default)]
 pub struct LogWriter;
 
-/// Whether standard error takes bytes without waiting. Where that can't be asked, it is written to.
-fn ready() -> bool {
+/// Whether standard error takes bytes without blocking; true where that can't be polled.
+fn is_writable() -> bool {
     let stderr = io::stderr();
     let mut fds = [PollFd::new(&stderr, PollFlags::OUT)];
     match poll(&mut fds, Some(&Timespec::default())) {
@@ -35,10 +35,10 @@
 }
 
 impl LogWriter {
-    /// Writes all of it, or as much as there is room for; whether that was all.
+    /// Writes a line, or as much of it as can be written without blocking; whether it is complete.
     fn write_line(line: &[u8]) -> bool {
-        for piece in line.chunks(WRITTEN_AT_ONCE) {
-            if !ready() || io::stderr().write_all(piece).is_err() {
+        for chunk in line.chunks(CHUNK_BYTES) {
+            if !is_writable() || io::stderr().write_all(chunk).is_err() {
                 return false;
             }
         }
@@ -48,11 +48,12 @@
 
 impl Write for LogWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let untold = NO_REPORT.swap(0, Ordering::Relaxed);
-        let told = untold == 0 || Self::write_line(format!("{untold} lines were not logged\n").as_bytes());
-        if !told || !Self::write_line(line) {
+        let unreported = UNREPORTED.swap(0, Ordering::Relaxed);
+        let reported =
+            unreported == 0 || Self::write_line(format!("{unreported} lines were not logged\n").as_bytes());
+        if !reported || !Self::write_line(line) {
             DROPPED.fetch_add(1, Ordering::Relaxed);
-            NO_REPORT.fetch_add(if told { 1 } else { untold + 1 }, Ordering::Relaxed);
+            UNREPORTED.fetch_add(if reported { 1 } else { unreported + 1 }, Ordering::Relaxed);
         }
         Ok(line.len())
     }
--- /dev/null
+++ b/crates/node/src/outbox/buffered.rs
@@ -0,0 +1,82 @@
+//! Accounting of the bytes that messages buffer.
+
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// Bytes buffered by the messages of one connection, or of all.
+#[derive(Debug, Default)]
+pub struct Meter(Cell<usize>);
+
+impl Meter {
+    /// Bytes buffered now.
+    pub fn held(&self) -> usize {
+        self.0.get()
+    }
+
+    fn add(&self, bytes: usize) {
+        self.0.set(self.0.get() + bytes);
+    }
+
+    fn subtract(&self, bytes: usize) {
+        self.0.set(self.0.get().saturating_sub(bytes));
+    }
+}
+
+/// Bytes that are counted at meters until they are dropped.
+#[derive(Debug)]
+pub struct Counted {
+    bytes: Vec<u8>,
+    meters: Vec<Rc<Meter>>,
+}
+
+impl Counted {
+    /// Counts bytes at these meters.
+    pub fn new(bytes: Vec<u8>, meters: &[&Rc<Meter>]) -> Self {
+        meters.iter().for_each(|m| m.add(bytes.len()));
+        Self { bytes, meters: meters.iter().map(|m| Rc::clone(m)).collect() }
+    }
+
+    /// The bytes.
+    pub fn bytes(&self) -> &[u8] {
+        &self.bytes
+    }
+
+    /// Other bytes in place of these, counted at the same meters.
+    pub(super) fn replaced(&self, bytes: Vec<u8>) -> Self {
+        let meters: Vec<&Rc<Meter>> = self.meters.iter().collect();
+        Self::new(bytes, &meters)
+    }
+}
+
+impl Drop for Counted {
+    fn drop(&mut self) {
+        self.meters.iter().for_each(|m| m.subtract(self.bytes.len()));
+    }
+}
+
+/// A variable number of bytes counted at a meter, such as a partial message; subtracted when dropped.
+#[derive(Debug)]
+pub struct BufferReservation {
+    meter: Rc<Meter>,
+    bytes: usize,
+}
+
+impl BufferReservation {
+    /// A reservation of no bytes.
+    pub fn new(meter: &Rc<Meter>) -> Self {
+        Self { meter: Rc::clone(meter), bytes: 0 }
+    }
+
+    /// Changes the number of bytes.
+    pub fn set(&mut self, bytes: usize) {
+        self.meter.subtract(self.bytes);
+        self.meter.add(bytes);
+        self.bytes = bytes;
+    }
+}
+
+impl Drop for BufferReservation {
+    fn drop(&mut self) {
+        self.set(0);
+    }
+}
--- /dev/null
+++ b/crates/node/src/placement_report.rs
@@ -0,0 +1,118 @@
+//! Compiles the placement rules of a configuration for the routers that it lists, and reports the resulting table to people.
+
+use crate::fleet::start::rules;
+use basaltgw_config::fleet::Fleet;
+use basaltgw_placement::{compile, explain, explain_root, explain_shard, moves, Fault, Inventory};
+use basaltgw_placement::{RouterEntry, Table};
+use basaltgw_types::{Domain, Incarnation, Member, QuorumGroup, RouterId, Shard};
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+/// Stands for the incarnation of each router: a configuration doesn't know it, and placement doesn't depend on it.
+const UNKNOWN: Incarnation = Incarnation(0);
+
+/// An object by class, group and number.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ObjectKey {
+    /// Its class.
+    pub class: String,
+    /// Its group.
+    pub group: u64,
+    /// Its number.
+    pub object: u64,
+}
+
+/// What a report explains besides the table.
+#[derive(Clone, Debug, Default)]
+pub struct ReportQueries {
+    /// A shard to explain.
+    pub shard: Option<u16>,
+    /// An object to explain.
+    pub object: Option<ObjectKey>,
+}
+
+impl ReportQueries {
+    /// Whether there is no query.
+    pub fn is_empty(&self) -> bool {
+        self.shard.is_none() && self.object.is_none()
+    }
+}
+
+/// Parses `CLASS:GROUP:OBJECT`.
+///
+/// # Errors
+/// If the text has another form.
+pub fn parse_key(text: &str) -> Result<ObjectKey, String> {
+    let mut words = text.rsplitn(3, ':');
+    let (object, group, class) = (words.next(), words.next(), words.next());
+    let number = |word: Option<&str>| word.and_then(|w| w.parse().ok());
+    match (class, number(group), number(object)) {
+        (Some(class), Some(group), Some(object)) if !class.is_empty() => {
+            Ok(ObjectKey { class: class.to_string(), group, object })
+        }
+        _ => Err(format!(
+            "--key: expected CLASS:GROUP:OBJECT with numbers for group and object, found {text:?}"
+        )),
+    }
+}
+
+/// Compiles the placement rules of a section for the routers that it lists, after a table that is in use.
+///
+/// # Errors
+/// All faults of the rules.
+pub fn table(fleet: &Fleet, before: Option<&Table>) -> Result<Table, Vec<Fault>> {
+    let entry = |router: &RouterId, domain: &Domain| RouterEntry {
+        member: Member { router: router.clone(), incarnation: UNKNOWN },
+        domain: domain.clone(),
+        capacity: fleet.limits.holds as u64,
+        stays: true,
+    };
+    let own = std::iter::once(entry(&fleet.name, &fleet.domain));
+    let mut routers: Vec<_> = own.chain(fleet.peers.iter().map(|p| entry(&p.name, &p.domain))).collect();
+    routers.sort_by(|a, b| a.member.cmp(&b.member));
+    compile(&rules(fleet), &Inventory { routers, ..Inventory::default() }, before)
+}
+
+/// Renders faults with the lines that they concern.
+pub fn faults(fleet: &Fleet, faults: &[Fault]) -> String {
+    let files = rules(fleet);
+    // The position is written out besides the excerpt, so that programs find it too.
+    let render = |f: &Fault| format!("{f}\n{}", f.render(&files, false));
+    faults.iter().map(render).collect::<Vec<_>>().join("\n")
+}
+
+/// One line about a table.
+pub fn summary(fleet: &Fleet, table: &Table) -> String {
+    let copies = table.keepers(Shard(0)).map_or(0, |g| g.members.len());
+    let (version, routers) = (table.version().0, fleet.peers.len() + 1);
+    let shards = table.shards();
+    format!("fleet {}: table version {version}, {shards} shards, {copies} copies, {routers} routers, no fault found", fleet.cluster)
+}
+
+/// A table with each router's shards, the root, the shards that move from an older table, and the answers to the queries.
+pub fn report(fleet: &Fleet, table: &Table, old: Option<&Table>, queries: &ReportQueries) -> String {
+    let mut text = summary(fleet, table);
+    let mut shards_of: BTreeMap<&Member, Vec<String>> =
+        table.routers().map(|(m, _)| (m, Vec::new())).collect();
+    for shard in (0..=u16::MAX).map(Shard).take(table.shards()) {
+        for member in table.keepers(shard).iter().flat_map(|g: &&QuorumGroup| &g.members) {
+            shards_of.entry(member).or_default().push(shard.0.to_string());
+        }
+    }
+    for (member, shards) in shards_of {
+        let _ = write!(text, "\n{member}: {} shards: {}", shards.len(), shards.join(" "));
+    }
+    text.push('\n');
+    text.push_str(&explain_root(table));
+    if let Some(old) = old {
+        let _ = write!(text, "{}", moves(old, table));
+    }
+    if let Some(shard) = queries.shard {
+        text.push_str(&explain_shard(table, Shard(shard)));
+    }
+    if let Some(key) = &queries.object {
+        text.push_str(&explain(table, &key.class, key.group, key.object));
+    }
+    // The stand-in incarnation means nothing to readers.
+    text.replace(&format!("/{UNKNOWN}"), "")
+}
--- /dev/null
+++ b/crates/node/src/serve.rs
@@ -0,0 +1,148 @@
+//! Starts a router from its configuration, and runs it until it ends.
+
+use crate::caches::Caches;
+use crate::connection::ConnectionSlots;
+use crate::limits::{
+    BIND_RETRY_TIMEOUT, LISTEN_BACKLOG, QUEUE, READ_STOP_MEMORY_SHARE, RESERVED_DESCRIPTORS, RETRY_INTERVAL,
+    SERVER_DESCRIPTOR_DIVISOR,
+};
+use crate::messages::{Input, Inputs, Shared};
+use crate::owner::Owner;
+use crate::{changelog, clients, fleet, owner, shutdown, signals, snapshot_file};
+use async_channel::Sender;
+use async_executor::LocalExecutor;
+use async_io::Async;
+use basaltgw_config::fleet::Fleet;
+use basaltgw_config::{NodeConfig, OwnSettings};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Instant;
+
+/// The project's own settings, and the file from which they are read again.
+#[derive(Clone, Debug, Default)]
+pub struct Own {
+    /// The file, if one was given.
+    pub file: Option<PathBuf>,
+    /// Its settings.
+    pub settings: OwnSettings,
+}
+
+/// The sending ends of the owner's queues.
+struct InputSenders {
+    urgent: Sender<Input>,
+    servers: Sender<Input>,
+    clients: Sender<Input>,
+}
+
+/// The descriptors that connections may use.
+struct DescriptorBudget {
+    servers: usize,
+    clients: usize,
+}
+
+/// Runs a router until it is asked to end; returns its counters as `name=value` words.
+///
+/// # Errors
+/// If it can't start, or one of the fleet's threads has ended by itself.
+pub fn serve(mut config: NodeConfig, own: Own) -> io::Result<String> {
+    config.unread.iter().for_each(|fault| log::warn!("configuration entry ignored: {fault}"));
+    let signals = signals::Signals::listen()?;
+    let (senders, inputs) = input_queues();
+    let shared = shared(&config, senders.clients);
+    let descriptors = descriptor_budget(&config);
+    let to_servers = Shared { queue: senders.servers, ..shared.clone() };
+    let caches = Caches::new(to_servers, descriptors.servers, config.transport);
+    let mut owner = Owner::new(&config, &own.settings, &shared, caches);
+    if let Some(snapshot) = own.settings.carry.as_ref().and_then(snapshot_file::load) {
+        owner.adopt(snapshot);
+    }
+    if let Some(settings) = &own.settings.fleet {
+        join_fleet(&mut owner, settings, &config, &shared, senders.urgent.clone())?;
+    }
+    let listener = bind(config.listen)?;
+    log::info!("{} listens at {}", config.name, listener.get_ref().local_addr()?);
+    let executor = Rc::clone(&shared.executor);
+    let slots: Rc<ConnectionSlots> = owner.places();
+    // `shared` stays alive: the owner waits on the clients' queue, which must not close while it runs.
+    let listener = executor.spawn(clients::accept(listener, descriptors.clients, slots, shared.clone()));
+    let (moves, moved) = async_channel::bounded(QUEUE);
+    let names = config.names.clone();
+    let follow = changelog::follow(config.changelog, moved, config.known_seq, names, senders.urgent.clone());
+    executor.spawn(follow).detach();
+    // The owner has taken these; the signals' task needs only the settings.
+    config.known = Vec::new();
+    let carry = own.settings.carry.clone();
+    executor.spawn(shutdown::watch(signals, senders.urgent, (config, own), moves)).detach();
+    let owner::Ended { counters, learnt, left_at, fleet, fault } =
+        async_io::block_on(executor.run(owner.run(inputs, listener)));
+    if let Some(carry) = &carry {
+        snapshot_file::store(carry, &learnt, left_at);
+    }
+    match fault {
+        Some(fault) => Err(io::Error::other(fault)),
+        None => Ok(format!("{counters}{fleet}")),
+    }
+}
+
+fn input_queues() -> (InputSenders, Inputs) {
+    let (urgent, urgent_inputs) = async_channel::bounded(QUEUE);
+    let (servers, server_inputs) = async_channel::bounded(QUEUE);
+    let (clients, client_inputs) = async_channel::bounded(QUEUE);
+    let inputs = Inputs { urgent: urgent_inputs, servers: server_inputs, clients: client_inputs };
+    (InputSenders { urgent, servers, clients }, inputs)
+}
+
+fn shared(config: &NodeConfig, queue: Sender<Input>) -> Shared {
+    Shared {
+        executor: Rc::new(LocalExecutor::new()),
+        queue,
+        clock: crate::clock::Clock::default(),
+        meter: Rc::default(),
+        invariants: Rc::default(),
+        stalls: Rc::default(),
+        held_limit: config.limits.share_of_memory(READ_STOP_MEMORY_SHARE),
+    }
+}
+
+/// Divides the descriptors between servers and clients.
+fn descriptor_budget(config: &NodeConfig) -> DescriptorBudget {
+    let servers = config.limits.sockets / SERVER_DESCRIPTOR_DIVISOR;
+    let clients = config.limits.sockets.saturating_sub(servers + RESERVED_DESCRIPTORS).max(1);
+    DescriptorBudget { servers: servers as usize, clients: clients as usize }
+}
+
+/// Starts the fleet's threads and joins the owner to them.
+fn join_fleet(
+    owner: &mut Owner,
+    settings: &Fleet,
+    config: &NodeConfig,
+    shared: &Shared,
+    urgent: Sender<Input>,
+) -> io::Result<()> {
+    let fleet = fleet::start::start(settings, config, shared.clock)?;
+    let bell = fleet.bell.clone();
+    let forward_bell =
+        async move { while bell.recv().await.is_ok() && urgent.send(Input::Fleet).await.is_ok() {} };
+    shared.executor.spawn(forward_bell).detach();
+    owner.join(fleet);
+    Ok(())
+}
+
+/// Binds the listener; while a process that is ending still has the address, the bind is retried.
+fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
+    let start = Instant::now();
+    loop {
+        match Async::<TcpListener>::bind(address) {
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse && start.elapsed() < BIND_RETRY_TIMEOUT => {
+                std::thread::sleep(RETRY_INTERVAL);
+            }
+            Err(e) => return Err(e),
+            Ok(listener) => {
+                rustix::net::listen(&listener, LISTEN_BACKLOG)?;
+                return Ok(listener);
+            }
+        }
+    }
+}
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals: noted by flags, which nothing can lose, and a pipe that wakes whoever waits for them.
+//! Receives signals: handlers set a flag for each signal, and write a byte to a pipe that wakes the task that waits for them.
 //!
-//! The pipe carries one byte a signal, whatever the signal: what was asked for stands in the flags. A byte that is lost (the pipe is full, or the
-//! call fails) costs no more than a short wait, since the flags are looked at regularly too.
+//! The byte doesn't say which signal it was. A lost byte (the pipe is full, or the write fails) costs a short delay only, since the flags
+//! are polled as well.
 
 use crate::socket;
 use async_io::{Async, Timer};
@@ -14,58 +14,58 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the flags are looked at though nothing woke this.
-const LOOK: Duration = Duration::from_millis(250);
+/// How often the flags are polled without a wake-up.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the process is asked for by a signal.
+/// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// SIGHUP: the configuration is read again.
+    /// SIGHUP: read the configuration again.
     Reload,
-    /// SIGUSR1: the counters are printed.
+    /// SIGUSR1: log the counters.
     Count,
-    /// SIGTERM or SIGINT: the router ends.
+    /// SIGTERM or SIGINT: shut down gracefully.
     End,
 }
 
-/// Signals that are listened for, in the order in which those that came together are heeded.
+/// The signals that are handled, in the order in which those that came together take effect.
 const ORDERS: [(Order, &[i32]); 3] =
     [(Order::Reload, &[SIGHUP]), (Order::Count, &[SIGUSR1]), (Order::End, &[SIGTERM, SIGINT])];
 
 /// The signals of this process.
 #[derive(Debug)]
 pub struct Signals {
-    asked: [Arc<AtomicBool>; ORDERS.len()],
+    flags: [Arc<AtomicBool>; ORDERS.len()],
     wakes: Async<UnixStream>,
 }
 
 impl Signals {
-    /// Listens for signals from now on; before this, each of them would kill the process.
+    /// Installs the handlers; before this, each of the signals kills the process.
     ///
     /// # Errors
     /// If a handler can't be set, or the pipe can't be made.
     pub fn listen() -> io::Result<Self> {
         let (wakes, wake) = UnixStream::pair()?;
-        let asked: [Arc<AtomicBool>; ORDERS.len()] = Default::default();
-        for ((_, signals), asked) in ORDERS.iter().zip(&asked) {
+        let flags: [Arc<AtomicBool>; ORDERS.len()] = Default::default();
+        for ((_, signals), flag_of) in ORDERS.iter().zip(&flags) {
             for signal in *signals {
-                // Handlers run in this order: who is woken finds the flag.
-                flag::register(*signal, Arc::clone(asked))?;
+                // Handlers run in this order: the flag is set before the wake-up.
+                flag::register(*signal, Arc::clone(flag_of))?;
                 low_level::pipe::register(*signal, wake.try_clone()?)?;
             }
         }
-        Ok(Self { asked, wakes: Async::new(wakes)? })
+        Ok(Self { flags, wakes: Async::new(wakes)? })
     }
 
-    /// What was asked for since the last look; signals of one kind that came together are one.
+    /// What was asked for since the last call; signals of one kind that came together count once.
     fn take(&self) -> Vec<Order> {
-        let asked = ORDERS.iter().zip(&self.asked);
-        asked.filter(|(_, asked)| asked.swap(false, Ordering::SeqCst)).map(|((order, _), _)| *order).collect()
+        let orders = ORDERS.iter().zip(&self.flags);
+        orders.filter(|(_, flag)| flag.swap(false, Ordering::SeqCst)).map(|((order, _), _)| *order).collect()
     }
 
-    /// Waits for signals; gives what they ask for.
+    /// Waits for signals; returns what they ask for.
     pub async fn next(&mut self) -> Vec<Order> {
-        let mut piece = [0; 64];
+        let mut buffer = [0; 64];
         loop {
             let orders = self.take();
             if !orders.is_empty() {
@@ -73,15 +73,15 @@
             }
             let mut wakes = &self.wakes;
             let woken = async {
-                if let Err(e) = socket::read(&mut wakes, &mut piece).await {
-                    log::debug!("the signals' pipe: {e}");
-                    Timer::after(LOOK).await;
+                if let Err(e) = socket::read(&mut wakes, &mut buffer).await {
+                    log::debug!("signal pipe: read failed: {e}");
+                    Timer::after(POLL_INTERVAL).await;
                 }
             };
-            let looked = async {
-                Timer::after(LOOK).await;
+            let polled = async {
+                Timer::after(POLL_INTERVAL).await;
             };
-            future::or(woken, looked).await;
+            future::or(woken, polled).await;
         }
     }
 }
--- /dev/null
+++ b/crates/node/src/snapshot_file.rs
@@ -0,0 +1,46 @@
+//! The snapshot of the decision module that one process leaves in a file for the next.
+
+use crate::clock::wall_now;
+use basaltgw::api::Ms;
+use basaltgw::routing::snapshot::Snapshot;
+use basaltgw_config::snapshot::{self, MAX_FILE_BYTES};
+use basaltgw_config::Carry;
+use std::io;
+use std::path::Path;
+
+/// Loads the snapshot, with Unix times; one that is missing or unusable is logged and ignored. Its age is taken from the wall clock, so
+/// nothing may rely on it.
+pub(crate) fn load(carry: &Carry) -> Option<Snapshot> {
+    let file = carry.file.display();
+    if !carry.file.exists() {
+        log::info!("no snapshot at {file}");
+        return None;
+    }
+    read(carry).map_err(|e| log::warn!("snapshot {file} ignored: {e}")).ok()
+}
+
+fn read(carry: &Carry) -> Result<Snapshot, String> {
+    let size = std::fs::metadata(&carry.file).map_err(|e| e.to_string())?.len();
+    if size > MAX_FILE_BYTES {
+        return Err(format!("expected at most {} bytes, found {size}", MAX_FILE_BYTES));
+    }
+    let text = std::fs::read_to_string(&carry.file).map_err(|e| e.to_string())?;
+    snapshot::read(&text, wall_now(), carry.oldest).map_err(|e| e.to_string())
+}
+
+/// Writes the snapshot as of a Unix time; a failure is logged.
+pub(crate) fn store(carry: &Carry, snapshot: &Snapshot, unix_ms: Ms) {
+    let file = carry.file.display();
+    match replace(&carry.file, &snapshot::write(snapshot, unix_ms)) {
+        Ok(()) => log::info!("snapshot of {} servers written to {file}", snapshot.servers.len()),
+        Err(e) => log::warn!("snapshot {file} not written: {e}"),
+    }
+}
+
+/// Replaces a file with a rename, so that it has either the old or the new text.
+fn replace(file: &Path, text: &str) -> io::Result<()> {
+    let mut new = file.to_path_buf().into_os_string();
+    new.push(".new");
+    std::fs::write(&new, text)?;
+    std::fs::rename(&new, file)
+}
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -1,6 +1,5 @@
-//! Reads and writes of sockets: what a call may end with besides bytes, and what comes of it.
-//!
-//! An interrupted call is made again. What the machine is short of for a moment is tried again after a rest. All else ends the connection.
+//! Reads and writes sockets. An interrupted call is repeated at once; while the machine is short of memory it is retried with a pause; any
+//! other error ends the connection.
 
 use async_io::Timer;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -9,21 +8,21 @@
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// Between two tries of a call for which the machine was short of something.
-const SHORTAGE_REST: Duration = Duration::from_millis(10);
-/// Tries of such a call.
-const SHORTAGE_TRIES: u32 = 50;
-/// Linux's numbers of the errors that tell of this machine alone: ENOMEM, ENFILE, EMFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, ENETDOWN.
+/// Pause before a call that failed for want of memory is retried.
+const SHORTAGE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// Retries of such a call.
+const MAX_SHORTAGE_RETRIES: u32 = 50;
+/// Linux error numbers that concern this machine alone: ENOMEM, ENFILE, EMFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, ENETDOWN.
 const LOCAL_ERRORS: [i32; 7] = [12, 23, 24, 105, 99, 101, 100];
-/// Of these, what a read or write of an open connection may end with: ENOMEM, ENOBUFS.
+/// Those of them that a read or write of an open connection may return: ENOMEM, ENOBUFS.
 const SHORTAGES: [i32; 2] = [12, 105];
 
-/// Whether an error of a call says nothing of the peer: the machine is short of something, or has no way for the moment.
+/// Whether an error concerns this machine alone and says nothing about the peer: a missing resource or route.
 pub fn is_local(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|code| LOCAL_ERRORS.contains(&code))
 }
 
-/// Whether a socket has something to be read, or a connection to be accepted. Where that can't be asked, it may have.
+/// Whether a socket has bytes to read or a connection to accept; true where that can't be polled.
 pub fn readable(socket: &impl AsFd) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::IN)];
     match poll(&mut fds, Some(&Timespec::default())) {
@@ -32,55 +31,55 @@
     }
 }
 
-/// What a call is to be followed by.
-enum Then {
+/// What follows a system call.
+enum NextStep {
     Done(io::Result<usize>),
-    Again,
-    AgainAfterRest,
+    Repeat,
+    RetryLater,
 }
 
-fn then(result: io::Result<usize>) -> Then {
+fn next_step(result: io::Result<usize>) -> NextStep {
     match result {
-        Err(e) if e.kind() == ErrorKind::Interrupted => Then::Again,
-        Err(e) if e.raw_os_error().is_some_and(|code| SHORTAGES.contains(&code)) => Then::AgainAfterRest,
-        result => Then::Done(result),
+        Err(e) if e.kind() == ErrorKind::Interrupted => NextStep::Repeat,
+        Err(e) if e.raw_os_error().is_some_and(|code| SHORTAGES.contains(&code)) => NextStep::RetryLater,
+        result => NextStep::Done(result),
     }
 }
 
-/// Reads what has come; 0 bytes are the end.
+/// Reads what was received; 0 bytes mean that the peer has closed.
 ///
 /// # Errors
 /// If the connection is broken.
-pub async fn read(socket: &mut (impl AsyncRead + Unpin), piece: &mut [u8]) -> io::Result<usize> {
-    let mut tries = 0;
+pub async fn read(socket: &mut (impl AsyncRead + Unpin), buffer: &mut [u8]) -> io::Result<usize> {
+    let mut retries = 0;
     loop {
-        match then(socket.read(piece).await) {
-            Then::Done(result) => return result,
-            Then::AgainAfterRest if tries < SHORTAGE_TRIES => {
-                tries += 1;
-                Timer::after(SHORTAGE_REST).await;
+        match next_step(socket.read(buffer).await) {
+            NextStep::Done(result) => return result,
+            NextStep::RetryLater if retries < MAX_SHORTAGE_RETRIES => {
+                retries += 1;
+                Timer::after(SHORTAGE_RETRY_INTERVAL).await;
             }
-            Then::AgainAfterRest => return Err(ErrorKind::OutOfMemory.into()),
-            Then::Again => {}
+            NextStep::RetryLater => return Err(ErrorKind::OutOfMemory.into()),
+            NextStep::Repeat => {}
         }
     }
 }
 
-/// Writes some bytes.
+/// Writes some of the bytes; returns how many.
 ///
 /// # Errors
 /// If the connection is broken.
 pub async fn write(socket: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> io::Result<usize> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
-        match then(socket.write(bytes).await) {
-            Then::Done(result) => return result,
-            Then::AgainAfterRest if tries < SHORTAGE_TRIES => {
-                tries += 1;
-                Timer::after(SHORTAGE_REST).await;
+        match next_step(socket.write(bytes).await) {
+            NextStep::Done(result) => return result,
+            NextStep::RetryLater if retries < MAX_SHORTAGE_RETRIES => {
+                retries += 1;
+                Timer::after(SHORTAGE_RETRY_INTERVAL).await;
             }
-            Then::AgainAfterRest => return Err(ErrorKind::OutOfMemory.into()),
-            Then::Again => {}
+            NextStep::RetryLater => return Err(ErrorKind::OutOfMemory.into()),
+            NextStep::Repeat => {}
         }
     }
 }
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -1,4 +1,4 @@
-//! The plan of the cache tree, where the project's own file has one: carries between the router's events and `basaltgw-hierarchy`.
+//! The plan of the cache tree, where the project's own file has one: translates between the router's events and `basaltgw-hierarchy`.
 
 use basaltgw::api::{AttemptResult, EndpointState, Event, FillReport, Ms, ObjectId, ServerId};
 use basaltgw_config::plan::table;
@@ -7,26 +7,26 @@
 use basaltgw_hierarchy::{Act, How, NodeId, PlanSpec, Reshape};
 use std::sync::Arc;
 
-/// What came of plans.
+/// Counters of plans.
 #[derive(Clone, Debug, Default)]
 pub struct TreeCounters {
-    /// Plans that came in, and those that were refused.
+    /// Plans that were read.
     pub offered: u64,
-    /// See `offered`.
+    /// Plans that were rejected.
     pub refused: u64,
-    /// Changes that were ended.
+    /// Topology changes that were completed.
     pub ended: u64,
-    /// Fills that met themselves, as caches told, and pairs set aside for it.
+    /// Fill loops that caches detected.
     pub loops: u64,
-    /// See `loops`.
+    /// Pairs of cache and source that were disabled for a loop.
     pub set_aside: u64,
 }
 
-/// A router's plan and the change under way; without one it does nothing.
+/// A router's plan and the topology change in progress; without a plan it does nothing.
 #[derive(Default)]
 pub struct Tree {
     reshape: Option<Reshape>,
-    /// Counts so far.
+    /// Counters so far.
     pub counters: TreeCounters,
 }
 
@@ -35,12 +35,12 @@
 }
 
 impl Tree {
-    /// Without a plan, or with one that is offered once the list is known (see [`Tree::offer`]).
+    /// A tree without a plan; where there is one, it is offered once the endpoint list is known (see [`Tree::offer`]).
     pub fn new(own: Option<&Hierarchy>) -> Self {
         Self { reshape: own.map(|h| Reshape::new(h.settings)), counters: TreeCounters::default() }
     }
 
-    /// Hands an event over; what the module has to be told of it.
+    /// Handles an event; returns the events for the decision module.
     fn handle(&mut self, now: Ms, event: hierarchy::Event) -> Vec<Event> {
         let Some(reshape) = &mut self.reshape else { return Vec::new() };
         let mut acts = Vec::new();
@@ -55,20 +55,20 @@
                 }
                 Act::Refused(refusal) => {
                     self.counters.refused += 1;
-                    log::error!("plan refused: {refusal}; what runs stays");
+                    log::error!("plan rejected, running plan unchanged: {refusal}");
                 }
                 Act::SetAside(asker, source) => {
                     self.counters.set_aside += 1;
-                    log::warn!(asker:% = asker, source:% = source; "{asker} and {source} loop; set aside until the plan changes");
+                    log::warn!(asker:% = asker, source:% = source; "fill loop between {asker} and {source}, pair disabled until the plan changes");
                 }
             }
         }
-        // Only the last table counts.
+        // The last table replaces those before it.
         events.drain(..events.len().saturating_sub(1));
         events
     }
 
-    /// A plan came in, at the start or by a reload. The one in use while another is under way means that this is taken back.
+    /// Offers a plan, at the start or after a reload. The plan in use, while a change to another is in progress, rolls that change back.
     pub fn offer(&mut self, now: Ms, own: &Hierarchy) -> Vec<Event> {
         let reshape = self.reshape.get_or_insert_with(|| Reshape::new(own.settings));
         reshape.set(own.settings);
@@ -78,27 +78,27 @@
         match (in_use, reshape.under_way()) {
             (true, Some((_, _, false))) => self.handle(now, hierarchy::Event::TakeBack),
             (true, _) => Vec::new(),
-            // The change under way, read once more.
+            // The change in progress was read again.
             (false, Some((version, _, false))) if version == plan.version => Vec::new(),
             (false, _) => self.handle(now, hierarchy::Event::Offer(plan.clone())),
         }
     }
 
-    /// The list tells of servers; those that a whole list leaves out are gone.
+    /// Handles an endpoint list; servers that a complete list omits are removed.
     pub fn listed(&mut self, now: Ms, members: &[Member], left_out: &[ServerId]) -> Vec<Event> {
         if self.reshape.is_none() {
             return Vec::new();
         }
-        let gone = left_out.iter().map(|id| hierarchy::Event::Listed(node(id), false, None));
-        let told = members.iter().map(|m| {
+        let removed = left_out.iter().map(|id| hierarchy::Event::Listed(node(id), false, None));
+        let listed = members.iter().map(|m| {
             let up = m.entry.state == EndpointState::Up;
             hierarchy::Event::Listed(node(&m.entry.id), up, m.entry.started)
         });
-        let all: Vec<_> = gone.chain(told).collect();
+        let all: Vec<_> = removed.chain(listed).collect();
         all.into_iter().flat_map(|event| self.handle(now, event)).collect()
     }
 
-    /// An attempt that named a source is over.
+    /// Handles the result of an attempt that named a source.
     pub fn ended(
         &mut self,
         now: Ms,
@@ -109,7 +109,7 @@
         let how = match (end, note) {
             (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => How::Answered,
             (_, FillReport::SourceRejected) => How::Refused,
-            // Whose fault a late answer is is not known; a newcomer gets no more meanwhile.
+            // A time-out may be the fault of either; a source that is being introduced gets no more meanwhile.
             (_, FillReport::SourceFailed) | (AttemptResult::TimedOut, _) => How::Failed,
             (_, FillReport::LoopDetected) => How::Looped,
             _ => return Vec::new(),
@@ -120,12 +120,12 @@
         self.handle(now, event)
     }
 
-    /// Time has passed.
+    /// Handles the passage of time.
     pub fn tick(&mut self, now: Ms) -> Vec<Event> {
         self.handle(now, hierarchy::Event::Tick)
     }
 
-    /// For people: the plan, and how far a change is.
+    /// Describes the plan and the change in progress, for the log.
     pub fn describe(&self) -> Vec<String> {
         self.reshape.as_ref().map(Reshape::describe).unwrap_or_default()
     }
--- a/crates/node/tests/codec.rs
+++ b/crates/node/tests/codec.rs
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn the_bytes_are_those_of_the_protocol() {
+fn encoded_messages_match_the_protocol() {
     assert_eq!(encode(&[b"UNDO", b"7"]), b"*2\r\n$4\r\nUNDO\r\n$1\r\n7\r\n");
     assert_eq!(encode(&[b""]), b"*1\r\n$0\r\n\r\n");
 }
 
 #[test]
-fn messages_are_the_same_however_they_are_split() {
+fn messages_decode_the_same_in_any_chunks() {
     let bytes = [encode(&[b"DO", b"7", b"a\r\n$1\r\n", b""]), encode(&[b"PING", b"8"])].concat();
     let whole = decode(&[&bytes]).expect("well-formed");
     assert_eq!(whole.len(), 2);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_is_malformed_or_over_the_limits_is_an_error_and_not_waited_for() {
+fn malformed_or_oversized_message_is_an_error_at_once() {
     for bytes in [
         &b"+OK\r\n"[..],
         b"*5\r\n",
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn messages_of_clients_are_typed() {
+fn client_messages_are_decoded() {
     let words = |w: &[&str]| w.iter().map(|w| w.as_bytes().to_vec()).collect::<Vec<_>>();
     let fields = "i=9b1f03aa5c7e2d41,d=1500,o=7f3a9c21e0b4d655,nth=3,batch=17,m=412.5,got=4be0c1927d55a6f3";
     let Some(FromClient::Do(Tag(7), r)) = FromClient::read(words(&["DO", "7", "segment", fields, "x"]))
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn answers_of_caches_are_typed_and_what_serves_is_whole() {
+fn server_answers_are_decoded_and_incomplete_ones_rejected() {
     let read = |w: &[&str]| Answer::read(w.iter().map(|w| w.as_bytes().to_vec()).collect(), &[]);
     let whole = "ver=4be0c1927d55a6f3,born=1764576000123,note=filled,waited=12.5,load=inflight:7;x0:0.61";
     let got = read(&["a", "ok", whole, "bytes"]).expect("an answer");
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn frames_are_read_to_the_byte_however_they_are_split() {
+fn frames_decode_the_same_in_any_chunks() {
     let purge = [&17u16.to_be_bytes()[..], &1_764_576_000_480u64.to_be_bytes()[..]].concat();
     let object = [0x7f3a9c21e0b4d655u64.to_be_bytes(), 5u64.to_be_bytes()].concat();
     let bytes =
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn bad_frames_are_errors() {
+fn malformed_frames_are_errors() {
     let changed = |at: usize, to: u8| {
         let mut record = record();
         record[at] = to;
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn the_log_is_followed_without_gaps_or_repeats() {
+fn change_log_is_followed_without_gaps_or_repeats() {
     let told = |n, kind, payload: &[u8]| {
         let mut decoder = changelog::Decoder::default();
         decoder.feed(&frame(n, kind, payload));
@@ -290,7 +290,7 @@
 
 proptest! {
     #[test]
-    fn only_what_the_protocol_allows_becomes_a_request(
+    fn invalid_fields_make_a_request_malformed(
         values in prop::collection::vec(value(), 7),
         // Mostly all there, and mostly good.
         bad in prop::collection::vec(0..7usize, 0..3),
@@ -307,7 +307,7 @@
     }
 
     #[test]
-    fn any_words_come_back(words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..100), 1..4),
+    fn encoded_words_decode_to_themselves(words in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..100), 1..4),
                            cut in any::<prop::sample::Index>()) {
         let bytes = encode(&words.iter().map(Vec::as_slice).collect::<Vec<_>>());
         let at = cut.index(bytes.len());
@@ -315,7 +315,7 @@
     }
 
     #[test]
-    fn any_bytes_are_messages_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_decode_or_fail(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let all = decode(&[&bytes]);
         let split: Vec<&[u8]> = bytes.chunks(3).collect();
         prop_assert_eq!(all.is_err(), decode(&split).is_err());
@@ -328,7 +328,7 @@
     }
 
     #[test]
-    fn a_changed_byte_never_panics(at in any::<prop::sample::Index>(), to in any::<u8>()) {
+    fn flipped_byte_never_panics(at in any::<prop::sample::Index>(), to in any::<u8>()) {
         let mut bytes = encode(&[b"DO", b"7", b"c", b"i=1,d=5,o=2,nth=1,batch=3,m=4"]);
         let i = at.index(bytes.len());
         bytes[i] = to;
--- a/crates/node/tests/command_line.rs
+++ b/crates/node/tests/command_line.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn words_that_mean_nothing_are_an_error_of_use() {
+fn unknown_arguments_are_a_usage_error() {
     for (args, expected) in [
         (&[][..], "expected a command"),
         (&["fly"], "unknown command \"fly\""),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn check_config_says_what_is_wrong() {
+fn check_config_reports_faults() {
     let out = run(&["check-config"], None);
     assert!(!out.status.success() && text(&out.stderr).contains("field GW_CONFIG:"));
     let dir = tempfile::tempdir().expect("a folder");
--- /dev/null
+++ b/crates/node/tests/connection_state.rs
@@ -0,0 +1,135 @@
+//! The state of a client's connection under any order of events of its reader, its writer and the owner.
+
+use basaltgw_node::connection::{
+    CloseReason, ConnectionEvent, ConnectionPhase, ConnectionSlots, ConnectionState, IdleReason,
+};
+use basaltgw_node::limits::PARTIAL_MESSAGE_AT_SHUTDOWN;
+use proptest::prelude::*;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// An event, as the reader, the writer or the owner causes it.
+#[derive(Clone, Copy, Debug)]
+enum Step {
+    /// A complete message came: the reader queues it if it still may.
+    Message,
+    /// A partial message came, this many milliseconds ago.
+    PartialMessage(u64),
+    /// The partial message was completed.
+    PartialCompleted,
+    /// The reader decides a close request.
+    CheckClose,
+    /// Malformed bytes came.
+    MalformedBytes,
+    /// The owner takes a message from the queue.
+    OwnerTakes,
+    OwnerAsksClose(IdleReason),
+    OwnerDrops,
+    /// The owner has dropped the queue; the writer shuts our side down.
+    WriterShutsDown,
+    /// The peer closes, or a bound is reached.
+    Closed,
+}
+
+fn steps() -> impl Strategy<Value = Vec<Step>> {
+    let reason = prop_oneof![Just(IdleReason::Idle), Just(IdleReason::Room), Just(IdleReason::End)];
+    let step = prop_oneof![
+        4 => Just(Step::Message),
+        1 => (0..1000u64).prop_map(Step::PartialMessage),
+        1 => Just(Step::PartialCompleted),
+        4 => Just(Step::CheckClose),
+        1 => Just(Step::MalformedBytes),
+        4 => Just(Step::OwnerTakes),
+        4 => reason.prop_map(Step::OwnerAsksClose),
+        1 => Just(Step::OwnerDrops),
+        1 => Just(Step::WriterShutsDown),
+        1 => Just(Step::Closed),
+    ];
+    prop::collection::vec(step, 0..60)
+}
+
+fn rank(phase: ConnectionPhase) -> u8 {
+    match phase {
+        ConnectionPhase::Open { .. } => 0,
+        ConnectionPhase::Closing => 1,
+        ConnectionPhase::HalfClosed => 2,
+        ConnectionPhase::Closed => 3,
+    }
+}
+
+proptest! {
+    #[test]
+    fn idle_close_never_overtakes_a_message(steps in steps()) {
+        let connection = ConnectionState::new(&Rc::default());
+        // Queued messages, the undecided close request, and the age of a partial message.
+        let (mut queued, mut asked, mut partial) = (0u32, None, None::<Duration>);
+        for step in steps {
+            let before = connection.state();
+            match step {
+                Step::Message => {
+                    let enqueued = connection.hands();
+                    prop_assert_eq!(enqueued, before.reads(), "no message is queued once the reader has stopped");
+                    queued += u32::from(enqueued);
+                }
+                Step::PartialMessage(ms) => partial = Some(Duration::from_millis(ms)),
+                Step::PartialCompleted => partial = None,
+                Step::CheckClose if before.reads() && connection.asked().is_some() => {
+                    let over = connection.stops(partial);
+                    let late = asked == Some(IdleReason::End) && partial.is_some_and(|t| t >= PARTIAL_MESSAGE_AT_SHUTDOWN);
+                    let crossed = queued > 0 || (partial.is_some() && !late);
+                    prop_assert_eq!(over, asked.filter(|_| !crossed).map(CloseReason::Quiet));
+                    asked = None;
+                }
+                Step::CheckClose => prop_assert_eq!(connection.stops(partial).is_none(), before.reads()),
+                Step::MalformedBytes => {
+                    connection.tell(ConnectionEvent::ReadStopped);
+                }
+                Step::OwnerTakes if queued > 0 => {
+                    queued -= 1;
+                    asked = None;
+                    connection.tell(ConnectionEvent::Taken);
+                }
+                Step::OwnerTakes => {}
+                Step::OwnerAsksClose(why) => {
+                    asked = asked.or(Some(why)).filter(|_| before.reads());
+                    connection.tell(ConnectionEvent::Asked(why));
+                }
+                Step::OwnerDrops => {
+                    connection.tell(ConnectionEvent::Dropped);
+                }
+                Step::WriterShutsDown if !before.reads() => {
+                    connection.tell(ConnectionEvent::WriteShutdown);
+                }
+                Step::WriterShutsDown => {}
+                Step::Closed => {
+                    connection.tell(ConnectionEvent::Closed);
+                }
+            }
+            let after = connection.state();
+            prop_assert!(rank(after) >= rank(before), "{before:?} {step:?} {after:?}");
+            if let ConnectionPhase::Open { on_way, asked: close_requested } = after {
+                prop_assert_eq!((on_way, close_requested), (queued, asked));
+            }
+            let half_closed = rank(after) >= 2 && rank(before) < 2;
+            prop_assert!(!half_closed || matches!(step, Step::WriterShutsDown | Step::Closed));
+        }
+    }
+}
+
+#[test]
+fn crossed_close_request_is_counted_once() {
+    let slots: Rc<ConnectionSlots> = Rc::default();
+    let connection = ConnectionState::new(&slots);
+    assert!(connection.hands());
+    connection.tell(ConnectionEvent::Asked(IdleReason::Room));
+    assert_eq!(connection.stops(None), None, "queued messages go first");
+    connection.tell(ConnectionEvent::Taken);
+    connection.tell(ConnectionEvent::Asked(IdleReason::Idle));
+    connection.tell(ConnectionEvent::Asked(IdleReason::End));
+    assert_eq!(connection.stops(Some(Duration::ZERO)), None);
+    assert_eq!(slots.counts()[0], 2);
+    connection.tell(ConnectionEvent::Asked(IdleReason::Idle));
+    assert_eq!(connection.stops(None), Some(CloseReason::Quiet(IdleReason::Idle)));
+    assert!(!connection.hands());
+    assert_eq!(slots.counts()[0], 2);
+}
--- a/crates/node/tests/crossing/closing.rs
+++ b/crates/node/tests/crossing/closing.rs
@@ -82,7 +82,7 @@
 // ---- Closes for what a client did ----
 
 #[test]
-fn an_answer_written_before_a_close_over_unread_bytes_arrives_whole() {
+fn answer_written_before_a_close_over_unread_bytes_arrives_complete() {
     let rig = rig(Cache::start(|_| Do::Ok(vec![b'x'; 100_000])));
     let mut client = narrow(&rig.router);
     client.ask(1, "pages", 1, "", b"");
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn garbage_behind_good_requests_gives_up_what_is_open_and_takes_no_written_answer_with_it() {
+fn malformed_bytes_fail_open_requests_and_lose_no_written_answer() {
     let released = Arc::new(AtomicBool::new(false));
     let gate = Arc::clone(&released);
     let rig = rig(Cache::start(move |s| match s.field("k") {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_request_that_names_too_few_of_its_words_is_failed_and_reaches_no_cache() {
+fn request_with_too_low_a_word_count_fails_and_reaches_no_cache() {
     let rig = rig(Cache::full());
     let mut client = rig.router.client();
     serves(&mut client, 1);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_client_that_sends_garbage_is_gone_at_once() {
+fn client_that_sends_malformed_bytes_is_closed_at_once() {
     let rig = rig(Cache::start(|_| Do::Silent));
     let mut client = rig.router.client();
     let id = client.ask(1, "pages", 1, "", b"");
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_an_idle_close_is_answered() {
+fn request_that_crosses_an_idle_close_is_answered() {
     at_several(crosses_an_idle_close);
 }
 
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_a_close_for_room_is_answered_or_reaches_no_cache() {
+fn request_that_crosses_a_slot_reclaim_is_answered_or_reaches_no_cache() {
     let rig = rig_of(Cache::full(), |c| c["limits"]["sockets"] = json!(64));
     let mut crowd: Vec<Client> = Vec::new();
     let (mut asked, mut answered, mut closed) = (0, 0, 0);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_close_for_want_of_room_is_a_close_in_order() {
+fn slot_reclaim_closes_the_connection_gracefully() {
     let rig = rig_of(Cache::full(), |c| c["limits"]["sockets"] = json!(64));
     let mut crowd: Vec<Client> = (0..60).map(|_| rig.router.client()).collect();
     // Those that go for others have had their answers, and send nothing.
--- a/crates/node/tests/crossing/closing/end.rs
+++ b/crates/node/tests/crossing/closing/end.rs
@@ -1,7 +1,7 @@
 //! The end of the process, and what comes in its moments.
 
 use super::*;
-use basaltgw_node::limits::FROM_CLIENT;
+use basaltgw_node::limits::CLIENT_READ_LIMITS;
 use std::net::{SocketAddr, TcpListener};
 
 /// A router that is told to end, and sleeps from before the time until which it accepts to after it; what is done meanwhile is found
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_comes_in_the_moment_of_the_end_is_answered() {
+fn request_arriving_as_shutdown_completes_is_answered() {
     at_several(comes_in_the_moment_of_the_end);
 }
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn those_in_the_backlog_at_the_end_are_answered_though_all_places_are_taken() {
+fn backlog_at_shutdown_is_answered_while_all_slots_are_taken() {
     for _ in 0..5 {
         // Six places and two caches: with six and more out to one of them the module refuses some where a busy machine is slow to answer.
         let second = Cache::full();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn half_a_message_at_the_end_is_closed_in_order_and_holds_up_nothing() {
+fn partial_message_at_shutdown_is_closed_gracefully_without_delay() {
     for _ in 0..5 {
         let (edge, released) = held();
         let mut rig = rig(edge);
@@ -114,7 +114,7 @@
         assert_eq!(client.must().tag, 1);
         assert_eq!(end(&mut client), Ok(0));
         // Where the machine was that slow, it may have been closed for the time that a message has.
-        if written.elapsed() >= FROM_CLIENT.whole {
+        if written.elapsed() >= CLIENT_READ_LIMITS.message {
             continue;
         }
         assert!(rig.router.ended().success());
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn two_orders_to_end_are_one() {
+fn repeated_sigterm_is_one_shutdown() {
     ends(|rig| {
         rig.router.signal("TERM");
         until("it is told", || rig.router.said("asked to end"));
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_order_to_end_beside_a_new_configuration_is_heeded() {
+fn sigterm_during_a_reload_takes_effect() {
     ends(|rig| {
         rig.router.rewrite(&rig.config.to_string());
         rig.router.signal("HUP");
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_router_ends_in_order_while_discovery_is_down() {
+fn router_shuts_down_gracefully_while_discovery_is_down() {
     ends(|rig| {
         rig.log.down.store(true, Ordering::SeqCst);
         until("it is lost", || rig.router.counter("log_lost") > 0);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_router_that_knows_no_list_yet_answers_and_ends() {
+fn router_without_a_list_answers_and_shuts_down() {
     let edge = Cache::full();
     let nothing = |c: &mut Value| c["known"] = json!({"seq": 0, "results": []});
     let mut rig = rig_of(edge, nothing);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn those_that_never_close_hold_up_the_end_for_no_longer_than_the_bound() {
+fn clients_that_never_close_delay_shutdown_up_to_the_bound() {
     let mut rig = rig(Cache::full());
     let mut all: Vec<Client> = (0..20).map(|_| rig.router.client()).collect();
     all.iter_mut().for_each(|c| serves(c, 1));
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn one_that_takes_no_answers_does_not_hold_up_the_end() {
+fn client_that_reads_no_answers_does_not_delay_shutdown() {
     let mut rig = rig(Cache::start(|_| Do::Ok(vec![b'x'; 240_000])));
     let (mut slow, mut good) = (narrow(&rig.router), rig.router.client());
     for tag in 1..=30 {
--- a/crates/node/tests/crossing/leaving.rs
+++ b/crates/node/tests/crossing/leaving.rs
@@ -167,12 +167,12 @@
 }
 
 #[test]
-fn what_waits_for_a_connection_is_not_sent_once_its_client_has_left() {
+fn attempt_waiting_for_a_connection_is_not_sent_after_its_client_left() {
     leaves_before_it_is_sent(true);
 }
 
 #[test]
-fn what_waits_for_a_proof_is_not_sent_once_its_client_has_left() {
+fn attempt_waiting_for_a_probe_is_not_sent_after_its_client_left() {
     leaves_before_it_is_sent(false);
 }
 
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_proof_that_comes_while_clients_leave_behind_a_full_queue_sends_nothing() {
+fn probe_answered_while_clients_leave_behind_a_full_queue_sends_nothing() {
     for way in WAYS {
         let gate = Gate::default();
         let rig = Rig::start(proved_by(&gate), |_| {});
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn an_attempt_that_fails_once_its_client_has_left_is_not_followed_by_another() {
+fn failed_attempt_is_not_retried_after_its_client_left() {
     let fails: [fn() -> Do; 2] = [|| Do::Word("nothing", "note=src_lacks"), || Do::Half];
     for (fails, crowd) in [(fails[0], false), (fails[1], false), (fails[0], true), (fails[1], true)] {
         for way in WAYS {
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn requests_with_what_takes_them_back_behind_them_are_not_taken_in() {
+fn requests_followed_by_their_cancellation_are_not_accepted() {
     for way in WAYS {
         let rig = Rig::start(Cache::full(), |_| {});
         let mut clients: Vec<Client> = (0..20).map(|_| rig.client()).collect();
--- a/crates/node/tests/crossing/leaving/memory.rs
+++ b/crates/node/tests/crossing/leaving/memory.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn clients_that_leave_while_reading_is_held_up_for_memory_are_heard() {
+fn client_disconnect_is_seen_while_reading_is_paused_for_memory() {
     for way in WAYS {
         let (writes, refuses, came) = (Gate::default(), Gate::default(), Gate::default());
         let rig = holding(&writes, &refuses, &came);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_is_taken_back_behind_requests_while_reading_is_held_up_for_memory_is_not_sent() {
+fn cancelled_request_is_not_sent_while_reading_is_paused_for_memory() {
     let writes = Gate::default();
     let rig = holding(&writes, &Gate::default(), &Gate::default());
     let slow = fill_memory(&rig);
--- a/crates/node/tests/crossing/retries.rs
+++ b/crates/node/tests/crossing/retries.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_keyed_request_whose_connection_works_only_after_its_window_is_not_written_any_more() {
+fn request_is_not_written_after_its_idempotency_key_window() {
     let stood = (0..5).any(|_| works_only_after_its_window());
     assert!(stood, "nothing ever stood behind it");
 }
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_deadline_far_below_the_times_of_the_transport_is_kept_and_the_late_answer_dropped() {
+fn deadline_below_transport_timeouts_is_met_and_the_late_answer_dropped() {
     // The server reads no abort and says nothing: what was given up there is out for 0.4 s, longer than clients wait.
     for (class, word) in [("pages", "503"), ("loan", "500")] {
         // Not only once the attempt is held to be over, 0.55 s after it was asked. A busy machine may add to one play or another.
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn an_answer_or_a_reset_after_the_client_took_its_request_back_tells_nobody() {
+fn answer_or_reset_after_a_cancellation_has_no_effect() {
     let acts: [fn(&Seen) -> Do; 2] = [|s| Do::Held(content(s)), |_| Do::Reset];
     for act in acts {
         for class in ["pages", "loan"] {
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_reset_long_after_a_request_was_begun_counts_as_one_that_may_have_run() {
+fn request_reset_long_after_its_first_byte_may_have_been_executed() {
     for (class, word, attempts) in [("pages", "503", None), ("loan", "500", Some(1))] {
         let (router, all) = before(|_| Do::Reset, |_| {});
         let mut client = router.client();
--- a/crates/node/tests/crossing/settings.rs
+++ b/crates/node/tests/crossing/settings.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn short_deadlines_are_answered_before_what_comes_too_late() {
+fn short_deadlines_are_answered_before_late_attempts() {
     let log = ChangeLog::start();
     let ((one, first), (two, second)) = (holding(), holding());
     let router = router(&kiosk(&[&one, &two], &log));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_may_have_run_in_a_narrow_group_or_once_is_not_sent_again() {
+fn possibly_executed_request_with_narrow_key_scope_is_not_retried() {
     let log = ChangeLog::start();
     let seen: Arc<Mutex<BTreeMap<String, Vec<&'static str>>>> = Arc::default();
     // Each request is turned away once, which proves that it never ran; then it ends in a way that proves nothing.
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_server_that_refuses_connections_costs_a_short_deadline_no_second_answer() {
+fn refused_connection_leaves_a_short_deadline_time_for_a_retry() {
     let log = ChangeLog::start();
     let good = Cache::full();
     let (_port, gone) = refusing();
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn one_request_to_a_connection_is_no_reason_to_take_a_server_out() {
+fn single_request_connections_do_not_eject_a_server() {
     let log = ChangeLog::start();
     let released = Arc::new(AtomicBool::new(false));
     let open: Arc<Mutex<BTreeMap<usize, usize>>> = Arc::default();
--- a/crates/node/tests/crossing/slow_start.rs
+++ b/crates/node/tests/crossing/slow_start.rs
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn restarted_cache_gets_no_more_than_its_budget_under_faults() {
+fn restarted_cache_is_sent_at_most_its_slow_start_budget_under_faults() {
     let late = Fault { proof: Proof::Late(Duration::from_millis(150)), window_ms: 250, ..NONE };
     let paused = Fault { pause_ms: 1_200, window_ms: 3_000, ..NONE };
     let copies = Fault { copies_of_ten: 3, ..NONE };
--- a/crates/node/tests/crossing/stops.rs
+++ b/crates/node/tests/crossing/stops.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn deadline_of_a_request_that_lay_in_its_socket_during_a_stop_is_what_its_client_has_left() {
+fn deadline_of_a_request_received_during_a_pause_counts_from_its_arrival() {
     let (router, all) = before(Proof::Yes);
     let mut client = router.client();
     assert_eq!(client.settle(), []);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn deadline_of_a_fetch_that_waited_for_its_connection_is_what_its_client_has_left() {
+fn deadline_of_an_attempt_that_waited_for_its_connection_is_reduced_by_the_wait() {
     let (router, all) = before(Proof::Held);
     let mut client = router.client();
     let asked = unix_ms();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn request_whose_client_left_during_a_stop_is_not_sent_once_its_connection_works() {
+fn request_whose_client_left_during_a_pause_is_not_sent() {
     for _ in 0..3 {
         let (router, all) = before(Proof::Held);
         let mut client = router.client();
