--- a/crates/node/tests/crossing/watches.rs
+++ b/crates/node/tests/crossing/watches.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_log_whose_empty_frames_name_an_event_that_it_does_not_tell_is_asked_anew() {
+fn missing_event_named_by_empty_frames_is_requested_again() {
     let rig = rig();
     until("it is followed", || asks(&rig.log) == 1);
     rig.log.names_last.store(true, Ordering::SeqCst);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_log_that_never_tells_what_it_names_is_asked_more_and_more_seldom_and_followed_on() {
+fn rechecks_for_an_event_that_never_comes_back_off() {
     let start = Instant::now();
     let rig = rig();
     until("it is followed", || asks(&rig.log) == 1);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_reconnect_that_comes_up_and_stays_silent_is_overtaken_by_another() {
+fn silent_reconnect_is_replaced_by_another_connection() {
     let rig = rig();
     until("it is followed", || asks(&rig.log) == 1);
     let stopped = Instant::now();
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_reload_in_the_middle_of_a_frame_loses_no_event_and_tells_none_twice() {
+fn reload_in_the_middle_of_a_frame_loses_and_repeats_no_event() {
     let mut rig = rig();
     until("it is followed", || asks(&rig.log) == 1);
     // The next one begins event 3, and then nothing more comes of it.
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_event_that_comes_as_its_connection_is_given_up_is_told_once() {
+fn event_on_a_connection_being_replaced_is_notified_once() {
     let mut rig = rig();
     until("it is followed", || asks(&rig.log) == 1);
     let other = ChangeLog::start();
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_reload_is_heeded_while_a_connection_comes_up_and_while_none_may_be_tried() {
+fn reload_takes_effect_during_connect_and_during_backoff() {
     let mut rig = rig();
     until("it is followed", || asks(&rig.log) == 1);
     let (back, silent) = (rig.log.address, full());
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn two_reloads_at_once_end_at_the_last_address() {
+fn concurrent_reloads_end_at_the_last_address() {
     let mut rig = rig();
     until("it is followed", || asks(&rig.log) == 1);
     let (back, silent) = (rig.log.address, full());
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_frame_cut_at_any_byte_is_told_once_by_the_next_connection() {
+fn frame_cut_at_any_byte_is_notified_once_by_the_next_connection() {
     let rig = rig();
     until("it is followed", || asks(&rig.log) == 1);
     let whole = frame(2, 3, &purge(2)).len();
@@ -240,7 +240,7 @@
 // ---- Without the change log ----
 
 #[test]
-fn started_without_the_change_log_a_router_is_ready_by_its_list_alone() {
+fn router_with_a_known_list_is_ready_without_the_change_log() {
     let log = ChangeLog::start();
     log.down.store(true, Ordering::SeqCst);
     let rig = rig_of(log, |_| {});
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn started_without_the_change_log_and_without_a_list_a_router_says_so_and_is_ready_soon_after_its_return() {
+fn router_without_a_list_is_ready_soon_after_the_change_log_returns() {
     let log = ChangeLog::start();
     log.down.store(true, Ordering::SeqCst);
     let rig = rig_of(log, |c| c["known"] = json!({"seq": 0, "results": []}));
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn clients_that_hold_every_descriptor_do_not_keep_the_change_log_away() {
+fn change_log_connects_while_clients_use_every_descriptor() {
     let log = ChangeLog::start();
     let (edge, origin) = (Cache::full(), Cache::full());
     let mut config = configuration(&three(&edge, &Cache::full(), &origin), log.address);
--- a/crates/node/tests/crossing/watches/lists.rs
+++ b/crates/node/tests/crossing/watches/lists.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_whole_list_after_a_break_takes_out_what_it_lacks() {
+fn complete_list_after_a_reconnect_removes_missing_servers() {
     let rig = rig();
     let mut client = rig.router.client();
     assert_eq!(round(&mut client, 1), 20);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn of_one_server_twice_in_an_event_the_last_holds() {
+fn last_record_of_a_server_in_an_event_wins() {
     let rig = rig();
     let mut client = rig.router.client();
     let (edge, moved) = (rig.edge.address, Cache::full());
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_new_server_at_the_address_of_one_that_has_gone_is_reached_by_new_connections() {
+fn new_server_at_a_reused_address_gets_new_connections() {
     let rig = rig();
     let mut client = rig.router.client();
     assert_eq!(round(&mut client, 1), 20);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_drain_that_is_read_with_requests_goes_before_them() {
+fn drain_read_together_with_requests_takes_effect_first() {
     let second = Cache::full();
     let rig = rig_of(ChangeLog::start(), |c| {
         with_second(c, &second);
--- a/crates/node/tests/fleet/checkouts.rs
+++ b/crates/node/tests/fleet/checkouts.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_was_out_when_its_router_died_is_in_doubt_at_every_other_and_runs_no_more() {
+fn outcome_is_unknown_at_all_routers_after_its_router_died_and_is_not_executed_again() {
     for wiped in [false, true] {
         let mut t = trial(3);
         let id = dies_with_it_out(&mut t, wiped);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_outcome_outlives_the_machine_that_gave_it_with_its_disk() {
+fn outcome_survives_the_loss_of_its_machine_and_disk() {
     let mut t = trial(3);
     let (id, bytes) = t.served(0);
     t.rig.kill_wiped(0).expect("a folder");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_machine_lost_with_its_disk_at_each_step_of_a_promise_leaves_one_word_of_it() {
+fn machine_lost_at_each_step_of_a_lease_leaves_one_outcome() {
     let mut t = trial(3);
     t.effects_take(40);
     // Each step lasts long enough to be met: words between routers take a while.
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn half_the_fleet_restarting_at_once_keeps_every_outcome_and_serves_again() {
+fn restart_of_half_the_fleet_keeps_every_outcome() {
     let mut t = trial(4);
     let kept: Vec<_> = (0..4).map(|r| t.served(r)).collect();
     t.rig.kill(0);
--- a/crates/node/tests/fleet/crossings.rs
+++ b/crates/node/tests/fleet/crossings.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn what_was_turned_away_and_then_taken_is_not_given_back_while_it_runs() {
+fn lease_taken_after_a_rejection_is_not_released_while_it_runs() {
     let mut t = trial_of(Spec::new(binary(), 5));
     // Of the keepers of some the router is none: its own disk then knows nothing of the first taking.
     let ids: Vec<String> = (0..10).map(|_| t.id()).collect();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn what_was_asked_for_a_client_that_went_is_given_back_though_it_is_not_kept() {
+fn lease_requested_for_a_disconnected_client_is_released() {
     let mut t = trial(3);
     answers_take(&t, 0, 300.0);
     let (id, caller, before) = (t.id(), t.caller(0), said(&t, 0));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_outcome_that_is_being_put_down_outlives_an_orderly_end() {
+fn outcome_being_recorded_survives_a_graceful_shutdown() {
     // The end is bounded, and a busy machine may not come to it: then the router says so.
     for left in (0..4).rev() {
         let mut t = trial(3);
@@ -160,7 +160,7 @@
 const NEW: &str = "holds { shards 8 copies 3 spread branches }\nroot { copies 3 spread branches }\n";
 
 #[test]
-fn a_table_that_changes_while_holds_move_and_its_router_ends_breaks_no_word() {
+fn table_change_during_register_migration_and_shutdown_breaks_no_outcome() {
     let mut spec = Spec { rules: Some(FOUNDED.into()), ..Spec::new(binary(), 5) };
     // Most of the branches' machines are in one: by the new rules nearly every hold has other keepers.
     for (place, branch) in spec.places.iter_mut().zip(["north", "north", "north", "south", "east"]) {
--- a/crates/node/tests/fleet/cuts.rs
+++ b/crates/node/tests/fleet/cuts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_minority_refuses_at_once_with_a_time_to_come_back_and_goes_on_reading() {
+fn minority_rejects_writes_with_retry_after_and_serves_reads() {
     let mut t = trial(3);
     let (before, bytes) = t.served(0);
     t.rig.cut(0, &[1, 2]);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_one_way_cut_breaks_no_word_and_heals_with_both_sides_changed() {
+fn one_way_partition_breaks_no_outcome_and_heals_with_both_sides_changed() {
     let mut t = trial(3);
     t.rig.cut_one_way(0, 1);
     let mut kept = Vec::new();
@@ -68,7 +68,7 @@
 const FETCH: u64 = 90;
 
 #[test]
-fn a_router_stopped_past_its_takeover_with_a_checkout_sent_runs_it_once_and_takes_no_word_back() {
+fn router_paused_past_its_lease_executes_once_and_keeps_the_outcome() {
     let mut t = trial(3);
     t.served(0);
     // What it sends takes long to arrive: it has the checkout out, and nothing has run.
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn words_late_twice_and_broken_between_routers_break_no_word() {
+fn late_duplicate_and_corrupt_messages_break_no_outcome() {
     let mut t = trial(3);
     for round in 0..8 {
         let (a, b) = (round % 3, (round + 1) % 3);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_full_disk_takes_no_new_promise_and_stops_nothing_else() {
+fn full_disk_rejects_new_leases_only() {
     let mut t = trial(3);
     let (kept, bytes) = t.served(0);
     t.rig.disk_full(0, true);
--- a/crates/node/tests/fleet/overlay.rs
+++ b/crates/node/tests/fleet/overlay.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_purge_heard_by_one_router_is_heeded_by_all_and_no_register_is_asked() {
+fn purge_received_by_one_router_takes_effect_at_all_without_registers() {
     for routers in [3, 5] {
         let mut t = with_overlay(routers);
         (0..routers).for_each(|r| assert!(matches!(read(&mut t, r, 5), Some(Final::Served(_)))));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_router_killed_and_started_anew_learns_the_purges_of_its_pause() {
+fn restarted_router_learns_the_purges_it_missed() {
     let mut t = with_overlay(5);
     assert!(matches!(read(&mut t, 1, 5), Some(Final::Served(_))));
     t.rig.kill(1);
--- a/crates/node/tests/fleet/purges.rs
+++ b/crates/node/tests/fleet/purges.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_purge_heard_by_one_router_that_then_dies_holds_after_all_restart_without_discovery() {
+fn purge_received_by_a_router_that_dies_survives_a_full_restart_without_discovery() {
     let mut t = trial(3);
     assert!(matches!(read(&mut t, 1, 5), Some(Final::Served(_))));
     let kept = |t: &Trial| t.rig.counters(0).get("holds_kept").copied().unwrap_or(0.0);
--- a/crates/node/tests/fleet/replaced.rs
+++ b/crates/node/tests/fleet/replaced.rs
@@ -3,7 +3,7 @@
 use crate::trial::trial;
 
 #[test]
-fn one_machine_after_another_is_lost_with_its_disk_and_copies_are_made_up_between() {
+fn machines_lost_with_their_disks_one_after_another_are_replicated_between() {
     let mut t = trial(3);
     let mut kept = vec![t.served(0), t.served(1), t.served(2)];
     for lost in [0, 1, 2, 0] {
--- a/crates/node/tests/fleet/sparse.rs
+++ b/crates/node/tests/fleet/sparse.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn links_at_rest_are_fewer_than_the_fleet_and_one_more_comes_and_goes_with_a_checkout() {
+fn idle_links_are_fewer_than_the_fleet_and_a_checkout_opens_one_for_its_time() {
     let _one = alone();
     let mut t = standing();
     println!("links at rest: {:?}", links(&t));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_purge_heard_by_one_is_heeded_by_all() {
+fn purge_received_by_one_router_takes_effect_at_all() {
     let _one = alone();
     let mut t = standing();
     (0..ROUTERS).for_each(|r| assert!(matches!(read(&mut t, r, 5), Some(Final::Served(_)))));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_was_out_when_its_router_died_is_in_doubt_everywhere_and_the_router_gets_its_place_back() {
+fn outcome_is_unknown_everywhere_after_its_router_died_and_the_router_rejoins() {
     let _one = alone();
     for wiped in [false, true] {
         let mut t = standing();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn what_is_out_at_a_router_without_a_link_runs_on_to_its_end() {
+fn attempt_at_a_router_without_a_link_runs_to_its_end() {
     let _one = alone();
     let mut t = standing();
     for owner in [0, 3, 7] {
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn one_way_cuts_break_no_word() {
+fn one_way_partitions_break_no_outcome() {
     let _one = alone();
     let mut t = standing();
     for (from, to) in [(0, 1), (4, 2), (8, 0)] {
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_branch_that_is_cut_off_and_healed_breaks_no_word() {
+fn partitioned_and_healed_site_breaks_no_outcome() {
     let _one = alone();
     let mut t = standing();
     let kept: Vec<_> = (0..ROUTERS).map(|r| t.comes_to_serve(r)).collect();
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_running_mesh_is_switched_over_router_by_router_and_back_with_no_word_lost() {
+fn rolling_switch_of_a_mesh_and_back_loses_no_outcome() {
     let _one = alone();
     let mut t = fleet("mesh");
     let mut kept: Vec<_> = (0..ROUTERS).map(|r| t.comes_to_serve(r)).collect();
--- a/crates/node/tests/fleet/stopped.rs
+++ b/crates/node/tests/fleet/stopped.rs
@@ -4,7 +4,7 @@
 use crate::trial::{trial, WITHIN};
 
 #[test]
-fn a_router_stopped_while_it_asks_for_a_promise_and_woken_sends_nothing_that_others_took() {
+fn router_resumed_during_a_lease_request_sends_nothing_leased_elsewhere() {
     let mut t = trial(3);
     // Its keepers' answers take long: it is stopped before it has the promise, and finds it when it wakes.
     t.rig.between(1, 0).shape(|s| s.delay = (400.0, 400.0));
--- a/crates/node/tests/gather.rs
+++ b/crates/node/tests/gather.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn parts_of_three_branches_are_one_answer() {
+fn parts_of_three_sites_make_one_answer() {
     let three = Three::start(true);
     let mut client = three.router(0).client();
     client.ask(1, "pages", 7, ",parts=3@east+0+1@south", b"");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_lost_branch_is_named_and_owed_and_another_router_pays() {
+fn parts_of_an_unreachable_site_are_answered_by_continuation_at_another_router() {
     let mut three = Three::start(true);
     three.routers[2] = None;
     let mut client = three.router(0).client();
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn what_may_not_run_twice_is_never_split() {
+fn non_idempotent_request_is_never_split() {
     let three = Three::start(true);
     let mut client = three.router(0).client();
     client.ask(1, "loan", 7, ",parts=0+1@south", b"");
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn where_it_is_off_the_field_means_nothing() {
+fn parts_field_is_ignored_where_scatter_gather_is_off() {
     let three = Three::start(false);
     let mut client = three.router(0).client();
     client.ask(1, "pages", 7, ",parts=0+1@south", b"");
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_silent_branch_is_not_waited_for_until_the_deadline_and_a_client_that_leaves_has_no_answer() {
+fn silent_site_does_not_delay_the_answer_to_the_deadline() {
     let three = Three::start(true);
     three.router(2).signal("STOP");
     let mut client = three.router(0).client();
--- a/crates/node/tests/keyed.rs
+++ b/crates/node/tests/keyed.rs
@@ -10,7 +10,7 @@
 const KEY: &str = "ab1f80480fe3d5fd62066f008a1b3633";
 
 #[test]
-fn the_key_of_a_request_goes_with_each_of_its_attempts_and_nothing_is_made_up_without_one() {
+fn idempotency_key_is_passed_on_with_each_attempt_and_never_invented() {
     // The origin's first answer is an error, so that the request goes on to the parent, within its window.
     let (parent, origin) = (Cache::full(), Cache::start(|_| Do::Word("error", "-")));
     let log = ChangeLog::start();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_key_that_could_end_a_field_is_failed_and_reaches_no_server() {
+fn idempotency_key_that_could_end_a_field_fails_and_reaches_no_server() {
     let (origin, log) = (Cache::full(), ChangeLog::start());
     let router = router(&configuration(&three(&Cache::full(), &Cache::full(), &origin), log.address));
     let mut client = router.client();
--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn three_routers_are_counted_and_ended() {
+fn three_routers_are_counted_and_stopped() {
     let many = three();
     let mut crowd = Crowd::start(&many).expect("three routers");
     let ids: Vec<u32> = crowd.routers.iter().map(Process::id).collect();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_is_dropped_is_ended_too() {
+fn dropped_routers_are_stopped() {
     let crowd = Crowd::start(&three()).expect("three routers");
     let ids: Vec<u32> = crowd.routers.iter().map(Process::id).collect();
     drop(crowd);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_can_not_be_run_is_said() {
+fn failure_to_start_a_router_is_reported() {
     for (many, why) in [
         (Many { routers: 2, ..three() }, "from 3 to 200 routers, not 2"),
         (Many { routers: 201, ..three() }, "from 3 to 200 routers, not 201"),
--- a/crates/node/tests/placement.rs
+++ b/crates/node/tests/placement.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn check_config_compiles_the_rules_and_shows_what_is_wrong_where_it_stands() {
+fn check_config_reports_faulty_placement_rules_by_position() {
     let dir = tempfile::tempdir().expect("a folder");
     let config = dir.path().join("router.json");
     std::fs::write(&config, configuration(&[], ChangeLog::start().address).to_string()).expect("a file");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn plan_shows_the_table_what_moves_to_it_and_what_is_asked_about() {
+fn plan_prints_the_table_its_moves_and_the_queries() {
     let dir = tempfile::tempdir().expect("a folder");
     let old = own(dir.path(), "old", 4, FOUNDED).display().to_string();
     let rules = format!("{FOUNDED}home class maps {{ width 2 }}\n");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn new_rules_at_one_router_are_adopted_by_all_and_what_was_promised_is_still_kept() {
+fn new_placement_rules_converge_and_outcomes_stay_readable() {
     let (mut rig, id, bytes) = founded();
     let file = rules_file(&rig);
     // What can't be met is refused with its place, and nothing changes.
@@ -125,8 +125,8 @@
     std::fs::write(&own, before.replace("\"copies\": 3", "\"copies\": 3, \"shards\": 9")).expect("a file");
     std::fs::write(&file, NEW).expect("a file");
     rig.seats[0].reload();
-    until("the change is warned about", || rig.seats[0].said("of fleet nothing but the rules can change"));
-    assert!(!rig.seats[0].said("are offered to the fleet"));
+    until("the change is warned about", || rig.seats[0].said("only the rules of fleet can change"));
+    assert!(!rig.seats[0].said("proposed to the fleet"));
     std::fs::write(&own, before).expect("a file");
     rig.seats[0].reload();
     until("all go by the next table", || (0..3).all(|r| version(&rig, r) == 2.0));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn of_two_operators_at_once_one_is_adopted_and_the_other_refused_by_the_first_ones_name() {
+fn concurrent_rule_changes_adopt_one_and_reject_the_other() {
     let (mut rig, id, bytes) = founded();
     let file = rules_file(&rig);
     // With one that does not answer the first offer is still under way when the second comes.
--- a/crates/node/tests/reader.rs
+++ b/crates/node/tests/reader.rs
@@ -1,11 +1,11 @@
-//! The loop that reads a client's connection: whatever comes in whatever pieces, and however it is held up.
+//! The reader of a client's connection: chunks of any size, and pauses.
 
 use async_executor::LocalExecutor;
 use async_io::{block_on, Async, Timer};
-use basaltgw_node::clients::presence::Presence;
 use basaltgw_node::clients::{ClientId, FromClient, Tag};
-use basaltgw_node::inbox::{read_all, Over};
-use basaltgw_node::limits::{AHEAD_BYTES, FROM_CLIENT, READ_BYTES};
+use basaltgw_node::connection::{ClientLiveness, CloseReason};
+use basaltgw_node::inbox::{read_all, DecodedMessage};
+use basaltgw_node::limits::{CLIENT_READ_LIMITS, READ_AHEAD_BYTES, READ_BYTES};
 use basaltgw_node::outbox::{Counted, Meter};
 use basaltgw_node::resp::encode;
 use basaltgw_node::{Input, Shared};
@@ -16,26 +16,26 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const LIMIT: usize = 1_000_000;
+const MEMORY_LIMIT_BYTES: usize = 1_000_000;
 
 /// A connection and the parts of a router that read it.
-struct Rig {
+struct ReaderHarness {
     near: Async<TcpStream>,
     far: Async<TcpStream>,
     shared: Shared,
     inputs: async_channel::Receiver<Input>,
-    presence: Rc<Presence>,
-    /// Bytes of words that were decoded.
-    decoded: Cell<usize>,
-    full: Cell<bool>,
+    liveness: Rc<ClientLiveness>,
+    /// Bytes of the words that were decoded.
+    decoded_bytes: Cell<usize>,
+    paused: Cell<bool>,
 }
 
-impl Rig {
-    fn new(room: usize) -> Self {
+impl ReaderHarness {
+    fn new(queue_capacity: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let far = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
         let near = listener.accept().expect("the connection").0;
-        let (queue, inputs) = async_channel::bounded(room);
+        let (queue, inputs) = async_channel::bounded(queue_capacity);
         let shared = Shared {
             executor: Rc::new(LocalExecutor::new()),
             queue,
@@ -43,33 +43,35 @@
             meter: Rc::default(),
             invariants: Rc::default(),
             stalls: Rc::default(),
-            held_limit: LIMIT,
+            held_limit: MEMORY_LIMIT_BYTES,
         };
         Self {
             near: Async::new(near).expect("a socket"),
             far: Async::new(far).expect("a socket"),
             shared,
             inputs,
-            presence: Rc::default(),
-            decoded: Cell::new(0),
-            full: Cell::new(false),
+            liveness: Rc::default(),
+            decoded_bytes: Cell::new(0),
+            paused: Cell::new(false),
         }
     }
 
-    async fn read(&self) -> Over {
-        let typed = |words: Vec<Vec<u8>>, at, _| {
-            self.decoded.set(self.decoded.get() + words.iter().map(Vec::len).sum::<usize>());
-            let message = FromClient::read(words)?;
-            self.presence.read(&message);
-            Some(Input::Client(ClientId(1), message, at))
+    async fn read(&self) -> CloseReason {
+        let decode = |decoded: DecodedMessage| {
+            let bytes = decoded.words.iter().map(Vec::len).sum::<usize>();
+            self.decoded_bytes.set(self.decoded_bytes.get() + bytes);
+            let message = FromClient::read(decoded.words)?;
+            self.liveness.read(&message);
+            Some(Input::Client(ClientId(1), message, decoded.read_at))
         };
-        let over = read_all(&self.near, FROM_CLIENT, &self.shared, || self.full.get(), typed, None).await;
-        self.presence.leave();
-        over
+        let paused = || self.paused.get();
+        let reason = read_all(&self.near, CLIENT_READ_LIMITS, &self.shared, paused, decode, None).await;
+        self.liveness.leave();
+        reason
     }
 
-    /// Reads until something holds.
-    async fn until(&self, what: &str, holds: impl Fn() -> bool) -> Option<Over> {
+    /// Reads until a condition holds.
+    async fn until(&self, what: &str, holds: impl Fn() -> bool) -> Option<CloseReason> {
         let seen = async {
             let start = Instant::now();
             while !holds() {
@@ -81,23 +83,23 @@
         future::or(async { Some(self.read().await) }, seen).await
     }
 
-    /// Memory that others hold.
-    fn hold(&self, bytes: usize) -> Counted {
+    /// Memory that other connections use.
+    fn use_memory(&self, bytes: usize) -> Counted {
         let meter: &Rc<Meter> = &self.shared.meter;
         Counted::new(vec![0; bytes], &[meter])
     }
 }
 
-fn say(verb: &str, tag: u64) -> Vec<u8> {
+fn encode_message(verb: &str, tag: u64) -> Vec<u8> {
     encode(&[verb.as_bytes(), tag.to_string().as_bytes(), b""])
 }
 
-/// A message of a client, or bytes that are none.
+/// A message of a client, or malformed bytes.
 fn bytes() -> impl Strategy<Value = Vec<u8>> {
     let tag = 1..40u64;
     prop_oneof![
-        4 => tag.clone().prop_map(|tag| say("PING", tag)),
-        4 => tag.clone().prop_map(|tag| say("UNDO", tag)),
+        4 => tag.clone().prop_map(|tag| encode_message("PING", tag)),
+        4 => tag.clone().prop_map(|tag| encode_message("UNDO", tag)),
         4 => tag.prop_map(|tag| {
             let fields = format!("i={tag:016x},d=5000,o={tag:016x},nth=0,batch=17");
             encode(&[b"DO", tag.to_string().as_bytes(), b"pages", fields.as_bytes(), &vec![b'x'; tag as usize * 50]])
@@ -107,8 +109,8 @@
     ]
 }
 
-/// What a queue was given, without the times.
-fn told(input: Input) -> FromClient {
+/// The message of an input, without its time.
+fn message(input: Input) -> FromClient {
     match input {
         Input::Client(_, message, _) => message,
         _ => panic!("a client's message"),
@@ -118,39 +120,39 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// All that is whole before the first fault is handed over, in order, in whatever pieces it comes and however slowly it is taken.
+    /// All that is whole before the first fault is handed reason, in order, in whatever pieces it comes and however slowly it is taken.
     #[test]
-    fn any_bytes_in_any_pieces_are_read_as_they_would_be_at_once(
+    fn bytes_in_any_chunks_decode_as_in_one_read(
         parts in proptest::collection::vec(bytes(), 1..60),
         cuts in proptest::collection::vec(1..3_000usize, 1..8),
-        room in 1..20usize,
-        held in any::<bool>(),
+        queue_capacity in 1..20usize,
+        memory_full in any::<bool>(),
     ) {
         let all: Vec<u8> = parts.concat();
-        let mut decoder = basaltgw_node::resp::Decoder::new(FROM_CLIENT.bounds);
+        let mut decoder = basaltgw_node::resp::Decoder::new(CLIENT_READ_LIMITS.bounds);
         decoder.feed(&all);
-        let mut wanted = Vec::new();
-        let mut spoilt = false;
+        let mut expected = Vec::new();
+        let mut malformed = false;
         loop {
             match decoder.message() {
                 Ok(Some(words)) => match FromClient::read(words) {
-                    Some(message) => wanted.push(message),
-                    None => { spoilt = true; break }
+                    Some(message) => expected.push(message),
+                    None => { malformed = true; break }
                 },
                 Ok(None) => break,
-                Err(_) => { spoilt = true; break }
+                Err(_) => { malformed = true; break }
             }
         }
-        let rig = Rig::new(room);
-        let memory = held.then(|| rig.hold(LIMIT + 1));
-        let got = RefCell::new(Vec::new());
-        let over = block_on(future::or(async { Some(rig.read().await) }, async {
+        let harness = ReaderHarness::new(queue_capacity);
+        let memory = memory_full.then(|| harness.use_memory(MEMORY_LIMIT_BYTES + 1));
+        let received = RefCell::new(Vec::new());
+        let reason = block_on(future::or(async { Some(harness.read().await) }, async {
             let writes = async {
                 let mut rest = &all[..];
                 let mut cuts = cuts.iter().cycle();
                 while !rest.is_empty() {
                     let n = rest.len().min(*cuts.next().expect("a cut"));
-                    if (&rig.far).write_all(&rest[..n]).await.is_err() {
+                    if (&harness.far).write_all(&rest[..n]).await.is_err() {
                         break;
                     }
                     rest = &rest[n..];
@@ -160,37 +162,37 @@
             };
             let takes = async {
                 drop(memory);
-                while got.borrow().len() < wanted.len() {
-                    let Ok(input) = rig.inputs.recv().await else { break };
-                    got.borrow_mut().push(told(input));
-                    if got.borrow().len() % 3 == 0 {
+                while received.borrow().len() < expected.len() {
+                    let Ok(input) = harness.inputs.recv().await else { break };
+                    received.borrow_mut().push(message(input));
+                    if received.borrow().len() % 3 == 0 {
                         future::yield_now().await;
                     }
                 }
-                if spoilt {
+                if malformed {
                     future::pending::<()>().await;
                 }
             };
             future::or(writes, takes).await;
             None
         }));
-        while let Ok(input) = rig.inputs.try_recv() {
-            got.borrow_mut().push(told(input));
+        while let Ok(input) = harness.inputs.try_recv() {
+            received.borrow_mut().push(message(input));
         }
-        prop_assert_eq!(&*got.borrow(), &wanted);
-        prop_assert_eq!(matches!(over, Some(Over::Unreadable(_))), spoilt, "{:?}", over);
+        prop_assert_eq!(&*received.borrow(), &expected);
+        prop_assert_eq!(matches!(reason, Some(CloseReason::Unreadable(_))), malformed, "{:?}", reason);
     }
 
-    /// What nobody takes is left in the socket, but for one piece and a little ahead.
+    /// Messages that the owner does not take stay in the socket, except for one read and the read-ahead.
     #[test]
-    fn no_more_is_kept_than_a_piece_and_a_little(room in 1..300usize, held in any::<bool>(), full in any::<bool>()) {
-        let rig = Rig::new(room);
-        let memory = held.then(|| rig.hold(LIMIT + 1));
-        rig.full.set(full);
+    fn paused_reader_buffers_at_most_one_read_and_the_read_ahead(queue_capacity in 1..300usize, memory_full in any::<bool>(), paused in any::<bool>()) {
+        let harness = ReaderHarness::new(queue_capacity);
+        let memory = memory_full.then(|| harness.use_memory(MEMORY_LIMIT_BYTES + 1));
+        harness.paused.set(paused);
         block_on(async {
-            let flood: Vec<u8> = (1..4_000).flat_map(|n| say("PING", n)).collect();
+            let flood: Vec<u8> = (1..4_000).flat_map(|n| encode_message("PING", n)).collect();
             let writes = async {
-                let _ = (&rig.far).write_all(&flood).await;
+                let _ = (&harness.far).write_all(&flood).await;
                 future::pending::<()>().await;
             };
             let still = async {
@@ -199,64 +201,70 @@
                     Timer::after(Duration::from_millis(10)).await;
                 }
             };
-            let reads = async { let _ = rig.read().await; };
+            let reads = async { let _ = harness.read().await; };
             future::or(reads, future::or(writes, still)).await;
         });
         // A PING's words have 8 bytes at the most, and its encoding 21 more.
-        let queued = 29 * room;
-        let kept = if held || full { AHEAD_BYTES } else { READ_BYTES + AHEAD_BYTES + queued };
-        prop_assert!(rig.decoded.get() <= kept, "{} decoded", rig.decoded.get());
+        let queued = 29 * queue_capacity;
+        let kept = if memory_full || paused { READ_AHEAD_BYTES } else { READ_BYTES + READ_AHEAD_BYTES + queued };
+        prop_assert!(harness.decoded_bytes.get() <= kept, "{} bytes decoded", harness.decoded_bytes.get());
         drop(memory);
     }
 }
 
 #[test]
-fn what_takes_back_is_seen_behind_requests_and_before_the_queue_has_room() {
-    let rig = Rig::new(1);
-    let bytes: Vec<u8> = [say("PING", 1), say("PING", 2), say("PING", 3), say("UNDO", 9)].concat();
+fn cancellation_behind_requests_takes_effect_while_the_queue_is_full() {
+    let harness = ReaderHarness::new(1);
+    let bytes: Vec<u8> = [
+        encode_message("PING", 1),
+        encode_message("PING", 2),
+        encode_message("PING", 3),
+        encode_message("UNDO", 9),
+    ]
+    .concat();
     block_on(async {
-        (&rig.far).write_all(&bytes).await.expect("written");
-        let over = rig.until("it is seen", || !rig.presence.wants(Tag(9))).await;
-        assert_eq!(over, None);
+        (&harness.far).write_all(&bytes).await.expect("written");
+        let reason = harness.until("it is seen", || !harness.liveness.wants(Tag(9))).await;
+        assert_eq!(reason, None);
     });
-    assert!(rig.presence.wants(Tag(8)));
-    rig.presence.heeded(Tag(9));
-    assert!(rig.presence.wants(Tag(9)));
+    assert!(harness.liveness.wants(Tag(8)));
+    harness.liveness.heeded(Tag(9));
+    assert!(harness.liveness.wants(Tag(9)));
 }
 
 #[test]
-fn an_end_is_seen_before_the_queue_has_room_and_behind_more_than_is_read_ahead() {
+fn close_is_seen_while_the_queue_is_full_behind_more_than_is_read_ahead() {
     for many in [10, 4_000] {
-        let rig = Rig::new(1);
-        let bytes: Vec<u8> = (1..=many).flat_map(|n| say("PING", n)).collect();
+        let harness = ReaderHarness::new(1);
+        let bytes: Vec<u8> = (1..=many).flat_map(|n| encode_message("PING", n)).collect();
         block_on(async {
-            (&rig.far).write_all(&bytes).await.expect("written");
-            rig.far.get_ref().shutdown(std::net::Shutdown::Write).expect("closed");
-            let over = rig.until("it is seen", || !rig.presence.wants(Tag(9_999))).await;
-            assert_eq!(over, Some(Over::Ended));
+            (&harness.far).write_all(&bytes).await.expect("written");
+            harness.far.get_ref().shutdown(std::net::Shutdown::Write).expect("closed");
+            let reason = harness.until("it is seen", || !harness.liveness.wants(Tag(9_999))).await;
+            assert_eq!(reason, Some(CloseReason::Ended));
         });
     }
 }
 
 #[test]
-fn half_a_message_waits_for_a_slow_reader_and_not_for_memory() {
+fn partial_message_times_out_under_memory_pressure_and_not_for_a_slow_peer() {
     for slow in [true, false] {
-        let rig = Rig::new(8);
-        let memory = (!slow).then(|| rig.hold(LIMIT + 1));
-        rig.full.set(slow);
-        let whole = say("PING", 7);
+        let harness = ReaderHarness::new(8);
+        let memory = (!slow).then(|| harness.use_memory(MEMORY_LIMIT_BYTES + 1));
+        harness.paused.set(slow);
+        let whole = encode_message("PING", 7);
         let (first, rest) = whole.split_at(9);
         let held_up = async {
-            (&rig.far).write_all(first).await.expect("written");
-            Timer::after(FROM_CLIENT.whole + Duration::from_millis(300)).await;
-            rig.full.set(false);
-            (&rig.far).write_all(rest).await.expect("written");
-            let input = rig.inputs.recv().await.expect("an input");
-            assert_eq!(told(input), FromClient::Ping(Tag(7)));
+            (&harness.far).write_all(first).await.expect("written");
+            Timer::after(CLIENT_READ_LIMITS.message + Duration::from_millis(300)).await;
+            harness.paused.set(false);
+            (&harness.far).write_all(rest).await.expect("written");
+            let input = harness.inputs.recv().await.expect("an input");
+            assert_eq!(message(input), FromClient::Ping(Tag(7)));
             None
         };
-        let over = block_on(future::or(async { Some(rig.read().await) }, held_up));
-        assert_eq!(over, if slow { None } else { Some(Over::Unfinished) });
+        let reason = block_on(future::or(async { Some(harness.read().await) }, held_up));
+        assert_eq!(reason, if slow { None } else { Some(CloseReason::Unfinished) });
         drop(memory);
     }
 }
--- a/crates/node/tests/rig.rs
+++ b/crates/node/tests/rig.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_checkout_resent_through_another_router_runs_twice_where_nothing_is_copied() {
+fn checkout_resent_through_another_router_runs_twice_without_replication() {
     let mut rig = rig();
     let served = |end| matches!(end, Some(Some(Final::Served(_))));
     let first = rig.caller(0).expect("a client");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_purge_is_forgotten_by_a_router_that_restarts_while_discovery_is_down() {
+fn purge_is_forgotten_by_a_router_restarted_while_discovery_is_down() {
     let mut rig = rig();
     let read = |rig: &Rig, r: usize, id: &str| {
         let caller = rig.caller(r).expect("a client");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_stopped_router_answers_nothing_until_it_is_woken() {
+fn stopped_router_answers_nothing_until_it_is_resumed() {
     let mut rig = rig();
     let caller = rig.caller(2).expect("a client");
     rig.stop(2);
--- a/crates/node/tests/service/clients.rs
+++ b/crates/node/tests/service/clients.rs
@@ -4,7 +4,7 @@
 use crate::*;
 
 #[test]
-fn silent_hundreds_are_closed_and_a_client_beside_them_is_served() {
+fn hundreds_of_silent_clients_are_closed_while_another_is_served() {
     let rig = rig_of(Cache::full(), few(64));
     let mut early = rig.router.client();
     serves(&mut early, 1);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_asked_once_and_stays_leaves_its_place_to_others() {
+fn idle_client_gives_up_its_slot_to_others() {
     let rig = rig_of(Cache::full(), few(64));
     let mut all = Vec::new();
     // More than there are places for, each with an answer and nothing further to say.
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn one_with_something_open_is_never_closed_for_its_place() {
+fn client_with_an_open_request_keeps_its_slot() {
     let rig = rig_of(Cache::start(|s| Do::Later(1500, content(s))), few(64));
     let mut busy: Vec<Client> = (0..27).map(|_| rig.router.client()).collect();
     for (tag, client) in (1..).zip(&mut busy) {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn half_a_message_holds_a_place_for_no_longer_than_nothing_does() {
+fn partial_message_keeps_a_slot_no_longer_than_silence() {
     let rig = rig();
     let mut good = rig.router.client();
     serves(&mut good, 1);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_cannot_be_a_message_closes_its_connection_at_once() {
+fn undecodable_message_closes_its_connection_at_once() {
     let rig = rig();
     let mut good = rig.router.client();
     let huge =
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn what_cannot_be_a_request_fails_and_reaches_no_cache() {
+fn malformed_request_fails_and_reaches_no_cache() {
     let rig = rig();
     let mut good = rig.router.client();
     let mut bad = rig.router.client();
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_no_other_requests() {
+fn open_request_id_is_not_shared_with_another_request() {
     let rig = rig_of(Cache::start(|s| Do::Later(500, content(s))), |_| {});
     let (mut first, mut second) = (rig.router.client(), rig.router.client());
     let id = first.ask(1, "pages", 1, "", b"");
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_tag_used_twice_ends_its_connection_and_nothing_is_answered_under_it() {
+fn repeated_tag_closes_its_connection_without_an_answer() {
     let rig = rig_of(Cache::start(|s| Do::Later(300, content(s))), |_| {});
     let mut bad = rig.router.client();
     bad.ask(1, "pages", 1, "", b"");
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn hundreds_at_once_are_closed_and_taken_back_and_others_are_served() {
+fn hundreds_of_closes_and_cancellations_do_not_affect_others() {
     let rig = rig_of(
         Cache::start(
             |s| if s.field("k") == Some("0000000000000001") { Do::Ok(content(s)) } else { Do::Silent },
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn one_that_takes_back_whatever_it_asks_is_closed() {
+fn client_that_cancels_every_request_is_closed() {
     let rig = rig_of(Cache::start(|_| Do::Silent), |_| {});
     let mut bad = rig.router.client();
     let mut bytes = Vec::new();
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn requests_before_what_can_not_be_read_are_answered_as_failed_and_not_dropped() {
+fn requests_before_malformed_bytes_fail_and_are_not_dropped() {
     let rig = rig_of(Cache::start(|_| Do::Silent), |_| {});
     let mut bad = rig.router.client();
     bad.ask(1, "pages", 1, "", b"");
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn client_that_loses_patience_slowly_keeps_its_connection() {
+fn client_that_cancels_slowly_keeps_its_connection() {
     let rig = rig_of(Cache::start(|_| Do::Silent), |_| {});
     let mut client = rig.router.client();
     // More than the bound in all, less than it in any second, and no answer between them.
--- a/crates/node/tests/service/main.rs
+++ b/crates/node/tests/service/main.rs
@@ -56,7 +56,7 @@
 // ---- New configurations ----
 
 #[test]
-fn sighup_has_the_change_log_followed_at_its_new_address_from_the_last_event() {
+fn sighup_follows_the_change_log_at_its_new_address_from_the_last_event() {
     let mut rig = rig();
     let mut client = rig.router.client();
     serves(&mut client, 1);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_bad_file_at_sighup_is_named_and_changes_nothing() {
+fn sighup_with_a_bad_file_names_it_and_changes_nothing() {
     let mut rig = rig();
     let mut client = rig.router.client();
     serves(&mut client, 1);
@@ -111,7 +111,7 @@
     rig.router.rewrite(&rig.config.to_string());
     rig.router.signal("HUP");
     until("it is read", || rig.router.counter("reloads") == 1);
-    assert!(rig.router.said("limits can't change"));
+    assert!(rig.router.said("change of limits needs a restart"));
     serves(&mut client, 2);
     assert_eq!(client.settle(), []);
     assert_eq!(rig.router.counter("log_lost"), 0);
@@ -120,7 +120,7 @@
 // ---- The end ----
 
 #[test]
-fn clients_that_misbehave_do_not_hold_up_the_end() {
+fn misbehaving_clients_do_not_delay_shutdown() {
     let slow = Cache::start(|s| Do::Later(1200, content(s)));
     let mut rig = rig_of(slow, |_| {});
     let mut good = rig.router.client();
--- a/crates/node/tests/service/servers.rs
+++ b/crates/node/tests/service/servers.rs
@@ -4,7 +4,7 @@
 use crate::*;
 
 #[test]
-fn what_follows_a_good_answer_is_dropped_and_so_is_what_comes_before_under_another_id() {
+fn answers_without_an_open_attempt_are_dropped() {
     let edge = Cache::start(|s| match s.field("k") {
         Some("0000000000000001") => Do::Twice(content(s)),
         Some("0000000000000002") => Do::Ahead(content(s)),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn an_answer_is_never_taken_for_that_of_a_later_attempt() {
+fn answer_never_counts_for_a_later_attempt() {
     // Its second copy must not speak for the attempt that follows the first.
     let first = AtomicBool::new(true);
     let edge = Cache::start(move |s| match first.swap(false, Ordering::SeqCst) {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_spoilt_or_unfinished_answer_ends_its_connection_and_the_others_on_it_go_elsewhere() {
+fn malformed_or_incomplete_answer_closes_its_connection_and_moves_the_other_attempts() {
     let spoilt: [fn() -> Do; 6] = [
         || Do::Word("ok", "-"),
         || Do::Raw(b"*4\r\n$16\r\n"),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_connection_that_does_not_prove_itself_gets_no_request() {
+fn connection_with_an_unanswered_probe_gets_no_request() {
     // The first of all is mute from its start; the machine behind it may be gone.
     let mute = |first: Arc<AtomicBool>| {
         move |_| if first.swap(false, Ordering::SeqCst) { Proof::Mute } else { Proof::Yes }
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_write_never_shares_a_connection_with_what_may_break_it() {
+fn write_does_not_share_a_connection() {
     let origin = Cache::start(|s| Do::Later(200, content(s)));
     let log = ChangeLog::start();
     let edge = Cache::full();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_write_that_meets_the_end_of_a_connection_that_was_new_or_idle_never_ran() {
+fn write_on_a_closing_new_or_idle_connection_is_not_executed() {
     let origin =
         Cache::start_as(|conn| if conn == 1 { Proof::Cut } else { Proof::Yes }, |s| Do::Ok(content(s)));
     let parent = Cache::full();
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_change_log_that_breaks_in_mid_event_or_repeats_itself_tells_each_event_once() {
+fn change_log_cut_in_mid_event_or_repeating_notifies_each_event_once() {
     let rig = rig();
     until("it is followed", || !rig.log.asked.lock().expect("lock").is_empty());
     *rig.log.cut.lock().expect("lock") = Some(3);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn servers_that_come_and_go_leave_nothing() {
+fn servers_that_come_and_go_leave_no_connections() {
     let rig = rig();
     let mut client = rig.router.client();
     serves(&mut client, 1);
--- a/crates/node/tests/carry.rs
+++ b/crates/node/tests/snapshot.rs
@@ -9,16 +9,16 @@
 
 struct Files {
     yaml: PathBuf,
-    learnt: PathBuf,
+    snapshot: PathBuf,
     _dir: TempDir,
 }
 
 impl Files {
     fn new() -> Self {
         let dir = tempfile::tempdir().expect("a folder");
-        let (yaml, learnt) = (dir.path().join("own.yaml"), dir.path().join("learnt"));
-        std::fs::write(&yaml, format!("carry: {{file: {}}}\n", learnt.display())).expect("a file");
-        Self { yaml, learnt, _dir: dir }
+        let (yaml, snapshot) = (dir.path().join("own.yaml"), dir.path().join("snapshot"));
+        std::fs::write(&yaml, format!("carry: {{file: {}}}\n", snapshot.display())).expect("a file");
+        Self { yaml, snapshot, _dir: dir }
     }
 
     fn start(&self, config: &Value) -> Process {
@@ -78,21 +78,21 @@
 }
 
 #[test]
-fn the_first_requests_after_a_switch_spare_what_was_slow_before_it() {
+fn restored_snapshot_spares_a_slow_server() {
     let (zone, files) = (Zone::new(), Files::new());
     let mut router = files.start(&zone.config());
-    assert!(router.said("nothing was left at"));
+    assert!(router.said("no snapshot at"));
     // A file that never had a plan is none that has lost it.
     router.signal("HUP");
     until("it is read again", || router.counter("reloads") == 1);
-    assert!(router.said("reload: the change log is at") && !router.said("no plan in the file"));
+    assert!(router.said("reload: change log address") && !router.said("no plan in section hierarchy"));
     let mut client = router.client();
     let unlearnt = at_the_slow_one(&mut client, &zone, 1..13);
     at_the_slow_one(&mut client, &zone, 13..80);
     router.signal("TERM");
     drop(client);
     assert!(router.ended().success());
-    assert!(router.said("left what was learnt of 4 servers"));
+    assert!(router.said("snapshot of 4 servers written"));
     // The other deployment starts with it.
     let router = files.start(&zone.other());
     assert_eq!(router.counter("carried"), 4);
@@ -103,12 +103,12 @@
 }
 
 #[test]
-fn what_was_left_and_cannot_be_used_is_said_and_left_out() {
+fn unusable_snapshot_is_logged_and_ignored() {
     let (zone, files) = (Zone::new(), Files::new());
     let mut router = files.start(&zone.config());
     router.signal("TERM");
     assert!(router.ended().success());
-    let whole = std::fs::read_to_string(&files.learnt).expect("what was left");
+    let whole = std::fs::read_to_string(&files.snapshot).expect("what was left");
     let cut = &whole[..whole.len() / 2];
     for (text, says) in [
         (cut.to_string(), "cut off"),
@@ -116,9 +116,10 @@
         (whole.replace("EDGE", "edge").replacen("servers", "savers", 1), "altered"),
         (String::new(), "cut off in its first line"),
     ] {
-        std::fs::write(&files.learnt, text).expect("a file");
+        std::fs::write(&files.snapshot, text).expect("a file");
         let router = files.start(&zone.config());
-        assert!(router.said("is not used") && router.said(says), "{says}");
+        assert!(router.said(&format!("snapshot {} ignored", files.snapshot.display())), "{says}");
+        assert!(router.said(says), "{says}");
         let mut client = router.client();
         client.ask(1, "pages", 1, "", b"");
         assert_eq!((client.must().word.as_str(), router.counter("carried")), ("200", 0));
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn a_server_that_has_started_anew_is_as_unknown_as_before() {
+fn restarted_server_is_not_restored_from_the_snapshot() {
     let (zone, files) = (Zone::new(), Files::new());
     let mut router = files.start(&zone.config());
     let mut client = router.client();
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -5,7 +5,7 @@
 use std::net::TcpListener;
 
 #[test]
-fn without_descriptors_clients_wait_and_are_served_later() {
+fn clients_wait_in_the_backlog_without_descriptors() {
     let (edge, parent, origin, log) = (Cache::full(), Cache::full(), Cache::full(), ChangeLog::start());
     let config = configuration(&three(&edge, &parent, &origin), log.address);
     let router = router_by(&config, "ulimit -n 40; exec \"$0\" serve");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn no_more_clients_are_taken_than_servers_leave_room_for() {
+fn accepted_clients_leave_descriptors_for_servers() {
     let few = |c: &mut Value| c["limits"]["sockets"] = json!(60);
     let rig = rig_of(Cache::full(), Cache::full(), Cache::full(), few);
     let router = &rig.router;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn unparseable_bytes_close_that_connection_alone() {
+fn malformed_bytes_close_their_connection_only() {
     let rig = rig(Cache::full());
     let mut good = rig.router.client();
     for bytes in [
@@ -80,19 +80,19 @@
 }
 
 #[test]
-fn a_cache_that_talks_nonsense_loses_its_connection_and_no_request() {
+fn malformed_answer_closes_the_connection_and_loses_no_request() {
     let rig = served_by_the_next(|| Do::Raw(b"HTTP/1.1 200 OK\r\n\r\n"));
     assert_eq!((rig.router.counter("attempts_broken"), rig.router.counter("conns_now")), (1, 1));
 }
 
 #[test]
-fn an_answer_with_an_unknown_word_is_an_error_of_that_attempt_alone() {
+fn answer_with_an_unknown_word_fails_its_attempt_only() {
     let rig = served_by_the_next(|| Do::Word("what", "note=hit"));
     assert_eq!((rig.router.counter("attempts_error"), rig.router.counter("conns_now")), (1, 2));
 }
 
 #[test]
-fn a_slow_reader_holds_up_no_one_else() {
+fn slow_reader_does_not_delay_other_clients() {
     let rig = rig(Cache::start(|_| Do::Ok(vec![b'x'; 240_000])));
     let mut slow = rig.router.client();
     (1..=30).for_each(|t| {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn answers_that_wait_for_a_slow_reader_never_fill_the_memory() {
+fn answers_buffered_for_a_slow_reader_stay_within_the_memory_limit() {
     let edge = Cache::start(|_| Do::Ok(vec![b'x'; 240_000]));
     let little = |c: &mut Value| c["limits"]["memory_mb"] = json!(4);
     let rig = rig_of(edge, Cache::full(), Cache::full(), little);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_router_started_while_its_predecessor_still_listens_waits_for_the_address() {
+fn router_waits_for_the_address_of_its_predecessor() {
     let held = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = json!(held.local_addr().expect("an address").to_string());
     let waiting = thread::spawn(|| {
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn an_attempt_to_a_machine_that_never_answers_ends_before_the_clients_time() {
+fn attempt_to_an_unreachable_machine_ends_before_the_deadline() {
     let silent = || Cache::start(|_| Do::Silent);
     let rig = rig_of(silent(), silent(), silent(), |_| {});
     let mut client = rig.router.client();
--- a/crates/node/tests/sockets/main.rs
+++ b/crates/node/tests/sockets/main.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn bodies_pass_byte_for_byte_and_a_copy_that_holds_is_told() {
+fn bodies_pass_unchanged_and_current_copies_are_reported() {
     let big: Vec<u8> = (0..240_000u32).map(|i| (i.wrapping_mul(2_654_435_761) >> 13) as u8).collect();
     let bytes = big.clone();
     let edge = Cache::start(move |s| match s.field("seen") {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn after_undo_nothing_is_written_and_the_cache_is_told_to_abort() {
+fn cancelled_request_gets_no_answer_and_its_attempt_is_aborted() {
     let rig = rig(Cache::start(|s| match s.field("k") {
         Some("0000000000000001") => Do::Later(400, content(s)),
         Some("0000000000000003") => Do::Silent,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn after_undo_nothing_is_written_where_attempts_may_not_be_called_off() {
+fn cancelled_request_gets_no_answer_where_attempts_run_on() {
     let edge = Cache::start(|s| Do::Later(400, content(s)));
     let never = |c: &mut Value| c["settings"]["limits"]["cancel"] = json!(false);
     let rig = rig_of(edge, Cache::full(), Cache::full(), never);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_closed_client_leaves_its_requests_and_other_clients_go_on() {
+fn closed_client_cancels_its_requests_only() {
     let rig = rig(Cache::start(|s| {
         if s.field("k") == Some("0000000000000001") {
             Do::Silent
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_reset_in_mid_answer_is_tried_again_for_reads_and_fails_writes() {
+fn reset_in_the_middle_of_an_answer_retries_reads_and_fails_writes() {
     let act = once(|| Do::Half);
     let (edge, second) = (Cache::start(act.clone()), Cache::start(act));
     let rig = rig_of(edge, Cache::full(), Cache::start(|_| Do::Half), |c| with_second(c, &second));
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_connection_that_stays_silent_takes_no_new_requests() {
+fn silent_connection_takes_no_new_requests() {
     let edge = Cache::start(|s| if s.conn == 1 { Do::Silent } else { Do::Ok(content(s)) });
     let rig = rig(edge);
     let mut client = rig.router.client();
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_connection_on_which_all_was_given_up_unheard_is_not_used_again() {
+fn connection_with_only_cancelled_unanswered_attempts_is_not_reused() {
     let edge = Cache::start(|s| if s.conn == 1 { Do::Silent } else { Do::Ok(content(s)) });
     let rig = rig(edge);
     let mut client = rig.router.client();
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_refused_connection_proves_that_a_write_never_ran() {
+fn write_to_a_refused_connection_counts_as_not_executed() {
     let (_port, closed) = refusing();
     let (edge, parent, log) = (Cache::full(), Cache::full(), ChangeLog::start());
     let list = [
--- a/crates/node/tests/sockets/news.rs
+++ b/crates/node/tests/sockets/news.rs
@@ -4,7 +4,7 @@
 use crate::*;
 
 #[test]
-fn a_gap_in_the_change_log_is_asked_for_again_and_nothing_is_taken_twice() {
+fn gap_in_the_change_log_is_requested_again_without_repeats() {
     let rig = rig(Cache::full());
     *rig.log.skip.lock().expect("lock") = Some(2);
     let mut purge = 1u64.to_be_bytes().to_vec();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_change_log_that_falls_silent_or_talks_nonsense_is_connected_to_anew() {
+fn silent_or_malformed_change_log_is_reconnected() {
     let rig = rig(Cache::full());
     until("it is followed", || !rig.log.asked.lock().expect("lock").is_empty());
     rig.log.beats.store(false, Ordering::SeqCst);
@@ -41,7 +41,7 @@
     // The bad frame ends a connection; met a second time, it no longer keeps the next event back.
     until("the good one is told", || rig.router.counter("purges") == 1);
     assert!(rig.log.asked.lock().expect("lock").len() > connected);
-    assert!(rig.router.said("event 2 is passed over"));
+    assert!(rig.router.said("event 2 skipped"));
     let mut client = rig.router.client();
     client.ask(1, "pages", 1, "", b"");
     assert_eq!(client.must().word, "200");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_purge_bounds_the_age_of_copies_from_the_time_at_which_it_happened() {
+fn purge_limits_the_age_of_copies_from_its_own_time() {
     let rig = rig(Cache::full());
     // One that is told at once says what time it is: the router's own wall clock may be wrong.
     let prompt = unix_ms();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_draining_cache_gets_nothing_more_and_a_new_address_is_a_new_connection() {
+fn draining_cache_is_sent_nothing_and_a_new_address_gets_a_new_connection() {
     let second = Cache::full();
     let rig = rig_of(Cache::full(), Cache::full(), Cache::full(), |c| with_second(c, &second));
     let Rig { edge, log, router, .. } = &rig;
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn ping_says_serving_once_the_list_is_in() {
+fn ping_reports_serving_once_the_list_is_received() {
     let empty = |c: &mut Value| c["known"] = json!({"seq": 0, "results": []});
     let rig = rig_of(Cache::full(), Cache::full(), Cache::full(), empty);
     let Rig { edge, origin, log, router, .. } = &rig;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_signal_at_the_very_start_is_heard() {
+fn signal_during_startup_takes_effect() {
     for _ in 0..5 {
         let mut rig = rig(Cache::full());
         assert_eq!(rig.router.counter("requests"), 0);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn sigterm_under_load_loses_nothing_and_then_the_process_ends() {
+fn sigterm_under_load_loses_no_request_before_exit() {
     const SLOW: u64 = 0xffff;
     let slow = format!("{SLOW:016x}");
     let edge =
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -47,17 +47,17 @@
 }
 
 #[test]
-fn interrupted_reads_and_writes_end_no_connection() {
+fn interrupted_reads_and_writes_keep_connections_open() {
     serves_all_under(Fault::Interrupted, 2);
 }
 
 #[test]
-fn transfers_of_single_bytes_carry_whole_messages() {
+fn single_byte_transfers_carry_complete_messages() {
     serves_all_under(Fault::Short, 2);
 }
 
 #[test]
-fn clients_are_accepted_though_every_other_accept_fails() {
+fn clients_are_accepted_while_every_other_accept_fails() {
     let rig = rig();
     rig.faults.set(Fault::Accept, 2).expect("a fault");
     for tag in 1..=20 {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn connection_that_wants_descriptors_for_a_moment_is_tried_again_and_the_server_is_not_blamed() {
+fn connect_without_descriptors_is_retried_without_a_mark_against_the_server() {
     let caches = [(); 3].map(|()| Cache::full());
     let router = router(&configured(&caches));
     let mut client = router.client();
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn log_that_nobody_reads_does_not_stop_the_router() {
+fn full_log_pipe_does_not_block_the_router() {
     let caches = [(); 3].map(|()| Cache::full());
     let router = router_by(&configured(&caches), "GW_LOG=debug exec \"$0\" serve");
     let mut client = router.client();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn order_to_end_is_heeded_though_every_transfer_is_of_a_single_byte() {
+fn sigterm_takes_effect_under_single_byte_transfers() {
     let rig = rig();
     rig.faults.set(Fault::Short, 1).expect("a fault");
     rig.router.end();
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn order_to_end_is_heeded_though_every_second_call_is_interrupted() {
+fn sigterm_takes_effect_while_every_second_call_is_interrupted() {
     let rig = rig();
     rig.faults.set(Fault::Interrupted, 2).expect("a fault");
     for _ in 0..4 {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn deadline_after_a_stop_counts_from_arrival_though_reads_are_of_single_bytes() {
+fn deadline_after_a_pause_counts_from_arrival_under_single_byte_reads() {
     let rig = rig();
     let mut client = rig.router.client();
     assert_eq!(client.settle(), []);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn deadline_on_a_connection_that_waited_for_failing_accepts_counts_from_arrival() {
+fn deadline_after_failing_accepts_counts_from_arrival() {
     let rig = rig();
     rig.faults.set(Fault::Accept, 1).expect("a fault");
     let mut client = rig.router.client();
--- a/crates/node/tests/tree.rs
+++ b/crates/node/tests/tree.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_plan_is_kept_to_reloaded_by_portions_and_taken_back() {
+fn plan_is_followed_reloaded_in_steps_and_rolled_back() {
     let edge = Cache::start(filled);
     let log = ChangeLog::start();
     let own = Own::new(&plan(1, &[PARENT]));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_old_file_put_back_takes_a_change_back_that_is_under_way() {
+fn reloading_the_old_plan_rolls_back_the_change_in_progress() {
     let edge = Cache::start(filled);
     let log = ChangeLog::start();
     let old =
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_loop_is_answered_from_the_other_parent_within_the_requests_time() {
+fn fill_loop_is_answered_by_the_other_parent_within_the_deadline() {
     let first = AtomicBool::new(true);
     let edge = Cache::start(move |s| match first.swap(false, Ordering::SeqCst) {
         true => Do::Word("nothing", "note=src_looped"),
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_used_is_named_with_line_and_key_and_the_router_does_not_start() {
+fn invalid_settings_file_is_reported_by_line_and_key_and_prevents_start() {
     let edge = Cache::start(filled);
     let log = ChangeLog::start();
     let dir = tempfile::tempdir().expect("a folder");
--- a/crates/node/tests/wall_clock.rs
+++ b/crates/node/tests/wall_clock.rs
@@ -73,17 +73,17 @@
 }
 
 #[test]
-fn purge_after_a_step_forward_is_heeded() {
+fn purge_after_a_forward_clock_step_takes_effect() {
     heeds_a_purge_after_a_step(HOUR_MS);
 }
 
 #[test]
-fn purge_after_a_step_back_is_heeded_and_time_goes_on() {
+fn purge_after_a_backward_clock_step_takes_effect() {
     heeds_a_purge_after_a_step(-HOUR_MS);
 }
 
 #[test]
-fn purge_before_a_step_forward_stays_heeded() {
+fn purge_before_a_forward_clock_step_stays_in_effect() {
     let rig = rig(0, |_| {});
     let purged_at = unix_ms();
     rig.purge(0);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn known_purge_is_heeded_by_a_process_that_starts_after_a_step() {
+fn known_purge_takes_effect_in_a_process_started_after_a_clock_step() {
     for step_ms in [HOUR_MS, -HOUR_MS] {
         let purged_at = unix_ms();
         let rig = rig(step_ms, |config| {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn request_under_a_step_back_is_answered_in_its_time() {
+fn request_during_a_backward_clock_step_meets_its_deadline() {
     let rig = rig(0, |_| {});
     rig.step(-HOUR_MS);
     let mut client = rig.router.client();
--- a/crates/node/tests/watch.rs
+++ b/crates/node/tests/watch.rs
@@ -5,7 +5,7 @@
 use basaltgw::api::ObjectId;
 use basaltgw_config::{settings, Names, News, Seq};
 use basaltgw_node::changelog::{Decoder, Follower, Frame};
-use basaltgw_node::limits::{LOG_FRAME, READ_BYTES};
+use basaltgw_node::limits::{CHANGELOG_FRAME_MAX_BYTES, READ_BYTES};
 use common::frame;
 use proptest::prelude::*;
 use serde_json::json;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_empty_frame_tells_of_events_that_did_not_come() {
+fn empty_frame_reveals_missing_events() {
     let mut follower = Follower::new(Seq(4));
     assert!(!follower.behind());
     for (number, behind) in [(4, false), (0, false), (6, true), (5, true), (3, false), (6, true)] {
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn a_frame_without_an_end_is_held_no_further_than_the_longest() {
-    let most = 4 + LOG_FRAME + READ_BYTES;
+fn incomplete_frame_is_buffered_up_to_the_longest_frame() {
+    let most = 4 + CHANGELOG_FRAME_MAX_BYTES + READ_BYTES;
     let mut decoder = Decoder::default();
-    decoder.feed(&(LOG_FRAME as u32).to_be_bytes());
+    decoder.feed(&(CHANGELOG_FRAME_MAX_BYTES as u32).to_be_bytes());
     let mut fed = 4;
     while decoder.frame(&names()).expect("a length within bounds").is_none() {
         assert!(fed < most && decoder.held() <= most);
@@ -88,7 +88,7 @@
 
 proptest! {
     #[test]
-    fn whatever_happens_on_the_way_each_event_is_told_once_and_in_order(
+    fn each_event_is_notified_once_in_order_under_any_faults(
         many in 1..30u64,
         mut faults in prop::collection::btree_map(1..30u64, fault(), 0..12),
         // Events that the log no longer has, and those that nobody can read.
@@ -111,7 +111,7 @@
     }
 
     #[test]
-    fn any_bytes_in_any_pieces_are_frames_or_an_error(
+    fn arbitrary_bytes_in_any_chunks_decode_or_fail(
         bytes in prop::collection::vec(any::<u8>(), 0..400),
         short in any::<bool>(),
         cuts in prop::collection::vec(0..40usize, 1..20),
@@ -137,7 +137,7 @@
     let (mut decoder, names, mut frames) = (Decoder::default(), names(), Vec::new());
     for piece in pieces {
         decoder.feed(piece);
-        assert!(decoder.held() <= 4 + LOG_FRAME + piece.len());
+        assert!(decoder.held() <= 4 + CHANGELOG_FRAME_MAX_BYTES + piece.len());
         loop {
             match decoder.frame(&names) {
                 Ok(Some(frame)) => frames.push(frame),
