--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -1,115 +1,116 @@
-//! What goes into a router's control part, and what comes out.
+//! Events, actions, requests and notifications of the control plane.
 
-use basaltgw_membership as roster;
+use basaltgw_membership as membership;
 use basaltgw_registers::{Change, RecordKey, RequestNumber, Response};
-use basaltgw_scatter_gather as gather;
+use basaltgw_scatter_gather as scatter_gather;
 use basaltgw_storage::Write;
 use basaltgw_types::link::{Hello, Lane, LinkError};
 use basaltgw_types::{Member, Ms, RouterId, TableHash, TableVersion};
 use std::sync::Arc;
 
-use crate::gathers::Policies;
+use crate::gather_policies::Policies;
 use crate::purges::Purge;
 
-/// What the control part is told.
+/// Input of [`crate::Control::handle`].
 #[derive(Debug)]
 pub enum Event {
-    /// A link came up, or its peer goes by another table.
+    /// A link is established, or its peer advertises another table version.
     LinkUp(Hello),
-    /// A link is down.
+    /// A link is closed, with the reason.
     LinkDown(Member, LinkError),
-    /// A router that [`Action::Want`] asked for was dialled and not reached; it is dialled again while it is wanted.
+    /// Dialing a router requested by [`Action::SetLinkWanted`] failed. The transport retries while the link is wanted.
     DialFailed(RouterId),
-    /// Bytes came on a link.
+    /// A peer sent a message.
     MessageReceived {
-        /// From whom.
+        /// Sender.
         from: Member,
-        /// On which lane.
+        /// Lane on which the message arrived.
         lane: Lane,
-        /// What.
+        /// Encoded message.
         body: Vec<u8>,
     },
-    /// What [`Action::Send`] asked for was not written whole; 0 for what has no number.
+    /// The message that [`Action::Send`] sent under this number was not written completely; 0 for an unnumbered message.
     SendFailed(u64),
-    /// The owner of the module asks or says something.
+    /// The owner of the routing module sends a request.
     Request(ControlRequest),
-    /// Time has passed: all that is due is done. See [`crate::Control::due`].
+    /// Time has passed; all due timers fire. See [`crate::Control::next_timer`].
     TimersDue,
-    /// A turn ends: all that has to last so far goes into one [`Action::Store`], if there is any.
+    /// A batch of events ends: all pending writes go into one [`Action::Commit`], if there are any.
     Flush,
-    /// The commit of that number is on the disk (`true`), or the disk did not take it. Commits come on the disk in the order of their numbers;
-    /// [`Event::Settle`] follows, for there may be more to store.
+    /// The commit of this number is durable (`true`) or failed (`false`). Commits finish in the order of their numbers. The caller sends
+    /// [`Event::Flush`] afterwards, because the outcome may produce further writes.
     CommitFinished(u64, bool),
 }
 
-/// What it wants done, in this order.
+/// Output of [`crate::Control::handle`], to be executed in order.
 #[derive(Debug)]
 pub enum Action {
-    /// Carry bytes to a router; `no` comes back in [`Event::Unsent`] if they were not written whole.
+    /// Send a message to a router. [`Event::SendFailed`] returns `number` if the message was not written completely.
     Send {
-        /// The number; 0 if nobody needs to know.
+        /// Number of the message; 0 if no failure report is needed.
         number: u64,
-        /// To whom.
+        /// Receiver.
         to: Member,
-        /// On which lane.
+        /// Lane to send on.
         lane: Lane,
-        /// What.
+        /// Encoded message.
         body: Vec<u8>,
     },
-    /// A link to that router is wanted from now on, or no more; only with standing links. It is dialled until it is up, and [`Event::Up`] says so,
-    /// also if it was up before.
+    /// From now on a link to this router is wanted (`true`) or no longer wanted (`false`). Used with persistent links only. A wanted router is
+    /// dialed until it is connected; [`Event::LinkUp`] follows even if the link already existed.
     SetLinkWanted(RouterId, bool),
-    /// The table by which the own hello goes from now on.
+    /// Advertise this table in the router's own hello from now on.
     AdvertiseTable(TableVersion, TableHash),
-    /// Commit these writes as one; answered by [`Event::Stored`].
+    /// Commit these writes atomically under this number; answered by [`Event::CommitFinished`].
     Commit(u64, Vec<Write>),
-    /// Tell the owner of the module.
+    /// Notify the owner of the routing module.
     Notify(ControlNotification),
 }
 
-/// What the owner of the module asks of the control part.
+/// Request from the owner of the routing module.
 #[derive(Debug)]
 pub enum ControlRequest {
-    /// A change of a hold, to be on enough disks within so many milliseconds. Answered once by [`Told::Verdict`]. An outcome that is
-    /// not kept goes on being put down; what may be found taken though it is not kept is given back.
+    /// Change a register within `timeout` milliseconds. Answered exactly once by [`ControlNotification::Response`]. An unavailable completion
+    /// is retried in the background; a lease that may have been acquired despite an unavailable response is released in the background.
     ChangeRecord {
-        /// Its number.
+        /// Number chosen by the owner.
         number: RequestNumber,
-        /// Which hold.
+        /// Register to change.
         key: RecordKey,
-        /// What is to change.
+        /// Requested change.
         change: Change,
-        /// Time for it.
+        /// Time limit in milliseconds.
         timeout: Ms,
     },
-    /// Put a change down, however long it takes: nobody waits for it.
+    /// Change a register in the background, with retries and without a response.
     ChangeInBackground(RecordKey, Change),
-    /// A purge was heard from the change log, with its time in Unix milliseconds.
+    /// The change log reported a purge.
     Purge(Purge),
-    /// New rules are offered, by file name and text.
+    /// Propose placement rules, given as file name and text.
     Rules(String, String),
-    /// Something was heard of a site by gathers, for other routers to weigh.
-    ReportEvidence(roster::Evidence),
-    /// End in order: what is being put down is waited for, for a bounded time. What was taken for these questions is given back, for
-    /// nobody has heard of it.
+    /// Gossip an observation about a site, made by scatter-gather requests.
+    ReportEvidence(membership::Evidence),
+    /// Shut down gracefully: wait a bounded time for background changes, and release the leases acquired by these requests, given in ascending
+    /// order, because their responses were not received.
     Shutdown(Vec<RequestNumber>),
 }
 
-/// What the control part tells the owner.
+/// Notification to the owner of the routing module.
 #[derive(Debug)]
 pub enum ControlNotification {
-    /// The answer to a question.
+    /// Response to the request of this number.
     Response(RequestNumber, Response),
-    /// Another router heard a purge, or an earlier life of this one did.
+    /// Another router, or an earlier incarnation of this one, observed a purge.
     Purge(Purge),
-    /// What was heard of purges before this start is all here (`true`), or can't be had (`false`): then everything counts as purged.
+    /// The purges from before this start are complete (`true`) or can't be obtained (`false`). If they can't, the owner treats every cached
+    /// copy from before the start as purged.
     PurgesKnown(bool),
-    /// Purges were missed that nobody can tell any more: everything counts as purged now. It may come again and again.
+    /// Purges were missed that no router can supply any more: the owner treats every cached copy as purged now. May occur repeatedly.
     PurgesMissed,
-    /// The table by which this router goes.
+    /// Placement table in effect at this router.
     Table(TableVersion, TableHash),
-    /// The policies of gathers by which this router goes; only where they are taken.
+    /// Scatter-gather policies in effect; only if [`crate::ControlParts::scatter_gather_classes`] is set.
     Policies(Arc<Policies>),
-    /// Another router's word on a site; only where gathers are taken.
-    Evidence(RouterId, gather::Evidence),
+    /// Observation about a site by another router; only if [`crate::ControlParts::scatter_gather_classes`] is set.
+    Evidence(RouterId, scatter_gather::Evidence),
 }
--- a/crates/control/src/control/byte_tests.rs
+++ b/crates/control/src/control/byte_tests.rs
@@ -1,11 +1,11 @@
-//! The bytes of the control part's messages and records, compared with bytes that are written down here.
+//! Encoded messages and stored records, compared with recorded bytes.
 
-use super::commit::{
-    decode_purges, decode_table_register, Commit, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE,
-};
-use super::{DiskWrite, Purge};
-use crate::words::Message;
-use basaltgw_registers::{Kind, RecordKey};
+use super::commit::Commit;
+use super::storage::{decode_purges, decode_table_register, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE};
+use crate::message::Message;
+use crate::purges::{Purge, PurgeKey};
+use crate::table::TableRegister;
+use basaltgw_registers::{DiskWrite, Kind, RecordKey};
 use basaltgw_storage::{Space, Write};
 
 fn hex(bytes: &[u8]) -> String {
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_message_has_the_bytes_written_down() {
+fn every_message_encodes_to_the_recorded_bytes() {
     let key = RecordKey { kind: Kind::Execution, name: 0x0fed_cba9_8765_4321_0011_2233_4455_6677 };
     let cases = [
         (Message::PurgeSyncRequest, "00"),
@@ -33,14 +33,14 @@
         (Message::OverlayLink { open: true }, "0701"),
         (Message::OverlayFrame(vec![9, 8, 7]), "0803090807"),
     ];
-    for (word, expected) in cases {
-        assert_eq!(hex(&word.encode()), expected, "{word:?}");
-        assert_eq!(Message::decode(&word.encode()), Some(word));
+    for (message, expected) in cases {
+        assert_eq!(hex(&message.encode()), expected, "{message:?}");
+        assert_eq!(Message::decode(&message.encode()), Some(message));
     }
 }
 
 #[test]
-fn a_purge_for_the_overlay_has_the_bytes_and_the_name_written_down() {
+fn a_purge_encodes_to_the_recorded_update_and_register_name() {
     let cases = [
         (purge(Some(300)), "0000018bcfe5687b0701ac02", "0000018bcfe5687bfecfde4124966472"),
         (purge(None), "0000018bcfe5687b0700", "0000018bcfe5687b0000000000000007"),
@@ -53,19 +53,19 @@
 }
 
 #[test]
-fn a_commit_has_the_spaces_keys_and_values_written_down() {
+fn a_commit_writes_the_recorded_spaces_keys_and_values() {
     let records = vec![DiskWrite::Put(vec![1], vec![2, 3]), DiskWrite::Remove(vec![4])];
     let mut commit = Commit::default();
-    commit.batches.push((1, records));
-    commit.keep(0.0, purge(Some(300)));
-    commit.keep(0.0, purge(None));
-    commit.forget(0.0, [(8, Some(1))].into_iter());
-    commit.adopt((5, vec![1, 2, 3]), std::iter::empty());
+    commit.add_batch(1, records);
+    commit.add_purge(0.0, purge(Some(300)));
+    commit.add_purge(0.0, purge(None));
+    commit.remove_purges(0.0, [PurgeKey { group: 8, object: Some(1) }].into_iter());
+    commit.set_table_register(TableRegister { serial: 5, body: vec![1, 2, 3] }, std::iter::empty());
     let line = |write: &Write| match write {
         Write::Put(Space(space), key, value) => format!("put {space} {} {}", hex(key), hex(value)),
         Write::Remove(Space(space), key) => format!("remove {space} {}", hex(key)),
     };
-    let lines: Vec<String> = commit.writes().iter().map(line).collect();
+    let lines: Vec<String> = commit.take_writes().iter().map(line).collect();
     let expected = [
         "put 3  0503010203",
         "put 1 01 0203",
@@ -79,9 +79,9 @@
 }
 
 #[test]
-fn records_that_are_written_down_are_read() {
+fn recorded_bytes_decode_to_purges_and_table_register() {
     let time = 1_700_000_000_123_u64.to_be_bytes().to_vec();
     let purges = decode_purges([(vec![7, 1, 0xac, 2], time.clone()), (vec![7, 0], time)]);
     assert_eq!(purges.map(|p| p.all().collect::<Vec<_>>()), Some(vec![purge(None), purge(Some(300))]));
-    assert_eq!(decode_table_register(&[5, 3, 1, 2, 3]), Ok((5, vec![1, 2, 3])));
+    assert_eq!(decode_table_register(&[5, 3, 1, 2, 3]), Ok(TableRegister { serial: 5, body: vec![1, 2, 3] }));
 }
--- /dev/null
+++ b/crates/control/src/control/overlay_parts.rs
@@ -0,0 +1,109 @@
+//! Construction of the overlay from the settings of the control plane.
+//!
+//! Operators set the batch interval, retention, convergence time and budget ([`OverlayTimes`]); the other times of the overlay are multiples
+//! of the batch interval.
+
+use super::dissemination::MAX_UPDATE_LAG_MS;
+use super::StandingLinks;
+use crate::message::MAX_OVERLAY_FRAME_BYTES;
+use basaltgw_overlay as overlay;
+use basaltgw_overlay::{Overlay, RouterList};
+use basaltgw_types::{Ms, RouterId};
+use std::sync::Arc;
+
+/// Streams without updates are remembered for this multiple of the retention, so that a router that returns finds its gap.
+const STREAM_RETENTION_FACTOR: f64 = 5.0;
+/// Paths of an announced update may differ by this many batches.
+const LATE_BATCHES: f64 = 3.0;
+/// Batches between messages of two control machines.
+const PEER_BATCHES: f64 = 2.0;
+/// One batch more than [`PEER_BATCHES`]: a router waits this long for others to publish what all of them know.
+const HOLD_BATCHES: f64 = 3.0;
+/// A locally known update that nobody published within this many batches is requested from the parent.
+const ASK_BATCHES: f64 = 6.0;
+/// Backoff of overlay dials in a full mesh, where a dial only looks for an existing link.
+const MESH_BACKOFF: Backoff = Backoff { initial_ms: 100.0, max_ms: 250.0 };
+/// Backoff of overlay dials that open a connection.
+const DIAL_BACKOFF: Backoff = Backoff { initial_ms: 500.0, max_ms: 5_000.0 };
+/// The token bucket holds at least this many seconds of the budget.
+const BURST_SECONDS: f64 = 2.0;
+
+/// Exponential backoff between dials of one router.
+#[derive(Clone, Copy, Debug)]
+struct Backoff {
+    initial_ms: Ms,
+    max_ms: Ms,
+}
+
+/// Overlay, router list and settings for dissemination.
+pub struct OverlayParts {
+    pub(super) overlay: Overlay,
+    pub(super) list: Arc<RouterList>,
+    pub(super) batch_ms: Ms,
+    pub(super) persistent_links: Option<StandingLinks>,
+}
+
+/// Operator settings of the overlay.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct OverlayTimes {
+    /// Interval in milliseconds over which a router collects updates, and purges that only wait to be stored.
+    pub batch: Ms,
+    /// Milliseconds for which updates are retained.
+    pub keep: Ms,
+    /// Milliseconds after which a purge has converged.
+    pub settles: Ms,
+    /// Budget in bytes per second, sent and received together.
+    pub budget: f64,
+}
+
+impl OverlayParts {
+    /// An overlay in a full mesh of links. `seed` is a random number, different at each start.
+    ///
+    /// # Errors
+    /// If a setting is out of its bounds.
+    pub fn new(
+        me: RouterId,
+        list: RouterList,
+        times: OverlayTimes,
+        seed: u64,
+    ) -> Result<Self, overlay::OverlayError> {
+        Self::with_links(me, list, times, None, seed)
+    }
+
+    /// As [`Self::new`]; with persistent links the overlay's links are dialed and closed as needed.
+    ///
+    /// # Errors
+    /// If a setting is out of its bounds.
+    pub fn with_links(
+        me: RouterId,
+        list: RouterList,
+        times: OverlayTimes,
+        persistent_links: Option<StandingLinks>,
+        seed: u64,
+    ) -> Result<Self, overlay::OverlayError> {
+        let backoff = if persistent_links.is_some() { DIAL_BACKOFF } else { MESH_BACKOFF };
+        let overlay = Overlay::new(me, settings(times, backoff), seed)?;
+        Ok(Self { overlay, list: Arc::new(list), batch_ms: times.batch, persistent_links })
+    }
+}
+
+fn settings(times: OverlayTimes, backoff: Backoff) -> overlay::Settings {
+    let defaults = overlay::Settings::default();
+    overlay::Settings {
+        batch_ms: times.batch,
+        peer_batch_ms: PEER_BATCHES * times.batch,
+        hold_ms: HOLD_BATCHES * times.batch,
+        ask_ms: ASK_BATCHES * times.batch,
+        // A router that lags less than this counts as caught up, so it must still receive every update.
+        settle_ms: (times.settles + overlay::CATCH_UP_MS).max(MAX_UPDATE_LAG_MS),
+        late_ms: defaults.late_ms.max(LATE_BATCHES * times.batch),
+        backoff_ms: backoff.initial_ms,
+        most_backoff_ms: backoff.max_ms,
+        keep_ms: times.keep,
+        forget_ms: STREAM_RETENTION_FACTOR * times.keep,
+        budget_bytes_per_s: times.budget,
+        burst_bytes: defaults.burst_bytes.max(BURST_SECONDS * times.budget),
+        most_frame: MAX_OVERLAY_FRAME_BYTES,
+        ..defaults
+    }
+}
--- a/crates/control/src/gathers.rs
+++ b/crates/control/src/gather_policies.rs
@@ -1,4 +1,4 @@
-//! The policies by which gathers go: a table's rules of gathers as the decisions take them.
+//! Scatter-gather policies, converted from the gather rules of a placement table.
 
 use basaltgw_placement as placement;
 use basaltgw_placement::{GatherRule, Table};
@@ -6,21 +6,22 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Policies by class: of what is not among them nothing is answered in part.
+const PERCENT: f64 = 100.0;
+
+/// Policies by class. A class without a policy gets no partial responses.
 pub type Policies = BTreeMap<Arc<str>, Arc<Policy>>;
 
-/// The policies of a table.
+/// Policies of those `classes` for which `table` has a gather rule.
 pub fn policies(table: &Table, classes: &[Arc<str>]) -> Policies {
-    let of = |class: &Arc<str>| Some((Arc::clone(class), Arc::new(policy(table.gather(class)?))));
-    classes.iter().filter_map(of).collect()
+    let entry = |class: &Arc<str>| Some((Arc::clone(class), Arc::new(policy(table.gather(class)?))));
+    classes.iter().filter_map(entry).collect()
 }
 
-/// A rule as the decisions take it.
 fn policy(rule: &GatherRule) -> Policy {
     Policy {
-        needed: rule.needed.iter().map(|n| PartNo(*n)).collect(),
-        least_count: f64::from(rule.least_parts) / 100.0,
-        least_worth: f64::from(rule.least_worth) / 100.0,
+        needed: rule.needed.iter().map(|part| PartNo(*part)).collect(),
+        least_count: f64::from(rule.least_parts) / PERCENT,
+        least_worth: f64::from(rule.least_worth) / PERCENT,
         wait: f64::from(rule.wait_ms),
         missing: match rule.missing {
             placement::Missing::Owed => Missing::Owed,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,18 +1,21 @@
-//! The control part of a router of a fleet: what it has heard of others, what is held for them, which table it goes by, which purges it
-//! knows; who is told, asked again, waited for. Decided without I/O and without a clock: state and events in, words, commits and timers out.
+//! Control plane of one fleet router: registers, membership, the placement table, purges and the links between routers.
 //!
-//! One entry, [`Control::handle`]. What carries it (`crates/node`'s copies' thread, the hollow routers of `crates/fleet_simulation`) brings what links,
-//! owner and disk say, and does what comes out, in its order. Nothing that has to last is said before its commit is reported as done.
+//! [`Control`] decides without I/O and without a clock. [`Control::handle`] takes the time and an [`Event`] and returns [`Action`]s: messages,
+//! commits, link requests and notifications, which the caller executes in their order. The callers are the replication thread of `crates/node`
+//! and the simulated routers of `crates/fleet_simulation`. An action that depends on durable state is returned only after
+//! [`Event::CommitFinished`] reports its commit as durable.
+//!
+//! All times are milliseconds ([`basaltgw_types::Ms`]) on the caller's clock, except purge times, which are Unix milliseconds.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod api;
 mod control;
 pub mod counts;
-pub mod gathers;
+pub mod gather_policies;
+pub mod message;
 pub mod purges;
 pub mod table;
-pub mod words;
 
 pub use api::{Action, ControlNotification, ControlRequest, Event};
 pub use control::{
@@ -20,6 +23,6 @@
     MAINTENANCE_INTERVAL_MS, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE,
 };
 pub use counts::Counts;
-pub use gathers::Policies;
-pub use purges::{Purge, Purges};
-pub use table::{BootstrapMember, TableManager, TableManagerConfig};
+pub use gather_policies::Policies;
+pub use purges::{Purge, PurgeKey, Purges};
+pub use table::{BootstrapMember, InvalidTableRegister, TableManager, TableManagerConfig, TableRegister};
--- a/crates/control/src/purges.rs
+++ b/crates/control/src/purges.rs
@@ -1,26 +1,54 @@
-//! Purges that some router has heard and that have not settled: what a router that starts anew has to heed, also where discovery is down.
+//! Purges that caches may not have applied yet. A router that starts needs them even while the change log is unavailable.
+//!
+//! A purge has converged once no cache serves an older copy any more: `convergence_time` milliseconds after its Unix time. A converged purge
+//! is forgotten.
 
 use basaltgw_registers::{Change, Kind, Record, RecordKey};
 use basaltgw_types::Ms;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Purges kept at the most; one more pushes the oldest out, and counts its whole group as purged when it happened.
+/// Largest number of known purges. One more replaces all purges of the largest group by one purge of the whole group.
 pub const MOST_PURGES: usize = 65_536;
 
-/// A purge of an object, or of a whole group.
+/// What a purge invalidates: an object or a whole group. Encoded as the key of a purge on disk.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct PurgeKey {
+    /// Group of the object.
+    pub group: u64,
+    /// Object; `None` for the whole group.
+    pub object: Option<u64>,
+}
+
+impl From<(u64, Option<u64>)> for PurgeKey {
+    fn from((group, object): (u64, Option<u64>)) -> Self {
+        Self { group, object }
+    }
+}
+
+/// Purge of an object, or of a whole group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Purge {
-    /// The group.
+    /// Group of the object.
     pub group: u64,
-    /// The object; `None` for all of the group.
+    /// Object; `None` for the whole group.
     pub object: Option<u64>,
-    /// When it happened, in Unix milliseconds, as the change log says.
+    /// Time of the purge in Unix milliseconds, as given by the change log.
     pub time: u64,
 }
 
 impl Purge {
-    /// As a hold and its change; alike at every router.
+    /// The purge of `key` at `time`, in Unix milliseconds.
+    pub fn new(key: PurgeKey, time: u64) -> Self {
+        Self { group: key.group, object: key.object, time }
+    }
+
+    /// What the purge invalidates.
+    pub fn key(&self) -> PurgeKey {
+        PurgeKey { group: self.group, object: self.object }
+    }
+
+    /// Register and change that replicate the purge; the same at every router.
     pub fn record_change(&self) -> (RecordKey, Change) {
         let object = self.object.map_or(0, |o| o ^ 0x9e37_79b9_7f4a_7c15);
         let low = object.wrapping_mul(0x2545_f491_4f6c_dd1d)
@@ -31,105 +59,101 @@
         (RecordKey { kind: Kind::Purge, name }, Change::Purge { group, object, time })
     }
 
-    /// Whether it has settled: caches have no older copy any more, so many milliseconds after it at this Unix time.
-    pub fn settled(&self, now: Ms, settles: Ms) -> bool {
-        self.time as f64 + settles <= now
+    /// Whether the purge has converged at `now` (Unix milliseconds), given the convergence time in milliseconds.
+    pub fn settled(&self, now: Ms, convergence_time: Ms) -> bool {
+        self.time as f64 + convergence_time <= now
     }
 
-    /// As a word for all, the same bytes at every router. The time is first, for one word's time is much like that of the one before, and
-    /// what is alike at the start isn't sent again.
+    /// Encodes the purge as an update for all routers; the bytes are the same at every router. The time comes first because the overlay
+    /// omits the prefix that an update shares with the previous one.
     pub fn to_update(&self) -> Vec<u8> {
-        let rest = postcard::to_stdvec(&(self.group, self.object)).unwrap_or_default();
-        [&self.time.to_be_bytes()[..], &rest].concat()
+        let key = postcard::to_stdvec(&self.key()).unwrap_or_default();
+        [&self.time.to_be_bytes()[..], &key].concat()
     }
 
-    /// The purge of such a word; `None` if it is none, or has bytes left over.
-    pub fn from_update(word: &[u8]) -> Option<Self> {
-        let (time, rest) = word.split_first_chunk()?;
-        let ((group, object), left) = postcard::take_from_bytes(rest).ok()?;
-        left.is_empty().then_some(Self { group, object, time: u64::from_be_bytes(*time) })
+    /// Decodes an update; `None` if the bytes are malformed or have a remainder.
+    pub fn from_update(update: &[u8]) -> Option<Self> {
+        let (time, encoded_key) = update.split_first_chunk()?;
+        let (key, remainder) = postcard::take_from_bytes(encoded_key).ok()?;
+        remainder.is_empty().then_some(Self::new(key, u64::from_be_bytes(*time)))
     }
 
-    /// The purge that a hold keeps.
-    pub fn from_record(hold: &Record) -> Option<Self> {
-        match hold {
+    /// The purge in a register's record; `None` for records of other kinds.
+    pub fn from_record(record: &Record) -> Option<Self> {
+        match record {
             Record::Purged { group, object, time } => {
                 Some(Self { group: *group, object: *object, time: *time })
             }
-            Record::Leased { .. }
-            | Record::Released { .. }
-            | Record::Completed(_)
-            | Record::OutcomeUnknown
-            | Record::Ticket { .. } => None,
-            Record::Continuation { .. } | Record::Table { .. } | Record::Tombstone => None,
+            Record::Leased { .. } | Record::Released { .. } => None,
+            Record::Completed(_) | Record::OutcomeUnknown => None,
+            Record::Ticket { .. } | Record::Continuation { .. } => None,
+            Record::Table { .. } | Record::Tombstone => None,
         }
     }
 }
 
-/// Those known here, by what they name: the latest of each.
+/// Known purges that have not converged: the latest one of each key.
 #[derive(Debug, Default)]
 pub struct Purges {
-    latest: BTreeMap<(u64, Option<u64>), u64>,
+    /// Unix milliseconds of the latest purge.
+    latest: BTreeMap<PurgeKey, u64>,
 }
 
 impl Purges {
-    /// True if it was not known yet.
+    /// Adds a purge; true if it is later than any known one of its key.
     pub fn observe(&mut self, purge: Purge) -> bool {
-        let key = (purge.group, purge.object);
-        let new = self.latest.get(&key).is_none_or(|t| *t < purge.time);
-        if new {
+        let key = purge.key();
+        let is_new = self.latest.get(&key).is_none_or(|time| *time < purge.time);
+        if is_new {
             self.latest.insert(key, purge.time);
             if self.latest.len() > MOST_PURGES {
-                self.widen();
+                self.merge_largest_group();
             }
         }
-        new
+        is_new
     }
 
-    /// Makes room: of the group with the most objects a whole purge is kept, as late as the latest of them.
-    fn widen(&mut self) {
-        let mut many: BTreeMap<u64, usize> = BTreeMap::new();
-        self.latest.keys().for_each(|(group, _)| *many.entry(*group).or_default() += 1);
-        let Some(group) = many.into_iter().max_by_key(|(_, n)| *n).map(|(g, _)| g) else { return };
-        let latest = self.latest.iter().filter(|((g, _), _)| *g == group).map(|(_, t)| *t).max().unwrap_or(0);
-        self.latest.retain(|(g, _), _| *g != group);
-        self.latest.insert((group, None), latest);
+    /// Replaces the purges of the largest group by one of the whole group, with the latest of their times.
+    fn merge_largest_group(&mut self) {
+        let mut sizes: BTreeMap<u64, usize> = BTreeMap::new();
+        self.latest.keys().for_each(|key| *sizes.entry(key.group).or_default() += 1);
+        let Some(group) = sizes.into_iter().max_by_key(|(_, size)| *size).map(|(g, _)| g) else { return };
+        let times = self.latest.iter().filter(|(key, _)| key.group == group).map(|(_, time)| *time);
+        let latest = times.max().unwrap_or(0);
+        self.latest.retain(|key, _| key.group != group);
+        self.latest.insert(PurgeKey { group, object: None }, latest);
     }
 
-    /// Forgets what has settled: older than so many milliseconds at this Unix time.
-    pub fn settle(&mut self, now: Ms, settles: Ms) {
-        self.take_settled(now, settles);
+    /// Removes the converged purges; see [`Purge::settled`].
+    pub fn settle(&mut self, now: Ms, convergence_time: Ms) {
+        self.take_settled(now, convergence_time);
     }
 
-    /// Forgets it likewise, and gives it.
-    pub fn take_settled(&mut self, now: Ms, settles: Ms) -> Vec<Purge> {
-        let gone: Vec<Purge> = self.all().filter(|p| p.settled(now, settles)).collect();
-        for purge in &gone {
-            self.latest.remove(&(purge.group, purge.object));
+    /// Removes and returns the converged purges; see [`Purge::settled`].
+    pub fn take_settled(&mut self, now: Ms, convergence_time: Ms) -> Vec<Purge> {
+        let converged: Vec<Purge> = self.all().filter(|p| p.settled(now, convergence_time)).collect();
+        for purge in &converged {
+            self.latest.remove(&purge.key());
         }
-        gone
+        converged
     }
 
-    /// True if one of that group and object is known.
-    pub fn contains(&self, key: (u64, Option<u64>)) -> bool {
-        self.latest.contains_key(&key)
+    /// Whether a purge of this key is known.
+    pub fn contains(&self, key: impl Into<PurgeKey>) -> bool {
+        self.latest.contains_key(&key.into())
     }
 
-    /// All of them.
+    /// All known purges, in the order of their keys.
     pub fn all(&self) -> impl Iterator<Item = Purge> + '_ {
-        self.latest.iter().map(|((group, object), time)| Purge {
-            group: *group,
-            object: *object,
-            time: *time,
-        })
+        self.latest.iter().map(|(key, time)| Purge::new(*key, *time))
     }
 
-    /// How many.
+    /// Number of known purges.
     pub fn len(&self) -> usize {
         self.latest.len()
     }
 
-    /// True if none.
+    /// Whether no purge is known.
     pub fn is_empty(&self) -> bool {
         self.latest.is_empty()
     }
--- a/crates/control/tests/control/counts.rs
+++ b/crates/control/tests/control/counts.rs
@@ -1,16 +1,16 @@
-//! What is counted, as operators' programs read it.
+//! Counters in the form that operators read.
 
-use crate::net::{Disk, Net};
+use crate::network::{Disk, Network};
 use basaltgw_control::Counts;
 
 #[test]
-fn the_words_are_printed_as_they_are_documented() {
+fn counters_are_printed_with_the_documented_names() {
     let text =
         "peers_up=0 table_version=0 table_epoch=0 commits=0 commits_failed=0 unsent=0 purges_from_peers=0 \
                 tables_adopted=0 tables_taken_back=0 unkept_unasked=0 pursuits_dropped=0 peers_unreadable=0 \
                 tables_refused=0 members_replaced=0 ";
     assert_eq!(Counts::default().to_string(), text);
-    let mut net = Net::founded(Disk::Takes(0.0));
+    let mut net = Network::bootstrapped(Disk::Commits(0.0));
     net.nodes[0].control.refresh_counts();
     let text = net.nodes[0].control.counts().to_string();
     let names: Vec<&str> = text.split(' ').filter_map(|w| w.split('=').next()).collect();
--- a/crates/control/tests/control/main.rs
+++ b/crates/control/tests/control/main.rs
@@ -1,12 +1,12 @@
-//! The control part alone: in simulated time, without threads, links or disks.
+//! Control planes in simulated time, without threads, connections or disks.
 
-mod bytes;
+mod arbitrary_input;
+mod bootstrap;
 mod commits;
 mod counts;
-mod founding;
-mod lost;
-mod net;
+mod lost_routers;
+mod message;
+mod network;
 mod overlay;
+mod persistent_links;
 mod purges;
-mod standing;
-mod words;
--- a/crates/control/tests/control/words.rs
+++ b/crates/control/tests/control/message.rs
@@ -1,40 +1,40 @@
-//! Words between control parts, as bytes.
+//! Encoding of messages and updates.
 
-use basaltgw_control::words::{Message, MOST_SPREAD, PURGES_AT_ONCE};
+use basaltgw_control::message::{Message, MAX_OVERLAY_FRAME_BYTES, MAX_PURGES_PER_MESSAGE};
 use basaltgw_control::Purge;
 use proptest::prelude::*;
 
 proptest! {
     #[test]
-    fn any_bytes_are_a_word_or_none(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        if let Some(word) = Message::decode(&bytes) {
-            prop_assert_eq!(Message::decode(&word.encode()), Some(word));
+    fn decoded_arbitrary_bytes_encode_to_an_equal_message(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        if let Some(message) = Message::decode(&bytes) {
+            prop_assert_eq!(Message::decode(&message.encode()), Some(message));
         }
     }
 }
 
 #[test]
-fn words_come_back_as_they_went() {
+fn a_message_within_limits_decodes_to_itself_and_a_larger_one_is_rejected() {
     let purge = Purge { group: 1, object: None, time: 5 };
-    for word in [
+    for message in [
         Message::PurgeSyncRequest,
         Message::PurgeSync { purges: vec![purge], last: true },
         Message::TableState { serial: 3, body: vec![1, 2] },
         Message::ReplicaSynced { term: 9 },
         Message::OverlayLink { open: true },
-        Message::OverlayFrame(vec![7; MOST_SPREAD]),
+        Message::OverlayFrame(vec![7; MAX_OVERLAY_FRAME_BYTES]),
     ] {
-        assert_eq!(Message::decode(&word.encode()), Some(word));
+        assert_eq!(Message::decode(&message.encode()), Some(message));
     }
-    let many = Message::PurgeSync { purges: vec![purge; PURGES_AT_ONCE + 1], last: true };
-    assert_eq!(Message::decode(&many.encode()), None);
-    assert_eq!(Message::decode(&Message::OverlayFrame(vec![7; MOST_SPREAD + 1]).encode()), None);
+    let oversized = Message::PurgeSync { purges: vec![purge; MAX_PURGES_PER_MESSAGE + 1], last: true };
+    assert_eq!(Message::decode(&oversized.encode()), None);
+    assert_eq!(Message::decode(&Message::OverlayFrame(vec![7; MAX_OVERLAY_FRAME_BYTES + 1]).encode()), None);
 }
 
 #[test]
-fn words_keep_their_numbers() {
-    let number = |word: Message| word.encode()[0];
-    let words = [
+fn each_message_variant_has_its_fixed_number() {
+    let number = |message: Message| message.encode()[0];
+    let messages = [
         Message::PurgeSyncRequest,
         Message::PurgeSync { purges: Vec::new(), last: true },
         Message::TableRequest,
@@ -45,11 +45,11 @@
         Message::OverlayLink { open: false },
         Message::OverlayFrame(Vec::new()),
     ];
-    assert_eq!(words.map(number), [0, 1, 2, 3, 4, 5, 6, 7, 8]);
+    assert_eq!(messages.map(number), [0, 1, 2, 3, 4, 5, 6, 7, 8]);
 }
 
 #[test]
-fn a_purge_is_the_same_word_everywhere_and_comes_back() {
+fn a_purge_update_decodes_to_the_purge_and_malformed_ones_are_rejected() {
     for object in [None, Some(0), Some(u64::MAX)] {
         let purge = Purge { group: 7, object, time: 1_764_000_000_123 };
         assert_eq!(Purge::from_update(&purge.to_update()), Some(purge));
--- a/crates/control/tests/control/purges.rs
+++ b/crates/control/tests/control/purges.rs
@@ -1,26 +1,28 @@
-//! Purges: kept, told, settled.
+//! Purges: storage, notification, convergence.
 
-use crate::net::{Disk, Net, SETTLES};
+use crate::network::{Disk, Network, CONVERGENCE_MS};
 use basaltgw_control::purges::{Purge, Purges, MOST_PURGES};
 use basaltgw_control::{ControlNotification, ControlRequest, Event, PURGES_SPACE};
 
 #[test]
-fn a_purge_heard_by_one_is_known_to_all_and_held() {
-    let mut net = Net::founded(Disk::Takes(3.0));
+fn a_purge_observed_by_one_router_is_known_to_all_and_replicated() {
+    let mut net = Network::bootstrapped(Disk::Commits(3.0));
     let purge = Purge { group: 7, object: Some(1), time: net.now as u64 };
     net.nodes.iter_mut().for_each(|n| n.disk = Disk::Hangs);
-    net.event(1, Event::Request(ControlRequest::Purge(purge)));
-    net.pass(200.0);
-    let on_disk = |net: &Net, n: usize| net.nodes[n].kept.keys().any(|(space, _)| *space == PURGES_SPACE.0);
-    let told = |net: &Net, n: usize| {
-        net.nodes[n].told.iter().any(|t| matches!(t, ControlNotification::Purge(p) if *p == purge))
+    net.deliver(1, Event::Request(ControlRequest::Purge(purge)));
+    net.run_for(200.0);
+    let is_stored =
+        |net: &Network, n: usize| net.nodes[n].stored.keys().any(|(space, _)| *space == PURGES_SPACE.0);
+    let is_notified = |net: &Network, n: usize| {
+        net.nodes[n].notifications.iter().any(|t| matches!(t, ControlNotification::Purge(p) if *p == purge))
     };
-    // Heeded everywhere at once, whatever the disks do; kept by nobody yet, and nobody vouches for it.
-    assert!([0, 2].into_iter().all(|n| told(&net, n)) && !(0..3).any(|n| on_disk(&net, n)));
-    let kept = |net: &Net| net.nodes.iter().map(|n| n.control.registers().counters().kept).sum::<u64>();
-    let before = kept(&net);
-    net.nodes.iter_mut().for_each(|n| n.disk = Disk::Takes(3.0));
-    net.until(1_000.0, |net| (0..3).all(|n| on_disk(net, n)) && kept(net) > before);
+    // All routers apply it at once, but none has stored it yet.
+    assert!([0, 2].into_iter().all(|n| is_notified(&net, n)) && !(0..3).any(|n| is_stored(&net, n)));
+    let committed =
+        |net: &Network| net.nodes.iter().map(|n| n.control.registers().counters().kept).sum::<u64>();
+    let before = committed(&net);
+    net.nodes.iter_mut().for_each(|n| n.disk = Disk::Commits(3.0));
+    net.run_until(1_000.0, |net| (0..3).all(|n| is_stored(net, n)) && committed(net) > before);
     for node in &net.nodes {
         assert!(node.control.purges().all().any(|p| p == purge));
         assert_eq!(
@@ -28,59 +30,65 @@
             1
         );
     }
-    // And by whoever starts anew from its own disk.
+    // A restarted router finds it in its own store.
     net.restart(0);
-    assert!(told(&net, 0));
+    assert!(is_notified(&net, 0));
 }
 
 #[test]
-fn a_purge_that_no_disk_takes_is_held_by_nobody() {
-    let mut net = Net::founded(Disk::Takes(1.0));
+fn a_purge_is_not_replicated_when_every_commit_fails() {
+    let mut net = Network::bootstrapped(Disk::Commits(1.0));
     net.nodes.iter_mut().for_each(|n| n.disk = Disk::Fails);
-    let kept = |net: &Net| net.nodes.iter().map(|n| n.control.registers().counters().kept).sum::<u64>();
-    let (before, purge) = (kept(&net), Purge { group: 7, object: None, time: net.now as u64 });
-    net.event(1, Event::Request(ControlRequest::Purge(purge)));
-    net.pass(1_000.0);
-    assert_eq!(kept(&net), before);
-    assert!(!net.nodes.iter().any(|n| n.kept.keys().any(|(space, _)| *space == PURGES_SPACE.0)));
+    let committed =
+        |net: &Network| net.nodes.iter().map(|n| n.control.registers().counters().kept).sum::<u64>();
+    let (before, purge) = (committed(&net), Purge { group: 7, object: None, time: net.now as u64 });
+    net.deliver(1, Event::Request(ControlRequest::Purge(purge)));
+    net.run_for(1_000.0);
+    assert_eq!(committed(&net), before);
+    assert!(!net.nodes.iter().any(|n| n.stored.keys().any(|(space, _)| *space == PURGES_SPACE.0)));
 }
 
 #[test]
-fn settled_purges_leave_the_disk_even_if_it_fails_once() {
-    let mut net = Net::founded(Disk::Takes(1.0));
+fn converged_purges_are_removed_from_the_store_after_a_failed_commit() {
+    let mut net = Network::bootstrapped(Disk::Commits(1.0));
     let purge = Purge { group: 7, object: Some(1), time: net.now as u64 };
-    net.event(1, Event::Request(ControlRequest::Purge(purge)));
-    let on_disk = |net: &Net, n: usize| net.nodes[n].kept.keys().any(|(space, _)| *space == PURGES_SPACE.0);
-    net.until(1_000.0, |net| (0..3).all(|n| on_disk(net, n)));
-    net.pass(SETTLES - 1_000.0);
+    net.deliver(1, Event::Request(ControlRequest::Purge(purge)));
+    let is_stored =
+        |net: &Network, n: usize| net.nodes[n].stored.keys().any(|(space, _)| *space == PURGES_SPACE.0);
+    net.run_until(1_000.0, |net| (0..3).all(|n| is_stored(net, n)));
+    net.run_for(CONVERGENCE_MS - 1_000.0);
     net.nodes.iter_mut().for_each(|n| n.disk = Disk::Fails);
-    net.until(5_000.0, |net| (0..3).all(|n| net.nodes[n].control.purges().is_empty()));
-    net.pass(50.0);
-    assert!((0..3).all(|n| on_disk(&net, n)));
-    net.nodes.iter_mut().for_each(|n| n.disk = Disk::Takes(1.0));
-    net.until(2_000.0, |net| (0..3).all(|n| !on_disk(net, n)));
+    net.run_until(5_000.0, |net| (0..3).all(|n| net.nodes[n].control.purges().is_empty()));
+    net.run_for(50.0);
+    assert!((0..3).all(|n| is_stored(&net, n)));
+    net.nodes.iter_mut().for_each(|n| n.disk = Disk::Commits(1.0));
+    net.run_until(2_000.0, |net| (0..3).all(|n| !is_stored(net, n)));
 }
 
-/// A hold of a purge is kept for longer than the purge takes to settle.
+/// The register of a purge outlives its convergence.
 #[test]
-fn a_purge_that_has_settled_is_not_told_again_while_it_is_held() {
-    let mut net = Net::founded(Disk::Takes(1.0));
+fn a_converged_purge_is_not_notified_again_while_its_register_exists() {
+    let mut net = Network::bootstrapped(Disk::Commits(1.0));
     let purge = Purge { group: 7, object: Some(1), time: net.now as u64 };
-    net.event(1, Event::Request(ControlRequest::Purge(purge)));
-    let held = |net: &Net| (0..3).all(|n| net.nodes[n].control.registers().purges().count() == 1);
-    net.until(1_000.0, held);
-    net.until(SETTLES + 1_000.0, |net| net.nodes.iter().all(|n| n.control.purges().is_empty()));
-    net.pass(SETTLES / 2.0);
-    assert!(held(&net), "it is held for longer");
+    net.deliver(1, Event::Request(ControlRequest::Purge(purge)));
+    let is_replicated =
+        |net: &Network| (0..3).all(|n| net.nodes[n].control.registers().purges().count() == 1);
+    net.run_until(1_000.0, is_replicated);
+    net.run_until(CONVERGENCE_MS + 1_000.0, |net| net.nodes.iter().all(|n| n.control.purges().is_empty()));
+    net.run_for(CONVERGENCE_MS / 2.0);
+    assert!(is_replicated(&net), "the register outlives convergence");
     for node in &net.nodes {
-        let told =
-            node.told.iter().filter(|t| matches!(t, ControlNotification::Purge(p) if *p == purge)).count();
-        assert!(told <= 1 && node.control.purges().is_empty(), "told {told} times");
+        let count = node
+            .notifications
+            .iter()
+            .filter(|t| matches!(t, ControlNotification::Purge(p) if *p == purge))
+            .count();
+        assert!(count <= 1 && node.control.purges().is_empty(), "notified {count} times");
     }
 }
 
 #[test]
-fn the_latest_purge_of_each_is_kept_and_settles() {
+fn the_latest_purge_of_each_key_is_known_until_it_converges() {
     let mut purges = Purges::default();
     let one = Purge { group: 7, object: Some(1), time: 1_000 };
     assert!(purges.observe(one) && !purges.observe(one));
@@ -91,7 +99,7 @@
 }
 
 #[test]
-fn too_many_purges_become_one_of_their_group() {
+fn purges_beyond_the_limit_are_merged_into_one_of_their_group() {
     let mut purges = Purges::default();
     for n in 0..=MOST_PURGES as u64 {
         purges.observe(Purge { group: n % 2, object: Some(n), time: n });
@@ -101,7 +109,7 @@
 }
 
 #[test]
-fn purges_have_a_name_of_their_own() {
+fn different_purges_have_different_register_names() {
     let names = |g, o, t| Purge { group: g, object: o, time: t }.record_change().0.name;
     let all =
         [names(1, None, 5), names(1, Some(0), 5), names(2, None, 5), names(1, None, 6), names(1, Some(2), 5)];
--- a/crates/node/tests/placement.rs
+++ b/crates/node/tests/placement.rs
@@ -149,9 +149,9 @@
     until("the first is offered", || rig.seats[1].said(" by r1 is "));
     std::fs::write(&file, format!("{NEW}# others\n")).expect("a file");
     rig.seats[1].reload();
-    until("the second is refused", || rig.seats[1].said("the new rules are refused: "));
+    until("the second is refused", || rig.seats[1].said("new rules rejected: "));
     let said = rig.seats[1].text();
-    let refusal = said.lines().find(|l| l.contains("the new rules are refused: ")).unwrap_or_default();
+    let refusal = said.lines().find(|l| l.contains("new rules rejected: ")).unwrap_or_default();
     assert!(refusal.contains("r1") && refusal.contains('2'), "{refusal}");
     rig.wake(2);
     until("all go by the first one's", || (0..3).all(|r| version(&rig, r) == 2.0));
