--- /dev/null
+++ b/crates/node/src/fleet/handle.rs
@@ -0,0 +1,283 @@
+//! The owner's end of the fleet's rings and threads.
+
+use super::config::{FleetSettings, ScatterGatherConfig};
+use super::counters::{FleetCounts, LeaseCounters};
+use super::message::PartMessage;
+use super::purges::Purge;
+use super::replication_thread::ReplicationError;
+use super::{ControlNotification, ControlRequest};
+use crate::caches::RequestNo;
+use async_channel::Receiver;
+use basaltgw_membership as membership;
+use basaltgw_registers::{Change, Outcome, RecordKey, RequestNumber};
+use basaltgw_scatter_gather::Evidence;
+use basaltgw_transport::{Lane, LinkCommand, LinkEvent, Port, TransportHandle};
+use basaltgw_types::{Member, Ms};
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::{Arc, Mutex};
+use std::thread::JoinHandle;
+use std::time::Duration;
+
+/// Changes and purges that wait for capacity in the ring: no more than there are leased requests, and none is leased while one waits.
+const MAX_BACKLOG: usize = 65_536;
+/// How often the ring is polled for capacity during shutdown.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(1);
+
+/// A request that waits for the response to a change of its record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PendingChange {
+    /// The request.
+    pub request: RequestNo,
+    /// Its record.
+    pub key: RecordKey,
+}
+
+/// The owner's ends of the rings to and from the replication thread.
+pub(super) struct OwnerRings {
+    pub(super) requests: rtrb::Producer<ControlRequest>,
+    pub(super) notifications: rtrb::Consumer<ControlNotification>,
+    /// Receives when a notification was pushed.
+    pub(super) wakeup: Receiver<()>,
+}
+
+/// The fleet's threads.
+pub(super) struct FleetThreads {
+    pub(super) replication: JoinHandle<Result<(), ReplicationError>>,
+    pub(super) transport: TransportHandle,
+}
+
+/// What a started fleet hands to the owner.
+pub(super) struct FleetParts {
+    pub(super) me: Member,
+    pub(super) settings: FleetSettings,
+    pub(super) rings: OwnerRings,
+    pub(super) threads: Option<FleetThreads>,
+    pub(super) port: Port,
+    pub(super) scatter_gather: Option<ScatterGatherConfig>,
+    pub(super) published_counts: Arc<Mutex<FleetCounts>>,
+}
+
+/// The fleet as the owner sees it.
+pub struct Fleet {
+    /// This router, with the incarnation of its data folder.
+    pub me: Member,
+    /// Settings of leases and purges.
+    pub settings: FleetSettings,
+    /// Changes that wait for a response.
+    pub pending: BTreeMap<RequestNumber, PendingChange>,
+    /// Counts so far.
+    pub counters: LeaseCounters,
+    /// Whether the purges from before this start are known, or everything counts as purged.
+    pub purges_known: bool,
+    /// Why the process has to end.
+    pub fault: Option<String>,
+    /// After a pause of the process, the time until which input may be stale.
+    pub stale_input_until: Ms,
+    /// Whether the threads were asked to end.
+    pub shutting_down: bool,
+    /// What the owner needs for scatter-gather requests, until it has taken it over.
+    pub scatter_gather: Option<ScatterGatherConfig>,
+    /// Receives when a notification was pushed.
+    pub bell: Receiver<()>,
+    last_number: u64,
+    requests: rtrb::Producer<ControlRequest>,
+    /// Requests that must not be lost and wait for capacity in the ring, in order.
+    backlog: VecDeque<ControlRequest>,
+    notifications: rtrb::Consumer<ControlNotification>,
+    /// `None` once the threads have ended.
+    pub(super) threads: Option<FleetThreads>,
+    /// To other routers' owners.
+    port: Port,
+    takes_scatter_gather: bool,
+    published_counts: Arc<Mutex<FleetCounts>>,
+}
+
+impl Fleet {
+    pub(super) fn new(parts: FleetParts) -> Self {
+        let FleetParts { me, settings, rings, threads, port, scatter_gather, published_counts } = parts;
+        Self {
+            me,
+            settings,
+            pending: BTreeMap::new(),
+            counters: LeaseCounters::default(),
+            purges_known: false,
+            fault: None,
+            stale_input_until: 0.0,
+            shutting_down: false,
+            takes_scatter_gather: scatter_gather.is_some(),
+            scatter_gather,
+            bell: rings.wakeup,
+            last_number: 0,
+            requests: rings.requests,
+            backlog: VecDeque::new(),
+            notifications: rings.notifications,
+            threads,
+            port,
+            published_counts,
+        }
+    }
+
+    /// Pushes a request after the backlog; false if the ring is full.
+    fn push(&mut self, request: ControlRequest) -> bool {
+        let pushed = self.flush() && self.requests.push(request).is_ok();
+        self.counters.ring_full += u64::from(!pushed);
+        self.wake_replication_thread();
+        pushed
+    }
+
+    /// Pushes a request that must not be lost, or queues it until the ring has capacity.
+    fn push_or_queue(&mut self, request: ControlRequest) {
+        if self.backlog.len() >= MAX_BACKLOG {
+            self.counters.backlog_dropped += 1;
+            return;
+        }
+        self.backlog.push_back(request);
+        let pushed = self.flush();
+        self.counters.ring_full += u64::from(!pushed);
+        self.wake_replication_thread();
+    }
+
+    fn wake_replication_thread(&self) {
+        if let Some(threads) = &self.threads {
+            threads.replication.thread().unpark();
+        }
+    }
+
+    /// Pushes the backlog as far as the ring has capacity; true if it is empty.
+    pub fn flush(&mut self) -> bool {
+        while let Some(request) = self.backlog.pop_front() {
+            if let Err(rtrb::PushError::Full(request)) = self.requests.push(request) {
+                self.backlog.push_front(request);
+                return false;
+            }
+        }
+        true
+    }
+
+    /// Asks for a change of a request's record within `timeout` milliseconds; `None` if the ring is full.
+    pub fn change_record(
+        &mut self,
+        request: RequestNo,
+        key: RecordKey,
+        change: Change,
+        timeout: Ms,
+    ) -> Option<RequestNumber> {
+        self.last_number += 1;
+        let number = RequestNumber(self.last_number);
+        if !self.push(ControlRequest::ChangeRecord { number, key, change, timeout }) {
+            return None;
+        }
+        self.pending.insert(number, PendingChange { request, key });
+        Some(number)
+    }
+
+    /// Has a record changed, however long it takes; nobody waits for it.
+    pub fn change_in_background(&mut self, key: RecordKey, change: Change) {
+        self.push_or_queue(ControlRequest::ChangeInBackground(key, change));
+    }
+
+    /// Stores how an execution ended; nobody waits for it.
+    pub fn complete(&mut self, key: RecordKey, term: u32, outcome: Outcome) {
+        self.change_in_background(key, Change::Complete(self.me.clone(), term, outcome));
+    }
+
+    /// Releases the lease of a request that was not executed; nobody waits for it. The term names the lease: the request may have been
+    /// leased again since.
+    pub fn release(&mut self, key: RecordKey, term: u32) {
+        self.change_in_background(key, Change::Release(self.me.clone(), term));
+    }
+
+    /// Replicates a purge of the change log.
+    pub fn replicate_purge(&mut self, purge: Purge) {
+        if self.settings.replicate_purges {
+            self.push_or_queue(ControlRequest::Purge(purge));
+        }
+    }
+
+    /// Proposes placement rules, by file name and text.
+    pub fn propose_rules(&mut self, file: String, text: String) {
+        self.push_or_queue(ControlRequest::Rules(file, text));
+    }
+
+    /// Reports a site's health to other routers. It is advisory: a full ring drops it.
+    pub fn report_evidence(&mut self, evidence: Evidence) {
+        let Evidence { site, missed, answered, latency, age } = evidence;
+        let evidence = membership::Evidence { site: site.0, missed, answered, latency, age };
+        self.push(ControlRequest::ReportEvidence(evidence));
+    }
+
+    /// The outcome as it is stored: without the body if that is too long.
+    pub fn stored_outcome(&self, body: &[u8]) -> Outcome {
+        if body.len() <= self.settings.max_outcome_bytes {
+            Outcome::Served(body.to_vec())
+        } else {
+            Outcome::ServedBodyOmitted
+        }
+    }
+
+    /// The next notification of the replication thread.
+    pub fn next_notification(&mut self) -> Option<ControlNotification> {
+        if !self.takes_scatter_gather {
+            self.drop_unsolicited_messages();
+        }
+        self.notifications.pop().ok()
+    }
+
+    fn drop_unsolicited_messages(&mut self) {
+        for event in self.port.by_ref() {
+            self.counters.unsolicited += u64::from(matches!(event, LinkEvent::MessageReceived { .. }));
+        }
+    }
+
+    /// Sends a message to another router's owner; false if the lane is full or the message too long. `number` comes back if the link
+    /// fails to write it, 0 for none.
+    pub fn send(&mut self, number: u64, to: &Member, message: &PartMessage) -> bool {
+        let (to, body) = (to.clone(), message.encode());
+        self.port.send(LinkCommand::Send { number, to, lane: Lane::ScatterGather, body }).is_ok()
+    }
+
+    /// The next event of the links for the owner.
+    pub fn next_link_event(&mut self) -> Option<LinkEvent> {
+        self.port.next()
+    }
+
+    /// The cause, if a thread has ended that was not asked to.
+    pub fn unexpected_end(&mut self) -> Option<String> {
+        let ended = |threads: &FleetThreads| threads.replication.is_finished() || threads.transport.ended();
+        if self.shutting_down || !self.threads.as_ref().is_some_and(ended) {
+            return None;
+        }
+        Some(self.shut_down().unwrap_or_else(|| "a thread of the fleet has ended unexpectedly".to_string()))
+    }
+
+    /// Ends the threads in order, after all that was asked of them; gives the cause if one ended by itself.
+    pub fn shut_down(&mut self) -> Option<String> {
+        self.shutting_down = true;
+        let unanswered = self.pending.keys().copied().collect();
+        self.backlog.push_back(ControlRequest::Shutdown(unanswered));
+        let FleetThreads { replication, transport } = self.threads.take()?;
+        // The thread ends only on this request.
+        while !self.flush() && !replication.is_finished() {
+            replication.thread().unpark();
+            std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
+        }
+        replication.thread().unpark();
+        let replication = match replication.join() {
+            Ok(Ok(())) => None,
+            Ok(Err(error)) => Some(error.to_string()),
+            Err(_) => Some("the replication thread ended in a panic".to_string()),
+        };
+        // The transport thread ends with the replication thread's port.
+        let transport = transport.join().err().map(|e| e.to_string());
+        transport.or(replication)
+    }
+
+    /// The counters as `name=value` words.
+    pub fn counters_text(&self) -> String {
+        let mut text = self.counters.to_string();
+        if let Ok(counts) = self.published_counts.lock() {
+            text.push_str(&counts.to_string());
+        }
+        text
+    }
+}
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,36 +1,31 @@
-//! The fleet inside a process, only where the own settings have a section `fleet`: the peers' thread (links to other routers), the copies'
-//! thread (the control part of `crates/control`, and the disk), and the owner's side of both, joined by bounded rings.
+//! A router's side of a fleet, started only if the own settings have a section `fleet`.
 //!
-//! A full ring refuses at once and blocks nobody. What must last goes owner -> copies (-> peers) -> owner before it is said. A thread that ends
-//! ends the process.
+//! Two threads run beside the owner's: the transport thread (links to other routers, `crates/transport`) and the replication thread
+//! (`crates/control` and the disk). Bounded rings join the three. A full ring rejects at once and blocks nobody; a change that has to be
+//! durable goes from the owner to the replication thread and back before anybody is notified of it. A thread that ends unexpectedly ends the
+//! process.
+//!
+//! - `handle`: the owner's end of the rings and of the threads; `config` and `counters`: its settings and counts;
+//! - `message`: what two routers send each other about parts of scatter-gather requests;
+//! - `replication_thread`: the thread that waits for the disk;
+//! - `start`: opens the data folder and starts the threads; `overlay`: settings of dissemination and of links.
 
 #[cfg(test)]
 mod byte_tests;
-pub mod copies;
-pub mod gather;
+mod config;
+mod counters;
+pub mod handle;
+pub mod message;
+#[cfg(test)]
+mod message_tests;
 pub mod overlay;
-pub mod port;
 pub mod purges;
+pub mod replication_thread;
 #[cfg(test)]
 pub mod stand_in;
 pub mod start;
 
-pub use basaltgw_control::{ControlNotification, ControlRequest};
-pub use port::{Fleet, Terms};
-use std::fmt;
-
-/// What was counted by the fleet's threads.
-#[derive(Clone, Debug, Default)]
-pub struct FleetCounts {
-    /// By the control part.
-    pub control: basaltgw_control::Counts,
-    /// By the links, as `name=value` words.
-    pub links: String,
-}
-
-impl fmt::Display for FleetCounts {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let rest = if self.links.is_empty() { "" } else { " " };
-        write!(f, "{}{rest}{}", self.control, self.links)
-    }
-}
+pub use basaltgw_control::{ControlNotification, ControlRequest, Policies};
+pub use config::{FleetSettings, ScatterGatherConfig};
+pub use counters::{FleetCounts, LeaseCounters};
+pub use handle::{Fleet, PendingChange};
--- a/crates/node/src/fleet/overlay.rs
+++ b/crates/node/src/fleet/overlay.rs
@@ -1,4 +1,4 @@
-//! The overlay of a router and the links that it keeps, from its settings and the list of the fleet.
+//! Settings of the dissemination overlay and of the links, derived from the configuration and the fleet's router list.
 
 use basaltgw_config::fleet::Fleet;
 use basaltgw_config::overlay::{Links, Standing};
@@ -9,20 +9,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The list is that of the file, the same at all: others than the first come with agreed lists.
-const FIRST: u64 = 1;
-/// Of the words that may wait for links, as many as on one lane, one router's may take this part.
-const WAITING_PART: usize = 4;
+/// The version of the router list that the configuration file gives; later versions are agreed on.
+const CONFIGURED_LIST_VERSION: u64 = 1;
+/// One router may take this part of the messages that wait for links, which are as many as fit on one lane.
+const MAX_SHARE_DIVISOR: usize = 4;
 
-/// The overlay, if there is one; `settles` is the time after which a purge has settled.
+/// The overlay, if one is configured; `purge_convergence_time` is in milliseconds.
 ///
 /// # Errors
-/// If words are kept for too short a time, or an overlay can't be of these settings.
-pub fn parts(set: &Fleet, settles: Ms, drawn: u64) -> Result<Option<OverlayParts>, String> {
-    let Some(of) = &set.overlay else { return Ok(None) };
-    let keep = of.keep(settles)?;
-    let times = OverlayTimes { batch: of.batch_ms, keep, settles, budget: of.budget_bytes_per_s };
-    let listed = |router: &RouterId, s: &Standing| RouterEntry {
+/// If the configured retention of updates is too short, or the router list fits no overlay.
+pub fn parts(set: &Fleet, purge_convergence_time: Ms, seed: u64) -> Result<Option<OverlayParts>, String> {
+    let Some(overlay) = &set.overlay else { return Ok(None) };
+    let times = OverlayTimes {
+        batch: overlay.batch_ms,
+        keep: overlay.keep(purge_convergence_time)?,
+        settles: purge_convergence_time,
+        budget: overlay.budget_bytes_per_s,
+    };
+    let entry = |router: &RouterId, s: &Standing| RouterEntry {
         router: router.clone(),
         region: Arc::clone(&s.region),
         zone: Arc::clone(&s.zone),
@@ -30,34 +34,39 @@
         rack: Arc::clone(&s.rack),
         control: s.control,
     };
-    let mut all = vec![listed(&set.name, &of.standing)];
-    all.extend(set.peers.iter().filter_map(|p| Some(listed(&p.name, p.standing.as_ref()?))));
-    let said = |e: basaltgw_overlay::OverlayError| format!("fleet.overlay: {e}");
-    let list = RouterList::new(FIRST, Shape::default(), all).map_err(said)?;
+    let mut entries = vec![entry(&set.name, &overlay.standing)];
+    entries.extend(set.peers.iter().filter_map(|p| Some(entry(&p.name, p.standing.as_ref()?))));
+    let error = |e: basaltgw_overlay::OverlayError| format!("fleet.overlay: {e}");
+    let list = RouterList::new(CONFIGURED_LIST_VERSION, Shape::default(), entries).map_err(error)?;
+    let links = persistent_links(set, overlay.links);
+    OverlayParts::with_links(set.name.clone(), list, times, links, seed).map(Some).map_err(error)
+}
+
+/// Bounds of the messages that wait for a link, where links are not a mesh.
+fn persistent_links(set: &Fleet, links: Links) -> Option<StandingLinks> {
     let limits = &set.limits;
-    let standing = match of.links {
+    match links {
         Links::Mesh => None,
         Links::Standing { .. } => Some(StandingLinks {
             wait: limits.promise_ms,
-            words: (limits.lane_frames / WAITING_PART).max(1),
+            words: (limits.lane_frames / MAX_SHARE_DIVISOR).max(1),
             bytes: limits.frame_bytes,
             all_words: limits.lane_frames,
             all_bytes: limits.lane_bytes,
         }),
-    };
-    OverlayParts::with_links(set.name.clone(), list, times, standing, drawn).map(Some).map_err(said)
+    }
 }
 
-/// How links are kept.
-pub fn links(set: &Fleet) -> Settings {
-    let span = |ms: Ms| Duration::from_secs_f64(ms / 1_000.0);
-    let dials = match set.overlay.as_ref().map(|o| o.links) {
-        Some(Links::Standing { idle_ms }) => DialPolicy::OnDemand { idle: span(idle_ms) },
+/// Which links are dialled, and when an idle or silent one is closed.
+pub fn link_settings(set: &Fleet) -> Settings {
+    let duration = |ms: Ms| Duration::from_secs_f64(ms / 1_000.0);
+    let dial_policy = match set.overlay.as_ref().map(|o| o.links) {
+        Some(Links::Standing { idle_ms }) => DialPolicy::OnDemand { idle: duration(idle_ms) },
         Some(Links::Mesh) | None => DialPolicy::All,
     };
     Settings {
-        dial_policy: dials,
-        keepalive_interval: span(set.limits.alive_ms),
-        peer_timeout: span(set.limits.silent_ms),
+        dial_policy,
+        keepalive_interval: duration(set.limits.alive_ms),
+        peer_timeout: duration(set.limits.silent_ms),
     }
 }
--- a/crates/node/src/fleet/stand_in.rs
+++ b/crates/node/src/fleet/stand_in.rs
@@ -1,7 +1,7 @@
-//! A fleet whose copies' thread is a test.
+//! A fleet whose replication thread is a test.
 
-use super::port::{Fleet, Terms};
-use super::{ControlNotification, ControlRequest};
+use super::handle::{Fleet, FleetParts, FleetThreads, OwnerRings};
+use super::{ControlNotification, ControlRequest, FleetSettings};
 use basaltgw::api::Idempotency;
 use basaltgw_transport::{
     Hello, Lane, Limits, Port, Settings, TransportHandle, TransportUser, PROTOCOL_VERSION,
@@ -9,18 +9,18 @@
 use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
 use std::sync::Arc;
 
-/// The other ends of an owner's rings.
-pub struct Thread {
-    /// What it is asked.
-    pub questions: rtrb::Consumer<ControlRequest>,
-    /// What it tells.
-    pub told: rtrb::Producer<ControlNotification>,
+/// The replication thread's ends of an owner's rings.
+pub struct StandIn {
+    /// From the owner.
+    pub requests: rtrb::Consumer<ControlRequest>,
+    /// To the owner.
+    pub notifications: rtrb::Producer<ControlNotification>,
     port: Port,
-    links: TransportHandle,
+    transport: TransportHandle,
 }
 
-/// A fleet of one router, of which nothing runs but its links; rings have so many places. The first class is safe, the second unsafe.
-pub fn fleet(ring: usize) -> (Fleet, Thread) {
+/// A fleet of one router, of which only the links run. The first class is idempotent, the second is not.
+pub fn fleet(ring_entries: usize) -> (Fleet, StandIn) {
     let text = |t: &str| Arc::<str>::from(t);
     let me = Member { router: RouterId(text("r1")), incarnation: Incarnation(7) };
     let hello = Hello {
@@ -34,38 +34,52 @@
     let users = [user(vec![Lane::ScatterGather]), user(vec![Lane::Membership, Lane::Registers, Lane::Table])];
     let limits =
         Limits { max_queued_frames: 4, max_queued_bytes: 4096, max_frame_bytes: 1024, ring_entries: 4 };
-    let here = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
-    let set = (limits, Settings::default());
-    let links = basaltgw_transport::start(hello, here, Vec::new(), set, 1, users).expect("links");
-    let (own, port, links) = links.split();
-    let (ask, questions) = rtrb::RingBuffer::new(ring);
-    let (tell, told) = rtrb::RingBuffer::new(ring);
-    let (_, bell) = async_channel::bounded(1);
-    let terms = Terms { effects: true, purges: true, promise: 400.0, stay_away: 200.0, outcome_bytes: 4096 };
-    let effects = vec![Idempotency::Idempotent, Idempotency::NonIdempotent];
-    let fleet = Fleet::new(me, effects, terms, (ask, told, bell), (None, own), None, Arc::default());
-    (fleet, Thread { questions, told: tell, port, links })
+    let address = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
+    let settings = (limits, Settings::default());
+    let links = basaltgw_transport::start(hello, address, Vec::new(), settings, 1, users).expect("links");
+    let (owner_port, port, transport) = links.split();
+    let (requests, requests_out) = rtrb::RingBuffer::new(ring_entries);
+    let (notifications_in, notifications) = rtrb::RingBuffer::new(ring_entries);
+    let (_, wakeup) = async_channel::bounded(1);
+    let settings = FleetSettings {
+        replicate_executions: true,
+        replicate_purges: true,
+        lease_timeout: 400.0,
+        retry_after: 200.0,
+        max_outcome_bytes: 4096,
+        idempotency: vec![Idempotency::Idempotent, Idempotency::NonIdempotent],
+    };
+    let fleet = Fleet::new(FleetParts {
+        me,
+        settings,
+        rings: OwnerRings { requests, notifications, wakeup },
+        threads: None,
+        port: owner_port,
+        scatter_gather: None,
+        published_counts: Arc::default(),
+    });
+    (fleet, StandIn { requests: requests_out, notifications: notifications_in, port, transport })
 }
 
 impl Fleet {
-    /// Has a thread take its questions, to be waited for at the end.
+    /// Has a thread take its requests until `handle` returns false; a shutdown waits for the thread.
     pub fn served_by(
         &mut self,
-        thread: Thread,
-        mut each: impl FnMut(ControlRequest) -> bool + Send + 'static,
+        stand_in: StandIn,
+        mut handle: impl FnMut(ControlRequest) -> bool + Send + 'static,
     ) {
-        let Thread { mut questions, told, port, links } = thread;
+        let StandIn { mut requests, notifications, port, transport } = stand_in;
         let run = move || {
-            let mut goes_on = true;
-            while goes_on {
-                match questions.pop() {
-                    Ok(question) => goes_on = each(question),
+            let mut running = true;
+            while running {
+                match requests.pop() {
+                    Ok(request) => running = handle(request),
                     Err(_) => std::thread::park_timeout(std::time::Duration::from_millis(1)),
                 }
             }
-            drop((told, port));
-            String::new()
+            drop((notifications, port));
+            Ok(())
         };
-        self.threads = Some((std::thread::spawn(run), links));
+        self.threads = Some(FleetThreads { replication: std::thread::spawn(run), transport });
     }
 }
--- a/crates/node/src/fleet/start.rs
+++ b/crates/node/src/fleet/start.rs
@@ -1,207 +1,178 @@
-//! The fleet's start: folder, links, threads and rings, in the order in which each can still be refused.
+//! Starts a router's side of a fleet: opens the data folder, recovers what it stores, and starts the links and the threads.
 
-use super::copies::{Copies, Parts};
-use super::gather::GatherSet;
-use super::port::{Fleet, Terms};
-use super::FleetCounts;
+use super::config::{FleetSettings, ScatterGatherConfig};
+use super::handle::{Fleet, FleetParts, FleetThreads, OwnerRings};
+use super::replication_thread::{ReplicationThread, ThreadIo};
+use super::{overlay, FleetCounts};
 use crate::clock::Clock;
 use basaltgw_config::fleet::Fleet as FleetConfig;
 use basaltgw_config::NodeConfig;
-use basaltgw_control::{decode_purges, decode_table_register, purges::MOST_PURGES, ControlParts};
+use basaltgw_control::{decode_purges, decode_table_register, purges::MOST_PURGES, ControlParts, Purges};
 use basaltgw_control::{
     BootstrapMember, TableManager, TableManagerConfig, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE,
 };
-use basaltgw_membership::{Membership, Presence, Settings as RosterSettings};
-use basaltgw_registers::{Registers, Settings as HoldSettings};
+use basaltgw_membership::{Membership, Presence, Settings as MembershipSettings};
+use basaltgw_registers::{Registers, Settings as RegisterSettings};
 use basaltgw_storage::{Found, Limits as StoreLimits, Store};
-use basaltgw_transport::{Hello, Lane, Limits as LinkLimits, PeerConfig, TransportUser, PROTOCOL_VERSION};
+use basaltgw_transport::{
+    Hello, Lane, Limits as LinkLimits, Links, PeerConfig, TransportUser, PROTOCOL_VERSION,
+};
 use basaltgw_types::{Member, Ms, TableHash, TableVersion};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::io;
 use std::sync::{Arc, Mutex};
+use std::thread::{JoinHandle, Thread};
 
-/// Entries of a store for each hold: the hold, and a purge that is kept apart from it.
-const ENTRIES_PER_HOLD: u64 = 2;
-/// Bytes of a store beyond those of the holds: the table, the marks and the purges.
-const SPARE_BYTES: u64 = 64 << 20;
-/// Time to come back of a request that found no room to ask for its promise, in milliseconds: some rounds of copying.
-const STAY_AWAY_MS: Ms = 200.0;
-/// At an orderly end what is being put down is waited for so long: some rounds among routers that are reached, and a second try.
-const END_MS: Ms = 1_000.0;
-/// But for no more than this part of the longest deadline: a process that was asked to end may be killed that long after it takes no more.
-const END_SHARE: Ms = 3.0;
+/// Store entries for each register: its record, and a purge that is stored apart from it.
+const ENTRIES_PER_REGISTER: u64 = 2;
+/// Bytes of the store beyond the registers: the table and the purges.
+const EXTRA_STORE_BYTES: u64 = 64 << 20;
+/// Retry-After of a request that found no capacity for its lease: a few replication round trips.
+const MIN_RETRY_AFTER_MS: Ms = 200.0;
+/// How long an orderly shutdown waits for uncommitted changes: a few round trips and one retry.
+const MAX_SHUTDOWN_MS: Ms = 1_000.0;
+/// That wait takes at most this part of the longest deadline: a process that is asked to end may be killed a deadline later.
+const SHUTDOWN_DEADLINE_DIVISOR: f64 = 3.0;
+/// The name of the replication thread, by which profiles and the cost experiment find it.
+const REPLICATION_THREAD_NAME: &str = "copies";
 
-/// 128 random bits of the system's, new with each call.
-pub(crate) fn draw() -> u128 {
-    let word = || u128::from(RandomState::new().build_hasher().finish());
-    word() << 64 ^ word().rotate_left(17) ^ u128::from(std::process::id()) << 32
+/// 128 random bits of the operating system, new with each call.
+pub(crate) fn random_u128() -> u128 {
+    let random_u64 = || u128::from(RandomState::new().build_hasher().finish());
+    random_u64() << 64 ^ random_u64().rotate_left(17) ^ u128::from(std::process::id()) << 32
 }
 
-fn wrong(what: impl ToString) -> io::Error {
-    io::Error::other(what.to_string())
+fn io_error(error: impl ToString) -> io::Error {
+    io::Error::other(error.to_string())
 }
 
-/// Opens the folder and starts the threads of a router of a fleet.
+/// Opens the data folder and starts the threads of a router of a fleet.
 ///
 /// # Errors
-/// If the folder can't be used, the peers' address can't be listened at, or a thread can't be started.
+/// If the folder can't be used, the listen address for peers can't be bound, or a thread can't be started.
 pub fn start(set: &FleetConfig, config: &NodeConfig, clock: Clock) -> io::Result<Fleet> {
-    let limits = &set.limits;
-    let store_limits = StoreLimits {
-        entries: limits.holds as u64 * ENTRIES_PER_HOLD + MOST_PURGES as u64,
-        bytes: limits.hold_bytes as u64 + SPARE_BYTES,
-        entry: limits.frame_bytes,
+    let folder = Folder::open(set)?;
+    let me = folder.member.clone();
+    let recovered = Recovered::read(set, config, &folder)?;
+    let membership = membership(set, &me)?;
+    let (rings, thread_rings) = rings(set.limits.ring);
+    let thread_wakeup = ThreadWakeup::default();
+    let hello = hello(set, &me, &recovered.table);
+    let links = start_links(set, hello, &thread_rings.owner_wakeup, &thread_wakeup)?;
+    let (owner_port, replication_port, transport) = links.split();
+    let published_counts: Arc<Mutex<FleetCounts>> = Arc::default();
+    let scatter_gather = set.gather.then(|| scatter_gather_config(set, config));
+    let retry_after = recovered.min_retry_after.max(MIN_RETRY_AFTER_MS);
+    let control = ControlParts {
+        me: me.clone(),
+        has_previous_data: folder.has_previous_data,
+        registers: recovered.registers,
+        membership,
+        table: recovered.table,
+        purges: recovered.purges,
+        purge_convergence_time: config.settings.purge_convergence_time,
+        shutdown_timeout: shutdown_timeout(config),
+        scatter_gather_classes: scatter_gather.as_ref().map(class_names),
+        overlay: overlay::parts(set, config.settings.purge_convergence_time, random_u128() as u64)
+            .map_err(io_error)?,
     };
-    let (store, found) = Store::open(&set.folder, store_limits, draw()).map_err(wrong)?;
-    let (incarnation, old) = match found {
-        Found::Empty(new) => (new, false),
-        Found::Life(old) => (old, true),
+    let io = ThreadIo {
+        store: folder.store,
+        port: replication_port,
+        requests: thread_rings.requests,
+        notifications: thread_rings.notifications,
+        owner_wakeup: thread_rings.owner_wakeup,
+        published_counts: Arc::clone(&published_counts),
+        link_counts: transport.counts(),
+        clock,
     };
-    let me = Member { router: set.name.clone(), incarnation };
-    log::info!("router {me} of fleet {}, {}", set.cluster, if old { "a life goes on" } else { "a new life" });
-    let settles = config.settings.purge_convergence_time;
-    let longest = config.settings.classes.iter().map(|c| c.deadline.max(c.key_window)).fold(0.0, f64::max);
-    let hold_set = HoldSettings {
+    let replication = spawn_replication_thread(control, io)?;
+    thread_wakeup.set(replication.thread());
+    Ok(Fleet::new(FleetParts {
+        me,
+        settings: fleet_settings(set, config, retry_after),
+        rings,
+        threads: Some(FleetThreads { replication, transport }),
+        port: owner_port,
+        scatter_gather,
+        published_counts,
+    }))
+}
+
+/// The open data folder.
+struct Folder {
+    store: Store,
+    /// This router, with the incarnation that the folder stores.
+    member: Member,
+    /// The folder was written by an earlier process.
+    has_previous_data: bool,
+}
+
+impl Folder {
+    fn open(set: &FleetConfig) -> io::Result<Self> {
+        let limits = &set.limits;
+        let store_limits = StoreLimits {
+            entries: limits.holds as u64 * ENTRIES_PER_REGISTER + MOST_PURGES as u64,
+            bytes: limits.hold_bytes as u64 + EXTRA_STORE_BYTES,
+            entry: limits.frame_bytes,
+        };
+        let (store, found) = Store::open(&set.folder, store_limits, random_u128()).map_err(io_error)?;
+        let (incarnation, has_previous_data) = match found {
+            Found::Empty(incarnation) => (incarnation, false),
+            Found::Life(incarnation) => (incarnation, true),
+        };
+        let member = Member { router: set.name.clone(), incarnation };
+        let folder = if has_previous_data { "with data of an earlier process" } else { "empty" };
+        log::info!("router {member} of fleet {}: data folder {folder}", set.cluster);
+        Ok(Self { store, member, has_previous_data })
+    }
+}
+
+/// What the folder stores.
+struct Recovered {
+    registers: Registers,
+    min_retry_after: Ms,
+    purges: Purges,
+    table: TableManager,
+}
+
+impl Recovered {
+    fn read(set: &FleetConfig, config: &NodeConfig, folder: &Folder) -> io::Result<Self> {
+        let (store, me) = (&folder.store, &folder.member);
+        let settings = register_settings(set, config);
+        let min_retry_after = settings.min_retry_after_ms;
+        let records = store.read(REGISTERS_SPACE).map_err(io_error)?;
+        let registers =
+            Registers::new(me.clone(), settings, records, random_u128() as u64).map_err(io_error)?;
+        let unreadable = || io_error(format!("{}: a stored purge can't be decoded", set.folder.display()));
+        let purges = decode_purges(store.read(PURGES_SPACE).map_err(io_error)?).ok_or_else(unreadable)?;
+        let table = table(set, me, store)?;
+        Ok(Self { registers, min_retry_after, purges, table })
+    }
+}
+
+fn register_settings(set: &FleetConfig, config: &NodeConfig) -> RegisterSettings {
+    let limits = &set.limits;
+    let longest_repeat =
+        config.settings.classes.iter().map(|c| c.deadline.max(c.key_window)).fold(0.0, f64::max);
+    let usual = RegisterSettings::usual();
+    RegisterSettings {
         max_open_requests: limits.open_asks,
         max_registers: limits.holds,
         max_bytes: limits.hold_bytes,
         max_outcome_bytes: limits.outcome_bytes,
         max_message_bytes: limits.frame_bytes,
-        max_retry_after_ms: config.settings.max_retry_after.max(STAY_AWAY_MS),
-        execution_retention_ms: HoldSettings::usual().execution_retention_ms.max(2.0 * longest),
-        purge_retention_ms: (2.0 * settles).max(1_000.0),
+        max_retry_after_ms: config.settings.max_retry_after.max(MIN_RETRY_AFTER_MS),
+        execution_retention_ms: usual.execution_retention_ms.max(2.0 * longest_repeat),
+        purge_retention_ms: (2.0 * config.settings.purge_convergence_time).max(1_000.0),
         sync_batch: limits.fill_portion,
         sync_pause_ms: limits.fill_pause_ms.max(1.0),
-        ..HoldSettings::usual()
-    };
-    let stay_away_least = hold_set.min_retry_after_ms;
-    let records = store.read(REGISTERS_SPACE).map_err(wrong)?;
-    let holds = Registers::new(me.clone(), hold_set, records, draw() as u64).map_err(wrong)?;
-    let unread = || wrong(format!("{}: a purge that can't be read", set.folder.display()));
-    let purges = decode_purges(store.read(PURGES_SPACE).map_err(wrong)?).ok_or_else(unread)?;
-    let table = table(set, &me, &store)?;
-    let presence = Presence { member: me.clone(), address: set.listen, domain: set.domain.clone() };
-    let listed = set.peers.iter().map(|p| p.name.clone()).collect();
-    let roster_set = RosterSettings { listed, ..RosterSettings::default() };
-    let roster = Membership::new(presence, roster_set, draw() as u64).map_err(wrong)?;
-
-    let (questions, asked) = rtrb::RingBuffer::new(limits.ring);
-    let (tell, told) = rtrb::RingBuffer::new(limits.ring);
-    let (ring, bell) = async_channel::bounded(1);
-    let waker: Arc<Mutex<Option<std::thread::Thread>>> = Arc::default();
-    let wake_copies = {
-        let waker = Arc::clone(&waker);
-        move || {
-            if let Ok(thread) = waker.lock() {
-                thread.iter().for_each(std::thread::Thread::unpark);
-            }
-        }
-    };
-    let ring_owner = {
-        let ring = ring.clone();
-        move || {
-            let _ = ring.try_send(());
-        }
-    };
-    let users = [
-        TransportUser { lanes: vec![Lane::ScatterGather], wake: Box::new(ring_owner) },
-        TransportUser {
-            lanes: vec![Lane::Membership, Lane::Registers, Lane::Table],
-            wake: Box::new(wake_copies),
-        },
-    ];
-    let hello = Hello {
-        protocol: PROTOCOL_VERSION,
-        cluster: Arc::clone(&set.cluster),
-        member: me.clone(),
-        domain: set.domain.clone(),
-        table: table.version().unwrap_or((TableVersion(0), TableHash([0; 32]))),
-    };
-    let listed = set.peers.iter().map(|p| PeerConfig {
-        router: p.name.clone(),
-        address: p.address,
-        domain: p.domain.clone(),
-    });
-    let link_limits = LinkLimits {
-        max_queued_frames: limits.lane_frames,
-        max_queued_bytes: limits.lane_bytes,
-        max_frame_bytes: limits.frame_bytes,
-        ring_entries: limits.ring,
-    };
-    let link_set = (link_limits, super::overlay::links(set));
-    let links =
-        basaltgw_transport::start(hello, set.listen, listed.collect(), link_set, draw() as u64, users)?;
-    let (own_port, copies_port, links) = links.split();
-    let shown: Arc<Mutex<FleetCounts>> = Arc::default();
-    let gather = set.gather.then(|| GatherSet {
-        branch: Arc::clone(&set.domain.branch),
-        branches: set
-            .peers
-            .iter()
-            .map(|p| &p.domain)
-            .chain([&set.domain])
-            .map(|d| Arc::clone(&d.branch))
-            .collect(),
-        draw: draw(),
-        settles,
-        classes: config.settings.classes.clone(),
-    });
-    let control = ControlParts {
-        me: me.clone(),
-        has_previous_data: old,
-        registers: holds,
-        membership: roster,
-        table,
-        purges,
-        purge_convergence_time: settles,
-        shutdown_timeout: (config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max)
-            / END_SHARE)
-            .min(END_MS),
-        scatter_gather_classes: gather
-            .as_ref()
-            .map(|g| g.classes.iter().map(|c| Arc::from(c.name.as_str())).collect()),
-        overlay: super::overlay::parts(set, settles, draw() as u64).map_err(wrong)?,
-    };
-    let parts = Parts {
-        control,
-        store,
-        port: copies_port,
-        questions: asked,
-        told: tell,
-        bell: ring,
-        shown: Arc::clone(&shown),
-        counts: links.counts(),
-        clock,
-    };
-    let run = move || match Copies::new(parts).run() {
-        Ok(()) => String::new(),
-        Err(why) => why,
-    };
-    let thread = std::thread::Builder::new().name("copies".into()).spawn(run)?;
-    if let Ok(mut waker) = waker.lock() {
-        *waker = Some(thread.thread().clone());
+        ..usual
     }
-    let terms = Terms {
-        effects: set.holds.effects,
-        purges: set.holds.purges,
-        promise: limits.promise_ms,
-        stay_away: stay_away_least.max(STAY_AWAY_MS),
-        outcome_bytes: limits.outcome_bytes,
-    };
-    let effects = config.settings.classes.iter().map(|c| c.idempotency).collect();
-    Ok(Fleet::new(
-        me,
-        effects,
-        terms,
-        (questions, told, bell),
-        (Some((thread, links)), own_port),
-        gather,
-        shown,
-    ))
 }
 
-/// The table's owner, with what was adopted before.
+/// The placement table as it was adopted before, or the bootstrap members of the configuration.
 fn table(set: &FleetConfig, me: &Member, store: &Store) -> io::Result<TableManager> {
     let mut founders: BTreeMap<_, _> = set
         .peers
@@ -209,24 +180,21 @@
         .map(|p| (p.name.clone(), BootstrapMember { address: p.address, domain: p.domain.clone() }))
         .collect();
     founders.insert(set.name.clone(), BootstrapMember { address: set.listen, domain: set.domain.clone() });
-    let kept = match store.get(TABLE_SPACE, &[]).map_err(wrong)? {
-        Some(bytes) => {
-            let found = decode_table_register(&bytes);
-            Some(found.map_err(|e| wrong(format!("{}: the table kept there: {e}", set.folder.display())))?)
-        }
-        None => None,
-    };
-    let given = TableManagerConfig {
+    let unreadable =
+        |e| io_error(format!("{}: the stored table can't be decoded: {e}", set.folder.display()));
+    let stored = store.get(TABLE_SPACE, &[]).map_err(io_error)?;
+    let register = stored.map(|bytes| decode_table_register(&bytes)).transpose().map_err(unreadable)?;
+    let config = TableManagerConfig {
         me: me.clone(),
         founders,
         capacity: set.limits.holds as u64,
         rules: rules(set),
         replace_after: set.limits.replace_after_ms,
     };
-    TableManager::new(given, kept).map_err(wrong)
+    TableManager::new(config, register).map_err(io_error)
 }
 
-/// The rules of the file, or those that the section itself amounts to.
+/// The placement rules as file name and text: those of the rules file, or those that the section itself amounts to.
 pub fn rules(set: &FleetConfig) -> Vec<(String, String)> {
     match &set.rules {
         Some(rules) => vec![(rules.file.display().to_string(), rules.text.clone())],
@@ -239,3 +207,125 @@
         }
     }
 }
+
+fn membership(set: &FleetConfig, me: &Member) -> io::Result<Membership> {
+    let presence = Presence { member: me.clone(), address: set.listen, domain: set.domain.clone() };
+    let listed = set.peers.iter().map(|p| p.name.clone()).collect();
+    let settings = MembershipSettings { listed, ..MembershipSettings::default() };
+    Membership::new(presence, settings, random_u128() as u64).map_err(io_error)
+}
+
+/// The replication thread's ends of the rings to and from the owner.
+struct ThreadRings {
+    requests: rtrb::Consumer<super::ControlRequest>,
+    notifications: rtrb::Producer<super::ControlNotification>,
+    owner_wakeup: async_channel::Sender<()>,
+}
+
+fn rings(entries: usize) -> (OwnerRings, ThreadRings) {
+    let (requests, requests_out) = rtrb::RingBuffer::new(entries);
+    let (notifications_in, notifications) = rtrb::RingBuffer::new(entries);
+    let (owner_wakeup, wakeup) = async_channel::bounded(1);
+    let owner = OwnerRings { requests, notifications, wakeup };
+    (owner, ThreadRings { requests: requests_out, notifications: notifications_in, owner_wakeup })
+}
+
+/// Wakes the replication thread, once that has been started.
+#[derive(Clone, Default)]
+struct ThreadWakeup(Arc<Mutex<Option<Thread>>>);
+
+impl ThreadWakeup {
+    fn set(&self, thread: &Thread) {
+        if let Ok(mut slot) = self.0.lock() {
+            *slot = Some(thread.clone());
+        }
+    }
+
+    fn wake(&self) {
+        if let Ok(slot) = self.0.lock() {
+            slot.iter().for_each(Thread::unpark);
+        }
+    }
+}
+
+fn hello(set: &FleetConfig, me: &Member, table: &TableManager) -> Hello {
+    Hello {
+        protocol: PROTOCOL_VERSION,
+        cluster: Arc::clone(&set.cluster),
+        member: me.clone(),
+        domain: set.domain.clone(),
+        table: table.version().unwrap_or((TableVersion(0), TableHash([0; 32]))),
+    }
+}
+
+fn start_links(
+    set: &FleetConfig,
+    hello: Hello,
+    owner_wakeup: &async_channel::Sender<()>,
+    thread_wakeup: &ThreadWakeup,
+) -> io::Result<Links> {
+    let (owner_wakeup, thread_wakeup) = (owner_wakeup.clone(), thread_wakeup.clone());
+    let wake_owner = move || {
+        let _ = owner_wakeup.try_send(());
+    };
+    let users = [
+        TransportUser { lanes: vec![Lane::ScatterGather], wake: Box::new(wake_owner) },
+        TransportUser {
+            lanes: vec![Lane::Membership, Lane::Registers, Lane::Table],
+            wake: Box::new(move || thread_wakeup.wake()),
+        },
+    ];
+    let peer = |p: &basaltgw_config::fleet::Peer| PeerConfig {
+        router: p.name.clone(),
+        address: p.address,
+        domain: p.domain.clone(),
+    };
+    let peers = set.peers.iter().map(peer).collect();
+    let limits = LinkLimits {
+        max_queued_frames: set.limits.lane_frames,
+        max_queued_bytes: set.limits.lane_bytes,
+        max_frame_bytes: set.limits.frame_bytes,
+        ring_entries: set.limits.ring,
+    };
+    let settings = (limits, overlay::link_settings(set));
+    basaltgw_transport::start(hello, set.listen, peers, settings, random_u128() as u64, users)
+}
+
+fn scatter_gather_config(set: &FleetConfig, config: &NodeConfig) -> ScatterGatherConfig {
+    let domains = set.peers.iter().map(|p| &p.domain).chain([&set.domain]);
+    ScatterGatherConfig {
+        branch: Arc::clone(&set.domain.branch),
+        branches: domains.map(|d| Arc::clone(&d.branch)).collect(),
+        seed: random_u128(),
+        purge_convergence_time: config.settings.purge_convergence_time,
+        classes: config.settings.classes.clone(),
+    }
+}
+
+fn class_names(scatter_gather: &ScatterGatherConfig) -> Vec<Arc<str>> {
+    scatter_gather.classes.iter().map(|c| Arc::from(c.name.as_str())).collect()
+}
+
+fn shutdown_timeout(config: &NodeConfig) -> Ms {
+    let longest_deadline = config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+    (longest_deadline / SHUTDOWN_DEADLINE_DIVISOR).min(MAX_SHUTDOWN_MS)
+}
+
+fn spawn_replication_thread(
+    control: ControlParts,
+    io: ThreadIo,
+) -> io::Result<JoinHandle<Result<(), super::replication_thread::ReplicationError>>> {
+    let run = move || ReplicationThread::new(control, io).run();
+    std::thread::Builder::new().name(REPLICATION_THREAD_NAME.into()).spawn(run)
+}
+
+fn fleet_settings(set: &FleetConfig, config: &NodeConfig, retry_after: Ms) -> FleetSettings {
+    FleetSettings {
+        replicate_executions: set.holds.effects,
+        replicate_purges: set.holds.purges,
+        lease_timeout: set.limits.promise_ms,
+        retry_after,
+        max_outcome_bytes: set.limits.outcome_bytes,
+        idempotency: config.settings.classes.iter().map(|c| c.idempotency).collect(),
+    }
+}
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -1,41 +1,44 @@
-//! What must hold of all that the router does, watched where it is done.
+//! Checks the router's invariants at the places where it acts, and counts each violation under its name.
 //!
-//! [`crate::permissions`] decides beforehand; this sees what really happens, by its own reckoning, and counts what breaks a rule, by name,
-//! in every build. The first violation of each kind is logged with its ids; a debug build panics, so that tests fail where it happened.
+//! [`crate::permissions`] decides beforehand; this checker observes what is really done, by its own reckoning, and shares no rule with the
+//! deciders. The first violation of each kind is logged with its ids. A debug build panics, so that a test fails at the place.
+
+#[cfg(test)]
+mod tests;
 
 use basaltgw::api::{AttemptResult, Idempotency, Ms};
 use std::cell::Cell;
 use std::fmt;
 use std::time::Duration;
 
-/// An attempt that begins later than this after its client has left is a lost request.
-const AFTER_CLIENT_LEFT: Duration = Duration::from_millis(100);
-/// The deadline that is passed to a server may exceed what the client has left by this.
-const DEADLINE_SLACK_MS: Ms = 150.0;
+/// An attempt may start for this long after its client has left: the owner learns of that with a delay.
+const CLIENT_LEFT_TOLERANCE: Duration = Duration::from_millis(100);
+/// The timeout that is passed to a server may exceed the client's remaining time by this.
+const TIMEOUT_TOLERANCE_MS: Ms = 150.0;
 
-/// A rule that was broken.
+/// An invariant that was violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A request was answered that was not open.
+    /// A response was sent for a request that was not open.
     SecondAnswer,
-    /// An attempt began after its client had left.
+    /// An attempt started after its client had left.
     AttemptAfterClientLeft,
-    /// A request was sent again that must not run twice, and may have run.
+    /// A non-idempotent request was attempted again though it may have been executed.
     RepeatAfterExecution,
-    /// A request was refused, which invites a repeat, that must not run twice and may have run.
+    /// A non-idempotent request was rejected, which invites a retry, though it may have been executed.
     RefusalAfterExecution,
-    /// Something was sent to a server that drains or is gone.
+    /// A request was sent to a server that is draining or removed.
     SentToDrained,
-    /// A server was told of more time than the client has left.
+    /// A server was given more time than the client has left.
     DeadlineExceeded,
-    /// A client's connection was closed here over a request that had no answer.
+    /// The router closed a client's connection with a request unanswered.
     ClosedOverRequest,
-    /// This router alone sent a server that had just started more than all routers may.
+    /// This router alone sent more to a server in slow start than all routers may.
     SlowStartExceeded,
 }
 
 impl Violation {
-    /// All of them, in the order of their counters.
+    /// All violations, in the order of their counters.
     pub const ALL: [Self; 8] = [
         Self::SecondAnswer,
         Self::AttemptAfterClientLeft,
@@ -48,7 +51,7 @@
     ];
 }
 
-/// Counts of violations.
+/// The checker, with its counts.
 #[derive(Debug, Default)]
 pub struct Invariants {
     counts: [Cell<u64>; Violation::ALL.len()],
@@ -57,18 +60,21 @@
 /// A fetch whose first byte is being written.
 #[derive(Clone, Copy, Debug)]
 pub struct FetchBegun {
-    /// For how long its client has been gone; `None` while it waits.
+    /// How long ago its client left; `None` while it waits.
     pub client_gone_for: Option<Duration>,
-    /// For how long its server has been told to drain, or to be gone, beyond the grace; `None` if it has not.
+    /// By how much its server has been draining or removed for longer than the grace period; `None` if it is not.
     pub drained_beyond_grace: Option<Duration>,
-    /// How long the server is told that the router waits.
+    /// The timeout that is passed to the server.
     pub passed_on_ms: Ms,
     /// How long the client still waits.
     pub client_left_ms: Ms,
 }
 
 impl Invariants {
-    /// Counts a violation; the ids say of what.
+    /// Counts a violation; `ids` names the request or connection.
+    ///
+    /// # Panics
+    /// In debug builds, unless the feature `breaks` is enabled.
     pub fn violated(&self, violation: Violation, ids: fmt::Arguments<'_>) {
         let count = &self.counts[violation as usize];
         count.set(count.get() + 1);
@@ -81,67 +87,67 @@
         }
     }
 
-    /// How often a rule was broken.
+    /// How often an invariant was violated.
     pub fn count(&self, violation: Violation) -> u64 {
         self.counts[violation as usize].get()
     }
 
-    /// An answer is put in line for a client.
-    pub fn answered(&self, was_open: bool, ids: fmt::Arguments<'_>) {
+    /// Checks a response that is queued for a client.
+    pub fn check_answer(&self, was_open: bool, ids: fmt::Arguments<'_>) {
         if !was_open {
             self.violated(Violation::SecondAnswer, ids);
         }
     }
 
-    /// A request is sent (again), after attempts that ended so or are out.
-    pub fn attempted(
+    /// Checks an attempt; `earlier` are the results of the request's earlier ones, `None` of those in flight.
+    pub fn check_attempt(
         &self,
-        effect: Idempotency,
+        idempotency: Idempotency,
         earlier: impl IntoIterator<Item = Option<AttemptResult>>,
         ids: fmt::Arguments<'_>,
     ) {
-        if effect == Idempotency::NonIdempotent && earlier.into_iter().any(may_have_run) {
+        if idempotency == Idempotency::NonIdempotent && earlier.into_iter().any(may_have_executed) {
             self.violated(Violation::RepeatAfterExecution, ids);
         }
     }
 
-    /// A request is refused, after attempts that ended so or are out.
-    pub fn refused(
+    /// Checks a rejection; `earlier` are the results of the request's attempts, `None` of those in flight.
+    pub fn check_rejection(
         &self,
-        effect: Idempotency,
+        idempotency: Idempotency,
         earlier: impl IntoIterator<Item = Option<AttemptResult>>,
         ids: fmt::Arguments<'_>,
     ) {
-        if effect == Idempotency::NonIdempotent && earlier.into_iter().any(may_have_run) {
+        if idempotency == Idempotency::NonIdempotent && earlier.into_iter().any(may_have_executed) {
             self.violated(Violation::RefusalAfterExecution, ids);
         }
     }
 
-    /// The first byte of a fetch is being written.
+    /// Checks a fetch whose first byte is being written.
     pub fn begun(&self, fetch: &FetchBegun, ids: fmt::Arguments<'_>) {
-        if fetch.client_gone_for.is_some_and(|gone| gone > AFTER_CLIENT_LEFT) {
+        if fetch.client_gone_for.is_some_and(|gone| gone > CLIENT_LEFT_TOLERANCE) {
             self.violated(Violation::AttemptAfterClientLeft, ids);
         }
         if fetch.drained_beyond_grace.is_some() {
             self.violated(Violation::SentToDrained, ids);
         }
-        if fetch.passed_on_ms > fetch.client_left_ms + DEADLINE_SLACK_MS {
+        if fetch.passed_on_ms > fetch.client_left_ms + TIMEOUT_TOLERANCE_MS {
             self.violated(Violation::DeadlineExceeded, ids);
         }
     }
 
-    /// A client's connection was closed on this side's wish, with so many requests that were neither answered nor taken back.
-    pub fn closed(&self, unanswered: usize, ids: fmt::Arguments<'_>) {
+    /// Checks a client's connection that the router has closed, with the number of requests neither answered nor cancelled.
+    pub fn check_close(&self, unanswered: usize, ids: fmt::Arguments<'_>) {
         if unanswered > 0 {
             self.violated(Violation::ClosedOverRequest, ids);
         }
     }
 }
 
-/// An attempt that is out, or whose end proves nothing.
-fn may_have_run(end: Option<AttemptResult>) -> bool {
+/// Whether a server may have executed an attempt, or may yet. Written out here: the checker shares no rule with what it checks.
+fn may_have_executed(result: Option<AttemptResult>) -> bool {
     !matches!(
-        end,
+        result,
         Some(
             AttemptResult::Rejected
                 | AttemptResult::NoConnection
@@ -150,73 +156,3 @@
         )
     )
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::panic::{catch_unwind, AssertUnwindSafe};
-
-    /// Whether this is a violation of that kind.
-    fn violates(violation: Violation, act: impl FnOnce(&Invariants)) -> bool {
-        let invariants = Invariants::default();
-        let panicked = catch_unwind(AssertUnwindSafe(|| act(&invariants))).is_err();
-        assert_eq!(panicked, cfg!(debug_assertions) && invariants.count(violation) > 0);
-        invariants.count(violation) == 1
-    }
-
-    const FETCH: FetchBegun = FetchBegun {
-        client_gone_for: None,
-        drained_beyond_grace: None,
-        passed_on_ms: 1_150.0,
-        client_left_ms: 1_000.0,
-    };
-
-    #[test]
-    fn each_violation_is_counted_under_its_name() {
-        let ids = || format_args!("request 1");
-        assert!(violates(Violation::SecondAnswer, |i| i.answered(false, ids())));
-        assert!(!violates(Violation::SecondAnswer, |i| i.answered(true, ids())));
-        let broken = [Some(AttemptResult::ConnectionLost)];
-        assert!(violates(Violation::RepeatAfterExecution, |i| i.attempted(
-            Idempotency::NonIdempotent,
-            broken,
-            ids()
-        )));
-        assert!(violates(Violation::RepeatAfterExecution, |i| i.attempted(
-            Idempotency::NonIdempotent,
-            [None],
-            ids()
-        )));
-        assert!(!violates(Violation::RepeatAfterExecution, |i| i.attempted(
-            Idempotency::Idempotent,
-            broken,
-            ids()
-        )));
-        assert!(violates(Violation::RefusalAfterExecution, |i| i.refused(
-            Idempotency::NonIdempotent,
-            broken,
-            ids()
-        )));
-        let full = [Some(AttemptResult::Rejected)];
-        assert!(!violates(Violation::RefusalAfterExecution, |i| i.refused(
-            Idempotency::NonIdempotent,
-            full,
-            ids()
-        )));
-        assert!(violates(Violation::ClosedOverRequest, |i| i.closed(1, ids())));
-        assert!(!violates(Violation::ClosedOverRequest, |i| i.closed(0, ids())));
-    }
-
-    #[test]
-    fn fetch_that_begins_is_held_against_client_server_and_deadline() {
-        let begun = |fetch: FetchBegun| move |i: &Invariants| i.begun(&fetch, format_args!("request 1"));
-        assert!(!violates(Violation::DeadlineExceeded, begun(FETCH)));
-        let late = FetchBegun { passed_on_ms: 1_151.0, ..FETCH };
-        assert!(violates(Violation::DeadlineExceeded, begun(late)));
-        let left = |ms| FetchBegun { client_gone_for: Some(Duration::from_millis(ms)), ..FETCH };
-        assert!(!violates(Violation::AttemptAfterClientLeft, begun(left(100))));
-        assert!(violates(Violation::AttemptAfterClientLeft, begun(left(101))));
-        let drained = FetchBegun { drained_beyond_grace: Some(Duration::ZERO), ..FETCH };
-        assert!(violates(Violation::SentToDrained, begun(drained)));
-    }
-}
--- /dev/null
+++ b/crates/node/src/owner/admission.rs
@@ -0,0 +1,110 @@
+//! A request from its admission to its response.
+//!
+//! Every request enters by [`Owner::admit`], and every response leaves by [`Owner::answer`]: admission -> lease, if it must not run twice ->
+//! routing -> attempts -> response -> the lease's outcome.
+
+use super::requester::{Delivered, IncomingRequest, Requester};
+use super::{request_id, Owner};
+use crate::caches::RequestNo;
+use crate::clients::Reply;
+use crate::permissions::may_run_again;
+use basaltgw::api::{Event, Request};
+
+impl Owner {
+    /// Admits a request if there is capacity. What has to be done before a request may be attempted belongs between the registration and
+    /// the routing.
+    pub(super) fn admit(&mut self, incoming: IncomingRequest) {
+        if self.requests.is_full() {
+            return self.reject_unadmitted(incoming.requester);
+        }
+        let requester = incoming.requester;
+        let no = self.requests.insert(incoming, &self.memory.meter);
+        self.register_admitted(requester, no);
+        if self.requires_lease(no) {
+            self.acquire_lease(no);
+        } else {
+            self.route(no);
+        }
+    }
+
+    /// Hands an admitted request to the decision module.
+    pub(super) fn route(&mut self, no: RequestNo) {
+        let Some(pending) = self.requests.get(no) else { return };
+        let event = Event::Request(Request {
+            id: request_id(no),
+            class: pending.class,
+            object: pending.request.object,
+            part: pending.request.part,
+            group: pending.request.group,
+            size_kb: pending.request.size_kb,
+            write: pending.is_write(),
+            budget: pending.deadline - self.time.now,
+        });
+        self.dispatch(event);
+    }
+
+    /// A rejection invites the client to send its request again. If that could execute it twice, it becomes a failure.
+    fn without_unsafe_rejection<'a>(&self, no: RequestNo, reply: Reply<'a>) -> Reply<'a> {
+        let (Reply::Refused(_), Some(pending)) = (reply, self.requests.get(no)) else { return reply };
+        let policy = self.config.retry_policy(pending.class);
+        match may_run_again(&policy, pending.earlier_attempts(self.time.now)) {
+            Ok(()) => reply,
+            Err(refusal) => {
+                log::debug!("request {}: failed instead of rejected: {refusal}", no.0);
+                Reply::Failed
+            }
+        }
+    }
+
+    /// Answers a request, once. All responses of the decision module and of servers go through this.
+    pub(super) fn answer(&mut self, no: RequestNo, reply: Reply<'_>) {
+        let reply = self.without_unsafe_rejection(no, reply);
+        if let (Reply::Refused(_), Some(pending)) = (reply, self.requests.get(no)) {
+            let idempotency = self.config.retry_policy(pending.class).idempotency;
+            let ids = format_args!("request {}", no.0);
+            self.monitors.invariants.check_rejection(idempotency, pending.results(), ids);
+        }
+        // The outcome of a leased request is durable before anybody learns of it.
+        if !self.record_outcome(no, reply) {
+            self.reply(no, reply);
+        }
+    }
+
+    /// Hands a response to the requester.
+    pub(super) fn reply(&mut self, no: RequestNo, reply: Reply<'_>) {
+        let Some(answered) = self.requests.mark_answered(no) else { return };
+        if self.deliver(answered.requester, reply, answered.copy) == Delivered::ToClient {
+            self.counters.clients.answered(&reply);
+        }
+        self.remove_if_complete(no);
+    }
+
+    /// The requester no longer waits.
+    pub(super) fn on_requester_left(&mut self, no: RequestNo) {
+        if self.cancel_scatter_gather(no) {
+            return;
+        }
+        let routed = self.requests.get(no).is_some_and(|pending| !pending.lease.is_awaited());
+        if self.abandon(no) {
+            if routed {
+                self.dispatch(Event::ClientDisconnected(request_id(no)));
+            }
+            // No byte of these attempts is written, so cancelling them needs no decision.
+            self.withdraw_unsent(no);
+        }
+        self.remove_if_complete(no);
+    }
+
+    /// Marks a request as answered without a response; false if it was answered before.
+    pub(super) fn abandon(&mut self, no: RequestNo) -> bool {
+        let Some(answered) = self.requests.mark_answered(no) else { return false };
+        self.counters.clients.left.more(matches!(answered.requester, Requester::Client(..)).into());
+        true
+    }
+
+    /// Removes a request that is complete, and settles its lease.
+    pub(super) fn remove_if_complete(&mut self, no: RequestNo) {
+        self.settle_abandoned_lease(no);
+        self.requests.remove_if_complete(no);
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/attempts/complete.rs
@@ -0,0 +1,145 @@
+//! Results of attempts: answers of servers, closed connections, and how the decision module learns of them.
+
+use super::{Attempt, AttemptReport, Delivery, NO_REPORT};
+use crate::breaks::{broken, Break};
+use crate::caches::{Answer, AttemptKey, ConnId, Down};
+use crate::clients::Reply;
+use crate::inbox::Over;
+use crate::outbox::Stage;
+use crate::owner::requests::PendingRequest;
+use crate::owner::{request_id, Owner};
+use basaltgw::api::{AttemptResult, Event, Ms, Outcome};
+
+impl Owner {
+    /// A connection to a server is closed, and with it ends what was in flight on it.
+    pub(in crate::owner) fn on_connection_closed(&mut self, connection: ConnId, reason: Down) {
+        let counters = &self.counters.conns;
+        match reason {
+            Down::NeverUp => counters.failed.one(),
+            Down::Shortage => counters.shortages.one(),
+            Down::Ended(Over::Ended | Over::Silent | Over::Quiet(_) | Over::Dropped) => {}
+            Down::Ended(Over::Unreadable(_)) => counters.unreadable.one(),
+            Down::Ended(Over::Unfinished) => counters.unfinished.one(),
+        }
+        self.reap_aborted(|aborting| aborting.connection == connection);
+        for key in self.upstream.caches.down(connection) {
+            let result = match (reason, self.requests.attempt(key).and_then(Attempt::stage)) {
+                (Down::NeverUp, _) => AttemptResult::NoConnection,
+                // Nothing was written, and the server is not at fault.
+                (Down::Shortage, _) => AttemptResult::NotSent,
+                (Down::Ended(_), Some(Stage::Written)) => AttemptResult::ConnectionLost,
+                // Its last byte was not written.
+                (Down::Ended(_), _) => AttemptResult::NotSent,
+            };
+            self.end_attempt(key, result, NO_REPORT, Delivery::Now);
+        }
+    }
+
+    /// A server answers an attempt, or confirms an abort.
+    pub(in crate::owner) fn on_answer(&mut self, connection: ConnId, answer: Answer) {
+        let is_abort_of = |aborting: &super::AbortingAttempt| aborting.tag == answer.id;
+        if self.upstream.aborting.iter().any(|a| a.connection == connection && is_abort_of(a)) {
+            self.reap_aborted(is_abort_of);
+            return;
+        }
+        let key = self.upstream.caches.answered(self.time.now, connection, &answer.id);
+        let (Some(key), Some(result)) = (key, answer.end) else {
+            self.counters.attempts.late_answers.more(answer.end.is_some().into());
+            return;
+        };
+        let is_write = self.requests.get(key.0).is_some_and(PendingRequest::is_write);
+        if result == AttemptResult::Served && answer.copy.is_none() && !is_write {
+            return self.on_malformed_answer(key, connection);
+        }
+        if let Some(copy) = &answer.copy {
+            let shift = self.time.observe(copy.born as Ms);
+            self.on_clock_corrected(shift);
+        }
+        if result == AttemptResult::Served {
+            if let Some(pending) = self.requests.get_mut(key.0) {
+                pending.copy.clone_from(&answer.copy);
+            }
+            let reply = if answer.same { Reply::Same } else { Reply::Served(answer.body.bytes()) };
+            self.answer(key.0, reply);
+        }
+        let report = AttemptReport {
+            fill: answer.note,
+            source_wait: answer.waited,
+            load: answer.load,
+            body_complete: result == AttemptResult::Served && !answer.same,
+        };
+        self.end_attempt(key, result, report, Delivery::Now);
+    }
+
+    /// A read's answer without its copy's tag is malformed, and so is the rest of its connection. What else is in flight there stays so
+    /// until the socket is closed.
+    fn on_malformed_answer(&mut self, key: AttemptKey, connection: ConnId) {
+        self.counters.conns.unreadable.one();
+        self.upstream.caches.end(connection);
+        self.recall(|_, attempt| attempt.is_on(connection));
+        self.end_attempt(key, AttemptResult::ConnectionLost, NO_REPORT, Delivery::Now);
+    }
+
+    /// Ends an attempt that is in flight.
+    pub(super) fn end_attempt(
+        &mut self,
+        key: AttemptKey,
+        result: AttemptResult,
+        report: AttemptReport,
+        delivery: Delivery,
+    ) {
+        let attempt = self.requests.attempt_mut(key);
+        if attempt.is_some_and(|attempt| attempt.in_flight.take().is_some()) {
+            self.report(key, result, report, delivery);
+        }
+    }
+
+    /// Records an attempt's result and hands it to the decision module.
+    pub(super) fn report(
+        &mut self,
+        key: AttemptKey,
+        result: AttemptResult,
+        report: AttemptReport,
+        delivery: Delivery,
+    ) {
+        let breaks = broken(Break::RepeatAfterExecution) && result != AttemptResult::Served;
+        let result = if breaks { AttemptResult::NotSent } else { result };
+        let (no, n) = key;
+        let Some(pending) = self.requests.get_mut(no) else { return };
+        pending.lease.on_attempt_result(result);
+        let Some(attempt) = pending.attempts.get_mut(n.0) else { return };
+        attempt.result = Some(result);
+        self.counters.attempts.ended(result);
+        let latency = self.time.now - attempt.started_at;
+        if let Some(class) = pending.class.filter(|_| report.body_complete) {
+            let elapsed = (latency - report.source_wait).max(1.0);
+            self.monitors.slow_start.observe_response(class.0, pending.request.object, elapsed);
+        }
+        let event = Event::Outcome(Outcome {
+            request: request_id(no),
+            attempt: n,
+            server: attempt.server.clone(),
+            result,
+            latency,
+            completes_request: pending.answered || pending.lease.is_completing(),
+            fill_report: report.fill,
+            source_wait: report.source_wait,
+            load: report.load,
+            body_complete: report.body_complete,
+        });
+        let tree_events = match &attempt.fill_source {
+            Some(source) => {
+                let pair = (&attempt.server, source);
+                let object = pending.request.object;
+                self.upstream.tree.ended(self.time.now, pair, object, (result, report.fill))
+            }
+            None => Vec::new(),
+        };
+        self.schedule.next_batch.extend(tree_events);
+        match delivery {
+            Delivery::NextBatch => self.schedule.next_batch.push_back(event),
+            Delivery::Now => self.dispatch(event),
+        }
+        self.remove_if_complete(no);
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/attempts/start.rs
@@ -0,0 +1,172 @@
+//! Starts attempts: permission, message, connection.
+
+use super::{Attempt, Delivery, InFlight, NO_REPORT};
+use crate::caches::{with_wait, Ask, ConnId, RequestNo};
+use crate::limits::LONGEST_WAIT_MS;
+use crate::outbox::{Counted, FetchRoute, FetchTerms, FetchTime};
+use crate::owner::requests::PendingRequest;
+use crate::owner::timers::TimerKind;
+use crate::owner::{request_no, Owner};
+use crate::permissions::{may_begin, may_run_again, BeginState};
+use basaltgw::api::{AttemptNo, AttemptResult, AttemptSpec, Ms, ServerId};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// An attempt that is about to start.
+struct NewAttempt<'a> {
+    no: RequestNo,
+    attempt: AttemptNo,
+    spec: &'a AttemptSpec,
+    /// When the router gives it up.
+    deadline: Ms,
+}
+
+impl NewAttempt<'_> {
+    /// Who fills a miss, unless the server itself does.
+    fn fill_source(&self) -> Option<&ServerId> {
+        Some(&self.spec.fill_source).filter(|source| **source != self.spec.server)
+    }
+}
+
+impl Owner {
+    /// Starts an attempt if it may; if not, the decision module learns that it was not sent.
+    pub(in crate::owner) fn start_attempt(&mut self, spec: AttemptSpec) {
+        let Some(no) = request_no(&spec.request) else { return };
+        // If the client has left and the owner has not handled that yet, this is the request's last attempt.
+        let client_waits = self.requests.get(no).is_some_and(PendingRequest::client_waits);
+        if !client_waits {
+            self.abandon(no);
+        }
+        let Some(pending) = self.requests.get(no) else { return };
+        let attempt = AttemptNo(pending.attempts.len());
+        self.counters.attempts.made.one();
+        let timeout = Some(spec.timeout).filter(|timeout| *timeout != 0.0);
+        let deadline = timeout.map_or(pending.deadline, |t| pending.deadline.min(self.time.now + t));
+        let new = NewAttempt { no, attempt, spec: &spec, deadline };
+        let in_flight = match self.check_start(pending, &new, client_waits) {
+            Ok(()) => self.send(&new),
+            Err(refusal) => {
+                log::debug!("request {}, attempt {}: not started: {refusal}", no.0, attempt.0);
+                None
+            }
+        };
+        self.record_attempt(&new, in_flight);
+    }
+
+    /// Whether the attempt may start and the request may run again; the reason against it in words.
+    fn check_start(
+        &self,
+        pending: &PendingRequest,
+        new: &NewAttempt<'_>,
+        client_waits: bool,
+    ) -> Result<(), String> {
+        let state = BeginState {
+            client_waits,
+            answered: pending.answered,
+            time_left: new.deadline - self.time.now,
+            attempts: new.attempt.0,
+            max_attempts: self.config.max_attempts,
+            listed: self.upstream.endpoints.contains_key(&new.spec.server),
+        };
+        may_begin(&state).map_err(|refusal| refusal.to_string())?;
+        let policy = self.config.retry_policy(pending.class);
+        may_run_again(&policy, pending.earlier_attempts(self.time.now)).map_err(|refusal| refusal.to_string())
+    }
+
+    /// Records an attempt that was sent, with its timers, or that was not.
+    fn record_attempt(&mut self, new: &NewAttempt<'_>, in_flight: Option<InFlight>) {
+        let (no, attempt, spec) = (new.no, new.attempt, new.spec);
+        let connection = in_flight.as_ref().map(|in_flight| in_flight.connection);
+        let Some(pending) = self.requests.get_mut(no) else { return };
+        pending.attempts.push(Attempt {
+            server: spec.server.clone(),
+            fill_source: new.fill_source().cloned(),
+            started_at: self.time.now,
+            connection,
+            in_flight,
+            result: None,
+        });
+        if connection.is_none() {
+            // Also if all connections are in use: that limit is the router's own, and says nothing of the server.
+            return self.report((no, attempt), AttemptResult::NotSent, NO_REPORT, Delivery::NextBatch);
+        }
+        self.schedule.timers.set(new.deadline, TimerKind::AttemptTimeout(no, attempt));
+        if spec.start_before.is_finite() {
+            self.schedule.timers.set(spec.start_before, TimerKind::AttemptStart(no, attempt));
+        }
+    }
+
+    /// Queues an attempt on a connection; `None` if none may be opened.
+    fn send(&mut self, new: &NewAttempt<'_>) -> Option<InFlight> {
+        let pending = self.requests.get(new.no)?;
+        let place = *self.upstream.endpoints.get(&new.spec.server)?;
+        let message = self.encode(pending, new);
+        let terms = self.fetch_terms(pending, new);
+        let (no, attempt) = (new.no, new.attempt);
+        if let Some(class) = self.config.class(pending.class) {
+            let ids = format_args!("request {}, attempt {}", no.0, attempt.0);
+            self.monitors.invariants.check_attempt(class.idempotency, pending.results(), ids);
+        }
+        let used: Vec<ConnId> = pending.attempts.iter().filter_map(|a| a.connection).collect();
+        let request = (&pending.request.id, &used[..], pending.is_write());
+        let to = (&new.spec.server, place);
+        let caches = &mut self.upstream.caches;
+        let sent = caches.send(self.time.now, to, (no, attempt), request, (message, terms));
+        sent.map(|(connection, message)| InFlight { connection, message })
+    }
+
+    /// The message of an attempt.
+    fn encode(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> Vec<u8> {
+        let (request, spec) = (&pending.request, new.spec);
+        let ask = Ask {
+            id: &request.id,
+            class: &request.class,
+            object: &request.object_text,
+            part: request.part.0,
+            wait: new.deadline - self.time.now,
+            from: new.fill_source(),
+            rank: spec.rank,
+            oldest: spec.max_age,
+            share: spec.join_fill,
+            peek: spec.cached_only,
+            renew: spec.revalidate,
+            seen: request.got.as_deref(),
+            key: request.key.as_deref(),
+            body: pending.body.as_ref().map_or(&[][..], Counted::bytes),
+        };
+        ask.encode()
+    }
+
+    /// What the writer of the connection checks when the first byte is written.
+    fn fetch_terms(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> FetchTerms {
+        let now = Instant::now();
+        let clock_now = self.time.clock.now();
+        // Times of the owner's clock in the terms of the writers.
+        let instant = |at: Ms| now + duration((at - clock_now).clamp(0.0, LONGEST_WAIT_MS));
+        let spec = new.spec;
+        FetchTerms {
+            begin_by: spec.start_before.is_finite().then(|| instant(spec.start_before)),
+            wanted: pending.liveness.clone(),
+            time: Some(FetchTime {
+                until: instant(new.deadline),
+                client_until: instant(pending.deadline),
+                made: now,
+                tell_wait: with_wait,
+            }),
+            drained: Rc::default(),
+            drain_grace: duration(self.config.drain_grace),
+            ids: (new.no.0, new.attempt.0),
+            invariants: Rc::clone(&self.monitors.invariants),
+            stalls: Rc::clone(&self.monitors.stalls),
+            route: pending.class.map(|class| FetchRoute {
+                to: [Some(spec.server.clone()), new.fill_source().cloned()],
+                class: class.0,
+                watch: Rc::clone(&self.monitors.slow_start),
+            }),
+        }
+    }
+}
+
+fn duration(span: Ms) -> Duration {
+    Duration::from_secs_f64(span.max(0.0) / 1000.0)
+}
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -1,7 +1,9 @@
-//! Queues, timers and batches: what came in is told to the module together, no oftener than the tick.
+//! The owner's loop: inputs and timers are handled in batches, no more often than the batch interval.
 
+use super::snapshot::TimedSnapshot;
+use super::timers::TimerKind;
 use super::Owner;
-use crate::caches::{Down, RequestNo};
+use crate::caches::Down;
 use crate::clients::life::Quiet;
 use crate::counters::Counters;
 use crate::limits::{CLIENT_IDLE_MS, LEAVING_MS, QUEUE};
@@ -9,174 +11,154 @@
 use async_channel::Receiver;
 use async_executor::Task;
 use async_io::Timer;
-use basaltgw::api::{AttemptNo, Event, Ms};
+use basaltgw::api::{Event, Ms};
 use basaltgw::routing::snapshot::Snapshot;
-use basaltgw_registers::RequestNumber;
 use futures_lite::future;
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// How often connections are tidied, and the longest that the owner sleeps.
-const TIDY_MS: Ms = 100.0;
+/// How often maintenance runs, and the longest that the owner sleeps.
+const MAINTENANCE_INTERVAL_MS: Ms = 100.0;
 
-/// What a timer is for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
-    Module(u64),
-    Attempt(RequestNo, AttemptNo),
-    Begin(RequestNo, AttemptNo),
-    Look(RequestNo),
-    Promise(RequestNo, RequestNumber),
-    Gather,
-}
-
-/// Timers, by their time and then in the order in which they were set.
-#[derive(Default)]
-pub(super) struct Timers {
-    heap: BinaryHeap<Reverse<(u64, u64, Due)>>,
-    ever: u64,
-}
-
-impl Timers {
-    pub(super) fn set(&mut self, at: Ms, what: Due) {
-        self.ever += 1;
-        self.heap.push(Reverse((micros(at), self.ever, what)));
-    }
-
-    /// When the first is due.
-    fn next(&self) -> Option<Ms> {
-        self.heap.peek().map(|Reverse((due, ..))| *due as f64 / 1000.0)
-    }
-
-    /// Takes out what is due.
-    fn take(&mut self, now: Ms) -> Vec<Due> {
-        let now = micros(now);
-        let mut due = Vec::new();
-        while let Some(Reverse((_, _, what))) = self.heap.peek().filter(|Reverse((at, ..))| *at <= now) {
-            due.push(*what);
-            self.heap.pop();
-        }
-        // Attempts whose time is out go before the module's own timers, in which it gives up what is left.
-        due.sort_by_key(|what| matches!(what, Due::Module(_)));
-        due
-    }
-}
-
-pub(super) fn micros(at: Ms) -> u64 {
-    (at.max(0.0) * 1000.0) as u64
-}
-
-/// What is left of an owner.
+/// What an owner leaves when the process ends.
 pub struct Ended {
-    /// What was counted.
+    /// The counters.
     pub counters: Counters,
-    /// What was learnt, with Unix times.
+    /// What the next process takes over; its times are Unix times in milliseconds.
     pub learnt: Snapshot,
-    /// When, likewise.
+    /// When that was taken, in Unix milliseconds.
     pub left_at: Ms,
-    /// What the fleet counted, as words.
+    /// The fleet's counters as `name=value` words.
     pub fleet: String,
-    /// Why it had to end, if it was not asked to.
+    /// Why the process ends, if it was not asked to.
     pub fault: Option<String>,
 }
 
 impl Owner {
-    /// Takes inputs in batches until the router has ended. `listener` accepts clients, and ends once it is told to and nobody waits there.
+    /// Handles inputs until the process may end. `listener` accepts clients, and finishes once the backlog is empty after
+    /// accepting has ended.
     pub async fn run(mut self, from: Inputs, listener: Task<()>) -> Ended {
         let mut inputs = Vec::new();
         loop {
-            // Something to do: an input, a timer, or what the last batch left.
-            let rest = self.timers.next().map_or(TIDY_MS, |due| (due - self.clock.now()).min(TIDY_MS));
-            if self.pending.is_empty() && rest > 0.0 {
-                let wake = async {
-                    Timer::after(Duration::from_secs_f64(rest / 1000.0)).await;
-                    None
-                };
-                let first = |queue: Receiver<Input>| async move { queue.recv().await.ok() };
-                let sockets = future::or(first(from.servers.clone()), first(from.clients.clone()));
-                inputs.extend(future::or(first(from.urgent.clone()), future::or(sockets, wake)).await);
-            }
-            self.stalls.turn();
-            // No oftener than the tick.
-            let rest = self.now + self.tick - self.clock.now();
-            if rest > 0.0 {
-                Timer::after(Duration::from_secs_f64(rest / 1000.0)).await;
-            }
-            // What the last batch put in line is written before what this one adds, also where a batch takes a tick.
+            inputs.extend(self.first_input(&from).await);
+            self.monitors.stalls.turn();
+            self.wait_for_batch_interval().await;
+            // What the last batch queued is written before what this one adds, even if a batch takes the whole interval.
             future::yield_now().await;
-            // Each kind has its share of a batch, so that no flood holds up the others.
+            // Each queue has a share of the batch, so that a flood on one does not delay the others.
             for queue in [&from.urgent, &from.servers, &from.clients] {
                 inputs.extend(std::iter::from_fn(|| queue.try_recv().ok()).take(QUEUE));
             }
             self.batch(&mut inputs);
-            self.stalls.turn();
-            if !self.ending.accepts(self.now) {
-                self.places.end();
-                // A client is in the table until its connection is over, and has its place until the socket is closed.
-                let open = !listener.is_finished() || self.clients.len() > 0 || self.places.taken() > 0;
-                if self.ending.over(self.now, open) {
-                    self.count();
-                    // What was taken for clients that have left is given back before the threads end.
-                    self.fleet_told();
-                    let fault = self.fleet.as_mut().and_then(|f| f.fault.take().or(f.end()));
-                    let fleet = self.fleet_words();
-                    let (learnt, left_at) = self.learnt_elsewhere();
-                    return Ended { counters: self.counters, learnt, left_at, fleet, fault };
-                }
+            self.monitors.stalls.turn();
+            if self.may_exit(&listener) {
+                return self.exit();
             }
         }
     }
 
+    /// Waits for an input, unless a timer is due or the last batch left events.
+    async fn first_input(&self, from: &Inputs) -> Option<Input> {
+        let until_timer = |due: Ms| (due - self.time.clock.now()).min(MAINTENANCE_INTERVAL_MS);
+        let sleep = self.schedule.timers.next_due().map_or(MAINTENANCE_INTERVAL_MS, until_timer);
+        if !self.schedule.next_batch.is_empty() || sleep <= 0.0 {
+            return None;
+        }
+        let slept = async {
+            Timer::after(Duration::from_secs_f64(sleep / 1000.0)).await;
+            None
+        };
+        let receive = |queue: Receiver<Input>| async move { queue.recv().await.ok() };
+        let sockets = future::or(receive(from.servers.clone()), receive(from.clients.clone()));
+        future::or(receive(from.urgent.clone()), future::or(sockets, slept)).await
+    }
+
+    async fn wait_for_batch_interval(&self) {
+        let rest = self.time.now + self.config.batch_interval - self.time.clock.now();
+        if rest > 0.0 {
+            Timer::after(Duration::from_secs_f64(rest / 1000.0)).await;
+        }
+    }
+
+    /// Whether the process was asked to shut down and nothing is open any more.
+    fn may_exit(&mut self, listener: &Task<()>) -> bool {
+        if self.shutdown.accepts(self.time.now) {
+            return false;
+        }
+        self.clients.slots.end();
+        // A client is in the table until its connection is closed, and has its slot until the socket is.
+        let open = !listener.is_finished() || self.clients.len() > 0 || self.clients.slots.taken() > 0;
+        self.shutdown.over(self.time.now, open)
+    }
+
+    fn exit(mut self) -> Ended {
+        self.collect_counters();
+        // Leases of clients that have left are released before the threads end.
+        self.on_fleet_wakeup();
+        let fault = self.fleet.as_mut().and_then(|f| f.fault.take().or(f.shut_down()));
+        let fleet = self.fleet_counters_text();
+        let TimedSnapshot { snapshot: learnt, taken_at: left_at } = self.take_snapshot();
+        Ended { counters: self.counters, learnt, left_at, fleet, fault }
+    }
+
+    /// Handles the inputs, the timers that are due, and what the last batch left.
     pub(super) fn batch(&mut self, inputs: &mut Vec<Input>) {
-        let before = std::mem::replace(&mut self.now, self.clock.now());
-        let begun = self.now;
-        self.woken(begun - before);
-        // Purges and drains go before all that came with them, and before what is decided again.
-        let (news, others): (Vec<_>, Vec<_>) =
+        let last_batch = std::mem::replace(&mut self.time.now, self.time.clock.now());
+        let begun = self.time.now;
+        self.on_pause(begun - last_batch);
+        // Endpoint lists and purges go before all other inputs, and before what is routed again.
+        let (watch_events, others): (Vec<_>, Vec<_>) =
             inputs.drain(..).partition(|input| matches!(input, Input::News(..)));
-        self.tell_written();
-        let left_over = std::mem::take(&mut self.pending);
-        news.into_iter().for_each(|input| self.input(input));
-        let silent = self.now - LEAVING_MS;
-        let unheeded = self.reap_aborted(|leaving| leaving.since < silent);
-        self.counters.attempts.unheeded.more(unheeded);
-        left_over.into_iter().for_each(|event| self.tell(event));
-        others.into_iter().for_each(|input| self.input(input));
-        for what in self.timers.take(self.now) {
-            match what {
-                Due::Module(token) => self.tell(Event::Timer(token)),
-                Due::Attempt(no, n) => self.time_out((no, n)),
-                Due::Begin(no, n) => self.begun_late((no, n)),
-                Due::Look(no) => self.look(no),
-                Due::Promise(no, ask) => self.stalled(no, ask),
-                Due::Gather => self.gather_due(),
-            }
+        self.dispatch_written();
+        let left_over = std::mem::take(&mut self.schedule.next_batch);
+        watch_events.into_iter().for_each(|input| self.handle_input(input));
+        self.reap_unconfirmed();
+        left_over.into_iter().for_each(|event| self.dispatch(event));
+        others.into_iter().for_each(|input| self.handle_input(input));
+        for kind in self.schedule.timers.take_due(self.time.now) {
+            self.on_timer(kind);
         }
-        if self.now >= self.tidied + TIDY_MS {
-            self.tidied = self.now;
-            self.tidy();
+        if self.time.now >= self.schedule.maintained_at + MAINTENANCE_INTERVAL_MS {
+            self.schedule.maintained_at = self.time.now;
+            self.maintain();
         }
         self.apply_memory_pressure();
         self.clients.release_closed();
         self.counters.batches.given.one();
-        self.counters.batches.longest.raise(self.clock.now() - begun);
-        self.counters.memory.held_most.raise(self.meter.held() as u64);
+        self.counters.batches.longest.raise(self.time.clock.now() - begun);
+        self.counters.memory.held_most.raise(self.memory.meter.held() as u64);
+    }
+
+    /// Ends cancelled attempts whose server has not confirmed that in time.
+    fn reap_unconfirmed(&mut self) {
+        let cancelled_before = self.time.now - LEAVING_MS;
+        let unconfirmed = self.reap_aborted(|aborting| aborting.since < cancelled_before);
+        self.counters.attempts.unheeded.more(unconfirmed);
+    }
+
+    fn on_timer(&mut self, kind: TimerKind) {
+        match kind {
+            TimerKind::Router(token) => self.dispatch(Event::Timer(token)),
+            TimerKind::AttemptTimeout(no, attempt) => self.on_attempt_timeout((no, attempt)),
+            TimerKind::AttemptStart(no, attempt) => self.on_start_window_closed((no, attempt)),
+            TimerKind::LeasePoll(no) => self.poll_lease(no),
+            TimerKind::LeaseTimeout(no, number) => self.on_lease_timeout(no, number),
+            TimerKind::ScatterGather => self.on_scatter_gather_timer(),
+        }
     }
 
-    /// Closes what is no longer of use.
-    fn tidy(&mut self) {
-        self.caches.tidy(self.now);
-        let events = self.tree.tick(self.now);
-        self.fleet_told();
-        self.gather_tidy();
-        self.tell_all(events);
-        // Nothing was written on them, so they count as never up.
-        for at in self.caches.unproved(self.now) {
-            self.input(Input::CacheDown(at, Down::NeverUp));
+    /// Closes idle connections, and gives the cache tree, the fleet and purges their regular turn.
+    fn maintain(&mut self) {
+        self.upstream.caches.tidy(self.time.now);
+        let events = self.upstream.tree.tick(self.time.now);
+        self.on_fleet_wakeup();
+        self.expire_scatter_gather_purges();
+        self.dispatch_all(events);
+        // Nothing was written on connections that failed their health check, so they count as never established.
+        for connection in self.upstream.caches.unproved(self.time.now) {
+            self.handle_input(Input::CacheDown(connection, Down::NeverUp));
         }
-        let ends = !self.ending.accepts(self.now);
-        let (why, idle) = if ends { (Quiet::End, 0.0) } else { (Quiet::Idle, CLIENT_IDLE_MS) };
-        self.clients.close_idle(self.now, idle, why);
+        let shutting_down = !self.shutdown.accepts(self.time.now);
+        let (reason, idle) = if shutting_down { (Quiet::End, 0.0) } else { (Quiet::Idle, CLIENT_IDLE_MS) };
+        self.clients.close_idle(self.time.now, idle, reason);
     }
 }
--- /dev/null
+++ b/crates/node/src/owner/client_inputs.rs
@@ -0,0 +1,176 @@
+//! What clients' connections send the owner: connects, messages, ends.
+
+use super::clients::Client;
+use super::requester::{ClientRequest, IncomingRequest, Requester};
+use super::scatter_gather::ScatterGather;
+use super::Owner;
+use crate::breaks::{broken, Break};
+use crate::clients::life::{Event, Life, Quiet};
+use crate::clients::presence::Wanted;
+use crate::clients::{answer, pong, ClientId, Do, FromClient, Reply, Tag};
+use crate::counters::Count;
+use crate::inbox::Over;
+use crate::outbox::Outbox;
+use basaltgw::api::Ms;
+use std::rc::Rc;
+
+impl Owner {
+    pub(super) fn on_client_connected(&mut self, id: ClientId, outbox: Outbox, connection: Rc<Life>) {
+        self.counters.clients.connected.one();
+        self.clients.connected.insert(id, Client::new(self.time.now, outbox, connection));
+    }
+
+    /// Nothing more is read of a client. Its open requests are answered, except where it sent what can't be decoded: then they may have
+    /// meant anything, and all are failed.
+    pub(super) fn on_client_stopped(&mut self, id: ClientId, reason: Over) {
+        let counters = &self.counters.clients;
+        match reason {
+            Over::Ended | Over::Dropped => {}
+            Over::Unreadable(_) => counters.closed_unreadable.one(),
+            Over::Silent => counters.closed_silent.one(),
+            Over::Unfinished => counters.closed_unfinished.one(),
+            Over::Quiet(Quiet::Idle) => counters.closed_idle.one(),
+            Over::Quiet(Quiet::Room) => counters.closed_for_room.one(),
+            Over::Quiet(Quiet::End) => counters.closed_at_end.one(),
+        }
+        if let (Over::Quiet(reason), Some(client)) = (reason, self.clients.connected.get_mut(&id)) {
+            client.close_reason = Some(reason);
+        }
+        match reason {
+            Over::Unreadable(_) => self.fail_and_disconnect(id),
+            Over::Ended | Over::Dropped | Over::Silent | Over::Unfinished | Over::Quiet(_) => {
+                self.clients.close(id);
+            }
+        }
+    }
+
+    /// A client's connection is closed; its open requests are cancelled.
+    pub(super) fn on_client_closed(&mut self, id: ClientId) {
+        let Some(client) = self.clients.connected.remove(&id) else { return };
+        let open = client.open;
+        if let Some(reason) = client.close_reason {
+            let presence = client.connection.presence();
+            let unanswered = open.keys().filter(|tag| presence.not_taken_back(**tag)).count();
+            let ids = format_args!("client {}, closed for {reason:?}, requests {:?}", id.0, open.keys());
+            self.monitors.invariants.check_close(unanswered, ids);
+        }
+        open.into_values().for_each(|no| self.on_requester_left(no));
+    }
+
+    pub(super) fn on_client_message(&mut self, id: ClientId, message: FromClient, read_at: Ms) {
+        let Some(client) = self.clients.connected.get_mut(&id).filter(|c| !c.closing) else { return };
+        client.connection.tell(Event::Taken);
+        (client.has_sent, client.last_active) = (true, self.time.now);
+        match message {
+            FromClient::Do(tag, request) => self.on_client_request(id, tag, request, read_at),
+            FromClient::Undo(_) if broken(Break::CancelIgnored) => {}
+            FromClient::Undo(tag) => self.on_client_cancel(id, tag),
+            FromClient::Ping(tag) => {
+                let ready = self.is_ready();
+                if let Some(client) = self.clients.connected.get_mut(&id) {
+                    client.outbox.put(pong(tag, ready));
+                }
+            }
+            FromClient::Unreadable(tag) => self.on_undecodable_request(id, tag),
+        }
+    }
+
+    /// Whether the router may take requests: it has an endpoint list, knows the purges, and is not shutting down.
+    fn is_ready(&self) -> bool {
+        let purges_known = self.fleet.as_ref().is_none_or(|fleet| fleet.purges_known);
+        self.upstream.list_received && purges_known && !self.shutdown.asked()
+    }
+
+    fn on_client_cancel(&mut self, id: ClientId, tag: Tag) {
+        let Some(client) = self.clients.connected.get_mut(&id) else { return };
+        client.connection.presence().heeded(tag);
+        let Some(no) = client.open.remove(&tag) else {
+            if let Some(message) = client.unsent.remove(&tag) {
+                self.counters.clients.taken_back.more(message.take_back().into());
+            }
+            return;
+        };
+        let too_many = client.has_too_many_cancellations(self.time.now);
+        self.on_requester_left(no);
+        if too_many {
+            self.counters.clients.closed_broken_rule.one();
+            self.fail_and_disconnect(id);
+        }
+    }
+
+    /// Fails a request that can't be decoded; a client that sends many of them is closed.
+    pub(super) fn on_undecodable_request(&mut self, id: ClientId, tag: Tag) {
+        let Some(client) = self.clients.connected.get_mut(&id) else { return };
+        self.counters.clients.unreadable.one();
+        client.outbox.put(answer(tag, Reply::Failed));
+        if client.has_too_many_undecodable() {
+            self.counters.clients.closed_broken_rule.one();
+            self.fail_and_disconnect(id);
+        }
+    }
+
+    fn on_client_request(&mut self, id: ClientId, tag: Tag, request: Box<Do>, read_at: Ms) {
+        let Some(client) = self.clients.connected.get_mut(&id) else { return };
+        if !client.register_tag(tag) {
+            // A response could be for either of two requests under one tag: the connection is closed, and nothing open on it is answered.
+            self.counters.clients.closed_broken_rule.one();
+            return self.disconnect(id);
+        }
+        let liveness = Wanted::new(client.connection.presence(), tag);
+        if !liveness.holds() {
+            return self.skip_cancelled_request(id, tag, &request);
+        }
+        let class = self.config.names.class(&request.class);
+        // An id is new with each request; under one that is open, a response could be for either.
+        if class.is_none() || self.requests.contains_id(&request.id) {
+            return self.on_undecodable_request(id, tag);
+        }
+        let deadline = read_at + request.left;
+        if let Some(class) = class.filter(|_| self.scatter_gather.is_some() && request.parts.is_some()) {
+            return self.on_scatter_gather_request(ClientRequest { id, tag }, class, request, deadline);
+        }
+        self.counters.clients.requests.one();
+        let requester = Requester::Client(ClientRequest { id, tag });
+        self.admit(IncomingRequest { requester, class, request, deadline, liveness: Some(liveness) });
+    }
+
+    /// Counts a request that its client cancelled before the owner took it. Its tag stays in use until the cancellation arrives.
+    fn skip_cancelled_request(&mut self, id: ClientId, tag: Tag, request: &Do) {
+        let no = self.requests.next_number();
+        self.clients.register(id, tag, no);
+        let counters = &self.counters.clients;
+        [&counters.requests, &counters.left, &counters.left_early].into_iter().for_each(Count::one);
+        if request.parts.is_some() {
+            self.scatter_gather.iter_mut().for_each(ScatterGather::count_early_cancel);
+        }
+    }
+
+    /// Closes connections for clients that wait for a slot: first those that have sent nothing yet or have been idle for longer than
+    /// clients in service are; else those that have been idle for longest after a response. A connection on which something is open, or
+    /// from which a message is queued, is never closed for this.
+    pub(super) fn close_least_active_clients(&mut self) {
+        for id in self.clients.least_active(self.time.now) {
+            if let Some(client) = self.clients.connected.get(&id) {
+                client.connection.tell(Event::Asked(Quiet::Room));
+            }
+        }
+    }
+
+    /// Drops a client whose requests can't be told apart: they are cancelled; what is queued for it is still written.
+    fn disconnect(&mut self, id: ClientId) {
+        let Some(client) = self.clients.connected.get_mut(&id) else { return };
+        client.connection.tell(Event::Dropped);
+        let open = std::mem::take(&mut client.open);
+        self.clients.close(id);
+        open.into_values().for_each(|no| self.on_requester_left(no));
+    }
+
+    /// Drops a client, and answers each of its open requests as failed.
+    fn fail_and_disconnect(&mut self, id: ClientId) {
+        let Some(client) = self.clients.connected.get(&id) else { return };
+        for tag in client.open.keys().filter(|tag| client.connection.presence().wants(**tag)) {
+            client.outbox.put(answer(*tag, Reply::Failed));
+        }
+        self.disconnect(id);
+    }
+}
--- a/crates/node/src/owner/clients.rs
+++ b/crates/node/src/owner/clients.rs
@@ -1,16 +1,12 @@
-//! Clients and their places: what each has open, what it is owed, and when it is closed.
+//! The clients that are connected: their open requests, unsent responses, and when a connection is closed.
 
-use super::asker::{Asked, Asker};
-use super::batch::micros;
-use super::gather::Gathering;
-use super::Owner;
+use super::timers::micros;
 use crate::breaks::{broken, Break};
 use crate::caches::RequestNo;
 use crate::clients::life::{Event, Life, Quiet};
+use crate::clients::places::Places;
 use crate::clients::presence::Wanted;
-use crate::clients::{answer, pong, ClientId, Do, FromClient, Reply, Tag};
-use crate::counters::Count;
-use crate::inbox::Over;
+use crate::clients::{answer, ClientId, Reply, Tag};
 use crate::limits::{
     OPEN_PER_CLIENT, ROOM_IDLE_MS, ROOM_REST_MS, ROOM_SHARE, ROOM_SILENT_MS, TAGS_KEPT, UNDONE_MOST,
     UNDONE_WINDOW_MS, UNREADABLE_MOST,
@@ -21,137 +17,181 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
+/// A client's breaches of the protocol, which end its connection when they are too many.
+struct Misuse {
+    /// Messages that could not be decoded.
+    undecodable: u32,
+    /// Cancellations since the last response.
+    cancellations: u32,
+    /// Since when those are counted.
+    counted_since: Ms,
+}
+
+/// A client that is connected.
 pub(super) struct Client {
-    pub outbox: Outbox,
-    pub open: BTreeMap<Tag, RequestNo>,
-    /// Answers that may not be written yet.
-    pub unsent: BTreeMap<Tag, Rc<OutgoingMessage>>,
-    /// Tags of its last requests.
-    used: VecDeque<Tag>,
-    /// Requests of it that could not be understood.
-    unreadable: u32,
-    /// Requests that it took back since it was last answered, and since when those are counted.
-    undone: u32,
-    undone_since: Ms,
-    /// It has sent a whole message.
-    pub spoke: bool,
-    /// When it connected, sent its last message or got its last answer.
-    pub active: Ms,
-    /// Its connection.
-    pub life: Rc<Life>,
-    /// Nothing more is taken from it: it is let go of when it has what it is owed.
-    closing: bool,
-    /// Why it is closed here though it did nothing wrong.
-    closed_here: Option<Quiet>,
+    pub(super) outbox: Outbox,
+    pub(super) open: BTreeMap<Tag, RequestNo>,
+    /// Responses of which nothing is written yet.
+    pub(super) unsent: BTreeMap<Tag, Rc<OutgoingMessage>>,
+    /// The tags of its last requests.
+    recent_tags: VecDeque<Tag>,
+    misuse: Misuse,
+    /// It has sent a complete message.
+    pub(super) has_sent: bool,
+    /// When it connected, sent its last message or got its last response.
+    pub(super) last_active: Ms,
+    /// The state of its connection.
+    pub(super) connection: Rc<Life>,
+    /// Nothing more is read from it; it is released once nothing is pending for it.
+    pub(super) closing: bool,
+    /// Why the router closes it, if the router does.
+    pub(super) close_reason: Option<Quiet>,
 }
 
 impl Client {
-    fn new(now: Ms, outbox: Outbox, life: Rc<Life>) -> Self {
+    pub(super) fn new(now: Ms, outbox: Outbox, connection: Rc<Life>) -> Self {
         Self {
             outbox,
             open: BTreeMap::new(),
             unsent: BTreeMap::new(),
-            used: VecDeque::new(),
-            unreadable: 0,
-            undone: 0,
-            undone_since: now,
-            spoke: false,
-            active: now,
-            life,
+            recent_tags: VecDeque::new(),
+            misuse: Misuse { undecodable: 0, cancellations: 0, counted_since: now },
+            has_sent: false,
+            last_active: now,
+            connection,
             closing: false,
-            closed_here: None,
+            close_reason: None,
         }
     }
 
-    /// Counts a request that it took back; true once those are too many in a short time, with no answer between them.
-    fn takes_back_too_many(&mut self, now: Ms) -> bool {
-        if now - self.undone_since > UNDONE_WINDOW_MS {
-            (self.undone, self.undone_since) = (0, now);
+    /// Counts a cancellation; true if there were too many in a short time without a response between them.
+    pub(super) fn has_too_many_cancellations(&mut self, now: Ms) -> bool {
+        let misuse = &mut self.misuse;
+        if now - misuse.counted_since > UNDONE_WINDOW_MS {
+            (misuse.cancellations, misuse.counted_since) = (0, now);
         }
-        self.undone += 1;
-        self.undone >= UNDONE_MOST
+        misuse.cancellations += 1;
+        misuse.cancellations >= UNDONE_MOST
+    }
+
+    /// Counts a message that could not be decoded; true if there were too many.
+    pub(super) fn has_too_many_undecodable(&mut self) -> bool {
+        self.misuse.undecodable += 1;
+        self.misuse.undecodable >= UNREADABLE_MOST
     }
 
-    /// Nothing is owed to it.
-    fn at_rest(&self) -> bool {
+    /// Nothing is pending for it.
+    fn is_idle(&self) -> bool {
         self.open.is_empty() && self.outbox.unsent() == 0
     }
 
-    /// It is to be closed.
-    pub(super) fn going(&self) -> bool {
-        self.closing || self.life.asked().is_some()
+    /// The router is about to close it.
+    pub(super) fn is_closing(&self) -> bool {
+        self.closing || self.connection.asked().is_some()
     }
 
-    /// Whether it may open a request under this tag, which is used by that.
-    fn opens(&mut self, tag: Tag) -> bool {
-        if self.used.contains(&tag) || self.open.len() >= OPEN_PER_CLIENT {
+    /// Registers the tag of a new request; false if it was used lately or too many requests are open.
+    pub(super) fn register_tag(&mut self, tag: Tag) -> bool {
+        if self.recent_tags.contains(&tag) || self.open.len() >= OPEN_PER_CLIENT {
             return false;
         }
-        self.used.push_back(tag);
-        if self.used.len() > TAGS_KEPT {
-            self.used.pop_front();
+        self.recent_tags.push_back(tag);
+        if self.recent_tags.len() > TAGS_KEPT {
+            self.recent_tags.pop_front();
         }
         true
     }
 }
 
-/// The clients that are connected. Of one that is dropped here what is in line is written, and its connection ends.
+/// How willingly a client's connection is closed for others; the least order first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct CloseOrder {
+    /// It may be in use: idle for less time than a client in service would be.
+    may_be_in_use: bool,
+    /// It has sent a message.
+    has_sent: bool,
+    /// For how long it has been idle, in microseconds.
+    idle_us: Reverse<u64>,
+    id: ClientId,
+}
+
+impl CloseOrder {
+    fn of(now: Ms, id: ClientId, client: &Client) -> Self {
+        let idle = now - client.last_active;
+        let limit = if client.has_sent { ROOM_IDLE_MS } else { ROOM_SILENT_MS };
+        let (may_be_in_use, has_sent) = (idle < limit, client.has_sent);
+        Self { may_be_in_use, has_sent, idle_us: Reverse(micros(idle)), id }
+    }
+
+    /// One that may be in use is closed only after it has had its responses for a while.
+    fn may_be_closed(&self) -> bool {
+        !self.may_be_in_use || (self.has_sent && self.idle_us.0 >= micros(ROOM_REST_MS))
+    }
+}
+
+/// The clients that are connected. Dropping one writes what is queued for it, then closes its connection.
 #[derive(Default)]
-pub(super) struct Clients(pub BTreeMap<ClientId, Client>, BTreeSet<ClientId>);
+pub(super) struct Clients {
+    pub(super) connected: BTreeMap<ClientId, Client>,
+    closing: BTreeSet<ClientId>,
+    /// The slots of their connections, until the sockets are closed.
+    pub(super) slots: Rc<Places>,
+}
 
 impl Clients {
     pub(super) fn len(&self) -> usize {
-        self.0.len()
+        self.connected.len()
     }
 
-    pub(super) fn owe(&mut self, id: ClientId, tag: Tag, no: RequestNo) {
-        self.0.get_mut(&id).into_iter().for_each(|client| {
+    /// Registers an admitted request of a client.
+    pub(super) fn register(&mut self, id: ClientId, tag: Tag, no: RequestNo) {
+        if let Some(client) = self.connected.get_mut(&id) {
             client.open.insert(tag, no);
-        });
+        }
     }
 
-    /// What tells whether a client still waits; `None` of one that is not connected.
-    pub(super) fn wanted(&self, id: ClientId, tag: Tag) -> Option<Wanted> {
-        Some(Wanted::new(self.0.get(&id)?.life.presence(), tag))
+    /// What tells whether a client still waits; `None` if it is not connected.
+    pub(super) fn liveness(&self, id: ClientId, tag: Tag) -> Option<Wanted> {
+        Some(Wanted::new(self.connected.get(&id)?.connection.presence(), tag))
     }
 
-    pub(super) fn turn_away(&mut self, id: ClientId, tag: Tag) {
-        let client = self.0.get(&id).into_iter();
-        client.for_each(|client| {
+    /// Rejects a request that was not admitted.
+    pub(super) fn reject(&mut self, id: ClientId, tag: Tag) {
+        if let Some(client) = self.connected.get(&id) {
             client.outbox.put(answer(tag, Reply::Refused(0.0)));
-        });
+        }
     }
 
-    /// Puts an answer in line; false if the client is gone.
-    pub(super) fn put(&mut self, now: Ms, id: ClientId, tag: Tag, answer: Vec<u8>) -> bool {
-        let Some(client) = self.0.get_mut(&id) else { return false };
+    /// Queues a response; false if the client is gone.
+    pub(super) fn send_response(&mut self, now: Ms, id: ClientId, tag: Tag, response: Vec<u8>) -> bool {
+        let Some(client) = self.connected.get_mut(&id) else { return false };
         let was_open = client.open.remove(&tag).is_some();
-        client.life.invariants().answered(was_open, format_args!("client {}, request {}", id.0, tag.0));
-        (client.active, client.undone) = (now, 0);
-        client.unsent.retain(|_, p| p.stage() == Stage::Waiting);
+        let ids = format_args!("client {}, request {}", id.0, tag.0);
+        client.connection.invariants().check_answer(was_open, ids);
+        (client.last_active, client.misuse.cancellations) = (now, 0);
+        client.unsent.retain(|_, message| message.stage() == Stage::Waiting);
         if broken(Break::SecondAnswer) {
-            client.outbox.put(answer.clone());
+            client.outbox.put(response.clone());
         }
-        client.unsent.insert(tag, client.outbox.put(answer));
+        client.unsent.insert(tag, client.outbox.put(response));
         true
     }
 
-    /// Wants those closed that have been at rest for so long. What is on its way from one of them goes first.
-    pub(super) fn close_idle(&self, now: Ms, idle: Ms, why: Quiet) {
+    /// Asks for the close of connections that have been idle for this long. A message that crosses that is handled first.
+    pub(super) fn close_idle(&self, now: Ms, idle: Ms, reason: Quiet) {
         let breaks = broken(Break::CloseOverRequest);
-        let rests = |c: &Client| breaks || (c.at_rest() && now - c.active >= idle);
-        let idle = self.0.values().filter(|c| !c.going() && rests(c));
-        idle.for_each(|c| {
-            c.life.tell(Event::Asked(why));
-        });
+        let is_idle = |c: &Client| breaks || (c.is_idle() && now - c.last_active >= idle);
+        for client in self.connected.values().filter(|c| !c.is_closing() && is_idle(c)) {
+            client.connection.tell(Event::Asked(reason));
+        }
     }
 
-    /// Lets go of those from which nothing more is taken and that have what they are owed.
+    /// Releases the clients that are closing and have nothing pending.
     pub(super) fn release_closed(&mut self) {
-        let Self(clients, closing) = self;
-        closing.retain(|id| match clients.get(id) {
-            Some(client) if client.at_rest() || broken(Break::CloseOverRequest) => {
-                clients.remove(id);
+        let Self { connected, closing, .. } = self;
+        closing.retain(|id| match connected.get(id) {
+            Some(client) if client.is_idle() || broken(Break::CloseOverRequest) => {
+                connected.remove(id);
                 false
             }
             Some(_) => true,
@@ -159,174 +199,23 @@
         });
     }
 
-    /// Takes nothing more from it.
-    fn close(&mut self, id: ClientId) {
-        self.0.get_mut(&id).into_iter().for_each(|client| client.closing = true);
-        self.1.insert(id);
-    }
-
-    /// Who is closed for those that wait for a place, when so many sockets are about to be closed; see [`Owner::make_room`].
-    fn least_missed(&self, now: Ms, lingering: usize) -> Vec<ClientId> {
-        let idle = |c: &Client| now - c.active;
-        let missed = |c: &Client| idle(c) < if c.spoke { ROOM_IDLE_MS } else { ROOM_SILENT_MS };
-        let stay = self.0.iter().filter(|(_, c)| !c.going());
-        let at_rest = stay.clone().filter(|(_, c)| c.at_rest());
-        let mut order: Vec<_> =
-            at_rest.map(|(id, c)| (missed(c), c.spoke, Reverse(micros(idle(c))), *id)).collect();
-        order.sort_unstable();
-        // Many at once, so that a crowd doesn't wait; what is about to be free counts.
-        let asked = self.0.values().filter(|c| c.life.asked().is_some()).count();
-        let many = (stay.count() / ROOM_SHARE + 1).saturating_sub(asked + lingering);
-        let rested =
-            |o: &&(bool, bool, Reverse<u64>, ClientId)| !o.0 || (o.1 && o.2 .0 >= micros(ROOM_REST_MS));
-        order.iter().filter(rested).take(many).map(|o| o.3).collect()
-    }
-}
-
-impl Owner {
-    pub(super) fn connect(&mut self, id: ClientId, outbox: Outbox, life: Rc<Life>) {
-        self.counters.clients.connected.one();
-        self.clients.0.insert(id, Client::new(self.now, outbox, life));
-    }
-
-    /// Nothing more is read of a client. What it asked before is answered, but for one that sends what can't be read: its requests may
-    /// have meant anything, so it is served nothing more.
-    pub(super) fn client_stopped(&mut self, id: ClientId, over: Over) {
-        let counted = &self.counters.clients;
-        match over {
-            Over::Ended | Over::Dropped => {}
-            Over::Unreadable(_) => counted.closed_unreadable.one(),
-            Over::Silent => counted.closed_silent.one(),
-            Over::Unfinished => counted.closed_unfinished.one(),
-            Over::Quiet(Quiet::Idle) => counted.closed_idle.one(),
-            Over::Quiet(Quiet::Room) => counted.closed_for_room.one(),
-            Over::Quiet(Quiet::End) => counted.closed_at_end.one(),
-        }
-        if let (Over::Quiet(why), Some(client)) = (over, self.clients.0.get_mut(&id)) {
-            client.closed_here = Some(why);
-        }
-        match over {
-            Over::Unreadable(_) => self.fail_and_disconnect(id),
-            Over::Ended | Over::Dropped | Over::Silent | Over::Unfinished | Over::Quiet(_) => {
-                self.clients.close(id)
-            }
-        }
-    }
-
-    /// A client is gone; what it waits for is given up.
-    pub(super) fn client_over(&mut self, id: ClientId) {
-        let Some(client) = self.clients.0.remove(&id) else { return };
-        let open = client.open;
-        if let Some(why) = client.closed_here {
-            let unanswered = open.keys().filter(|tag| client.life.presence().not_taken_back(**tag)).count();
-            let ids = format_args!("client {}, closed for {why:?}, requests {:?}", id.0, open.keys());
-            self.invariants.closed(unanswered, ids);
-        }
-        open.into_values().for_each(|no| self.left(no));
-    }
-
-    pub(super) fn message(&mut self, id: ClientId, message: FromClient, at: Ms) {
-        let Some(client) = self.clients.0.get_mut(&id).filter(|c| !c.closing) else { return };
-        client.life.tell(Event::Taken);
-        (client.spoke, client.active) = (true, self.now);
-        match message {
-            FromClient::Do(tag, request) => self.request(id, tag, request, at),
-            FromClient::Undo(_) if broken(Break::CancelIgnored) => {}
-            FromClient::Undo(tag) => {
-                client.life.presence().heeded(tag);
-                match client.open.remove(&tag) {
-                    Some(no) => {
-                        let too_many = client.takes_back_too_many(self.now);
-                        self.left(no);
-                        if too_many {
-                            self.counters.clients.closed_broken_rule.one();
-                            self.fail_and_disconnect(id);
-                        }
-                    }
-                    None => {
-                        let unsent = client.unsent.remove(&tag);
-                        unsent
-                            .into_iter()
-                            .for_each(|p| self.counters.clients.taken_back.more(p.take_back().into()));
-                    }
-                }
-            }
-            FromClient::Ping(tag) => {
-                let known = self.fleet.as_ref().is_none_or(|f| f.purges_known);
-                client.outbox.put(pong(tag, self.list_in && known && !self.ending.asked()));
-            }
-            FromClient::Unreadable(tag) => self.not_understood(id, tag),
+    /// Reads nothing more from a client.
+    pub(super) fn close(&mut self, id: ClientId) {
+        if let Some(client) = self.connected.get_mut(&id) {
+            client.closing = true;
         }
+        self.closing.insert(id);
     }
 
-    /// What makes no sense is failed, and a client that goes on with it is closed.
-    pub(super) fn not_understood(&mut self, id: ClientId, tag: Tag) {
-        let Some(client) = self.clients.0.get_mut(&id) else { return };
-        self.counters.clients.unreadable.one();
-        client.outbox.put(answer(tag, Reply::Failed));
-        client.unreadable += 1;
-        if client.unreadable >= UNREADABLE_MOST {
-            self.counters.clients.closed_broken_rule.one();
-            self.fail_and_disconnect(id);
-        }
-    }
-
-    fn request(&mut self, id: ClientId, tag: Tag, request: Box<Do>, at: Ms) {
-        let Some(client) = self.clients.0.get_mut(&id) else { return };
-        if !client.opens(tag) {
-            // Which of two requests under one number an answer would be for can't be told, and no client in service has so many
-            // open: the connection is closed, and nothing that is open on it is answered.
-            self.counters.clients.closed_broken_rule.one();
-            return self.disconnect(id);
-        }
-        let wanted = Wanted::new(client.life.presence(), tag);
-        if !wanted.holds() {
-            // Its place is taken until what took it back is heard in its turn.
-            let no = self.requests.number();
-            client.open.insert(tag, no);
-            let counted = &self.counters.clients;
-            [&counted.requests, &counted.left, &counted.left_early].into_iter().for_each(Count::one);
-            self.gathering.iter_mut().filter(|_| request.parts.is_some()).for_each(Gathering::left_early);
-            return;
-        }
-        let class = self.names.class(&request.class);
-        // An id is new with each request; under one that is open, another's answer could come.
-        if class.is_none() || self.requests.knows(&request.id) {
-            return self.not_understood(id, tag);
-        }
-        let deadline = at + request.left;
-        if let Some(class) = class.filter(|_| self.gathering.is_some() && request.parts.is_some()) {
-            return self.gather((id, tag), class, request, deadline);
-        }
-        self.counters.clients.requests.one();
-        self.admit(Asked { asker: Asker::Client(id, tag), class, request, deadline, wanted: Some(wanted) });
-    }
-
-    /// Closes connections for those that wait for a place: first what clients in service would not miss, one that has said
-    /// nothing yet or has been idle for longer than they are; else those that have been idle for longest after an answer.
-    /// One on which something is open, or from which something is on its way, is never closed for this.
-    pub(super) fn make_room(&mut self) {
-        let missed = self.clients.least_missed(self.now, self.places.lingering());
-        missed.iter().filter_map(|id| self.clients.0.get(id)).for_each(|client| {
-            client.life.tell(Event::Asked(Quiet::Room));
-        });
-    }
-
-    /// Drops a client whose messages can't be told apart any more: what it waits for is given up, what is in line for it is still written.
-    fn disconnect(&mut self, id: ClientId) {
-        let Some(client) = self.clients.0.get_mut(&id) else { return };
-        client.life.tell(Event::Dropped);
-        let open = std::mem::take(&mut client.open);
-        self.clients.close(id);
-        open.into_values().for_each(|no| self.left(no));
-    }
-
-    /// The same of one whose requests were understood: each that it waits for is answered as failed.
-    fn fail_and_disconnect(&mut self, id: ClientId) {
-        let Some(client) = self.clients.0.get(&id) else { return };
-        for tag in client.open.keys().filter(|tag| client.life.presence().wants(**tag)) {
-            client.outbox.put(answer(*tag, Reply::Failed));
-        }
-        self.disconnect(id);
+    /// Whose connections are closed for clients that wait for a slot; see `Owner::close_least_active_clients`.
+    pub(super) fn least_active(&self, now: Ms) -> Vec<ClientId> {
+        let open = self.connected.iter().filter(|(_, c)| !c.is_closing());
+        let idle = open.clone().filter(|(_, c)| c.is_idle());
+        let mut order: Vec<_> = idle.map(|(id, c)| CloseOrder::of(now, *id, c)).collect();
+        order.sort_unstable();
+        // Several at once, so that a crowd does not wait; slots that are about to be free count.
+        let asked = self.connected.values().filter(|c| c.connection.asked().is_some()).count();
+        let count = (open.count() / ROOM_SHARE + 1).saturating_sub(asked + self.slots.lingering());
+        order.iter().filter(|o| o.may_be_closed()).take(count).map(|o| o.id).collect()
     }
 }
--- /dev/null
+++ b/crates/node/src/owner/inputs.rs
@@ -0,0 +1,120 @@
+//! Inputs of the owner, events and actions of the decision module, and the counters that are read from elsewhere.
+
+use super::attempts::{CancelResults, Delivery};
+use super::timers::TimerKind;
+use super::{request_id, request_no, Owner};
+use crate::caches::RequestNo;
+use crate::clients::Reply;
+use crate::Input;
+use basaltgw::api::{Action, AttemptNo, Event};
+use basaltgw_config::Hierarchy;
+
+impl Owner {
+    pub(super) fn handle_input(&mut self, input: Input) {
+        match input {
+            Input::ClientOpen(id, outbox, connection) => self.on_client_connected(id, outbox, connection),
+            Input::Client(id, message, read_at) => self.on_client_message(id, message, read_at),
+            Input::ClientStopped(id, reason) => self.on_client_stopped(id, reason),
+            Input::ClientClosed(id) => self.on_client_closed(id),
+            Input::RoomWanted => self.close_least_active_clients(),
+            Input::CacheUp(connection) => self.upstream.caches.up(self.time.now, connection),
+            Input::Cache(connection, answer) => self.on_answer(connection, answer),
+            Input::CacheDown(connection, reason) => self.on_connection_closed(connection, reason),
+            Input::News(event) => self.on_watch_event(event),
+            Input::LogLost => self.counters.log.lost.one(),
+            Input::LogDoubted(doubt) => self.counters.log.doubted(doubt),
+            Input::Reloaded(true) => self.counters.files.reloads.one(),
+            Input::Reloaded(false) => self.counters.files.reloads_refused.one(),
+            Input::Plan(hierarchy) => self.offer_plan(&hierarchy),
+            Input::Rules(file, text) => {
+                if let Some(fleet) = &mut self.fleet {
+                    fleet.propose_rules(file, text);
+                }
+            }
+            Input::Fleet => self.on_fleet_wakeup(),
+            Input::End => {
+                log::info!("shutdown requested");
+                self.shutdown.ask(self.time.now);
+            }
+            Input::Count => self.print_counters(),
+        }
+    }
+
+    /// Hands a plan of the cache tree to the reshaping of the tree.
+    pub(super) fn offer_plan(&mut self, hierarchy: &Hierarchy) {
+        let events = self.upstream.tree.offer(self.time.now, hierarchy);
+        self.dispatch_all(events);
+    }
+
+    /// Tells the decision module which attempts were written whole since the last batch.
+    pub(super) fn dispatch_written(&mut self) {
+        for (request, attempt) in self.monitors.slow_start.take_written() {
+            self.dispatch(Event::RequestWritten(request_id(RequestNo(request)), AttemptNo(attempt)));
+        }
+    }
+
+    pub(super) fn dispatch_all(&mut self, events: Vec<Event>) {
+        events.into_iter().for_each(|event| self.dispatch(event));
+    }
+
+    /// Hands the decision module an event and performs its actions.
+    pub(super) fn dispatch(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.router.handle(self.time.now, event, &mut actions);
+        actions.into_iter().for_each(|action| self.perform(action));
+    }
+
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::StartAttempt(attempt) => self.start_attempt(attempt),
+            Action::CancelAttempt(request, attempt) => {
+                if let Some(no) = request_no(&request) {
+                    self.cancel_attempt((no, attempt), CancelResults::CANCELLED, Delivery::NextBatch);
+                }
+            }
+            Action::Reject(request, retry_after) => {
+                if let Some(no) = request_no(&request) {
+                    self.answer(no, Reply::Refused(retry_after));
+                }
+            }
+            Action::Fail(request) => {
+                if let Some(no) = request_no(&request) {
+                    self.answer(no, Reply::Failed);
+                }
+            }
+            Action::Timer(after, token) => {
+                self.schedule.timers.set(self.time.now + after, TimerKind::Router(token));
+            }
+            // The change log is followed from the start.
+            Action::WatchEndpoints => {}
+            Action::Log(text) => log::info!("{text}"),
+        }
+    }
+
+    fn print_counters(&self) {
+        self.collect_counters();
+        log::info!("{}{}", self.counters, self.fleet_counters_text());
+        self.upstream.tree.describe().iter().for_each(|line| log::info!("{line}"));
+    }
+
+    /// Brings the counters of connections, checkers and memory up to date.
+    pub(super) fn collect_counters(&self) {
+        let counters = &self.counters;
+        let (connections, connections_opened) = self.upstream.caches.counts();
+        counters.conns.now.set(connections);
+        counters.conns.opened.reached(connections_opened);
+        counters.clients.now.set(self.clients.len() as u64);
+        let [crossed, unread, lingered, stalled] = self.clients.slots.counts();
+        counters.clients.closes_crossed.reached(crossed);
+        counters.clients.closes_unread.reached(unread);
+        counters.clients.closes_lingered.reached(lingered);
+        counters.clients.closed_stalled.reached(stalled);
+        counters.log.servers_now.set(self.upstream.endpoints.len() as u64);
+        counters.memory.held.set(self.memory.meter.held() as u64);
+        counters.tree.reached(&self.upstream.tree.counters);
+        counters.violations.reached(&self.monitors.invariants);
+        counters.violations.slow_start_highest.raise(self.monitors.slow_start.highest_share());
+        counters.violations.stops.reached(self.monitors.stalls.count());
+        counters.violations.log_dropped.reached(crate::log_writer::dropped());
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/lease/outcome.rs
@@ -0,0 +1,118 @@
+//! Stores the outcome of a leased request, or releases its lease.
+
+use super::{execution_key, Execution, Lease};
+use crate::caches::RequestNo;
+use crate::clients::Reply;
+use crate::fleet::PendingChange;
+use crate::outbox::Counted;
+use crate::owner::{request_id, Owner};
+use basaltgw::api::{Event, Ms};
+use basaltgw_registers::{Change, Outcome, Record, Response};
+
+/// After a pause of the process, input that is read for this long may be stale: links to peers take about as long to be re-established.
+const STALE_INPUT_WINDOW_MS: Ms = 1_500.0;
+/// A process that has handled no batch for this long may have been paused, and other routers may have taken over its leases: requests that
+/// were not sent are released instead.
+const PAUSE_THRESHOLD_MS: Ms = 750.0;
+
+impl Owner {
+    /// Stores how a leased request ends; true if its response has to wait for that.
+    pub(in crate::owner) fn record_outcome(&mut self, no: RequestNo, reply: Reply<'_>) -> bool {
+        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(no)) else {
+            return false;
+        };
+        let Lease::Held { term, .. } = pending.lease else { return pending.lease.is_completing() };
+        let key = execution_key(&pending.request.id);
+        pending.lease = Lease::Released;
+        let body = match reply {
+            // These are sent at once; the record is changed in the background.
+            Reply::Refused(_) => {
+                fleet.release(key, term);
+                return false;
+            }
+            Reply::Failed => {
+                fleet.complete(key, term, Outcome::Failed);
+                return false;
+            }
+            Reply::Served(body) => body,
+            Reply::Same => &[],
+        };
+        let outcome = fleet.stored_outcome(body);
+        let change = Change::Complete(fleet.me.clone(), term, outcome.clone());
+        if self.change_record(no, change) {
+            let body = Counted::new(body.to_vec(), &[&self.memory.meter]);
+            if let Some(pending) = self.requests.get_mut(no) {
+                pending.lease = Lease::Completing { body };
+            }
+            return true;
+        }
+        if let Some(fleet) = &mut self.fleet {
+            fleet.complete(key, term, outcome);
+        }
+        false
+    }
+
+    /// The replication thread has answered the change that stores an outcome.
+    pub(super) fn on_outcome_stored(&mut self, no: RequestNo, body: &Counted, response: &Response) {
+        match response {
+            Response::Committed(_) | Response::Conflict(Some(Record::Completed(_))) => {}
+            Response::Conflict(_) => {
+                // Others have learned that the outcome is unknown.
+                self.fleet.iter_mut().for_each(|fleet| fleet.counters.fenced += 1);
+                return self.reply(no, Reply::Failed);
+            }
+            // It was served all the same; the replication thread keeps trying to store that.
+            Response::Unavailable { .. } => {}
+        }
+        self.reply(no, Reply::Served(body.bytes()));
+    }
+
+    /// Releases a lease that was granted after nobody waited for it: the request was not sent.
+    pub(super) fn release_unwanted(&mut self, change: PendingChange, response: &Response) {
+        let Some(fleet) = &mut self.fleet else { return };
+        match response {
+            Response::Committed(Record::Leased { owner, term }) if *owner == fleet.me => {
+                fleet.release(change.key, *term);
+            }
+            Response::Committed(_) | Response::Conflict(_) | Response::Unavailable { .. } => {}
+        }
+    }
+
+    /// Settles the lease of a complete request whose requester had left: by the results of its attempts.
+    pub(in crate::owner) fn settle_abandoned_lease(&mut self, no: RequestNo) {
+        let Some(fleet) = &mut self.fleet else { return };
+        let Some(pending) = self.requests.get_mut(no).filter(|pending| pending.is_complete()) else {
+            return;
+        };
+        let Lease::Held { term, execution } = pending.lease else { return };
+        let key = execution_key(&pending.request.id);
+        pending.lease = Lease::Released;
+        match execution {
+            Execution::NotExecuted => fleet.release(key, term),
+            Execution::Served => fleet.complete(key, term, Outcome::ServedBodyOmitted),
+            Execution::PossiblyExecuted => fleet.complete(key, term, Outcome::Failed),
+        }
+    }
+
+    /// The last batch was `gap` milliseconds ago. If the process may have been paused, its leases of unsent requests are released.
+    pub(in crate::owner) fn on_pause(&mut self, gap: Ms) {
+        let Some(fleet) = self.fleet.as_mut().filter(|_| gap >= PAUSE_THRESHOLD_MS) else { return };
+        fleet.stale_input_until = self.time.now + STALE_INPUT_WINDOW_MS;
+        let retry_after = fleet.settings.retry_after;
+        // Another router may have leased these meanwhile: their outcome can't be known in time.
+        for no in self.requests.waiting_for_lease() {
+            self.count_unknown_outcome();
+            self.answer(no, Reply::Failed);
+        }
+        let unsent = self.requests.leased_unsent();
+        log::warn!(
+            "process paused for {gap:.0} ms: releasing the leases of {} unsent requests",
+            unsent.len()
+        );
+        for no in unsent {
+            self.withdraw_unsent(no);
+            self.dispatch(Event::ClientDisconnected(request_id(no)));
+            self.answer(no, Reply::Refused(retry_after));
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/memory_pressure.rs
@@ -0,0 +1,34 @@
+//! Sheds load when buffered messages exceed the memory limit.
+
+use super::clients::{Client, Clients};
+use super::Owner;
+use crate::clients::{answer, Reply};
+use crate::outbox::Stage;
+
+impl Clients {
+    /// Fails the responses of which nothing is written, of the client for which most bytes are buffered; gives how many, `None` if no
+    /// client has any.
+    fn fail_unsent_responses(&mut self) -> Option<u64> {
+        let has_unsent = |c: &Client| c.unsent.values().any(|message| message.stage() == Stage::Waiting);
+        let candidates = self.connected.values_mut().filter(|client| has_unsent(client));
+        let client = candidates.max_by_key(|client| client.outbox.unsent())?;
+        let mut failed = 0;
+        for (tag, message) in std::mem::take(&mut client.unsent) {
+            if message.take_back() {
+                failed += 1;
+                client.outbox.put(answer(tag, Reply::Failed));
+            }
+        }
+        Some(failed)
+    }
+}
+
+impl Owner {
+    /// Fails unsent responses, client by client, until the buffered bytes are within the limit.
+    pub(super) fn apply_memory_pressure(&mut self) {
+        while self.memory.is_exceeded() {
+            let Some(failed) = self.clients.fail_unsent_responses() else { return };
+            self.counters.clients.withheld.more(failed);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/scatter_gather/admission.rs
@@ -0,0 +1,133 @@
+//! Takes a client's scatter-gather request and hands it to the decisions.
+
+use super::{decision_purge, OpenGather, RequestedPart, ScatterGather, Stage, MAX_OPEN};
+use crate::clients::parts;
+use crate::clients::Do;
+use crate::owner::requester::ClientRequest;
+use crate::owner::Owner;
+use basaltgw::api::{Class, ClassId, Idempotency, Ms};
+use basaltgw_scatter_gather::{Ask, Effect, Event, GatherNo, Missing, PartNo, PartSpec, Policy, Site, Times};
+use std::sync::Arc;
+
+impl ScatterGather {
+    /// The requested parts with their branches; `None` if they can't be decoded, or a branch is not of the fleet.
+    fn decode_parts(&self, request: &Do) -> Option<Vec<RequestedPart>> {
+        let config = &self.config;
+        let requested = parts::parts(request.parts.as_deref()?)?;
+        let with_branch = |(part, branch): (u32, Option<Arc<str>>)| {
+            let branch = branch.unwrap_or_else(|| Arc::clone(&config.branch));
+            config.branches.contains(&branch).then_some((PartNo(part), Site(branch)))
+        };
+        requested.into_iter().map(with_branch).collect()
+    }
+
+    /// The policy on partial answers for a class and the requested parts.
+    fn policy(&self, class: &str, parts: &[RequestedPart]) -> Arc<Policy> {
+        let is_requested = |needed: &PartNo| parts.iter().any(|(part, _)| part == needed);
+        match self.policies.get(class) {
+            Some(policy) if policy.needed.iter().all(is_requested) => Arc::clone(policy),
+            // A part that is not requested can't be needed.
+            Some(policy) => {
+                let needed = policy.needed.iter().copied().filter(is_requested).collect();
+                Arc::new(Policy { needed, ..Policy::clone(policy) })
+            }
+            None => Arc::new(complete_answers_only()),
+        }
+    }
+}
+
+/// The policy of a class without one.
+fn complete_answers_only() -> Policy {
+    Policy {
+        needed: Vec::new(),
+        least_count: 1.0,
+        least_worth: 1.0,
+        wait: 0.0,
+        missing: Missing::Refused,
+        second_copies: false,
+    }
+}
+
+fn effect(class: Option<&Class>) -> Effect {
+    match class.map(|class| class.idempotency) {
+        Some(Idempotency::Idempotent) => Effect::Safe,
+        Some(Idempotency::IdempotencyKey) => Effect::Keyed,
+        Some(Idempotency::NonIdempotent) | None => Effect::Unsafe,
+    }
+}
+
+/// The times of a request with `time_left` milliseconds.
+fn times(class: Option<&Class>, time_left: Ms) -> Times {
+    let objective = class.map_or(time_left, |class| class.latency_objective);
+    let late_weight = class.map_or(0.0, |class| class.late_weight_share);
+    Times {
+        aim: objective.clamp(0.0, time_left),
+        deadline: time_left,
+        late_worth: late_weight.clamp(0.0, 1.0),
+    }
+}
+
+impl Owner {
+    /// Takes a scatter-gather request of a client.
+    pub(in crate::owner) fn on_scatter_gather_request(
+        &mut self,
+        client: ClientRequest,
+        class: ClassId,
+        request: Box<Do>,
+        deadline: Ms,
+    ) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let continuation = request.debt.as_deref().map(parts::debt);
+        let is_malformed = continuation == Some(None) || !request.body.is_empty();
+        let Some(parts) = sg.decode_parts(&request).filter(|_| !is_malformed) else {
+            return self.on_undecodable_request(client.id, client.tag);
+        };
+        self.counters.clients.requests.one();
+        sg.counters.requests += 1;
+        if sg.open.len() >= MAX_OPEN || self.requests.is_full() || self.memory.is_exceeded() {
+            sg.counters.rejected += 1;
+            self.counters.clients.turned_away.one();
+            return self.clients.reject(client.id, client.tag);
+        }
+        let no = self.requests.next_number();
+        self.clients.register(client.id, client.tag, no);
+        let gather = GatherNo(no.0);
+        let continuation = continuation.flatten().filter(|_| sg.is_idempotent(class));
+        let stage = Stage::ReadingContinuation;
+        let open = OpenGather { client, class, request, parts, deadline, continuation: None, stage };
+        sg.open.insert(gather, open);
+        match continuation {
+            Some(name) => self.read_continuation(gather, name),
+            None => self.start_gathering(gather),
+        }
+    }
+
+    /// Hands a scatter-gather request to the decisions.
+    pub(super) fn start_gathering(&mut self, gather: GatherNo) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(open) = sg.open.get_mut(&gather) else { return };
+        open.stage = Stage::Gathering;
+        let Some(open) = sg.open.get(&gather) else { return };
+        let (object, group) = (open.request.object.0, open.request.group.0);
+        let version = open.continuation.as_ref().map(|continuation| Arc::clone(&continuation.version));
+        let spec = |(part, site): &RequestedPart| PartSpec {
+            part: *part,
+            object,
+            group,
+            site: site.clone(),
+            alternates: Vec::new(),
+            worth: 1.0,
+            version: version.clone(),
+        };
+        let class = sg.class(open.class);
+        let ask = Ask {
+            no: gather,
+            policy: sg.policy(&open.request.class, &open.parts),
+            effect: effect(class),
+            parts: open.parts.iter().map(spec).collect(),
+            times: times(class, (open.deadline - self.time.now).max(0.0)),
+            purges: sg.purges_of(group, object).into_iter().map(decision_purge).collect(),
+        };
+        self.dispatch_scatter_gather(Event::Ask(ask));
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/scatter_gather/answers.rs
@@ -0,0 +1,146 @@
+//! How a scatter-gather request ends: with a complete or partial answer, rejected, failed, or cancelled.
+
+use super::{Gathered, Stage};
+use crate::caches::RequestNo;
+use crate::clients::parts::gathered;
+use crate::clients::{answer, Reply};
+use crate::outbox::Counted;
+use crate::owner::Owner;
+use basaltgw::api::Ms;
+use basaltgw_scatter_gather::{Event, GatherNo, PartNo, Used, Verdict};
+use std::sync::Arc;
+
+/// The parts of an answer.
+struct AnswerParts {
+    response: Gathered,
+    bodies: Vec<Counted>,
+}
+
+impl AnswerParts {
+    fn new(parts: Vec<(PartNo, Counted)>) -> Self {
+        let lengths = parts.iter().map(|(part, body)| (part.0, body.bytes().len())).collect();
+        let response = Gathered { parts: lengths, ..Gathered::default() };
+        Self { response, bodies: parts.into_iter().map(|(_, body)| body).collect() }
+    }
+
+    fn numbers(&self) -> Vec<u64> {
+        self.response.parts.iter().map(|(part, _)| u64::from(*part)).collect()
+    }
+}
+
+impl Owner {
+    /// Ends a request by the decisions' verdict.
+    pub(super) fn on_verdict(&mut self, gather: GatherNo, verdict: Verdict) {
+        match verdict {
+            Verdict::Whole { used } => self.on_complete(gather, &used),
+            Verdict::Part { used, missing, owed, come_back } => {
+                // Parts that the policy drops do not come, and have no Retry-After.
+                self.on_partial(gather, &used, &missing, owed.then_some(come_back));
+            }
+            Verdict::Refused { come_back } => self.reply_without_parts(gather, Reply::Refused(come_back)),
+            Verdict::Failed => self.reply_without_parts(gather, Reply::Failed),
+            Verdict::Unfit(reason) => {
+                log::debug!("scatter-gather request {}: {reason}", gather.0);
+                self.reply_without_parts(gather, Reply::Failed);
+            }
+        }
+    }
+
+    /// The parts of an answer; fails the request if a body is missing.
+    fn take_answer_parts(&mut self, gather: GatherNo, used: &[Used]) -> Option<AnswerParts> {
+        let sg = self.scatter_gather.as_mut()?;
+        let parts = sg.take_bodies(gather, used);
+        if !sg.open.contains_key(&gather) {
+            return None;
+        }
+        let Some(parts) = parts else {
+            log::error!("scatter-gather request {}: the body of a part is missing", gather.0);
+            self.reply_without_parts(gather, Reply::Failed);
+            return None;
+        };
+        Some(AnswerParts::new(parts))
+    }
+
+    fn on_complete(&mut self, gather: GatherNo, used: &[Used]) {
+        let Some(parts) = self.take_answer_parts(gather, used) else { return };
+        let continuation = self.take_continuation(gather);
+        if let Some(continuation) = continuation {
+            self.shrink_continuation(continuation, &parts.numbers());
+        }
+        self.send_parts(gather, parts.response, &parts.bodies, self.time.now);
+    }
+
+    /// A partial answer; `retry_after` is given if the missing parts are owed.
+    fn on_partial(&mut self, gather: GatherNo, used: &[Used], missing: &[PartNo], retry_after: Option<Ms>) {
+        let Some(mut parts) = self.take_answer_parts(gather, used) else { return };
+        parts.response.missing = missing.iter().map(|part| part.0).collect();
+        parts.response.come_back = retry_after;
+        if let Some(continuation) = self.take_continuation(gather) {
+            parts.response.debt = Some(continuation.name);
+            self.shrink_continuation(continuation, &parts.numbers());
+            return self.send_parts(gather, parts.response, &parts.bodies, self.time.now);
+        }
+        match (retry_after, used.first()) {
+            (Some(_), Some(first)) => {
+                self.store_continuation(gather, Arc::clone(&first.version), parts.response, parts.bodies);
+            }
+            (Some(_), None) => self.reply_without_parts(gather, Reply::Failed),
+            (None, _) => self.send_parts(gather, parts.response, &parts.bodies, self.time.now),
+        }
+    }
+
+    /// Sends parts to the client.
+    pub(super) fn send_parts(
+        &mut self,
+        gather: GatherNo,
+        mut response: Gathered,
+        bodies: &[Counted],
+        decided_at: Ms,
+    ) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(open) = sg.open.remove(&gather) else { return };
+        let complete = response.missing.is_empty();
+        match complete {
+            true => sg.counters.complete += 1,
+            false => sg.counters.partial += 1,
+        }
+        bodies.iter().for_each(|body| response.body.extend_from_slice(body.bytes()));
+        let client = open.client;
+        let bytes = gathered(client.tag, &response);
+        if self.clients.send_response(self.time.now, client.id, client.tag, bytes) && complete {
+            self.counters.clients.answered(&Reply::Served(&[]));
+        }
+        self.dispatch_scatter_gather(Event::Merged(self.time.now - decided_at));
+    }
+
+    /// Answers without parts.
+    pub(super) fn reply_without_parts(&mut self, gather: GatherNo, reply: Reply<'_>) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(open) = sg.open.remove(&gather) else { return };
+        match reply {
+            Reply::Refused(_) => sg.counters.rejected += 1,
+            Reply::Failed | Reply::Served(_) | Reply::Same => sg.counters.failed += 1,
+        }
+        let client = open.client;
+        let bytes = answer(client.tag, reply);
+        if self.clients.send_response(self.time.now, client.id, client.tag, bytes) {
+            self.counters.clients.answered(&reply);
+        }
+    }
+
+    /// The client of a scatter-gather request no longer waits; false if the number is not one's.
+    pub(in crate::owner) fn cancel_scatter_gather(&mut self, no: RequestNo) -> bool {
+        let Some(sg) = &mut self.scatter_gather else { return false };
+        let gather = GatherNo(no.0);
+        let Some(open) = sg.open.remove(&gather) else { return false };
+        sg.counters.cancelled += 1;
+        self.counters.clients.left.one();
+        match open.stage {
+            Stage::ReadingContinuation => {}
+            Stage::Gathering => self.dispatch_scatter_gather(Event::Left(gather)),
+            // Nobody has learned of it.
+            Stage::StoringContinuation(answer) => self.expire_continuation(&answer.continuation),
+        }
+        true
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/scatter_gather/continuations.rs
@@ -0,0 +1,185 @@
+//! Continuations: replicated records of the parts that a partial answer leaves out. One is stored before the answer names it, and is known
+//! at whichever router is asked for the rest.
+
+use super::{Counted, Gathered, PartialAnswer, RequestedPart, Stage};
+use crate::caches::RequestNo;
+use crate::clients::Reply;
+use crate::fleet::start::random_u128;
+use crate::owner::lease::RESPONSE_WRITE_MARGIN_MS;
+use crate::owner::Owner;
+use basaltgw_registers::{Change, Kind, Record, RecordKey, Response};
+use basaltgw_scatter_gather::GatherNo;
+use std::sync::Arc;
+
+/// The missing parts of a partial answer.
+pub(super) struct Continuation {
+    /// The name of its record, which the client presents.
+    pub(super) name: u128,
+    pub(super) object: u64,
+    /// The version of the object that the answer was made of.
+    pub(super) version: Arc<str>,
+    pub(super) missing: Vec<u64>,
+}
+
+impl Continuation {
+    fn record_change(&self) -> Change {
+        let (object, version, missing) = (self.object, Arc::clone(&self.version), self.missing.clone());
+        Change::SetContinuation { object, version, missing }
+    }
+}
+
+fn record_key(name: u128) -> RecordKey {
+    RecordKey { kind: Kind::Continuation, name }
+}
+
+/// Whether a continuation was stored.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Stored {
+    Yes,
+    No,
+}
+
+impl Owner {
+    pub(super) fn take_continuation(&mut self, gather: GatherNo) -> Option<Continuation> {
+        self.scatter_gather.as_mut()?.open.get_mut(&gather)?.continuation.take()
+    }
+
+    /// Asks for a change of a continuation's record; false for want of time or capacity.
+    fn change_continuation(&mut self, gather: GatherNo, name: u128, change: Change) -> bool {
+        let open = self.scatter_gather.as_ref().and_then(|sg| sg.open.get(&gather));
+        let deadline = open.map_or(0.0, |open| open.deadline);
+        let Some(fleet) = &mut self.fleet else { return false };
+        let time_left = deadline - self.time.now - RESPONSE_WRITE_MARGIN_MS;
+        let timeout = fleet.settings.lease_timeout.min(time_left);
+        timeout > 0.0 && fleet.change_record(RequestNo(gather.0), record_key(name), change, timeout).is_some()
+    }
+
+    /// A client requests the rest of an earlier answer.
+    pub(super) fn read_continuation(&mut self, gather: GatherNo, name: u128) {
+        let Some(open) = self.scatter_gather.as_mut().and_then(|sg| sg.open.get_mut(&gather)) else {
+            return;
+        };
+        let (object, version) = (open.request.object.0, Arc::from(""));
+        open.continuation = Some(Continuation { name, object, version, missing: Vec::new() });
+        if !self.change_continuation(gather, name, Change::Read) {
+            let retry_after = self.fleet.as_ref().map_or(0.0, |fleet| fleet.settings.retry_after);
+            self.reply_without_parts(gather, Reply::Refused(retry_after));
+        }
+    }
+
+    /// Stores the missing parts of an answer, which is sent afterwards.
+    pub(super) fn store_continuation(
+        &mut self,
+        gather: GatherNo,
+        version: Arc<str>,
+        response: Gathered,
+        bodies: Vec<Counted>,
+    ) {
+        let decided_at = self.time.now;
+        let Some(open) = self.scatter_gather.as_mut().and_then(|sg| sg.open.get_mut(&gather)) else {
+            return;
+        };
+        let missing: Vec<u64> = response.missing.iter().map(|part| u64::from(*part)).collect();
+        let object = open.request.object.0;
+        let continuation = Continuation { name: random_u128(), object, version, missing };
+        let (name, change) = (continuation.name, continuation.record_change());
+        let answer = PartialAnswer { continuation, response, bodies, decided_at };
+        open.stage = Stage::StoringContinuation(Box::new(answer));
+        if !self.change_continuation(gather, name, change) {
+            self.send_partial_answer(gather, Stored::No);
+        }
+    }
+
+    /// Sends the answer that waited for its continuation. Without one the missing parts are missing all the same, and the answer names
+    /// no continuation.
+    fn send_partial_answer(&mut self, gather: GatherNo, stored: Stored) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(open) = sg.open.get_mut(&gather) else { return };
+        let Stage::StoringContinuation(answer) = std::mem::replace(&mut open.stage, Stage::Gathering) else {
+            return;
+        };
+        let PartialAnswer { continuation, mut response, bodies, decided_at } = *answer;
+        match stored {
+            Stored::Yes => {
+                response.debt = Some(continuation.name);
+                sg.counters.continuations_stored += 1;
+            }
+            Stored::No => {
+                response.debt = None;
+                sg.counters.continuations_failed += 1;
+            }
+        }
+        self.send_parts(gather, response, &bodies, decided_at);
+    }
+
+    /// The response to a change of a continuation's record; handed back if the request is no scatter-gather request.
+    pub(in crate::owner) fn on_continuation_response(
+        &mut self,
+        no: RequestNo,
+        response: Response,
+    ) -> Option<Response> {
+        let gather = GatherNo(no.0);
+        let Some(open) = self.scatter_gather.as_mut().and_then(|sg| sg.open.get_mut(&gather)) else {
+            return Some(response);
+        };
+        match &open.stage {
+            Stage::ReadingContinuation => self.on_continuation_read(gather, response),
+            Stage::StoringContinuation(_) => {
+                let is_stored = matches!(response, Response::Committed(Record::Continuation { .. }));
+                let stored = if is_stored { Stored::Yes } else { Stored::No };
+                self.send_partial_answer(gather, stored);
+            }
+            Stage::Gathering => {}
+        }
+        None
+    }
+
+    /// The record of the continuation that a client names.
+    fn on_continuation_read(&mut self, gather: GatherNo, response: Response) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(open) = sg.open.get_mut(&gather) else { return };
+        let record = match response {
+            Response::Committed(record) => Some(record),
+            Response::Conflict(record) => record,
+            Response::Unavailable { retry_after, .. } => {
+                return self.reply_without_parts(gather, Reply::Refused(retry_after));
+            }
+        };
+        let are_missing = |parts: &[RequestedPart], missing: &[u64]| {
+            parts.iter().all(|(part, _)| missing.contains(&u64::from(part.0)))
+        };
+        match (record, &mut open.continuation) {
+            (Some(Record::Continuation { object, version, missing }), Some(continuation))
+                if object == continuation.object && are_missing(&open.parts, &missing) =>
+            {
+                (continuation.version, continuation.missing) = (version, missing);
+                self.start_gathering(gather);
+            }
+            // It never was, it is completed, or it has expired.
+            (_, _) => {
+                sg.counters.continuations_unknown += 1;
+                self.reply_without_parts(gather, Reply::Failed);
+            }
+        }
+    }
+
+    /// Parts of a continuation are delivered. The record is changed in the background.
+    pub(super) fn shrink_continuation(&mut self, mut continuation: Continuation, delivered: &[u64]) {
+        continuation.missing.retain(|part| !delivered.contains(part));
+        if continuation.missing.is_empty() {
+            if let Some(sg) = &mut self.scatter_gather {
+                sg.counters.continuations_completed += 1;
+            }
+            self.expire_continuation(&continuation);
+        } else if let Some(fleet) = &mut self.fleet {
+            fleet.change_in_background(record_key(continuation.name), continuation.record_change());
+        }
+    }
+
+    /// Nobody will request it any more.
+    pub(super) fn expire_continuation(&mut self, continuation: &Continuation) {
+        if let Some(fleet) = &mut self.fleet {
+            fleet.change_in_background(record_key(continuation.name), Change::Expire);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/scatter_gather/dispatch.rs
@@ -0,0 +1,103 @@
+//! Events, actions and timers of the scatter-gather decisions.
+
+use super::{decision_purge, SubRequestKey};
+use crate::fleet::purges;
+use crate::owner::timers::TimerKind;
+use crate::owner::Owner;
+use basaltgw::api::{GroupId, Ms, ObjectId};
+use basaltgw_scatter_gather::{Action, Decide, Event};
+
+/// Timers count whole microseconds: this much later, none fires before its time.
+const TIMER_RESOLUTION_MS: Ms = 0.001;
+
+impl Owner {
+    /// Hands the decisions an event and performs their actions. Events that arise meanwhile are handled after it.
+    pub(in crate::owner) fn dispatch_scatter_gather(&mut self, event: Event) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        sg.queue.events.push_back(event);
+        if std::mem::replace(&mut sg.queue.dispatching, true) {
+            return;
+        }
+        let now = self.time.now;
+        while let Some(sg) = &mut self.scatter_gather {
+            let Some(event) = sg.queue.events.pop_front() else {
+                sg.queue.dispatching = false;
+                return;
+            };
+            let mut actions = Vec::new();
+            sg.decisions.handle(now, event, &mut actions);
+            actions.into_iter().for_each(|action| self.perform_scatter_gather(action));
+        }
+    }
+
+    fn perform_scatter_gather(&mut self, action: Action) {
+        match action {
+            // Versions and purges are checked when the part arrives: caches take neither with a fetch.
+            Action::Fetch { no: gather, attempt, part, site, times, copy: _, version: _, after: _ } => {
+                let key = SubRequestKey { gather, attempt };
+                self.start_sub_request(key, part, &site, times.deadline);
+            }
+            Action::Drop(gather, attempt) => self.drop_sub_request(SubRequestKey { gather, attempt }),
+            Action::Answer(gather, verdict) => self.on_verdict(gather, verdict),
+            Action::Tell(evidence) => {
+                if let Some(fleet) = &mut self.fleet {
+                    fleet.report_evidence(evidence);
+                }
+            }
+            Action::Timer(at) => {
+                if let Some(sg) = &mut self.scatter_gather {
+                    sg.wakeup.requested_at = Some(at);
+                }
+                self.set_scatter_gather_timer();
+            }
+        }
+    }
+
+    /// Sets a timer for when the decisions are due, unless an earlier one is set.
+    fn set_scatter_gather_timer(&mut self) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let wakeup = &mut sg.wakeup;
+        let is_earlier = |at: &Ms| wakeup.timer_at.is_none_or(|timer_at| *at < timer_at);
+        let Some(at) = wakeup.requested_at.filter(is_earlier) else { return };
+        wakeup.timer_at = Some(at);
+        self.schedule.timers.set(at + TIMER_RESOLUTION_MS, TimerKind::ScatterGather);
+    }
+
+    pub(in crate::owner) fn on_scatter_gather_timer(&mut self) {
+        let now = self.time.now;
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let wakeup = &mut sg.wakeup;
+        wakeup.timer_at = wakeup.timer_at.filter(|at| *at > now);
+        if wakeup.requested_at.is_some_and(|at| at <= now) {
+            wakeup.requested_at = None;
+            self.dispatch_scatter_gather(Event::Timer);
+        }
+        self.set_scatter_gather_timer();
+    }
+
+    /// A purge, of the change log or replicated; `time` is in Unix milliseconds.
+    pub(in crate::owner) fn purge_parts(&mut self, object: Option<ObjectId>, group: GroupId, time: Ms) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let purge = purges::from_change_log(group, object, time);
+        if sg.purges.observe(purge) {
+            self.dispatch_scatter_gather(Event::Purged(decision_purge(purge)));
+        }
+    }
+
+    /// Drops the purges that have converged.
+    pub(in crate::owner) fn expire_scatter_gather_purges(&mut self) {
+        let now = self.time.platform.unix(self.time.now);
+        if let Some(sg) = &mut self.scatter_gather {
+            sg.purges.settle(now, sg.config.purge_convergence_time);
+        }
+    }
+
+    /// The fleet's counters as `name=value` words.
+    pub(in crate::owner) fn fleet_counters_text(&self) -> String {
+        let mut text = self.fleet.as_ref().map(crate::fleet::Fleet::counters_text).unwrap_or_default();
+        if let Some(sg) = &self.scatter_gather {
+            text.push_str(&sg.counters.to_string());
+        }
+        text
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/scatter_gather/mod.rs
@@ -0,0 +1,182 @@
+//! Scatter-gather requests, if the own settings take them: `crates/scatter_gather` decides, here its fetches become sub-requests.
+//!
+//! A part of the own branch is a sub-request, admitted like a client's request under an id of its own; a part of another branch is requested
+//! from a router there. A partial answer may leave a continuation: a replicated record of the missing parts, under which the client requests
+//! the rest at any router. A scatter-gather request has a number of the request table, so that its client's connection and the fleet's
+//! responses refer to it like to any request.
+//!
+//! - `admission`: takes a request and hands it to the decisions; `dispatch`: events, actions and timers of the decisions;
+//! - `sub_requests`: the attempts at parts; `peers` and `peer_messages`: parts of other branches, and those requested here;
+//! - `answers` and `continuations`: how a request ends.
+
+mod admission;
+mod answers;
+mod continuations;
+mod counters;
+mod dispatch;
+mod peer_messages;
+mod peers;
+mod sub_requests;
+
+use super::requester::ClientRequest;
+use crate::caches::RequestNo;
+use crate::clients::parts::{self, Gathered};
+use crate::clients::Do;
+use crate::fleet::purges::{Purge, Purges};
+use crate::fleet::{Policies, ScatterGatherConfig};
+use crate::outbox::Counted;
+use basaltgw::api::{Class, ClassId, Idempotency, Ms};
+use basaltgw_scatter_gather as scatter_gather;
+use basaltgw_scatter_gather::{
+    AttemptNo, BadSetting, Event, GatherNo, Gathers, PartNo, Settings, Site, Used,
+};
+use continuations::Continuation;
+use counters::ScatterGatherCounters;
+use peers::Peers;
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+
+/// Scatter-gather requests open at once: as many requests as some hundred clients may have open.
+const MAX_OPEN: usize = 1024;
+
+/// An attempt at a part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct SubRequestKey {
+    pub(super) gather: GatherNo,
+    pub(super) attempt: AttemptNo,
+}
+
+/// How far a scatter-gather request is.
+enum Stage {
+    /// The continuation that it names is being read.
+    ReadingContinuation,
+    /// Its parts are being gathered.
+    Gathering,
+    /// Its answer waits until the continuation of the missing parts is stored.
+    StoringContinuation(Box<PartialAnswer>),
+}
+
+/// A partial answer before it is sent.
+struct PartialAnswer {
+    continuation: Continuation,
+    response: Gathered,
+    bodies: Vec<Counted>,
+    /// When the decisions gave it.
+    decided_at: Ms,
+}
+
+/// A part that is requested, and the branch that has it.
+type RequestedPart = (PartNo, Site);
+
+/// A client's scatter-gather request.
+struct OpenGather {
+    client: ClientRequest,
+    class: ClassId,
+    request: Box<Do>,
+    parts: Vec<RequestedPart>,
+    deadline: Ms,
+    /// The continuation that it names, if any.
+    continuation: Option<Continuation>,
+    stage: Stage,
+}
+
+/// Where an attempt at a part is.
+enum Location {
+    /// Not admitted yet, or ended.
+    None,
+    /// A request of this router.
+    Local(RequestNo),
+    /// Another router's, under this number.
+    Remote(u64),
+}
+
+/// An attempt at a part that is in flight, or whose bytes are buffered.
+struct SubRequest {
+    location: Location,
+    started_at: Ms,
+    body: Option<Counted>,
+}
+
+/// Events that arise while another is handled.
+#[derive(Default)]
+struct EventQueue {
+    events: VecDeque<Event>,
+    dispatching: bool,
+}
+
+/// When the decisions are due, and when the owner's timer is.
+#[derive(Default)]
+struct Wakeup {
+    requested_at: Option<Ms>,
+    timer_at: Option<Ms>,
+}
+
+/// The state of scatter-gather requests.
+pub(super) struct ScatterGather {
+    config: ScatterGatherConfig,
+    decisions: Gathers,
+    pub(super) policies: Arc<Policies>,
+    purges: Purges,
+    open: BTreeMap<GatherNo, OpenGather>,
+    sub_requests: BTreeMap<SubRequestKey, SubRequest>,
+    peers: Peers,
+    queue: EventQueue,
+    wakeup: Wakeup,
+    /// The last id of a sub-request.
+    last_id: u64,
+    counters: ScatterGatherCounters,
+}
+
+impl ScatterGather {
+    pub(super) fn new(config: ScatterGatherConfig) -> Result<Self, BadSetting> {
+        let settings = Settings { open: MAX_OPEN, parts: parts::MOST_PARTS, ..Settings::default() };
+        let seed = config.seed as u64;
+        Ok(Self {
+            decisions: Gathers::new(settings, seed)?,
+            policies: Arc::default(),
+            purges: Purges::default(),
+            open: BTreeMap::new(),
+            sub_requests: BTreeMap::new(),
+            peers: Peers::new(seed),
+            queue: EventQueue::default(),
+            wakeup: Wakeup::default(),
+            last_id: (config.seed >> 64) as u64,
+            counters: ScatterGatherCounters::default(),
+            config,
+        })
+    }
+
+    /// Counts a request whose client cancelled it before the owner took it.
+    pub(super) fn count_early_cancel(&mut self) {
+        self.counters.requests += 1;
+        self.counters.cancelled += 1;
+    }
+
+    fn class(&self, class: ClassId) -> Option<&Class> {
+        self.config.classes.get(class.0)
+    }
+
+    fn is_idempotent(&self, class: ClassId) -> bool {
+        self.class(class).is_some_and(|class| class.idempotency == Idempotency::Idempotent)
+    }
+
+    /// The known purges of an object or its group that have not converged.
+    fn purges_of(&self, group: u64, object: u64) -> Vec<Purge> {
+        let concerns = |p: &Purge| p.group == group && p.object.is_none_or(|o| o == object);
+        self.purges.all().filter(concerns).collect()
+    }
+
+    /// Takes the bodies of the parts that an answer is made of; `None` if one is missing.
+    fn take_bodies(&mut self, gather: GatherNo, used: &[Used]) -> Option<Vec<(PartNo, Counted)>> {
+        let take = |used: &Used| {
+            let key = SubRequestKey { gather, attempt: used.attempt };
+            Some((used.part, self.sub_requests.remove(&key)?.body?))
+        };
+        used.iter().map(take).collect()
+    }
+}
+
+/// A purge as the decisions take it.
+fn decision_purge(purge: Purge) -> scatter_gather::Purge {
+    scatter_gather::Purge { group: purge.group, object: purge.object, time: purge.time }
+}
--- /dev/null
+++ b/crates/node/src/owner/scatter_gather/peer_messages.rs
@@ -0,0 +1,269 @@
+//! Messages about parts to and from other routers.
+
+use super::peers::{LostPeer, PeerRequest, ServedPart};
+use super::sub_requests::{PartBody, PartOf};
+use super::{Location, SubRequestKey};
+use crate::caches::{CopyTag, RequestNo};
+use crate::clients::Reply;
+use crate::fleet::message::{PartMessage, PartRequest, PartResult};
+use crate::fleet::purges::Purge;
+use crate::fleet::Fleet;
+use crate::limits::{COPY_TAG, LONGEST_WAIT_MS};
+use crate::owner::requester::Requester;
+use crate::owner::Owner;
+use basaltgw::api::{GroupId, Ms, ObjectId};
+use basaltgw_scatter_gather::{Event, How, PartNo, Site};
+use basaltgw_transport::LinkEvent;
+use basaltgw_types::Member;
+use std::sync::Arc;
+
+/// Parts that are served to other routers at once.
+const MAX_SERVED_PARTS: usize = 8_192;
+/// Link events handled in one turn; the others wait for the next.
+const MAX_LINK_EVENTS: usize = 1_024;
+/// The number of a message of which nobody needs to know whether the link has written it.
+const UNTRACKED: u64 = 0;
+
+/// A response to a part request.
+struct PartResponse {
+    to: PeerRequest,
+    elapsed: Ms,
+    purges: Vec<Purge>,
+    result: PartResult,
+}
+
+impl PartResponse {
+    fn without_part(to: PeerRequest, result: PartResult) -> Self {
+        Self { to, elapsed: 0.0, purges: Vec::new(), result }
+    }
+}
+
+impl Owner {
+    /// Requests a part from a router of its branch.
+    pub(super) fn request_part(&mut self, key: SubRequestKey, part: PartNo, site: &Site, time_left: Ms) {
+        let (Some(sg), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
+        let Some(open) = sg.open.get(&key.gather) else { return };
+        let request = &open.request;
+        let peer = sg.peers.next_of(&site.0);
+        let number = sg.peers.next_number();
+        let message = PartMessage::Request(PartRequest {
+            number,
+            class: Arc::from(request.class.as_str()),
+            object: Arc::from(request.object_text.as_str()),
+            part: u64::from(part.0),
+            group: request.group.0,
+            size_kb: request.size_kb,
+            time_left: time_left.max(0.0),
+        });
+        let Some(peer) = peer.filter(|peer| fleet.send(number, peer, &message)) else {
+            sg.counters.parts_unreachable += 1;
+            return self.on_sub_request_failed(key, How::Unreached);
+        };
+        sg.counters.parts_requested += 1;
+        sg.peers.add_requested(number, peer, key);
+        if let Some(sub_request) = sg.sub_requests.get_mut(&key) {
+            sub_request.location = Location::Remote(number);
+        }
+    }
+
+    /// Cancels a part request to another router.
+    pub(super) fn cancel_part(&mut self, number: u64) {
+        let (Some(sg), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
+        if let Some(from) = sg.peers.remove_requested(number) {
+            // If the message is lost, the request ends there by its own deadline.
+            let sent = fleet.send(UNTRACKED, &from.peer, &PartMessage::Cancel { number });
+            sg.counters.unsent_messages += u64::from(!sent);
+        }
+    }
+
+    /// Handles the events of the links to other routers.
+    pub(in crate::owner) fn on_peer_messages(&mut self) {
+        if self.scatter_gather.is_none() {
+            return;
+        }
+        for _ in 0..MAX_LINK_EVENTS {
+            let Some(event) = self.fleet.as_mut().and_then(Fleet::next_link_event) else { return };
+            match event {
+                LinkEvent::LinkUp(hello) => self.on_peer_up(&hello.member, hello.domain.branch),
+                LinkEvent::LinkDown(member, _) => self.on_peer_down(&member),
+                LinkEvent::MessageReceived { from, lane: _, body } => self.on_part_message(from, &body),
+                // The owner wants no link by itself: parts go over the links of a mesh.
+                LinkEvent::DialFailed(_) => {}
+                LinkEvent::SendFailed { number, .. } => self.on_part_request_unsent(number),
+            }
+        }
+    }
+
+    fn on_peer_up(&mut self, member: &Member, branch: Arc<str>) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        if let Some(before) = sg.peers.add_reachable(member, branch) {
+            self.on_peer_lost(&before);
+        }
+        self.report_fleet_size();
+    }
+
+    fn on_peer_down(&mut self, member: &Member) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        sg.peers.remove_reachable(member);
+        self.on_peer_lost(member);
+        self.report_fleet_size();
+    }
+
+    fn report_fleet_size(&mut self) {
+        let routers = self.scatter_gather.as_ref().map_or(1, |sg| sg.peers.reachable_count() + 1);
+        self.dispatch_scatter_gather(Event::Fleet(routers));
+    }
+
+    /// A peer is lost: what was requested from it has no answer, and what it requested has no requester.
+    fn on_peer_lost(&mut self, member: &Member) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let LostPeer { unanswered, unwanted } = sg.peers.remove_peer(member);
+        unanswered.into_iter().for_each(|key| self.on_sub_request_failed(key, How::Unreached));
+        unwanted.into_iter().for_each(|no| self.on_requester_left(no));
+    }
+
+    fn on_part_request_unsent(&mut self, number: u64) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        sg.counters.unsent_messages += 1;
+        if let Some(from) = sg.peers.remove_requested(number) {
+            self.on_sub_request_failed(from.key, How::Unreached);
+        }
+    }
+
+    fn on_part_message(&mut self, from: Member, body: &[u8]) {
+        match PartMessage::decode(body) {
+            Some(PartMessage::Request(request)) => self.on_part_request(from, &request),
+            Some(PartMessage::Response { number, elapsed, purges, result }) => {
+                self.on_part_response(&from, number, elapsed, purges, result);
+            }
+            Some(PartMessage::Cancel { number }) => {
+                self.on_part_cancelled(PeerRequest { peer: from, number })
+            }
+            None => self.count_unexpected_message(),
+        }
+    }
+
+    fn count_unexpected_message(&mut self) {
+        if let Some(sg) = &mut self.scatter_gather {
+            sg.counters.unexpected_messages += 1;
+        }
+    }
+
+    /// Another router has answered a part request.
+    fn on_part_response(
+        &mut self,
+        from: &Member,
+        number: u64,
+        elapsed: Ms,
+        purges: Vec<Purge>,
+        result: PartResult,
+    ) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(requested) = sg.peers.requested(number) else {
+            // It was cancelled meanwhile.
+            return;
+        };
+        if requested.peer != *from {
+            return self.count_unexpected_message();
+        }
+        let key = requested.key;
+        sg.peers.remove_requested(number);
+        match result {
+            PartResult::Served { version, created, body: bytes } => {
+                let copy = CopyTag { version, born: created };
+                self.on_part_received(key, PartBody { bytes, copy, elapsed, purges });
+            }
+            PartResult::Rejected(retry_after) => {
+                self.on_sub_request_failed(key, How::Refused(retry_after));
+            }
+            PartResult::Failed => self.on_sub_request_failed(key, How::Failed),
+        }
+    }
+
+    /// Another router requests a part.
+    fn on_part_request(&mut self, peer: Member, request: &PartRequest) {
+        let class = self.config.names.class(&request.class);
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let to = PeerRequest { peer, number: request.number };
+        let object = u64::from_str_radix(&request.object, 16).ok();
+        let (Some(class), Some(object)) = (class.filter(|class| sg.is_idempotent(*class)), object) else {
+            sg.counters.unexpected_messages += 1;
+            return self.respond(PartResponse::without_part(to, PartResult::Failed));
+        };
+        if sg.peers.served_count() >= MAX_SERVED_PARTS {
+            return self.respond(PartResponse::without_part(to, PartResult::Rejected(0.0)));
+        }
+        if sg.peers.is_serving(&to) {
+            sg.counters.unexpected_messages += 1;
+            return;
+        }
+        let (since, group) = (self.time.now, request.group);
+        let served = sg.peers.add_served(ServedPart { to, request: None, since, group, object });
+        let part = PartOf {
+            class: request.class.to_string(),
+            object: ObjectId(object),
+            object_text: request.object.to_string(),
+            part: request.part,
+            group: GroupId(group),
+            size_kb: request.size_kb,
+            time_left: request.time_left,
+        };
+        self.admit_part(Requester::Peer(served), class, part, None);
+    }
+
+    fn on_part_cancelled(&mut self, request: PeerRequest) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let served = sg.peers.remove_served_request(&request);
+        if let Some(no) = served.and_then(|served| served.request) {
+            self.on_requester_left(no);
+        }
+    }
+
+    /// Another router's part request was admitted.
+    pub(in crate::owner) fn on_peer_request_admitted(&mut self, served: u64, no: RequestNo) {
+        let served = self.scatter_gather.as_mut().and_then(|sg| sg.peers.served_mut(served));
+        if let Some(served) = served {
+            served.request = Some(no);
+        }
+    }
+
+    /// Another router's part request is answered.
+    pub(in crate::owner) fn on_peer_request_answered(
+        &mut self,
+        served: u64,
+        reply: Reply<'_>,
+        copy: Option<CopyTag>,
+    ) {
+        let now = self.time.now;
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(served) = sg.peers.remove_served(served) else { return };
+        let purges = sg.purges_of(served.group, served.object);
+        let result = part_result(reply, copy);
+        sg.counters.parts_served += u64::from(matches!(result, PartResult::Served { .. }));
+        self.respond(PartResponse { to: served.to, elapsed: now - served.since, purges, result });
+    }
+
+    fn respond(&mut self, response: PartResponse) {
+        let (Some(sg), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
+        let PartResponse { to: PeerRequest { peer, number }, elapsed, purges, result } = response;
+        if fleet.send(UNTRACKED, &peer, &PartMessage::Response { number, elapsed, purges, result }) {
+            return;
+        }
+        // The lane is full or the message too long for a frame; one without the part may fit.
+        sg.counters.unsent_messages += 1;
+        let result = PartResult::Failed;
+        let failed = PartMessage::Response { number, elapsed, purges: Vec::new(), result };
+        let sent = fleet.send(UNTRACKED, &peer, &failed);
+        sg.counters.unsent_messages += u64::from(!sent);
+    }
+}
+
+fn part_result(reply: Reply<'_>, copy: Option<CopyTag>) -> PartResult {
+    match (reply, copy) {
+        (Reply::Served(bytes), Some(CopyTag { version, born })) if version.len() <= COPY_TAG => {
+            PartResult::Served { version, created: born, body: bytes.to_vec() }
+        }
+        (Reply::Served(_) | Reply::Same | Reply::Failed, _) => PartResult::Failed,
+        (Reply::Refused(retry_after), _) => PartResult::Rejected(retry_after.clamp(0.0, LONGEST_WAIT_MS)),
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/scatter_gather/peers.rs
@@ -0,0 +1,160 @@
+//! The routers that can be reached for parts, the parts requested from them, and the parts that they request here.
+
+use super::SubRequestKey;
+use crate::caches::RequestNo;
+use basaltgw::api::Ms;
+use basaltgw_types::{Member, RouterId};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// A part request of another router, by its number there.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct PeerRequest {
+    pub(super) peer: Member,
+    pub(super) number: u64,
+}
+
+/// A part that is served to another router.
+pub(super) struct ServedPart {
+    pub(super) to: PeerRequest,
+    /// The request of this router, once it is admitted.
+    pub(super) request: Option<RequestNo>,
+    /// When it arrived.
+    pub(super) since: Ms,
+    pub(super) group: u64,
+    pub(super) object: u64,
+}
+
+/// A part that is requested from another router.
+#[derive(Clone)]
+pub(super) struct RequestedFrom {
+    pub(super) peer: Member,
+    pub(super) key: SubRequestKey,
+}
+
+/// A router with a link that is up.
+struct ReachablePeer {
+    member: Member,
+    branch: Arc<str>,
+}
+
+/// What a lost peer leaves.
+pub(super) struct LostPeer {
+    /// Sub-requests that have no answer any more.
+    pub(super) unanswered: Vec<SubRequestKey>,
+    /// Requests of this router that have no requester any more.
+    pub(super) unwanted: Vec<RequestNo>,
+}
+
+/// Other routers, and the parts in flight between them and this one.
+pub(super) struct Peers {
+    reachable: BTreeMap<RouterId, ReachablePeer>,
+    /// Requests to a branch take its routers in turn.
+    next_turn: usize,
+    /// By the number under which they were requested; no more than there are sub-requests.
+    requested: BTreeMap<u64, RequestedFrom>,
+    /// By this router's number for them.
+    served: BTreeMap<u64, ServedPart>,
+    served_numbers: BTreeMap<PeerRequest, u64>,
+    last_number: u64,
+}
+
+impl Peers {
+    /// No peer is reachable yet. Numbers start at a random value, so that a response to an earlier process matches no request.
+    pub(super) fn new(seed: u64) -> Self {
+        Self {
+            reachable: BTreeMap::new(),
+            next_turn: 0,
+            requested: BTreeMap::new(),
+            served: BTreeMap::new(),
+            served_numbers: BTreeMap::new(),
+            last_number: seed >> 8,
+        }
+    }
+
+    pub(super) fn reachable_count(&self) -> usize {
+        self.reachable.len()
+    }
+
+    /// A link is up; gives the peer's earlier incarnation, if that was reachable.
+    pub(super) fn add_reachable(&mut self, member: &Member, branch: Arc<str>) -> Option<Member> {
+        let peer = ReachablePeer { member: member.clone(), branch };
+        let before = self.reachable.insert(member.router.clone(), peer)?;
+        Some(before.member).filter(|before| before != member)
+    }
+
+    /// A link is down.
+    pub(super) fn remove_reachable(&mut self, member: &Member) {
+        if self.reachable.get(&member.router).is_some_and(|peer| peer.member == *member) {
+            self.reachable.remove(&member.router);
+        }
+    }
+
+    /// A reachable router of a branch, in turn.
+    pub(super) fn next_of(&mut self, branch: &Arc<str>) -> Option<Member> {
+        let peers = self.reachable.values().filter(|peer| peer.branch == *branch);
+        let members: Vec<&Member> = peers.map(|peer| &peer.member).collect();
+        self.next_turn = self.next_turn.wrapping_add(1);
+        members.get(self.next_turn % members.len().max(1)).map(|member| (*member).clone())
+    }
+
+    pub(super) fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
+    }
+
+    pub(super) fn add_requested(&mut self, number: u64, peer: Member, key: SubRequestKey) {
+        self.requested.insert(number, RequestedFrom { peer, key });
+    }
+
+    pub(super) fn requested(&self, number: u64) -> Option<&RequestedFrom> {
+        self.requested.get(&number)
+    }
+
+    pub(super) fn remove_requested(&mut self, number: u64) -> Option<RequestedFrom> {
+        self.requested.remove(&number)
+    }
+
+    pub(super) fn served_count(&self) -> usize {
+        self.served.len()
+    }
+
+    pub(super) fn is_serving(&self, request: &PeerRequest) -> bool {
+        self.served_numbers.contains_key(request)
+    }
+
+    /// Registers a part request of another router; gives this router's number for it.
+    pub(super) fn add_served(&mut self, part: ServedPart) -> u64 {
+        let number = self.next_number();
+        self.served_numbers.insert(part.to.clone(), number);
+        self.served.insert(number, part);
+        number
+    }
+
+    pub(super) fn served_mut(&mut self, number: u64) -> Option<&mut ServedPart> {
+        self.served.get_mut(&number)
+    }
+
+    pub(super) fn remove_served(&mut self, number: u64) -> Option<ServedPart> {
+        let part = self.served.remove(&number)?;
+        self.served_numbers.remove(&part.to);
+        Some(part)
+    }
+
+    /// Removes a part request that its requester cancels.
+    pub(super) fn remove_served_request(&mut self, request: &PeerRequest) -> Option<ServedPart> {
+        let number = self.served_numbers.get(request).copied()?;
+        self.remove_served(number)
+    }
+
+    /// Removes all that is in flight between this router and a peer.
+    pub(super) fn remove_peer(&mut self, member: &Member) -> LostPeer {
+        let is_requested = |of: &&u64| self.requested.get(*of).is_some_and(|from| from.peer == *member);
+        let requested: Vec<u64> = self.requested.keys().filter(is_requested).copied().collect();
+        let is_served = |(_, part): &(&u64, &ServedPart)| part.to.peer == *member;
+        let served: Vec<u64> = self.served.iter().filter(is_served).map(|(number, _)| *number).collect();
+        let unwanted = served.into_iter().filter_map(|number| self.remove_served(number)?.request).collect();
+        let removed = requested.into_iter().filter_map(|number| self.requested.remove(&number));
+        LostPeer { unanswered: removed.map(|from| from.key).collect(), unwanted }
+    }
+}
--- /dev/null
+++ b/crates/node/src/owner/scatter_gather/sub_requests.rs
@@ -0,0 +1,174 @@
+//! Sub-requests: attempts at parts, of this router's caches or of another router.
+
+use super::{decision_purge, Location, SubRequest, SubRequestKey};
+use crate::caches::{CopyTag, RequestNo};
+use crate::clients::presence::Wanted;
+use crate::clients::{Do, Reply, WireId};
+use crate::fleet::purges::Purge;
+use crate::outbox::Counted;
+use crate::owner::requester::{IncomingRequest, Requester};
+use crate::owner::Owner;
+use basaltgw::api::{ClassId, GroupId, Ms, ObjectId, Part};
+use basaltgw_scatter_gather::{Came, Ended, Event, How, PartNo, Site};
+use std::sync::Arc;
+
+/// What a request for one part names.
+pub(super) struct PartOf {
+    pub(super) class: String,
+    pub(super) object: ObjectId,
+    pub(super) object_text: String,
+    pub(super) part: u64,
+    pub(super) group: GroupId,
+    pub(super) size_kb: f64,
+    pub(super) time_left: Ms,
+}
+
+impl PartOf {
+    /// As a request like a client's, whose id is still to be given.
+    pub(super) fn into_request(self) -> Do {
+        Do {
+            id: WireId(Arc::from("")),
+            class: self.class,
+            object: self.object,
+            object_text: self.object_text,
+            part: Part(self.part),
+            group: self.group,
+            size_kb: self.size_kb,
+            left: self.time_left,
+            got: None,
+            key: None,
+            again: false,
+            parts: None,
+            debt: None,
+            body: Vec::new(),
+        }
+    }
+}
+
+/// A part that has arrived.
+pub(super) struct PartBody {
+    pub(super) bytes: Vec<u8>,
+    pub(super) copy: CopyTag,
+    /// How long the site took, in milliseconds.
+    pub(super) elapsed: Ms,
+    /// Purges that the site knows of.
+    pub(super) purges: Vec<Purge>,
+}
+
+impl Owner {
+    pub(super) fn start_sub_request(&mut self, key: SubRequestKey, part: PartNo, site: &Site, time_left: Ms) {
+        let now = self.time.now;
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(open) = sg.open.get(&key.gather) else {
+            return self.on_sub_request_failed(key, How::Unreached);
+        };
+        sg.sub_requests.insert(key, SubRequest { location: Location::None, started_at: now, body: None });
+        if site.0 != sg.config.branch {
+            return self.request_part(key, part, site, time_left);
+        }
+        let (class, client, request) = (open.class, open.client, &open.request);
+        let part = PartOf {
+            class: request.class.clone(),
+            object: request.object,
+            object_text: request.object_text.clone(),
+            part: u64::from(part.0),
+            group: request.group,
+            size_kb: request.size_kb,
+            time_left,
+        };
+        let liveness = self.clients.liveness(client.id, client.tag);
+        self.admit_part(Requester::SubRequest(key), class, part, liveness);
+    }
+
+    /// Admits a request for a part like a client's, under an id that no open request has.
+    pub(super) fn admit_part(
+        &mut self,
+        requester: Requester,
+        class: ClassId,
+        part: PartOf,
+        liveness: Option<Wanted>,
+    ) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        let mut request = part.into_request();
+        loop {
+            sg.last_id = sg.last_id.wrapping_add(1);
+            request.id = WireId(Arc::from(format!("{:016x}", sg.last_id)));
+            if !self.requests.contains_id(&request.id) {
+                break;
+            }
+        }
+        let deadline = self.time.now + request.left;
+        let (class, request) = (Some(class), Box::new(request));
+        self.admit(IncomingRequest { requester, class, request, deadline, liveness });
+    }
+
+    /// A sub-request of this router was admitted.
+    pub(in crate::owner) fn on_sub_request_admitted(&mut self, key: SubRequestKey, no: RequestNo) {
+        let sub_request = self.scatter_gather.as_mut().and_then(|sg| sg.sub_requests.get_mut(&key));
+        if let Some(sub_request) = sub_request {
+            sub_request.location = Location::Local(no);
+        }
+    }
+
+    /// A sub-request of this router is answered.
+    pub(in crate::owner) fn on_sub_request_answered(
+        &mut self,
+        key: SubRequestKey,
+        reply: Reply<'_>,
+        copy: Option<CopyTag>,
+    ) {
+        match (reply, copy) {
+            (Reply::Served(bytes), Some(copy)) => {
+                let sub_request = self.scatter_gather.as_ref().and_then(|sg| sg.sub_requests.get(&key));
+                let elapsed = sub_request.map_or(0.0, |sub_request| self.time.now - sub_request.started_at);
+                let body = PartBody { bytes: bytes.to_vec(), copy, elapsed, purges: Vec::new() };
+                self.on_part_received(key, body);
+            }
+            // Without its copy's tag, the part can't be matched with others.
+            (Reply::Served(_) | Reply::Same | Reply::Failed, _) => {
+                self.on_sub_request_failed(key, How::Failed);
+            }
+            (Reply::Refused(retry_after), _) => self.on_sub_request_failed(key, How::Refused(retry_after)),
+        }
+    }
+
+    /// A part has arrived, of this router or another.
+    pub(super) fn on_part_received(&mut self, key: SubRequestKey, part: PartBody) {
+        if self.memory.is_exceeded() {
+            // Links are not stopped by a full memory, as connections are.
+            if let Some(sg) = &mut self.scatter_gather {
+                sg.counters.parts_dropped += 1;
+            }
+            return self.on_sub_request_failed(key, How::Failed);
+        }
+        let meter = &self.memory.meter;
+        let sub_request = self.scatter_gather.as_mut().and_then(|sg| sg.sub_requests.get_mut(&key));
+        let Some(sub_request) = sub_request else { return };
+        let PartBody { bytes, copy: CopyTag { version, born }, elapsed: took, purges } = part;
+        let len = bytes.len() as u64;
+        sub_request.location = Location::None;
+        sub_request.body = Some(Counted::new(bytes, &[meter]));
+        let SubRequestKey { gather: no, attempt } = key;
+        let purges = purges.into_iter().map(decision_purge).collect();
+        let came = Came { no, attempt, version, born, whole: true, len, took, purges };
+        self.dispatch_scatter_gather(Event::Came(came));
+    }
+
+    /// A sub-request ended without a part.
+    pub(super) fn on_sub_request_failed(&mut self, key: SubRequestKey, how: How) {
+        let Some(sg) = &mut self.scatter_gather else { return };
+        sg.sub_requests.remove(&key);
+        let SubRequestKey { gather: no, attempt } = key;
+        self.dispatch_scatter_gather(Event::Ended(Ended { no, attempt, how }));
+    }
+
+    /// Cancels a sub-request, or frees its buffered bytes.
+    pub(super) fn drop_sub_request(&mut self, key: SubRequestKey) {
+        let sub_request = self.scatter_gather.as_mut().and_then(|sg| sg.sub_requests.remove(&key));
+        match sub_request.map(|sub_request| sub_request.location) {
+            Some(Location::None) | None => {}
+            Some(Location::Local(no)) => self.on_requester_left(no),
+            Some(Location::Remote(number)) => self.cancel_part(number),
+        }
+    }
+}
