--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -1,15 +1,19 @@
-//! What only the inside of an owner shows.
+//! The owner with a client and two edge caches whose connections are never established.
 
-use super::attempts::Attempt;
+use super::attempts::{AbortingAttempt, Attempt, CancelResults, Delivery};
 use super::*;
 use crate::caches::{Answer, AttemptKey, Down};
 use crate::clients::life::{Life, Quiet, State};
 use crate::clients::{ClientId, Do, FromClient, Tag, WireId};
+use crate::clock::Clock;
 use crate::inbox::Over;
 use crate::limits::{CLIENT_IDLE_MS, LEAVING_MS, ROOM_IDLE_MS, ROOM_REST_MS, ROOM_SILENT_MS};
 use crate::outbox::{outbox, OutgoingMessage};
+use crate::Input;
 use async_executor::LocalExecutor;
-use basaltgw::api::{AttemptNo, Endpoint, EndpointState, GroupId, ObjectId, Part, Role, ZoneId};
+use basaltgw::api::{
+    AttemptNo, AttemptResult, Endpoint, EndpointState, GroupId, Ms, ObjectId, Part, Role, ServerId, ZoneId,
+};
 use basaltgw_config::{parse, Environment, Member, News};
 use serde_json::json;
 use std::time::Duration;
@@ -18,7 +22,7 @@
 
 pub(super) const CLIENT: ClientId = ClientId(1);
 
-/// An owner before two edge caches whose connections never come up, since nothing runs its executor.
+/// An owner with two edge caches whose connections are never established, since nothing runs its executor.
 pub(super) fn owner() -> (Owner, async_channel::Receiver<Rc<OutgoingMessage>>) {
     let member = |id: &str, port: u16, flavor: &str| {
         json!({"id": id, "host_port": format!("127.0.0.1:{port}"), "locality": "here", "flavor": flavor,
@@ -46,77 +50,83 @@
         stalls: Rc::default(),
         held_limit: usize::MAX,
     };
-    let (out, written) = outbox(&shared.meter, &Rc::default());
+    let (out, messages) = outbox(&shared.meter, &Rc::default());
     let caches = Caches::new(shared.clone(), 100, config.transport);
     let mut owner = Owner::new(&config, &OwnSettings::default(), &shared, caches);
-    let open = Input::ClientOpen(CLIENT, out, life(&owner));
+    let open = Input::ClientOpen(CLIENT, out, connection(&owner));
     owner.batch(&mut vec![open]);
-    (owner, written)
+    (owner, messages)
 }
 
-fn life(owner: &Owner) -> Rc<Life> {
-    Rc::new(Life::new(&owner.places))
+fn connection(owner: &Owner) -> Rc<Life> {
+    Rc::new(Life::new(&owner.clients.slots))
 }
 
 fn first_attempt(owner: &Owner) -> &Attempt {
     owner.requests.attempt((RequestNo(1), AttemptNo(0))).expect("an attempt")
 }
 
-/// The first attempt of request 1 has been written whole.
-fn written(owner: &mut Owner) -> AttemptKey {
+/// Starts request 1 and marks its first attempt as written whole.
+fn write_first_attempt(owner: &mut Owner) -> AttemptKey {
     let first = request(owner, 1);
     owner.batch(&mut vec![first]);
-    let (conn, parcel) = first_attempt(owner).way.as_ref().expect("on its way");
-    parcel.write();
-    let up = Input::CacheUp(*conn);
+    let in_flight = first_attempt(owner).in_flight.as_ref().expect("in flight");
+    in_flight.message.write();
+    let up = Input::CacheUp(in_flight.connection);
     owner.batch(&mut vec![up]);
     (RequestNo(1), AttemptNo(0))
 }
 
 #[test]
-fn what_was_given_up_is_out_until_its_server_knows() {
-    for end in [AttemptResult::Cancelled, AttemptResult::TimedOut] {
-        let (mut owner, _written) = owner();
-        let key = written(&mut owner);
-        owner.give_up(key, (end, AttemptResult::NotSent), true);
-        owner.give_up(key, (AttemptResult::TimedOut, AttemptResult::NotSent), true);
+fn cancelled_attempt_is_in_flight_until_its_server_confirms_the_abort() {
+    for result in [AttemptResult::Cancelled, AttemptResult::TimedOut] {
+        let (mut owner, _messages) = owner();
+        let key = write_first_attempt(&mut owner);
+        let results = |sent| CancelResults { sent, unsent: AttemptResult::NotSent };
+        owner.cancel_attempt(key, results(result), Delivery::NextBatch);
+        owner.cancel_attempt(key, results(AttemptResult::TimedOut), Delivery::NextBatch);
         for _ in 0..3 {
             owner.batch(&mut Vec::new());
-            let out: Vec<bool> = attempts(&owner, 1).iter().map(|a| a.1).collect();
-            assert_eq!(out, [true], "no other may go out while the server may still have it");
+            let in_flight = in_flight(&owner, 1);
+            assert_eq!(in_flight, [true], "no other may be sent while the server may still have it");
         }
-        let [AbortingAttempt { on, tag, .. }] = &owner.leaving[..] else { panic!("one that leaves") };
-        let (on, words) = (*on, vec![tag.0.as_bytes().to_vec(), b"yes".to_vec()]);
-        let yes = Answer::read(words, &[]).expect("an answer");
-        owner.batch(&mut vec![Input::Cache(on, yes)]);
-        let out: Vec<bool> = attempts(&owner, 1).iter().map(|a| a.1).collect();
-        assert!(!out[0] && out.len() == 2 && owner.leaving.is_empty(), "over, and decided again: {out:?}");
+        let [AbortingAttempt { connection, tag, .. }] = &owner.upstream.aborting[..] else {
+            panic!("one that is being aborted")
+        };
+        let (connection, fields) = (*connection, vec![tag.0.as_bytes().to_vec(), b"yes".to_vec()]);
+        let confirmation = Answer::read(fields, &[]).expect("an answer");
+        owner.batch(&mut vec![Input::Cache(connection, confirmation)]);
+        let out = in_flight(&owner, 1);
+        assert!(
+            !out[0] && out.len() == 2 && owner.upstream.aborting.is_empty(),
+            "ended, and attempted again: {out:?}"
+        );
     }
 }
 
 #[test]
-fn what_was_given_up_is_over_after_a_time_at_a_server_that_says_nothing() {
-    let (mut owner, _written) = owner();
-    let key = written(&mut owner);
-    owner.give_up(key, (AttemptResult::Cancelled, AttemptResult::NotSent), true);
-    owner.leaving[0].since -= LEAVING_MS + 1.0;
+fn cancelled_attempt_ends_after_a_time_if_its_server_does_not_confirm() {
+    let (mut owner, _messages) = owner();
+    let key = write_first_attempt(&mut owner);
+    owner.cancel_attempt(key, CancelResults::CANCELLED, Delivery::NextBatch);
+    owner.upstream.aborting[0].since -= LEAVING_MS + 1.0;
     owner.batch(&mut Vec::new());
-    assert!(!attempts(&owner, 1)[0].1 && owner.leaving.is_empty());
+    assert!(!attempts(&owner, 1)[0].in_flight && owner.upstream.aborting.is_empty());
     assert_eq!(owner.counters.attempts.unheeded.get(), 1);
 }
 
 #[test]
-fn a_write_of_which_nothing_was_sent_in_time_is_refused_and_not_failed() {
-    let (mut owner, _written) = owner();
+fn write_of_which_nothing_was_sent_in_time_is_rejected_and_not_failed() {
+    let (mut owner, _messages) = owner();
     let Input::Client(client, FromClient::Do(tag, mut write), at) = request(&owner, 1) else {
         panic!("a request")
     };
     (write.class, write.body, write.left) = ("loan".into(), b"borrow".to_vec(), 60.0);
     owner.batch(&mut vec![Input::Client(client, FromClient::Do(tag, write), at)]);
     assert_eq!(attempts(&owner, 1).len(), 1, "it waits for a connection");
-    // One batch in which its attempt's time is out and the module's own sweep is due as well.
-    let over = owner.now + 200.0;
-    while owner.clock.now() < over {
+    // One batch in which its attempt times out and the decision module's own timer is due as well.
+    let over = owner.time.now + 200.0;
+    while owner.time.clock.now() < over {
         std::thread::sleep(Duration::from_millis(5));
     }
     owner.batch(&mut Vec::new());
@@ -124,14 +134,14 @@
 }
 
 #[test]
-fn what_was_given_up_is_over_with_its_connection() {
-    let (mut owner, _written) = owner();
-    let key = written(&mut owner);
-    owner.give_up(key, (AttemptResult::Cancelled, AttemptResult::NotSent), true);
-    let (conn, _) = first_attempt(&owner).way.as_ref().expect("still out");
-    let down = Input::CacheDown(*conn, Down::Ended(Over::Ended));
+fn cancelled_attempt_ends_with_its_connection() {
+    let (mut owner, _messages) = owner();
+    let key = write_first_attempt(&mut owner);
+    owner.cancel_attempt(key, CancelResults::CANCELLED, Delivery::NextBatch);
+    let in_flight = first_attempt(&owner).in_flight.as_ref().expect("still in flight");
+    let down = Input::CacheDown(in_flight.connection, Down::Ended(Over::Ended));
     owner.batch(&mut vec![down]);
-    assert!(!attempts(&owner, 1)[0].1 && owner.leaving.is_empty());
+    assert!(!attempts(&owner, 1)[0].in_flight && owner.upstream.aborting.is_empty());
 }
 
 pub(super) fn request(owner: &Owner, tag: u64) -> Input {
@@ -151,17 +161,30 @@
         debt: None,
         body: Vec::new(),
     };
-    Input::Client(CLIENT, FromClient::Do(Tag(tag), Box::new(request)), owner.clock.now())
+    Input::Client(CLIENT, FromClient::Do(Tag(tag), Box::new(request)), owner.time.clock.now())
 }
 
-/// The servers of a request's attempts, and whether each is still out.
-fn attempts(owner: &Owner, no: u64) -> Vec<(ServerId, bool)> {
-    let open = owner.requests.get(RequestNo(no)).expect("an open request");
-    open.attempts.iter().map(|a| (a.server.clone(), a.way.is_some())).collect()
+/// An attempt as the tests compare it.
+#[derive(Clone, Debug, PartialEq)]
+struct AttemptView {
+    server: ServerId,
+    in_flight: bool,
+}
+
+/// A request's attempts.
+fn attempts(owner: &Owner, no: u64) -> Vec<AttemptView> {
+    let pending = owner.requests.get(RequestNo(no)).expect("an open request");
+    let view = |a: &Attempt| AttemptView { server: a.server.clone(), in_flight: a.is_in_flight() };
+    pending.attempts.iter().map(view).collect()
+}
+
+/// Whether each of a request's attempts is in flight.
+fn in_flight(owner: &Owner, no: u64) -> Vec<bool> {
+    attempts(owner, no).iter().map(|a| a.in_flight).collect()
 }
 
 fn draining(owner: &Owner, id: &ServerId) -> Input {
-    let address = owner.servers.get(id).expect("a listed server").address;
+    let address = owner.upstream.endpoints.get(id).expect("a listed server").address;
     let entry = Endpoint {
         id: id.clone(),
         zone: ZoneId(0),
@@ -175,53 +198,58 @@
 }
 
 #[test]
-fn a_drain_goes_before_a_request_of_its_batch_and_recalls_what_waits() {
-    let (mut owner, written) = owner();
+fn drain_is_handled_before_a_request_of_its_batch_and_recalls_unsent_attempts() {
+    let (mut owner, messages) = owner();
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
-    let [(home, true)] = &attempts(&owner, 1)[..] else { panic!("one attempt that is out") };
+    let [AttemptView { server: home, in_flight: true }] = &attempts(&owner, 1)[..] else {
+        panic!("one attempt in flight")
+    };
     let home = home.clone();
     let (second, drain) = (request(&owner, 2), draining(&owner, &home));
     owner.batch(&mut vec![second, drain]);
     let other = attempts(&owner, 2);
-    assert!(other.len() == 1 && other[0].0 != home, "decided after the news: {other:?}");
-    assert_eq!(attempts(&owner, 1), [(home, false), (other[0].0.clone(), true)]);
-    assert_eq!((owner.counters.attempts.made.get(), written.len()), (3, 0));
+    assert!(other.len() == 1 && other[0].server != home, "decided after the list: {other:?}");
+    let recalled = AttemptView { server: home, in_flight: false };
+    let sent_again = AttemptView { server: other[0].server.clone(), in_flight: true };
+    assert_eq!(attempts(&owner, 1), [recalled, sent_again]);
+    assert_eq!((owner.counters.attempts.made.get(), messages.len()), (3, 0));
 }
 
 #[test]
-fn a_whole_list_recalls_what_waits_for_servers_it_leaves_out() {
-    let (mut owner, _written) = owner();
+fn complete_list_recalls_unsent_attempts_to_servers_that_it_does_not_have() {
+    let (mut owner, _messages) = owner();
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
     owner.batch(&mut vec![Input::News(News::Servers { whole: true, members: Vec::new() })]);
-    // There is nowhere left to go, so it is answered; and nothing of it is out.
+    // No server is left, so it is answered; and none of its attempts is in flight.
     assert!(owner.requests.is_empty());
     assert_eq!((owner.counters.clients.refused.get(), owner.counters.attempts.made.get()), (1, 1));
 }
 
-/// Room is wanted, and those that are asked for theirs find nothing that crosses it.
-fn make_room(owner: &mut Owner) {
-    owner.make_room();
-    owner.make_room();
-    let asked = owner.clients.0.iter().filter_map(|(id, c)| Some((*id, c.life.asked().map(|_| &c.life)?)));
-    let over: Vec<_> = asked.filter_map(|(id, life)| Some((id, life.stops(None)?))).collect();
-    over.into_iter().for_each(|(id, over)| owner.client_stopped(id, over));
+/// Clients wait for a slot, and no message crosses the close of those that are asked for theirs.
+fn free_slots(owner: &mut Owner) {
+    owner.close_least_active_clients();
+    owner.close_least_active_clients();
+    let connected = owner.clients.connected.iter();
+    let asked = connected.filter_map(|(id, c)| Some((*id, c.connection.asked().map(|_| &c.connection)?)));
+    let stopped: Vec<_> = asked.filter_map(|(id, life)| Some((id, life.stops(None)?))).collect();
+    stopped.into_iter().for_each(|(id, reason)| owner.on_client_stopped(id, reason));
     owner.clients.release_closed();
 }
 
 #[test]
-fn what_is_on_its_way_from_a_client_goes_before_its_close() {
+fn message_queued_from_a_client_is_handled_before_its_close() {
     for room in [true, false] {
-        let (mut owner, _written) = owner();
-        owner.clients.0.iter_mut().for_each(|(_, c)| c.active -= CLIENT_IDLE_MS);
-        let life = Rc::clone(&owner.clients.0.get(&CLIENT).expect("a client").life);
-        // The owner finds it at rest while its reader has a request for it in hand.
+        let (mut owner, _messages) = owner();
+        owner.clients.connected.iter_mut().for_each(|(_, c)| c.last_active -= CLIENT_IDLE_MS);
+        let life = Rc::clone(&owner.clients.connected.get(&CLIENT).expect("a client").connection);
+        // The owner finds it idle while its reader has a request of it in hand.
         assert!(life.hands());
         if room {
             owner.batch(&mut vec![Input::RoomWanted]);
         } else {
-            owner.tidied = 0.0;
+            owner.schedule.maintained_at = 0.0;
             owner.batch(&mut Vec::new());
         }
         let why = if room { Quiet::Room } else { Quiet::Idle };
@@ -237,46 +265,45 @@
 }
 
 #[test]
-fn room_is_made_for_a_crowd_by_those_that_are_missed_least() {
-    let (mut owner, _written) = owner();
+fn slots_for_many_clients_are_freed_by_closing_the_least_active_ones() {
+    let (mut owner, _messages) = owner();
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
-    let mut outs = Vec::new();
+    let mut queues = Vec::new();
     for id in 2..=17 {
-        let (out, written) = outbox(&owner.meter, &Rc::default());
-        outs.push(written);
-        let open = Input::ClientOpen(ClientId(id), out, life(&owner));
+        let (out, messages) = outbox(&owner.memory.meter, &Rc::default());
+        queues.push(messages);
+        let open = Input::ClientOpen(ClientId(id), out, connection(&owner));
         owner.batch(&mut vec![open]);
     }
-    let now = owner.now;
-    for (id, client) in &mut owner.clients.0 {
-        // Two have long been idle; of the others some have said nothing yet.
-        client.spoke = id.0 > 5;
-        client.active = if [8, 9].contains(&id.0) { now - ROOM_IDLE_MS } else { now };
+    let now = owner.time.now;
+    for (id, client) in &mut owner.clients.connected {
+        // Two have long been idle; of the others some have sent nothing yet.
+        client.has_sent = id.0 > 5;
+        client.last_active = if [8, 9].contains(&id.0) { now - ROOM_IDLE_MS } else { now };
     }
-    let left = |owner: &Owner| owner.clients.0.keys().map(|id| id.0).collect::<Vec<_>>();
-    make_room(&mut owner);
+    let left = |owner: &Owner| owner.clients.connected.keys().map(|id| id.0).collect::<Vec<_>>();
+    free_slots(&mut owner);
     assert!(!left(&owner).contains(&8) && !left(&owner).contains(&9), "{:?}", left(&owner));
     assert_eq!(left(&owner).len(), 15, "the others were active just now");
-    owner.now = now + ROOM_REST_MS;
-    make_room(&mut owner);
+    owner.time.now = now + ROOM_REST_MS;
+    free_slots(&mut owner);
     let rested: Vec<u64> = left(&owner).into_iter().filter(|n| *n > 5).collect();
-    assert_eq!(rested, [10, 11, 12, 13, 14, 15, 16, 17], "two of those that had their answers");
-    owner.now = now + ROOM_SILENT_MS;
-    (0..20).for_each(|_| make_room(&mut owner));
+    assert_eq!(rested, [10, 11, 12, 13, 14, 15, 16, 17], "two of those that had their responses");
+    owner.time.now = now + ROOM_SILENT_MS;
+    (0..20).for_each(|_| free_slots(&mut owner));
     assert_eq!(left(&owner), [1], "one with something open stays");
 }
 
 #[test]
-fn a_purge_recalls_what_waits_with_an_older_age_limit() {
-    let (mut owner, _written) = owner();
+fn purge_recalls_unsent_attempts_with_an_older_age_limit() {
+    let (mut owner, _messages) = owner();
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
-    let purge = |group| News::Purge { object: None, group: GroupId(group), time: owner.clock.now() };
+    let purge = |group| News::Purge { object: None, group: GroupId(group), time: owner.time.clock.now() };
     let (elsewhere, here) = (Input::News(purge(16)), Input::News(purge(17)));
     owner.batch(&mut vec![elsewhere]);
     assert_eq!(attempts(&owner, 1).len(), 1, "another group's purge is no reason");
     owner.batch(&mut vec![here]);
-    let out: Vec<bool> = attempts(&owner, 1).iter().map(|a| a.1).collect();
-    assert_eq!(out, [false, true], "decided again");
+    assert_eq!(in_flight(&owner, 1), [false, true], "attempted again");
 }
--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -1,15 +1,16 @@
-//! Two events at once, in every order.
+//! Events that cross each other, in every order.
 
 use super::*;
 use crate::caches::ConnId;
 use crate::limits::SERVER_STALLED;
 use crate::outbox::{write_all, FetchTerms, Stage};
+use crate::owner::attempts::InFlight;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Instant;
 
-/// A server is at another place.
+/// Lists a server at another port.
 fn moved(owner: &Owner, id: &ServerId, port: u16) -> Input {
     let entry = Endpoint {
         id: id.clone(),
@@ -18,32 +19,35 @@
         cell: 0,
         state: EndpointState::Up,
         weight: 1.0,
-        started: Some(owner.now),
+        started: Some(owner.time.now),
     };
     let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
     Input::News(News::Servers { whole: false, members: vec![Member { entry, address }] })
 }
 
 #[test]
-fn what_waits_for_a_server_that_was_replaced_is_recalled() {
-    let (mut owner, _written) = owner();
+fn unsent_attempt_to_a_replaced_server_is_recalled() {
+    let (mut owner, _messages) = owner();
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
-    let home = attempts(&owner, 1)[0].0.clone();
+    let home = attempts(&owner, 1)[0].server.clone();
     let news = moved(&owner, &home, 77);
     owner.batch(&mut vec![news]);
     let all = attempts(&owner, 1);
-    assert!(all.len() == 2 && !all[0].1 && all[1].1, "it would go to where the server was: {all:?}");
+    assert!(
+        all.len() == 2 && !all[0].in_flight && all[1].in_flight,
+        "it would go to the former address: {all:?}"
+    );
     assert_eq!(owner.counters.attempts.not_sent.get(), 1);
 }
 
 #[test]
-fn what_waits_for_a_server_that_goes_and_is_back_in_one_list_is_recalled() {
-    let (mut owner, _written) = owner();
+fn unsent_attempt_to_a_server_removed_and_listed_again_in_one_list_is_recalled() {
+    let (mut owner, _messages) = owner();
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
-    let home = attempts(&owner, 1)[0].0.clone();
-    let port = owner.servers[&home].address.port();
+    let home = attempts(&owner, 1)[0].server.clone();
+    let port = owner.upstream.endpoints[&home].address.port();
     let Input::News(News::Servers { members: back, .. }) = moved(&owner, &home, port) else {
         panic!("a list")
     };
@@ -52,208 +56,217 @@
     let members = gone.into_iter().chain(back).collect();
     owner.batch(&mut vec![Input::News(News::Servers { whole: false, members })]);
     let all = attempts(&owner, 1);
-    assert!(all.len() == 2 && !all[0].1 && all[1].1, "{all:?}");
+    assert!(all.len() == 2 && !all[0].in_flight && all[1].in_flight, "{all:?}");
 }
 
 #[test]
-fn what_had_to_be_begun_earlier_is_not_written() {
+fn message_whose_start_window_has_passed_is_not_written() {
     let meter = Rc::default();
-    let (out, parcels) = outbox(&meter, &Rc::default());
+    let (out, messages) = outbox(&meter, &Rc::default());
     let by = |at| FetchTerms::unwatched(Some(at), None);
     let late = out.hold(b"late".to_vec(), by(Instant::now()));
     let in_time = out.hold(b"in time".to_vec(), by(Instant::now() + SERVER_STALLED));
-    [&late, &in_time].into_iter().for_each(|parcel| out.release(parcel));
+    [&late, &in_time].into_iter().for_each(|message| out.release(message));
     drop(out);
     let mut socket = Vec::new();
-    futures_lite::future::block_on(write_all(&mut socket, parcels, futures_lite::future::pending));
+    futures_lite::future::block_on(write_all(&mut socket, messages, futures_lite::future::pending));
     assert_eq!(socket, b"in time");
     assert_eq!((late.stage(), in_time.stage()), (Stage::TakenBack, Stage::Written));
-    assert!(late.take_back() && !in_time.take_back(), "what never left may be told as never sent");
+    assert!(late.take_back() && !in_time.take_back(), "what was not written may be reported as not sent");
 }
 
 #[test]
-fn an_answer_counts_only_on_the_connection_on_which_its_request_is_open() {
-    let (mut owner, written) = owner();
+fn answer_counts_only_on_the_connection_on_which_its_request_is_open() {
+    let (mut owner, messages) = owner();
     let both = [request(&owner, 1), request(&owner, 2)];
     owner.batch(&mut Vec::from(both));
-    let conn = |owner: &Owner, no| owner.requests.get(RequestNo(no)).expect("open").attempts[0].way.clone();
-    let ((first, _), (second, _)) = (conn(&owner, 1).expect("out"), conn(&owner, 2).expect("out"));
+    let connection = |no| {
+        let pending = owner.requests.get(RequestNo(no)).expect("open");
+        pending.attempts[0].in_flight.as_ref().expect("in flight").connection
+    };
+    let (first, second) = (connection(1), connection(2));
     let other = ConnId(first.0.max(second.0) + 1);
     let ok = |id: &str| {
         let words = [id, "ok", "ver=1,born=1,note=hit", "bytes"].map(|word| word.as_bytes().to_vec());
         Answer::read(words.to_vec(), &[]).expect("an answer")
     };
-    // On a connection that is not its own, and under an id that nobody has.
+    // On a connection that is not its own, and under an id that no request has.
     owner.batch(&mut vec![
         Input::Cache(other, ok(&format!("{:016x}", 1))),
         Input::Cache(first, ok("00000000000000ff")),
     ]);
-    assert_eq!((owner.counters.attempts.late_answers.get(), written.len()), (2, 0));
-    // The same id again, while it is open: a client that breaks the protocol is told of a failure, and the first goes on.
+    assert_eq!((owner.counters.attempts.late_answers.get(), messages.len()), (2, 0));
+    // The same id again, while it is open: a client that breaks the protocol gets a failure, and the first goes on.
     let Input::Client(client, FromClient::Do(_, again), at) = request(&owner, 1) else {
         panic!("a request")
     };
     owner.batch(&mut vec![Input::Client(client, FromClient::Do(Tag(3), again), at)]);
     assert_eq!(
-        (owner.counters.clients.unreadable.get(), attempts(&owner, 1).len(), written.len()),
+        (owner.counters.clients.unreadable.get(), attempts(&owner, 1).len(), messages.len()),
         (1, 1, 1)
     );
     owner.batch(&mut vec![Input::Cache(first, ok(&format!("{:016x}", 1)))]);
-    assert_eq!((owner.counters.clients.served.get(), written.len()), (1, 2));
+    assert_eq!((owner.counters.clients.served.get(), messages.len()), (1, 2));
 }
 
 /// What may happen to the one request.
 #[derive(Clone, Copy, Debug)]
-enum Happens {
-    Up,
-    Proved,
+enum Step {
+    Established,
+    Validated,
     Written,
     Answer(&'static str),
-    Known,
-    NeverUp,
-    Ended,
-    Undo,
+    AbortConfirmed,
+    ConnectFailed,
+    ConnectionClosed,
+    ClientCancels,
     Drain,
-    Moves,
+    AddressChanges,
     TimeOut,
-    Deadline,
-    /// What happened since the last goes into one batch.
+    TimePasses,
+    /// What happened since the last batch goes into one.
     Batch,
 }
 
-fn happens() -> impl Strategy<Value = Happens> {
-    use Happens::*;
-    let word = prop_oneof![Just("ok"), Just("nothing"), Just("refused"), Just("error"), Just("stale")];
-    let carried = prop_oneof![Just(Up), Just(Proved), Just(Written), Just(Batch)];
+fn steps() -> impl Strategy<Value = Step> {
+    use Step::*;
+    let result = prop_oneof![Just("ok"), Just("nothing"), Just("refused"), Just("error"), Just("stale")];
+    let progress = prop_oneof![Just(Established), Just(Validated), Just(Written), Just(Batch)];
     let crossed = prop_oneof![
-        Just(Known),
-        Just(NeverUp),
-        Just(Ended),
-        Just(Undo),
+        Just(AbortConfirmed),
+        Just(ConnectFailed),
+        Just(ConnectionClosed),
+        Just(ClientCancels),
         Just(Drain),
-        Just(Moves),
+        Just(AddressChanges),
         Just(TimeOut)
     ];
-    prop_oneof![6 => carried, 2 => word.prop_map(Answer), 3 => crossed, 1 => Just(Deadline)]
+    prop_oneof![6 => progress, 2 => result.prop_map(Answer), 3 => crossed, 1 => Just(TimePasses)]
 }
 
-/// The client's time; less than the margin after it is over, the final answer is due.
-const LEFT_MS: Ms = 45.0;
+/// The client's deadline, by which the final response is due.
+const DEADLINE_MS: Ms = 45.0;
 
 /// One request and what the test knows of it.
-struct Play {
+struct Scenario {
     class: &'static str,
     owner: Owner,
-    written: async_channel::Receiver<Rc<OutgoingMessage>>,
+    responses: async_channel::Receiver<Rc<OutgoingMessage>>,
     inputs: Vec<Input>,
-    up: BTreeSet<ConnId>,
-    proved: BTreeSet<ConnId>,
-    /// Attempts that were written whole, unless their server said that they never ran.
-    ran: BTreeSet<usize>,
+    established: BTreeSet<ConnId>,
+    validated: BTreeSet<ConnId>,
+    /// Attempts that were written whole, unless their server answered that it did not execute them.
+    executed: BTreeSet<usize>,
 }
 
-impl Play {
+impl Scenario {
     fn new(class: &'static str) -> Self {
-        let (mut owner, written) = owner();
+        let (mut owner, responses) = owner();
         let Input::Client(client, FromClient::Do(tag, mut ask), at) = request(&owner, 1) else {
             panic!("a request")
         };
-        (ask.class, ask.left) = (class.into(), LEFT_MS);
+        (ask.class, ask.left) = (class.into(), DEADLINE_MS);
         if class == "loan" {
             ask.body = b"borrow".to_vec();
         }
         owner.batch(&mut vec![Input::Client(client, FromClient::Do(tag, ask), at)]);
-        let (up, proved) = Default::default();
-        Self { class, owner, written, inputs: Vec::new(), up, proved, ran: BTreeSet::new() }
+        let (established, validated) = Default::default();
+        let executed = BTreeSet::new();
+        Self { class, owner, responses, inputs: Vec::new(), established, validated, executed }
     }
 
-    /// The last attempt, if it is out.
-    fn out(&self) -> Option<(usize, ConnId, Rc<OutgoingMessage>)> {
-        let open = self.owner.requests.get(RequestNo(1))?;
-        let n = open.attempts.len().checked_sub(1)?;
-        let (conn, parcel) = open.attempts[n].way.as_ref()?;
-        Some((n, *conn, Rc::clone(parcel)))
+    /// The last attempt, if it is in flight.
+    fn in_flight(&self) -> Option<(usize, InFlight)> {
+        let pending = self.owner.requests.get(RequestNo(1))?;
+        let n = pending.attempts.len().checked_sub(1)?;
+        Some((n, pending.attempts[n].in_flight.clone()?))
     }
 
-    fn say(&mut self, on: ConnId, id: &str, word: &str) {
-        let fields: &[u8] = if word == "ok" { b"ver=1,born=1,note=hit" } else { b"-" };
-        let words = vec![id.as_bytes().to_vec(), word.as_bytes().to_vec(), fields.to_vec(), Vec::new()];
-        self.inputs.push(Input::Cache(on, Answer::read(words, &[]).expect("an answer")));
+    fn answer(&mut self, connection: ConnId, id: &str, result: &str) {
+        let fields: &[u8] = if result == "ok" { b"ver=1,born=1,note=hit" } else { b"-" };
+        let words = vec![id.as_bytes().to_vec(), result.as_bytes().to_vec(), fields.to_vec(), Vec::new()];
+        self.inputs.push(Input::Cache(connection, Answer::read(words, &[]).expect("an answer")));
     }
 
-    fn happen(&mut self, what: Happens) {
-        if let Happens::Batch = what {
+    fn step(&mut self, step: Step) {
+        if let Step::Batch = step {
             return self.batch();
         }
-        if let Happens::Deadline = what {
+        if let Step::TimePasses = step {
             std::thread::sleep(Duration::from_millis(15));
             return;
         }
-        if let Happens::Undo = what {
-            return self.inputs.push(Input::Client(CLIENT, FromClient::Undo(Tag(1)), self.owner.now));
+        if let Step::ClientCancels = step {
+            return self.inputs.push(Input::Client(CLIENT, FromClient::Undo(Tag(1)), self.owner.time.now));
         }
-        let Some((n, on, parcel)) = self.out() else { return };
+        let Some((n, InFlight { connection, message })) = self.in_flight() else { return };
         let server = self.owner.requests.get(RequestNo(1)).expect("open").attempts[n].server.clone();
-        match what {
-            Happens::Up => {
-                self.up.insert(on);
-                self.inputs.push(Input::CacheUp(on));
+        match step {
+            Step::Established => {
+                self.established.insert(connection);
+                self.inputs.push(Input::CacheUp(connection));
             }
-            Happens::Proved if self.up.contains(&on) => {
-                self.proved.insert(on);
-                self.say(on, &on.0.to_string(), "yes");
+            Step::Validated if self.established.contains(&connection) => {
+                self.validated.insert(connection);
+                self.answer(connection, &connection.0.to_string(), "yes");
                 self.batch();
             }
-            Happens::Written if self.proved.contains(&on) && parcel.stage() == Stage::Waiting => {
-                parcel.write();
-                self.ran.insert(n);
+            Step::Written if self.validated.contains(&connection) && message.stage() == Stage::Waiting => {
+                message.write();
+                self.executed.insert(n);
             }
-            Happens::Answer(word) if parcel.stage() == Stage::Written => {
-                if matches!(word, "nothing" | "refused" | "stale") {
-                    self.ran.remove(&n);
+            Step::Answer(result) if message.stage() == Stage::Written => {
+                if matches!(result, "nothing" | "refused" | "stale") {
+                    self.executed.remove(&n);
                 }
-                self.say(on, &format!("{:016x}", 1), word);
+                self.answer(connection, &format!("{:016x}", 1), result);
             }
-            Happens::Known => {
-                let tags: Vec<_> = self.owner.leaving.iter().map(|l| (l.on, l.tag.0.to_string())).collect();
-                tags.into_iter().for_each(|(on, tag)| self.say(on, &tag, "yes"));
+            Step::AbortConfirmed => {
+                let aborting = self.owner.upstream.aborting.iter();
+                let tags: Vec<_> = aborting.map(|a| (a.connection, a.tag.0.to_string())).collect();
+                tags.into_iter().for_each(|(connection, tag)| self.answer(connection, &tag, "yes"));
             }
-            Happens::NeverUp if !self.up.contains(&on) => {
-                self.inputs.push(Input::CacheDown(on, Down::NeverUp));
+            Step::ConnectFailed if !self.established.contains(&connection) => {
+                self.inputs.push(Input::CacheDown(connection, Down::NeverUp));
             }
-            Happens::Ended if self.up.contains(&on) => {
-                self.inputs.push(Input::CacheDown(on, Down::Ended(Over::Ended)));
+            Step::ConnectionClosed if self.established.contains(&connection) => {
+                self.inputs.push(Input::CacheDown(connection, Down::Ended(Over::Ended)));
             }
-            Happens::Drain if self.owner.servers.contains_key(&server) => {
+            Step::Drain if self.owner.upstream.endpoints.contains_key(&server) => {
                 self.inputs.push(draining(&self.owner, &server));
             }
-            Happens::Moves => self.inputs.push(moved(&self.owner, &server, 99)),
-            Happens::TimeOut => self.owner.time_out((RequestNo(1), AttemptNo(n))),
+            Step::AddressChanges => self.inputs.push(moved(&self.owner, &server, 99)),
+            Step::TimeOut => self.owner.on_attempt_timeout((RequestNo(1), AttemptNo(n))),
             _ => {}
         }
     }
 
-    /// Everything so far in one batch; then what has to hold always.
+    /// Handles everything so far in one batch, then checks the invariants.
     fn batch(&mut self) {
         let mut inputs = std::mem::take(&mut self.inputs);
         self.owner.batch(&mut inputs);
-        self.holds();
+        self.check();
     }
 
-    fn holds(&self) {
+    fn check(&self) {
         let clients = &self.owner.counters.clients;
         let [served, refused, failed, left] =
             [&clients.served, &clients.refused, &clients.failed, &clients.left].map(|c| c.get());
         assert!(served + refused + failed + left <= 1, "{served} {refused} {failed} {left}");
-        assert_eq!(self.written.len() as u64, served + refused + failed, "what the client gets");
-        let unsafe_ran = self.class == "loan" && !self.ran.is_empty();
-        assert!(refused == 0 || !unsafe_ran, "refused, and it may have run");
-        let Some(open) = self.owner.requests.get(RequestNo(1)) else { return };
-        let out = open.attempts.iter().filter(|a| a.way.is_some()).count();
-        assert!(out <= 1, "{out} out at once");
-        if unsafe_ran {
-            let last = open.attempts.len().saturating_sub(1);
-            assert!(self.ran.iter().all(|n| *n == last), "sent again: {:?} of {}", self.ran, last + 1);
+        assert_eq!(self.responses.len() as u64, served + refused + failed, "what the client gets");
+        let executed = self.class == "loan" && !self.executed.is_empty();
+        assert!(refused == 0 || !executed, "rejected, and it may have been executed");
+        let Some(pending) = self.owner.requests.get(RequestNo(1)) else { return };
+        let in_flight = pending.attempts.iter().filter(|a| a.is_in_flight()).count();
+        assert!(in_flight <= 1, "{in_flight} in flight at once");
+        if executed {
+            let last = pending.attempts.len().saturating_sub(1);
+            assert!(
+                self.executed.iter().all(|n| *n == last),
+                "sent again: {:?} of {}",
+                self.executed,
+                last + 1
+            );
         }
     }
 }
@@ -261,34 +274,34 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 192, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn whatever_crosses_there_is_one_answer_and_one_end_of_each_attempt(
+    fn events_in_any_order_yield_one_response_and_one_result_of_each_attempt(
         class in prop_oneof![Just("pages"), Just("loan"), Just("renewal")],
-        far in 0..=3usize,
-        all in prop::collection::vec(happens(), 1..20),
+        progress in 0..=3usize,
+        all in prop::collection::vec(steps(), 1..20),
     ) {
-        let mut play = Play::new(class);
-        // So far it gets before anything crosses it.
-        [Happens::Up, Happens::Proved, Happens::Written].into_iter().take(far).for_each(|what| play.happen(what));
-        all.into_iter().for_each(|what| play.happen(what));
-        play.batch();
-        // The client's time runs out; what was given up is known, or its server says nothing.
-        let over = play.owner.now + LEFT_MS;
-        while play.owner.clock.now() < over {
+        let mut scenario = Scenario::new(class);
+        // How far the request gets before other events cross it.
+        let path = [Step::Established, Step::Validated, Step::Written].into_iter().take(progress);
+        path.chain(all).for_each(|step| scenario.step(step));
+        scenario.batch();
+        // The client's deadline passes; aborts are confirmed or not.
+        let deadline = scenario.owner.time.now + DEADLINE_MS;
+        while scenario.owner.time.clock.now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
         }
-        play.batch();
-        play.batch();
-        let clients = &play.owner.counters.clients;
+        scenario.batch();
+        scenario.batch();
+        let clients = &scenario.owner.counters.clients;
         let answers = [&clients.served, &clients.refused, &clients.failed, &clients.left].map(|c| c.get());
-        prop_assert_eq!(answers.iter().sum::<u64>(), 1, "an answer in time, whatever is still out");
-        play.owner.leaving.iter_mut().for_each(|l| l.since -= LEAVING_MS + 1.0);
-        play.batch();
-        play.batch();
-        prop_assert!(play.owner.requests.is_empty() && play.owner.leaving.is_empty());
-        let a = &play.owner.counters.attempts;
-        let ends = [
+        prop_assert_eq!(answers.iter().sum::<u64>(), 1, "a response in time, whatever is still in flight");
+        scenario.owner.upstream.aborting.iter_mut().for_each(|a| a.since -= LEAVING_MS + 1.0);
+        scenario.batch();
+        scenario.batch();
+        prop_assert!(scenario.owner.requests.is_empty() && scenario.owner.upstream.aborting.is_empty());
+        let a = &scenario.owner.counters.attempts;
+        let results = [
             &a.served, &a.error, &a.full, &a.late, &a.no_connection, &a.broken, &a.cancelled, &a.not_sent, &a.miss,
         ];
-        prop_assert_eq!(ends.iter().map(|c| c.get()).sum::<u64>(), a.made.get());
+        prop_assert_eq!(results.iter().map(|c| c.get()).sum::<u64>(), a.made.get());
     }
 }
--- /dev/null
+++ b/crates/node/src/owner/timers.rs
@@ -0,0 +1,69 @@
+//! Timers of the owner.
+
+use crate::caches::RequestNo;
+use basaltgw::api::{AttemptNo, Ms};
+use basaltgw_registers::RequestNumber;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+/// What a timer is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum TimerKind {
+    /// The decision module's own, with its token.
+    Router(u64),
+    /// An attempt times out.
+    AttemptTimeout(RequestNo, AttemptNo),
+    /// The time by which an attempt has to start has passed.
+    AttemptStart(RequestNo, AttemptNo),
+    /// A lease that another router holds is polled.
+    LeasePoll(RequestNo),
+    /// The response to a change of a record is overdue.
+    LeaseTimeout(RequestNo, RequestNumber),
+    /// The scatter-gather decisions are due.
+    ScatterGather,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    due_us: u64,
+    /// Timers due at the same time fire in the order in which they were set.
+    sequence: u64,
+    kind: TimerKind,
+}
+
+/// Timers by due time.
+#[derive(Default)]
+pub(super) struct Timers {
+    heap: BinaryHeap<Reverse<Timer>>,
+    last_sequence: u64,
+}
+
+impl Timers {
+    pub(super) fn set(&mut self, at: Ms, kind: TimerKind) {
+        self.last_sequence += 1;
+        self.heap.push(Reverse(Timer { due_us: micros(at), sequence: self.last_sequence, kind }));
+    }
+
+    /// When the first is due.
+    pub(super) fn next_due(&self) -> Option<Ms> {
+        self.heap.peek().map(|Reverse(timer)| timer.due_us as f64 / 1000.0)
+    }
+
+    /// Removes the timers that are due.
+    pub(super) fn take_due(&mut self, now: Ms) -> Vec<TimerKind> {
+        let now_us = micros(now);
+        let mut due = Vec::new();
+        while let Some(Reverse(timer)) = self.heap.peek().filter(|Reverse(timer)| timer.due_us <= now_us) {
+            due.push(timer.kind);
+            self.heap.pop();
+        }
+        // Timeouts of attempts go before the decision module's timers, on which it rejects or fails what is left.
+        due.sort_by_key(|kind| matches!(kind, TimerKind::Router(_)));
+        due
+    }
+}
+
+/// Whole microseconds, for times that have to be ordered.
+pub(super) fn micros(at: Ms) -> u64 {
+    (at.max(0.0) * 1000.0) as u64
+}
--- /dev/null
+++ b/crates/node/src/owner/watch_events.rs
@@ -0,0 +1,201 @@
+//! Events of the change log: endpoint lists and purges, and the recall of unsent attempts that they outdate.
+
+use super::requests::PendingRequest;
+use super::Owner;
+use crate::breaks::{broken, Break};
+use crate::caches::ConnId;
+use crate::fleet::purges;
+use crate::slow_start_watch::ListedStart;
+use basaltgw::api::{Endpoint, EndpointState, EndpointUpdate, Event, GroupId, Ms, ObjectId, ServerId};
+use basaltgw_config::{Member, News};
+use std::time::Instant;
+
+/// A purge.
+#[derive(Clone, Copy)]
+pub(super) struct Purged {
+    /// The object; `None` for the whole group.
+    pub(super) object: Option<ObjectId>,
+    /// The group.
+    pub(super) group: GroupId,
+    /// When it happened, in Unix milliseconds.
+    pub(super) time: Ms,
+}
+
+impl Purged {
+    fn concerns(&self, pending: &PendingRequest) -> bool {
+        match self.object {
+            Some(object) => pending.request.object == object,
+            None => pending.request.group == self.group,
+        }
+    }
+}
+
+/// What an endpoint list takes out of service.
+#[derive(Default)]
+struct Withdrawn {
+    /// Servers that are draining, removed, or missing in a complete list.
+    servers: Vec<ServerId>,
+    /// Of these, the ones that a complete list does not have.
+    unlisted: Vec<ServerId>,
+    /// Connections to an address that is no longer the server's.
+    connections: Vec<ConnId>,
+}
+
+impl Owner {
+    /// Handles the events of the change log that the configuration knows, oldest first.
+    pub(super) fn handle_known_events(&mut self, known: &[News]) {
+        // All times first: the latest tells most about the current time.
+        for event in known {
+            match event {
+                News::Servers { members, .. } => self.observe_starts(members),
+                News::Purge { time, .. } => {
+                    let shift = self.time.observe_purge(*time);
+                    self.on_clock_corrected(shift);
+                    self.time.platform.purge_known(*time);
+                }
+            }
+        }
+        for event in known.iter().cloned() {
+            match event {
+                News::Servers { whole, members } => {
+                    self.counters.log.lists.one();
+                    self.on_endpoint_list(whole, members);
+                }
+                News::Purge { object, group, time } => {
+                    let age = self.time.platform.age(self.time.now, time);
+                    self.on_logged_purge(Purged { object, group, time }, age);
+                }
+            }
+        }
+    }
+
+    /// Handles an event of the change log.
+    pub(super) fn on_watch_event(&mut self, event: News) {
+        match event {
+            News::Servers { whole, members } => {
+                self.counters.log.lists.one();
+                self.observe_starts(&members);
+                self.on_endpoint_list(whole, members);
+            }
+            News::Purge { object, group, time } => {
+                let shift = self.time.observe_purge(time);
+                self.on_clock_corrected(shift);
+                let age = self.time.platform.age_in_order(self.time.now, time);
+                self.on_logged_purge(Purged { object, group, time }, age);
+            }
+        }
+    }
+
+    /// What the platform listed before lies further in the past than estimated, by `shift`.
+    pub(super) fn on_clock_corrected(&mut self, shift: Option<Ms>) {
+        if let Some(shift) = shift {
+            self.monitors.slow_start.shift_starts(shift);
+            self.dispatch(Event::ClockCorrected(shift));
+        }
+    }
+
+    /// Servers that are up have started before now.
+    fn observe_starts(&mut self, members: &[Member]) {
+        let up = members.iter().filter(|member| member.entry.state == EndpointState::Up);
+        for started in up.filter_map(|member| member.entry.started) {
+            let shift = self.time.observe(started);
+            self.on_clock_corrected(shift);
+        }
+    }
+
+    /// A purge of the change log, `age` milliseconds old.
+    fn on_logged_purge(&mut self, purged: Purged, age: Ms) {
+        if let Some(fleet) = &mut self.fleet {
+            fleet.replicate_purge(purges::from_change_log(purged.group, purged.object, purged.time));
+        }
+        self.purge(purged, age);
+    }
+
+    /// A purge that another router has replicated.
+    pub(super) fn on_replicated_purge(&mut self, purged: Purged) {
+        let shift = self.time.observe_purge(purged.time);
+        self.on_clock_corrected(shift);
+        let age = self.time.platform.age(self.time.now, purged.time);
+        self.purge(purged, age);
+    }
+
+    fn purge(&mut self, purged: Purged, age: Ms) {
+        let Purged { object, group, time } = purged;
+        self.counters.log.purges.one();
+        if broken(Break::PurgeIgnored) {
+            return;
+        }
+        self.purge_parts(object, group, time);
+        self.dispatch(Event::Purged(group, object, age));
+        self.recall(|pending, _| purged.concerns(pending));
+    }
+
+    fn on_endpoint_list(&mut self, complete: bool, mut members: Vec<Member>) {
+        if broken(Break::DrainIgnored) {
+            members.retain(|member| member.entry.state == EndpointState::Up);
+        }
+        self.upstream.list_received = true;
+        let mut withdrawn = Withdrawn::default();
+        if complete {
+            self.withdraw_unlisted(&members, &mut withdrawn);
+        }
+        self.update_endpoints(&members, &mut withdrawn);
+        let tree_events = self.upstream.tree.listed(self.time.now, &members, &withdrawn.unlisted);
+        let update = if complete { EndpointUpdate::Complete } else { EndpointUpdate::Delta };
+        let mut endpoints: Vec<_> = members.into_iter().map(|member| member.entry).collect();
+        endpoints.iter_mut().for_each(|endpoint| self.map_start(endpoint));
+        self.dispatch(Event::Endpoints(update, endpoints));
+        self.dispatch_all(tree_events);
+        // Also what waits for a listed server on a connection to its former address.
+        self.recall(|_, attempt| {
+            withdrawn.servers.contains(&attempt.server)
+                || attempt.fill_source.as_ref().is_some_and(|source| withdrawn.servers.contains(source))
+                || withdrawn.connections.iter().any(|connection| attempt.is_on(*connection))
+        });
+    }
+
+    /// Removes the servers that a complete list does not have.
+    fn withdraw_unlisted(&mut self, members: &[Member], withdrawn: &mut Withdrawn) {
+        let is_listed = |id: &ServerId| members.iter().any(|member| member.entry.id == *id);
+        let unlisted: Vec<_> = self.upstream.endpoints.keys().filter(|id| !is_listed(id)).cloned().collect();
+        for id in &unlisted {
+            withdrawn.connections.extend(self.upstream.caches.moved(id, None));
+            self.upstream.endpoints.remove(id);
+        }
+        withdrawn.servers.clone_from(&unlisted);
+        withdrawn.unlisted = unlisted;
+    }
+
+    fn update_endpoints(&mut self, members: &[Member], withdrawn: &mut Withdrawn) {
+        let upstream = &mut self.upstream;
+        for member in members {
+            let id = &member.entry.id;
+            let up = member.entry.state == EndpointState::Up;
+            withdrawn.connections.extend(upstream.caches.moved(id, up.then(|| member.place())));
+            if !up {
+                withdrawn.servers.push(id.clone());
+            }
+            if member.entry.state == EndpointState::Removed {
+                upstream.endpoints.remove(id);
+            } else {
+                upstream.endpoints.insert(id.clone(), member.place());
+            }
+        }
+    }
+
+    /// Maps an endpoint's listed start to the router's clock, and has the requests to a server that is warming up counted.
+    fn map_start(&mut self, endpoint: &mut Endpoint) {
+        let Some(unix) = endpoint.started else {
+            self.monitors.slow_start.observe_endpoint(Instant::now(), endpoint, None);
+            return;
+        };
+        let started = self.time.platform.local(self.time.now, unix);
+        let age = (self.time.now - started).max(0.0);
+        let start = self.monitors.slow_start.observe_endpoint(Instant::now(), endpoint, Some(age));
+        if start == ListedStart::New {
+            let (id, weight) = (&endpoint.id.0, endpoint.weight);
+            log::info!("endpoint {id} started {age:.0} ms ago, at {unix:.0}: slow start, weight {weight}");
+        }
+        endpoint.started = Some(started);
+    }
+}
--- a/crates/node/src/slow_start_watch.rs
+++ b/crates/node/src/slow_start_watch.rs
@@ -1,255 +1,237 @@
-//! What is really put on the wire to servers that started lately, counted at the writer against the bound of slow start.
+//! Checks slow start at the writer: counts the requests written to each server that is warming up against the bound for all routers.
 //!
-//! The decisions keep an account of their own (`slow_start` of the module). This one shares no sum and no unit with it: it counts first bytes
-//! as they are written, by server process, and learns what an answer takes from answers with bytes alone.
+//! The decision module keeps its own account (`routing::slow_start`). This checker shares no sum and no unit with it: it counts first bytes as
+//! they are written, for each server process, and estimates the cost of a request from responses with bodies alone. Times are in milliseconds.
+
+#[cfg(test)]
+mod tests;
 
 use basaltgw::api::{Endpoint, EndpointState, Ms, ObjectId, Role, ServerId, Settings, SlowStartPolicy};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Objects of which it is remembered what they take.
-const MOST_OBJECTS: usize = 4_096;
-/// Weight of an answer in its class's mean.
-const MEAN_SHARE: f64 = 0.05;
-/// Answers of objects that were answered before, until a class's mean tells anything.
-const LEAST_ANSWERS: u32 = 20;
-/// From so many requests in a window on, chance adds less to the bound.
-const MANY_REQUESTS: f64 = 30.0;
-/// Fetches that were written and not yet taken in by the owner: more than are ever open, so that none is lost.
-const MOST_WRITTEN: usize = 100_000;
-
-/// A start that is told again may be mapped to another moment by this, for rounding and for what passed since the batch began.
-const SAME_START: Duration = Duration::from_millis(50);
+/// Objects whose shortest response time is stored.
+const MAX_TRACKED_OBJECTS: usize = 4_096;
+/// Weight of a response in its class's mean cost.
+const MEAN_WEIGHT: f64 = 0.05;
+/// Responses for objects that were served before, until a class's mean cost is used.
+const MIN_SAMPLES: u32 = 20;
+/// A window that allows fewer requests than this has a wider tolerance, since chance has more effect there.
+const LARGE_WINDOW_REQUESTS: f64 = 30.0;
+/// Fetches that were written and not yet taken by the owner; more than are ever open.
+const MAX_WRITTEN_FETCHES: usize = 100_000;
+/// Two listed start times that differ by no more than this are the same start: rounding, and the time since the batch began.
+const SAME_START_TOLERANCE: Duration = Duration::from_millis(50);
 
 /// The number of a request and of the attempt.
 pub type FetchIds = (u64, usize);
 
-/// A server process that started lately.
+/// What the endpoint list says of a server's start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListedStart {
+    /// A start that was not known before: the server begins to warm up.
+    New,
+    /// A known start, or the server is not warming up.
+    Unchanged,
+}
+
+/// A request of which the first byte was written to a server, or for which the server was named as the fill source.
+#[derive(Clone, Copy, Debug)]
+struct SentRequest {
+    at: Instant,
+    /// The place of its class in the settings.
+    class: usize,
+}
+
+/// A server process that is warming up.
 #[derive(Debug)]
 struct Process {
-    rule: SlowStartPolicy,
-    /// The listed size, in answers at full pace.
-    size: f64,
+    policy: SlowStartPolicy,
+    /// The listed capacity, in relation to other servers.
+    weight: f64,
     started: Instant,
-    /// First bytes that were written to it, or fills that it was named for: when, and the class.
-    sent: VecDeque<(Instant, usize)>,
+    /// What it was sent within the last window.
+    sent: VecDeque<SentRequest>,
 }
 
-/// What answers of a class take.
+/// The mean cost of a class's responses.
 #[derive(Clone, Copy, Debug, Default)]
-struct ClassWork {
+struct ClassCost {
     mean: Ms,
-    answers: u32,
+    samples: u32,
 }
 
-/// A server had more than the bound.
+/// A server was sent more than the bound.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Exceeded {
-    /// Which.
+    /// The server.
     pub server: ServerId,
-    /// Requests of mean work in the window, and the bound.
+    /// Requests of mean cost in the window.
     pub sent: f64,
-    /// See `sent`.
+    /// The bound on them.
     pub bound: f64,
 }
 
-/// Counts at the writer.
+/// The checker.
 #[derive(Debug)]
 pub struct SlowStartWatch {
-    rules: [(Role, SlowStartPolicy); 2],
-    sizes_count: bool,
-    processes: RefCell<BTreeMap<ServerId, Process>>,
-    least: RefCell<HashMap<ObjectId, Ms>>,
-    work: RefCell<Vec<ClassWork>>,
+    policies: [(Role, SlowStartPolicy); 2],
+    /// Whether listed weights are capacities; they are not where weights are dynamic.
+    uses_weights: bool,
+    warming_up: RefCell<BTreeMap<ServerId, Process>>,
+    /// The shortest response time of each object.
+    shortest_responses: RefCell<HashMap<ObjectId, Ms>>,
+    /// By class.
+    costs: RefCell<Vec<ClassCost>>,
     written: RefCell<Vec<FetchIds>>,
-    highest: Cell<f64>,
+    highest_share: Cell<f64>,
 }
 
-/// What a window may have at most, of requests of mean work, where the settings allow so many.
-fn bound(allowed: f64) -> f64 {
-    let (roots, more) = if allowed < MANY_REQUESTS { (3.0, 3.0) } else { (2.0, 2.0) };
-    allowed + roots * allowed.sqrt() + more
+/// The bound on a window's requests of mean cost, where the settings allow this many: chance adds a few standard deviations.
+fn with_tolerance(allowed: f64) -> f64 {
+    let (deviations, extra) = if allowed < LARGE_WINDOW_REQUESTS { (3.0, 3.0) } else { (2.0, 2.0) };
+    allowed + deviations * allowed.sqrt() + extra
 }
 
-fn span(ms: Ms) -> Duration {
+fn duration(ms: Ms) -> Duration {
     Duration::from_secs_f64(ms.max(0.0) / 1000.0)
 }
 
+impl Process {
+    /// Requests of mean cost that all routers may send in a window, at this age of the process.
+    fn allowed(&self, age: Ms, mean_cost: Ms) -> f64 {
+        let policy = &self.policy;
+        let share = policy.share + (1.0 - policy.share) * (age / policy.span).clamp(0.0, 1.0);
+        policy.multiple * share * self.weight * policy.window / mean_cost
+    }
+
+    fn drop_before_window(&mut self, now: Instant) {
+        let window = duration(self.policy.window);
+        while self.sent.front().is_some_and(|sent| now.saturating_duration_since(sent.at) > window) {
+            self.sent.pop_front();
+        }
+    }
+}
+
 impl SlowStartWatch {
-    /// Nothing was sent yet.
-    pub fn new(set: &Settings) -> Self {
+    /// A checker that has observed nothing.
+    pub fn new(settings: &Settings) -> Self {
         Self {
-            rules: [Role::Edge, Role::Parent].map(|role| (role, set.slow_start(role))),
-            sizes_count: !set.dynamic_weights,
-            processes: RefCell::default(),
-            least: RefCell::default(),
-            work: RefCell::new(vec![ClassWork::default(); set.classes.len()]),
+            policies: [Role::Edge, Role::Parent].map(|role| (role, settings.slow_start(role))),
+            uses_weights: !settings.dynamic_weights,
+            warming_up: RefCell::default(),
+            shortest_responses: RefCell::default(),
+            costs: RefCell::new(vec![ClassCost::default(); settings.classes.len()]),
             written: RefCell::default(),
-            highest: Cell::default(),
+            highest_share: Cell::default(),
         }
     }
 
-    /// The list tells of a server whose process started so long ago; true if that is a start that was not known.
-    pub fn listed(&self, now: Instant, entry: &Endpoint, age: Option<Ms>) -> bool {
-        let mut processes = self.processes.borrow_mut();
-        let rule = self.rules.iter().find(|(role, _)| *role == entry.role).map(|(_, rule)| *rule);
-        let cold = age.zip(rule).filter(|(age, rule)| *age < rule.span && rule.multiple * rule.window > 0.0);
-        let (Some((age, rule)), EndpointState::Up | EndpointState::Draining) = (cold, entry.state) else {
-            processes.remove(&entry.id);
-            return false;
+    /// Observes a listed server whose process started `age` milliseconds ago, `None` if long ago.
+    pub fn observe_endpoint(&self, now: Instant, endpoint: &Endpoint, age: Option<Ms>) -> ListedStart {
+        let mut warming_up = self.warming_up.borrow_mut();
+        let policy = self.policies.iter().find(|(role, _)| *role == endpoint.role).map(|(_, policy)| *policy);
+        let slow_start = age
+            .zip(policy)
+            .filter(|(age, policy)| *age < policy.span && policy.multiple * policy.window > 0.0);
+        let (Some((age, policy)), EndpointState::Up | EndpointState::Draining) = (slow_start, endpoint.state)
+        else {
+            warming_up.remove(&endpoint.id);
+            return ListedStart::Unchanged;
         };
-        let Some(started) = now.checked_sub(span(age)) else { return false };
-        let size = if self.sizes_count && entry.weight > 0.0 { entry.weight } else { 1.0 };
-        let Some(process) = processes.get_mut(&entry.id) else {
-            processes.insert(entry.id.clone(), Process { rule, size, started, sent: VecDeque::new() });
-            return true;
+        let Some(started) = now.checked_sub(duration(age)) else { return ListedStart::Unchanged };
+        let weight = if self.uses_weights && endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
+        let Some(process) = warming_up.get_mut(&endpoint.id) else {
+            let process = Process { policy, weight, started, sent: VecDeque::new() };
+            warming_up.insert(endpoint.id.clone(), process);
+            return ListedStart::New;
         };
-        process.size = size;
-        let anew = started > process.started + SAME_START;
-        if anew {
-            process.started = started;
-            process.sent.retain(|(at, _)| *at >= started);
+        process.weight = weight;
+        if started <= process.started + SAME_START_TOLERANCE {
+            return ListedStart::Unchanged;
         }
-        anew
+        process.started = started;
+        process.sent.retain(|sent| sent.at >= started);
+        ListedStart::New
     }
 
-    /// All starts lie further in the past by this than was reckoned.
-    pub fn older_by(&self, more: Ms) {
-        for process in self.processes.borrow_mut().values_mut() {
-            process.started = process.started.checked_sub(span(more)).unwrap_or(process.started);
+    /// Moves all starts into the past by this: the platform's clock turned out to be ahead of the estimate.
+    pub fn shift_starts(&self, by: Ms) {
+        for process in self.warming_up.borrow_mut().values_mut() {
+            process.started = process.started.checked_sub(duration(by)).unwrap_or(process.started);
         }
     }
 
-    /// An answer with bytes of an object took so long to be sent.
-    pub fn answered(&self, class: usize, object: ObjectId, took: Ms) {
-        let mut all = self.least.borrow_mut();
-        let Some(least) = all.get_mut(&object) else {
-            if all.len() >= MOST_OBJECTS {
-                all.clear();
+    /// Observes how long the response with an object's bytes took.
+    pub fn observe_response(&self, class: usize, object: ObjectId, elapsed: Ms) {
+        let mut shortest_responses = self.shortest_responses.borrow_mut();
+        let Some(shortest) = shortest_responses.get_mut(&object) else {
+            if shortest_responses.len() >= MAX_TRACKED_OBJECTS {
+                shortest_responses.clear();
             }
-            all.insert(object, took);
+            shortest_responses.insert(object, elapsed);
             return;
         };
-        *least = least.min(took);
-        if let Some(work) = self.work.borrow_mut().get_mut(class) {
-            work.answers = work.answers.saturating_add(1);
-            work.mean += MEAN_SHARE.max(1.0 / f64::from(work.answers)) * (*least - work.mean);
+        *shortest = shortest.min(elapsed);
+        if let Some(cost) = self.costs.borrow_mut().get_mut(class) {
+            cost.samples = cost.samples.saturating_add(1);
+            cost.mean += MEAN_WEIGHT.max(1.0 / f64::from(cost.samples)) * (*shortest - cost.mean);
         }
     }
 
-    /// The first byte of a fetch is written to a server, which may fill a miss from a source.
+    /// Counts a fetch whose first byte is written to a server, which may fill a miss from a source.
     pub fn begun(&self, now: Instant, class: usize, to: [Option<&ServerId>; 2]) -> Option<Exceeded> {
-        let over = to.into_iter().flatten().map(|server| self.sent(now, server, class));
-        over.fold(None, |found, over| found.or(over))
+        let exceeded = to.into_iter().flatten().map(|server| self.count_request(now, server, class));
+        exceeded.fold(None, |first, next| first.or(next))
     }
 
-    /// The last byte of a fetch is written.
+    /// Counts a fetch whose last byte is written.
     pub fn written(&self, ids: FetchIds) {
         let mut written = self.written.borrow_mut();
-        if written.len() < MOST_WRITTEN {
+        if written.len() < MAX_WRITTEN_FETCHES {
             written.push(ids);
         }
     }
 
-    /// Takes in that a server is sent something; gives by how much that is beyond the bound.
-    fn sent(&self, now: Instant, server: &ServerId, class: usize) -> Option<Exceeded> {
-        let mut processes = self.processes.borrow_mut();
-        let process = processes.get_mut(server)?;
+    /// Counts a request to a server, and compares its window with the bound.
+    fn count_request(&self, now: Instant, server: &ServerId, class: usize) -> Option<Exceeded> {
+        let mut warming_up = self.warming_up.borrow_mut();
+        let process = warming_up.get_mut(server)?;
         let age = now.saturating_duration_since(process.started).as_secs_f64() * 1000.0;
-        if age >= process.rule.span {
-            processes.remove(server);
-            return None;
-        }
-        process.sent.push_back((now, class));
-        let window = span(process.rule.window);
-        while process.sent.front().is_some_and(|(at, _)| now.saturating_duration_since(*at) > window) {
-            process.sent.pop_front();
-        }
-        let work = self.work.borrow();
-        let known = |class: usize| work.get(class).filter(|w| w.answers >= LEAST_ANSWERS).map(|w| w.mean);
-        let mean = (0..work.len()).filter_map(known).fold(0.0, f64::max);
-        if mean <= 0.0 {
+        if age >= process.policy.span {
+            warming_up.remove(server);
             return None;
         }
-        let share =
-            process.rule.share + (1.0 - process.rule.share) * (age / process.rule.span).clamp(0.0, 1.0);
-        let allowed = process.rule.multiple * share * process.size * process.rule.window / mean;
-        let sum: f64 = process.sent.iter().map(|(_, class)| known(*class).unwrap_or(mean)).sum();
-        let (sent, bound) = (sum / mean, bound(allowed));
-        self.highest.set(self.highest.get().max(sent / bound));
+        process.sent.push_back(SentRequest { at: now, class });
+        process.drop_before_window(now);
+        let mean_cost = self.highest_mean_cost()?;
+        let cost = |sent: &SentRequest| self.mean_cost(sent.class).unwrap_or(mean_cost);
+        let total_cost: f64 = process.sent.iter().map(cost).sum();
+        let (sent, bound) = (total_cost / mean_cost, with_tolerance(process.allowed(age, mean_cost)));
+        self.highest_share.set(self.highest_share.get().max(sent / bound));
         (sent > bound).then(|| Exceeded { server: server.clone(), sent, bound })
     }
 
-    /// Fetches that were written since this was last asked.
-    pub fn take_written(&self) -> Vec<FetchIds> {
-        self.written.take()
-    }
-
-    /// The highest share of the bound that any server had from this router since the start.
-    pub fn highest_share(&self) -> f64 {
-        self.highest.get()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use basaltgw::api::ZoneId;
-    use std::sync::Arc;
-
-    const WINDOW_MS: Ms = 1_000.0;
-
-    fn watch() -> SlowStartWatch {
-        let rule = SlowStartPolicy { share: 0.5, span: 10_000.0, multiple: 2.0, window: WINDOW_MS };
-        let watch = SlowStartWatch {
-            rules: [(Role::Edge, rule), (Role::Parent, rule)],
-            sizes_count: true,
-            processes: RefCell::default(),
-            least: RefCell::default(),
-            work: RefCell::new(vec![ClassWork::default(); 2]),
-            written: RefCell::default(),
-            highest: Cell::default(),
-        };
-        (0..40).for_each(|n| watch.answered(0, ObjectId(n % 4), 10.0));
-        watch
-    }
-
-    fn entry() -> Endpoint {
-        let id = ServerId(Arc::from("s-1"));
-        let (zone, role, listed) = (ZoneId(0), Role::Edge, EndpointState::Up);
-        Endpoint { id, zone, role, cell: 0, state: listed, weight: 1.0, started: None }
+    /// A class's mean cost, once there are enough samples.
+    fn mean_cost(&self, class: usize) -> Option<Ms> {
+        self.costs.borrow().get(class).filter(|cost| cost.samples >= MIN_SAMPLES).map(|cost| cost.mean)
     }
 
-    /// So many fetches, a millisecond apart; how many were over.
-    fn send(watch: &SlowStartWatch, from: Instant, count: u64) -> usize {
-        let id = entry().id;
-        let at = |n: u64| from + Duration::from_millis(n);
-        (0..count).filter(|n| watch.begun(at(*n), 0, [Some(&id), None]).is_some()).count()
+    /// The highest mean cost of all classes; `None` before any is known.
+    fn highest_mean_cost(&self) -> Option<Ms> {
+        let classes = self.costs.borrow().len();
+        let highest = (0..classes).filter_map(|class| self.mean_cost(class)).fold(0.0, f64::max);
+        (highest > 0.0).then_some(highest)
     }
 
-    #[test]
-    fn writes_beyond_the_bound_are_told_with_the_share_of_it() {
-        let (watch, now) = (watch(), Instant::now());
-        watch.listed(now, &entry(), Some(0.0));
-        assert_eq!(send(&watch, now, 122), 0, "100 are allowed, and chance adds 22");
-        assert!((0.95..=1.0).contains(&watch.highest_share()));
-        assert!(send(&watch, now + Duration::from_millis(200), 10) > 0);
-        watch.written((7, 0));
-        assert_eq!((watch.take_written(), watch.take_written()), (vec![(7, 0)], Vec::new()));
+    /// Takes the fetches that were written whole since the last call.
+    pub fn take_written(&self) -> Vec<FetchIds> {
+        self.written.take()
     }
 
-    #[test]
-    fn windows_processes_and_warm_servers_are_told_apart() {
-        let (watch, now) = (watch(), Instant::now());
-        assert_eq!(send(&watch, now, 500), 0, "not listed as cold");
-        watch.listed(now, &entry(), Some(0.0));
-        assert_eq!(send(&watch, now, 120), 0);
-        assert_eq!(send(&watch, now + Duration::from_millis(1_200), 120), 0, "another window");
-        let later = now + Duration::from_millis(1_400);
-        watch.listed(later, &entry(), Some(0.0));
-        assert_eq!(send(&watch, later, 100), 0, "another process");
-        watch.listed(later, &entry(), Some(20_000.0));
-        assert_eq!(send(&watch, later, 500), 0, "warm");
+    /// The highest share of its bound that any server was sent from this router since the start.
+    pub fn highest_share(&self) -> f64 {
+        self.highest_share.get()
     }
 }
--- a/crates/node/tests/crossing/closing/end.rs
+++ b/crates/node/tests/crossing/closing/end.rs
@@ -8,7 +8,7 @@
 /// when it wakes. `None` if it was too late for that.
 fn over_its_end<T>(rig: &Rig, meanwhile: impl FnOnce() -> Option<T>) -> Option<T> {
     rig.router.signal("TERM");
-    until("it is told", || rig.router.said("asked to end"));
+    until("it is told", || rig.router.said("shutdown requested"));
     rig.router.signal("STOP");
     let done = meanwhile();
     thread::sleep(Duration::from_millis(900));
@@ -147,7 +147,7 @@
 fn repeated_sigterm_is_one_shutdown() {
     ends(|rig| {
         rig.router.signal("TERM");
-        until("it is told", || rig.router.said("asked to end"));
+        until("it is told", || rig.router.said("shutdown requested"));
         rig.router.signal("TERM");
     });
 }
--- a/crates/node/tests/fleet/crossings.rs
+++ b/crates/node/tests/fleet/crossings.rs
@@ -146,7 +146,7 @@
         });
         let text = t.rig.seats[0].ends();
         let Some(Final::Served(bytes)) = end else { panic!("{end:?}: {text}") };
-        if text.contains("were not put down before the end") && left > 0 {
+        if text.contains("were not committed before shutdown") && left > 0 {
             continue;
         }
         t.says_so(1, &id, &bytes);
--- a/crates/node/tests/fleet/overlay.rs
+++ b/crates/node/tests/fleet/overlay.rs
@@ -55,6 +55,6 @@
     t.is_to_be_heeded();
     assert!(matches!(read(&mut t, 1, 5), Some(Final::Served(_))));
     let said = t.rig.seats[1].text();
-    println!("known at its start: {}", !said.contains("purges of before this start can't be had"));
+    println!("known at its start: {}", !said.contains("purges from before this start are not available"));
     assert!(t.holds().purged_reads >= 1);
 }
--- a/crates/node/tests/sockets/news.rs
+++ b/crates/node/tests/sockets/news.rs
@@ -168,7 +168,7 @@
     patient.ask_for(60_000, 1, "pages", SLOW, "", b"");
     until("it was passed on", || rig.edge.all().iter().any(|s| s.field("k") == Some("000000000000ffff")));
     rig.router.signal("TERM");
-    until("it was heard", || rig.router.said("asked to end"));
+    until("it was heard", || rig.router.said("shutdown requested"));
     let asked = Instant::now();
     // New connections are taken for a while; on a machine too busy to try in time this says nothing.
     match std::net::TcpStream::connect(address) {
