--- a/crates/node/src/fleet/handle.rs
+++ b/crates/node/src/fleet/handle.rs
@@ -11,7 +11,7 @@
 use basaltgw_membership as membership;
 use basaltgw_registers::{Change, Outcome, RecordKey, RequestNumber};
 use basaltgw_scatter_gather::Evidence;
-use basaltgw_transport::{Lane, LinkCommand, LinkEvent, Port, TransportHandle};
+use basaltgw_transport::{CommandError, Lane, LinkCommand, LinkEvent, Port, TransportHandle};
 use basaltgw_types::{Member, Ms};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -57,6 +57,30 @@
     pub(super) published_counts: Arc<Mutex<FleetCounts>>,
 }
 
+/// Requests to the replication thread: the ring, and those that must not be lost and wait for capacity in it, in order.
+struct RequestQueue {
+    ring: rtrb::Producer<ControlRequest>,
+    backlog: VecDeque<ControlRequest>,
+}
+
+impl RequestQueue {
+    /// Pushes the backlog as far as the ring has capacity; true if it is empty.
+    fn flush(&mut self) -> bool {
+        while let Some(request) = self.backlog.pop_front() {
+            if let Err(rtrb::PushError::Full(request)) = self.ring.push(request) {
+                self.backlog.push_front(request);
+                return false;
+            }
+        }
+        true
+    }
+
+    /// Pushes a request after the backlog; false if the ring is full.
+    fn push(&mut self, request: ControlRequest) -> bool {
+        self.flush() && self.ring.push(request).is_ok()
+    }
+}
+
 /// The fleet as the owner sees it.
 pub struct Fleet {
     /// This router, with the incarnation of its data folder.
@@ -80,9 +104,7 @@
     /// Receives when a notification was pushed.
     pub bell: Receiver<()>,
     last_number: u64,
-    requests: rtrb::Producer<ControlRequest>,
-    /// Requests that must not be lost and wait for capacity in the ring, in order.
-    backlog: VecDeque<ControlRequest>,
+    requests: RequestQueue,
     notifications: rtrb::Consumer<ControlNotification>,
     /// `None` once the threads have ended.
     pub(super) threads: Option<FleetThreads>,
@@ -108,8 +130,7 @@
             scatter_gather,
             bell: rings.wakeup,
             last_number: 0,
-            requests: rings.requests,
-            backlog: VecDeque::new(),
+            requests: RequestQueue { ring: rings.requests, backlog: VecDeque::new() },
             notifications: rings.notifications,
             threads,
             port,
@@ -119,7 +140,7 @@
 
     /// Pushes a request after the backlog; false if the ring is full.
     fn push(&mut self, request: ControlRequest) -> bool {
-        let pushed = self.flush() && self.requests.push(request).is_ok();
+        let pushed = self.requests.push(request);
         self.counters.ring_full += u64::from(!pushed);
         self.wake_replication_thread();
         pushed
@@ -127,12 +148,12 @@
 
     /// Pushes a request that must not be lost, or queues it until the ring has capacity.
     fn push_or_queue(&mut self, request: ControlRequest) {
-        if self.backlog.len() >= MAX_BACKLOG {
+        if self.requests.backlog.len() >= MAX_BACKLOG {
             self.counters.backlog_dropped += 1;
             return;
         }
-        self.backlog.push_back(request);
-        let pushed = self.flush();
+        self.requests.backlog.push_back(request);
+        let pushed = self.requests.flush();
         self.counters.ring_full += u64::from(!pushed);
         self.wake_replication_thread();
     }
@@ -143,15 +164,9 @@
         }
     }
 
-    /// Pushes the backlog as far as the ring has capacity; true if it is empty.
+    /// Pushes waiting requests as far as the ring has capacity; true if none waits any more.
     pub fn flush(&mut self) -> bool {
-        while let Some(request) = self.backlog.pop_front() {
-            if let Err(rtrb::PushError::Full(request)) = self.requests.push(request) {
-                self.backlog.push_front(request);
-                return false;
-            }
-        }
-        true
+        self.requests.flush()
     }
 
     /// Asks for a change of a request's record within `timeout` milliseconds; `None` if the ring is full.
@@ -229,11 +244,13 @@
         }
     }
 
-    /// Sends a message to another router's owner; false if the lane is full or the message too long. `number` comes back if the link
-    /// fails to write it, 0 for none.
-    pub fn send(&mut self, number: u64, to: &Member, message: &PartMessage) -> bool {
+    /// Sends a message to another router's owner. `number` comes back if the link fails to write it, 0 for none.
+    ///
+    /// # Errors
+    /// If the ring is full or the message too long for a frame.
+    pub fn send(&mut self, number: u64, to: &Member, message: &PartMessage) -> Result<(), CommandError> {
         let (to, body) = (to.clone(), message.encode());
-        self.port.send(LinkCommand::Send { number, to, lane: Lane::ScatterGather, body }).is_ok()
+        self.port.send(LinkCommand::Send { number, to, lane: Lane::ScatterGather, body })
     }
 
     /// The next event of the links for the owner.
@@ -254,7 +271,7 @@
     pub fn shut_down(&mut self) -> Option<String> {
         self.shutting_down = true;
         let unanswered = self.pending.keys().copied().collect();
-        self.backlog.push_back(ControlRequest::Shutdown(unanswered));
+        self.requests.backlog.push_back(ControlRequest::Shutdown(unanswered));
         let FleetThreads { replication, transport } = self.threads.take()?;
         // The thread ends only on this request.
         while !self.flush() && !replication.is_finished() {
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -3,6 +3,7 @@
 //! Every request enters by [`Owner::admit`], and every response leaves by [`Owner::answer`]: admission -> lease, if it must not run twice ->
 //! routing -> attempts -> response -> the lease's outcome.
 
+use super::lease::SendResponse;
 use super::requester::{Delivered, IncomingRequest, Requester};
 use super::{request_id, Owner};
 use crate::caches::RequestNo;
@@ -65,8 +66,9 @@
             self.monitors.invariants.check_rejection(idempotency, pending.results(), ids);
         }
         // The outcome of a leased request is durable before anybody learns of it.
-        if !self.record_outcome(no, reply) {
-            self.reply(no, reply);
+        match self.record_outcome(no, reply) {
+            SendResponse::Now => self.reply(no, reply),
+            SendResponse::OnceStored => {}
         }
     }
 
--- a/crates/node/src/owner/attempts/complete.rs
+++ b/crates/node/src/owner/attempts/complete.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Records an attempt's result and hands it to the decision module.
+    /// Records an attempt's result, observes what it says of servers and of the cache tree, and hands it to the decision module.
     pub(super) fn report(
         &mut self,
         key: AttemptKey,
@@ -105,15 +105,22 @@
         let breaks = broken(Break::RepeatAfterExecution) && result != AttemptResult::Served;
         let result = if breaks { AttemptResult::NotSent } else { result };
         let (no, n) = key;
+        let now = self.time.now;
         let Some(pending) = self.requests.get_mut(no) else { return };
         pending.lease.on_attempt_result(result);
         let Some(attempt) = pending.attempts.get_mut(n.0) else { return };
         attempt.result = Some(result);
         self.counters.attempts.ended(result);
-        let latency = self.time.now - attempt.started_at;
+        let latency = now - attempt.started_at;
+        let object = pending.request.object;
         if let Some(class) = pending.class.filter(|_| report.body_complete) {
             let elapsed = (latency - report.source_wait).max(1.0);
-            self.monitors.slow_start.observe_response(class.0, pending.request.object, elapsed);
+            self.monitors.slow_start.observe_response(class.0, object, elapsed);
+        }
+        if let Some(source) = &attempt.fill_source {
+            let pair = (&attempt.server, source);
+            let events = self.upstream.tree.ended(now, pair, object, (result, report.fill));
+            self.schedule.next_batch.extend(events);
         }
         let event = Event::Outcome(Outcome {
             request: request_id(no),
@@ -127,15 +134,6 @@
             load: report.load,
             body_complete: report.body_complete,
         });
-        let tree_events = match &attempt.fill_source {
-            Some(source) => {
-                let pair = (&attempt.server, source);
-                let object = pending.request.object;
-                self.upstream.tree.ended(self.time.now, pair, object, (result, report.fill))
-            }
-            None => Vec::new(),
-        };
-        self.schedule.next_batch.extend(tree_events);
         match delivery {
             Delivery::NextBatch => self.schedule.next_batch.push_back(event),
             Delivery::Now => self.dispatch(event),
--- a/crates/node/src/owner/client_inputs.rs
+++ b/crates/node/src/owner/client_inputs.rs
@@ -118,7 +118,7 @@
         }
         let liveness = Wanted::new(client.connection.presence(), tag);
         if !liveness.holds() {
-            return self.skip_cancelled_request(id, tag, &request);
+            return self.skip_cancelled_request(ClientRequest { id, tag }, &request);
         }
         let class = self.config.names.class(&request.class);
         // An id is new with each request; under one that is open, a response could be for either.
@@ -135,9 +135,9 @@
     }
 
     /// Counts a request that its client cancelled before the owner took it. Its tag stays in use until the cancellation arrives.
-    fn skip_cancelled_request(&mut self, id: ClientId, tag: Tag, request: &Do) {
+    fn skip_cancelled_request(&mut self, client: ClientRequest, request: &Do) {
         let no = self.requests.next_number();
-        self.clients.register(id, tag, no);
+        self.clients.register(client, no);
         let counters = &self.counters.clients;
         [&counters.requests, &counters.left, &counters.left_early].into_iter().for_each(Count::one);
         if request.parts.is_some() {
--- a/crates/node/src/owner/clients.rs
+++ b/crates/node/src/owner/clients.rs
@@ -1,5 +1,6 @@
 //! The clients that are connected: their open requests, unsent responses, and when a connection is closed.
 
+use super::requester::{ClientRequest, Delivered};
 use super::timers::micros;
 use crate::breaks::{broken, Break};
 use crate::caches::RequestNo;
@@ -144,27 +145,28 @@
     }
 
     /// Registers an admitted request of a client.
-    pub(super) fn register(&mut self, id: ClientId, tag: Tag, no: RequestNo) {
-        if let Some(client) = self.connected.get_mut(&id) {
-            client.open.insert(tag, no);
+    pub(super) fn register(&mut self, request: ClientRequest, no: RequestNo) {
+        if let Some(client) = self.connected.get_mut(&request.id) {
+            client.open.insert(request.tag, no);
         }
     }
 
     /// What tells whether a client still waits; `None` if it is not connected.
-    pub(super) fn liveness(&self, id: ClientId, tag: Tag) -> Option<Wanted> {
-        Some(Wanted::new(self.connected.get(&id)?.connection.presence(), tag))
+    pub(super) fn liveness(&self, request: ClientRequest) -> Option<Wanted> {
+        Some(Wanted::new(self.connected.get(&request.id)?.connection.presence(), request.tag))
     }
 
     /// Rejects a request that was not admitted.
-    pub(super) fn reject(&mut self, id: ClientId, tag: Tag) {
-        if let Some(client) = self.connected.get(&id) {
-            client.outbox.put(answer(tag, Reply::Refused(0.0)));
+    pub(super) fn reject(&mut self, request: ClientRequest) {
+        if let Some(client) = self.connected.get(&request.id) {
+            client.outbox.put(answer(request.tag, Reply::Refused(0.0)));
         }
     }
 
-    /// Queues a response; false if the client is gone.
-    pub(super) fn send_response(&mut self, now: Ms, id: ClientId, tag: Tag, response: Vec<u8>) -> bool {
-        let Some(client) = self.connected.get_mut(&id) else { return false };
+    /// Queues a response, unless the client is gone.
+    pub(super) fn send_response(&mut self, now: Ms, to: ClientRequest, response: Vec<u8>) -> Delivered {
+        let ClientRequest { id, tag } = to;
+        let Some(client) = self.connected.get_mut(&id) else { return Delivered::Elsewhere };
         let was_open = client.open.remove(&tag).is_some();
         let ids = format_args!("client {}, request {}", id.0, tag.0);
         client.connection.invariants().check_answer(was_open, ids);
@@ -174,7 +176,7 @@
             client.outbox.put(response.clone());
         }
         client.unsent.insert(tag, client.outbox.put(response));
-        true
+        Delivered::ToClient
     }
 
     /// Asks for the close of connections that have been idle for this long. A message that crosses that is handled first.
--- a/crates/node/src/owner/lease/mod.rs
+++ b/crates/node/src/owner/lease/mod.rs
@@ -47,6 +47,15 @@
     }
 }
 
+/// When the response of a request may be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum SendResponse {
+    /// At once.
+    Now,
+    /// Once its outcome is stored, which the lease takes care of.
+    OnceStored,
+}
+
 /// The state of a request's lease.
 #[derive(Debug, Default)]
 pub(super) enum Lease {
--- a/crates/node/src/owner/lease/outcome.rs
+++ b/crates/node/src/owner/lease/outcome.rs
@@ -1,6 +1,6 @@
 //! Stores the outcome of a leased request, or releases its lease.
 
-use super::{execution_key, Execution, Lease};
+use super::{execution_key, Execution, Lease, SendResponse};
 use crate::caches::RequestNo;
 use crate::clients::Reply;
 use crate::fleet::PendingChange;
@@ -16,23 +16,26 @@
 const PAUSE_THRESHOLD_MS: Ms = 750.0;
 
 impl Owner {
-    /// Stores how a leased request ends; true if its response has to wait for that.
-    pub(in crate::owner) fn record_outcome(&mut self, no: RequestNo, reply: Reply<'_>) -> bool {
+    /// Stores how a leased request ends; says whether its response has to wait for that.
+    pub(in crate::owner) fn record_outcome(&mut self, no: RequestNo, reply: Reply<'_>) -> SendResponse {
         let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(no)) else {
-            return false;
+            return SendResponse::Now;
+        };
+        let Lease::Held { term, .. } = pending.lease else {
+            let completing = pending.lease.is_completing();
+            return if completing { SendResponse::OnceStored } else { SendResponse::Now };
         };
-        let Lease::Held { term, .. } = pending.lease else { return pending.lease.is_completing() };
         let key = execution_key(&pending.request.id);
         pending.lease = Lease::Released;
         let body = match reply {
             // These are sent at once; the record is changed in the background.
             Reply::Refused(_) => {
                 fleet.release(key, term);
-                return false;
+                return SendResponse::Now;
             }
             Reply::Failed => {
                 fleet.complete(key, term, Outcome::Failed);
-                return false;
+                return SendResponse::Now;
             }
             Reply::Served(body) => body,
             Reply::Same => &[],
@@ -44,12 +47,12 @@
             if let Some(pending) = self.requests.get_mut(no) {
                 pending.lease = Lease::Completing { body };
             }
-            return true;
+            return SendResponse::OnceStored;
         }
         if let Some(fleet) = &mut self.fleet {
             fleet.complete(key, term, outcome);
         }
-        false
+        SendResponse::Now
     }
 
     /// The replication thread has answered the change that stores an outcome.
--- a/crates/node/src/owner/lease/tests.rs
+++ b/crates/node/src/owner/lease/tests.rs
@@ -165,10 +165,10 @@
 
     /// The input that a step is, if it is one.
     fn input(&mut self, step: Step) -> Option<Input> {
-        let answer = |word: &str, at| {
+        let answer = |result: &str, at| {
             let fields = b"ver=1,born=5,note=via_origin,waited=0".to_vec();
-            let words = vec![format!("{:016x}", 1).into_bytes(), word.into(), fields, b"receipt".to_vec()];
-            Some(Input::Cache(at, Answer::read(words, &[]).expect("an answer")))
+            let parts = vec![format!("{:016x}", 1).into_bytes(), result.into(), fields, b"receipt".to_vec()];
+            Some(Input::Cache(at, Answer::read(parts, &[]).expect("an answer")))
         };
         let in_flight = self
             .in_flight()
@@ -200,13 +200,13 @@
             }
             (Step::Ok | Step::Error | Step::Rejected, Some((at, true, _))) => {
                 self.answered_on.push(at);
-                let word = match step {
+                let result = match step {
                     Step::Ok => "ok",
                     Step::Error => "error",
                     _ => "refused",
                 };
                 self.executed |= !matches!(step, Step::Rejected);
-                answer(word, at)
+                answer(result, at)
             }
             (Step::ConnectionClosed, Some((at, written, _))) => {
                 self.executed |= written;
--- a/crates/node/src/owner/requester.rs
+++ b/crates/node/src/owner/requester.rs
@@ -53,7 +53,7 @@
     /// Registers an admitted request with its requester.
     pub(super) fn register_admitted(&mut self, requester: Requester, no: RequestNo) {
         match requester {
-            Requester::Client(ClientRequest { id, tag }) => self.clients.register(id, tag, no),
+            Requester::Client(client) => self.clients.register(client, no),
             Requester::SubRequest(key) => self.on_sub_request_admitted(key, no),
             Requester::Peer(served) => self.on_peer_request_admitted(served, no),
         }
@@ -62,9 +62,9 @@
     /// Rejects a request that is not admitted for want of capacity.
     pub(super) fn reject_unadmitted(&mut self, requester: Requester) {
         match requester {
-            Requester::Client(ClientRequest { id, tag }) => {
+            Requester::Client(client) => {
                 self.counters.clients.turned_away.one();
-                self.clients.reject(id, tag);
+                self.clients.reject(client);
             }
             Requester::SubRequest(key) => {
                 self.on_sub_request_answered(key, Reply::Refused(0.0), None);
@@ -76,11 +76,8 @@
     /// Hands a response to the requester.
     pub(super) fn deliver(&mut self, to: Requester, reply: Reply<'_>, copy: Option<CopyTag>) -> Delivered {
         match to {
-            Requester::Client(ClientRequest { id, tag }) => {
-                match self.clients.send_response(self.time.now, id, tag, answer(tag, reply)) {
-                    true => Delivered::ToClient,
-                    false => Delivered::Elsewhere,
-                }
+            Requester::Client(client) => {
+                self.clients.send_response(self.time.now, client, answer(client.tag, reply))
             }
             Requester::SubRequest(key) => {
                 self.on_sub_request_answered(key, reply, copy);
--- a/crates/node/src/owner/scatter_gather/admission.rs
+++ b/crates/node/src/owner/scatter_gather/admission.rs
@@ -87,10 +87,10 @@
         if sg.open.len() >= MAX_OPEN || self.requests.is_full() || self.memory.is_exceeded() {
             sg.counters.rejected += 1;
             self.counters.clients.turned_away.one();
-            return self.clients.reject(client.id, client.tag);
+            return self.clients.reject(client);
         }
         let no = self.requests.next_number();
-        self.clients.register(client.id, client.tag, no);
+        self.clients.register(client, no);
         let gather = GatherNo(no.0);
         let continuation = continuation.flatten().filter(|_| sg.is_idempotent(class));
         let stage = Stage::ReadingContinuation;
--- a/crates/node/src/owner/scatter_gather/answers.rs
+++ b/crates/node/src/owner/scatter_gather/answers.rs
@@ -5,6 +5,7 @@
 use crate::clients::parts::gathered;
 use crate::clients::{answer, Reply};
 use crate::outbox::Counted;
+use crate::owner::requester::Delivered;
 use crate::owner::Owner;
 use basaltgw::api::Ms;
 use basaltgw_scatter_gather::{Event, GatherNo, PartNo, Used, Verdict};
@@ -107,7 +108,8 @@
         bodies.iter().for_each(|body| response.body.extend_from_slice(body.bytes()));
         let client = open.client;
         let bytes = gathered(client.tag, &response);
-        if self.clients.send_response(self.time.now, client.id, client.tag, bytes) && complete {
+        let delivered = self.clients.send_response(self.time.now, client, bytes);
+        if delivered == Delivered::ToClient && complete {
             self.counters.clients.answered(&Reply::Served(&[]));
         }
         self.dispatch_scatter_gather(Event::Merged(self.time.now - decided_at));
@@ -123,7 +125,7 @@
         }
         let client = open.client;
         let bytes = answer(client.tag, reply);
-        if self.clients.send_response(self.time.now, client.id, client.tag, bytes) {
+        if self.clients.send_response(self.time.now, client, bytes) == Delivered::ToClient {
             self.counters.clients.answered(&reply);
         }
     }
--- a/crates/node/src/owner/scatter_gather/peer_messages.rs
+++ b/crates/node/src/owner/scatter_gather/peer_messages.rs
@@ -55,7 +55,7 @@
             size_kb: request.size_kb,
             time_left: time_left.max(0.0),
         });
-        let Some(peer) = peer.filter(|peer| fleet.send(number, peer, &message)) else {
+        let Some(peer) = peer.filter(|peer| fleet.send(number, peer, &message).is_ok()) else {
             sg.counters.parts_unreachable += 1;
             return self.on_sub_request_failed(key, How::Unreached);
         };
@@ -72,7 +72,7 @@
         if let Some(from) = sg.peers.remove_requested(number) {
             // If the message is lost, the request ends there by its own deadline.
             let sent = fleet.send(UNTRACKED, &from.peer, &PartMessage::Cancel { number });
-            sg.counters.unsent_messages += u64::from(!sent);
+            sg.counters.unsent_messages += u64::from(sent.is_err());
         }
     }
 
@@ -246,7 +246,7 @@
     fn respond(&mut self, response: PartResponse) {
         let (Some(sg), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
         let PartResponse { to: PeerRequest { peer, number }, elapsed, purges, result } = response;
-        if fleet.send(UNTRACKED, &peer, &PartMessage::Response { number, elapsed, purges, result }) {
+        if fleet.send(UNTRACKED, &peer, &PartMessage::Response { number, elapsed, purges, result }).is_ok() {
             return;
         }
         // The lane is full or the message too long for a frame; one without the part may fit.
@@ -254,7 +254,7 @@
         let result = PartResult::Failed;
         let failed = PartMessage::Response { number, elapsed, purges: Vec::new(), result };
         let sent = fleet.send(UNTRACKED, &peer, &failed);
-        sg.counters.unsent_messages += u64::from(!sent);
+        sg.counters.unsent_messages += u64::from(sent.is_err());
     }
 }
 
--- a/crates/node/src/owner/scatter_gather/sub_requests.rs
+++ b/crates/node/src/owner/scatter_gather/sub_requests.rs
@@ -76,7 +76,7 @@
             size_kb: request.size_kb,
             time_left,
         };
-        let liveness = self.clients.liveness(client.id, client.tag);
+        let liveness = self.clients.liveness(client);
         self.admit_part(Requester::SubRequest(key), class, part, liveness);
     }
 
--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -87,8 +87,8 @@
     let (first, second) = (connection(1), connection(2));
     let other = ConnId(first.0.max(second.0) + 1);
     let ok = |id: &str| {
-        let words = [id, "ok", "ver=1,born=1,note=hit", "bytes"].map(|word| word.as_bytes().to_vec());
-        Answer::read(words.to_vec(), &[]).expect("an answer")
+        let parts = [id, "ok", "ver=1,born=1,note=hit", "bytes"].map(|part| part.as_bytes().to_vec());
+        Answer::read(parts.to_vec(), &[]).expect("an answer")
     };
     // On a connection that is not its own, and under an id that no request has.
     owner.batch(&mut vec![
@@ -162,14 +162,14 @@
 impl Scenario {
     fn new(class: &'static str) -> Self {
         let (mut owner, responses) = owner();
-        let Input::Client(client, FromClient::Do(tag, mut ask), at) = request(&owner, 1) else {
+        let Input::Client(client, FromClient::Do(tag, mut request), at) = request(&owner, 1) else {
             panic!("a request")
         };
-        (ask.class, ask.left) = (class.into(), DEADLINE_MS);
+        (request.class, request.left) = (class.into(), DEADLINE_MS);
         if class == "loan" {
-            ask.body = b"borrow".to_vec();
+            request.body = b"borrow".to_vec();
         }
-        owner.batch(&mut vec![Input::Client(client, FromClient::Do(tag, ask), at)]);
+        owner.batch(&mut vec![Input::Client(client, FromClient::Do(tag, request), at)]);
         let (established, validated) = Default::default();
         let executed = BTreeSet::new();
         Self { class, owner, responses, inputs: Vec::new(), established, validated, executed }
@@ -184,8 +184,8 @@
 
     fn answer(&mut self, connection: ConnId, id: &str, result: &str) {
         let fields: &[u8] = if result == "ok" { b"ver=1,born=1,note=hit" } else { b"-" };
-        let words = vec![id.as_bytes().to_vec(), result.as_bytes().to_vec(), fields.to_vec(), Vec::new()];
-        self.inputs.push(Input::Cache(connection, Answer::read(words, &[]).expect("an answer")));
+        let parts = vec![id.as_bytes().to_vec(), result.as_bytes().to_vec(), fields.to_vec(), Vec::new()];
+        self.inputs.push(Input::Cache(connection, Answer::read(parts, &[]).expect("an answer")));
     }
 
     fn step(&mut self, step: Step) {
