--- a/crates/control/tests/control/network/mod.rs
+++ b/crates/control/tests/control/network/mod.rs
@@ -1,18 +1,20 @@
 //! Control planes connected by queues, each with a simulated disk. One step is a millisecond.
 
 use basaltgw_control::message::Message;
-use basaltgw_control::{Action, Control, ControlNotification, ControlParts, ControlRequest, Event};
+use basaltgw_control::{Action, ControlNotification, ControlRequest, Event};
 use basaltgw_registers::{Change, RecordKey, RequestNumber, Response};
-use basaltgw_storage::Write;
 use basaltgw_types::link::{Hello, Lane, LinkError, PROTOCOL_VERSION};
 use basaltgw_types::{Domain, Incarnation, Member, Ms, RouterId, TableHash, TableVersion};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use node::{node, Node, PendingCommit};
+use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
 mod links;
+mod node;
 mod overlay;
 mod parts;
 pub use links::{Links, IDLE_TIMEOUT_MS};
+pub use node::{apply_writes, Disk, StoredEntries};
 pub use overlay::overlay;
 pub use parts::parts;
 
@@ -26,43 +28,6 @@
 pub const LONG_CONVERGENCE_MS: Ms = 30_000.0;
 const LINK_DELAY_MS: Ms = 1.0;
 
-/// How a disk finishes commits.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Disk {
-    /// Each commit is durable after this time.
-    Commits(Ms),
-    /// No commit finishes.
-    Hangs,
-    /// Each commit fails.
-    Fails,
-}
-
-/// Entries of a store by space and key.
-pub type StoredEntries = BTreeMap<(u8, Vec<u8>), Vec<u8>>;
-
-/// Commit in flight.
-pub struct PendingCommit {
-    due: Ms,
-    number: u64,
-    pub writes: Vec<Write>,
-}
-
-pub struct Node {
-    pub control: Control,
-    pub hello: Hello,
-    pub disk: Disk,
-    pub stored: StoredEntries,
-    pub commits: VecDeque<PendingCommit>,
-    pub notifications: Vec<ControlNotification>,
-    /// Tables that the router has advertised.
-    pub advertised_tables: Vec<TableVersion>,
-    /// Every message that the router sends fails.
-    pub drops_sends: bool,
-    failed_sends: Vec<u64>,
-    /// Link requests of the process before its first event.
-    initial_actions: Vec<Action>,
-}
-
 struct Transit {
     due: Ms,
     from: usize,
@@ -376,49 +341,3 @@
         self.nodes.iter().map(line).collect()
     }
 }
-
-fn node(net: &Network, n: usize, count: usize, disk: Disk, stored: StoredEntries) -> Node {
-    let seed = net.now as u64 ^ (n as u64) << 40;
-    let convergence_time = if net.regions > 0 { LONG_CONVERGENCE_MS } else { CONVERGENCE_MS };
-    let has_persistent_links = net.links.as_ref().is_some_and(|l| !l.mesh.contains(&n));
-    let overlay = overlay(n, count, net.regions, net.retention, has_persistent_links, seed);
-    let parts =
-        ControlParts { overlay, purge_convergence_time: convergence_time, ..parts(n, count, &stored) };
-    let mut actions = Vec::new();
-    let control = Control::new(net.now, parts, &mut actions);
-    let mut hello = hello(n);
-    hello.table = control.table().version().unwrap_or(hello.table);
-    let (mut notifications, mut initial_actions) = (Vec::new(), Vec::new());
-    for action in actions {
-        match action {
-            Action::Notify(notification) => notifications.push(notification),
-            Action::SetLinkWanted(..) => initial_actions.push(action),
-            Action::Send { .. } | Action::AdvertiseTable(..) | Action::Commit(..) => {}
-        }
-    }
-    Node {
-        control,
-        hello,
-        disk,
-        stored,
-        commits: VecDeque::new(),
-        notifications,
-        advertised_tables: Vec::new(),
-        drops_sends: false,
-        failed_sends: Vec::new(),
-        initial_actions,
-    }
-}
-
-pub fn apply_writes(stored: &mut StoredEntries, writes: Vec<Write>) {
-    for write in writes {
-        match write {
-            Write::Put(space, key, value) => {
-                stored.insert((space.0, key), value);
-            }
-            Write::Remove(space, key) => {
-                stored.remove(&(space.0, key));
-            }
-        }
-    }
-}
