--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The section `fleet` of the project's own file: who the router is among the others, and what it may take on for them.
+//! The section `fleet` of the project's own file: the router's identity, its peers, and the limits of what it replicates.
 
 use crate::overlay::{self, overlay, standing, Overlay, OverlayFile, Standing, StandingFile};
 use crate::yaml::{BadFile, Document};
@@ -10,37 +10,37 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The longest rules file, in bytes: ten thousand rules of a hundred bytes each.
+/// The largest rules file, in bytes: ten thousand rules of a hundred bytes each.
 pub const MOST_RULES_BYTES: u64 = 1024 * 1024;
 
-/// A router of a fleet.
+/// The settings of a router in a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// The fleet's name: links between fleets are refused.
+    /// The fleet's name; links between different fleets are rejected.
     pub cluster: Arc<str>,
     /// Its own name.
     pub name: RouterId,
-    /// Where it stands.
+    /// Its failure domain.
     pub domain: Domain,
-    /// Where it listens for peers.
+    /// Its address for peers.
     pub listen: SocketAddr,
-    /// The folder of what must last, as the file says it; nobody has looked whether it is there.
+    /// The folder of durable data, as the file names it; its existence is not checked.
     pub folder: PathBuf,
-    /// The others that are known at start, as the file lists them.
+    /// The other routers that the file lists.
     pub peers: Vec<Peer>,
-    /// The rules of placement, if a file is named.
+    /// The placement rules, if a file is named.
     pub rules: Option<Rules>,
-    /// Copies of each hold: 3 or 5.
+    /// Replicas of each register: 3 or 5.
     pub copies: usize,
-    /// Shards of the holds.
+    /// Shards of the registers.
     pub shards: u16,
-    /// What is held for others.
+    /// The kinds of registers that are replicated.
     pub holds: Held,
-    /// Gathers are taken.
+    /// Whether scatter-gather requests are accepted.
     pub gather: bool,
-    /// How words for all travel, if by the overlay.
+    /// The dissemination overlay, if it is used.
     pub overlay: Option<Overlay>,
-    /// Bounds and times.
+    /// Bounds and time-outs.
     pub limits: FleetLimits,
 }
 
@@ -49,15 +49,15 @@
 pub struct Peer {
     /// Its name.
     pub name: RouterId,
-    /// Where it listens for peers.
+    /// Its address for peers.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its failure domain.
     pub domain: Domain,
-    /// Where it stands in the overlay, if there is one.
+    /// Its position in the overlay, if there is one.
     pub standing: Option<Standing>,
 }
 
-/// The rules of placement, not compiled yet.
+/// The text of the placement rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rules {
     /// The file, for messages.
@@ -66,11 +66,11 @@
     pub text: String,
 }
 
-/// The kinds of holds that are kept with others; what is not is done as by a router alone.
+/// The kinds of registers that are replicated; others are handled by each router alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Held {
-    /// Effects.
+    /// Outcomes of requests.
     pub effects: bool,
     /// Purges.
     pub purges: bool,
@@ -84,37 +84,37 @@
     }
 }
 
-/// Bounds and times of the fleet's parts; the ranges are the schema's.
+/// Bounds and time-outs; their ranges are in the schema.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct FleetLimits {
-    /// Holds that are kept here.
+    /// The most registers of this router.
     pub holds: usize,
-    /// Their bytes.
+    /// The most bytes of these registers.
     pub hold_bytes: usize,
-    /// Bytes of an outcome that are kept for who asks again.
+    /// The most bytes of a stored outcome.
     pub outcome_bytes: usize,
-    /// Questions about holds that may be open.
+    /// The most open register requests.
     pub open_asks: usize,
     /// The longest frame between routers, in bytes.
     pub frame_bytes: usize,
-    /// Frames that wait on one lane of one link.
+    /// The most frames queued in one priority lane of a link.
     pub lane_frames: usize,
-    /// Their bytes.
+    /// The most bytes of these frames.
     pub lane_bytes: usize,
-    /// Entries of a ring between two threads.
+    /// The capacity of a ring between two threads.
     pub ring: usize,
-    /// Milliseconds within which a promise is copied or turned away.
+    /// The time in which a lease is replicated or rejected, in milliseconds.
     pub promise_ms: f64,
-    /// Holds in a portion when copies are made up again.
+    /// Registers in a batch when a replica is rebuilt.
     pub fill_portion: usize,
-    /// Milliseconds between two portions.
+    /// The pause between two batches, in milliseconds.
     pub fill_pause_ms: f64,
-    /// Milliseconds after which the place of a router that is down is given to another.
+    /// The time after which a router that is down is replaced, in milliseconds.
     pub replace_after_ms: f64,
-    /// Milliseconds after which a sign of life goes on a link on which nothing else does.
+    /// The interval of keepalives on an idle link, in milliseconds.
     pub alive_ms: f64,
-    /// Milliseconds without a byte after which a link is silent.
+    /// The time without a byte after which a link is silent, in milliseconds.
     pub silent_ms: f64,
 }
 
@@ -140,14 +140,14 @@
 }
 
 impl Fleet {
-    /// Whether nothing but the rules differs: no other change is taken by a running router.
+    /// Whether only the placement rules differ, the one change that a running router applies.
     pub fn same_but_rules(&self, other: &Self) -> bool {
         let bare = |f: &Self| Self { rules: None, ..f.clone() };
         bare(self) == bare(other)
     }
 }
 
-/// The section as it stands in the file.
+/// The section in the file.
 #[derive(Deserialize)]
 pub(crate) struct FleetFile {
     cluster: String,
@@ -179,12 +179,15 @@
     overlay: Option<StandingFile>,
 }
 
-const COPIES: usize = 3;
-const SHARDS: u16 = 64;
-/// Signs of life that fit into the time after which a link is silent: two may be lost or late.
-const SIGNS: f64 = 3.0;
+const DEFAULT_COPIES: usize = 3;
+const DEFAULT_SHARDS: u16 = 64;
+/// Keepalives within the time after which a link is silent, so that two may be lost or late.
+const KEEPALIVES_BEFORE_SILENT: f64 = 3.0;
 
-/// Checks what the schema can't say, and reads the rules.
+/// Checks what the schema can't express, and reads the placement rules.
+///
+/// # Errors
+/// The fault with file, line and key.
 pub(crate) fn fleet(document: &Document, of: FleetFile) -> Result<Fleet, BadFile> {
     let at = |key: &str| format!("/fleet/{key}");
     let name = |key: &str, text: &str| {
@@ -192,7 +195,7 @@
     };
     let address = |key: &str, text: &str| {
         let found = text.parse::<SocketAddr>().ok();
-        // Others have to reach it by what is written here.
+        // Other routers connect to this address.
         found.filter(|a| a.port() != 0 && !a.ip().is_unspecified()).ok_or_else(|| {
             let what = format!("expected an IP address that others can reach and a port but 0, as in 10.0.0.1:7101, found {text:?}");
             document.fault(&at(key), what)
@@ -226,15 +229,15 @@
         folder: of.folder,
         peers: of.peers.into_iter().enumerate().map(peer).collect::<Result<_, _>>()?,
         rules: None,
-        copies: of.copies.unwrap_or(COPIES),
-        shards: of.shards.unwrap_or(SHARDS),
+        copies: of.copies.unwrap_or(DEFAULT_COPIES),
+        shards: of.shards.unwrap_or(DEFAULT_SHARDS),
         holds: of.holds,
         gather: of.gather,
         overlay,
         limits: of.limits,
     };
-    distinct(document, &fleet)?;
-    sizes(document, &fleet.limits)?;
+    check_peers(document, &fleet)?;
+    check_limits(document, &fleet.limits)?;
     if let Some(overlay) = &fleet.overlay {
         overlay::check(document, overlay, fleet.limits.frame_bytes, fleet.gather)?;
     }
@@ -242,8 +245,8 @@
     Ok(Fleet { rules, ..fleet })
 }
 
-/// One name and one address each, and enough machines for the copies.
-fn distinct(document: &Document, fleet: &Fleet) -> Result<(), BadFile> {
+/// Checks that names and addresses are unique, and that there are enough machines for the replicas.
+fn check_peers(document: &Document, fleet: &Fleet) -> Result<(), BadFile> {
     let (mut names, mut addresses) = (BTreeMap::new(), BTreeMap::new());
     names.insert(&fleet.name, "the router itself".to_string());
     addresses.insert(fleet.listen, "where the router itself listens".to_string());
@@ -270,8 +273,8 @@
     Ok(())
 }
 
-/// What has to fit into something else does.
-fn sizes(document: &Document, limits: &FleetLimits) -> Result<(), BadFile> {
+/// Checks limits that depend on one another.
+fn check_limits(document: &Document, limits: &FleetLimits) -> Result<(), BadFile> {
     let pairs = [
         ("outcome_bytes", limits.outcome_bytes, "hold_bytes", limits.hold_bytes),
         ("outcome_bytes", limits.outcome_bytes.saturating_mul(2), "frame_bytes", limits.frame_bytes),
@@ -283,7 +286,7 @@
             return Err(document.fault(&format!("/fleet/limits/{outer}"), what));
         }
     }
-    let least = SIGNS * limits.alive_ms;
+    let least = KEEPALIVES_BEFORE_SILENT * limits.alive_ms;
     if limits.silent_ms < least {
         let what =
             format!("expected {least} or more, for three of limits.alive_ms, found {}", limits.silent_ms);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,6 +2,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod change_log;
 pub mod fleet;
 mod node;
 pub mod overlay;
@@ -12,8 +13,9 @@
 pub mod value;
 pub mod yaml;
 
+pub use change_log::{Member, News, Place, Seq};
 pub use fleet::Fleet;
-pub use node::{parse, read, Environment, Limits, Member, News, NodeConfig, Place, Reload, Seq, Transport};
+pub use node::{parse, read, Environment, Limits, NodeConfig, Reload, Transport};
 pub use plan::{own_settings, Carry, Hierarchy, OwnSettings};
 pub use settings::{settings, Names};
 pub use value::BadInput;
--- a/crates/config/src/overlay.rs
+++ b/crates/config/src/overlay.rs
@@ -1,41 +1,42 @@
-//! The key `overlay` of the section `fleet`: where a router stands in the overlay, and its times and bounds.
+//! The key `overlay` of the section `fleet`: a router's position in the overlay, and its bounds and time-outs.
 
 use crate::yaml::{BadFile, Document};
 use basaltgw_types::{Domain, Ms};
 use serde::Deserialize;
 use std::sync::Arc;
 
-/// The longest frame between routers has to hold a frame of the overlay, of at most 64 KiB, and what says that it is one.
+/// The least value of `frame_bytes`: an overlay frame of at most 64 KiB with its header.
 pub const LEAST_FRAME_BYTES: usize = (64 << 10) + 64;
 
-/// How words for all travel: by the overlay.
+/// The dissemination overlay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Overlay {
-    /// Where this router stands.
+    /// The position of this router.
     pub standing: Standing,
-    /// Words wait so long at each router, so that they go in batches.
+    /// The time for which a router collects messages into a batch, in milliseconds.
     pub batch_ms: Ms,
-    /// Words are kept so long for those who missed them; absent: as long as is needed, but no less than [`KEEP_MS`].
+    /// The time for which messages are retained for routers that missed them, in milliseconds; absent: as long as needed, at least
+    /// [`KEEP_MS`].
     pub keep_ms: Option<Ms>,
-    /// Bytes a second for words, both ways together.
+    /// The bandwidth budget in bytes per second, for both directions together.
     pub budget_bytes_per_s: f64,
-    /// Which links this router keeps.
+    /// Which links this router keeps open.
     pub links: Links,
 }
 
-/// Which links a router keeps.
+/// Which links a router keeps open.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Links {
-    /// One with each listed router.
+    /// A link to each listed router.
     Mesh,
-    /// Those with its neighbours in the overlay and in the ring of names; others while they are needed, and for so long after.
+    /// Links to its neighbours in the overlay and in the ring of names; others while they are in use.
     Standing {
-        /// A link that nobody needs is closed after so long without a word.
+        /// The time after which a link that is not in use is closed, in milliseconds.
         idle_ms: Ms,
     },
 }
 
-/// Where a router stands, by what is lost together; names count within what is before them.
+/// A router's position by failure domains; each name is unique within the domain before it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Standing {
     /// Its region.
@@ -46,17 +47,17 @@
     pub site: Arc<str>,
     /// Its rack.
     pub rack: Arc<str>,
-    /// Whether it is a control machine: above all regions, in none's tiers.
+    /// Whether it is a control machine, which belongs to no region's tiers.
     pub control: bool,
 }
 
-/// Words are kept so long if nothing else is said, ms.
+/// The default of `keep_ms`.
 pub const KEEP_MS: Ms = 120_000.0;
 const BATCH_MS: Ms = 250.0;
 const BUDGET_BYTES_PER_S: f64 = 20_000.0;
 const IDLE_MS: Ms = 10_000.0;
 
-/// The key as it stands in the file.
+/// The key in the file.
 #[derive(Deserialize)]
 pub(crate) struct OverlayFile {
     #[serde(flatten)]
@@ -76,7 +77,7 @@
     Standing,
 }
 
-/// The same of a peer.
+/// A position in the file.
 #[derive(Default, Deserialize)]
 pub(crate) struct StandingFile {
     region: Option<String>,
@@ -105,7 +106,7 @@
     })
 }
 
-/// What is not said follows from branch and machine.
+/// A position; absent names default to the branch and the machine.
 pub(crate) fn standing(
     document: &Document,
     at: &str,
@@ -147,13 +148,13 @@
 }
 
 impl Overlay {
-    /// How long words are kept, with the time that a purge takes to settle: who was away for as long as that may be a while late, and still
-    /// finds all that has not settled.
+    /// The retention time of messages in milliseconds, by the time that a purge takes to converge: a router that was away for that long
+    /// still gets every purge that has not converged.
     ///
     /// # Errors
-    /// If they are kept for less than twice that time.
-    pub fn keep(&self, settles: Ms) -> Result<Ms, String> {
-        let least = 2.0 * settles;
+    /// If `keep_ms` is less than twice that time.
+    pub fn keep(&self, convergence_ms: Ms) -> Result<Ms, String> {
+        let least = 2.0 * convergence_ms;
         match self.keep_ms {
             None => Ok(KEEP_MS.max(least)),
             Some(keep) if keep >= least => Ok(keep),
--- a/crates/config/src/yaml.rs
+++ b/crates/config/src/yaml.rs
@@ -1,4 +1,4 @@
-//! YAML files read against a schema; what is wrong is named by file, line and key.
+//! YAML files validated against a schema; a fault names file, line and key.
 
 use jsonschema::Validator;
 use marked_yaml::{parse_yaml_with_options, LoaderOptions, Node};
@@ -7,17 +7,17 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// The longest file that is read, in bytes: a plan of the most nodes is a tenth of it.
-const MOST_BYTES: u64 = 32 * 1024 * 1024;
+/// The largest file, in bytes: ten times a plan with the most nodes.
+const MAX_FILE_BYTES: u64 = 32 * 1024 * 1024;
 
-/// What is wrong with a file, and where.
+/// A fault of a file and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BadFile {
     /// The file.
     pub file: String,
-    /// The line, from 1; 0 where it concerns the file as a whole.
+    /// The line, from 1; 0 for the whole file.
     pub line: usize,
-    /// The key, as a path; empty for the whole.
+    /// The key as a path; empty for the whole file.
     pub key: String,
     /// What is wrong.
     pub what: String,
@@ -38,7 +38,7 @@
 
 impl std::error::Error for BadFile {}
 
-/// A file as it was read, with the lines of its keys.
+/// A parsed file with the lines of its keys.
 pub struct Document {
     file: String,
     root: Node,
@@ -47,19 +47,25 @@
 }
 
 impl Document {
-    /// Reads a file and holds it against a schema.
+    /// Reads a file and validates it.
+    ///
+    /// # Errors
+    /// If it can't be read, is too large, is no YAML, or does not match the schema.
     pub fn read(path: &Path, schema: &Validator) -> Result<Self, BadFile> {
         let file = path.display().to_string();
         let whole = |what: String| BadFile { file: file.clone(), line: 0, key: String::new(), what };
         let size = std::fs::metadata(path).map_err(|e| whole(e.to_string()))?.len();
-        if size > MOST_BYTES {
-            return Err(whole(format!("expected at most {MOST_BYTES} bytes, found {size}")));
+        if size > MAX_FILE_BYTES {
+            return Err(whole(format!("expected at most {MAX_FILE_BYTES} bytes, found {size}")));
         }
         let text = std::fs::read_to_string(path).map_err(|e| whole(e.to_string()))?;
         Self::parse(&file, &text, schema)
     }
 
-    /// The same of a text.
+    /// Parses a text and validates it; `file` is its name in faults.
+    ///
+    /// # Errors
+    /// If it is no YAML or does not match the schema.
     pub fn parse(file: &str, text: &str, schema: &Validator) -> Result<Self, BadFile> {
         let options = LoaderOptions::default().error_on_duplicate_keys(true).prevent_coercion(true);
         let root = parse_yaml_with_options(0, text, options).map_err(|e| BadFile {
@@ -85,7 +91,7 @@
         }
     }
 
-    /// A fault at a place, written as a JSON pointer (RFC 6901).
+    /// A fault at a JSON pointer (RFC 6901).
     pub fn fault(&self, pointer: &str, what: impl Into<String>) -> BadFile {
         let (mut node, mut line) = (Some(&self.root), line(&self.root));
         let steps = || pointer.split('/').skip(1).map(|s| s.replace("~1", "/").replace("~0", "~"));
@@ -93,7 +99,7 @@
             node = match node {
                 Some(Node::Mapping(map)) => {
                     let found = map.iter().find(|(k, _)| k.as_str() == step);
-                    // The key's line: its value may stand below.
+                    // The key's line, since the value may be on a later one.
                     if let Some(at) = found.and_then(|(k, _)| k.span().start()) {
                         line = at.line();
                     }
@@ -120,7 +126,10 @@
         BadFile { file: self.file.clone(), line, key, what: what.into() }
     }
 
-    /// The content as a type. What the schema lets through and the type does not is a fault all the same.
+    /// Deserializes the content.
+    ///
+    /// # Errors
+    /// Where the type is stricter than the schema.
     pub fn typed<T: serde::de::DeserializeOwned>(&self) -> Result<T, BadFile> {
         serde_path_to_error::deserialize(&self.value).map_err(|e| {
             let step = |s: &Segment| match s {
@@ -132,7 +141,7 @@
         })
     }
 
-    /// A file that the document names, seen from where the document lies.
+    /// A file that the document names, relative to the document's folder.
     pub fn beside(&self, file: &Path) -> PathBuf {
         Path::new(&self.file).parent().unwrap_or(Path::new("")).join(file)
     }
@@ -142,7 +151,7 @@
     node.span().start().map_or(0, |m| m.line())
 }
 
-/// YAML's plain words as JSON has them (YAML 1.2, core schema).
+/// Converts YAML to JSON; plain scalars by the core schema of YAML 1.2.
 fn value(node: &Node) -> Value {
     match node {
         Node::Scalar(word) => {
@@ -174,49 +183,14 @@
     }
 }
 
-/// A schema of this project.
+/// Compiles a schema.
 ///
 /// # Panics
-/// If the text is none: it is part of the program.
+/// If the text is no schema: it is part of the program.
 pub fn schema(text: &str) -> Validator {
     let schema: Value = serde_json::from_str(text).expect("a schema in JSON");
     jsonschema::validator_for(&schema).expect("a schema")
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn small() -> Validator {
-        schema(
-            r#"{"type": "object", "additionalProperties": false, "properties": {
-                "name": {"type": "string"}, "list": {"type": "array", "items": {"type": "object",
-                "properties": {"n": {"type": "number", "minimum": 1}}}}}}"#,
-        )
-    }
-
-    fn fault(text: &str) -> String {
-        Document::parse("f.yaml", text, &small()).err().expect("a fault").to_string()
-    }
-
-    #[test]
-    fn words_are_what_they_look_like_unless_quoted() {
-        let text = "a: 1\nb: 1.5\nc: \"1\"\nd: yes\ne: ~\nf: [true, x, -3, 1e3, e5]\n";
-        let doc = Document::parse("f.yaml", text, &schema("{}")).expect("a document");
-        let expected = serde_json::json!({"a": 1, "b": 1.5, "c": "1", "d": "yes", "e": null, "f": [true, "x", -3, 1000.0, "e5"]});
-        assert_eq!(doc.value, expected);
-    }
-
-    #[test]
-    fn faults_name_file_line_and_key() {
-        assert_eq!(
-            fault("name: x\nlist:\n  - n: 2\n  - n: 0\n"),
-            "f.yaml:4: list[1].n: 0 is less than the minimum of 1"
-        );
-        assert!(fault("name: x\nnane: y\n").contains("nane"));
-        assert!(fault("name: x\nname: y\n").to_lowercase().contains("duplicate"));
-        assert!(fault("name: [\n").starts_with("f.yaml"));
-        assert!(fault("- 1\n").starts_with("f.yaml: 1:1"), "{}", fault("- 1\n"));
-        assert!(Document::read(Path::new("/nonexistent/x.yaml"), &small()).is_err());
-    }
-}
+mod tests;
