--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -7,7 +7,8 @@
 use crate::value::BadInput;
 use basaltgw::api::{GroupId, Ms, ObjectId, ServerId};
 use basaltgw::hash::address;
-use basaltgw::routing::snapshot::{ServerSnapshot, Snapshot};
+use basaltgw::routing::snapshot::{PurgeSnapshot, SendingTimeSnapshot, ServerSnapshot, Snapshot};
+use basaltgw::routing::PurgeTarget;
 use garde::Validate;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -35,11 +36,17 @@
                    "cold_for_ms": s.warmup_started.map(age)})
         })
         .collect();
-    let sending: Vec<Value> =
-        snapshot.sending_times.iter().map(|(c, ms, n)| json!({"class": c, "ms": ms, "answers": n})).collect();
-    let purge = |of: &(Option<ObjectId>, Option<GroupId>, Ms)| {
-        let (object, group) = (of.0.map(|o| o.0.to_string()), of.1.map(|g| g.0));
-        json!({"object": object, "group": group, "age_ms": age(of.2)})
+    let sending: Vec<Value> = snapshot
+        .sending_times
+        .iter()
+        .map(|s| json!({"class": s.class, "ms": s.mean, "answers": s.samples}))
+        .collect();
+    let purge = |purge: &PurgeSnapshot| {
+        let (object, group) = match purge.target {
+            PurgeTarget::Object(object) => (Some(object.0.to_string()), None),
+            PurgeTarget::Group(group) => (None, Some(group.0)),
+        };
+        json!({"object": object, "group": group, "age_ms": age(purge.purged_at)})
     };
     let purges: Vec<Value> = snapshot.purges.iter().map(purge).collect();
     let rest =
@@ -79,12 +86,12 @@
     let purge = |(i, p): (usize, PurgeFile<'_>)| {
         let bad = |what: String| BadInput::new(&format!("learnt.purges[{i}].object"), what);
         let number = |word: &str| word.parse().map_err(|_| bad(format!("expected a number, found {word:?}")));
-        let (object, group) =
-            (p.object.map(number).transpose()?.map(ObjectId), p.group.map(|g| GroupId(g.0)));
-        if object.is_some() == group.is_some() {
-            return Err(bad("expected either an object or a group".into()));
-        }
-        Ok((object, group, written - p.age_ms))
+        let target = match (p.object.map(number).transpose()?, p.group) {
+            (Some(object), None) => PurgeTarget::Object(ObjectId(object)),
+            (None, Some(group)) => PurgeTarget::Group(GroupId(group.0)),
+            _ => return Err(bad("expected either an object or a group".into())),
+        };
+        Ok(PurgeSnapshot { target, purged_at: written - p.age_ms })
     };
     Ok(Snapshot {
         servers: file.servers.unwrap_or_default().into_iter().map(server).collect(),
@@ -92,7 +99,7 @@
             .sending
             .unwrap_or_default()
             .into_iter()
-            .map(|s| (s.class, s.ms, s.answers))
+            .map(|s| SendingTimeSnapshot { class: s.class, mean: s.ms, samples: s.answers })
             .collect(),
         purges: file
             .purges
--- a/crates/config/src/snapshot/tests.rs
+++ b/crates/config/src/snapshot/tests.rs
@@ -16,8 +16,11 @@
             server("s-1", true),
             ServerSnapshot { latency_ratio_log: None, warmup_started: None, ..server("s-2", false) },
         ],
-        sending_times: vec![("pages".into(), 310.0, 20)],
-        purges: vec![(Some(ObjectId(u64::MAX)), None, 8000.0), (None, Some(GroupId(7)), 7000.0)],
+        sending_times: vec![SendingTimeSnapshot { class: "pages".into(), mean: 310.0, samples: 20 }],
+        purges: vec![
+            PurgeSnapshot { target: PurgeTarget::Object(ObjectId(u64::MAX)), purged_at: 8000.0 },
+            PurgeSnapshot { target: PurgeTarget::Group(GroupId(7)), purged_at: 7000.0 },
+        ],
     }
 }
 
--- a/crates/config/tests/bytes.rs
+++ b/crates/config/tests/bytes.rs
@@ -2,7 +2,8 @@
 
 use basaltgw::api::{GroupId, ObjectId, ServerId};
 use basaltgw::hash::{address, mix};
-use basaltgw::routing::snapshot::{ServerSnapshot, Snapshot};
+use basaltgw::routing::snapshot::{PurgeSnapshot, SendingTimeSnapshot, ServerSnapshot, Snapshot};
+use basaltgw::routing::PurgeTarget;
 use basaltgw_config::snapshot::{read, write};
 use std::sync::Arc;
 
@@ -29,8 +30,11 @@
     };
     let snapshot = Snapshot {
         servers: vec![server("s-1", true, Some(0.25), Some(9000.0)), server("s-2", false, None, None)],
-        sending_times: vec![("pages".into(), 310.0, 20)],
-        purges: vec![(Some(ObjectId(u64::MAX)), None, 8000.0), (None, Some(GroupId(7)), 7000.0)],
+        sending_times: vec![SendingTimeSnapshot { class: "pages".into(), mean: 310.0, samples: 20 }],
+        purges: vec![
+            PurgeSnapshot { target: PurgeTarget::Object(ObjectId(u64::MAX)), purged_at: 8000.0 },
+            PurgeSnapshot { target: PurgeTarget::Group(GroupId(7)), purged_at: 7000.0 },
+        ],
     };
     assert_eq!(write(&snapshot, 10_000.0), WRITTEN);
     assert_eq!(read(WRITTEN, 12_000.0, 5000.0), Ok(snapshot));
--- a/crates/config/tests/nonsense.rs
+++ b/crates/config/tests/nonsense.rs
@@ -173,7 +173,7 @@
     let finite = |s: &basaltgw::routing::snapshot::ServerSnapshot| {
         s.weight_penalty_log.is_finite() && s.latency_ratio_log.is_none_or(f64::is_finite)
     };
-    let sending = learnt.sending_times.iter().all(|(_, ms, _)| ms.is_finite());
+    let sending = learnt.sending_times.iter().all(|s| s.mean.is_finite());
     match learnt.servers.iter().find(|s| !finite(s)) {
         Some(s) => Err(format!("{s:?}")),
         None if !sending => Err(format!("{:?}", learnt.sending_times)),
--- a/crates/node/src/owner/snapshot.rs
+++ b/crates/node/src/owner/snapshot.rs
@@ -21,8 +21,8 @@
         server.listed_start = server.listed_start.map(&mut map_listed);
         server.warmup_started = server.warmup_started.map(&mut map_happened);
     }
-    for (_, _, time) in &mut snapshot.purges {
-        *time = map_happened(*time);
+    for purge in &mut snapshot.purges {
+        purge.purged_at = map_happened(purge.purged_at);
     }
     snapshot
 }
@@ -32,7 +32,7 @@
     pub(super) fn map_to_local_times(&mut self, snapshot: Snapshot) -> Snapshot {
         // All of it has happened: without a time from the change log, the latest of it is a lower bound of the current time.
         let starts = snapshot.servers.iter().filter_map(|server| server.warmup_started);
-        let latest = starts.chain(snapshot.purges.iter().map(|purge| purge.2)).reduce(f64::max);
+        let latest = starts.chain(snapshot.purges.iter().map(|purge| purge.purged_at)).reduce(f64::max);
         if let Some(latest) = latest {
             let shift = self.time.observe(latest);
             self.on_clock_corrected(shift);
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,7 +1,7 @@
-//! The whole interface of the decision module: settings, events, actions and ids.
+//! The interface of the decision module: settings, events, actions and ids.
 //!
-//! Nothing here knows how a protocol spells these things and nothing here decides. Times are milliseconds;
-//! the clock is whatever the caller passes to `Router::handle` and only ever moves forward.
+//! It is independent of any protocol and decides nothing. Times are in milliseconds; the clock is what the
+//! caller passes to [`Router::handle`](crate::routing::Router::handle) and never moves backward.
 
 mod settings;
 
@@ -13,32 +13,32 @@
 /// Milliseconds, fractional.
 pub type Ms = f64;
 
-/// A request, named by the caller; given back unchanged.
+/// The id of a request, assigned by the caller and returned unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub Arc<str>);
-/// A server of any role (edge cache, parent, origin), named alike at all routers.
+/// The id of a server of any role, the same at all routers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub Arc<str>);
-/// An object, whatever the part.
+/// The id of an object, all of its parts together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ObjectId(pub u64);
-/// A group of objects that may be purged together.
+/// The id of a group of objects that can be purged together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u64);
-/// A part of an object, counted from 0.
+/// The number of a part of an object, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Part(pub u64);
-/// The place of a request class in `Settings::classes`.
+/// The position of a request class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
-/// The number of an attempt within its request, counted from 0 in the order of the `Fetch` actions.
+/// The number of an attempt within its request, from 0 in the order of the [`Action::StartAttempt`] actions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub usize);
-/// A zone by its place in the settings' list.
+/// The position of a zone in the settings' list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
-/// What a server is for.
+/// The role of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// An edge cache.
@@ -49,31 +49,31 @@
     Origin,
 }
 
-/// What the list says of a server.
+/// The state of a server by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Its process runs.
+    /// It takes requests.
     Up,
-    /// It finishes its work and takes nothing new.
+    /// It completes its requests and takes no new ones.
     Draining,
-    /// It is gone.
+    /// It has been removed.
     Removed,
 }
 
-/// An entry of the server list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name.
+    /// Its id.
     pub id: ServerId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its role.
     pub role: Role,
-    /// Its cell, for keyed requests.
+    /// Its cell, within which repeated idempotency keys may be recognised.
     pub cell: u64,
     /// Its state.
     pub state: EndpointState,
-    /// Its size in relation to the others.
+    /// Its capacity relative to others.
     pub weight: f64,
     /// When its process last started; `None` if long ago.
     pub started: Option<Ms>,
@@ -82,49 +82,49 @@
 /// A request from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id, never used twice.
+    /// Its id, used once.
     pub id: RequestId,
-    /// Its class; `None` if it is not among the settings' classes.
+    /// Its class; `None` if the settings have none for it.
     pub class: Option<ClassId>,
-    /// The object asked for.
+    /// The requested object.
     pub object: ObjectId,
-    /// The part of it.
+    /// The requested part of it.
     pub part: Part,
     /// The object's group.
     pub group: GroupId,
-    /// The part's size in KB; 0 if not told.
+    /// The part's size in KB; 0 if unknown.
     pub size_kb: f64,
-    /// It changes something at the origin.
+    /// Whether it changes something at the origin.
     pub write: bool,
-    /// How long the client still waits for this try.
+    /// How long the client still waits, in milliseconds.
     pub budget: Ms,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// Served.
+    /// The server returned a response.
     Served,
-    /// The server returned an error; it may have run.
+    /// The server returned an error; the request may have been executed.
     Error,
-    /// Turned away; it never ran.
+    /// The server rejected the request; it was not executed.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No response arrived in time; the request may have been executed, or may yet be.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection was established; the request was not executed.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection was lost; the request may have been executed.
     ConnectionLost,
-    /// Called off; it may have run.
+    /// The router cancelled the attempt; the request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The request was not sent.
     NotSent,
-    /// Nothing suitable was held; it never ran.
+    /// The cache has no suitable copy; the request was not executed.
     CacheMiss,
 }
 
 impl AttemptResult {
-    /// Every way in which an attempt may end.
+    /// All results.
     pub const ALL: [Self; 9] = [
         Self::Served,
         Self::Error,
@@ -138,182 +138,182 @@
     ];
 }
 
-/// What an outcome tells of how it came about.
+/// How a cache came by its response, or why it has none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillReport {
-    /// Nothing is told.
+    /// The server reports nothing.
     NotReported,
-    /// Found here.
+    /// The copy was cached.
     Hit,
-    /// Filled from the source's copy.
+    /// The copy was filled from the source's cache.
     FilledBySource,
-    /// The origin was asked.
+    /// The copy was filled from the origin.
     FilledByOrigin,
-    /// Joined a fill under way.
+    /// The request joined a fill in progress.
     Joined,
-    /// An old copy.
+    /// A stale copy was served.
     Stale,
-    /// The source said no.
+    /// The source rejected the fill.
     SourceRejected,
-    /// The source was not reached, broke off or was too slow.
+    /// The source was unreachable, lost the connection or timed out.
     SourceFailed,
-    /// The source has none.
+    /// The source has no copy.
     SourceMiss,
-    /// All places for fills were taken here.
+    /// The cache has reached its limit on fills.
     FillLimitReached,
-    /// The parent's origin failed.
+    /// The origin behind the parent failed.
     OriginFailed,
-    /// The fill met itself on its way and was refused for that.
+    /// The fill was rejected because its path contains a loop.
     LoopDetected,
 }
 
-/// A load report; values that were not told are `None`.
+/// A load report; missing values are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests being handled.
+    /// Requests in flight.
     pub inflight: Option<f64>,
-    /// Share of CPU busy.
+    /// CPU utilisation, 0 to 1.
     pub util: Option<f64>,
-    /// Share of hits lately.
+    /// Recent hit ratio, 0 to 1.
     pub hits: Option<f64>,
-    /// At an edge cache how full its location's link is; at a parent, fetches out.
+    /// At an edge cache the utilisation of its zone's link, at a parent the fills in flight.
     pub link: Option<f64>,
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// Its request.
+    /// The request.
     pub request: RequestId,
-    /// Which attempt.
+    /// The number of the attempt.
     pub attempt: AttemptNo,
-    /// Where it went.
+    /// The server that it was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// The result.
     pub result: AttemptResult,
-    /// How long it took.
+    /// How long the attempt took, in milliseconds.
     pub latency: Ms,
-    /// The request has its final answer, through this outcome or earlier.
+    /// Whether the request has its final answer, by this outcome or an earlier one.
     pub completes_request: bool,
-    /// How it came about.
+    /// How the cache came by its response.
     pub fill_report: FillReport,
-    /// Time to the source's first byte or to the fill's failure; 0 if not told.
+    /// Milliseconds until the source's first byte or the fill's failure; 0 if not reported.
     pub source_wait: Ms,
-    /// The server's load report, if any.
+    /// The server's load report.
     pub load: LoadReport,
-    /// The answer carried the object's bytes whole; false where it only says that the client's copy is the one.
+    /// Whether the response contains the complete object; false if it only confirms the client's copy.
     pub body_complete: bool,
 }
 
-/// How a server list relates to the one before.
+/// How an endpoint list relates to the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Changed entries only.
+    /// It has only the changed entries.
     Delta,
-    /// The complete list; what is not in it is gone.
+    /// It is complete; servers that it lacks are removed.
     Complete,
-    /// Asking for the list failed; the previous one remains.
+    /// Polling the list failed; the previous one stays valid.
     Failed,
 }
 
-/// A source, beside the others that a cache may name.
+/// A source that a cache may be filled from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceShare {
-    /// Which.
+    /// Its id.
     pub id: ServerId,
-    /// Its size in relation to the others.
+    /// Its capacity relative to the cache's other sources.
     pub weight: f64,
-    /// The share of its objects for which it may be named now, 0 to 1 (see `hash::within_share`).
+    /// The share of its objects for which it may be used now, 0 to 1 (see [`crate::hash::within_share`]).
     pub share: f64,
 }
 
-/// The sources of a miss by edge cache, where they are planned. A cache that it does not name has every listed parent.
+/// The sources of misses by edge cache. A cache that the plan does not name may use every listed parent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FillPlan {
-    /// By edge cache; caches with the same sources share them.
+    /// Sources by edge cache; caches with the same sources share one list.
     pub sources: HashMap<ServerId, Arc<Vec<SourceShare>>>,
-    /// Edge caches that may have the origin when they have nobody else.
+    /// Edge caches that may use the origin when no other source is available.
     pub origin_allowed: HashSet<ServerId>,
 }
 
-/// What a router is told.
+/// An input of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the servers.
+    /// An update of the endpoint list.
     Endpoints(EndpointUpdate, Vec<Endpoint>),
-    /// A request has come in; exactly one final answer is owed.
+    /// A request has arrived; it gets exactly one final answer.
     Request(Request),
-    /// A stream has begun to flow: the request is bound to this attempt.
+    /// A streamed response has started: the request is bound to this attempt.
     ResponseStarted(RequestId, AttemptNo),
-    /// The last byte of an attempt is on the wire.
+    /// The last byte of an attempt was written to its connection.
     RequestWritten(RequestId, AttemptNo),
-    /// An attempt is over.
+    /// An attempt has ended.
     Outcome(Outcome),
-    /// The client has left; nothing is owed any more.
+    /// The client has disconnected; the request gets no answer.
     ClientDisconnected(RequestId),
-    /// A timer has come due.
+    /// A timer of this token has expired.
     Timer(u64),
-    /// Sources are planned by this table from now on; `None` for every listed parent.
+    /// The plan of fill sources has changed; `None` allows every listed parent.
     FillPlan(Option<Arc<FillPlan>>),
-    /// An object, or without one a whole group, was purged so long ago.
+    /// An object, or without one a whole group, was purged this many milliseconds ago.
     Purged(GroupId, Option<ObjectId>, Ms),
-    /// Purges and listed starts of servers that were told lie further in the past by this than was reckoned then.
+    /// Known purges and listed process starts are this many milliseconds older than assumed.
     ClockCorrected(Ms),
 }
 
-/// How long a copy is kept against others; low ranks leave first.
+/// The priority of a cached copy; low ranks are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// Not kept.
+    /// The copy is not cached.
     None,
-    /// Leaves first.
+    /// Evicted first.
     Low,
-    /// Between the two.
+    /// Evicted after low ranks.
     Middle,
-    /// Leaves last.
+    /// Evicted last.
     Top,
 }
 
-/// An attempt to be made.
+/// An attempt to be started.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptSpec {
-    /// For which request.
+    /// The request.
     pub request: RequestId,
-    /// Where to.
+    /// The server to send it to.
     pub server: ServerId,
-    /// Time-out of the attempt.
+    /// Timeout of the attempt, in milliseconds.
     pub timeout: Ms,
-    /// Its first byte leaves before this, or none does; infinite where any time will do.
+    /// The time before which its first byte must be written, or none may be; infinite without a limit.
     pub start_before: Ms,
-    /// Who supplies a miss; the server itself to have none filled.
+    /// The source of a miss; the server itself if a miss is not to be filled.
     pub fill_source: ServerId,
-    /// How the copy is kept.
+    /// The rank of the cached copy.
     pub rank: Rank,
-    /// The oldest copy that will do; `None` for the class's fresh time.
+    /// Greatest accepted age of a copy in milliseconds; `None` for the class's freshness lifetime.
     pub max_age: Option<Ms>,
-    /// Wait for a fill that runs already.
+    /// Whether to join a fill in progress.
     pub join_fill: bool,
-    /// The source gives only what it holds.
+    /// Whether the source may answer from its cache only.
     pub cached_only: bool,
-    /// Fetch an ageing copy anew while serving it.
+    /// Whether to revalidate an ageing copy while serving it.
     pub revalidate: bool,
 }
 
-/// What a router wants done.
+/// An output of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Make an attempt.
+    /// Start an attempt.
     StartAttempt(AttemptSpec),
-    /// Call an attempt off.
+    /// Cancel an attempt.
     CancelAttempt(RequestId, AttemptNo),
-    /// Final answer: refused, trying again is harmless, with a time to stay away (0 for none).
+    /// Final answer: rejected, a new request is safe; with a Retry-After in milliseconds (0 for none).
     Reject(RequestId, Ms),
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed, the request may have been executed.
     Fail(RequestId),
-    /// Wake the router after this time with this token.
+    /// Start a timer of this duration in milliseconds and this token.
     Timer(Ms, u64),
-    /// Ask for the server list from now on.
+    /// Watch the endpoint list from now on.
     WatchEndpoints,
-    /// A line for the operators.
+    /// Write a log line for the operators.
     Log(String),
 }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,22 +1,22 @@
-//! What the site allows and requires: request classes, rules and figures, handed over at start.
+//! The settings of a router: its deployment, request classes and policies.
 
 use super::{Ms, Role, ZoneId};
 
-/// What a repeat of a request may do.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be repeated and refused freely.
+    /// It may be executed any number of times.
     Idempotent,
-    /// Repeats are dropped within a group of servers for a time.
+    /// Servers of a group recognise repeated executions by a key for some time.
     IdempotencyKey,
-    /// Must never run twice.
+    /// It must not be executed twice.
     NonIdempotent,
 }
 
-/// The group of servers within which a keyed request's repeats are dropped.
+/// The servers that recognise an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Every server.
+    /// All servers.
     All,
     /// The servers of one zone.
     Zone,
@@ -27,109 +27,109 @@
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name, for reports only.
+    /// Its name.
     pub name: String,
-    /// An answer within this time, plus `aim_stretch` times the sending time, earns the full worth.
+    /// A response within this time, plus the stretch times its sending time, has the full priority weight.
     pub latency_objective: Ms,
-    /// Multiple of the request's own sending time that is added to the aim.
+    /// Multiple of the response's sending time that is added to the latency objective.
     pub latency_objective_stretch: f64,
-    /// How long a client waits over all its tries.
+    /// How long a client waits for a response, over all of its retries.
     pub deadline: Ms,
-    /// What a repeat may do.
+    /// Whether its requests may be executed more than once.
     pub idempotency: Idempotency,
-    /// Where repeats of a keyed request are dropped.
+    /// The servers that recognise an idempotency key.
     pub key_scope: KeyScope,
-    /// How long they are, from the first attempt that may have run.
+    /// How long they recognise it, from the first attempt that may have been executed.
     pub key_window: Ms,
-    /// What one answer is worth.
+    /// The priority weight of a response.
     pub priority_weight: f64,
-    /// The share of it that a late answer earns.
+    /// The share of it that a late response has.
     pub late_weight_share: f64,
-    /// How long a copy is fresh; 0 for no limit.
+    /// Freshness lifetime of a copy; 0 for no limit.
     pub fresh_for: Ms,
-    /// How long past that it may still be served.
+    /// How long after that a stale copy may be served.
     pub stale_for: Ms,
-    /// True if its requests run at the origin and are never kept.
+    /// Whether its requests are executed at the origin and their responses never cached.
     pub uncacheable: bool,
 }
 
-/// The figures of the rule on servers that have just started.
+/// The slow-start policy for servers of a role.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartPolicy {
-    /// Least share of its capacity with which it starts.
+    /// Share of its capacity that a server has when it starts, 0 to 1.
     pub share: f64,
-    /// Longest time until it is warm.
+    /// Time until it is warm.
     pub span: Ms,
-    /// The multiple of its present capacity that brings it down.
+    /// Multiple of its present capacity that overloads it.
     pub multiple: f64,
-    /// The time over which that is counted.
+    /// Time over which that is measured.
     pub window: Ms,
 }
 
-/// Which other edge caches may be named as a fill's source.
+/// Which other edge caches may be the source of a fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerFill {
     /// None.
     None,
-    /// Those of the own zone.
+    /// Those of the same zone.
     Zone,
     /// Any.
     Any,
 }
 
-/// What the site allows and requires; handed over at start.
+/// The settings of a router. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The zone of this router.
     pub zone: ZoneId,
-    /// Routers in this router's zone.
+    /// Number of routers in this router's zone.
     pub zone_routers: usize,
-    /// Routers in all.
+    /// Number of routers in all zones.
     pub routers: usize,
-    /// The hub of each zone, in the order of zone ids.
+    /// The parent group of each zone, in the order of zone ids.
     pub zone_parent_group: Vec<ZoneId>,
     /// Request classes.
     pub classes: Vec<Class>,
-    /// Servers of edge caches that have just started.
+    /// Slow start of edge caches.
     pub edge_slow_start: SlowStartPolicy,
-    /// Parents that have just started.
+    /// Slow start of parents.
     pub parent_slow_start: SlowStartPolicy,
-    /// Time in which sends to a draining or gone server must end.
+    /// Time after which nothing is sent to a draining or removed server.
     pub drain_grace: Ms,
-    /// Time to heed a purge notice.
+    /// Time after which a purge must be respected.
     pub purge_grace: Ms,
-    /// Time after which no copy older than a purge is left anywhere.
+    /// Time after which no copy from before a purge exists.
     pub purge_convergence_time: Ms,
-    /// A request may have two attempts out at once.
+    /// Whether a request may have two attempts in flight.
     pub hedging: bool,
-    /// Attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Refusals carry a time to come back.
+    /// Whether rejections carry a Retry-After.
     pub retry_after: bool,
-    /// The longest such time that clients heed.
+    /// Longest Retry-After that clients respect.
     pub max_retry_after: Ms,
-    /// Attempts a request may have.
+    /// Greatest number of attempts of a request.
     pub max_attempts: usize,
-    /// Parents and the origin take requests themselves.
+    /// Whether parents and the origin take requests directly.
     pub direct_to_parents: bool,
-    /// A request may join a fill that is under way.
+    /// Whether a request may join a fill in progress.
     pub fill_joining: bool,
-    /// Which caches may supply a fill.
+    /// Which other edge caches may be the source of a fill.
     pub peer_fill: PeerFill,
-    /// Top pace of one answer, KB a second; 0 if not told.
+    /// Highest rate of one response in KB per second; 0 if unknown.
     pub response_rate_kb_per_s: f64,
-    /// The server list has to be asked for.
+    /// Whether the router has to ask for the endpoint list.
     pub must_watch_endpoints: bool,
-    /// The list's weights, sizes in answers at full pace, are so only give or take (or not told: then one).
+    /// Whether listed weights, in responses at full rate, are approximate or missing (a missing one is 1).
     pub approximate_weights: bool,
-    /// The list's weights follow the servers' load and change from list to list.
+    /// Whether listed weights follow the servers' load and change with each update.
     pub dynamic_weights: bool,
-    /// The least interval between two batches of events.
+    /// Least interval between two batches of events.
     pub tick: Ms,
 }
 
 impl Settings {
-    /// The cold rule that holds for servers of a role.
+    /// The slow-start policy for servers of a role.
     pub fn slow_start(&self, role: Role) -> SlowStartPolicy {
         match role {
             Role::Edge => self.edge_slow_start,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,12 @@
-//! basaltgw: decides where objects are served, kept and filled from.
+//! The routing decisions of basaltgw: which cache answers a request, what a miss is filled from, and at which
+//! rank the copy is cached.
 //!
-//! [`routing::Router`] takes events and returns actions; [`api`] is all it speaks.
+//! [`routing::Router`] takes events and returns actions; [`api`] defines both, the settings and the ids.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod account;
 pub mod api;
-mod known;
+pub mod averages;
 pub mod routing;
-pub mod shadow;
-pub mod snapshot;
-mod state;
-pub mod window;
-mod work;
 
 pub use basaltgw_structures::hash;
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,93 +1,126 @@
-//! Retries and copies: whether a request may go out again, what is sent, and how old a copy may be.
+//! The start and the end of an attempt: what its message says, and what its outcome is used for.
+//!
+//! Inputs: the route of `selection`, and outcomes with latencies in milliseconds. Every outcome is first
+//! evaluated by the modules that learn from it; then the request is complete, continues, or gets its next
+//! attempt.
 
-use super::retry::RetryPolicy;
-use super::Router;
+use super::request::{Attempt, LookupResult, RequestIndex, Route};
+use super::{retry, Router};
 use crate::api::*;
-use crate::state::{Found, Health, Open, Try};
 
-/// The chance that a request needs a fill before any was seen.
-const FILL_UNTOLD: f64 = 0.5;
-/// A purge is heeded for this much longer than it takes to settle: a slow fill that began before it may leave
-/// an old copy behind after that. Harms nothing but memory: copies made since are let through.
-const PURGE_EXTRA_MS: Ms = 60_000.0;
-/// Taken off an age limit for rounding; and the least limit, since 0 stands for the class's fresh time.
-const AGE_MARGIN_MS: Ms = 2.0;
-const AGE_LEAST_MS: Ms = 1.0;
+/// Assumed probability that a request needs a fill, before its class has a sample.
+const DEFAULT_FILL_PROBABILITY: f64 = 0.5;
 
 impl Router {
-    /// Until when the class allows another attempt or a refusal: an unsafe request only if none may have run,
-    /// a keyed one within its window if its group is all servers (narrower groups get none).
-    pub(super) fn harmless_until(&self, open: &Open) -> Ms {
-        RetryPolicy::of(&self.set.classes[open.class]).safe_until(open.may_run_since())
+    /// Starts the next attempt of a request that has none in flight, or gives the request its final answer.
+    pub(super) fn dispatch(&mut self, index: RequestIndex, actions: &mut Vec<Action>) {
+        let route = if self.is_exhausted(index) { None } else { self.select_route(index) };
+        match route {
+            Some(route) => self.start_attempt(index, route, actions),
+            None => self.reject_or_fail(index, actions),
+        }
+    }
+
+    fn start_attempt(&mut self, index: RequestIndex, route: Route, actions: &mut Vec<Action>) {
+        let cost = self.statistics.mean_sending_time(self.requests[index].class);
+        let fill_probability = self.fill_probability(index, &route);
+        let spec = self.attempt_spec(index, &route);
+        self.last_send_key = self.last_send_key.next();
+        self.book_send(index, &route, self.last_send_key);
+        self.endpoints.begin_attempt(&route, cost, self.now);
+        let attempt = Attempt::new(route, self.now, cost, self.last_send_key, fill_probability);
+        self.requests[index].attempts.push(attempt);
+        actions.push(Action::StartAttempt(spec));
+    }
+
+    /// The probability that an attempt needs a fill over the zone's link.
+    fn fill_probability(&self, index: RequestIndex, route: &Route) -> f64 {
+        let pending = &self.requests[index];
+        let is_edge = self.endpoints.is_edge(route.server);
+        match (route.source, pending.lookup) {
+            (Some(_), LookupResult::EdgeMiss | LookupResult::ParentMiss) => 1.0,
+            (Some(_), LookupResult::FillInProgress) => 0.0,
+            (None, _) if is_edge => 0.0,
+            _ if !is_edge => 1.0,
+            _ => self.statistics.class(pending.class).fill_share.get().unwrap_or(DEFAULT_FILL_PROBABILITY),
+        }
     }
 
-    /// Sends a request to a server that may name a source, which may be held to what it holds.
-    pub(super) fn send(&mut self, at: usize, to: (usize, Option<usize>, bool), acts: &mut Vec<Action>) {
-        let (server, source, held_only) = to;
-        let mean = self.mean_time(self.open[at].class);
-        self.keys += 1;
-        let (key, now) = (self.keys, self.now);
-        self.book(at, server, source, key);
-        let open = &self.open[at];
-        let class = &self.set.classes[open.class];
-        let begin_by = self.harmless_until(open) - self.margin();
-        let max_age = self.max_age(open, source.is_none());
-        let looked = open.tries.iter().all(|t| t.source.is_none());
-        let (renew, join) = (class.fresh_for > 0.0, self.set.fill_joining && looked);
-        let edge = self.servers[server].entry.role == Role::Edge;
-        let fill = match source {
-            Some(_) if matches!(open.found, Found::Nothing | Found::Beyond) => 1.0,
-            Some(_) if open.found == Found::FillUnderWay => 0.0,
-            None if edge => 0.0,
-            _ if !edge => 1.0,
-            _ => self.fills[open.class].get().unwrap_or(FILL_UNTOLD),
-        };
-        let s = &mut self.servers[server];
-        if s.out == 0 {
-            s.answered = now;
+    /// The message that starts an attempt.
+    fn attempt_spec(&self, index: RequestIndex, route: &Route) -> AttemptSpec {
+        let pending = &self.requests[index];
+        let server = &self.endpoints[route.server];
+        let is_edge = server.entry.role == Role::Edge;
+        AttemptSpec {
+            request: pending.request.id.clone(),
+            server: server.entry.id.clone(),
+            timeout: pending.deadline - self.now,
+            start_before: self.retry_safe_until(pending) - self.answer_margin(),
+            fill_source: self.endpoints[route.source.unwrap_or(route.server)].entry.id.clone(),
+            rank: if is_edge { pending.rank } else { Rank::None },
+            max_age: self.max_age(pending, route),
+            join_fill: self.settings.fill_joining && pending.only_lookups(),
+            cached_only: route.cached_only,
+            revalidate: self.settings.classes[pending.class.0].fresh_for > 0.0,
         }
-        s.work += mean;
-        for i in [Some(server), source].into_iter().flatten() {
-            let s = &mut self.servers[i];
-            s.out += 1;
-            if let Health::Out(_) = s.health {
-                s.health = Health::Trial(0);
-            }
+    }
+
+    /// Evaluates the end of an attempt, and completes its request or starts the next attempt.
+    pub(super) fn on_outcome(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let Some(attempt) = self.requests.finish_attempt(&outcome.request, outcome.attempt) else { return };
+        let index = attempt.request;
+        let in_flight = self.endpoints[attempt.route.server].in_flight as f64;
+        self.endpoints.end_attempt(&attempt.route, attempt.cost);
+        self.record_arrival(&attempt, outcome);
+        let pending = &mut self.requests[index];
+        self.statistics.record(attempt.class, &pending.request, outcome);
+        self.reuse.record_fill(&pending.request, pending.rank, outcome);
+        if !retry::not_executed(outcome.result) {
+            pending.record_possible_execution(attempt.sent_at);
         }
-        let open = &mut self.open[at];
-        open.tries.push(Try::new((server, source), now, mean, key, fill, held_only));
-        acts.push(Action::StartAttempt(AttemptSpec {
-            request: open.req.id.clone(),
-            server: self.servers[server].entry.id.clone(),
-            timeout: open.end - now,
-            start_before: begin_by,
-            fill_source: self.servers[source.unwrap_or(server)].entry.id.clone(),
-            rank: if edge { open.rank } else { Rank::None },
-            max_age,
-            join_fill: join,
-            cached_only: held_only,
-            revalidate: renew,
-        }));
+        pending.record_lookup(outcome, self.settings.fill_joining);
+        self.record_feedback(&attempt, in_flight, outcome);
+        self.record_health(&attempt, outcome, actions);
+        self.proceed(index, outcome, actions);
     }
 
-    /// How long a purge is heeded.
-    pub(super) fn purge_life(&self) -> Ms {
-        self.set.purge_convergence_time.max(self.set.purge_grace) + PURGE_EXTRA_MS
+    /// Continues a request after one of its attempts has ended.
+    fn proceed(&mut self, index: RequestIndex, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let pending = &self.requests[index];
+        if outcome.completes_request || outcome.result == AttemptResult::Served {
+            self.complete(index, actions);
+        } else if pending.answered || pending.in_flight().next().is_some() {
+            self.remove_if_finished(index);
+        } else if matches!(outcome.fill_report, FillReport::OriginFailed | FillReport::SourceRejected) {
+            // Any other source would ask the same origin.
+            self.reject_or_fail(index, actions);
+        } else {
+            self.dispatch(index, actions);
+        }
+    }
+
+    /// Marks a request as answered, cancels its attempts in flight, and removes it once all have ended.
+    pub(super) fn complete(&mut self, index: RequestIndex, actions: &mut Vec<Action>) {
+        self.requests[index].answered = true;
+        self.cancel_attempts(index, actions);
+        self.remove_if_finished(index);
+    }
+
+    /// Cancels the attempts of a request that are in flight, if the settings allow it.
+    pub(super) fn cancel_attempts(&mut self, index: RequestIndex, actions: &mut Vec<Action>) {
+        if !self.settings.cancel {
+            return;
+        }
+        let pending = &self.requests[index];
+        for (number, _) in pending.attempts.iter().enumerate().filter(|(_, attempt)| !attempt.finished) {
+            actions.push(Action::CancelAttempt(pending.request.id.clone(), AttemptNo(number)));
+        }
     }
 
-    /// The age limit: the class's fresh time, for a look its grace too, and while a purge may be unsettled no
-    /// copy older than it.
-    pub(super) fn max_age(&self, open: &Open, look: bool) -> Option<Ms> {
-        let names = [(Some(open.req.object), None), (None, Some(open.req.group))];
-        let purged =
-            names.iter().filter_map(|n| self.purged.get(n)).copied().fold(f64::NEG_INFINITY, f64::max);
-        let class = &self.set.classes[open.class];
-        // An old copy earns less than a fresh one, and more than a refusal.
-        let fresh = if look { class.fresh_for + class.stale_for } else { class.fresh_for };
-        if self.now > purged + self.purge_life() {
-            return Some(fresh).filter(|f| *f > class.fresh_for);
+    fn remove_if_finished(&mut self, index: RequestIndex) {
+        let pending = &self.requests[index];
+        if pending.answered && pending.in_flight().next().is_none() {
+            self.requests.remove(index);
         }
-        let age = (self.now - purged - AGE_MARGIN_MS).max(AGE_LEAST_MS);
-        Some(if fresh > 0.0 { age.min(fresh) } else { age })
     }
 }
--- a/src/routing/concurrency_limit.rs
+++ b/src/routing/concurrency_limit.rs
@@ -1,214 +1,205 @@
-//! Gates: how much more a cache, a source or the link takes.
+//! How many requests a cache, a source and the zone's link take at once.
+//!
+//! A limit follows additive increase, multiplicative decrease. Inputs: requests in flight (expected fills for
+//! a source and the link), their mean over a time window, and the latency ratio of responses: the time that a
+//! response took over the sending time of its object, as a logarithm. There is no limit until responses first
+//! show congestion. Where a router has few requests in flight itself, its peers are assumed to have as many,
+//! and the limit applies to the mean number in flight, which may be below one. `feedback` feeds outcomes in.
 
-use super::{Router, AVERAGE_SHARE};
+use super::endpoints::ServerIndex;
+use super::request::Attempt;
+use super::Router;
 use crate::api::*;
-use crate::state::{Gate, Try};
-use crate::window::sorted;
-
-/// Mean slowness (delay over the least that the object took) above which a cache, or the link, is full; the
-/// link also at the least stretch of a class's aim, since what takes longer is late.
-const SLOW_CACHE: f64 = 3.0;
-const SLOW_LINK: f64 = 2.0;
-/// Weight of a sample in a cache's or the link's slowness.
-const SLOW_SHARE: f64 = 0.1;
-/// A class's usual hit takes no more than this share of its aim, unhurried.
-const HIT_OF_AIM: f64 = 0.5;
-/// A full gate's limit is cut to this share of what is out, once in the rest time, down to the least.
-const GATE_CUT: f64 = 0.9;
-/// To this share where what was asked of it ran out of time: its work went for nothing.
-const GATE_WASTE: f64 = 0.5;
-const GATE_REST_MS: Ms = 150.0;
-const GATE_LEAST: f64 = 4.0;
-/// With fewer out than this, slowness is not of the routers' making. One with fewer out itself reckons with
-/// as many at each of its peers: it goes by its mean number out over a time, and cuts after so many
-/// answers, down to a least mean.
-const GATE_FLOOR: f64 = 6.0;
-pub(crate) const GATE_LEVEL_MS: Ms = 1000.0;
-const GATE_ANSWERS: u32 = 3;
-/// Mean slowness moves within this time however few the answers; where they alone would take longer, it calls
-/// full what is slow by this power of the limit.
-const GATE_FEW_MS: Ms = 1500.0;
-const GATE_FEW: f64 = 0.75;
-const GATE_LEAST_LEVEL: f64 = 0.1;
-/// There it grows by no more than this share with an answer.
-const GATE_GROWTH: f64 = 0.1;
-/// It grows by one in each round of answers while this share of it is in use.
-const GATE_USED: f64 = 0.7;
-/// A class with under this share of the longest sending time may go beyond a gate's limit by this.
-const SMALL_SHARE: f64 = 0.5;
-const SMALL_EASE: f64 = 1.5;
-
-impl Gate {
-    /// Where few are out, what counts is how many were out on average lately.
-    pub(super) fn lets(&self, now: Ms, out: f64, ease: f64) -> bool {
-        let level = self.level.rate(now);
-        out + 1.0 <= self.limit * ease || (self.limit < GATE_LEAST && level <= self.limit * ease)
-    }
-
-    /// Takes in how slow an answer was, as a logarithm, while so much was out.
-    pub(super) fn answer(&mut self, now: Ms, slow: f64, limit: f64, out: f64) {
-        // Where answers are few, one moves the mean by as much as the time since the last takes off.
-        self.slow.add(slow, SLOW_SHARE.max(1.0 - ((self.heard - now) / GATE_FEW_MS).exp()));
-        self.heard = now;
-        self.pace.add(now, SLOW_SHARE);
-        let few = out < GATE_FLOOR && self.pace.rate(now) * GATE_FEW_MS < 1.0;
-        let limit = if few { GATE_FEW * limit.ln() } else { limit.ln() };
-        if self.slow.get().is_some_and(|s| s > limit) {
-            self.full(now, out, GATE_CUT);
+use crate::averages::{DecayingRate, MovingAverage};
+
+/// Weight of a sample in the mean latency ratio.
+const RATIO_SAMPLE_WEIGHT: f64 = 0.1;
+/// Factor by which congestion decreases a limit.
+pub(super) const CONGESTION_FACTOR: f64 = 0.9;
+/// Factor where requests timed out, so that work for them was wasted.
+pub(super) const TIMEOUT_FACTOR: f64 = 0.5;
+/// Least time between two decreases.
+const DECREASE_INTERVAL_MS: Ms = 150.0;
+/// Least limit after a decrease.
+const MIN_LIMIT: f64 = 4.0;
+/// Requests in flight, of all routers, below which the routers are not the cause of latency.
+const MIN_IN_FLIGHT_FOR_CONGESTION: f64 = 6.0;
+/// Time constant of the mean number in flight.
+const IN_FLIGHT_WINDOW_MS: Ms = 1000.0;
+/// Responses between two decreases where few requests are in flight.
+const MIN_RESPONSES: u32 = 3;
+/// Time within which the mean latency ratio follows even a few responses.
+const SPARSE_WINDOW_MS: Ms = 1500.0;
+/// Exponent of the latency threshold where responses are so few that the mean would take longer than that.
+const SPARSE_THRESHOLD_EXPONENT: f64 = 0.75;
+/// Least limit on the mean number in flight.
+const MIN_MEAN_LIMIT: f64 = 0.1;
+/// Largest increase by one response, as a share of the limit.
+const MAX_RELATIVE_INCREASE: f64 = 0.1;
+/// A limit changes only while at least this share of it is used.
+const MIN_UTILIZATION: f64 = 0.7;
+/// A class whose mean sending time is below this share of the longest class's may exceed limits by a factor:
+/// its requests earn more for the same capacity.
+const SHORT_CLASS_SHARE: f64 = 0.5;
+const SHORT_CLASS_HEADROOM: f64 = 1.5;
+
+/// A limit on requests or fills in flight.
+pub(super) struct ConcurrencyLimit {
+    limit: f64,
+    last_decrease: Ms,
+    responses_since_decrease: u32,
+    mean_latency_ratio_log: MovingAverage,
+    last_sample: Ms,
+    /// Samples per millisecond, each with its weight in the mean.
+    sample_rate: DecayingRate,
+    /// Mean number in flight: the sum of their durations over the time.
+    mean_in_flight: DecayingRate,
+    /// Routers that send to the same place.
+    senders: f64,
+}
+
+impl ConcurrencyLimit {
+    /// No limit yet, for a place to which a number of routers send.
+    pub fn new(now: Ms, senders: usize) -> Self {
+        Self {
+            limit: f64::INFINITY,
+            last_decrease: f64::NEG_INFINITY,
+            responses_since_decrease: 0,
+            mean_latency_ratio_log: MovingAverage::default(),
+            last_sample: now,
+            sample_rate: DecayingRate::new(now, IN_FLIGHT_WINDOW_MS),
+            mean_in_flight: DecayingRate::new(now, IN_FLIGHT_WINDOW_MS),
+            senders: senders as f64,
+        }
+    }
+
+    /// Number of routers that send to the same place.
+    pub fn senders(&self) -> f64 {
+        self.senders
+    }
+
+    /// Whether the limit is at least one request.
+    pub fn is_at_least_one(&self) -> bool {
+        self.limit >= 1.0
+    }
+
+    /// The mean latency ratio, as a logarithm, if there is a sample.
+    pub fn mean_latency_ratio_log(&self) -> Option<f64> {
+        self.mean_latency_ratio_log.get()
+    }
+
+    /// Whether one more request is admitted. A low limit applies to the mean number in flight as well.
+    pub fn permits(&self, now: Ms, in_flight: f64, headroom_factor: f64) -> bool {
+        let mean = self.mean_in_flight.rate(now);
+        in_flight + 1.0 <= self.limit * headroom_factor
+            || (self.limit < MIN_LIMIT && mean <= self.limit * headroom_factor)
+    }
+
+    /// Adds the time in milliseconds that a request was in flight.
+    pub fn record_duration(&mut self, now: Ms, duration: Ms) {
+        self.mean_in_flight.add(now, duration);
+    }
+
+    /// Adds the latency ratio of a response, as a logarithm, and changes the limit: down while the mean ratio
+    /// is above the threshold, else up.
+    pub fn record_latency(&mut self, now: Ms, ratio_log: f64, threshold: f64, in_flight: f64) {
+        // Where responses are rare, one moves the mean by as much as the time since the last one decays it.
+        let elapsed_weight = 1.0 - ((self.last_sample - now) / SPARSE_WINDOW_MS).exp();
+        self.mean_latency_ratio_log.add(ratio_log, RATIO_SAMPLE_WEIGHT.max(elapsed_weight));
+        self.last_sample = now;
+        self.sample_rate.add(now, RATIO_SAMPLE_WEIGHT);
+        let sparse =
+            in_flight < MIN_IN_FLIGHT_FOR_CONGESTION && self.sample_rate.rate(now) * SPARSE_WINDOW_MS < 1.0;
+        let threshold_log = if sparse { SPARSE_THRESHOLD_EXPONENT * threshold.ln() } else { threshold.ln() };
+        if self.mean_latency_ratio_log.get().is_some_and(|mean| mean > threshold_log) {
+            self.decrease(now, in_flight, CONGESTION_FACTOR);
         } else {
-            self.grow(now, out);
+            self.increase(now, in_flight);
         }
     }
 
-    pub(super) fn grow(&mut self, now: Ms, out: f64) {
-        self.answers += 1;
-        if out.max(self.level.rate(now)) >= GATE_USED * self.limit {
-            self.limit += (1.0 / self.limit).min(self.limit * GATE_GROWTH);
+    /// Increases the limit by about one in each round of responses, if it is used.
+    pub fn increase(&mut self, now: Ms, in_flight: f64) {
+        self.responses_since_decrease += 1;
+        if in_flight.max(self.mean_in_flight.rate(now)) >= MIN_UTILIZATION * self.limit {
+            self.limit += (1.0 / self.limit).min(self.limit * MAX_RELATIVE_INCREASE);
         }
     }
 
-    pub(super) fn full(&mut self, now: Ms, out: f64, left: f64) {
-        self.answers += 1;
-        let (level, dense) = (self.level.rate(now), out >= GATE_FLOOR);
-        let used = self.limit.is_infinite() || out.max(level) >= GATE_USED * self.limit;
-        let sure = dense || (self.answers >= GATE_ANSWERS && level * self.routers >= GATE_FLOOR);
-        if used && sure && now - self.cut >= GATE_REST_MS {
-            let (least, used) = if dense { (GATE_LEAST, out) } else { (GATE_LEAST_LEVEL, level) };
-            self.limit = (self.limit.min(used) * left).max(least);
-            (self.cut, self.answers) = (now, 0);
+    /// Decreases the limit to a share of what is in flight, at most once in each interval.
+    pub fn decrease(&mut self, now: Ms, in_flight: f64, factor: f64) {
+        self.responses_since_decrease += 1;
+        let mean = self.mean_in_flight.rate(now);
+        let many_in_flight = in_flight >= MIN_IN_FLIGHT_FOR_CONGESTION;
+        let used = self.limit.is_infinite() || in_flight.max(mean) >= MIN_UTILIZATION * self.limit;
+        let is_cause = many_in_flight
+            || (self.responses_since_decrease >= MIN_RESPONSES
+                && mean * self.senders >= MIN_IN_FLIGHT_FOR_CONGESTION);
+        if used && is_cause && now - self.last_decrease >= DECREASE_INTERVAL_MS {
+            let (min_limit, in_use) =
+                if many_in_flight { (MIN_LIMIT, in_flight) } else { (MIN_MEAN_LIMIT, mean) };
+            self.limit = (self.limit.min(in_use) * factor).max(min_limit);
+            (self.last_decrease, self.responses_since_decrease) = (now, 0);
         }
     }
 }
 
 impl Router {
-    /// By how much a class may go beyond a gate's limit: one that takes little earns more for the same
-    /// room.
-    pub(super) fn ease(&self, class: usize) -> f64 {
-        if self.mean_time(class) < SMALL_SHARE * self.longest() {
-            SMALL_EASE
+    /// The factor by which a class may exceed limits.
+    pub(super) fn headroom_factor(&self, class: ClassId) -> f64 {
+        let longest = self.statistics.longest_mean_sending_time();
+        if self.statistics.mean_sending_time(class) < SHORT_CLASS_SHARE * longest {
+            SHORT_CLASS_HEADROOM
         } else {
             1.0
         }
     }
 
-    /// Fills expected to be out over the link, or from a source; from the origin also those that parents
-    /// lack.
-    pub(super) fn fills_out(&self, source: Option<usize>) -> f64 {
-        let origin = source.is_some_and(|i| self.servers[i].entry.role == Role::Origin);
-        let beyond = if origin { self.beyond.get().unwrap_or(1.0) } else { 0.0 };
-        let share = |t: &Try| match source {
-            None => t.fill,
-            Some(_) if t.source == source || source == Some(t.server) => t.fill,
-            Some(_) if t.held_only || t.source.is_none() => 0.0,
-            Some(_) => t.fill * beyond,
-        };
-        self.open.values().flat_map(|o| &o.tries).filter(|t| !t.over).map(share).sum()
+    /// Whether a cache takes one more request.
+    pub(super) fn permits_request(&self, server: ServerIndex, headroom_factor: f64) -> bool {
+        let server = &self.endpoints[server];
+        server.limit.permits(self.now, server.in_flight as f64, headroom_factor)
     }
 
-    /// Tells the cache's gate and the link's how an attempt went.
-    pub(super) fn gates(&mut self, at: usize, server: usize, source: Option<usize>, out: f64, o: &Outcome) {
-        let share = match o.fill_report {
-            FillReport::Hit | FillReport::Stale | FillReport::Joined | FillReport::LoopDetected => 0.0,
-            FillReport::NotReported => self.open[at].tries[o.attempt.0].fill,
-            _ => 1.0,
-        };
-        self.servers[server].gate.level.add(self.now, o.latency);
-        self.link.level.add(self.now, o.latency * share);
-        if let Some(i) = source {
-            self.servers[i].gate.level.add(self.now, o.latency * share);
-            // What a parent's origin did is the origin's, so that what the parent holds still comes.
-            // So is what ran out of time at a parent that has answered since.
-            let held_up =
-                o.fill_report == FillReport::SourceFailed && self.servers[i].answered > self.now - o.latency;
-            let behind =
-                held_up || matches!(o.fill_report, FillReport::FilledByOrigin | FillReport::OriginFailed);
-            let at_fault = self.origin().filter(|_| behind).unwrap_or(i);
-            let untold =
-                if o.fill_report == FillReport::NotReported { self.beyond.get().unwrap_or(1.0) } else { 0.0 };
-            if let Some(origin) = self.origin().filter(|p| *p != i) {
-                let asked = if behind { 1.0 } else { untold };
-                self.servers[origin].gate.level.add(self.now, o.latency * share * asked);
-            }
-            let fills = self.fills_out(Some(at_fault)) + 1.0;
-            let gate = &mut self.servers[at_fault].gate;
-            match o.fill_report {
-                FillReport::FilledBySource | FillReport::FilledByOrigin => gate.grow(self.now, fills),
-                FillReport::OriginFailed if o.result != AttemptResult::Rejected => {
-                    gate.full(self.now, fills, GATE_WASTE)
-                }
-                FillReport::SourceFailed if held_up => gate.full(self.now, fills, GATE_WASTE),
-                FillReport::SourceRejected | FillReport::OriginFailed => gate.full(self.now, fills, GATE_CUT),
-                _ => {}
-            }
-            if behind || o.fill_report == FillReport::FilledBySource {
-                self.beyond.add(f64::from(u8::from(behind)), AVERAGE_SHARE);
-            }
-        }
-        let edge = self.servers[server].entry.role == Role::Edge;
-        // An answer without bytes tells nothing of how quickly they would have come.
-        let timed = o.result != AttemptResult::Served || o.body_complete;
-        let took = self.slowness(&self.open[at], o.latency - o.source_wait);
-        let (behind, here) = (source.map_or(0.0, |i| self.excess(i)), self.excess(server));
-        match (o.result, o.fill_report, source) {
-            (AttemptResult::Served, FillReport::Hit, _) if edge && timed => self.resize(server, took, true),
-            (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin, Some(i))
-                if edge && timed =>
-            {
-                self.resize(server, took - behind, true);
-                self.resize(i, took - here, true);
-            }
-            (_, FillReport::SourceRejected | FillReport::SourceFailed, Some(i)) => {
-                self.resize(i, f64::INFINITY, false)
+    /// Whether a source takes one more fill.
+    pub(super) fn permits_fill(&self, source: ServerIndex, headroom_factor: f64) -> bool {
+        let fills = self.expected_fills_from(source);
+        self.endpoints[source].limit.permits(self.now, fills, headroom_factor)
+    }
+
+    /// Whether the zone's link takes one more fill.
+    pub(super) fn link_permits_fill(&self, headroom_factor: f64) -> bool {
+        self.zone_link.permits(self.now, self.expected_link_fills(), headroom_factor)
+    }
+
+    /// Whether an origin whose limit is below one may be asked: it is asked for one thing at a time, because
+    /// it reports nothing about a fill in progress.
+    pub(super) fn origin_takes_turn(&self, origin: ServerIndex) -> bool {
+        let busy = || self.requests.iter().any(|pending| pending.may_fill_from_origin());
+        self.endpoints[origin].limit.is_at_least_one() || !busy()
+    }
+
+    /// Expected number of fills in progress over the zone's link.
+    pub(super) fn expected_link_fills(&self) -> f64 {
+        self.requests.in_flight().map(|attempt| attempt.fill_probability).sum()
+    }
+
+    /// Expected number of fills in progress from a source; from the origin also those that parents ask it
+    /// for.
+    pub(super) fn expected_fills_from(&self, source: ServerIndex) -> f64 {
+        let is_origin = self.endpoints[source].entry.role == Role::Origin;
+        let origin_share =
+            if is_origin { self.statistics.origin_fill_share.get().unwrap_or(1.0) } else { 0.0 };
+        let expected = |attempt: &Attempt| {
+            let route = &attempt.route;
+            if route.server == source || route.source == Some(source) {
+                attempt.fill_probability
+            } else if route.cached_only || route.source.is_none() {
+                0.0
+            } else {
+                attempt.fill_probability * origin_share
             }
-            (AttemptResult::TimedOut, ..) => self.find_lag(server, source, took),
-            _ => {}
-        }
-        if !edge && self.open[at].rank == Rank::None {
-            return;
-        }
-        let (class, sure) = (self.open[at].class, self.open[at].tries[o.attempt.0].fill >= 1.0);
-        let known = self.own_time(&self.open[at].req).is_some();
-        let fills = self.fills_out(None);
-        let near =
-            sorted(self.up[Role::Edge as usize].iter().filter_map(|i| self.servers[*i].gate.slow.get()));
-        let middle = near.get(near.len() / 2).copied();
-        let filled = match o.fill_report {
-            FillReport::Hit => Some(0.0),
-            FillReport::FilledBySource | FillReport::FilledByOrigin => Some(1.0),
-            _ => None,
         };
-        if let Some(share) = filled.filter(|_| edge && o.result == AttemptResult::Served) {
-            self.fills[class].add(share, AVERAGE_SHARE);
-        }
-        if !timed {
-            return;
-        }
-        let gate = &mut self.servers[server].gate;
-        match (o.result, o.fill_report) {
-            (AttemptResult::Served, FillReport::Hit) if edge => {
-                // A router that starts amid overload has seen no unhurried answer; there the aim tells.
-                self.hits[class].add(o.latency.max(1.0).ln(), AVERAGE_SHARE);
-                let aim = HIT_OF_AIM * self.set.classes[class].latency_objective;
-                let late = self.hits[class].get().filter(|_| aim > 0.0).map(|h| h - aim.ln());
-                if known {
-                    gate.answer(self.now, took.max(late.unwrap_or(took)), SLOW_CACHE, out);
-                }
-            }
-            (
-                AttemptResult::Served,
-                FillReport::Hit | FillReport::FilledBySource | FillReport::FilledByOrigin,
-            ) => {
-                // What the cache is slower by with hits than its zone's middle one is not the link's.
-                let slow = took - gate.slow.get().zip(middle).map_or(0.0, |(s, m)| (s - m).max(0.0));
-                let aims =
-                    self.set.classes.iter().filter(|c| !c.uncacheable && c.latency_objective_stretch > 1.0);
-                let limit = aims.map(|c| c.latency_objective_stretch).fold(SLOW_LINK, f64::min);
-                self.link.answer(self.now, slow, limit, fills);
-            }
-            // What goes past the caches, or fills for sure, and is late, is late on the link.
-            (AttemptResult::TimedOut, _) if sure => self.link.full(self.now, fills, GATE_CUT),
-            (AttemptResult::Rejected, FillReport::NotReported) => gate.full(self.now, out, GATE_CUT),
-            _ => {}
-        }
+        self.requests.in_flight().map(expected).sum()
     }
 }
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -1,245 +1,321 @@
-//! What is known of the servers: the list, their order by hash, and how well each keeps up with its size.
+//! The endpoint list: which servers exist, which of them are up, and their rendezvous order.
+//!
+//! Inputs: the endpoint list with its weights, and the weight penalties of `weight_penalty`. Only edge caches
+//! of the router's own zone count as up. A removed server keeps its state while attempts or recent sends
+//! refer to it, so that a server that reappears is recognised; after that its index is reused, which bounds
+//! memory by the list's length.
 
-use super::{Router, GATE_LEVEL_MS, SWEEP_MS};
+use super::concurrency_limit::ConcurrencyLimit;
+use super::fill_sources::FillSources;
+use super::outlier_ejection::OutlierState;
+use super::request::{PendingRequests, Route};
+use super::slow_start::{SendLedger, Warmup};
+use super::weight_penalty::WeightPenalty;
+use super::Router;
 use crate::api::*;
 use crate::hash::address;
-use crate::snapshot::Snapshot;
-use crate::state::{place, Gate, Health, Open, Planned, Server};
-use crate::window::{sorted, Average};
-use crate::work::WorkEstimate;
 use basaltgw_structures::Candidates;
-use std::rc::Rc;
-use std::sync::Arc;
-
-/// Weight of an answer in a server's lag; what one moves the cut of its size by, beyond this lag over what
-/// is usual for its role; the least share left of its size; and the change that moves objects.
-const LAG_SHARE: f64 = 0.2;
-const CUT_STEP: f64 = 0.3;
-const CUT_SLACK: f64 = 0.25;
-const CUT_MOST: f64 = 0.05;
-const CUT_GRAIN: f64 = 0.1;
-/// Within this time a cut wears off.
-const CUT_TAU_MS: Ms = 20_000.0;
-/// An object not known yet is taken to need this share of its class's mean: most are smaller.
-const NEW_OF_MEAN: f64 = 0.6;
+use indexmap::IndexMap;
+use std::ops::{Index, IndexMut};
 
-impl Router {
-    /// Takes in what the list says. The state of servers that it no longer names stays while it is needed.
-    pub(super) fn on_list(&mut self, mode: EndpointUpdate, entries: Vec<Endpoint>, acts: &mut Vec<Action>) {
-        if mode == EndpointUpdate::Failed {
-            if self.set.must_watch_endpoints {
-                acts.push(Action::WatchEndpoints);
-            }
-            return;
-        }
-        if mode == EndpointUpdate::Complete {
-            self.servers.values_mut().for_each(|s| s.entry.state = EndpointState::Removed);
-        }
-        for mut entry in entries {
-            // Weights that follow the load would move every object's home with each list.
-            let steady = !self.set.dynamic_weights && entry.weight > 0.0;
-            entry.weight = if steady { entry.weight } else { 1.0 };
-            let routers = if entry.role == Role::Edge { self.set.zone_routers } else { self.set.routers };
-            let gate = Gate::new(self.now, GATE_LEVEL_MS, routers);
-            let new = || Server::new(entry.clone(), address(&entry.id.0), self.now, gate);
-            let held = |i| self.open.values().flat_map(|o| &o.tries).any(|t| t.names(i));
-            let server = place(&mut self.servers, &entry.id, new, held);
-            if entry.started > server.entry.started {
-                // A new process, cold by now at the latest: what was held against the old one is void. It may
-                // have started again since; what was inferred of that stays.
-                let told = entry.started.map(|t| t.min(self.now));
-                server.started = told.into_iter().chain(server.started).reduce(f64::max);
-                server.account_from = entry.started.filter(|at| *at <= self.now);
-                (server.health, server.strikes, server.refused) = (Health::Good, 0, 0.0);
-                server.vanished = false;
-                (server.lag, server.cut) = (Average::default(), 0.0);
-                (server.answered, server.mute) = (self.now, 0.0);
-            }
-            // A list that is late, or says nothing of the start, does not make the process an older one.
-            let started = entry.started.into_iter().chain(server.entry.started).reduce(f64::max);
-            server.entry = Endpoint { started, ..entry };
-        }
-        for role in [Role::Edge, Role::Parent, Role::Origin] {
-            let near = |s: &Server| role != Role::Edge || s.entry.zone == self.set.zone;
-            let fits = |s: &Server| s.entry.role == role && s.entry.state == EndpointState::Up && near(s);
-            let all = self.servers.values().enumerate().filter(|(_, s)| fits(s));
-            self.up[role as usize] = all.map(|(i, _)| i).collect();
-            self.place(role);
-        }
-        self.plan_sources();
-    }
-
-    /// Puts the servers of a role in hash order, by what is now held to be their size.
-    pub(super) fn place(&mut self, role: Role) {
-        let up = &self.up[role as usize];
-        up.iter().for_each(|i| self.servers[*i].stands = self.servers[*i].cut);
-        let one = |i: &usize| (*i, self.servers[*i].hash, self.servers[*i].size());
-        self.order[role as usize] = Candidates::new(up.iter().map(one));
-    }
-
-    /// What the plan comes to for the edge caches that are up; those with the same sources share it.
-    pub(super) fn plan_sources(&mut self) {
-        self.planned.clear();
-        let Some(table) = &self.table else { return };
-        let mut same: Vec<(*const Vec<SourceShare>, bool, Rc<Planned>)> = Vec::new();
-        for edge in &self.up[Role::Edge as usize] {
-            let id = &self.servers[*edge].entry.id;
-            let Some(of) = table.sources.get(id) else { continue };
-            let (at, origin) = (Arc::as_ptr(of), table.origin_allowed.contains(id));
-            let made = same.iter().find(|s| (s.0, s.1) == (at, origin)).map(|s| Rc::clone(&s.2));
-            let planned = made.unwrap_or_else(|| {
-                let up = |s: &&SourceShare| {
-                    self.servers.get(&s.id).is_some_and(|s| s.entry.state == EndpointState::Up)
-                };
-                let place =
-                    |s: &SourceShare| self.servers.get_index_of(&s.id).map(|i| (i, s.weight, s.share));
-                let all: Vec<_> = of.iter().filter(up).filter_map(place).collect();
-                let order =
-                    Candidates::new(all.iter().map(|(i, weight, _)| (*i, self.servers[*i].hash, *weight)));
-                let share = all.into_iter().map(|(i, _, share)| (i, share)).collect();
-                same.push((at, origin, Rc::new(Planned { order, share, origin })));
-                Rc::clone(&same[same.len() - 1].2)
-            });
-            self.planned.insert(*edge, planned);
+#[cfg(test)]
+mod tests;
+
+/// Weight of a server whose listed weight is unknown or follows its load.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// Position of a server in [`Endpoints`]; stays the same while anything refers to the server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct ServerIndex(usize);
+
+/// The state of a server.
+pub(super) struct Server {
+    pub entry: Endpoint,
+    /// Hash of its id, for the rendezvous order.
+    pub hash: u64,
+    pub outlier: OutlierState,
+    pub warmup: Warmup,
+    pub limit: ConcurrencyLimit,
+    pub penalty: WeightPenalty,
+    /// Attempts in flight, at a source too.
+    pub in_flight: usize,
+    /// Sending time, in milliseconds, of the attempts in flight that were sent to the server itself.
+    pub in_flight_cost: Ms,
+    /// Recent sends; a parent's include fills.
+    pub ledger: SendLedger,
+}
+
+impl Server {
+    /// A server that was just listed.
+    pub fn new(entry: Endpoint, hash: u64, now: Ms, limit: ConcurrencyLimit) -> Self {
+        Self {
+            hash,
+            outlier: OutlierState::new(now),
+            warmup: Warmup::new(entry.started, now),
+            limit,
+            penalty: WeightPenalty::default(),
+            in_flight: 0,
+            in_flight_cost: 0.0,
+            ledger: SendLedger::default(),
+            entry,
         }
     }
 
-    /// Healthy, or due for a trial with nothing out; the list has it up if it is in hash order.
-    pub(super) fn usable(&self, i: usize) -> bool {
-        let s = &self.servers[i];
-        match s.health {
-            Health::Good => true,
-            Health::Out(until) => self.now >= until && s.out == 0,
-            Health::Trial(_) => s.out == 0,
+    /// Its weight relative to others: the listed one with the penalty applied.
+    pub fn weight(&self) -> f64 {
+        self.entry.weight * self.penalty.applied_log().exp()
+    }
+
+    /// Replaces the list entry. A later process start voids what was observed of the former process.
+    fn update(&mut self, entry: Endpoint, now: Ms) {
+        if entry.started > self.entry.started {
+            self.warmup.process_started(entry.started, now);
+            self.outlier = OutlierState::new(now);
+            self.penalty.reset();
         }
+        // A list that is late or has no start does not make the process an older one.
+        let started = entry.started.into_iter().chain(self.entry.started).reduce(f64::max);
+        self.entry = Endpoint { started, ..entry };
+    }
+
+    /// Whether its index can be reused for another server.
+    fn is_reusable(&self) -> bool {
+        self.entry.state == EndpointState::Removed && self.ledger.is_empty()
     }
+}
+
+/// One value for each role.
+#[derive(Clone, Debug, Default)]
+pub(super) struct ByRole<T>([T; 3]);
+
+impl<T> Index<Role> for ByRole<T> {
+    type Output = T;
+
+    fn index(&self, role: Role) -> &T {
+        &self.0[role as usize]
+    }
+}
+
+impl<T> IndexMut<Role> for ByRole<T> {
+    fn index_mut(&mut self, role: Role) -> &mut T {
+        &mut self.0[role as usize]
+    }
+}
+
+/// Servers in rendezvous order.
+#[derive(Default)]
+pub(super) struct ServerOrder(Candidates);
+
+impl ServerOrder {
+    /// Orders servers by their hashes and the given weights.
+    pub fn new(weighted: impl Iterator<Item = (ServerIndex, f64)>, endpoints: &Endpoints) -> Self {
+        Self(Candidates::new(weighted.map(|(server, weight)| (server.0, endpoints[server].hash, weight))))
+    }
+
+    /// The servers in the order of a key, found one at a time.
+    pub fn iter(&self, key: u64) -> impl Iterator<Item = ServerIndex> + '_ {
+        self.0.order(key).map(ServerIndex)
+    }
+
+    /// All servers in the order of a key.
+    pub fn sorted(&self, key: u64) -> Vec<ServerIndex> {
+        self.0.sorted(key).into_iter().map(ServerIndex).collect()
+    }
+}
 
-    /// Moves purges and listed starts into the past. A start that was inferred here was seen by this router's
-    /// own clock and stays.
-    pub(super) fn age_by(&mut self, more: Ms) {
-        self.purged.values_mut().for_each(|at| *at -= more);
-        for s in self.servers.values_mut() {
-            if s.started == s.entry.started {
-                s.started = s.started.map(|t| t - more);
+/// The servers of a router: those on the endpoint list, and removed ones that something still refers to.
+#[derive(Default)]
+pub(super) struct Endpoints {
+    servers: IndexMap<ServerId, Server>,
+    up: ByRole<Vec<ServerIndex>>,
+    order: ByRole<ServerOrder>,
+}
+
+impl Endpoints {
+    /// The server of an id. A new one takes the index of a removed server that is not `in_use`, if there is
+    /// one.
+    pub fn find_or_insert(
+        &mut self,
+        id: &ServerId,
+        new: impl FnOnce() -> Server,
+        in_use: impl Fn(ServerIndex) -> bool,
+    ) -> &mut Server {
+        let servers = &mut self.servers;
+        let index = servers.get_index_of(id).unwrap_or_else(|| {
+            let reusable = |at: &usize| servers[*at].is_reusable() && !in_use(ServerIndex(*at));
+            let reusable = (0..servers.len()).find(reusable);
+            match reusable.filter(|at| servers.replace_index(*at, id.clone()).is_ok()) {
+                Some(at) => {
+                    servers[at] = new();
+                    at
+                }
+                None => servers.insert_full(id.clone(), new()).0,
             }
-            s.entry.started = s.entry.started.map(|t| t - more);
-            s.account_from = s.account_from.map(|t| t - more);
-        }
+        });
+        &mut servers[index]
     }
 
-    /// How long ago a server started that may still be cold.
-    pub(super) fn age_if_cold(&self, s: &Server) -> Option<Ms> {
-        let rule = self.set.slow_start(s.entry.role);
-        // Without a multiple or a window nothing brings one down.
-        let span = if rule.multiple * rule.window > 0.0 { rule.span } else { 0.0 };
-        s.started.map(|t| self.now - t).filter(|age| *age < span)
+    /// The position of a server.
+    pub fn index_of(&self, id: &ServerId) -> Option<ServerIndex> {
+        self.servers.get_index_of(id).map(ServerIndex)
     }
 
-    /// Usable, and not cold.
-    pub(super) fn warm(&self, i: &usize) -> bool {
-        self.usable(*i) && self.age_if_cold(&self.servers[*i]).is_none()
+    /// The server of an id, if it is known.
+    pub fn get_mut(&mut self, id: &ServerId) -> Option<&mut Server> {
+        self.servers.get_mut(id)
     }
 
-    pub(super) fn origin(&self) -> Option<usize> {
-        self.up[Role::Origin as usize].first().copied()
+    /// All servers, removed ones too.
+    pub fn iter(&self) -> impl Iterator<Item = &Server> {
+        self.servers.values()
     }
 
-    /// The logarithm of how slow it is that a request takes so long, by its class where it is not known yet.
-    pub(super) fn slowness(&self, open: &Open, took: Ms) -> f64 {
-        let own = self.own_time(&open.req).unwrap_or(self.mean_time(open.class) * NEW_OF_MEAN);
-        (took.max(1.0) / own.max(1.0)).ln()
+    /// All servers, removed ones too.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
+        self.servers.values_mut()
     }
 
-    /// What a server of a role usually lags by: the middle cache; of sources, which are few, the quickest.
-    pub(super) fn usual_lag(&self, role: Role) -> Option<f64> {
-        let all = &self.up[role as usize];
-        let lags = sorted(all.iter().filter_map(|i| self.servers[*i].lag.get()));
-        lags.get(if role == Role::Edge { lags.len().saturating_sub(1) / 2 } else { 0 }).copied()
+    /// The servers of a role that are up.
+    pub fn up(&self, role: Role) -> &[ServerIndex] {
+        &self.up[role]
     }
 
-    /// By how much a server lags behind what is usual for its role.
-    pub(super) fn excess(&self, i: usize) -> f64 {
-        let s = &self.servers[i];
-        s.lag.get().zip(self.usual_lag(s.entry.role)).map_or(0.0, |(lag, usual)| (lag - usual).max(0.0))
+    /// The servers of a role that are up, in rendezvous order.
+    pub fn order(&self, role: Role) -> &ServerOrder {
+        &self.order[role]
     }
 
-    /// Holds how slow an answer was against the size that the list gives a server.
-    pub(super) fn resize(&mut self, i: usize, slow: f64, served: bool) {
-        let role = self.servers[i].entry.role;
-        // Where nothing is usual yet, one without any answer moves the cut by a step, and not to no number.
-        let usual = self.usual_lag(role).unwrap_or(slow).min(f64::MAX);
-        let s = &mut self.servers[i];
-        if served {
-            s.lag.add(slow, LAG_SHARE);
+    /// The origin, if it is up.
+    pub fn origin(&self) -> Option<ServerIndex> {
+        self.up(Role::Origin).first().copied()
+    }
+
+    /// Whether a server is an edge cache.
+    pub fn is_edge(&self, server: ServerIndex) -> bool {
+        self[server].entry.role == Role::Edge
+    }
+
+    /// Recomputes which servers are up, and their order, for a router of a zone.
+    fn rebuild(&mut self, zone: ZoneId) {
+        for role in [Role::Edge, Role::Parent, Role::Origin] {
+            let in_scope = |s: &Server| role != Role::Edge || s.entry.zone == zone;
+            let is_up =
+                |s: &Server| s.entry.role == role && s.entry.state == EndpointState::Up && in_scope(s);
+            let up = self.servers.values().enumerate().filter(|(_, server)| is_up(server));
+            self.up[role] = up.map(|(at, _)| ServerIndex(at)).collect();
+            self.reorder(role);
         }
-        s.cut = (s.cut + CUT_STEP * (usual + CUT_SLACK - slow).clamp(-1.0, 1.0)).clamp(CUT_MOST.ln(), 0.0);
     }
 
-    /// What is out for long tells of its cache before it is over, each time that it has doubled.
-    pub(super) fn find_slow(&mut self) {
-        let mut told = Vec::new();
-        for (at, open) in self.open.values().enumerate().filter(|(_, o)| !o.done) {
-            for (n, t) in open.tries.iter().enumerate().filter(|(_, t)| !t.over) {
-                let slow = self.slowness(open, self.now - t.sent);
-                if self.servers[t.server].entry.role == Role::Edge && slow > t.slow + 2f64.ln() {
-                    told.push((at, n, slow));
-                }
-            }
+    /// Applies the weight penalties of a role's servers and recomputes their order.
+    pub fn reorder(&mut self, role: Role) {
+        for ServerIndex(at) in &self.up[role] {
+            self.servers[*at].penalty.apply();
+        }
+        let weighted = self.up[role].iter().map(|server| (*server, self[*server].weight()));
+        self.order[role] = ServerOrder::new(weighted, self);
+    }
+
+    /// Counts an attempt as in flight at the servers of its route. An ejected server is probed by it.
+    pub fn begin_attempt(&mut self, route: &Route, cost: Ms, now: Ms) {
+        let server = &mut self[route.server];
+        if server.in_flight == 0 {
+            server.outlier.last_response = now;
         }
-        for (at, n, slow) in told {
-            let t = &mut self.open[at].tries[n];
-            t.slow = slow;
-            let (server, source) = (t.server, t.source);
-            self.find_lag(server, source, slow);
+        server.in_flight_cost += cost;
+        for index in route.servers() {
+            let server = &mut self[index];
+            server.in_flight += 1;
+            server.outlier.begin_probe();
         }
     }
 
-    /// What is late is held against the cache or its source, whichever lags more.
-    pub(super) fn find_lag(&mut self, server: usize, source: Option<usize>, slow: f64) {
-        let source = source.filter(|i| self.excess(*i) > self.excess(server));
-        self.resize(source.unwrap_or(server), slow, false);
+    /// Counts an attempt as no longer in flight.
+    pub fn end_attempt(&mut self, route: &Route, cost: Ms) {
+        let server = &mut self[route.server];
+        server.in_flight_cost = (server.in_flight_cost - cost).max(0.0);
+        for index in route.servers() {
+            let server = &mut self[index];
+            server.in_flight = server.in_flight.saturating_sub(1);
+        }
     }
 
-    /// Where nothing is sent nothing is heard, so a cut wears off by itself; what has moved far is put in its
-    /// place in the order.
-    pub(super) fn wear_off(&mut self) {
-        self.servers.values_mut().for_each(|s| s.cut *= (-SWEEP_MS / CUT_TAU_MS).exp());
-        for role in [Role::Edge, Role::Parent] {
-            let moved = |i: &usize| (self.servers[*i].cut - self.servers[*i].stands).abs() > CUT_GRAIN;
-            if self.up[role as usize].iter().any(moved) {
-                self.place(role);
-            }
+    /// Moves listed process starts into the past, in milliseconds. A start that was inferred was seen by this
+    /// router's own clock and stays.
+    fn shift_listed_starts(&mut self, by: Ms) {
+        for server in self.servers.values_mut() {
+            server.warmup.shift_listed(server.entry.started, by);
+            server.entry.started = server.entry.started.map(|started| started - by);
         }
     }
+}
 
-    /// Takes over what another life has learnt; gives how many of its servers are listed here as the same
-    /// process. Nothing of it makes a cold server warm or a purge undone.
-    pub fn restore(&mut self, now: Ms, learnt: Snapshot) -> usize {
-        let mut known = 0;
-        for of in learnt.servers {
-            let Some(s) = self.servers.get_mut(&of.id).filter(|s| s.entry.started == of.listed_start) else {
-                continue;
-            };
-            known += 1;
-            s.cut = of.weight_penalty_log.clamp(CUT_MOST.ln(), 0.0);
-            s.lag = of.latency_ratio_log.map_or(s.lag, |lag| Average::of(lag, 1));
-            if of.ejected {
-                s.health = Health::Out(now);
+impl Index<ServerIndex> for Endpoints {
+    type Output = Server;
+
+    fn index(&self, index: ServerIndex) -> &Server {
+        &self.servers[index.0]
+    }
+}
+
+impl IndexMut<ServerIndex> for Endpoints {
+    fn index_mut(&mut self, index: ServerIndex) -> &mut Server {
+        &mut self.servers[index.0]
+    }
+}
+
+impl Router {
+    /// Applies an update of the endpoint list.
+    pub(super) fn on_endpoints(
+        &mut self,
+        update: EndpointUpdate,
+        entries: Vec<Endpoint>,
+        actions: &mut Vec<Action>,
+    ) {
+        match update {
+            EndpointUpdate::Failed => {
+                if self.settings.must_watch_endpoints {
+                    actions.push(Action::WatchEndpoints);
+                }
+                return;
             }
-            s.started = of.warmup_started.into_iter().chain(s.started).reduce(f64::max);
-        }
-        for (name, mean, answers) in learnt.sending_times {
-            let class = self.set.classes.iter().position(|c| c.name == name);
-            if let Some(c) = class {
-                self.sending[c] = Average::of(mean, answers);
-                self.work[c] = WorkEstimate::of(mean, answers);
+            EndpointUpdate::Complete => {
+                self.endpoints.iter_mut().for_each(|s| s.entry.state = EndpointState::Removed);
             }
+            EndpointUpdate::Delta => {}
         }
-        for (object, group, at) in learnt.purges {
-            let known = self.purged.entry((object, group)).or_insert(at);
-            *known = known.max(at);
+        for entry in entries {
+            update_endpoint(&mut self.endpoints, &self.requests, &self.settings, entry, self.now);
         }
-        [Role::Edge, Role::Parent].into_iter().for_each(|role| self.place(role));
-        known
+        self.endpoints.rebuild(self.settings.zone);
+        self.fill_sources.rebuild(&self.endpoints);
+    }
+
+    /// Replaces the plan of fill sources.
+    pub(super) fn on_fill_plan(&mut self, plan: Option<std::sync::Arc<FillPlan>>) {
+        self.fill_sources = FillSources::new(plan);
+        self.fill_sources.rebuild(&self.endpoints);
     }
+
+    /// Moves purges and listed process starts into the past, in milliseconds.
+    pub(super) fn on_clock_corrected(&mut self, by: Ms) {
+        self.purges.shift(by);
+        self.endpoints.shift_listed_starts(by);
+    }
+}
+
+fn update_endpoint(
+    endpoints: &mut Endpoints,
+    requests: &PendingRequests,
+    settings: &Settings,
+    mut entry: Endpoint,
+    now: Ms,
+) {
+    // Weights that follow the load would move every object's home with each list.
+    let is_stable = !settings.dynamic_weights && entry.weight > 0.0;
+    entry.weight = if is_stable { entry.weight } else { DEFAULT_WEIGHT };
+    let senders = if entry.role == Role::Edge { settings.zone_routers } else { settings.routers };
+    let new = || Server::new(entry.clone(), address(&entry.id.0), now, ConcurrencyLimit::new(now, senders));
+    let server = endpoints.find_or_insert(&entry.id, new, |index| requests.refer_to(index));
+    server.update(entry, now);
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,202 +1,206 @@
 //! Every decision of basaltgw. The interface (settings, events, actions, ids) is `src/api.rs`.
 //!
-//! The ordinary path is the mechanism of docs/design.md, from D3N: an edge cache by rendezvous hash of
-//! the object, a parent by hash over all listed parents, all copies kept, ranked by two shadow lists and
-//! a bounded search. All else is an exception and says when it acts.
+//! The ordinary path is the mechanism of docs/design.md, from D3N: an edge cache by rendezvous hash of the
+//! object, a parent by hash over all listed parents, all copies cached, ranked by two shadow lists and a
+//! bounded search.
 //!
-//! Here is the one way of a request through all of it, each step with the file that decides it: filed and
-//! ranked (`ranking`), a target and a source chosen (`selection`) among servers that are known (`endpoints`),
-//! healthy (`outlier_ejection`) and have capacity (`concurrency_limit`, `slow_start`), sent (`attempts`), and
-//! retried (`retry`) or given up (`load_shedding`).
+//! A request passes through these files in order: it is admitted (`load_shedding`) and ranked (`ranking`); a
+//! cache and a source are selected (`selection`) among servers that are listed (`endpoints`, `fill_sources`),
+//! healthy (`outlier_ejection`) and have capacity (`concurrency_limit`, `slow_start`); an attempt is started
+//! (`attempts`) with a limit on the copy's age (`freshness`); after its outcome (`feedback`,
+//! `weight_penalty`, `statistics`) the request is complete (`request`), retried (`retry`), or rejected or
+//! failed (`load_shedding`).
 
 mod attempts;
 mod concurrency_limit;
 mod endpoints;
+mod feedback;
+mod fill_sources;
+mod freshness;
 mod load_shedding;
 mod outlier_ejection;
 mod ranking;
+mod request;
 pub mod retry;
 mod selection;
+pub mod shadow_list;
 mod slow_start;
+pub mod snapshot;
+mod statistics;
+mod weight_penalty;
 
-pub use crate::snapshot;
-pub use crate::state::Router;
+pub use freshness::PurgeTarget;
+pub use load_shedding::ANSWER_MARGIN_MS;
 pub use ranking::{best_split, AVERAGE_SHARE, PERIOD_MS, SHADOW_ENTRIES, SPLIT_STEP};
 
 use crate::api::*;
-use crate::state::{Found, Open};
-pub(crate) use concurrency_limit::GATE_LEVEL_MS;
+use concurrency_limit::ConcurrencyLimit;
+use endpoints::Endpoints;
+use fill_sources::FillSources;
+use freshness::Purges;
+use ranking::ReuseTracking;
+use request::{PendingRequest, PendingRequests, RequestIndex};
+use slow_start::SendKey;
+use statistics::Statistics;
 
-/// Milliseconds between two sweeps over what is open: the grain of all guards that act by time.
+/// Milliseconds between two sweeps over pending requests and servers: the resolution of everything that acts
+/// by time.
 pub const SWEEP_MS: Ms = 20.0;
-/// Milliseconds before the client's time is up by which the final answer is out: at least two ticks, and a
-/// sweep that a tick holds up. Who waits no longer than that is refused at once.
-pub const ANSWER_MARGIN_MS: Ms = 25.0;
+/// Token of the timer that triggers sweeps.
 const SWEEP_TOKEN: u64 = 1;
-/// Attempts for one request; the site's limit holds too.
-const MAX_ATTEMPTS: usize = 5;
-/// Lines a router reports in one life.
-const REPORT_LINES: usize = 120;
+/// Log lines that a router writes in all.
+const MAX_LOG_LINES: usize = 120;
 
-/// What is done to the open request at a place.
-type Step = fn(&mut Router, usize, &mut Vec<Action>);
+/// What is done to a pending request.
+type RequestStep = fn(&mut Router, RequestIndex, &mut Vec<Action>);
+
+/// One router: decides for its own requests, by its own events only.
+pub struct Router {
+    settings: Settings,
+    /// Sets the turns at warming servers apart from other routers'.
+    seed: u64,
+    /// Time of the current event.
+    now: Ms,
+    first_event_at: Option<Ms>,
+    /// When the split is adapted next.
+    next_period: Ms,
+    endpoints: Endpoints,
+    fill_sources: FillSources,
+    requests: PendingRequests,
+    statistics: Statistics,
+    reuse: ReuseTracking,
+    purges: Purges,
+    /// Limit on fills over the zone's link.
+    zone_link: ConcurrencyLimit,
+    last_send_key: SendKey,
+    /// Whether the caller reports when attempts are written to their connections.
+    reports_writes: bool,
+    log_lines: usize,
+}
 
 impl Router {
-    /// Takes an event in and appends what is to be done.
-    pub fn handle(&mut self, now: Ms, event: Event, acts: &mut Vec<Action>) {
+    /// A router without any observations. The seed sets its turns at warming servers apart from other
+    /// routers'.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        Self {
+            seed,
+            now: 0.0,
+            first_event_at: None,
+            next_period: 0.0,
+            endpoints: Endpoints::default(),
+            fill_sources: FillSources::default(),
+            requests: PendingRequests::default(),
+            statistics: Statistics::new(&settings),
+            reuse: ReuseTracking::new(),
+            purges: Purges::default(),
+            zone_link: ConcurrencyLimit::new(0.0, settings.zone_routers),
+            last_send_key: SendKey::default(),
+            reports_writes: false,
+            log_lines: 0,
+            settings,
+        }
+    }
+
+    /// Announces that the caller reports for each attempt when its last byte is written to the connection
+    /// ([`Event::RequestWritten`]). Without this, attempts count as written when they are decided.
+    pub fn report_writes(&mut self) {
+        self.reports_writes = true;
+    }
+
+    /// Handles an event and appends the resulting actions. `now` is in milliseconds and never decreases.
+    pub fn handle(&mut self, now: Ms, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        if self.born.is_none() {
-            self.born = Some(now);
-            self.next_period = now + PERIOD_MS;
-            acts.push(Action::Timer(SWEEP_MS, SWEEP_TOKEN));
-            if self.set.must_watch_endpoints {
-                acts.push(Action::WatchEndpoints);
-            }
+        if self.first_event_at.is_none() {
+            self.start(actions);
         }
         match event {
-            Event::Endpoints(mode, entries) => self.on_list(mode, entries, acts),
-            Event::Request(req) => self.on_request(req, acts),
+            Event::Endpoints(update, entries) => self.on_endpoints(update, entries, actions),
+            Event::Request(request) => self.on_request(request, actions),
             Event::ResponseStarted(id, _) => {
-                self.open.get_mut(&id).into_iter().for_each(|open| open.done = true)
+                if let Some(pending) = self.requests.get_mut(&id) {
+                    pending.answered = true;
+                }
             }
-            Event::RequestWritten(id, attempt) => self.on_written(&id, attempt),
-            Event::Outcome(outcome) => self.on_outcome(outcome, acts),
+            Event::RequestWritten(id, attempt) => self.on_request_written(&id, attempt),
+            Event::Outcome(outcome) => self.on_outcome(&outcome, actions),
             Event::ClientDisconnected(id) => {
-                self.open.get_index_of(&id).into_iter().for_each(|at| self.finish(at, acts));
+                if let Some(index) = self.requests.index_of(&id) {
+                    self.complete(index, actions);
+                }
             }
             Event::Timer(SWEEP_TOKEN) => {
-                self.sweep(acts);
-                acts.push(Action::Timer(SWEEP_MS, SWEEP_TOKEN));
+                self.sweep(actions);
+                actions.push(Action::Timer(SWEEP_MS, SWEEP_TOKEN));
             }
             Event::Timer(_) => {}
-            Event::FillPlan(table) => {
-                self.table = table;
-                self.plan_sources();
-            }
-            Event::Purged(group, object, age) => {
-                let at = now - age.max(0.0);
-                let named = (object, Some(group).filter(|_| object.is_none()));
-                let known = self.purged.entry(named).or_insert(at);
-                *known = known.max(at);
-            }
-            Event::ClockCorrected(more) => self.age_by(more.max(0.0)),
+            Event::FillPlan(plan) => self.on_fill_plan(plan),
+            Event::Purged(group, object, age) => self.on_purged(group, object, age),
+            Event::ClockCorrected(by) => self.on_clock_corrected(by.max(0.0)),
         }
     }
 
-    fn report(&mut self, acts: &mut Vec<Action>, text: String) {
-        if self.lines < REPORT_LINES {
-            self.lines += 1;
-            acts.push(Action::Log(text));
+    fn start(&mut self, actions: &mut Vec<Action>) {
+        self.first_event_at = Some(self.now);
+        self.next_period = self.now + PERIOD_MS;
+        actions.push(Action::Timer(SWEEP_MS, SWEEP_TOKEN));
+        if self.settings.must_watch_endpoints {
+            actions.push(Action::WatchEndpoints);
         }
     }
 
-    /// Takes a request in, if there is time for an attempt.
-    fn on_request(&mut self, req: Request, acts: &mut Vec<Action>) {
-        if self.open.contains_key(&req.id) {
+    /// Admits a request and starts its first attempt, or rejects it.
+    fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
+        if self.requests.contains(&request.id) {
             return;
         }
-        let class = req.class.map(|c| c.0).filter(|c| *c < self.set.classes.len());
-        let (Some(class), true) = (class, req.budget > self.margin()) else {
-            // Nothing was sent, so a refusal is harmless whatever the class.
-            acts.push(Action::Reject(req.id, 0.0));
+        let Some(class) = self.admitted_class(&request) else {
+            // Nothing was sent, so a new request is safe whatever the class.
+            actions.push(Action::Reject(request.id, 0.0));
             return;
         };
-        let rank = self.rank(&req, class);
-        let end = self.now + req.budget - self.margin();
-        let (at, _) = self.open.insert_full(req.id.clone(), Open::new(req, class, end, rank));
-        self.dispatch(at, acts);
+        let rank = self.rank(&request, class);
+        let deadline = self.now + request.budget - self.answer_margin();
+        let index = self.requests.insert(PendingRequest::new(request, class, deadline, rank));
+        self.dispatch(index, actions);
     }
 
-    fn margin(&self) -> Ms {
-        ANSWER_MARGIN_MS.max(2.0 * self.set.tick).max(SWEEP_MS + self.set.tick)
-    }
-
-    /// Makes the next attempt, or gives up at once if none can help. Nothing of the request is out then.
-    fn dispatch(&mut self, at: usize, acts: &mut Vec<Action>) {
-        let open = &self.open[at];
-        let left = open.end - self.now;
-        let through = self.set.classes[open.class].uncacheable || open.req.write;
-        let hopeless = left <= 0.0 || (!through && self.own_time(&open.req).is_some_and(|own| own > left));
-        let spent = open.tries.len() >= MAX_ATTEMPTS.min(self.set.max_attempts);
-        if hopeless || spent || self.now >= self.harmless_until(open) - self.margin() {
-            return self.give_up(at, acts);
-        }
-        match if through { self.pick_through(at) } else { self.pick_way(at) } {
-            (Some(server), source, held_only) => self.send(at, (server, source, held_only), acts),
-            (None, ..) => self.give_up(at, acts),
+    /// Does what depends on time.
+    fn sweep(&mut self, actions: &mut Vec<Action>) {
+        if self.now >= self.next_period {
+            self.next_period = self.now + PERIOD_MS;
+            self.reuse.adapt();
+            self.expire_state();
         }
+        let now = self.now;
+        let expired = self.requests.unanswered_ids(|pending| now >= pending.deadline);
+        self.for_each_request(expired, actions, Self::reject_or_fail);
+        self.decay_penalties();
+        self.penalize_slow_attempts();
+        self.eject_silent_servers(actions);
     }
 
-    /// An attempt is over: what it tells is learnt, and the request is answered, sent again or given up.
-    fn on_outcome(&mut self, o: Outcome, acts: &mut Vec<Action>) {
-        let Some((at, _, open)) = self.open.get_full_mut(&o.request) else { return };
-        let Some(t) = open.tries.get_mut(o.attempt.0).filter(|t| !t.over) else { return };
-        t.over = true;
-        let (server, source, sent, weight, key) = (t.server, t.source, t.sent, t.weight, t.key);
-        let s = &mut self.servers[server];
-        let out = s.out as f64;
-        s.out = s.out.saturating_sub(1);
-        s.work = (s.work - weight).max(0.0);
-        source.into_iter().for_each(|i| self.servers[i].out = self.servers[i].out.saturating_sub(1));
-        self.settle(server, source, key, &o);
-        self.learn(at, &o);
-        let open = &mut self.open[at];
-        if !retry::not_executed(o.result) {
-            open.may_have_run.get_or_insert(sent);
-        }
-        if o.result == AttemptResult::CacheMiss && o.fill_report != FillReport::LoopDetected {
-            // Where a fill is under way, joining it takes no place on the link.
-            open.found = match o.fill_report {
-                FillReport::Joined if self.set.fill_joining => Found::FillUnderWay,
-                _ if source.is_some() => Found::Beyond,
-                _ => Found::Nothing,
-            };
-        }
-        let fault = &mut open.tries[o.attempt.0].fault;
-        match o.fill_report {
-            // One that refuses a loop is well, and of no use to this request.
-            FillReport::SourceFailed | FillReport::LoopDetected => *fault = source,
-            FillReport::SourceRejected | FillReport::SourceMiss | FillReport::OriginFailed => *fault = None,
-            _ => *fault = fault.filter(|_| o.result != AttemptResult::CacheMiss),
-        }
-        self.gates(at, server, source, out, &o);
-        self.judge(server, source, &o, acts);
-        if o.completes_request || o.result == AttemptResult::Served {
-            self.finish(at, acts);
-        } else if self.open[at].done || self.open[at].out() > 0 {
-            self.forget(at);
-        } else if matches!(o.fill_report, FillReport::OriginFailed | FillReport::SourceRejected) {
-            // Any other source would ask the same origin.
-            self.give_up(at, acts);
-        } else {
-            self.dispatch(at, acts);
-        }
+    /// Removes purges and sends that are too old to matter.
+    fn expire_state(&mut self) {
+        self.purges.expire(self.now - self.purge_lifetime());
+        let longest_warmup = self.settings.edge_slow_start.span.max(self.settings.parent_slow_start.span);
+        let before = self.now - longest_warmup;
+        self.endpoints.iter_mut().for_each(|server| server.ledger.expire(before));
     }
 
-    /// What acts by time.
-    fn sweep(&mut self, acts: &mut Vec<Action>) {
-        if self.now >= self.next_period {
-            self.next_period = self.now + PERIOD_MS;
-            self.adapt();
-            let keep = self.now - self.purge_life();
-            self.purged.retain(|_, at| *at >= keep);
-            let since = self.now - self.set.edge_slow_start.span.max(self.set.parent_slow_start.span);
-            self.servers.values_mut().for_each(|s| s.sent.forget(since));
+    /// Does a step for each of some requests that are still pending.
+    fn for_each_request(&mut self, ids: Vec<RequestId>, actions: &mut Vec<Action>, step: RequestStep) {
+        for id in ids {
+            if let Some(index) = self.requests.index_of(&id) {
+                step(self, index, actions);
+            }
         }
-        let now = self.now;
-        self.each(|o| now >= o.end, acts, Self::give_up);
-        self.wear_off();
-        self.find_slow();
-        self.find_silent(acts);
     }
 
-    /// Does something for each open request of a kind.
-    fn each(&mut self, kind: impl Fn(&Open) -> bool, acts: &mut Vec<Action>, what: Step) {
-        let of_kind = self.open.values().filter(|o| !o.done && kind(o));
-        for id in of_kind.map(|o| o.req.id.clone()).collect::<Vec<_>>() {
-            if let Some(at) = self.open.get_index_of(&id) {
-                what(self, at, acts);
-            }
+    /// Writes a line for the operators, unless the router has written too many.
+    fn log(&mut self, actions: &mut Vec<Action>, text: String) {
+        if self.log_lines < MAX_LOG_LINES {
+            self.log_lines += 1;
+            actions.push(Action::Log(text));
         }
     }
 }
--- a/src/routing/outlier_ejection.rs
+++ b/src/routing/outlier_ejection.rs
@@ -1,76 +1,185 @@
-//! Which servers are sent to: those that refuse connections or fall silent are out, and return by a trial.
+//! Which servers are ejected, and how they come back.
+//!
+//! Inputs: outcomes of attempts, and the time in milliseconds that attempts have been in flight. A server is
+//! ejected when too many connections to it are refused, or when it is silent: attempts at it are overdue and
+//! nothing has come from it since they were sent. Single errors, rejections and timeouts do not eject it,
+//! since the request's next attempt goes elsewhere and the server may serve everything else well. An ejected
+//! server is probed with one attempt at a time after a backoff that doubles with each failed probe.
 
+use super::endpoints::ServerIndex;
+use super::request::{FinishedAttempt, PendingRequest, Route};
+use super::retry::RetryPolicy;
 use super::Router;
 use crate::api::*;
-use crate::state::{Health, Mark, Open, Try};
-
-/// Weight of a success in a server's share of refused connections.
-const SERVED_SHARE: f64 = 0.05;
-/// Weight of a refused connection in it: it tells of the whole process, where an error tells of one
-/// request.
-const REFUSED_SHARE: f64 = 0.3;
-/// A server whose share of refused connections is above this is taken out.
-const REFUSED_LIMIT: f64 = 0.45;
-/// An attempt is overdue after its class's mean delay, its sending time and so many mean deviations.
+
+/// Weight of a served request in a server's share of refused connections.
+const SERVED_SAMPLE_WEIGHT: f64 = 0.05;
+/// Weight of a refused connection in it. It is higher because it concerns the whole process.
+const REFUSED_SAMPLE_WEIGHT: f64 = 0.3;
+/// A server with a larger share of refused connections is ejected.
+const MAX_REFUSED_SHARE: f64 = 0.45;
+/// An attempt is overdue after its class's mean delay, its sending time and this many mean deviations.
 const OVERDUE_DEVIATIONS: f64 = 5.0;
-/// Answers of a class before its delays tell anything.
-const OVERDUE_SAMPLES: u32 = 20;
-/// Evidence of a cache's silence in an overdue attempt (a source's: the chance of a fill); one is enough.
-const SILENT_SHARE: f64 = 0.34;
-/// No server is silent before this, so that short pauses pass.
-const SILENT_LEAST_MS: Ms = 350.0;
-/// A cache that answers after this, with so many still out, is taken for restarted.
-const RESTART_GAP_MS: Ms = 1000.0;
-const RESTART_OUT: usize = 4;
-/// A server taken out gets its first trial after this, doubled with each failed trial up to the limit.
-const OUT_MS: Ms = 1000.0;
-const OUT_LIMIT_MS: Ms = 8000.0;
-/// Served, beyond those that failed, that end a trial.
-const TRIAL_WINS: u32 = 3;
+/// Responses of a class before its delays are used in place of its deadline.
+const MIN_DELAY_SAMPLES: u32 = 20;
+/// Evidence of silence in an overdue attempt at a cache, where 1 is enough. One lost response is no silence.
+const OVERDUE_EVIDENCE: f64 = 0.34;
+/// Least time without a response before a server counts as silent, so that short pauses pass.
+const MIN_SILENCE_MS: Ms = 350.0;
+/// A cache that responds after a longer silence, with several attempts in flight, counts as restarted.
+const RESTART_SILENCE_MS: Ms = 1000.0;
+const RESTART_MIN_IN_FLIGHT: usize = 4;
+/// Time until an ejected server's first probe, doubled with each failed probe up to the limit.
+const BASE_EJECTION_MS: Ms = 1000.0;
+const MAX_EJECTION_MS: Ms = 8000.0;
+/// Served probes, minus failed ones, that end an ejection.
+const PROBE_SUCCESSES: u32 = 3;
+
+/// Whether requests are sent to a server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Health {
+    Healthy,
+    /// Not before a time.
+    Ejected {
+        until: Ms,
+    },
+    /// One attempt at a time.
+    Probing {
+        /// Served probes, minus failed ones.
+        successes: u32,
+    },
+}
+
+/// What an outcome shows about a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum HealthSignal {
+    Served,
+    Failed,
+    ConnectionRefused,
+}
+
+/// The health of a server and the evidence against it.
+pub(super) struct OutlierState {
+    pub health: Health,
+    consecutive_ejections: u32,
+    /// Whether it was unreachable or silent when it was ejected, so that it may come back with an empty
+    /// cache.
+    unreachable: bool,
+    /// Decayed share of refused connections.
+    refused_share: f64,
+    /// When it last responded in any way, or when its first attempt in flight was sent.
+    pub last_response: Ms,
+    /// Evidence of silence since then; at 1 it is silent.
+    silence_evidence: f64,
+}
+
+impl OutlierState {
+    /// A healthy server.
+    pub fn new(now: Ms) -> Self {
+        Self {
+            health: Health::Healthy,
+            consecutive_ejections: 0,
+            unreachable: false,
+            refused_share: 0.0,
+            last_response: now,
+            silence_evidence: 0.0,
+        }
+    }
+
+    /// Whether the server takes another attempt: it is healthy, or due for a probe with none in flight.
+    fn accepts(&self, now: Ms, in_flight: usize) -> bool {
+        match self.health {
+            Health::Healthy => true,
+            Health::Ejected { until } => now >= until && in_flight == 0,
+            Health::Probing { .. } => in_flight == 0,
+        }
+    }
+
+    /// An attempt is sent: to an ejected server it is the first probe.
+    pub fn begin_probe(&mut self) {
+        if let Health::Ejected { .. } = self.health {
+            self.health = Health::Probing { successes: 0 };
+        }
+    }
+
+    fn record_response(&mut self, now: Ms) {
+        (self.last_response, self.silence_evidence) = (now, 0.0);
+    }
+
+    fn update_refused_share(&mut self, signal: HealthSignal) {
+        match signal {
+            HealthSignal::Served => self.refused_share -= SERVED_SAMPLE_WEIGHT * self.refused_share,
+            HealthSignal::Failed => {}
+            HealthSignal::ConnectionRefused => {
+                self.refused_share += REFUSED_SAMPLE_WEIGHT * (1.0 - self.refused_share);
+            }
+        }
+    }
+
+    /// Ejects the server and returns for how many milliseconds.
+    fn eject(&mut self, now: Ms, unreachable: bool) -> Ms {
+        let doublings = self.consecutive_ejections.min(16);
+        let duration = (BASE_EJECTION_MS * f64::from(1u32 << doublings)).min(MAX_EJECTION_MS);
+        self.health = Health::Ejected { until: now + duration };
+        self.consecutive_ejections += 1;
+        self.unreachable |= unreachable;
+        duration
+    }
+
+    /// Ends the ejection and returns whether the server may have been replaced by a new process.
+    fn recover(&mut self) -> bool {
+        (self.health, self.consecutive_ejections, self.refused_share) = (Health::Healthy, 0, 0.0);
+        std::mem::take(&mut self.unreachable)
+    }
+}
+
+/// An attempt that is overdue once more.
+struct OverdueAttempt {
+    request: RequestId,
+    number: AttemptNo,
+}
+
+/// The server that an overdue attempt waits for.
+struct Silence {
+    server: ServerIndex,
+    evidence: f64,
+}
 
 impl Router {
-    /// Holds an outcome against the server it speaks of: the source where the note names it, else the
-    /// server.
-    pub(super) fn judge(
+    /// Whether a server that is up takes another attempt.
+    pub(super) fn is_usable(&self, server: ServerIndex) -> bool {
+        let server = &self.endpoints[server];
+        server.outlier.accepts(self.now, server.in_flight)
+    }
+
+    /// Updates the health of the servers that an outcome says something about.
+    pub(super) fn record_health(
         &mut self,
-        server: usize,
-        source: Option<usize>,
-        o: &Outcome,
-        acts: &mut Vec<Action>,
+        attempt: &FinishedAttempt,
+        outcome: &Outcome,
+        actions: &mut Vec<Action>,
     ) {
-        let now = self.now;
-        if !matches!(o.result, AttemptResult::TimedOut | AttemptResult::Cancelled | AttemptResult::NotSent) {
-            let s = &mut self.servers[server];
-            if now - s.answered > RESTART_GAP_MS && s.out >= RESTART_OUT && s.entry.role == Role::Edge {
-                // It may have restarted cold before the list tells; harms where it had only paused.
-                s.started = Some(now);
-            }
-            (s.answered, s.mute) = (now, 0.0);
-        }
-        use FillReport::{FillLimitReached, Hit, Joined, NotReported, SourceFailed, Stale};
-        let mute =
-            matches!(o.fill_report, NotReported | Hit | Stale | Joined | FillLimitReached | SourceFailed);
-        let heard = source.filter(|_| !mute).map(|i| &mut self.servers[i]);
-        heard.into_iter().for_each(|s| (s.answered, s.mute) = (now, 0.0));
-        match (o.fill_report, o.result) {
-            (_, AttemptResult::Served) => {
-                self.mark(server, Mark::Served, acts);
-                if let (Some(i), FillReport::FilledBySource | FillReport::FilledByOrigin) =
-                    (source, o.fill_report)
-                {
-                    self.mark(i, Mark::Served, acts);
+        self.record_responses(&attempt.route, outcome);
+        let Route { server, source, .. } = attempt.route;
+        use AttemptResult::{ConnectionLost, Error, NoConnection, Served};
+        use FillReport::{FilledByOrigin, FilledBySource};
+        match (outcome.fill_report, outcome.result) {
+            (_, Served) => {
+                self.apply_signal(server, HealthSignal::Served, actions);
+                if let (Some(source), FilledBySource | FilledByOrigin) = (source, outcome.fill_report) {
+                    self.apply_signal(source, HealthSignal::Served, actions);
                 }
             }
             (FillReport::SourceFailed | FillReport::SourceRejected, _) => {
-                source.into_iter().for_each(|i| self.mark(i, Mark::Failed, acts));
+                if let Some(source) = source {
+                    self.apply_signal(source, HealthSignal::Failed, actions);
+                }
             }
             (FillReport::SourceMiss | FillReport::FillLimitReached | FillReport::OriginFailed, _) => {}
-            // Only a trial minds: the request goes on at once, and a share of failures is no reason to
-            // leave a cache that serves the rest.
-            (_, AttemptResult::Error | AttemptResult::ConnectionLost) => {
-                self.mark(server, Mark::Failed, acts)
-            }
-            (_, AttemptResult::NoConnection) => self.mark(server, Mark::Refused, acts),
+            // Only a probe fails by it: the request continues elsewhere, and a cache that fails some requests
+            // still serves the others.
+            (_, Error | ConnectionLost) => self.apply_signal(server, HealthSignal::Failed, actions),
+            (_, NoConnection) => self.apply_signal(server, HealthSignal::ConnectionRefused, actions),
             (
                 _,
                 AttemptResult::Rejected
@@ -82,94 +191,159 @@
         }
     }
 
-    /// Moves a server's share of refused connections and takes it out, or brings it back by its trial.
-    pub(super) fn mark(&mut self, i: usize, mark: Mark, acts: &mut Vec<Action>) {
-        let s = &mut self.servers[i];
-        match mark {
-            Mark::Served => s.refused -= SERVED_SHARE * s.refused,
-            Mark::Failed => {}
-            Mark::Refused => s.refused += REFUSED_SHARE * (1.0 - s.refused),
+    /// Records from which servers an outcome carries a response.
+    fn record_responses(&mut self, route: &Route, outcome: &Outcome) {
+        let now = self.now;
+        let no_response = [AttemptResult::TimedOut, AttemptResult::Cancelled, AttemptResult::NotSent];
+        if !no_response.contains(&outcome.result) {
+            let server = &mut self.endpoints[route.server];
+            let silence = now - server.outlier.last_response;
+            let many_in_flight = server.in_flight >= RESTART_MIN_IN_FLIGHT;
+            if silence > RESTART_SILENCE_MS && many_in_flight && server.entry.role == Role::Edge {
+                // It may have restarted with an empty cache before the list shows it.
+                server.warmup.infer_restart(now);
+            }
+            server.outlier.record_response(now);
         }
-        let (bad, broke) = (mark != Mark::Served, mark == Mark::Refused);
-        match s.health {
-            Health::Good if s.refused > REFUSED_LIMIT => self.take_out(i, broke, "refuses connections", acts),
-            Health::Trial(0) if bad => self.take_out(i, broke, "failed its trial", acts),
-            Health::Trial(wins) if bad => s.health = Health::Trial(wins - 1),
-            Health::Trial(wins) if wins + 1 >= TRIAL_WINS => {
-                (s.health, s.strikes, s.refused) = (Health::Good, 0, 0.0);
-                if s.vanished {
-                    // It may have been replaced by a cold process that the list does not show yet.
-                    s.started = Some(self.now);
-                    s.vanished = false;
+        let source_responded = match outcome.fill_report {
+            FillReport::NotReported
+            | FillReport::Hit
+            | FillReport::Stale
+            | FillReport::Joined
+            | FillReport::FillLimitReached
+            | FillReport::SourceFailed => false,
+            FillReport::FilledBySource
+            | FillReport::FilledByOrigin
+            | FillReport::SourceRejected
+            | FillReport::SourceMiss
+            | FillReport::OriginFailed
+            | FillReport::LoopDetected => true,
+        };
+        if let Some(source) = route.source.filter(|_| source_responded) {
+            self.endpoints[source].outlier.record_response(now);
+        }
+    }
+
+    /// Updates a server's share of refused connections, and ejects it or advances its probes.
+    fn apply_signal(&mut self, index: ServerIndex, signal: HealthSignal, actions: &mut Vec<Action>) {
+        let server = &mut self.endpoints[index];
+        let outlier = &mut server.outlier;
+        outlier.update_refused_share(signal);
+        let failed = signal != HealthSignal::Served;
+        let unreachable = signal == HealthSignal::ConnectionRefused;
+        match outlier.health {
+            Health::Healthy if outlier.refused_share > MAX_REFUSED_SHARE => {
+                self.eject(index, unreachable, "refuses connections", actions);
+            }
+            Health::Probing { successes: 0 } if failed => {
+                self.eject(index, unreachable, "failed its trial", actions);
+            }
+            Health::Probing { successes } if failed => {
+                outlier.health = Health::Probing { successes: successes - 1 };
+            }
+            Health::Probing { successes } if successes + 1 >= PROBE_SUCCESSES => {
+                if outlier.recover() {
+                    // The list may not show the new process yet.
+                    server.warmup.infer_restart(self.now);
                 }
-                self.report(acts, format!("{} back after its trial", self.servers[i].entry.id.0));
+                let text = format!("{} back after its trial", server.entry.id.0);
+                self.log(actions, text);
+            }
+            Health::Probing { successes } => {
+                outlier.health = Health::Probing { successes: successes + 1 };
             }
-            Health::Trial(wins) => s.health = Health::Trial(wins + 1),
-            Health::Good | Health::Out(_) => {}
+            Health::Healthy | Health::Ejected { .. } => {}
         }
     }
 
-    pub(super) fn take_out(&mut self, i: usize, vanished: bool, why: &str, acts: &mut Vec<Action>) {
-        let s = &mut self.servers[i];
-        let span = (OUT_MS * f64::from(1u32 << s.strikes.min(16))).min(OUT_LIMIT_MS);
-        s.health = Health::Out(self.now + span);
-        s.strikes += 1;
-        s.vanished |= vanished;
-        self.report(acts, format!("{} out for {span:.0} ms: {why}", self.servers[i].entry.id.0));
+    fn eject(&mut self, index: ServerIndex, unreachable: bool, reason: &str, actions: &mut Vec<Action>) {
+        let server = &mut self.endpoints[index];
+        let duration = server.outlier.eject(self.now, unreachable);
+        let text = format!("{} out for {duration:.0} ms: {reason}", server.entry.id.0);
+        self.log(actions, text);
     }
 
-    /// How long an attempt for a request takes at the outside, as delays go.
-    pub(super) fn overdue_after(&self, open: &Open) -> Ms {
-        let (mean, deviation) = self.delay[open.class];
-        let usual =
-            mean.after(OVERDUE_SAMPLES).map(|m| m + OVERDUE_DEVIATIONS * deviation.get().unwrap_or(m));
-        usual.unwrap_or(self.set.classes[open.class].deadline) + self.own_time(&open.req).unwrap_or(0.0)
+    /// The time in milliseconds after which an attempt of a request is overdue.
+    fn overdue_after(&self, pending: &PendingRequest) -> Ms {
+        let class = self.statistics.class(pending.class);
+        let mean = class.delay.get_after(MIN_DELAY_SAMPLES);
+        let usual = mean.map(|m| m + OVERDUE_DEVIATIONS * class.delay_deviation.get().unwrap_or(m));
+        let longest = usual.unwrap_or(self.settings.classes[pending.class.0].deadline);
+        longest + self.statistics.sending_time(&pending.request).unwrap_or(0.0)
     }
 
-    /// An overdue attempt is held, once in each such time, against the cache if that has answered nothing
-    /// since, else against its source if that has not; so many in a row are silence, and what waits there is
-    /// moved. A single one may be an answer that was lost. Harms where a pause passes for silence.
-    pub(super) fn find_silent(&mut self, acts: &mut Vec<Action>) {
-        let mut overdue = Vec::new();
-        for open in self.open.values().filter(|o| !o.done) {
-            let after = self.overdue_after(open);
-            let late = open.tries.iter().enumerate().filter(|(_, t)| !t.over);
-            let late = late.filter(|(_, t)| self.now - t.sent > after * f64::from(t.overdue + 1));
-            overdue.extend(late.map(|(n, _)| (open.req.id.clone(), n)));
+    /// Ejects silent servers and cancels the attempts that wait for them.
+    pub(super) fn eject_silent_servers(&mut self, actions: &mut Vec<Action>) {
+        for OverdueAttempt { request, number } in self.overdue_attempts() {
+            let Some(silence) = self.record_overdue(&request, number) else { continue };
+            self.endpoints[silence.server].outlier.silence_evidence += silence.evidence;
+            if self.is_silent(silence.server) {
+                self.eject(silence.server, true, "silent", actions);
+                self.cancel_attempts_on(silence.server, actions);
+            }
         }
-        for (id, n) in overdue {
-            let Some(at) = self.open.get_index_of(&id) else { continue };
-            let t = &mut self.open[at].tries[n];
-            t.overdue += 1;
-            let mute = |i: &usize| self.servers[*i].answered <= t.sent;
-            let (evidence, at_fault) = match t.source {
-                _ if mute(&t.server) => (SILENT_SHARE, Some(t.server)),
-                Some(source) if mute(&source) => (t.fill, Some(source)),
-                _ => (0.0, None),
-            };
-            t.fault = at_fault;
-            let Some(i) = at_fault else { continue };
-            self.servers[i].mute += evidence;
-            let s = &self.servers[i];
-            let well = |p: &usize| *p != i && self.servers[*p].health == Health::Good;
-            let alone = s.entry.role != Role::Edge && !self.up[s.entry.role as usize].iter().any(well);
-            let sure = s.mute >= 1.0 || matches!(s.health, Health::Trial(_));
-            let enough = sure && !alone && !matches!(s.health, Health::Out(_));
-            if enough && self.now - s.answered >= SILENT_LEAST_MS {
-                self.take_out(i, true, "silent", acts);
-                self.move_off(i, acts);
+    }
+
+    /// Attempts that are overdue, once in each overdue time that passes.
+    fn overdue_attempts(&self) -> Vec<OverdueAttempt> {
+        let mut overdue = Vec::new();
+        for (_, pending) in self.requests.unanswered() {
+            let after = self.overdue_after(pending);
+            for (number, attempt) in pending.attempts.iter().enumerate().filter(|(_, a)| !a.finished) {
+                if self.now - attempt.sent_at > after * f64::from(attempt.times_overdue + 1) {
+                    let (request, number) = (pending.request.id.clone(), AttemptNo(number));
+                    overdue.push(OverdueAttempt { request, number });
+                }
             }
         }
+        overdue
+    }
+
+    /// Records that an attempt is overdue, and finds the server that has not responded since it was sent: its
+    /// cache, else its source.
+    fn record_overdue(&mut self, request: &RequestId, number: AttemptNo) -> Option<Silence> {
+        let endpoints = &self.endpoints;
+        let attempt = &mut self.requests.get_mut(request)?.attempts[number.0];
+        attempt.times_overdue += 1;
+        let Route { server, source, .. } = attempt.route;
+        let unheard = |server: &ServerIndex| endpoints[*server].outlier.last_response <= attempt.sent_at;
+        let silence = if unheard(&server) {
+            Some(Silence { server, evidence: OVERDUE_EVIDENCE })
+        } else {
+            let source = source.filter(unheard);
+            source.map(|server| Silence { server, evidence: attempt.fill_probability })
+        };
+        attempt.excluded = silence.as_ref().map(|silence| silence.server);
+        silence
+    }
+
+    /// Whether there is enough evidence to eject a server. The last healthy parent or origin stays.
+    fn is_silent(&self, index: ServerIndex) -> bool {
+        let server = &self.endpoints[index];
+        let role = server.entry.role;
+        let replaces =
+            |other: &ServerIndex| *other != index && self.endpoints[*other].outlier.health == Health::Healthy;
+        let is_last = role != Role::Edge && !self.endpoints.up(role).iter().any(replaces);
+        let outlier = &server.outlier;
+        let proven = match outlier.health {
+            Health::Healthy => outlier.silence_evidence >= 1.0,
+            Health::Probing { .. } => true,
+            Health::Ejected { .. } => false,
+        };
+        proven && !is_last && self.now - outlier.last_response >= MIN_SILENCE_MS
     }
 
-    /// Calls off what waits on a server; the request's next attempt passes it over.
-    pub(super) fn move_off(&mut self, silent: usize, acts: &mut Vec<Action>) {
-        let waits_on = |t: &Try| !t.over && (t.server == silent || t.source == Some(silent));
-        let safe: Vec<bool> =
-            self.set.classes.iter().map(|c| c.idempotency == Idempotency::Idempotent).collect();
-        for t in self.open.values_mut().flat_map(|o| &mut o.tries).filter(|t| waits_on(t)) {
-            t.fault = Some(silent);
+    /// Cancels the attempts that wait for a server; their requests' next attempts exclude it. Requests that
+    /// may not be executed twice keep waiting.
+    fn cancel_attempts_on(&mut self, silent: ServerIndex, actions: &mut Vec<Action>) {
+        for attempt in self.requests.attempts_mut().filter(|attempt| attempt.waits_on(silent)) {
+            attempt.excluded = Some(silent);
         }
-        self.each(|o| safe[o.class] && o.tries.iter().any(waits_on), acts, Self::cancel_all);
+        let classes = &self.settings.classes;
+        let affected = self.requests.unanswered_ids(|pending| {
+            RetryPolicy::of(&classes[pending.class.0]).is_always_safe()
+                && pending.attempts.iter().any(|attempt| attempt.waits_on(silent))
+        });
+        self.for_each_request(affected, actions, Self::cancel_attempts);
     }
 }
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -4,6 +4,8 @@
 //! inputs are the idempotency that the class's settings state, and the time at which the first attempt was
 //! sent that may have been executed. Times are in milliseconds.
 
+use super::request::PendingRequest;
+use super::Router;
 use crate::api::{AttemptResult, Class, Idempotency, KeyScope, Ms};
 use std::fmt;
 
@@ -75,6 +77,11 @@
         }
     }
 
+    /// Whether the request may always run again, whatever has been executed.
+    pub(super) fn is_always_safe(&self) -> bool {
+        self.idempotency == Idempotency::Idempotent
+    }
+
     /// Whether the request may run again at a time.
     ///
     /// # Errors
@@ -90,3 +97,11 @@
         }
     }
 }
+
+impl Router {
+    /// The time until which a request may run again, or be rejected.
+    pub(super) fn retry_safe_until(&self, pending: &PendingRequest) -> Ms {
+        let class = &self.settings.classes[pending.class.0];
+        RetryPolicy::of(class).safe_until(pending.first_possible_execution())
+    }
+}
--- a/src/routing/selection.rs
+++ b/src/routing/selection.rs
@@ -1,96 +1,147 @@
-//! The choice of target and source.
+//! Which cache a request goes to, and which source fills a miss.
+//!
+//! Inputs: the rendezvous orders of the servers that are up, the servers that the request's earlier attempts
+//! exclude, health, slow start, concurrency limits, and the sending time in milliseconds of what is in
+//! flight. An object's home is the first usable cache in its order, so that all routers of a zone share one
+//! copy; parts of an object whose home is overloaded spread over the other caches. While the link or a source
+//! is at its limit, a request is only looked up at its cache.
 
+use super::endpoints::{Server, ServerIndex};
+use super::request::{LookupResult, RequestIndex, Route};
 use super::Router;
 use crate::api::*;
-use crate::hash::{mix, within_share};
-use crate::state::{Found, Open, Server};
+use crate::hash::mix;
 
-/// A cache with over this multiple of its zone's mean work, and one request more, out passes parts on.
-const SPILL: f64 = 1.25;
-
-/// A target, if any can serve now; the source of a miss; and whether that gives only what it holds.
-type Way = (Option<usize>, Option<usize>, bool);
+/// A home with more than this multiple of its zone's mean cost in flight, and one request more, spreads
+/// parts.
+const MAX_RELATIVE_LOAD: f64 = 1.25;
 
 impl Router {
-    /// The ordinary way: an edge cache and a source; less of it while one of them has no room.
-    pub(super) fn pick_way(&self, at: usize) -> Way {
-        let open = &self.open[at];
-        let (mean, ease, origin) = (self.mean_time(open.class), self.ease(open.class), self.origin());
-        let edge = self.pick_edge(at, mean);
-        let source = self.pick_source(at, edge);
-        let place = |i: usize| self.servers[i].gate.lets(self.now, self.fills_out(Some(i)), ease);
-        let lets = source.is_some_and(place) && self.link.lets(self.now, self.fills_out(None), ease);
-        // An origin that is late for all is asked for one thing at a time, since none tells of it while out.
-        let one = |i: usize| self.servers[i].gate.limit >= 1.0 || !self.open.values().any(Open::may_fill);
-        let whole = origin.is_none_or(|i| place(i) && one(i));
-        let none_warm = || !self.up[Role::Edge as usize].iter().any(|i| self.warm(i));
-        match (edge, open.found) {
-            (Some(_), Found::FillUnderWay) => (edge, source, false),
-            (Some(_), Found::Beyond) if lets && whole => (edge, source, false),
-            // While the origin is full, only what the parent holds.
-            (Some(_), Found::Unknown | Found::Nothing) if lets => (edge, source, !whole && source != origin),
-            // While the link or the source is full, a look: only what the cache lacks needs it.
-            (Some(_), Found::Unknown) => (edge, None, false),
-            // No warm cache of the zone can serve: the parent itself, with the origin behind it.
-            (None, _) if lets && self.set.direct_to_parents && none_warm() => {
-                (source, origin.filter(|o| whole && source != Some(*o)), false)
+    /// Whether a request is executed at the origin and its response never cached.
+    pub(super) fn runs_at_origin(&self, request: &Request, class: ClassId) -> bool {
+        self.settings.classes[class.0].uncacheable || request.write
+    }
+
+    /// The route of a request's next attempt; `None` if no server can take it now.
+    pub(super) fn select_route(&self, index: RequestIndex) -> Option<Route> {
+        let pending = &self.requests[index];
+        if self.runs_at_origin(&pending.request, pending.class) {
+            self.select_origin_route(index)
+        } else {
+            self.select_cache_route(index)
+        }
+    }
+
+    /// An edge cache and a source; less of it while one of them, or the link, is at its limit.
+    fn select_cache_route(&self, index: RequestIndex) -> Option<Route> {
+        let pending = &self.requests[index];
+        let headroom = self.headroom_factor(pending.class);
+        let origin = self.endpoints.origin();
+        let edge = self.select_edge(index);
+        let source = self.select_source(index, edge);
+        let may_fill =
+            source.is_some_and(|s| self.permits_fill(s, headroom)) && self.link_permits_fill(headroom);
+        let origin_ready = origin.is_none_or(|o| self.permits_fill(o, headroom) && self.origin_takes_turn(o));
+        let Some(server) = edge else {
+            // Without a warm cache in the zone, a parent answers itself, with the origin behind it.
+            let parent = source.filter(|_| may_fill && self.settings.direct_to_parents)?;
+            let source = origin.filter(|origin| origin_ready && parent != *origin);
+            return (!self.has_warm_edge()).then_some(Route { server: parent, source, cached_only: false });
+        };
+        match pending.lookup {
+            LookupResult::FillInProgress => Some(Route { server, source, cached_only: false }),
+            LookupResult::ParentMiss if may_fill && origin_ready => {
+                Some(Route { server, source, cached_only: false })
             }
-            _ => (None, None, false),
+            // While the origin is at its limit, only what the parent has cached.
+            LookupResult::Unknown | LookupResult::EdgeMiss if may_fill => {
+                Some(Route { server, source, cached_only: !origin_ready && source != origin })
+            }
+            // While the link or the source is at its limit, a lookup: only a miss needs them.
+            LookupResult::Unknown => Some(Route { server, source: None, cached_only: false }),
+            LookupResult::EdgeMiss | LookupResult::ParentMiss => None,
         }
     }
 
-    /// The edge cache: the first in hash order that is usable and has room; its parts go on if it is hot.
-    fn pick_edge(&self, at: usize, weight: f64) -> Option<usize> {
-        let key = self.open[at].req.object.0;
-        let edges = &self.order[Role::Edge as usize];
-        let (mut order, ease) = (edges.sorted(key), self.ease(self.open[at].class));
-        let lets = |s: &Server| s.gate.lets(self.now, s.out as f64, ease);
-        order.retain(|i| self.usable(*i) && !self.open[at].blames(*i));
-        let attempt = self.attempt_weight(self.open[at].class);
-        order.retain(|i| lets(&self.servers[*i]) && self.has_room(*i, attempt));
-        let size = |i: &usize| self.servers[*i].size();
-        let load = |i: &usize| self.servers[*i].work / size(i);
-        let all = order.iter().map(size).sum::<f64>();
-        let mean = order.iter().map(|i| self.servers[*i].work).sum::<f64>() / all;
-        let bound = SPILL * (mean + weight * order.len() as f64 / all);
-        let home = order.first().copied()?;
-        if load(&home) <= bound {
+    fn has_warm_edge(&self) -> bool {
+        self.endpoints.up(Role::Edge).iter().any(|server| self.is_warm(*server))
+    }
+
+    /// The edge cache: the first in rendezvous order that takes the request, unless it is overloaded.
+    fn select_edge(&self, index: RequestIndex) -> Option<ServerIndex> {
+        let pending = &self.requests[index];
+        let headroom = self.headroom_factor(pending.class);
+        let attempt_cost = self.statistics.attempt_cost(pending.class);
+        let mut candidates = self.endpoints.order(Role::Edge).sorted(pending.request.object.0);
+        candidates.retain(|server| self.is_usable(*server) && !pending.excludes(*server));
+        candidates.retain(|server| {
+            self.permits_request(*server, headroom) && self.has_slow_start_capacity(*server, attempt_cost)
+        });
+        self.spread_load(index, &candidates)
+    }
+
+    /// The first candidate; if it is overloaded, another one by the part's own order.
+    fn spread_load(&self, index: RequestIndex, candidates: &[ServerIndex]) -> Option<ServerIndex> {
+        let pending = &self.requests[index];
+        let key = pending.request.object.0;
+        let server = |index: &ServerIndex| -> &Server { &self.endpoints[*index] };
+        let load = |index: &ServerIndex| server(index).in_flight_cost / server(index).weight();
+        let cost = self.statistics.mean_sending_time(pending.class);
+        let total_weight = candidates.iter().map(|index| server(index).weight()).sum::<f64>();
+        let mean_load =
+            candidates.iter().map(|index| server(index).in_flight_cost).sum::<f64>() / total_weight;
+        let max_load = MAX_RELATIVE_LOAD * (mean_load + cost * candidates.len() as f64 / total_weight);
+        let home = candidates.first().copied()?;
+        if load(&home) <= max_load {
             return Some(home);
         }
-        let place = mix(key, self.open[at].req.part.0 + 1);
-        let mut spread = edges.order(place).filter(|i| order.contains(i));
-        spread.find(|i| load(i) <= bound).or(Some(home))
+        let part_key = mix(key, pending.request.part.0 + 1);
+        let mut spread =
+            self.endpoints.order(Role::Edge).iter(part_key).filter(|index| candidates.contains(index));
+        spread.find(|index| load(index) <= max_load).or(Some(home))
     }
 
-    /// The source for a miss at an edge cache: the object's home among all listed parents, or among those
-    /// that the plan gives the cache for it, else the next in hash order, else the origin if it may.
-    fn pick_source(&self, at: usize, edge: Option<usize>) -> Option<usize> {
-        let object = self.open[at].req.object.0;
-        let weight = self.fill_weight(&self.open[at].req, self.open[at].class);
-        let ready = |i: &usize| self.usable(*i) && !self.open[at].blames(*i) && self.has_room(*i, weight);
-        let edge = edge.or(self.up[Role::Edge as usize].first().copied());
-        let planned = edge.and_then(|i| self.planned.get(&i));
-        let parents = planned.map_or(&self.order[Role::Parent as usize], |p| &p.order);
-        let share = |i: &usize| planned.map_or(1.0, |p| p.share[i]);
-        let takes = |i: &usize| within_share(object, self.servers[*i].hash, share(i)) && ready(i);
-        let parent = parents.order(mix(object, 0)).find(takes);
-        // Where nobody else is left, one that is still to take more is better than none.
-        let parent = parent.or_else(|| planned.and_then(|p| p.order.order(mix(object, 0)).find(ready)));
-        let origin = self.origin().filter(|_| planned.is_none_or(|p| p.origin));
-        parent.or_else(|| origin.filter(|i| self.usable(*i)))
+    /// The source of a miss at an edge cache: the object's home among all listed parents, or among those that
+    /// the plan names for the cache, else the next in rendezvous order, else the origin if the plan allows
+    /// it.
+    fn select_source(&self, index: RequestIndex, edge: Option<ServerIndex>) -> Option<ServerIndex> {
+        let pending = &self.requests[index];
+        let object = pending.request.object.0;
+        let fill_cost = self.statistics.fill_cost(&pending.request, pending.class);
+        let is_ready = |server: &ServerIndex| {
+            self.is_usable(*server)
+                && !pending.excludes(*server)
+                && self.has_slow_start_capacity(*server, fill_cost)
+        };
+        let edge = edge.or(self.endpoints.up(Role::Edge).first().copied());
+        let plan = edge.and_then(|edge| self.fill_sources.of(edge));
+        let key = mix(object, 0);
+        let parent = match plan {
+            None => self.endpoints.order(Role::Parent).iter(key).find(is_ready),
+            Some(plan) => {
+                let assigned = |source: &ServerIndex| plan.assigns(object, *source, &self.endpoints);
+                let home = plan.order().iter(key).find(|source| assigned(source) && is_ready(source));
+                // A source beyond its present share is better than none.
+                home.or_else(|| plan.order().iter(key).find(is_ready))
+            }
+        };
+        let may_use_origin = plan.is_none_or(|plan| plan.allows_origin());
+        let origin = self.endpoints.origin().filter(|_| may_use_origin);
+        parent.or_else(|| origin.filter(|origin| self.is_usable(*origin)))
     }
 
-    /// Where a request that runs at the origin goes: straight there, else by a parent or an edge cache.
-    pub(super) fn pick_through(&self, at: usize) -> Way {
-        let key = self.open[at].req.object.0;
-        let fresh = |i: &usize| !self.open[at].tries.iter().any(|t| t.server == *i);
-        let origin = self.origin();
-        let straight = origin.filter(|i| self.set.direct_to_parents && fresh(i));
-        let role = if self.set.direct_to_parents { Role::Parent } else { Role::Edge };
-        let mut way = self.order[role as usize].order(mix(key, 0));
-        match straight.filter(|i| self.usable(*i)) {
-            Some(_) => (straight, None, false),
-            None => (way.find(|i| self.warm(i) && fresh(i)).or(straight), origin, false),
+    /// The route of a request that is executed at the origin: directly, else by a parent or an edge cache.
+    fn select_origin_route(&self, index: RequestIndex) -> Option<Route> {
+        let pending = &self.requests[index];
+        let untried = |server: &ServerIndex| !pending.attempts.iter().any(|a| a.route.server == *server);
+        let origin = self.endpoints.origin();
+        let direct = origin.filter(|origin| self.settings.direct_to_parents && untried(origin));
+        if let Some(server) = direct.filter(|origin| self.is_usable(*origin)) {
+            return Some(Route { server, source: None, cached_only: false });
         }
+        let role = if self.settings.direct_to_parents { Role::Parent } else { Role::Edge };
+        let mut order = self.endpoints.order(role).iter(mix(pending.request.object.0, 0));
+        let server = order.find(|server| self.is_warm(*server) && untried(server)).or(direct)?;
+        Some(Route { server, source: origin, cached_only: false })
     }
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -2,34 +2,34 @@
 
 mod common;
 use basaltgw::api::*;
+use basaltgw::routing::shadow_list::ShadowList;
 use basaltgw::routing::{best_split, PERIOD_MS, SHADOW_ENTRIES, SPLIT_STEP};
-use basaltgw::shadow::ShadowList;
 use common::*;
 use std::collections::BTreeSet;
 
 #[test]
 fn reuse_distance_is_the_place_in_the_list() {
     let mut list = ShadowList::new(3);
-    assert_eq!(list.file(1), None);
-    assert_eq!(list.file(2), None);
-    assert_eq!(list.file(1), Some(1));
-    assert_eq!(list.file(1), Some(0));
-    list.file(3);
-    list.file(4);
-    assert!(!list.holds(2), "the fourth key pushes the oldest out");
-    assert_eq!(list.file(2), None);
+    assert_eq!(list.access(1), None);
+    assert_eq!(list.access(2), None);
+    assert_eq!(list.access(1), Some(1));
+    assert_eq!(list.access(1), Some(0));
+    list.access(3);
+    list.access(4);
+    assert!(!list.contains(2), "the fourth key pushes the oldest out");
+    assert_eq!(list.access(2), None);
 }
 
 #[test]
 fn misses_from_sum_the_histogram_and_halve() {
     let mut list = ShadowList::new(3);
     for key in [1, 2, 1, 1, 2] {
-        list.file(key);
+        list.access(key);
     }
     // Two not found, one at place 0, two at place 1.
-    assert_eq!(list.misses_from(), vec![5.0, 4.0, 2.0, 2.0]);
+    assert_eq!(list.miss_curve(), vec![5.0, 4.0, 2.0, 2.0]);
     list.halve();
-    assert_eq!(list.misses_from(), vec![2.5, 2.0, 1.0, 1.0]);
+    assert_eq!(list.miss_curve(), vec![2.5, 2.0, 1.0, 1.0]);
 }
 
 #[test]
--- a/tests/moved.rs
+++ b/tests/moved.rs
@@ -2,6 +2,8 @@
 
 mod common;
 use basaltgw::api::*;
+use basaltgw::routing::snapshot::PurgeSnapshot;
+use basaltgw::routing::PurgeTarget;
 use common::*;
 
 fn reporting_nothing() -> Settings {
@@ -157,7 +159,8 @@
     old.restart("edge-2", Role::Edge);
     old.tell(Event::Purged(GroupId(3), None, 0.0));
     let (mut learnt, at) = (old.router.snapshot(), old.now);
-    assert_eq!(learnt.purges, [(None, Some(GroupId(3)), at)]);
+    let purge = PurgeSnapshot { target: PurgeTarget::Group(GroupId(3)), purged_at: at };
+    assert_eq!(learnt.purges, [purge]);
     let start = |started| {
         let mut all = fleet();
         all[2].started = started;
--- a/tests/policy_file.rs
+++ b/tests/policy_file.rs
@@ -1,10 +1,14 @@
-//! The policy files stay readable: all decisions are in them, in lines of at most 110 characters, and none is over 400 lines.
+//! The decision module stays readable: the deploy file names all of its files, subfolders included, and each has at
+//! most 400 lines of at most 110 characters.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-const LINES_A_FILE: usize = 400;
-const WIDTH: usize = 110;
+const MAX_LINES: usize = 400;
+const MAX_WIDTH: usize = 110;
+/// The name of unit tests beside a module; its parent declares them for tests only.
+const TEST_FILE: &str = "tests.rs";
+const TEST_DECLARATION: &str = "#[cfg(test)]\nmod tests;\n";
 
 fn read(path: &Path) -> String {
     std::fs::read_to_string(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
@@ -22,17 +26,48 @@
         .collect()
 }
 
+/// All files below a folder.
+fn files(folder: &Path) -> BTreeSet<PathBuf> {
+    let entries = std::fs::read_dir(folder).unwrap_or_else(|e| panic!("{}: {e}", folder.display()));
+    let paths = entries.map(|entry| entry.expect("an entry").path());
+    paths.flat_map(|path| if path.is_dir() { files(&path) } else { BTreeSet::from([path]) }).collect()
+}
+
+fn is_test(path: &Path) -> bool {
+    path.file_name().is_some_and(|name| name == TEST_FILE)
+}
+
+/// The module that declares a test file: `x.rs` or `x/mod.rs` for `x/tests.rs`.
+fn parent_module(test_file: &Path) -> PathBuf {
+    let folder = test_file.parent().expect("a folder");
+    [folder.with_extension("rs"), folder.join("mod.rs")].into_iter().find(|p| p.exists()).expect("a module")
+}
+
+#[test]
+fn deploy_file_names_every_policy_file_and_no_other() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let (tests, policy): (BTreeSet<_>, BTreeSet<_>) =
+        files(&root.join("src/routing")).into_iter().partition(|path| is_test(path));
+    assert_eq!(named(root), policy);
+    for test_file in &tests {
+        let parent = parent_module(test_file);
+        assert!(read(&parent).contains(TEST_DECLARATION), "{} is built into the module", test_file.display());
+    }
+}
+
 #[test]
-fn the_policy_files_stay_within_their_limits() {
+fn policy_files_stay_within_their_lengths_and_widths() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let folder = std::fs::read_dir(root.join("src/routing")).expect("the module's folder");
-    let there = folder.map(|f| f.expect("an entry").path()).collect();
-    assert_eq!(named(root), there, "deploy/balancer.toml names every file of the module and no other");
-    for path in &there {
-        let text = read(path);
-        assert!(text.lines().count() <= LINES_A_FILE, "{} is over {LINES_A_FILE} lines", path.display());
+    for path in files(&root.join("src/routing")) {
+        let text = read(&path);
+        assert!(text.lines().count() <= MAX_LINES, "{} is over {MAX_LINES} lines", path.display());
         for (n, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= WIDTH, "{}:{} is over {WIDTH} wide", path.display(), n + 1);
+            assert!(
+                line.chars().count() <= MAX_WIDTH,
+                "{}:{} is over {MAX_WIDTH} wide",
+                path.display(),
+                n + 1
+            );
         }
     }
 }
