--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -170,22 +170,22 @@
 
     /// Handles an event and returns its actions, except timers.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut acts = Vec::new();
-        self.router.handle(self.now, event, &mut acts);
+        let mut actions = Vec::new();
+        self.router.handle(self.now, event, &mut actions);
         let mut rest = Vec::new();
-        for act in acts {
-            if let Action::Timer(delay, token) = act {
+        for action in actions {
+            if let Action::Timer(delay, token) = action {
                 self.timers.push((self.now + delay, token));
             } else {
-                self.log.push((self.now, act.clone()));
-                rest.push(act);
+                self.log.push((self.now, action.clone()));
+                rest.push(action);
             }
         }
         rest
     }
 
     /// Advances the clock and returns the actions of expired timers.
-    pub fn wait(&mut self, span: Ms) -> Vec<Action> {
+    pub fn advance(&mut self, span: Ms) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         while let Some(at) = (0..self.timers.len())
@@ -200,28 +200,28 @@
         all
     }
 
-    pub fn ask(&mut self, n: usize, class: ClassId, object: u64) -> Vec<Action> {
+    pub fn request(&mut self, n: usize, class: ClassId, object: u64) -> Vec<Action> {
         self.handle(Event::Request(request(n, class, object, 4000.0)))
     }
 
-    pub fn end(
+    pub fn finish(
         &mut self,
         n: usize,
         attempt: usize,
         server: &ServerId,
         end: AttemptResult,
-        note: FillReport,
+        fill_report: FillReport,
     ) -> Vec<Action> {
-        self.outcome(n, attempt, server, end, note, 100.0)
+        self.finish_in(n, attempt, server, end, fill_report, 100.0)
     }
 
-    pub fn outcome(
+    pub fn finish_in(
         &mut self,
         n: usize,
         attempt: usize,
         server: &ServerId,
         end: AttemptResult,
-        note: FillReport,
+        fill_report: FillReport,
         delay: Ms,
     ) -> Vec<Action> {
         self.handle(Event::Outcome(Outcome {
@@ -231,8 +231,8 @@
             result: end,
             latency: delay,
             completes_request: end == AttemptResult::Served,
-            fill_report: note,
-            source_wait: if note == FillReport::Hit { 0.0 } else { 20.0 },
+            fill_report,
+            source_wait: if fill_report == FillReport::Hit { 0.0 } else { 20.0 },
             load: LoadReport::default(),
             body_complete: true,
         }))
@@ -248,29 +248,29 @@
     }
 
     /// Requests an object and serves it with a fill report; returns its attempt.
-    pub fn serve(&mut self, n: usize, class: ClassId, object: u64, note: FillReport) -> AttemptSpec {
-        let fetch = first_attempt(&self.ask(n, class, object)).expect("a fetch");
-        self.end(n, 0, &fetch.server, AttemptResult::Served, note);
+    pub fn serve(&mut self, n: usize, class: ClassId, object: u64, fill_report: FillReport) -> AttemptSpec {
+        let fetch = first_attempt(&self.request(n, class, object)).expect("a fetch");
+        self.finish(n, 0, &fetch.server, AttemptResult::Served, fill_report);
         fetch
     }
 }
 
 /// The first attempt that some actions start.
-pub fn first_attempt(acts: &[Action]) -> Option<AttemptSpec> {
-    acts.iter().find_map(|a| match a {
+pub fn first_attempt(actions: &[Action]) -> Option<AttemptSpec> {
+    actions.iter().find_map(|a| match a {
         Action::StartAttempt(f) => Some(f.clone()),
         _ => None,
     })
 }
 
-pub fn is_rejected(acts: &[Action], n: usize) -> bool {
-    acts.iter().any(|a| matches!(a, Action::Reject(r, _) if *r == request_id(n)))
+pub fn is_rejected(actions: &[Action], n: usize) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Reject(r, _) if *r == request_id(n)))
 }
 
-pub fn is_failed(acts: &[Action], n: usize) -> bool {
-    acts.iter().any(|a| matches!(a, Action::Fail(r) if *r == request_id(n)))
+pub fn is_failed(actions: &[Action], n: usize) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Fail(r) if *r == request_id(n)))
 }
 
-pub fn count_log_lines(acts: &[Action], what: &str) -> usize {
-    acts.iter().filter(|a| matches!(a, Action::Log(text) if text.contains(what))).count()
+pub fn count_log_lines(actions: &[Action], what: &str) -> usize {
+    actions.iter().filter(|a| matches!(a, Action::Log(text) if text.contains(what))).count()
 }
--- a/tests/failure_handling.rs
+++ b/tests/failure_handling.rs
@@ -5,65 +5,65 @@
 use common::*;
 
 /// Serves a number of hits, ten milliseconds apart, so that delays are known.
-fn serve_hits(d: &mut Driver, from: usize, count: usize) {
+fn serve_hits(driver: &mut Driver, from: usize, count: usize) {
     for n in from..from + count {
-        d.serve(n, IDEMPOTENT, n as u64 % 60, FillReport::Hit);
-        d.wait(10.0);
+        driver.serve(n, IDEMPOTENT, n as u64 % 60, FillReport::Hit);
+        driver.advance(10.0);
     }
 }
 
 /// One attempt that takes three times as long as usual is no evidence of silence.
 #[test]
 fn one_slow_response_ejects_nobody() {
-    let mut d = Driver::new(settings(), fleet());
-    serve_hits(&mut d, 0, 100);
-    let f = first_attempt(&d.ask(1000, IDEMPOTENT, 1)).expect("a fetch");
-    let acts = d.wait(300.0);
-    assert_eq!(count_log_lines(&acts, "out for"), 0);
-    assert!(d.outcome(1000, 0, &f.server, AttemptResult::Served, FillReport::Hit, 300.0).is_empty());
+    let mut driver = Driver::new(settings(), fleet());
+    serve_hits(&mut driver, 0, 100);
+    let f = first_attempt(&driver.request(1000, IDEMPOTENT, 1)).expect("a fetch");
+    let actions = driver.advance(300.0);
+    assert_eq!(count_log_lines(&actions, "out for"), 0);
+    assert!(driver.finish_in(1000, 0, &f.server, AttemptResult::Served, FillReport::Hit, 300.0).is_empty());
 }
 
 /// The first responses are too few for a mean delay.
 #[test]
 fn no_server_is_silent_before_delays_are_known() {
-    let mut d = Driver::new(settings(), fleet());
-    serve_hits(&mut d, 0, 5);
+    let mut driver = Driver::new(settings(), fleet());
+    serve_hits(&mut driver, 0, 5);
     for n in 100..104 {
-        d.ask(n, IDEMPOTENT, n as u64);
+        driver.request(n, IDEMPOTENT, n as u64);
     }
-    assert_eq!(count_log_lines(&d.wait(2000.0), "out for"), 0);
+    assert_eq!(count_log_lines(&driver.advance(2000.0), "out for"), 0);
 }
 
 /// A parent that accepts fills and never responds is ejected, not the caches that wait for it.
 #[test]
 fn hung_parent_is_ejected_and_the_caches_that_wait_for_it_are_not() {
-    let mut d = Driver::new(settings(), fleet());
+    let mut driver = Driver::new(settings(), fleet());
     for n in 0..200 {
-        d.serve(n, IDEMPOTENT, n as u64, FillReport::FilledBySource);
-        d.wait(10.0);
+        driver.serve(n, IDEMPOTENT, n as u64, FillReport::FilledBySource);
+        driver.advance(10.0);
     }
-    let mut acts = Vec::new();
+    let mut actions = Vec::new();
     for n in 1000..1400 {
-        let Some(f) = first_attempt(&d.ask(n, IDEMPOTENT, n as u64)) else { continue };
+        let Some(f) = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)) else { continue };
         if f.fill_source != server_id("parent-1") {
-            d.end(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource);
+            driver.finish(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource);
         }
-        acts.extend(d.wait(10.0));
-        if count_log_lines(&acts, "out for") > 0 {
+        actions.extend(driver.advance(10.0));
+        if count_log_lines(&actions, "out for") > 0 {
             break;
         }
     }
-    assert_eq!(count_log_lines(&acts, "parent-1 out for"), 1, "{acts:?}");
-    assert_eq!(count_log_lines(&acts, "edge"), 0);
+    assert_eq!(count_log_lines(&actions, "parent-1 out for"), 1, "{actions:?}");
+    assert_eq!(count_log_lines(&actions, "edge"), 0);
     // Its attempts are cancelled and then filled from another source, at the same cache if necessary.
-    let (n, at) = acts
+    let (n, at) = actions
         .iter()
         .find_map(|a| match a {
             Action::CancelAttempt(r, at) => Some((r.clone(), *at)),
             _ => None,
         })
         .expect("an attempt was cancelled");
-    let server = d
+    let server = driver
         .log
         .iter()
         .find_map(|(_, a)| match a {
@@ -71,7 +71,7 @@
             _ => None,
         })
         .expect("its attempt");
-    let acts = d.handle(Event::Outcome(Outcome {
+    let actions = driver.handle(Event::Outcome(Outcome {
         request: n,
         attempt: at,
         server,
@@ -83,97 +83,98 @@
         load: LoadReport::default(),
         body_complete: true,
     }));
-    assert_ne!(first_attempt(&acts).expect("another attempt").fill_source, server_id("parent-1"));
+    assert_ne!(first_attempt(&actions).expect("another attempt").fill_source, server_id("parent-1"));
 }
 
 /// An origin that fails behind both parents ejects neither, and the request is not retried at the same origin.
 #[test]
 fn failing_origin_ejects_no_parent() {
-    let mut d = Driver::new(settings(), fleet());
-    serve_hits(&mut d, 0, 50);
-    let mut acts = Vec::new();
+    let mut driver = Driver::new(settings(), fleet());
+    serve_hits(&mut driver, 0, 50);
+    let mut actions = Vec::new();
     for n in 1000..1100 {
-        let asked = d.ask(n, IDEMPOTENT, n as u64);
-        if let Some(f) = first_attempt(&asked) {
-            let end = d.end(n, 0, &f.server, AttemptResult::Rejected, FillReport::OriginFailed);
+        let requested = driver.request(n, IDEMPOTENT, n as u64);
+        if let Some(f) = first_attempt(&requested) {
+            let end = driver.finish(n, 0, &f.server, AttemptResult::Rejected, FillReport::OriginFailed);
             assert!(is_rejected(&end, n));
-            acts.extend(end);
+            actions.extend(end);
         }
-        acts.extend(d.wait(10.0));
+        actions.extend(driver.advance(10.0));
     }
     // Failed fills of both in turn.
     let mut next = 0;
     for n in 2000..2200 {
-        let Some(f) = first_attempt(&d.ask(n, IDEMPOTENT, n as u64)) else { continue };
+        let Some(f) = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)) else { continue };
         if f.fill_source == server_id(&format!("parent-{next}")) {
-            acts.extend(d.end(n, 0, &f.server, AttemptResult::Error, FillReport::SourceFailed));
+            actions.extend(driver.finish(n, 0, &f.server, AttemptResult::Error, FillReport::SourceFailed));
             next = 1 - next;
         }
-        d.handle(Event::ClientDisconnected(request_id(n)));
-        d.end(n, 0, &f.server, AttemptResult::Cancelled, FillReport::NotReported);
+        driver.handle(Event::ClientDisconnected(request_id(n)));
+        driver.finish(n, 0, &f.server, AttemptResult::Cancelled, FillReport::NotReported);
     }
-    assert_eq!(count_log_lines(&acts, "out for"), 0);
-    assert_eq!(count_log_lines(&acts, "parent"), 0, "{acts:?}");
+    assert_eq!(count_log_lines(&actions, "out for"), 0);
+    assert_eq!(count_log_lines(&actions, "parent"), 0, "{actions:?}");
 }
 
 /// A cache that fails requests quickly is not ejected, and each failed request is retried at once.
 #[test]
 fn request_that_fails_at_a_cache_is_retried_at_another() {
-    let mut d = Driver::new(settings(), fleet());
-    let mut met = 0;
+    let mut driver = Driver::new(settings(), fleet());
+    let mut requests = 0;
     for n in 0..200 {
-        let f = first_attempt(&d.ask(n, IDEMPOTENT, n as u64)).expect("a fetch");
+        let f = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)).expect("a fetch");
         if f.server == server_id("edge-1") {
-            met += 1;
-            let next = first_attempt(&d.end(n, 0, &f.server, AttemptResult::Error, FillReport::NotReported))
-                .expect("another attempt");
+            requests += 1;
+            let next =
+                first_attempt(&driver.finish(n, 0, &f.server, AttemptResult::Error, FillReport::NotReported))
+                    .expect("another attempt");
             assert_ne!(next.server, server_id("edge-1"));
-            d.end(n, 1, &next.server, AttemptResult::Served, FillReport::Hit);
+            driver.finish(n, 1, &next.server, AttemptResult::Served, FillReport::Hit);
         } else {
-            d.end(n, 0, &f.server, AttemptResult::Served, FillReport::Hit);
+            driver.finish(n, 0, &f.server, AttemptResult::Served, FillReport::Hit);
         }
     }
-    assert!(met > 20, "{met} requests met it: it still serves the others");
+    assert!(requests > 20, "{requests} requests met it: it still serves the others");
 }
 
 /// A router whose fills were over three times as slow as usual, with forty in flight at a time.
 fn with_congested_link() -> Driver {
-    let mut d = Driver::new(settings(), fleet());
+    let mut driver = Driver::new(settings(), fleet());
     for n in 0..400 {
-        d.serve(n, IDEMPOTENT, n as u64 % 200, FillReport::FilledBySource);
+        driver.serve(n, IDEMPOTENT, n as u64 % 200, FillReport::FilledBySource);
     }
     for round in 0..10 {
         let first = 1000 + round * 40;
-        let out: Vec<(usize, AttemptSpec)> = (first..first + 40)
-            .filter_map(|n| first_attempt(&d.ask(n, IDEMPOTENT, n as u64 % 200)).map(|f| (n, f)))
+        let in_flight: Vec<(usize, AttemptSpec)> = (first..first + 40)
+            .filter_map(|n| first_attempt(&driver.request(n, IDEMPOTENT, n as u64 % 200)).map(|f| (n, f)))
             .collect();
-        d.wait(300.0);
-        for (n, f) in out {
+        driver.advance(300.0);
+        for (n, f) in in_flight {
             if f.fill_source == f.server {
-                d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::NotReported);
+                driver.finish(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::NotReported);
             } else {
-                d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource, 300.0);
+                driver.finish_in(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource, 300.0);
             }
         }
     }
-    d
+    driver
 }
 
 /// Slow fills limit the link: then a lookup goes first, and a miss is rejected at once.
 #[test]
 fn congested_link_admits_hits_and_rejects_misses_at_once() {
-    let mut d = with_congested_link();
+    let mut driver = with_congested_link();
     let mut lookups = 0;
     for n in 5000..5060 {
-        let Some(f) = first_attempt(&d.ask(n, IDEMPOTENT, n as u64)) else { continue };
+        let Some(f) = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)) else { continue };
         if f.fill_source == f.server {
             lookups += 1;
-            let now = d.now;
+            let now = driver.now;
             assert!(is_rejected(
-                &d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::NotReported),
+                &driver.finish(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::NotReported),
                 n
             ));
-            assert_eq!(now, d.now);
+            assert_eq!(now, driver.now);
         }
     }
     assert!(lookups > 10, "{lookups} lookups");
@@ -182,9 +183,9 @@
 /// A cache that is slow with hits is slow with fills too; that limits the cache and not the zone's link.
 #[test]
 fn slow_fills_of_a_slow_cache_do_not_limit_the_link() {
-    let mut d = Driver::new(settings(), fleet());
+    let mut driver = Driver::new(settings(), fleet());
     for n in 0..400 {
-        d.serve(
+        driver.serve(
             n,
             IDEMPOTENT,
             n as u64 % 200,
@@ -194,27 +195,27 @@
     let slow = server_id("edge-0");
     for round in 0..10 {
         let first = 1000 + round * 40;
-        let out: Vec<(usize, AttemptSpec)> = (first..first + 40)
-            .filter_map(|n| first_attempt(&d.ask(n, IDEMPOTENT, n as u64 % 200)).map(|f| (n, f)))
+        let in_flight: Vec<(usize, AttemptSpec)> = (first..first + 40)
+            .filter_map(|n| first_attempt(&driver.request(n, IDEMPOTENT, n as u64 % 200)).map(|f| (n, f)))
             .collect();
-        d.wait(900.0);
-        for (n, f) in out {
-            let note = if n % 2 == 0 || f.fill_source == f.server {
+        driver.advance(900.0);
+        for (n, f) in in_flight {
+            let fill_report = if n % 2 == 0 || f.fill_source == f.server {
                 FillReport::Hit
             } else {
                 FillReport::FilledBySource
             };
-            d.outcome(
+            driver.finish_in(
                 n,
                 0,
                 &f.server,
                 AttemptResult::Served,
-                note,
+                fill_report,
                 if f.server == slow { 900.0 } else { 100.0 },
             );
         }
     }
-    let fills = (5000..5060).filter_map(|n| first_attempt(&d.ask(n, IDEMPOTENT, n as u64)));
+    let fills = (5000..5060).filter_map(|n| first_attempt(&driver.request(n, IDEMPOTENT, n as u64)));
     let (fills, lookups): (Vec<_>, Vec<_>) = fills.partition(|f| f.fill_source != f.server);
     assert!(fills.len() > 20 && lookups.is_empty(), "{} fills, {} lookups", fills.len(), lookups.len());
 }
@@ -222,12 +223,13 @@
 /// Joining a fill in progress uses no capacity of the link.
 #[test]
 fn lookup_that_finds_a_fill_in_progress_joins_it() {
-    let mut d = with_congested_link();
+    let mut driver = with_congested_link();
     for n in 5000..5100 {
-        let Some(f) = first_attempt(&d.ask(n, IDEMPOTENT, n as u64)) else { continue };
+        let Some(f) = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)) else { continue };
         if f.fill_source == f.server {
-            let joined = first_attempt(&d.end(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::Joined))
-                .expect("it joins");
+            let joined =
+                first_attempt(&driver.finish(n, 0, &f.server, AttemptResult::CacheMiss, FillReport::Joined))
+                    .expect("it joins");
             assert!(joined.join_fill && joined.fill_source != joined.server);
             return;
         }
@@ -239,28 +241,28 @@
 #[test]
 fn zone_without_caches_uses_parents_within_its_link() {
     let servers: Vec<Endpoint> = fleet().into_iter().filter(|s| s.role != Role::Edge).collect();
-    let mut d = Driver::new(settings(), servers);
+    let mut driver = Driver::new(settings(), servers);
     let mut sent = 0;
     for n in 0..100 {
-        let Some(f) = first_attempt(&d.ask(n, IDEMPOTENT, n as u64)) else { continue };
+        let Some(f) = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)) else { continue };
         assert!(
             f.server.0.starts_with("parent") && f.fill_source == server_id("origin") && f.rank == Rank::None
         );
         sent += 1;
     }
     assert_eq!(sent, 100, "nothing has timed out yet");
-    d.wait(900.0);
+    driver.advance(900.0);
     for n in 0..100 {
-        let key = d.log.iter().find_map(|(_, a)| match a {
+        let key = driver.log.iter().find_map(|(_, a)| match a {
             Action::StartAttempt(f) if f.request == request_id(n) => Some(f.server.clone()),
             _ => None,
         });
-        d.end(n, 0, &key.expect("its server"), AttemptResult::TimedOut, FillReport::NotReported);
-        d.handle(Event::ClientDisconnected(request_id(n)));
-        d.wait(40.0);
+        driver.finish(n, 0, &key.expect("its server"), AttemptResult::TimedOut, FillReport::NotReported);
+        driver.handle(Event::ClientDisconnected(request_id(n)));
+        driver.advance(40.0);
     }
     let admitted =
-        (1000..1100).filter(|n| first_attempt(&d.ask(*n, IDEMPOTENT, *n as u64)).is_some()).count();
+        (1000..1100).filter(|n| first_attempt(&driver.request(*n, IDEMPOTENT, *n as u64)).is_some()).count();
     assert!((1..60).contains(&admitted), "{admitted} admitted");
 }
 
@@ -270,11 +272,11 @@
     let spread = |weight: f64| {
         let mut servers = fleet();
         servers.iter_mut().for_each(|s| s.weight = weight);
-        let mut d = Driver::new(settings(), servers);
+        let mut driver = Driver::new(settings(), servers);
         let mut homes: Vec<ServerId> = Vec::new();
         for n in 0..24 {
             let r = Request { part: Part(n as u64), ..request(n, IDEMPOTENT, 5, 4000.0) };
-            homes.push(first_attempt(&d.handle(Event::Request(r))).expect("a fetch").server);
+            homes.push(first_attempt(&driver.handle(Event::Request(r))).expect("a fetch").server);
         }
         homes
     };
@@ -287,16 +289,16 @@
 /// A zone whose caches have all restarted gets requests within their slow-start budgets.
 #[test]
 fn zone_of_warming_caches_gets_a_budget_by_listed_weights() {
-    let mut d = Driver::new(settings(), fleet());
-    serve_hits(&mut d, 0, 600);
-    let now = d.now;
+    let mut driver = Driver::new(settings(), fleet());
+    serve_hits(&mut driver, 0, 600);
+    let now = driver.now;
     let restarted = |s: Endpoint| Endpoint { started: Some(now), ..s };
-    d.handle(Event::Endpoints(
+    driver.handle(Event::Endpoints(
         EndpointUpdate::Delta,
         fleet().into_iter().filter(|s| s.role == Role::Edge).map(restarted).collect(),
     ));
     let sent = (1000..1100)
-        .filter_map(|n| first_attempt(&d.ask(n, IDEMPOTENT, n as u64)))
+        .filter_map(|n| first_attempt(&driver.request(n, IDEMPOTENT, n as u64)))
         .filter(|f| f.server.0.starts_with("edge"))
         .count();
     assert!((1..60).contains(&sent), "{sent} to warming caches at once");
@@ -305,49 +307,49 @@
 /// A response that takes longer than the remaining time is rejected once its sending time is known, also without a size.
 #[test]
 fn object_too_large_for_the_remaining_time_is_rejected_once_known() {
-    let mut d = Driver::new(settings(), fleet());
+    let mut driver = Driver::new(settings(), fleet());
     for n in 0..2 {
-        let f = first_attempt(&d.ask(n, IDEMPOTENT, 7)).expect("a fetch");
-        d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 3000.0);
+        let f = first_attempt(&driver.request(n, IDEMPOTENT, 7)).expect("a fetch");
+        driver.finish_in(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 3000.0);
     }
-    assert!(is_rejected(&d.handle(Event::Request(request(2, IDEMPOTENT, 7, 2000.0))), 2));
-    assert!(first_attempt(&d.ask(3, IDEMPOTENT, 7)).is_some(), "4 s are enough");
+    assert!(is_rejected(&driver.handle(Event::Request(request(2, IDEMPOTENT, 7, 2000.0))), 2));
+    assert!(first_attempt(&driver.request(3, IDEMPOTENT, 7)).is_some(), "4 s are enough");
 }
 
 /// A cache that responds after a silence, with attempts in flight, may have restarted before the list shows it.
 #[test]
 fn cache_that_responds_after_a_silence_counts_as_restarted() {
     let sent_to = |gap: Ms| {
-        let mut d = Driver::new(settings(), fleet());
-        serve_hits(&mut d, 0, 600);
-        let mut out = Vec::new();
+        let mut driver = Driver::new(settings(), fleet());
+        serve_hits(&mut driver, 0, 600);
+        let mut in_flight = Vec::new();
         let mut others = Vec::new();
         for n in 1000..1200 {
-            let f = first_attempt(&d.ask(n, IDEMPOTENT, n as u64)).expect("a fetch");
+            let f = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)).expect("a fetch");
             if f.server == server_id("edge-0") {
-                out.push(n);
+                in_flight.push(n);
             } else {
                 others.push((n, f.server));
             }
-            if out.len() == 5 {
+            if in_flight.len() == 5 {
                 break;
             }
         }
         for (n, server) in others {
-            d.end(n, 0, &server, AttemptResult::Served, FillReport::Hit);
+            driver.finish(n, 0, &server, AttemptResult::Served, FillReport::Hit);
         }
         // Only the clock moves, without a sweep, so that the silent cache is not ejected.
-        d.now += gap;
-        for n in out {
-            d.end(n, 0, &server_id("edge-0"), AttemptResult::Served, FillReport::Hit);
+        driver.now += gap;
+        for n in in_flight {
+            driver.finish(n, 0, &server_id("edge-0"), AttemptResult::Served, FillReport::Hit);
         }
         (2000..2200)
             .filter(|n| {
-                let f = first_attempt(&d.ask(*n, IDEMPOTENT, *n as u64));
+                let f = first_attempt(&driver.request(*n, IDEMPOTENT, *n as u64));
                 f.is_some_and(|f| {
-                    d.end(*n, 0, &f.server, AttemptResult::Served, FillReport::Hit);
+                    driver.finish(*n, 0, &f.server, AttemptResult::Served, FillReport::Hit);
                     // Earlier sends count until the window has passed, whatever is inferred about a restart.
-                    d.wait(10.0);
+                    driver.advance(10.0);
                     f.server == server_id("edge-0")
                 })
             })
@@ -360,39 +362,44 @@
 /// Every cache loses a quarter of its connections: none is ejected.
 #[test]
 fn caches_that_lose_some_connections_are_not_ejected() {
-    let mut d = Driver::new(settings(), fleet());
-    let mut acts = Vec::new();
+    let mut driver = Driver::new(settings(), fleet());
+    let mut actions = Vec::new();
     for n in 0..400 {
-        let f = first_attempt(&d.ask(n, IDEMPOTENT, n as u64)).expect("a fetch");
+        let f = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)).expect("a fetch");
         if n % 4 == 3 {
-            let next = d.end(n, 0, &f.server, AttemptResult::ConnectionLost, FillReport::NotReported);
+            let next = driver.finish(n, 0, &f.server, AttemptResult::ConnectionLost, FillReport::NotReported);
             let again = first_attempt(&next).expect("another attempt");
             assert_ne!(again.server, f.server);
-            acts.extend(next);
-            acts.extend(d.end(n, 1, &again.server, AttemptResult::Served, FillReport::Hit));
+            actions.extend(next);
+            actions.extend(driver.finish(n, 1, &again.server, AttemptResult::Served, FillReport::Hit));
         } else {
-            acts.extend(d.end(n, 0, &f.server, AttemptResult::Served, FillReport::Hit));
+            actions.extend(driver.finish(n, 0, &f.server, AttemptResult::Served, FillReport::Hit));
         }
     }
-    assert_eq!(count_log_lines(&acts, "out for"), 0);
+    assert_eq!(count_log_lines(&actions, "out for"), 0);
 }
 
 /// One failure after a success does not end probing; a first failure does.
 #[test]
 fn probing_tolerates_one_failure_after_a_success() {
-    let mut d = Driver::new(settings(), fleet());
-    let step = |d: &mut Driver, n: usize, end: AttemptResult| {
+    let mut driver = Driver::new(settings(), fleet());
+    let step = |driver: &mut Driver, n: usize, end: AttemptResult| {
         for object in 0..4000 {
             let n = n * 4000 + object;
-            let f = first_attempt(&d.ask(n, IDEMPOTENT, object as u64)).expect("a fetch");
+            let f = first_attempt(&driver.request(n, IDEMPOTENT, object as u64)).expect("a fetch");
             let at = f.server == server_id("edge-1");
-            let acts =
-                d.end(n, 0, &f.server, if at { end } else { AttemptResult::Served }, FillReport::NotReported);
-            if let Some(next) = first_attempt(&acts) {
-                d.end(n, 1, &next.server, AttemptResult::Served, FillReport::Hit);
+            let actions = driver.finish(
+                n,
+                0,
+                &f.server,
+                if at { end } else { AttemptResult::Served },
+                FillReport::NotReported,
+            );
+            if let Some(next) = first_attempt(&actions) {
+                driver.finish(n, 1, &next.server, AttemptResult::Served, FillReport::Hit);
             }
             if at {
-                return acts;
+                return actions;
             }
         }
         panic!("nothing went to edge-1");
@@ -400,19 +407,19 @@
     let mut n = 0;
     loop {
         n += 1;
-        if count_log_lines(&step(&mut d, n, AttemptResult::NoConnection), "edge-1 out for") > 0 {
+        if count_log_lines(&step(&mut driver, n, AttemptResult::NoConnection), "edge-1 out for") > 0 {
             break;
         }
     }
-    d.wait(1100.0);
-    assert_eq!(count_log_lines(&step(&mut d, 100, AttemptResult::Error), "failed its trial"), 1);
-    d.wait(2100.0);
+    driver.advance(1100.0);
+    assert_eq!(count_log_lines(&step(&mut driver, 100, AttemptResult::Error), "failed its trial"), 1);
+    driver.advance(2100.0);
     for (k, end) in
         [AttemptResult::Served, AttemptResult::Error, AttemptResult::Served, AttemptResult::Served]
             .into_iter()
             .enumerate()
     {
-        assert_eq!(count_log_lines(&step(&mut d, 200 + k, end), "edge-1"), 0);
+        assert_eq!(count_log_lines(&step(&mut driver, 200 + k, end), "edge-1"), 0);
     }
-    assert_eq!(count_log_lines(&step(&mut d, 300, AttemptResult::Served), "back after its trial"), 1);
+    assert_eq!(count_log_lines(&step(&mut driver, 300, AttemptResult::Served), "back after its trial"), 1);
 }
--- a/tests/fill_plan.rs
+++ b/tests/fill_plan.rs
@@ -18,12 +18,12 @@
 }
 
 /// Sources of the first attempts for many objects.
-fn sources(d: &mut Driver, objects: std::ops::Range<u64>) -> Vec<(u64, ServerId)> {
+fn sources(driver: &mut Driver, objects: std::ops::Range<u64>) -> Vec<(u64, ServerId)> {
     let mut all = Vec::new();
     for object in objects {
         let n = 10_000 + object as usize;
-        let first = first_attempt(&d.ask(n, IDEMPOTENT, object)).expect("a fetch");
-        d.end(n, 0, &first.server, AttemptResult::Served, FillReport::FilledBySource);
+        let first = first_attempt(&driver.request(n, IDEMPOTENT, object)).expect("a fetch");
+        driver.finish(n, 0, &first.server, AttemptResult::Served, FillReport::FilledBySource);
         all.push((object, first.fill_source));
     }
     all
@@ -31,33 +31,33 @@
 
 #[test]
 fn fill_plan_restricts_sources_until_it_is_removed() {
-    let mut d = Driver::new(settings(), fleet());
-    let flat = sources(&mut d, 0..60);
+    let mut driver = Driver::new(settings(), fleet());
+    let flat = sources(&mut driver, 0..60);
     assert!(
         flat.iter().any(|(_, s)| *s == server_id("parent-0"))
             && flat.iter().any(|(_, s)| *s == server_id("parent-1"))
     );
-    d.handle(plan(&[("parent-1", 1.0)], false));
-    assert!(sources(&mut d, 100..160).iter().all(|(_, s)| *s == server_id("parent-1")));
-    d.handle(plan(&[("parent-0", 1.0), ("parent-1", 1.0)], false));
-    let planned = sources(&mut d, 0..60);
+    driver.handle(plan(&[("parent-1", 1.0)], false));
+    assert!(sources(&mut driver, 100..160).iter().all(|(_, s)| *s == server_id("parent-1")));
+    driver.handle(plan(&[("parent-0", 1.0), ("parent-1", 1.0)], false));
+    let planned = sources(&mut driver, 0..60);
     assert_eq!(planned, flat, "a plan that permits every parent is the hash over all of them");
-    d.handle(Event::FillPlan(None));
-    assert_eq!(sources(&mut d, 0..60), flat);
+    driver.handle(Event::FillPlan(None));
+    assert_eq!(sources(&mut driver, 0..60), flat);
 }
 
 #[test]
 fn new_source_gets_only_the_objects_of_its_share() {
-    let mut d = Driver::new(settings(), fleet());
-    d.handle(plan(&[("parent-0", 1.0), ("parent-1", 0.25)], false));
-    let got = sources(&mut d, 0..400);
+    let mut driver = Driver::new(settings(), fleet());
+    driver.handle(plan(&[("parent-0", 1.0), ("parent-1", 0.25)], false));
+    let got = sources(&mut driver, 0..400);
     let moved = got.iter().filter(|(_, s)| *s == server_id("parent-1")).count();
     assert!((25..80).contains(&moved), "an eighth or so: {moved}");
     let hash = address("parent-1");
     assert!(got.iter().all(|(o, s)| *s != server_id("parent-1") || within_share(*o, hash, 0.25)));
     let flat: Vec<_> = {
-        d.handle(Event::FillPlan(None));
-        sources(&mut d, 0..400)
+        driver.handle(Event::FillPlan(None));
+        sources(&mut driver, 0..400)
     };
     let belongs = |o: u64| {
         flat.iter().any(|(f, s)| *f == o && *s == server_id("parent-1")) && within_share(o, hash, 0.25)
@@ -72,10 +72,10 @@
 fn origin_is_the_source_only_if_the_plan_allows_it() {
     let gone = |name: &str| Endpoint { state: EndpointState::Removed, ..endpoint(name, Role::Parent) };
     for permitted in [false, true] {
-        let mut d = Driver::new(settings(), fleet());
-        d.handle(plan(&[("parent-0", 1.0)], permitted));
-        d.handle(Event::Endpoints(EndpointUpdate::Delta, vec![gone("parent-0")]));
-        let first = first_attempt(&d.ask(1, IDEMPOTENT, 5)).expect("a fetch");
+        let mut driver = Driver::new(settings(), fleet());
+        driver.handle(plan(&[("parent-0", 1.0)], permitted));
+        driver.handle(Event::Endpoints(EndpointUpdate::Delta, vec![gone("parent-0")]));
+        let first = first_attempt(&driver.request(1, IDEMPOTENT, 5)).expect("a fetch");
         let expected = if permitted { server_id("origin") } else { first.server.clone() };
         assert_eq!(first.fill_source, expected, "a lookup without a fill, where no source is allowed");
     }
@@ -83,28 +83,34 @@
 
 #[test]
 fn loop_is_retried_from_another_source_without_penalty() {
-    let mut d = Driver::new(settings(), fleet());
+    let mut driver = Driver::new(settings(), fleet());
     for n in 0..40 {
-        let first = first_attempt(&d.ask(n, IDEMPOTENT, 7)).expect("a fetch");
-        let acts = d.end(n, 0, &first.server, AttemptResult::CacheMiss, FillReport::LoopDetected);
-        let second = first_attempt(&acts).expect("another attempt");
+        let first = first_attempt(&driver.request(n, IDEMPOTENT, 7)).expect("a fetch");
+        let actions = driver.finish(n, 0, &first.server, AttemptResult::CacheMiss, FillReport::LoopDetected);
+        let second = first_attempt(&actions).expect("another attempt");
         assert_ne!(second.fill_source, first.fill_source, "from another source");
-        d.end(n, 1, &second.server, AttemptResult::Served, FillReport::FilledBySource);
-        let next = first_attempt(&d.ask(1000 + n, IDEMPOTENT, 7)).expect("a fetch");
+        driver.finish(n, 1, &second.server, AttemptResult::Served, FillReport::FilledBySource);
+        let next = first_attempt(&driver.request(1000 + n, IDEMPOTENT, 7)).expect("a fetch");
         assert_eq!(next.fill_source, first.fill_source, "the next request finds its home as before");
-        d.end(1000 + n, 0, &next.server, AttemptResult::Served, FillReport::Hit);
+        driver.finish(1000 + n, 0, &next.server, AttemptResult::Served, FillReport::Hit);
     }
 }
 
 #[test]
 fn fill_plan_does_not_affect_non_idempotent_requests() {
-    let mut d = Driver::new(settings(), fleet());
-    d.handle(plan(&[("parent-1", 1.0)], false));
-    let first = first_attempt(&d.ask(1, NON_IDEMPOTENT, 5)).expect("a fetch");
+    let mut driver = Driver::new(settings(), fleet());
+    driver.handle(plan(&[("parent-1", 1.0)], false));
+    let first = first_attempt(&driver.request(1, NON_IDEMPOTENT, 5)).expect("a fetch");
     assert_eq!(first.server, server_id("origin"));
     assert!(
-        first_attempt(&d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported))
-            .is_none(),
+        first_attempt(&driver.finish(
+            1,
+            0,
+            &first.server,
+            AttemptResult::ConnectionLost,
+            FillReport::NotReported
+        ))
+        .is_none(),
         "it may have been executed"
     );
 }
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -5,13 +5,13 @@
 use common::*;
 
 /// How many final answers the router gave to a request, and how many attempts it started.
-fn answers_and_sends(d: &Driver, n: usize) -> (usize, usize) {
-    let answers = d.log.iter().filter(|(_, a)| {
+fn answers_and_sends(driver: &Driver, n: usize) -> (usize, usize) {
+    let answers = driver.log.iter().filter(|(_, a)| {
         matches!(a, Action::Reject(r, _) if *r == request_id(n))
             || matches!(a, Action::Fail(r) if *r == request_id(n))
     });
     let sends =
-        d.log.iter().filter(|(_, a)| matches!(a, Action::StartAttempt(f) if f.request == request_id(n)));
+        driver.log.iter().filter(|(_, a)| matches!(a, Action::StartAttempt(f) if f.request == request_id(n)));
     (answers.count(), sends.count())
 }
 
@@ -20,88 +20,88 @@
 #[test]
 fn servers_that_drain_in_waves_get_no_attempt_and_no_second_execution() {
     let all = large_fleet();
-    let mut d = Driver::new(settings(), all.clone());
-    let first = first_attempt(&d.ask(0, NON_IDEMPOTENT, 1)).expect("a fetch");
+    let mut driver = Driver::new(settings(), all.clone());
+    let first = first_attempt(&driver.request(0, NON_IDEMPOTENT, 1)).expect("a fetch");
     let mut left: Vec<ServerId> = Vec::new();
     for wave in 0..3 {
-        for listed in [EndpointState::Draining, EndpointState::Removed] {
+        for state in [EndpointState::Draining, EndpointState::Removed] {
             let part = all.iter().enumerate().filter(|(n, _)| n % 3 == wave);
-            let told: Vec<Endpoint> = part.map(|(_, e)| Endpoint { state: listed, ..e.clone() }).collect();
-            left.extend(told.iter().map(|e| e.id.clone()));
-            d.handle(Event::Endpoints(EndpointUpdate::Delta, told));
+            let listed: Vec<Endpoint> = part.map(|(_, e)| Endpoint { state, ..e.clone() }).collect();
+            left.extend(listed.iter().map(|e| e.id.clone()));
+            driver.handle(Event::Endpoints(EndpointUpdate::Delta, listed));
             for n in 0..40 {
-                let n = 1 + wave * 200 + usize::from(listed == EndpointState::Removed) * 100 + n;
-                let acts = d.ask(n, IDEMPOTENT, n as u64);
-                let Some(f) = first_attempt(&acts) else {
-                    assert!(is_rejected(&acts, n), "refused at once");
+                let n = 1 + wave * 200 + usize::from(state == EndpointState::Removed) * 100 + n;
+                let actions = driver.request(n, IDEMPOTENT, n as u64);
+                let Some(f) = first_attempt(&actions) else {
+                    assert!(is_rejected(&actions, n), "refused at once");
                     continue;
                 };
                 assert!(!left.contains(&f.server) && !left.contains(&f.fill_source), "wave {wave}");
-                d.end(n, 0, &f.server, AttemptResult::Served, FillReport::Hit);
+                driver.finish(n, 0, &f.server, AttemptResult::Served, FillReport::Hit);
             }
-            d.wait(300.0);
+            driver.advance(300.0);
         }
     }
-    assert!(is_rejected(&d.ask(900, IDEMPOTENT, 1), 900), "no server is left");
-    let acts = d.end(0, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported);
-    assert!(is_failed(&acts, 0) && !is_rejected(&acts, 0));
-    assert_eq!(answers_and_sends(&d, 0), (1, 1));
+    assert!(is_rejected(&driver.request(900, IDEMPOTENT, 1), 900), "no server is left");
+    let actions = driver.finish(0, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported);
+    assert!(is_failed(&actions, 0) && !is_rejected(&actions, 0));
+    assert_eq!(answers_and_sends(&driver, 0), (1, 1));
 }
 
 /// Entries that repeat, contradict each other or have invalid weights, and a list that becomes empty.
 #[test]
 fn inconsistent_lists_give_one_answer_for_each_request() {
-    let mut d = Driver::new(settings(), large_fleet());
+    let mut driver = Driver::new(settings(), large_fleet());
     let odd = [0.0, -1.0, f64::NAN, f64::INFINITY, f64::MIN_POSITIVE];
-    let mut told: Vec<Endpoint> = odd
+    let mut listed: Vec<Endpoint> = odd
         .iter()
         .enumerate()
         .map(|(n, weight)| Endpoint { weight: *weight, ..endpoint(&format!("edge-{}", n % 2), Role::Edge) })
         .collect();
-    told.push(Endpoint { state: EndpointState::Removed, ..endpoint("never-listed", Role::Parent) });
-    told.push(Endpoint { zone: ZoneId(99), ..endpoint("from-nowhere", Role::Edge) });
-    told.push(Endpoint { started: Some(f64::INFINITY), ..endpoint("from-the-future", Role::Edge) });
-    told.push(endpoint("origin", Role::Edge));
+    listed.push(Endpoint { state: EndpointState::Removed, ..endpoint("never-listed", Role::Parent) });
+    listed.push(Endpoint { zone: ZoneId(99), ..endpoint("from-nowhere", Role::Edge) });
+    listed.push(Endpoint { started: Some(f64::INFINITY), ..endpoint("from-the-future", Role::Edge) });
+    listed.push(endpoint("origin", Role::Edge));
     let lists = [
-        (EndpointUpdate::Delta, told.clone()),
-        (EndpointUpdate::Complete, told),
+        (EndpointUpdate::Delta, listed.clone()),
+        (EndpointUpdate::Complete, listed),
         (EndpointUpdate::Failed, Vec::new()),
         (EndpointUpdate::Complete, Vec::new()),
     ];
     let mut n = 0;
     for (mode, list) in lists {
-        d.handle(Event::Endpoints(mode, list));
+        driver.handle(Event::Endpoints(mode, list));
         for class in [IDEMPOTENT, EXPIRING, NON_IDEMPOTENT, WITH_KEY] {
             for object in 0..10 {
                 n += 1;
-                d.ask(n, class, object);
-                d.wait(10.0);
+                driver.request(n, class, object);
+                driver.advance(10.0);
             }
         }
     }
-    d.wait(10_000.0);
+    driver.advance(10_000.0);
     for n in 1..=n {
-        assert_eq!(answers_and_sends(&d, n).0, 1, "request {n}");
+        assert_eq!(answers_and_sends(&driver, n).0, 1, "request {n}");
     }
 }
 
 /// Half of a zone's caches restart at once: they get their slow-start share while the other half serves the rest.
 #[test]
 fn cell_that_restarts_at_once_gets_its_slow_start_share() {
-    let mut d = Driver::new(settings(), fleet());
+    let mut driver = Driver::new(settings(), fleet());
     for n in 0..600 {
-        d.serve(n, IDEMPOTENT, n as u64, FillReport::FilledBySource);
-        d.wait(10.0);
+        driver.serve(n, IDEMPOTENT, n as u64, FillReport::FilledBySource);
+        driver.advance(10.0);
     }
-    let started = Some(d.now);
+    let started = Some(driver.now);
     let cell = ["edge-0", "edge-1"];
-    let told = cell.iter().map(|name| Endpoint { started, ..endpoint(name, Role::Edge) });
-    d.handle(Event::Endpoints(EndpointUpdate::Delta, told.collect()));
+    let listed = cell.iter().map(|name| Endpoint { started, ..endpoint(name, Role::Edge) });
+    driver.handle(Event::Endpoints(EndpointUpdate::Delta, listed.collect()));
     let (mut warming, mut warm) = (0, 0);
     for n in 1000..1100 {
-        let f = d.serve(n, IDEMPOTENT, n as u64 * 13, FillReport::Hit);
+        let f = driver.serve(n, IDEMPOTENT, n as u64 * 13, FillReport::Hit);
         *if cell.iter().any(|name| f.server == server_id(name)) { &mut warming } else { &mut warm } += 1;
-        d.wait(10.0);
+        driver.advance(10.0);
     }
     // Four caches had a load of 100 responses of 80 ms per second; two warming ones start with a fifth of their share,
     // and may get twice as much.
@@ -112,13 +112,14 @@
 /// A router that gets a request every ten seconds answers each once, with servers that never respond.
 #[test]
 fn router_with_hardly_any_traffic_answers_each_request_once() {
-    let mut d = Driver::new(settings(), large_fleet());
+    let mut driver = Driver::new(settings(), large_fleet());
     for n in 0..20 {
         assert!(
-            first_attempt(&d.ask(n, [IDEMPOTENT, EXPIRING, WITH_KEY][n % 3], n as u64 % 3)).is_some(),
+            first_attempt(&driver.request(n, [IDEMPOTENT, EXPIRING, WITH_KEY][n % 3], n as u64 % 3))
+                .is_some(),
             "request {n} is sent"
         );
-        d.wait(10_000.0);
-        assert_eq!(answers_and_sends(&d, n).0, 1, "request {n}");
+        driver.advance(10_000.0);
+        assert_eq!(answers_and_sends(&driver, n).0, 1, "request {n}");
     }
 }
--- a/tests/latency_feedback.rs
+++ b/tests/latency_feedback.rs
@@ -11,88 +11,90 @@
 }
 
 /// The first attempt for an object that was not requested before.
-fn attempt_for(d: &mut Driver, n: usize, object: u64) -> AttemptSpec {
-    let acts = d.ask(n, IDEMPOTENT, object);
-    let f = first_attempt(&acts).unwrap_or_else(|| panic!("no fetch: {acts:?}"));
-    d.handle(Event::ClientDisconnected(request_id(n)));
-    d.outcome(n, 0, &f.server, AttemptResult::Cancelled, FillReport::NotReported, 0.0);
+fn attempt_for(driver: &mut Driver, n: usize, object: u64) -> AttemptSpec {
+    let actions = driver.request(n, IDEMPOTENT, object);
+    let f = first_attempt(&actions).unwrap_or_else(|| panic!("no fetch: {actions:?}"));
+    driver.handle(Event::ClientDisconnected(request_id(n)));
+    driver.finish_in(n, 0, &f.server, AttemptResult::Cancelled, FillReport::NotReported, 0.0);
     f
 }
 
 /// Of a hundred objects, how many have their home at a server, or have it as their source.
-fn homes(d: &mut Driver, from: usize, name: &str) -> usize {
+fn homes(driver: &mut Driver, from: usize, name: &str) -> usize {
     (0..100)
-        .filter(|o| [server_id(name)].contains(&attempt_for(d, from + o, 5000 + *o as u64).server))
+        .filter(|o| [server_id(name)].contains(&attempt_for(driver, from + o, 5000 + *o as u64).server))
         .count()
 }
 
-fn sources(d: &mut Driver, from: usize, name: &str) -> usize {
-    (0..100).filter(|o| attempt_for(d, from + o, 5000 + *o as u64).fill_source == server_id(name)).count()
+fn sources(driver: &mut Driver, from: usize, name: &str) -> usize {
+    (0..100)
+        .filter(|o| attempt_for(driver, from + o, 5000 + *o as u64).fill_source == server_id(name))
+        .count()
 }
 
 /// A cache that takes eight times as long as the zone's others loses objects, the others' stay, and it regains them
 /// once it is fast again.
 #[test]
 fn slow_cache_loses_objects_and_regains_them() {
-    let mut d = Driver::new(without_load_reports(), fleet());
-    let before = homes(&mut d, 0, "edge-0");
+    let mut driver = Driver::new(without_load_reports(), fleet());
+    let before = homes(&mut driver, 0, "edge-0");
     for n in 0..200 {
-        let f = first_attempt(&d.ask(10_000 + n, IDEMPOTENT, n as u64)).expect("a fetch");
+        let f = first_attempt(&driver.request(10_000 + n, IDEMPOTENT, n as u64)).expect("a fetch");
         let took = if f.server == server_id("edge-0") { 800.0 } else { 100.0 };
-        d.outcome(10_000 + n, 0, &f.server, AttemptResult::Served, FillReport::Hit, took);
-        d.wait(20.0);
+        driver.finish_in(10_000 + n, 0, &f.server, AttemptResult::Served, FillReport::Hit, took);
+        driver.advance(20.0);
     }
-    let (after, other) = (homes(&mut d, 20_000, "edge-0"), homes(&mut d, 20_100, "edge-1"));
+    let (after, other) = (homes(&mut driver, 20_000, "edge-0"), homes(&mut driver, 20_100, "edge-1"));
     assert!(before >= 15 && after * 3 < before, "{before} objects before, {after} after");
     assert!(other >= 20, "the next in order got them: {other}");
     // Nothing more is sent to it; the penalty decays.
-    d.wait(100_000.0);
-    let again = homes(&mut d, 30_000, "edge-0");
+    driver.advance(100_000.0);
+    let again = homes(&mut driver, 30_000, "edge-0");
     assert!(again + 3 >= before, "and back, all but a few: {again} of {before}");
 }
 
 /// The same for a parent whose fills are slow; the caches that it fills are not penalized.
 #[test]
 fn slow_parent_loses_objects_and_its_caches_do_not() {
-    let mut d = Driver::new(without_load_reports(), fleet());
-    let (before, cache) = (sources(&mut d, 0, "parent-0"), homes(&mut d, 100, "edge-0"));
+    let mut driver = Driver::new(without_load_reports(), fleet());
+    let (before, cache) = (sources(&mut driver, 0, "parent-0"), homes(&mut driver, 100, "edge-0"));
     for n in 0..120 {
-        let f = first_attempt(&d.ask(1000 + n, IDEMPOTENT, n as u64)).expect("a fetch");
+        let f = first_attempt(&driver.request(1000 + n, IDEMPOTENT, n as u64)).expect("a fetch");
         let took = if f.fill_source == server_id("parent-0") { 900.0 } else { 120.0 };
-        d.outcome(1000 + n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource, took);
-        d.wait(20.0);
+        driver.finish_in(1000 + n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource, took);
+        driver.advance(20.0);
     }
-    let after = sources(&mut d, 2000, "parent-0");
+    let after = sources(&mut driver, 2000, "parent-0");
     assert!(before >= 30 && after * 3 < before, "{before} before, {after} after");
-    assert!(homes(&mut d, 3000, "edge-0") + 10 > cache, "all caches had slow fills alike");
+    assert!(homes(&mut driver, 3000, "edge-0") + 10 > cache, "all caches had slow fills alike");
 }
 
 /// Slow attempts count before they end, so that no deadline has to pass first.
 #[test]
 fn slow_attempts_in_flight_penalize_their_cache() {
-    let mut d = Driver::new(without_load_reports(), fleet());
+    let mut driver = Driver::new(without_load_reports(), fleet());
     for n in 0..80 {
-        let f = first_attempt(&d.ask(n, IDEMPOTENT, n as u64)).expect("a fetch");
-        d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 20.0);
+        let f = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)).expect("a fetch");
+        driver.finish_in(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 20.0);
     }
-    let before = homes(&mut d, 1000, "edge-0");
+    let before = homes(&mut driver, 1000, "edge-0");
     let mut stuck = Vec::new();
     for n in 2000..2100 {
-        let f = first_attempt(&d.ask(n, IDEMPOTENT, n as u64)).expect("a fetch");
+        let f = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)).expect("a fetch");
         if f.server == server_id("edge-0") && stuck.len() < 6 {
             stuck.push(n);
         } else {
-            d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 20.0);
+            driver.finish_in(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 20.0);
         }
     }
-    d.wait(340.0);
-    let lines: Vec<_> = d.log.iter().filter(|(_, a)| matches!(a, Action::Log(_))).collect();
+    driver.advance(340.0);
+    let lines: Vec<_> = driver.log.iter().filter(|(_, a)| matches!(a, Action::Log(_))).collect();
     assert!(stuck.len() >= 2 && lines.is_empty(), "no server is silent before 350 ms: {stuck:?} {lines:?}");
     for n in stuck {
-        d.handle(Event::ClientDisconnected(request_id(n)));
-        d.end(n, 0, &server_id("edge-0"), AttemptResult::Cancelled, FillReport::NotReported);
+        driver.handle(Event::ClientDisconnected(request_id(n)));
+        driver.finish(n, 0, &server_id("edge-0"), AttemptResult::Cancelled, FillReport::NotReported);
     }
-    let after = homes(&mut d, 3000, "edge-0");
+    let after = homes(&mut driver, 3000, "edge-0");
     assert!(after * 2 < before, "{before} objects before, {after} after");
 }
 
@@ -100,17 +102,17 @@
 /// a purge the copy must be younger than the purge.
 #[test]
 fn lookup_accepts_a_stale_copy() {
-    let mut set = without_load_reports();
-    set.classes[EXPIRING.0].stale_for = 20_000.0;
-    let mut d = Driver::new(set, fleet());
-    let f = first_attempt(&d.ask(0, EXPIRING, 1)).expect("a fetch");
+    let mut settings = without_load_reports();
+    settings.classes[EXPIRING.0].stale_for = 20_000.0;
+    let mut driver = Driver::new(settings, fleet());
+    let f = first_attempt(&driver.request(0, EXPIRING, 1)).expect("a fetch");
     assert_eq!(f.max_age, None, "a fill brings a fresh copy");
-    d.handle(Event::Endpoints(EndpointUpdate::Delta, removed(&["parent-0", "parent-1", "origin"])));
-    let f = first_attempt(&d.ask(1, EXPIRING, 1)).expect("a lookup");
+    driver.handle(Event::Endpoints(EndpointUpdate::Delta, removed(&["parent-0", "parent-1", "origin"])));
+    let f = first_attempt(&driver.request(1, EXPIRING, 1)).expect("a lookup");
     assert_eq!((f.max_age, f.fill_source == f.server), (Some(28_000.0), true));
-    d.handle(Event::Purged(GroupId(1), Some(ObjectId(1)), 0.0));
-    d.wait(500.0);
-    let f = first_attempt(&d.ask(2, EXPIRING, 1)).expect("a lookup");
+    driver.handle(Event::Purged(GroupId(1), Some(ObjectId(1)), 0.0));
+    driver.advance(500.0);
+    let f = first_attempt(&driver.request(2, EXPIRING, 1)).expect("a lookup");
     assert!(f.max_age.is_some_and(|age| age <= 500.0), "{:?}", f.max_age);
 }
 
@@ -129,18 +131,18 @@
             e.weight = 4.0;
             e
         };
-        let mut d = Driver::new(without_load_reports(), fleet().into_iter().map(sized).collect());
-        d.router = basaltgw::routing::Router::new(without_load_reports(), seed);
-        let started = Some(d.now);
+        let mut driver = Driver::new(without_load_reports(), fleet().into_iter().map(sized).collect());
+        driver.router = basaltgw::routing::Router::new(without_load_reports(), seed);
+        let started = Some(driver.now);
         let mut all: Vec<Endpoint> = fleet().into_iter().map(sized).collect();
         all[0].started = started;
-        d.handle(Event::Endpoints(EndpointUpdate::Complete, all));
+        driver.handle(Event::Endpoints(EndpointUpdate::Complete, all));
         for n in 0..50 {
-            let acts = d.ask(n, IDEMPOTENT, n as u64);
-            let Some(f) = first_attempt(&acts) else { continue };
+            let actions = driver.request(n, IDEMPOTENT, n as u64);
+            let Some(f) = first_attempt(&actions) else { continue };
             sent += if f.server == server_id("edge-0") { 100.0 } else { 0.0 };
-            d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 100.0);
-            d.wait(20.0);
+            driver.finish_in(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 100.0);
+            driver.advance(20.0);
         }
     }
     let limit = 4.0 * 0.2 * 2.0 * 1000.0;
@@ -152,10 +154,10 @@
 fn snapshot_restores_penalties_warmup_and_purges_of_the_same_processes() {
     let mut old = Driver::new(settings(), fleet());
     for n in 0..200 {
-        let f = first_attempt(&old.ask(n, IDEMPOTENT, n as u64)).expect("a fetch");
+        let f = first_attempt(&old.request(n, IDEMPOTENT, n as u64)).expect("a fetch");
         let took = if f.server == server_id("edge-0") { 800.0 } else { 100.0 };
-        old.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, took);
-        old.wait(20.0);
+        old.finish_in(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, took);
+        old.advance(20.0);
     }
     old.restart("edge-2", Role::Edge);
     old.handle(Event::Purged(GroupId(3), None, 0.0));
@@ -165,24 +167,24 @@
     let start = |started| {
         let mut all = fleet();
         all[2].started = started;
-        let mut d = Driver::new(without_load_reports(), all);
-        d.now = at;
-        d
+        let mut driver = Driver::new(without_load_reports(), all);
+        driver.now = at;
+        driver
     };
     let mut fresh = start(Some(at));
     let usual = homes(&mut fresh, 0, "edge-0");
-    let mut d = start(Some(at));
+    let mut driver = start(Some(at));
     // A start that the former process had only inferred stays one.
     snapshot.servers[1].warmup_started = Some(at);
-    assert_eq!(d.router.restore(at, snapshot.clone()), fleet().len());
-    assert!(homes(&mut d, 0, "edge-0") * 3 < usual, "its weight is lowered from the first request on");
+    assert_eq!(driver.router.restore(at, snapshot.clone()), fleet().len());
+    assert!(homes(&mut driver, 0, "edge-0") * 3 < usual, "its weight is lowered from the first request on");
     assert!(
-        homes(&mut d, 100, "edge-1") + homes(&mut d, 200, "edge-2") <= 12,
+        homes(&mut driver, 100, "edge-1") + homes(&mut driver, 200, "edge-2") <= 12,
         "warming caches get their slow-start share"
     );
     let object = ObjectId(11);
     let f =
-        first_attempt(&d.handle(Event::Request(Request {
+        first_attempt(&driver.handle(Event::Request(Request {
             group: GroupId(3),
             ..request(999, IDEMPOTENT, object.0, 4000.0)
         })));
@@ -199,21 +201,21 @@
 #[test]
 fn link_is_congested_where_fills_miss_the_latency_objective() {
     let lookups = |stretch: f64| {
-        let mut set = without_load_reports();
-        set.classes.iter_mut().for_each(|c| c.latency_objective_stretch = stretch);
-        let mut d = Driver::new(set, fleet());
+        let mut settings = without_load_reports();
+        settings.classes.iter_mut().for_each(|c| c.latency_objective_stretch = stretch);
+        let mut driver = Driver::new(settings, fleet());
         for n in 0..100 {
-            let f = first_attempt(&d.ask(n, IDEMPOTENT, n as u64 % 50)).expect("a fetch");
-            d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 100.0);
+            let f = first_attempt(&driver.request(n, IDEMPOTENT, n as u64 % 50)).expect("a fetch");
+            driver.finish_in(n, 0, &f.server, AttemptResult::Served, FillReport::Hit, 100.0);
         }
         let mut lookups = 0;
         for n in 100..400 {
-            let f = first_attempt(&d.ask(n, IDEMPOTENT, n as u64 % 50)).expect("a fetch");
+            let f = first_attempt(&driver.request(n, IDEMPOTENT, n as u64 % 50)).expect("a fetch");
             lookups += usize::from(f.fill_source == f.server);
-            d.wait(20.0);
+            driver.advance(20.0);
             // 20 ms until the source's first byte, and 1.55 times the sending time of a hit. With few responses the
             // threshold is raised to the power of 0.75.
-            d.outcome(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource, 175.0);
+            driver.finish_in(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource, 175.0);
         }
         lookups
     };
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask {
+    Request {
         class: usize,
         object: u64,
         part: u64,
@@ -18,7 +18,7 @@
     End {
         pick: usize,
         end: u8,
-        note: u8,
+        fill_report: u8,
         delay: f64,
     },
     Leave {
@@ -50,9 +50,9 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0usize..4, 0u64..6, 0u64..3, -10.0..3000.0f64, prop::bool::weighted(0.95))
-            .prop_map(|(class, object, part, budget, known)| Step::Ask { class, object, part, budget, known }),
+            .prop_map(|(class, object, part, budget, known)| Step::Request { class, object, part, budget, known }),
         8 => (any::<usize>(), 0u8..9, 0u8..FILL_REPORTS.len() as u8, 0.0..2000.0f64)
-            .prop_map(|(pick, end, note, delay)| Step::End { pick, end, note, delay }),
+            .prop_map(|(pick, end, fill_report, delay)| Step::End { pick, end, fill_report, delay }),
         1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
         1 => (0usize..7, 0u8..3, any::<bool>())
             .prop_map(|(server, listed, restart)| Step::List { server, listed, restart }),
@@ -72,7 +72,7 @@
     due: f64,
     answers: usize,
     ended: bool,
-    tries: Vec<(ServerId, bool)>,
+    attempts: Vec<(ServerId, bool)>,
     may_have_been_executed: bool,
 }
 
@@ -94,14 +94,14 @@
         let (settles, grace) = (s.purge_convergence_time, s.purge_grace);
         let effects: Vec<Idempotency> = s.classes.iter().map(|c| c.idempotency).collect();
         let servers = if large { large_fleet() } else { fleet() };
-        let mut d = Driver::new(s, servers.clone());
+        let mut driver = Driver::new(s, servers.clone());
         let mut seen: BTreeMap<RequestId, Seen> = BTreeMap::new();
         let mut banned: BTreeMap<ServerId, f64> = BTreeMap::new();
         let mut purges: Vec<(Option<u64>, u64, f64, f64)> = Vec::new();
         let (mut read, mut count) = (0, 0);
         for step in steps {
             match step {
-                Step::Ask { class, object, part, budget, known } => {
+                Step::Request { class, object, part, budget, known } => {
                     count += 1;
                     let mut r = request(count, ClassId(class), object, budget);
                     r.part = Part(part);
@@ -109,22 +109,22 @@
                         r.class = None;
                     }
                     seen.insert(r.id.clone(), Seen {
-                        class, object, due: d.now + budget.max(0.0), answers: 0, ended: false, tries: Vec::new(),
+                        class, object, due: driver.now + budget.max(0.0), answers: 0, ended: false, attempts: Vec::new(),
                         may_have_been_executed: false,
                     });
-                    d.handle(Event::Request(r));
+                    driver.handle(Event::Request(r));
                 }
-                Step::End { pick, end, note, delay } => {
+                Step::End { pick, end, fill_report, delay } => {
                     let mut open: Vec<(RequestId, usize)> = Vec::new();
                     for (id, r) in &seen {
-                        open.extend(r.tries.iter().enumerate().filter(|(_, t)| !t.1).map(|(n, _)| (id.clone(), n)));
+                        open.extend(r.attempts.iter().enumerate().filter(|(_, t)| !t.1).map(|(n, _)| (id.clone(), n)));
                     }
                     if open.is_empty() {
                         continue;
                     }
                     let (id, n) = open[pick % open.len()].clone();
                     let r = seen.get_mut(&id).expect("seen");
-                    r.tries[n].1 = true;
+                    r.attempts[n].1 = true;
                     let end = AttemptResult::ALL[end as usize];
                     let proved = proves_no_pending_execution(end);
                     r.may_have_been_executed |= !proved;
@@ -132,9 +132,9 @@
                         r.ended = true;
                         r.answers += 1;
                     }
-                    let (server, last) = (r.tries[n].0.clone(), r.ended);
-                    d.handle(Event::Outcome(Outcome {
-                        request: id, attempt: AttemptNo(n), server, result: end, latency: delay, completes_request: last, fill_report: FILL_REPORTS[note as usize],
+                    let (server, last) = (r.attempts[n].0.clone(), r.ended);
+                    driver.handle(Event::Outcome(Outcome {
+                        request: id, attempt: AttemptNo(n), server, result: end, latency: delay, completes_request: last, fill_report: FILL_REPORTS[fill_report as usize],
                         source_wait: delay / 3.0, load: LoadReport::default(), body_complete: true,
                     }));
                 }
@@ -145,7 +145,7 @@
                         let id = open[pick % open.len()].clone();
                         let r = seen.get_mut(&id).expect("seen");
                         (r.ended, r.answers) = (true, 1);
-                        d.handle(Event::ClientDisconnected(id));
+                        driver.handle(Event::ClientDisconnected(id));
                     }
                 }
                 Step::Plan { shares, origin } => {
@@ -158,73 +158,73 @@
                         sources: edges.iter().map(|e| (e.clone(), std::sync::Arc::clone(&of))).collect(),
                         origin_allowed: edges.into_iter().filter(|_| origin).collect(),
                     };
-                    d.handle(Event::FillPlan((!shares.is_empty()).then(|| std::sync::Arc::new(table))));
+                    driver.handle(Event::FillPlan((!shares.is_empty()).then(|| std::sync::Arc::new(table))));
                 }
                 Step::List { server, listed, restart } => {
                     let mut e = servers[server * servers.len() / 7].clone();
                     e.state = [EndpointState::Up, EndpointState::Draining, EndpointState::Removed][listed as usize];
-                    e.started = restart.then_some(d.now);
+                    e.started = restart.then_some(driver.now);
                     if e.state == EndpointState::Up {
                         banned.remove(&e.id);
                     } else {
-                        banned.insert(e.id.clone(), d.now);
+                        banned.insert(e.id.clone(), driver.now);
                     }
-                    d.handle(Event::Endpoints(EndpointUpdate::Delta, vec![e]));
+                    driver.handle(Event::Endpoints(EndpointUpdate::Delta, vec![e]));
                 }
                 Step::Whole { keep } => {
                     let kept: Vec<Endpoint> =
                         servers.iter().enumerate().filter(|(n, _)| keep >> (n % 8) & 1 == 1).map(|(_, e)| e.clone()).collect();
-                    banned = servers.iter().map(|e| (e.id.clone(), d.now)).collect();
+                    banned = servers.iter().map(|e| (e.id.clone(), driver.now)).collect();
                     kept.iter().for_each(|e| { banned.remove(&e.id); });
-                    d.handle(Event::Endpoints(EndpointUpdate::Complete, kept));
+                    driver.handle(Event::Endpoints(EndpointUpdate::Complete, kept));
                 }
                 Step::Purge { object, group, age } => {
-                    purges.push((object, group, d.now - age, d.now));
-                    d.handle(Event::Purged(GroupId(group), object.map(ObjectId), age));
+                    purges.push((object, group, driver.now - age, driver.now));
+                    driver.handle(Event::Purged(GroupId(group), object.map(ObjectId), age));
                 }
                 Step::Wait { span } => {
-                    d.wait(span);
+                    driver.advance(span);
                 }
             }
-            for (at, act) in &d.log[read..] {
-                match act {
+            for (at, action) in &driver.log[read..] {
+                match action {
                     Action::StartAttempt(f) => {
                         let r = seen.get_mut(&f.request).expect("a known request");
                         prop_assert!(!r.ended, "started after the final answer");
-                        let out = r.tries.iter().filter(|t| !t.1).count();
-                        prop_assert!(out == 0 || (copies && out == 1 && effects[r.class] == Idempotency::Idempotent));
+                        let in_flight = r.attempts.iter().filter(|t| !t.1).count();
+                        prop_assert!(in_flight == 0 || (copies && in_flight == 1 && effects[r.class] == Idempotency::Idempotent));
                         prop_assert!(effects[r.class] != Idempotency::NonIdempotent || !r.may_have_been_executed, "executed twice");
                         for name in [&f.server, &f.fill_source] {
                             prop_assert!(!banned.contains_key(name), "{name:?} is draining or removed");
                         }
-                        for (object, group, purged, told) in &purges {
+                        for (object, group, purged, notified) in &purges {
                             let named = object.map_or(*group == r.object % 8, |o| o == r.object);
-                            if named && *at > told + grace && *at < purged + settles {
+                            if named && *at > notified + grace && *at < purged + settles {
                                 let age = f.max_age.expect("an age bound");
                                 prop_assert!(age > 0.0 && age <= at - purged);
                             }
                         }
-                        r.tries.push((f.server.clone(), false));
+                        r.attempts.push((f.server.clone(), false));
                     }
                     Action::Reject(id, _) | Action::Fail(id) => {
                         let r = seen.get_mut(id).expect("a known request");
                         prop_assert!(!r.ended, "answered twice");
                         prop_assert!(*at <= r.due, "answered late");
-                        let untouched = !r.may_have_been_executed && r.tries.iter().all(|t| t.1);
-                        if matches!(act, Action::Reject(..)) && effects[r.class] == Idempotency::NonIdempotent {
+                        let untouched = !r.may_have_been_executed && r.attempts.iter().all(|t| t.1);
+                        if matches!(action, Action::Reject(..)) && effects[r.class] == Idempotency::NonIdempotent {
                             prop_assert!(untouched, "rejected though it may have been executed");
                         }
                         (r.ended, r.answers) = (true, r.answers + 1);
                     }
-                    Action::CancelAttempt(id, n) => prop_assert!(n.0 < seen[id].tries.len()),
+                    Action::CancelAttempt(id, n) => prop_assert!(n.0 < seen[id].attempts.len()),
                     Action::Timer(..) | Action::WatchEndpoints | Action::Log(_) => {}
                 }
             }
-            read = d.log.len();
+            read = driver.log.len();
         }
-        d.wait(5000.0);
-        for (at, act) in &d.log[read..] {
-            if let Action::Reject(id, _) | Action::Fail(id) = act {
+        driver.advance(5000.0);
+        for (at, action) in &driver.log[read..] {
+            if let Action::Reject(id, _) | Action::Fail(id) = action {
                 let r = seen.get_mut(id).expect("a known request");
                 prop_assert!(!r.ended && *at <= r.due);
                 (r.ended, r.answers) = (true, r.answers + 1);
--- a/tests/ranking_and_placement.rs
+++ b/tests/ranking_and_placement.rs
@@ -51,63 +51,67 @@
 
 #[test]
 fn split_stays_in_the_middle_until_both_latencies_have_samples() {
-    let mut d = Driver::new(settings(), fleet());
-    assert_eq!(d.router.split(), SHADOW_ENTRIES / 2);
+    let mut driver = Driver::new(settings(), fleet());
+    assert_eq!(driver.router.split(), SHADOW_ENTRIES / 2);
     // Misses with a short reuse distance and only parent fills: no L2 yet.
     for n in 0..60 {
-        d.serve(n, IDEMPOTENT, n as u64 % 20, FillReport::FilledBySource);
-        d.wait(20.0);
+        driver.serve(n, IDEMPOTENT, n as u64 % 20, FillReport::FilledBySource);
+        driver.advance(20.0);
     }
-    d.wait(PERIOD_MS);
-    assert_eq!(d.router.split(), SHADOW_ENTRIES / 2);
+    driver.advance(PERIOD_MS);
+    assert_eq!(driver.router.split(), SHADOW_ENTRIES / 2);
 }
 
 #[test]
 fn split_moves_by_at_most_q_once_both_latencies_are_known() {
-    let mut d = Driver::new(settings(), fleet());
+    let mut driver = Driver::new(settings(), fleet());
     // A scan over more objects than s1, twice: every second access is at a distance just beyond s1.
     let many = SHADOW_ENTRIES / 2 + 50;
     for n in 0..2 * many {
-        let note = if n % 2 == 0 { FillReport::FilledBySource } else { FillReport::FilledByOrigin };
-        let fetch = first_attempt(&d.ask(n, IDEMPOTENT, (n % many) as u64)).expect("a fetch");
-        let note = if n < 4 { note } else { FillReport::Hit };
-        d.end(n, 0, &fetch.server, AttemptResult::Served, note);
+        let fill_report = if n % 2 == 0 { FillReport::FilledBySource } else { FillReport::FilledByOrigin };
+        let fetch = first_attempt(&driver.request(n, IDEMPOTENT, (n % many) as u64)).expect("a fetch");
+        let fill_report = if n < 4 { fill_report } else { FillReport::Hit };
+        driver.finish(n, 0, &fetch.server, AttemptResult::Served, fill_report);
     }
-    let before = d.router.split();
-    d.wait(PERIOD_MS + 20.0);
-    let moved = d.router.split().abs_diff(before);
+    let before = driver.router.split();
+    driver.advance(PERIOD_MS + 20.0);
+    let moved = driver.router.split().abs_diff(before);
     assert!(moved > 0 && moved <= (SPLIT_STEP * SHADOW_ENTRIES as f64) as usize, "moved by {moved}");
-    assert!(d.router.split() > before);
+    assert!(driver.router.split() > before);
 }
 
 #[test]
 fn rank_follows_reuse_distance_and_later_parts_follow_the_first() {
-    let mut d = Driver::new(settings(), fleet());
-    assert_eq!(d.serve(0, IDEMPOTENT, 9, FillReport::Hit).rank, Rank::Low, "never seen");
+    let mut driver = Driver::new(settings(), fleet());
+    assert_eq!(driver.serve(0, IDEMPOTENT, 9, FillReport::Hit).rank, Rank::Low, "never seen");
     let part = |n: usize, part: u64| {
         Event::Request(Request { part: Part(part), ..request(n, IDEMPOTENT, 9, 4000.0) })
     };
-    let acts = d.handle(part(1, 1));
-    assert_eq!(first_attempt(&acts).map(|f| f.rank), Some(Rank::Low), "a later part is not filed");
-    assert_eq!(d.serve(2, IDEMPOTENT, 9, FillReport::Hit).rank, Rank::Top, "the second first part was near");
-    let acts = d.handle(part(3, 2));
-    assert_eq!(first_attempt(&acts).map(|f| f.rank), Some(Rank::Top));
+    let actions = driver.handle(part(1, 1));
+    assert_eq!(first_attempt(&actions).map(|f| f.rank), Some(Rank::Low), "a later part is not filed");
+    assert_eq!(
+        driver.serve(2, IDEMPOTENT, 9, FillReport::Hit).rank,
+        Rank::Top,
+        "the second first part was near"
+    );
+    let actions = driver.handle(part(3, 2));
+    assert_eq!(first_attempt(&actions).map(|f| f.rank), Some(Rank::Top));
 }
 
 #[test]
 fn all_fills_are_cached_and_uncacheable_responses_are_not() {
-    let mut d = Driver::new(settings(), fleet());
+    let mut driver = Driver::new(settings(), fleet());
     for n in 0..50 {
-        assert!(d.serve(n, IDEMPOTENT, n as u64, FillReport::FilledBySource).rank >= Rank::Low);
+        assert!(driver.serve(n, IDEMPOTENT, n as u64, FillReport::FilledBySource).rank >= Rank::Low);
     }
-    assert_eq!(d.serve(99, NON_IDEMPOTENT, 1, FillReport::NotReported).rank, Rank::None);
+    assert_eq!(driver.serve(99, NON_IDEMPOTENT, 1, FillReport::NotReported).rank, Rank::None);
 }
 
 #[test]
 fn placement_is_stable_when_one_cache_leaves() {
     let homes = |servers: Vec<Endpoint>| -> Vec<AttemptSpec> {
-        let mut d = Driver::new(settings(), servers);
-        (0..200).map(|n| d.serve(n, IDEMPOTENT, n as u64 * 7919, FillReport::Hit)).collect()
+        let mut driver = Driver::new(settings(), servers);
+        (0..200).map(|n| driver.serve(n, IDEMPOTENT, n as u64 * 7919, FillReport::Hit)).collect()
     };
     let all = homes(fleet());
     let mut fewer = fleet();
--- a/tests/settings/generators.rs
+++ b/tests/settings/generators.rs
@@ -120,7 +120,7 @@
     End {
         pick: usize,
         end: usize,
-        note: usize,
+        fill_report: usize,
         delay: f64,
         wait: f64,
     },
@@ -167,7 +167,7 @@
         8 => (ask, sizes).prop_map(|((class, object, part, budget), (size, write))|
             Step::Request { class, object, part, budget, size, write }),
         9 => (any::<usize>(), 0..AttemptResult::ALL.len(), 0..FILL_REPORTS.len(), delays(), delays())
-            .prop_map(|(pick, end, note, delay, wait)| Step::End { pick, end, note, delay, wait }),
+            .prop_map(|(pick, end, fill_report, delay, wait)| Step::End { pick, end, fill_report, delay, wait }),
         1 => (any::<usize>(), 0usize..9, 0..AttemptResult::ALL.len())
             .prop_map(|(pick, attempt, end)| Step::Unknown { pick, attempt, end }),
         1 => any::<usize>().prop_map(|pick| Step::StartResponse { pick }),
--- a/tests/settings/main.rs
+++ b/tests/settings/main.rs
@@ -21,65 +21,65 @@
 
     #[test]
     fn guarantees_hold_under_any_settings(
-        set in any_settings(), fleet in any_fleet(), prompt in any::<bool>(),
+        settings in any_settings(), fleet in any_fleet(), prompt in any::<bool>(),
         steps in prop::collection::vec(step(), 1..140),
     ) {
-        let mut world = World::new(set, prompt);
+        let mut world = World::new(settings, prompt);
         world.list(EndpointUpdate::Complete, fleet.clone())?;
         for (count, step) in steps.into_iter().enumerate() {
             world.step(step, &fleet, count)?;
             // The rest of the batch of events.
             world.process_due()?;
         }
-        world.wait(6000.0)?;
+        world.advance(6000.0)?;
         for (id, seen) in &world.seen {
             prop_assert_eq!(seen.answers, 1, "{:?}", id);
         }
         // Attempts in flight end without an action.
         for (id, n) in world.in_flight() {
-            world.end(&id, n, AttemptResult::TimedOut, FillReport::NotReported, 9000.0, 0.0)?;
+            world.finish(&id, n, AttemptResult::TimedOut, FillReport::NotReported, 9000.0, 0.0)?;
         }
         // A request id that is still pending would be ignored.
         for (id, seen) in std::mem::take(&mut world.seen) {
             let request = common::request(0, ClassId(99), seen.object, 1000.0);
-            let mut acts = Vec::new();
-            world.router.handle(world.now, Event::Request(Request { id: id.clone(), ..request }), &mut acts);
-            prop_assert_eq!(acts, vec![Action::Reject(id, 0.0)]);
+            let mut actions = Vec::new();
+            world.router.handle(world.now, Event::Request(Request { id: id.clone(), ..request }), &mut actions);
+            prop_assert_eq!(actions, vec![Action::Reject(id, 0.0)]);
         }
     }
 }
 
 #[test]
 fn source_that_fails_before_any_response_has_a_finite_penalty() {
-    let mut d = common::Driver::new(settings(), common::fleet());
+    let mut driver = common::Driver::new(settings(), common::fleet());
     for n in 0..4 {
-        let sent = common::first_attempt(&d.ask(n, common::IDEMPOTENT, 5)).expect("a fetch");
-        d.end(n, 0, &sent.server, AttemptResult::Rejected, FillReport::SourceRejected);
+        let sent = common::first_attempt(&driver.request(n, common::IDEMPOTENT, 5)).expect("a fetch");
+        driver.finish(n, 0, &sent.server, AttemptResult::Rejected, FillReport::SourceRejected);
         // Any update recomputes the order.
-        d.handle(Event::Endpoints(EndpointUpdate::Delta, Vec::new()));
+        driver.handle(Event::Endpoints(EndpointUpdate::Delta, Vec::new()));
     }
-    let penalties: Vec<f64> = d.router.snapshot().servers.iter().map(|s| s.weight_penalty_log).collect();
+    let penalties: Vec<f64> = driver.router.snapshot().servers.iter().map(|s| s.weight_penalty_log).collect();
     assert!(penalties.iter().all(|p| p.is_finite()) && penalties.iter().any(|p| *p < 0.0), "{penalties:?}");
 }
 
 #[test]
 fn fast_cache_is_not_limited_without_a_latency_objective() {
-    let mut set = settings();
-    set.classes[0].latency_objective = 0.0;
+    let mut settings = settings();
+    settings.classes[0].latency_objective = 0.0;
     let edge = endpoint("edge-0", Role::Edge);
-    let mut d = common::Driver::new(set, vec![edge.clone(), endpoint("parent-0", Role::Parent)]);
-    let ask = |d: &mut common::Driver, n: usize| {
+    let mut driver = common::Driver::new(settings, vec![edge.clone(), endpoint("parent-0", Role::Parent)]);
+    let ask = |driver: &mut common::Driver, n: usize| {
         let request = common::request(n, common::IDEMPOTENT, n as u64, 4000.0);
-        common::first_attempt(&d.handle(Event::Request(Request { size_kb: 80.0, ..request })))
+        common::first_attempt(&driver.handle(Event::Request(Request { size_kb: 80.0, ..request })))
     };
     for n in 0..40 {
-        assert!(ask(&mut d, n).is_some(), "{n}");
+        assert!(ask(&mut driver, n).is_some(), "{n}");
     }
     for n in 0..20 {
-        d.wait(10.0);
-        d.outcome(n, 0, &edge.id, AttemptResult::Served, FillReport::Hit, 12.0);
+        driver.advance(10.0);
+        driver.finish_in(n, 0, &edge.id, AttemptResult::Served, FillReport::Hit, 12.0);
         assert!(
-            ask(&mut d, 100 + n).is_some_and(|f| f.server == edge.id),
+            ask(&mut driver, 100 + n).is_some_and(|f| f.server == edge.id),
             "limited after {n} fast responses"
         );
     }
@@ -88,44 +88,49 @@
 #[test]
 fn listed_start_in_the_future_leaves_a_warming_server_its_budget() {
     for known in [false, true] {
-        let mut set = settings();
-        set.classes[0].latency_objective = 50.0;
-        let mut d = common::Driver::new(set, if known { common::fleet() } else { Vec::new() });
+        let mut settings = settings();
+        settings.classes[0].latency_objective = 50.0;
+        let mut driver = common::Driver::new(settings, if known { common::fleet() } else { Vec::new() });
         // The clock of its machine is ahead by two seconds; it is the only cache.
-        let started = Some(d.now + 2000.0);
+        let started = Some(driver.now + 2000.0);
         let cold = Endpoint { started, ..endpoint("edge-0", Role::Edge) };
-        d.handle(Event::Endpoints(EndpointUpdate::Complete, vec![cold, endpoint("parent-0", Role::Parent)]));
+        driver.handle(Event::Endpoints(
+            EndpointUpdate::Complete,
+            vec![cold, endpoint("parent-0", Role::Parent)],
+        ));
         let edge = common::server_id("edge-0");
-        let mut asked = 0;
-        let mut sent = |d: &mut common::Driver| {
-            asked += 200;
-            let fetched =
-                |n: usize| common::first_attempt(&d.ask(n, common::IDEMPOTENT, n as u64)).map(|f| (n, f));
-            let all: Vec<_> = (asked - 200..asked).filter_map(fetched).collect();
+        let mut requested = 0;
+        let mut sent = |driver: &mut common::Driver| {
+            requested += 200;
+            let fetched = |n: usize| {
+                common::first_attempt(&driver.request(n, common::IDEMPOTENT, n as u64)).map(|f| (n, f))
+            };
+            let all: Vec<_> = (requested - 200..requested).filter_map(fetched).collect();
             all.into_iter().filter(|(_, f)| f.server == edge).map(|(n, _)| n).collect::<Vec<_>>()
         };
         // The router's former process may have sent all of a window.
-        assert_eq!(sent(&mut d).len(), 0, "the router has just started");
-        d.wait(1000.0);
+        assert_eq!(sent(&mut driver).len(), 0, "the router has just started");
+        driver.advance(1000.0);
         // Before any response no cost is known.
-        let first = sent(&mut d);
+        let first = sent(&mut driver);
         assert_eq!(first.len(), 1, "one in a window");
-        d.outcome(first[0], 0, &edge, AttemptResult::Served, FillReport::Hit, 50.0);
+        driver.finish_in(first[0], 0, &edge, AttemptResult::Served, FillReport::Hit, 50.0);
         // Twice 0.2 of its capacity, assumed to be 0.8 of its listed weight: 320 ms of sending time in a second, for
         // requests of 50 ms. After one response the cost of each is estimated as 75 ms.
-        assert_eq!(first.len() + sent(&mut d).len(), 4, "requests of 50 ms, estimated high");
+        assert_eq!(first.len() + sent(&mut driver).len(), 4, "requests of 50 ms, estimated high");
     }
 }
 
 #[test]
 fn restarted_servers_serve_without_a_slow_start_policy() {
     for (multiple, window) in [(0.0, 1000.0), (2.0, 0.0), (0.0, 0.0)] {
-        let mut set = settings();
-        set.edge_slow_start = SlowStartPolicy { multiple, window, ..set.edge_slow_start };
-        let mut d = common::Driver::new(set, vec![endpoint("parent-0", Role::Parent)]);
-        d.restart("edge-0", Role::Edge);
+        let mut settings = settings();
+        settings.edge_slow_start = SlowStartPolicy { multiple, window, ..settings.edge_slow_start };
+        let mut driver = common::Driver::new(settings, vec![endpoint("parent-0", Role::Parent)]);
+        driver.restart("edge-0", Role::Edge);
         for n in 0..20 {
-            let sent = common::first_attempt(&d.ask(n, common::IDEMPOTENT, n as u64)).map(|f| f.server);
+            let sent =
+                common::first_attempt(&driver.request(n, common::IDEMPOTENT, n as u64)).map(|f| f.server);
             assert_eq!(sent, Some(common::server_id("edge-0")), "{multiple} times for {window} ms");
         }
     }
@@ -133,27 +138,31 @@
 
 #[test]
 fn retry_with_an_idempotency_key_ends_and_is_rejected_only_within_its_window() {
-    let mut d = common::Driver::new(settings(), common::fleet());
-    let first = common::first_attempt(&d.ask(1, common::WITH_KEY, 5)).expect("a fetch");
+    let mut driver = common::Driver::new(settings(), common::fleet());
+    let first = common::first_attempt(&driver.request(1, common::WITH_KEY, 5)).expect("a fetch");
     assert!(first.timeout > 3000.0, "the first has the whole time");
-    d.wait(800.0);
-    let again = d.end(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported);
+    driver.advance(800.0);
+    let again = driver.finish(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported);
     let again = common::first_attempt(&again).expect("within its window");
     // It has to arrive within the window, also if it waits for a connection.
-    assert!((150.0..=180.0).contains(&(again.start_before - d.now)), "{}", again.start_before - d.now);
-    d.wait(201.0);
-    let acts = d.end(1, 1, &again.server, AttemptResult::NotSent, FillReport::NotReported);
-    assert!(common::is_failed(&acts, 1), "the key is no longer recognised: {acts:?}");
+    assert!(
+        (150.0..=180.0).contains(&(again.start_before - driver.now)),
+        "{}",
+        again.start_before - driver.now
+    );
+    driver.advance(201.0);
+    let actions = driver.finish(1, 1, &again.server, AttemptResult::NotSent, FillReport::NotReported);
+    assert!(common::is_failed(&actions, 1), "the key is no longer recognised: {actions:?}");
     // One that is in flight at its deadline.
-    d.ask(2, common::WITH_KEY, 6);
-    assert!(common::is_failed(&d.wait(4000.0), 2));
+    driver.request(2, common::WITH_KEY, 6);
+    assert!(common::is_failed(&driver.advance(4000.0), 2));
 }
 
 #[test]
 fn answers_are_in_time_where_a_tick_delays_a_sweep() {
     for tick in [0.1, 5.0, 10.0, 15.0, 19.0, 50.0] {
-        let set = Settings { tick, ..settings() };
-        let mut world = World::new(set, false);
+        let settings = Settings { tick, ..settings() };
+        let mut world = World::new(settings, false);
         world.list(EndpointUpdate::Complete, common::fleet()).expect("a list");
         for n in 0..300 {
             let ask = Step::Request {
@@ -165,9 +174,9 @@
                 write: false,
             };
             world.step(ask, &[], n).expect("a request");
-            world.wait(tick.max(0.7) * (1.1 + 0.3 * (n % 7) as f64)).expect("in time");
+            world.advance(tick.max(0.7) * (1.1 + 0.3 * (n % 7) as f64)).expect("in time");
         }
-        world.wait(1000.0).expect("in time");
+        world.advance(1000.0).expect("in time");
         assert!(world.seen.values().all(|s| s.answers == 1));
     }
 }
--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -24,26 +24,26 @@
     pub object: u64,
     pub due: Ms,
     pub answers: usize,
-    pub tries: Vec<TrackedAttempt>,
+    pub attempts: Vec<TrackedAttempt>,
     /// When the first finished attempt was sent that may have been executed.
     pub executed_since: Option<Ms>,
 }
 
 impl Seen {
     pub fn in_flight_count(&self) -> usize {
-        self.tries.iter().filter(|t| !t.over).count()
+        self.attempts.iter().filter(|t| !t.over).count()
     }
 
     /// When the first attempt was sent that may have been executed, or may yet be.
     pub fn first_possible_execution(&self) -> Option<Ms> {
-        self.executed_since.or_else(|| self.tries.iter().find(|t| !t.over).map(|t| t.sent))
+        self.executed_since.or_else(|| self.attempts.iter().find(|t| !t.over).map(|t| t.sent))
     }
 }
 
 /// A router, its clock, and the state of the checker.
 pub struct World {
     pub router: Router,
-    pub set: Settings,
+    pub settings: Settings,
     pub now: Ms,
     pub timers: Vec<(Ms, u64)>,
     /// Attempts end at their timeouts; otherwise only by random steps.
@@ -58,10 +58,10 @@
 pub type Checked = Result<(), TestCaseError>;
 
 impl World {
-    pub fn new(set: Settings, prompt: bool) -> Self {
+    pub fn new(settings: Settings, prompt: bool) -> Self {
         Self {
-            router: Router::new(set.clone(), 7),
-            set,
+            router: Router::new(settings.clone(), 7),
+            settings,
             now: 1_000_000.0,
             timers: Vec::new(),
             prompt,
@@ -73,9 +73,9 @@
     }
 
     pub fn handle(&mut self, event: Event) -> Checked {
-        let mut acts = Vec::new();
-        self.router.handle(self.now, event, &mut acts);
-        acts.into_iter().try_for_each(|act| self.check(act))?;
+        let mut actions = Vec::new();
+        self.router.handle(self.now, event, &mut actions);
+        actions.into_iter().try_for_each(|action| self.check(action))?;
         for s in self.router.snapshot().servers {
             prop_assert!(
                 s.weight_penalty_log.is_finite() && s.weight_penalty_log <= 0.0,
@@ -94,14 +94,14 @@
         Ok(())
     }
 
-    pub fn check(&mut self, act: Action) -> Checked {
-        match act {
+    pub fn check(&mut self, action: Action) -> Checked {
+        match action {
             Action::StartAttempt(fetch) => self.check_attempt(&fetch),
             Action::Reject(id, retry_after) => {
-                let max = if self.set.retry_after { self.set.max_retry_after } else { 0.0 };
+                let max = if self.settings.retry_after { self.settings.max_retry_after } else { 0.0 };
                 prop_assert!((0.0..=max).contains(&retry_after), "Retry-After of {retry_after} above {max}");
                 let (class, since) = self.answered(&id)?;
-                let Some((class, since)) = class.map(|c| &self.set.classes[c]).zip(since) else {
+                let Some((class, since)) = class.map(|c| &self.settings.classes[c]).zip(since) else {
                     return Ok(());
                 };
                 let within = self.now < since + class.key_window;
@@ -119,8 +119,8 @@
             }
             Action::Fail(id) => self.answered(&id).map(|_| ()),
             Action::CancelAttempt(id, n) => {
-                prop_assert!(self.set.cancel, "cancelled where that is not allowed");
-                prop_assert!(n.0 < self.seen[&id].tries.len());
+                prop_assert!(self.settings.cancel, "cancelled where that is not allowed");
+                prop_assert!(n.0 < self.seen[&id].attempts.len());
                 Ok(())
             }
             Action::Timer(after, token) => {
@@ -129,7 +129,7 @@
                 Ok(())
             }
             Action::WatchEndpoints => {
-                prop_assert!(self.set.must_watch_endpoints);
+                prop_assert!(self.settings.must_watch_endpoints);
                 Ok(())
             }
             Action::Log(_) => Ok(()),
@@ -147,14 +147,17 @@
     }
 
     pub fn check_attempt(&mut self, f: &AttemptSpec) -> Checked {
-        let (now, set) = (self.now, &self.set);
+        let (now, settings) = (self.now, &self.settings);
         let seen = self.seen.get_mut(&f.request).expect("a known request");
         prop_assert_eq!(seen.answers, 0, "started after the final answer");
-        let class = &set.classes[seen.class.expect("a class of the settings")];
+        let class = &settings.classes[seen.class.expect("a class of the settings")];
         prop_assert!(f.timeout.is_finite() && f.timeout > 0.0 && now + f.timeout <= seen.due);
-        prop_assert!(seen.tries.len() < set.max_attempts, "beyond the limit on attempts");
-        let out = seen.in_flight_count();
-        prop_assert!(out == 0 || (set.hedging && out == 1 && class.idempotency == Idempotency::Idempotent));
+        prop_assert!(seen.attempts.len() < settings.max_attempts, "beyond the limit on attempts");
+        let in_flight = seen.in_flight_count();
+        prop_assert!(
+            in_flight == 0
+                || (settings.hedging && in_flight == 1 && class.idempotency == Idempotency::Idempotent)
+        );
         if let Some(since) = seen.first_possible_execution() {
             prop_assert!(class.idempotency != Idempotency::NonIdempotent, "executed twice");
             let ends = since + class.key_window;
@@ -167,9 +170,9 @@
         let target = self.up.get(&f.server);
         prop_assert!(target.is_some(), "{:?} is not up", f.server);
         let target = target.expect("just seen");
-        let near = target.role != Role::Edge || target.zone == set.zone;
+        let near = target.role != Role::Edge || target.zone == settings.zone;
         prop_assert!(
-            near && (target.role == Role::Edge || set.direct_to_parents),
+            near && (target.role == Role::Edge || settings.direct_to_parents),
             "{:?} may not be used",
             f.server
         );
@@ -177,9 +180,12 @@
             let source = self.up.get(&f.fill_source);
             prop_assert!(source.is_some_and(|s| s.role != Role::Edge), "{:?} is no source", f.fill_source);
         }
-        for (object, group, purged, told) in &self.purges {
+        for (object, group, purged, notified) in &self.purges {
             let named = object.map_or(*group == seen.object % 3, |o| o == seen.object);
-            if named && now > told + set.purge_grace && now < purged + set.purge_convergence_time {
+            if named
+                && now > notified + settings.purge_grace
+                && now < purged + settings.purge_convergence_time
+            {
                 let age = f.max_age.unwrap_or(f64::INFINITY);
                 prop_assert!(
                     age > 0.0 && age <= (now - purged).max(MIN_AGE_MS),
@@ -188,30 +194,30 @@
             }
         }
         let server = f.server.clone();
-        seen.tries.push(TrackedAttempt { server, sent: now, until: now + f.timeout, over: false });
+        seen.attempts.push(TrackedAttempt { server, sent: now, until: now + f.timeout, over: false });
         Ok(())
     }
 
     /// Ends an attempt, as a transport would.
-    pub fn end(
+    pub fn finish(
         &mut self,
         id: &RequestId,
         n: usize,
         end: AttemptResult,
-        note: FillReport,
+        fill_report: FillReport,
         delay: Ms,
         wait: Ms,
     ) -> Checked {
         let seen = self.seen.get_mut(id).expect("a known request");
-        let over = std::mem::replace(&mut seen.tries[n].over, true);
+        let over = std::mem::replace(&mut seen.attempts[n].over, true);
         let proved = proves_no_pending_execution(end);
         if !proved && !over {
-            seen.executed_since = seen.executed_since.or(Some(seen.tries[n].sent));
+            seen.executed_since = seen.executed_since.or(Some(seen.attempts[n].sent));
         }
         if end == AttemptResult::Served && !over {
             seen.answers = 1;
         }
-        let (server, last) = (seen.tries[n].server.clone(), seen.answers > 0);
+        let (server, last) = (seen.attempts[n].server.clone(), seen.answers > 0);
         let outcome = Outcome {
             request: id.clone(),
             attempt: AttemptNo(n),
@@ -219,7 +225,7 @@
             result: end,
             latency: delay,
             completes_request: last,
-            fill_report: note,
+            fill_report,
             source_wait: wait,
             load: LoadReport::default(),
             body_complete: true,
@@ -229,8 +235,8 @@
 
     pub fn in_flight(&self) -> Vec<(RequestId, usize)> {
         let of = |(id, s): (&RequestId, &Seen)| {
-            let out = s.tries.iter().enumerate().filter(|(_, t)| !t.over);
-            out.map(|(n, _)| (id.clone(), n)).collect::<Vec<_>>()
+            let in_flight = s.attempts.iter().enumerate().filter(|(_, t)| !t.over);
+            in_flight.map(|(n, _)| (id.clone(), n)).collect::<Vec<_>>()
         };
         self.seen.iter().flat_map(of).collect()
     }
@@ -240,10 +246,10 @@
         if self.prompt {
             for (id, n) in self.in_flight() {
                 // The end of another one may have ended it as well.
-                let t = &self.seen[&id].tries[n];
+                let t = &self.seen[&id].attempts[n];
                 if t.until <= self.now && !t.over {
                     let took = self.now - t.sent;
-                    self.end(&id, n, AttemptResult::TimedOut, FillReport::NotReported, took, 0.0)?;
+                    self.finish(&id, n, AttemptResult::TimedOut, FillReport::NotReported, took, 0.0)?;
                 }
             }
         }
@@ -253,23 +259,23 @@
     }
 
     /// Lets time pass; due events come in batches at least a tick apart.
-    pub fn wait(&mut self, span: Ms) -> Checked {
+    pub fn advance(&mut self, span: Ms) -> Checked {
         let end = self.now + span;
         loop {
             let ends = self
                 .in_flight()
                 .into_iter()
                 .filter(|_| self.prompt)
-                .map(|(id, n)| self.seen[&id].tries[n].until);
+                .map(|(id, n)| self.seen[&id].attempts[n].until);
             let next = self.timers.iter().map(|t| t.0).chain(ends).fold(f64::INFINITY, f64::min);
-            let batch = next.max(self.now + self.set.tick);
+            let batch = next.max(self.now + self.settings.tick);
             if batch > end {
                 break;
             }
             self.now = batch;
             self.process_due()?;
         }
-        self.now = end.max(self.now + self.set.tick);
+        self.now = end.max(self.now + self.settings.tick);
         Ok(())
     }
 
@@ -298,10 +304,16 @@
         };
         match step {
             Step::Request { class, object, part, budget, size, write } => {
-                let known = class.filter(|c| *c < self.set.classes.len());
+                let known = class.filter(|c| *c < self.settings.classes.len());
                 let due = self.now + budget.max(0.0);
-                let seen =
-                    Seen { class: known, object, due, answers: 0, tries: Vec::new(), executed_since: None };
+                let seen = Seen {
+                    class: known,
+                    object,
+                    due,
+                    answers: 0,
+                    attempts: Vec::new(),
+                    executed_since: None,
+                };
                 self.seen.insert(request_id(count), seen);
                 self.handle(Event::Request(Request {
                     id: request_id(count),
@@ -314,19 +326,20 @@
                     budget,
                 }))
             }
-            Step::End { pick, end, note, delay, wait } => {
+            Step::End { pick, end, fill_report, delay, wait } => {
                 let outs = self.in_flight();
                 let Some((id, n)) = (!outs.is_empty()).then(|| outs[pick % outs.len()].clone()) else {
                     return Ok(());
                 };
-                self.end(&id, n, AttemptResult::ALL[end], FILL_REPORTS[note], delay, wait)
+                self.finish(&id, n, AttemptResult::ALL[end], FILL_REPORTS[fill_report], delay, wait)
             }
             Step::Unknown { pick, attempt, end } => {
                 // An unknown or finished attempt, of an unknown request or any other.
-                let asked: Vec<RequestId> = self.seen.keys().cloned().collect();
-                let id = asked.get(pick % (asked.len() + 1)).cloned().unwrap_or_else(|| request_id(9999));
-                let tries = self.seen.get(&id).map_or(&[][..], |s| &s.tries);
-                if tries.get(attempt).is_some_and(|t| !t.over) {
+                let requested: Vec<RequestId> = self.seen.keys().cloned().collect();
+                let id =
+                    requested.get(pick % (requested.len() + 1)).cloned().unwrap_or_else(|| request_id(9999));
+                let attempts = self.seen.get(&id).map_or(&[][..], |s| &s.attempts);
+                if attempts.get(attempt).is_some_and(|t| !t.over) {
                     return Ok(());
                 }
                 let end = if AttemptResult::ALL[end] == AttemptResult::Served {
@@ -392,7 +405,7 @@
                 prop_assert!(late.iter().all(|id| self.seen[id].answers == 1), "not answered after a stop");
                 Ok(())
             }
-            Step::Wait { span } => self.wait(span),
+            Step::Wait { span } => self.advance(span),
         }
     }
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -83,7 +83,7 @@
 
 struct World {
     driver: Driver,
-    set: Settings,
+    settings: Settings,
     due: BTreeMap<(u64, u64), Due>,
     events: u64,
     incarnation: u64,
@@ -107,14 +107,14 @@
 
 impl World {
     fn new(seed: u64) -> Self {
-        let mut set = settings();
-        (set.zone_routers, set.routers, set.approximate_weights) = (1, 1, false);
-        (set.edge_slow_start, set.parent_slow_start) = (POLICY, POLICY);
-        let mut driver = Driver::at(1_000.0, set.clone(), seed, Self::list(None));
+        let mut settings = settings();
+        (settings.zone_routers, settings.routers, settings.approximate_weights) = (1, 1, false);
+        (settings.edge_slow_start, settings.parent_slow_start) = (POLICY, POLICY);
+        let mut driver = Driver::at(1_000.0, settings.clone(), seed, Self::list(None));
         driver.router.report_writes();
         let mut world = Self {
             driver,
-            set,
+            settings,
             due: BTreeMap::new(),
             events: seed << 20,
             incarnation: 0,
@@ -201,7 +201,7 @@
                 self.in_flight.clear();
                 self.on_wire.clear();
                 let list = Self::list(Some(self.listed).filter(|at| *at > 0.0));
-                self.driver = Driver::at(now, self.set.clone(), self.incarnation, list);
+                self.driver = Driver::at(now, self.settings.clone(), self.incarnation, list);
                 self.driver.router.report_writes();
             }
             Step::Wait(span) => self.run(now + span),
@@ -211,31 +211,31 @@
     fn run(&mut self, end: Ms) {
         while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 as f64 / 1000.0 <= end) {
             let ((at, _), due) = entry.remove_entry();
-            self.wait((at as f64 / 1000.0).max(self.driver.now));
+            self.advance((at as f64 / 1000.0).max(self.driver.now));
             self.process(due);
         }
-        self.wait(end);
+        self.advance(end);
     }
 
-    fn wait(&mut self, until: Ms) {
-        let acts = self.driver.wait((until - self.driver.now).max(0.0));
-        self.apply(acts);
+    fn advance(&mut self, until: Ms) {
+        let actions = self.driver.advance((until - self.driver.now).max(0.0));
+        self.apply(actions);
     }
 
     fn handle(&mut self, event: Event) {
-        let acts = self.driver.handle(event);
-        self.apply(acts);
+        let actions = self.driver.handle(event);
+        self.apply(actions);
     }
 
-    fn apply(&mut self, acts: Vec<Action>) {
-        for act in acts {
-            match act {
+    fn apply(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
                 Action::StartAttempt(fetch) => self.begin(fetch),
                 Action::CancelAttempt(request, number) => {
                     let request = request.0[1..].parse().expect("a number");
                     let found = self.in_flight.keys().find(|a| (a.request, a.number) == (request, number.0));
                     if let Some(attempt) = found.cloned() {
-                        self.end(attempt, AttemptResult::Cancelled, FillReport::NotReported, false);
+                        self.finish(attempt, AttemptResult::Cancelled, FillReport::NotReported, false);
                     }
                 }
                 _ => {}
@@ -259,10 +259,10 @@
     fn end_all(&mut self, end: AttemptResult) {
         let here: Vec<Attempt> =
             self.in_flight.keys().filter(|a| a.server == server_id(NAME)).cloned().collect();
-        here.into_iter().for_each(|attempt| self.end(attempt, end, FillReport::NotReported, false));
+        here.into_iter().for_each(|attempt| self.finish(attempt, end, FillReport::NotReported, false));
     }
 
-    fn end(&mut self, attempt: Attempt, end: AttemptResult, note: FillReport, whole: bool) {
+    fn finish(&mut self, attempt: Attempt, end: AttemptResult, fill_report: FillReport, whole: bool) {
         let Some(began) = self.in_flight.remove(&attempt) else { return };
         let end = if self.on_wire.remove(&attempt) { end } else { AttemptResult::NotSent };
         self.handle(Event::Outcome(Outcome {
@@ -272,7 +272,7 @@
             result: end,
             latency: self.driver.now - began,
             completes_request: end == AttemptResult::Served,
-            fill_report: note,
+            fill_report,
             source_wait: 0.0,
             load: LoadReport::default(),
             body_complete: whole,
@@ -285,12 +285,12 @@
             Due::Request(object) => {
                 self.requested += 1;
                 self.objects.insert(self.requested, object);
-                let acts = self.driver.ask(self.requested, IDEMPOTENT, object);
-                self.apply(acts);
+                let actions = self.driver.request(self.requested, IDEMPOTENT, object);
+                self.apply(actions);
             }
             Due::Written(attempt) if self.in_flight.contains_key(&attempt) => {
                 if attempt.server == server_id(NAME) && !self.up {
-                    return self.end(attempt, AttemptResult::NoConnection, FillReport::NotReported, false);
+                    return self.finish(attempt, AttemptResult::NoConnection, FillReport::NotReported, false);
                 }
                 self.on_wire.insert(attempt.clone());
                 self.handle(Event::RequestWritten(request_id(attempt.request), AttemptNo(attempt.number)));
@@ -317,10 +317,10 @@
                 }
                 let began = self.in_flight.get(&attempt).copied().unwrap_or(now);
                 let whole = now - began > 2.0 * UNCHANGED_MS;
-                self.end(attempt, AttemptResult::Served, FillReport::Hit, whole);
+                self.finish(attempt, AttemptResult::Served, FillReport::Hit, whole);
             }
             Due::TimeOut(attempt) => {
-                self.end(attempt, AttemptResult::TimedOut, FillReport::NotReported, false)
+                self.finish(attempt, AttemptResult::TimedOut, FillReport::NotReported, false)
             }
             Due::Start => {
                 self.up = true;
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -53,16 +53,18 @@
 const MANY: Case = Case { routers: 300, size: 22.0, demand: 2.0, seeds: 1, ..USUAL };
 
 fn set(case: &Case) -> Settings {
-    let mut set = settings();
-    (set.zone_routers, set.routers, set.approximate_weights) = (case.routers, case.routers, false);
-    set.edge_slow_start = SlowStartPolicy { share: 0.24, span: 17_000.0, multiple: 4.0, window: 1500.0 };
-    set.parent_slow_start = SlowStartPolicy { share: 0.062, span: 21_000.0, multiple: 2.0, window: 1500.0 };
-    set
+    let mut settings = settings();
+    (settings.zone_routers, settings.routers, settings.approximate_weights) =
+        (case.routers, case.routers, false);
+    settings.edge_slow_start = SlowStartPolicy { share: 0.24, span: 17_000.0, multiple: 4.0, window: 1500.0 };
+    settings.parent_slow_start =
+        SlowStartPolicy { share: 0.062, span: 21_000.0, multiple: 2.0, window: 1500.0 };
+    settings
 }
 
 /// Requests per window that slow start allows a server of an age.
-fn allowed(set: &Settings, case: &Case, age: Ms) -> f64 {
-    let rule = set.slow_start(case.role);
+fn allowed(settings: &Settings, case: &Case, age: Ms) -> f64 {
+    let rule = settings.slow_start(case.role);
     let share = rule.share + (1.0 - rule.share) * (age / rule.span).clamp(0.0, 1.0);
     rule.multiple * share * case.size * rule.window / case.sending_time
 }
@@ -90,7 +92,7 @@
 
 struct Run {
     case: Case,
-    set: Settings,
+    settings: Settings,
     seed: u64,
     random_draws: u64,
     due: BTreeMap<(u64, u64), Due>,
@@ -107,13 +109,13 @@
 
 impl Run {
     fn new(case: Case, seed: u64) -> Self {
-        let set = set(&case);
+        let settings = set(&case);
         let sized = |e: Endpoint| Endpoint { weight: case.size, ..e };
         let fleet: Vec<Endpoint> = fleet().into_iter().map(sized).collect();
         let restarted: Vec<ServerId> =
             fleet.iter().filter(|e| e.role == case.role).take(case.restarted).map(|e| e.id.clone()).collect();
         let router = |k: usize| {
-            let mut driver = Driver::at(1000.0, set.clone(), mix(seed, k as u64), fleet.clone());
+            let mut driver = Driver::at(1000.0, settings.clone(), mix(seed, k as u64), fleet.clone());
             driver.router.report_writes();
             driver
         };
@@ -126,7 +128,7 @@
             now: 1000.0,
             random_draws: 0,
             case,
-            set,
+            settings,
             seed,
             fleet,
             restarted,
@@ -146,8 +148,8 @@
     /// The time until a router's next request.
     fn gap(&mut self, k: usize) -> Ms {
         let servers = self.fleet.iter().filter(|e| e.role == self.case.role).count() as f64;
-        let all = self.case.demand * servers * allowed(&self.set, &self.case, 0.0)
-            / self.set.slow_start(self.case.role).window;
+        let all = self.case.demand * servers * allowed(&self.settings, &self.case, 0.0)
+            / self.settings.slow_start(self.case.role).window;
         let parts = self.case.first + self.case.routers as f64 - 1.0;
         let own = all * if k == 0 { self.case.first } else { 1.0 } / parts;
         -self.random().ln() / own
@@ -158,8 +160,8 @@
         self.schedule(self.now + gap, Due::Request(k));
         self.random_draws += 1;
         let (n, object) = (self.random_draws as usize, (self.random() * 500.0) as u64);
-        let acts = self.routers[k].ask(n, IDEMPOTENT, object);
-        let Some(f) = first_attempt(&acts) else { return };
+        let actions = self.routers[k].request(n, IDEMPOTENT, object);
+        let Some(f) = first_attempt(&actions) else { return };
         let (case, incarnation) = (self.case, self.incarnations[k]);
         let mut connect = |to: &ServerId| {
             let drawn = self.now + self.random() * case.opening;
@@ -170,7 +172,7 @@
             restarted.into_iter().for_each(|c| self.reached[c].push(self.now + delay));
             delay
         };
-        let (note, waited) = match case.role {
+        let (fill_report, waited) = match case.role {
             Role::Edge => (FillReport::Hit, 0.0),
             _ => (FillReport::FilledBySource, 20.0 + connect(&f.fill_source)),
         };
@@ -186,7 +188,7 @@
             result: end,
             latency: delay,
             completes_request: last,
-            fill_report: note,
+            fill_report,
             source_wait,
             load,
             body_complete: true,
@@ -207,7 +209,7 @@
         }
         if let Some((from, to)) = self.case.restart {
             let windows = from + (to - from) * self.random();
-            self.schedule(started + windows * self.set.slow_start(self.case.role).window, Due::Restart);
+            self.schedule(started + windows * self.settings.slow_start(self.case.role).window, Due::Restart);
         }
         while let Some(((at, _), due)) = self.due.pop_first() {
             self.now = at as f64 / 1000.0;
@@ -221,15 +223,15 @@
                     for k in 0..self.case.routers {
                         self.incarnations[k] += 1;
                         let seed = mix(self.seed, (k as u64) << (8 * self.incarnations[k]));
-                        self.routers[k] = Driver::at(self.now, self.set.clone(), seed, list.clone());
+                        self.routers[k] = Driver::at(self.now, self.settings.clone(), seed, list.clone());
                         self.routers[k].router.report_writes();
                     }
                     continue;
                 }
                 Due::Request(k) | Due::Listed(k) | Due::Written(k, ..) | Due::Response(k, ..) => {
-                    let d = &mut self.routers[k];
-                    d.wait(self.now - d.now);
-                    d.log.clear();
+                    let driver = &mut self.routers[k];
+                    driver.advance(self.now - driver.now);
+                    driver.log.clear();
                 }
             }
             match due {
@@ -253,7 +255,7 @@
 
     /// Compares every window that ends with an arrival; of several servers the highest and the least used count.
     fn figures(mut self, started: Ms) -> Figures {
-        let window = self.set.slow_start(self.case.role).window;
+        let window = self.settings.slow_start(self.case.role).window;
         let (mut most, mut used) = (0f64, f64::INFINITY);
         for all in &mut self.reached {
             all.retain(|at| *at >= started);
@@ -263,11 +265,12 @@
                 while all[first] <= at - window {
                     first += 1;
                 }
-                let allowed = allowed(&self.set, &self.case, at - started);
+                let allowed = allowed(&self.settings, &self.case, at - started);
                 most = most.max((n + 1 - first) as f64 / bound(allowed));
             }
             let steps = (0..(COUNTED_MS as usize)).step_by(100);
-            let may: f64 = steps.map(|t| allowed(&self.set, &self.case, t as f64) * 100.0 / window).sum();
+            let may: f64 =
+                steps.map(|t| allowed(&self.settings, &self.case, t as f64) * 100.0 / window).sum();
             used = used.min(all.len() as f64 / may);
         }
         Figures { most, used }
@@ -348,15 +351,15 @@
             all[if known { 2 } else { 4 }].started = Some(1000.0 + WARM_MS + ahead);
             all
         };
-        let mut d = Driver::new(set(&USUAL), if known { fleet() } else { fleet()[..2].to_vec() });
+        let mut driver = Driver::new(set(&USUAL), if known { fleet() } else { fleet()[..2].to_vec() });
         for n in 0..10 {
-            d.serve(n, IDEMPOTENT, n as u64, FillReport::Hit);
-            d.wait(WARM_MS / 10.0);
+            driver.serve(n, IDEMPOTENT, n as u64, FillReport::Hit);
+            driver.advance(WARM_MS / 10.0);
         }
-        d.handle(Event::Endpoints(EndpointUpdate::Complete, list(1000.0)));
+        driver.handle(Event::Endpoints(EndpointUpdate::Complete, list(1000.0)));
         let restarted = list(0.0).into_iter().find(|e| e.started.is_some()).expect("one").id;
         let sent = (10..510).filter(|n| {
-            let f = d.serve(*n, IDEMPOTENT, *n as u64, FillReport::FilledBySource);
+            let f = driver.serve(*n, IDEMPOTENT, *n as u64, FillReport::FilledBySource);
             f.server == restarted || f.fill_source == restarted
         });
         let (sent, case) = (
