--- a/src/api.rs
+++ b/src/api.rs
@@ -138,7 +138,7 @@
     ];
 }
 
-/// How a cache came by its response, or why it has none.
+/// How a cache obtained its response, or why it has none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillReport {
     /// The server reports nothing.
@@ -195,7 +195,7 @@
     pub latency: Ms,
     /// Whether the request has its final answer, by this outcome or an earlier one.
     pub completes_request: bool,
-    /// How the cache came by its response.
+    /// How the cache obtained its response.
     pub fill_report: FillReport,
     /// Milliseconds until the source's first byte or the fill's failure; 0 if not reported.
     pub source_wait: Ms,
@@ -212,7 +212,7 @@
     Delta,
     /// It is complete; servers that it lacks are removed.
     Complete,
-    /// Polling the list failed; the previous one stays valid.
+    /// Polling the list failed; the previous one remains valid.
     Failed,
 }
 
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -118,7 +118,7 @@
     pub peer_fill: PeerFill,
     /// Highest rate of one response in KB per second; 0 if unknown.
     pub response_rate_kb_per_s: f64,
-    /// Whether the router has to ask for the endpoint list.
+    /// Whether the router has to request the endpoint list.
     pub must_watch_endpoints: bool,
     /// Whether listed weights, in responses at full rate, are approximate or missing (a missing one is 1).
     pub approximate_weights: bool,
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,4 +1,4 @@
-//! The start and the end of an attempt: what its message says, and what its outcome is used for.
+//! The start and the end of an attempt: the contents of its message, and the use of its outcome.
 //!
 //! Inputs: the route of `selection`, and outcomes with latencies in milliseconds. Every outcome is first
 //! evaluated by the modules that learn from it; then the request is complete, continues, or gets its next
@@ -92,7 +92,7 @@
         } else if pending.answered || pending.in_flight().next().is_some() {
             self.remove_if_finished(index);
         } else if matches!(outcome.fill_report, FillReport::OriginFailed | FillReport::SourceRejected) {
-            // Any other source would ask the same origin.
+            // Any other source would depend on the same origin.
             self.reject_or_fail(index, actions);
         } else {
             self.dispatch(index, actions);
--- a/src/routing/concurrency_limit.rs
+++ b/src/routing/concurrency_limit.rs
@@ -172,7 +172,7 @@
         self.zone_link.permits(self.now, self.expected_link_fills(), headroom_factor)
     }
 
-    /// Whether an origin whose limit is below one may be asked: it is asked for one thing at a time, because
+    /// Whether the origin takes a fill. One whose limit is below one gets one fill at a time, because
     /// it reports nothing about a fill in progress.
     pub(super) fn origin_takes_turn(&self, origin: ServerIndex) -> bool {
         let busy = || self.requests.iter().any(|pending| pending.may_fill_from_origin());
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -241,7 +241,7 @@
     }
 
     /// Moves listed process starts into the past, in milliseconds. A start that was inferred was seen by this
-    /// router's own clock and stays.
+    /// router's own clock and is not moved.
     fn shift_listed_starts(&mut self, by: Ms) {
         for server in self.servers.values_mut() {
             server.warmup.shift_listed(server.entry.started, by);
--- a/src/routing/feedback.rs
+++ b/src/routing/feedback.rs
@@ -1,4 +1,4 @@
-//! What an outcome says about the concurrency limits of the cache, the source and the zone's link.
+//! How an outcome changes the concurrency limits of the cache, the source and the zone's link.
 //!
 //! Inputs: the outcome of an attempt with its latency in milliseconds, its fill report and the probability
 //! that it needed a fill. A failure counts against the server that caused it: what a parent's origin did
--- a/src/routing/fill_sources.rs
+++ b/src/routing/fill_sources.rs
@@ -35,7 +35,7 @@
         &self.order
     }
 
-    /// Whether the origin may be asked where no source is available.
+    /// Whether the origin may be the source where no other is available.
     pub fn allows_origin(&self) -> bool {
         self.origin_allowed
     }
--- a/src/routing/load_shedding.rs
+++ b/src/routing/load_shedding.rs
@@ -1,7 +1,7 @@
 //! When a request gets no further attempt, and whether its final answer is a rejection or a failure.
 //!
 //! Inputs: the client's remaining time and the sending time of the response, in milliseconds, the attempts
-//! made so far, and the retry policy. A rejection tells the client that a new request is safe and when to
+//! made so far, and the retry policy. A rejection means that a new request is safe and when to
 //! send it, so it falls under the same rule as a retry; everything else fails. The final answer is out at
 //! least a margin before the client's time is up.
 
--- a/src/routing/outlier_ejection.rs
+++ b/src/routing/outlier_ejection.rs
@@ -1,8 +1,8 @@
-//! Which servers are ejected, and how they come back.
+//! Which servers are ejected, and how they recover.
 //!
 //! Inputs: outcomes of attempts, and the time in milliseconds that attempts have been in flight. A server is
 //! ejected when too many connections to it are refused, or when it is silent: attempts at it are overdue and
-//! nothing has come from it since they were sent. Single errors, rejections and timeouts do not eject it,
+//! it has not responded since they were sent. Single errors, rejections and timeouts do not eject it,
 //! since the request's next attempt goes elsewhere and the server may serve everything else well. An ejected
 //! server is probed with one attempt at a time after a backoff that doubles with each failed probe.
 
@@ -62,7 +62,7 @@
 pub(super) struct OutlierState {
     pub health: Health,
     consecutive_ejections: u32,
-    /// Whether it was unreachable or silent when it was ejected, so that it may come back with an empty
+    /// Whether it was unreachable or silent when it was ejected, so that it may recover with an empty
     /// cache.
     unreachable: bool,
     /// Decayed share of refused connections.
@@ -152,7 +152,7 @@
         server.outlier.accepts(self.now, server.in_flight)
     }
 
-    /// Updates the health of the servers that an outcome says something about.
+    /// Updates the health of the servers that an outcome concerns.
     pub(super) fn record_health(
         &mut self,
         attempt: &FinishedAttempt,
@@ -236,7 +236,7 @@
                 self.eject(index, unreachable, "refuses connections", actions);
             }
             Health::Probing { successes: 0 } if failed => {
-                self.eject(index, unreachable, "failed its trial", actions);
+                self.eject(index, unreachable, "failed a probe", actions);
             }
             Health::Probing { successes } if failed => {
                 outlier.health = Health::Probing { successes: successes - 1 };
@@ -246,7 +246,7 @@
                     // The list may not show the new process yet.
                     server.warmup.infer_restart(self.now);
                 }
-                let text = format!("{} back after its trial", server.entry.id.0);
+                let text = format!("{} recovered after probing", server.entry.id.0);
                 self.log(actions, text);
             }
             Health::Probing { successes } => {
@@ -259,7 +259,7 @@
     fn eject(&mut self, index: ServerIndex, unreachable: bool, reason: &str, actions: &mut Vec<Action>) {
         let server = &mut self.endpoints[index];
         let duration = server.outlier.eject(self.now, unreachable);
-        let text = format!("{} out for {duration:.0} ms: {reason}", server.entry.id.0);
+        let text = format!("{} ejected for {duration:.0} ms: {reason}", server.entry.id.0);
         self.log(actions, text);
     }
 
@@ -306,18 +306,19 @@
         let attempt = &mut self.requests.get_mut(request)?.attempts[number.0];
         attempt.times_overdue += 1;
         let Route { server, source, .. } = attempt.route;
-        let unheard = |server: &ServerIndex| endpoints[*server].outlier.last_response <= attempt.sent_at;
-        let silence = if unheard(&server) {
+        let is_silent = |server: &ServerIndex| endpoints[*server].outlier.last_response <= attempt.sent_at;
+        let silence = if is_silent(&server) {
             Some(Silence { server, evidence: OVERDUE_EVIDENCE })
         } else {
-            let source = source.filter(unheard);
+            let source = source.filter(is_silent);
             source.map(|server| Silence { server, evidence: attempt.fill_probability })
         };
         attempt.excluded = silence.as_ref().map(|silence| silence.server);
         silence
     }
 
-    /// Whether there is enough evidence to eject a server. The last healthy parent or origin stays.
+    /// Whether there is enough evidence to eject a server. The last healthy parent or origin is never
+    /// ejected.
     fn is_silent(&self, index: ServerIndex) -> bool {
         let server = &self.endpoints[index];
         let role = server.entry.role;
--- a/src/routing/ranking.rs
+++ b/src/routing/ranking.rs
@@ -45,7 +45,7 @@
     split: usize,
     /// L1, the mean latency of a fill from a source's copy.
     source_latency: MovingAverage,
-    /// L2, the mean latency of a fill for which the origin was asked.
+    /// L2, the mean latency of a fill from the origin.
     origin_latency: MovingAverage,
 }
 
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Moves the split and ages both lists. Without both latencies the split stays.
+    /// Moves the split and ages both lists. Without both latencies the split does not move.
     pub fn adapt(&mut self) {
         if let (Some(l1), Some(l2)) = (self.source_latency.get(), self.origin_latency.get()) {
             let step = (SPLIT_STEP * SHADOW_ENTRIES as f64) as usize;
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -10,13 +10,13 @@
 use indexmap::IndexMap;
 use std::ops::{Index, IndexMut};
 
-/// Deviation, as a logarithm, beyond which an attempt in flight is first reported as slow.
+/// An attempt in flight first counts as slow at twice this latency ratio, which is a logarithm.
 const INITIAL_LATENCY_RATIO_LOG: f64 = 1.0;
 
 /// Where an attempt goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Route {
-    /// The server that is asked.
+    /// The server that the attempt is sent to.
     pub server: ServerIndex,
     /// The source from which it fills a miss; `None` if it is to fill none.
     pub source: Option<ServerIndex>,
@@ -51,7 +51,7 @@
 }
 
 impl Attempt {
-    /// An attempt that was just sent. Its server stays excluded until the outcome shows otherwise.
+    /// An attempt that was just sent. Its server is excluded unless the outcome clears it.
     pub fn new(route: Route, sent_at: Ms, cost: Ms, send_key: SendKey, fill_probability: f64) -> Self {
         Self {
             route,
@@ -149,7 +149,7 @@
         self.attempts.iter().any(|attempt| attempt.excluded == Some(server))
     }
 
-    /// Whether an attempt is in flight whose source may have to ask the origin.
+    /// Whether an attempt is in flight whose source may need the origin.
     pub fn may_fill_from_origin(&self) -> bool {
         self.in_flight().any(|a| !a.route.cached_only && a.route.source.is_some() && a.fill_probability > 0.0)
     }
--- a/src/routing/slow_start/cost_estimate.rs
+++ b/src/routing/slow_start/cost_estimate.rs
@@ -40,7 +40,7 @@
 
     /// The mean plus its assumed error; `None` before the first sample.
     pub fn upper_bound(&self) -> Option<Ms> {
-        // One sample shows no deviation; the sample itself stands in for it.
+        // One sample has no deviation; the sample itself replaces it.
         let deviation = if self.samples < 2 { self.mean } else { self.variance.sqrt() };
         let standard_error = deviation / f64::from(self.samples.max(1)).sqrt();
         (self.samples > 0).then_some(self.mean + ADDED_STANDARD_ERRORS * standard_error)
--- a/src/routing/slow_start/mod.rs
+++ b/src/routing/slow_start/mod.rs
@@ -31,7 +31,7 @@
 /// When the process of a server started.
 #[derive(Clone, Copy)]
 pub(super) struct Warmup {
-    /// When it started, or came back as if it had; `None` if long ago.
+    /// When it started or presumably restarted; `None` if long ago.
     started: Option<Ms>,
     /// When it started by the list. Earlier sends arrived at another process. `None` if the list has no
     /// start, or one that seemed to be in the future.
@@ -45,19 +45,19 @@
         Self { started: listed.map(|at| at.min(now)), listed_start: listed.filter(|at| *at <= now) }
     }
 
-    /// The list shows a new process. A later restart that was inferred stays.
+    /// Records a new process of the list. A later start that was inferred remains.
     pub fn process_started(&mut self, listed: Option<Ms>, now: Ms) {
         let of_process = Self::new(listed, now);
         self.started = of_process.started.into_iter().chain(self.started).reduce(f64::max);
         self.listed_start = of_process.listed_start;
     }
 
-    /// The server may have restarted by now.
+    /// Records that the server may have restarted just now.
     pub fn infer_restart(&mut self, now: Ms) {
         self.started = Some(now);
     }
 
-    /// When the process started, or came back as if it had.
+    /// When the process started or presumably restarted.
     pub fn started(&self) -> Option<Ms> {
         self.started
     }
@@ -144,7 +144,7 @@
             || self.now - first_event_at >= window
     }
 
-    /// Whether this router's moment within its first turn at a server has come. The moments of all routers
+    /// Whether this router's moment within its first turn at a server has passed. The moments of all routers
     /// are spread by their seeds.
     fn is_own_turn(&self, server: &Server, age: Ms, turn: Ms) -> bool {
         let first_event_at = self.first_event_at.unwrap_or(self.now);
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -26,7 +26,7 @@
     pub latency_ratio_log: Option<f64>,
     /// Whether it is ejected, or probed after an ejection.
     pub ejected: bool,
-    /// When it started, or came back as if it had.
+    /// When it started or presumably restarted.
     pub warmup_started: Option<Ms>,
 }
 
--- a/src/routing/statistics.rs
+++ b/src/routing/statistics.rs
@@ -82,7 +82,7 @@
     classes: Vec<ClassStatistics>,
     objects: IndexMap<ObjectId, ObjectStatistics>,
     response_rate_kb_per_s: f64,
-    /// Share of fills for which the origin was asked.
+    /// Share of fills that reached the origin.
     pub origin_fill_share: MovingAverage,
 }
 
--- a/src/routing/weight_penalty.rs
+++ b/src/routing/weight_penalty.rs
@@ -122,7 +122,7 @@
         server.penalty.latency_ratio_log().zip(usual).map_or(0.0, |(ratio, usual)| (ratio - usual).max(0.0))
     }
 
-    /// Adjusts the penalties of the servers that an outcome says something about.
+    /// Adjusts the penalties of the servers that an outcome measures.
     pub(super) fn adjust_penalties(&mut self, attempt: &FinishedAttempt, outcome: &Outcome) {
         let Route { server, source, .. } = attempt.route;
         // A response without a body does not show how fast a body would have been sent.
--- a/tests/failure_handling.rs
+++ b/tests/failure_handling.rs
@@ -19,7 +19,7 @@
     serve_hits(&mut driver, 0, 100);
     let f = first_attempt(&driver.request(1000, IDEMPOTENT, 1)).expect("a fetch");
     let actions = driver.advance(300.0);
-    assert_eq!(count_log_lines(&actions, "out for"), 0);
+    assert_eq!(count_log_lines(&actions, "ejected for"), 0);
     assert!(driver.finish_in(1000, 0, &f.server, AttemptResult::Served, FillReport::Hit, 300.0).is_empty());
 }
 
@@ -31,7 +31,7 @@
     for n in 100..104 {
         driver.request(n, IDEMPOTENT, n as u64);
     }
-    assert_eq!(count_log_lines(&driver.advance(2000.0), "out for"), 0);
+    assert_eq!(count_log_lines(&driver.advance(2000.0), "ejected for"), 0);
 }
 
 /// A parent that accepts fills and never responds is ejected, not the caches that wait for it.
@@ -49,11 +49,11 @@
             driver.finish(n, 0, &f.server, AttemptResult::Served, FillReport::FilledBySource);
         }
         actions.extend(driver.advance(10.0));
-        if count_log_lines(&actions, "out for") > 0 {
+        if count_log_lines(&actions, "ejected for") > 0 {
             break;
         }
     }
-    assert_eq!(count_log_lines(&actions, "parent-1 out for"), 1, "{actions:?}");
+    assert_eq!(count_log_lines(&actions, "parent-1 ejected for"), 1, "{actions:?}");
     assert_eq!(count_log_lines(&actions, "edge"), 0);
     // Its attempts are cancelled and then filled from another source, at the same cache if necessary.
     let (n, at) = actions
@@ -112,7 +112,7 @@
         driver.handle(Event::ClientDisconnected(request_id(n)));
         driver.finish(n, 0, &f.server, AttemptResult::Cancelled, FillReport::NotReported);
     }
-    assert_eq!(count_log_lines(&actions, "out for"), 0);
+    assert_eq!(count_log_lines(&actions, "ejected for"), 0);
     assert_eq!(count_log_lines(&actions, "parent"), 0, "{actions:?}");
 }
 
@@ -376,7 +376,7 @@
             actions.extend(driver.finish(n, 0, &f.server, AttemptResult::Served, FillReport::Hit));
         }
     }
-    assert_eq!(count_log_lines(&actions, "out for"), 0);
+    assert_eq!(count_log_lines(&actions, "ejected for"), 0);
 }
 
 /// One failure after a success does not end probing; a first failure does.
@@ -407,12 +407,12 @@
     let mut n = 0;
     loop {
         n += 1;
-        if count_log_lines(&step(&mut driver, n, AttemptResult::NoConnection), "edge-1 out for") > 0 {
+        if count_log_lines(&step(&mut driver, n, AttemptResult::NoConnection), "edge-1 ejected for") > 0 {
             break;
         }
     }
     driver.advance(1100.0);
-    assert_eq!(count_log_lines(&step(&mut driver, 100, AttemptResult::Error), "failed its trial"), 1);
+    assert_eq!(count_log_lines(&step(&mut driver, 100, AttemptResult::Error), "failed a probe"), 1);
     driver.advance(2100.0);
     for (k, end) in
         [AttemptResult::Served, AttemptResult::Error, AttemptResult::Served, AttemptResult::Served]
@@ -421,5 +421,5 @@
     {
         assert_eq!(count_log_lines(&step(&mut driver, 200 + k, end), "edge-1"), 0);
     }
-    assert_eq!(count_log_lines(&step(&mut driver, 300, AttemptResult::Served), "back after its trial"), 1);
+    assert_eq!(count_log_lines(&step(&mut driver, 300, AttemptResult::Served), "recovered after probing"), 1);
 }
--- a/tests/sparse_traffic.rs
+++ b/tests/sparse_traffic.rs
@@ -111,7 +111,7 @@
             }
             actions.extend(driver.advance(50.0));
         }
-        (requests, count_log_lines(&actions, "edge-2 out for"))
+        (requests, count_log_lines(&actions, "edge-2 ejected for"))
     };
     let (requests, in_flight) = lose(4);
     assert!(requests > 40 && in_flight == 0, "{requests} requests, ejected {in_flight} times");
