--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -1,7 +1,7 @@
-//! What is heard of sites, on its way round: told by one router, passed on by all, older with each stay, gone after a span.
+//! Evidence on sites: observed by one router, gossiped by all, older at each hop, dropped after a span.
 //!
-//! It travels beside the SWIM library's messages and not as one of its broadcasts: those are sent on with the bytes that came,
-//! and an age has to grow while they wait.
+//! It is attached to the SWIM library's messages instead of being one of its broadcasts: the library forwards broadcasts byte by byte, but
+//! the age of evidence grows while it waits. Inputs: own and received evidence, the limits of the settings; ages in milliseconds.
 
 use crate::{Evidence, MembershipError, Settings};
 use basaltgw_types::{Member, Ms, RouterId};
@@ -9,141 +9,185 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The longest name of a site, in bytes.
-const MOST_SITE: usize = 64;
+/// The longest name of a site.
+const MAX_SITE_BYTES: usize = 64;
 
-/// A piece of evidence under way.
+/// Evidence as it is gossiped.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Item {
-    /// Who heard it.
+pub(crate) struct EvidenceUpdate {
+    /// The router that observed it.
     pub origin: Member,
-    /// The start of its origin: numbers of another start say nothing about order.
+    /// A random number of the origin's process; serials of different processes are not comparable.
     pub start: u64,
-    /// Counted up with each that its origin told.
+    /// Counted up by the origin with each update.
     pub serial: u64,
-    /// What; its age is that at the time of sending.
+    /// The evidence, with its age when the message was sent.
     pub evidence: Evidence,
 }
 
-struct Kept {
-    item: Item,
-    /// The own time at which it had the item's age.
-    since: Ms,
-    /// Messages that it is still to go with.
-    left: u8,
+impl EvidenceUpdate {
+    fn key(&self) -> EvidenceKey {
+        EvidenceKey { origin: self.origin.router.clone(), site: self.evidence.site.clone() }
+    }
+}
+
+/// Evidence of one router on one site.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvidenceKey {
+    origin: RouterId,
+    site: Arc<str>,
+}
+
+struct StoredUpdate {
+    update: EvidenceUpdate,
+    /// When the update had the age that it says, on this router's clock.
+    received_at: Ms,
+    transmissions_left: u8,
 }
 
-impl Kept {
+impl StoredUpdate {
     fn age(&self, now: Ms) -> Ms {
-        self.item.evidence.age + (now - self.since).max(0.0)
+        self.update.evidence.age + (now - self.received_at).max(0.0)
     }
 }
 
-/// All evidence that is known here, by who heard it and of what.
-pub(crate) struct Store {
-    kept: BTreeMap<(RouterId, Arc<str>), Kept>,
+/// All evidence that this router knows.
+pub(crate) struct EvidenceStore {
+    updates: BTreeMap<EvidenceKey, StoredUpdate>,
     start: u64,
-    serial: u64,
+    last_serial: u64,
 }
 
-impl Store {
+impl EvidenceStore {
+    /// An empty store; `start` is a random number of this process.
     pub fn new(start: u64) -> Self {
-        Self { kept: BTreeMap::new(), start, serial: 0 }
+        Self { updates: BTreeMap::new(), start, last_serial: 0 }
     }
 
-    /// Something was heard here.
-    pub fn heard(
+    /// Stores evidence that this router observed.
+    ///
+    /// # Errors
+    /// If the evidence is invalid, or a limit is reached.
+    pub fn add_local(
         &mut self,
         now: Ms,
         me: &Member,
         evidence: Evidence,
-        set: &Settings,
+        settings: &Settings,
     ) -> Result<(), MembershipError> {
-        sound(&evidence)?;
-        self.serial += 1;
-        let item = Item { origin: me.clone(), start: self.start, serial: self.serial, evidence };
-        self.keep(now, item, set).map(|_| ())
+        validate(&evidence)?;
+        self.last_serial += 1;
+        let update =
+            EvidenceUpdate { origin: me.clone(), start: self.start, serial: self.last_serial, evidence };
+        self.insert(now, update, settings).map(|_| ())
     }
 
-    /// Another passes something sound on; whether it is news.
-    pub fn told(&mut self, now: Ms, item: &Item, set: &Settings) -> Result<bool, MembershipError> {
-        if item.evidence.age >= set.evidence_span {
+    /// Stores valid evidence of another router; true if it is new.
+    ///
+    /// # Errors
+    /// If the origin's limit is reached.
+    pub fn add_remote(
+        &mut self,
+        now: Ms,
+        update: &EvidenceUpdate,
+        settings: &Settings,
+    ) -> Result<bool, MembershipError> {
+        if update.evidence.age >= settings.max_evidence_age {
             return Ok(false);
         }
-        let is = self.kept.get(&(item.origin.router.clone(), item.evidence.site.clone()));
-        let newer = is.is_none_or(|is| match (item.origin == is.item.origin, item.start == is.item.start) {
-            (true, true) => item.serial > is.item.serial,
-            (true, false) | (false, _) => item.evidence.age < is.age(now),
+        let is_newer = self.updates.get(&update.key()).is_none_or(|known| {
+            let same_process = update.origin == known.update.origin && update.start == known.update.start;
+            match same_process {
+                true => update.serial > known.update.serial,
+                false => update.evidence.age < known.age(now),
+            }
         });
-        Ok(newer && self.keep(now, item.clone(), set)?)
+        Ok(is_newer && self.insert(now, update.clone(), settings)?)
     }
 
-    /// Whether there was room for it.
-    fn keep(&mut self, now: Ms, item: Item, set: &Settings) -> Result<bool, MembershipError> {
-        let key = (item.origin.router.clone(), item.evidence.site.clone());
-        if !self.kept.contains_key(&key) {
-            let of_origin =
-                self.kept.range((key.0.clone(), Arc::from(""))..).take_while(|(k, _)| k.0 == key.0);
-            if of_origin.count() >= set.most_sites {
-                return Err(MembershipError::LimitReached("sites of one router", set.most_sites));
+    /// Inserts an update, and evicts the oldest one if the store is full. False if the update itself is the oldest.
+    fn insert(
+        &mut self,
+        now: Ms,
+        update: EvidenceUpdate,
+        settings: &Settings,
+    ) -> Result<bool, MembershipError> {
+        let key = update.key();
+        if !self.updates.contains_key(&key) {
+            if self.sites_of(&key.origin) >= settings.max_sites_per_router {
+                let limit = settings.max_sites_per_router;
+                return Err(MembershipError::LimitReached("sites of one router", limit));
             }
-            if self.kept.len() >= set.most_evidence {
-                // News before what is known long.
-                let oldest = self.kept.iter().max_by(|a, b| a.1.age(now).total_cmp(&b.1.age(now)));
-                match oldest.filter(|(_, k)| k.age(now) > item.evidence.age).map(|(k, _)| k.clone()) {
-                    Some(oldest) => self.kept.remove(&oldest),
-                    None => return Ok(false),
-                };
+            if self.updates.len() >= settings.max_evidence && !self.evict_older(now, update.evidence.age) {
+                return Ok(false);
             }
         }
-        self.kept.insert(key, Kept { item, since: now, left: set.spread });
+        let transmissions_left = settings.transmissions;
+        self.updates.insert(key, StoredUpdate { update, received_at: now, transmissions_left });
         Ok(true)
     }
 
-    /// Forgets what is too old. Whether anything is still to be passed on.
-    pub fn tidy(&mut self, now: Ms, set: &Settings) -> bool {
-        self.kept.retain(|_, k| k.age(now) < set.evidence_span);
-        self.waits()
+    /// The number of sites of which evidence of a router is stored.
+    fn sites_of(&self, origin: &RouterId) -> usize {
+        let first = EvidenceKey { origin: origin.clone(), site: Arc::from("") };
+        self.updates.range(first..).take_while(|(key, _)| key.origin == *origin).count()
+    }
+
+    /// Evicts the oldest update, if it is older than that.
+    fn evict_older(&mut self, now: Ms, age: Ms) -> bool {
+        let oldest = self.updates.iter().max_by(|a, b| a.1.age(now).total_cmp(&b.1.age(now)));
+        let oldest = oldest.filter(|(_, stored)| stored.age(now) > age).map(|(key, _)| key.clone());
+        oldest.is_some_and(|key| self.updates.remove(&key).is_some())
+    }
+
+    /// Drops outdated evidence. True if evidence is still to be gossiped.
+    pub fn expire(&mut self, now: Ms, settings: &Settings) -> bool {
+        self.updates.retain(|_, stored| stored.age(now) < settings.max_evidence_age);
+        self.has_pending()
     }
 
-    /// Whether anything is still to be passed on.
-    pub fn waits(&self) -> bool {
-        self.kept.values().any(|k| k.left > 0)
+    /// True if evidence is still to be gossiped.
+    pub fn has_pending(&self) -> bool {
+        self.updates.values().any(|stored| stored.transmissions_left > 0)
     }
 
-    /// What goes with a message: what went least often, the youngest first, up to some bytes.
-    pub fn take(&mut self, now: Ms, set: &Settings) -> Vec<Item> {
-        let mut due: Vec<_> = self.kept.values_mut().filter(|k| k.left > 0).collect();
-        due.sort_by(|a, b| b.left.cmp(&a.left).then(a.age(now).total_cmp(&b.age(now))));
-        let (mut items, mut bytes) = (Vec::new(), 0);
-        for kept in due {
-            let age = kept.age(now);
-            let item = Item { evidence: Evidence { age, ..kept.item.evidence.clone() }, ..kept.item.clone() };
-            bytes += postcard::to_allocvec(&item).map_or(0, |b| b.len());
-            if bytes > set.evidence_bytes {
+    /// The evidence for a message, up to the byte limit: the least often sent first, then the youngest.
+    pub fn take_for_message(&mut self, now: Ms, settings: &Settings) -> Vec<EvidenceUpdate> {
+        let mut pending: Vec<_> = self.updates.values_mut().filter(|s| s.transmissions_left > 0).collect();
+        pending.sort_by(|a, b| {
+            let by_transmissions = b.transmissions_left.cmp(&a.transmissions_left);
+            by_transmissions.then(a.age(now).total_cmp(&b.age(now)))
+        });
+        let (mut updates, mut bytes) = (Vec::new(), 0);
+        for stored in pending {
+            let age = stored.age(now);
+            let evidence = Evidence { age, ..stored.update.evidence.clone() };
+            let update = EvidenceUpdate { evidence, ..stored.update.clone() };
+            bytes += postcard::to_allocvec(&update).map_or(0, |b| b.len());
+            if bytes > settings.max_evidence_bytes {
                 break;
             }
-            kept.left -= 1;
-            items.extend((age < set.evidence_span).then_some(item));
+            stored.transmissions_left -= 1;
+            updates.extend((age < settings.max_evidence_age).then_some(update));
         }
-        items
+        updates
     }
 }
 
-/// Whether it can be taken for what was heard of a site.
-pub(crate) fn sound(e: &Evidence) -> Result<(), MembershipError> {
-    let named = (1..=MOST_SITE).contains(&e.site.len()) && !e.site.chars().any(char::is_control);
-    let span = |ms: Ms| ms.is_finite() && ms >= 0.0;
-    match (named, span(e.latency), span(e.age)) {
-        (true, true, true) => Ok(()),
-        (false, _, _) => {
-            Err(MembershipError::Evidence("site", format!("expected 1 to {MOST_SITE} bytes of plain text")))
-        }
-        (_, false, _) => {
-            Err(MembershipError::Evidence("latency", format!("expected 0 ms or more, found {}", e.latency)))
-        }
-        (_, _, false) => {
-            Err(MembershipError::Evidence("age", format!("expected 0 ms or more, found {}", e.age)))
+/// Checks the ranges of evidence.
+///
+/// # Errors
+/// [`MembershipError::Evidence`] names the first field that is invalid.
+pub(crate) fn validate(evidence: &Evidence) -> Result<(), MembershipError> {
+    let site = &evidence.site;
+    if !(1..=MAX_SITE_BYTES).contains(&site.len()) || site.chars().any(char::is_control) {
+        let expected = format!("expected 1 to {MAX_SITE_BYTES} bytes of plain text");
+        return Err(MembershipError::Evidence("site", expected));
+    }
+    for (field, span) in [("latency", evidence.latency), ("age", evidence.age)] {
+        if !(span.is_finite() && span >= 0.0) {
+            return Err(MembershipError::Evidence(field, format!("expected 0 ms or more, found {span}")));
         }
     }
+    Ok(())
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,43 +1,42 @@
-//! Which routers there are and what is heard of them, by SWIM: evidence for others, never a decision.
+//! SWIM membership: which routers exist, in which state, and gossiped evidence on sites. All of it is advisory.
 //!
-//! State in, events in, actions out; time and random numbers are handed in. A router that returns with another folder is another
-//! incarnation; its former self is gone for good. Where routers are and in which domain goes round with the membership, and so does evidence on
-//! sites (a few bytes each, with an end), which is advisory only.
+//! Events in, actions out; time and random numbers are handed in. A router that returns with another disk is another incarnation, and its
+//! former one is down for good. Addresses, domains and evidence are gossiped along with the membership.
 //!
-//! # What it stands on
+//! # The SWIM library
 //!
 //! SWIM with suspicion (Das, Gupta, Motivala, *SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol*, DSN 2002)
-//! as the library `foca` 2 (MPL-2.0) has it: no I/O, no clock, timers and random numbers handed in, so that it runs in simulated time here.
-//! Weighed besides: `memberlist` and `chitchat` (they bring sockets and an async runtime), own code (the probing and suspicion are a hundred
-//! small cases that the library has tests for). What the library leaves to its user is decided here: which of two lives of one name is the
-//! current one, how they learn of each other ([`Event::Met`]: each says what it knows of the other before anything else), bounds on members,
-//! and evidence, whose age has to grow while it waits (its broadcasts go on with the bytes that came).
+//! by the library `foca` 2 (MPL-2.0): without I/O, clock, timers or random numbers of its own, so that it runs in simulated time. The
+//! alternatives `memberlist` and `chitchat` bring sockets and an async runtime. This package decides what the library leaves open: which of two
+//! identities of one name is current, how routers learn of it ([`Event::LinkUp`]: hellos are exchanged before anything else), limits on
+//! members, and evidence, whose age must grow while it waits (the library forwards broadcasts byte by byte).
 //!
-//! # Two lives of one name
+//! # Two incarnations of one name
 //!
-//! A life names the folders that it came in place of. It is told of them when it meets a router that knows one, and puts itself after them; a
-//! former life that hears of its successor is over at once ([`State::Down`] of itself), whatever number it had reached. Clocks have no say. Two
-//! machines that are given one name by mistake and come at once both put themselves after the other: the numbers, then the folders' random
-//! names decide, and one is over. Who was held to be down without another life in its place (a cut, a pause) comes back as itself, counted up.
+//! An identity lists the incarnations that it has replaced. A router learns of them from the hellos of routers that know one, and raises its
+//! generation above theirs. A former incarnation that learns of its successor leaves at once ([`State::Down`] of itself), whatever its
+//! generation. Clocks are not involved. If two machines are given one name by mistake and start together, both list the other: the generation
+//! decides, then the random incarnation, and one leaves. A router that was considered down without having been replaced (a partition, a pause)
+//! returns as itself with a higher generation.
 //!
-//! # Promised, and not
+//! # Guarantees
 //!
-//! Every timer, map and message is bounded ([`Settings`]). Ages of evidence are at least what they say: time on the wire isn't counted. States are
-//! opinions and may differ between routers at any moment; nothing that must be safe may rest on them.
+//! Every timer, map and message is bounded ([`Settings`]). The age of evidence is at most what is reported plus the time on the wire. States
+//! are opinions and may differ between routers; nothing that must be safe may depend on them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 #[cfg(test)]
 mod byte_tests;
 mod evidence;
-mod life;
-mod roster;
+mod identity;
+mod inbound;
+mod membership;
+mod message;
+mod runtime;
 mod settings;
-mod sink;
-mod talk;
-mod wire;
 
-pub use roster::{Counters, Membership};
+pub use membership::{Counters, Membership, Peer};
 pub use settings::Settings;
 
 use basaltgw_types::{Domain, Member, Ms, RouterId};
@@ -48,103 +47,103 @@
 /// A router as the membership knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
-    /// Who.
+    /// The router and its incarnation.
     pub member: Member,
-    /// Where it listens for peers.
+    /// The address on which it accepts links.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its failure domain.
     pub domain: Domain,
 }
 
-/// What is heard of a site (a zone's caches, a router), for others to weigh.
+/// Observations of a site (a zone's caches, a router).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Which site.
+    /// The site.
     pub site: Arc<str>,
-    /// Missed and answered of late, and the latency of those that were answered, in milliseconds.
+    /// Requests without a response.
     pub missed: u32,
-    /// See `missed`.
+    /// Requests with a response.
     pub answered: u32,
-    /// See `missed`.
+    /// The latency of the responses, in milliseconds.
     pub latency: Ms,
-    /// How old it is, in milliseconds: nobody's clock is compared with another's.
+    /// The age of the observations, in milliseconds; clocks of different routers are not compared.
     pub age: Ms,
 }
 
-/// How a router is.
+/// The state of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It has not answered, and others are asked.
+    /// It has not answered, and is probed through others.
     Suspect,
-    /// It is held to be down. It returns as the same member if it was only cut off or paused, and never once another incarnation of its
-    /// name is heard of. Told of the own member: another incarnation has taken its place, and the roster says no more.
+    /// It is considered down. It returns as the same member if it was cut off or paused, but never once another incarnation of its name is
+    /// known. Reported of the own member: another incarnation has replaced it, and it sends nothing more.
     Down,
 }
 
-/// What the roster is told.
+/// An input of [`Membership::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A link to a listed router is up, and its hello said this. The first event about a router; its bytes come after it.
+    /// A link to a listed router is up, with this hello. It precedes the router's messages.
     LinkUp(Presence),
-    /// Bytes of another roster.
+    /// The bytes of a message from another membership.
     MessageReceived(Member, Vec<u8>),
-    /// Something was heard of a site here.
+    /// Evidence that this router has observed.
     LocalEvidence(Evidence),
-    /// A timer came due; those that are due together come in the order of their times. One that is not known any more does nothing.
+    /// The timer of this number expired; timers that expire together come in the order of their times. Unknown numbers have no effect.
     Timer(u64),
-    /// The own router ends in order.
+    /// This router shuts down.
     Leave,
 }
 
-/// What it wants done.
+/// An output of [`Membership::handle`], to be executed by the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Carry bytes to another roster.
+    /// Sends bytes to another membership.
     Send(Member, Vec<u8>),
-    /// Wake it after this time.
+    /// Starts a timer: the delay in milliseconds, and its number.
     Timer(Ms, u64),
     /// A router's state has changed.
     StateChanged(Presence, State),
-    /// Others have heard something of a site.
+    /// Another router has observed evidence.
     RemoteEvidence(Member, Evidence),
-    /// A line for the operators.
+    /// A log line.
     Log(String),
 }
 
-/// Why an event was refused; nothing changed.
+/// Why an event was rejected; it changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
     /// The router is not one that the configuration lists.
     #[error("{0}: expected a router that is listed")]
     NotListed(RouterId),
-    /// A message speaks for another than its sender, or for the own name.
+    /// A message speaks for another router than its sender, or for this router.
     #[error("{from}: a message that speaks for {says}")]
     SenderMismatch {
-        /// Who sent it.
+        /// The sender.
         from: Member,
-        /// For whom it speaks.
+        /// The router in the message.
         says: Member,
     },
-    /// A message can't be read.
-    #[error("a message of a roster: {0}")]
+    /// A message can't be decoded.
+    #[error("membership message: {0}")]
     MalformedMessage(String),
-    /// A message is longer than any roster writes.
-    #[error("a message of a roster: expected at most {most} bytes, found {found}")]
+    /// A message is longer than any membership sends.
+    #[error("membership message: expected at most {most} bytes, found {found}")]
     TooLong {
-        /// The bound.
+        /// The limit.
         most: usize,
-        /// Its bytes.
+        /// The message's bytes.
         found: usize,
     },
-    /// A bound is met.
-    #[error("{0}: {1} are known, which is as many as may be")]
+    /// A limit is reached.
+    #[error("{0}: the limit of {1} is reached")]
     LimitReached(&'static str, usize),
-    /// A field of evidence that can't be.
+    /// A field of evidence is out of range.
     #[error("evidence: {0}: {1}")]
     Evidence(&'static str, String),
-    /// A setting that can't be.
+    /// A setting is out of range.
     #[error("roster.{0}: expected {1}")]
     Setting(&'static str, &'static str),
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,4 +1,4 @@
-//! Times and bounds of a roster.
+//! Intervals and limits of the membership.
 
 use crate::MembershipError;
 use basaltgw_types::{Ms, RouterId};
@@ -7,128 +7,134 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Times and bounds of a roster.
+/// Intervals and limits of the membership; spans in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Routers with which links may come up.
     pub listed: BTreeSet<RouterId>,
-    /// One router is asked for a sign of life in each such span.
-    pub period: Ms,
-    /// It is asked by way of others if it has not answered within this; less than half a period.
-    pub rtt: Ms,
-    /// By way of how many; and to how many news go at a time.
-    pub helpers: usize,
-    /// A suspect that is not heard of for so long is held to be down.
-    pub suspicion: Ms,
-    /// How often news are passed on while there are any.
-    pub gossip: Ms,
-    /// With how many messages of each router a piece of news goes.
-    pub spread: u8,
-    /// How often someone who is held to be down is spoken to, so that a cut heals.
-    pub heal: Ms,
-    /// How often someone is asked whom it knows.
-    pub refresh: Ms,
-    /// The longest message of the SWIM library, in bytes.
-    pub packet: usize,
-    /// Names of routers that are known at most, with the own.
+    /// The interval in which one router is probed.
+    pub probe_period: Ms,
+    /// The time after which a probe is repeated through other routers; less than half a period.
+    pub probe_timeout: Ms,
+    /// The routers of an indirect probe, and the recipients of one round of gossip.
+    pub fanout: usize,
+    /// The time after which a suspect that does not answer is considered down.
+    pub suspicion_timeout: Ms,
+    /// The interval of gossip while there are updates.
+    pub gossip_interval: Ms,
+    /// Messages of each router that carry an update.
+    pub transmissions: u8,
+    /// The interval in which routers that are considered down are contacted, so that a partition heals.
+    pub down_announce_interval: Ms,
+    /// The interval in which a router is asked for its members.
+    pub announce_interval: Ms,
+    /// The longest message of the SWIM library.
+    pub max_packet_bytes: usize,
+    /// Names of routers, this one included.
     pub most_members: usize,
-    /// Evidence older than this is gone.
-    pub evidence_span: Ms,
-    /// Pieces of evidence that are kept at most.
-    pub most_evidence: usize,
-    /// Sites of which one router's evidence is kept.
-    pub most_sites: usize,
-    /// Bytes of evidence that go with a message.
-    pub evidence_bytes: usize,
+    /// The age at which evidence is dropped.
+    pub max_evidence_age: Ms,
+    /// Evidence of all routers on all sites.
+    pub max_evidence: usize,
+    /// Sites of which one router's evidence is stored.
+    pub max_sites_per_router: usize,
+    /// Bytes of evidence attached to a message.
+    pub max_evidence_bytes: usize,
 }
 
 impl Default for Settings {
-    /// A lost router is down everywhere within twelve periods at up to 1,000 routers, at some two messages a period from each in quiet times.
+    /// With up to 1,000 routers, a lost one is down everywhere within twelve periods, at about two messages a period from each router.
     fn default() -> Self {
         Self {
             listed: BTreeSet::new(),
-            period: 1000.0,
-            rtt: 300.0,
-            helpers: 3,
-            suspicion: 3000.0,
-            gossip: 200.0,
-            // One of 1,000 is left out by chance less than once in 3,000 pieces (1000 * e^-15).
-            spread: 15,
-            heal: 5000.0,
-            refresh: 30_000.0,
-            packet: 8192,
+            probe_period: 1000.0,
+            probe_timeout: 300.0,
+            fanout: 3,
+            suspicion_timeout: 3000.0,
+            gossip_interval: 200.0,
+            // An update misses one of 1,000 routers with a probability of 1000 * e^-15, less than 1 in 3,000.
+            transmissions: 15,
+            down_announce_interval: 5000.0,
+            announce_interval: 30_000.0,
+            max_packet_bytes: 8192,
             // As many as the configuration may list.
             most_members: 1024,
-            evidence_span: 10_000.0,
-            most_evidence: 1024,
-            most_sites: 32,
-            evidence_bytes: 1024,
+            max_evidence_age: 10_000.0,
+            max_evidence: 1024,
+            max_sites_per_router: 32,
+            max_evidence_bytes: 1024,
         }
     }
 }
 
-/// The shortest message in which two routers with the longest names and all their former lives have room.
-const LEAST_PACKET: usize = 2048;
-/// No time is longer: a day.
-const MOST_MS: Ms = 86_400_000.0;
+/// The shortest packet that fits two routers with the longest names and the most replaced incarnations.
+const MIN_PACKET_BYTES: usize = 2048;
+/// The longest packet and the most bytes of evidence.
+const MAX_MESSAGE_BYTES: usize = 65_536;
+/// The fewest bytes of evidence.
+const MIN_EVIDENCE_BYTES: usize = 256;
+/// The longest span: a day.
+const MAX_SPAN_MS: Ms = 86_400_000.0;
+/// The lengths and the kind in a message beside the packet and the evidence.
+const MESSAGE_OVERHEAD_BYTES: usize = 64;
+const MS_PER_SECOND: f64 = 1000.0;
 
 impl Settings {
-    /// What is the matter with them, if anything.
-    pub(crate) fn fault(&self) -> Result<(), MembershipError> {
-        let time = |ms: Ms| ms > 0.0 && ms <= MOST_MS;
-        let a_time = "more than 0 and at most a day in ms";
+    /// Checks the ranges.
+    ///
+    /// # Errors
+    /// [`MembershipError::Setting`] names the first setting that is out of range.
+    pub(crate) fn check(&self) -> Result<(), MembershipError> {
+        let is_span = |ms: Ms| ms > 0.0 && ms <= MAX_SPAN_MS;
+        let span = "more than 0 and at most a day in ms";
+        let packet_fits = (MIN_PACKET_BYTES..=MAX_MESSAGE_BYTES).contains(&self.max_packet_bytes);
+        let evidence_fits = (MIN_EVIDENCE_BYTES..=MAX_MESSAGE_BYTES).contains(&self.max_evidence_bytes);
+        let timeout_fits = is_span(self.probe_timeout) && self.probe_timeout < self.probe_period / 2.0;
         let checks = [
-            (time(self.period), "period", a_time),
-            (
-                time(self.rtt) && self.rtt < self.period / 2.0,
-                "rtt",
-                "more than 0 and less than half a period",
-            ),
-            (self.helpers > 0, "helpers", "1 or more"),
-            (time(self.suspicion), "suspicion", a_time),
-            (time(self.gossip), "gossip", a_time),
-            (self.spread > 0, "spread", "1 or more"),
-            (time(self.heal), "heal", a_time),
-            (time(self.refresh), "refresh", a_time),
-            ((LEAST_PACKET..=65_536).contains(&self.packet), "packet", "2,048 to 65,536 bytes"),
+            (is_span(self.probe_period), "period", span),
+            (timeout_fits, "rtt", "more than 0 and less than half a period"),
+            (self.fanout > 0, "helpers", "1 or more"),
+            (is_span(self.suspicion_timeout), "suspicion", span),
+            (is_span(self.gossip_interval), "gossip", span),
+            (self.transmissions > 0, "spread", "1 or more"),
+            (is_span(self.down_announce_interval), "heal", span),
+            (is_span(self.announce_interval), "refresh", span),
+            (packet_fits, "packet", "2,048 to 65,536 bytes"),
             (self.most_members > self.listed.len(), "most_members", "more than are listed"),
-            (time(self.evidence_span), "evidence_span", a_time),
-            (self.most_evidence > 0, "most_evidence", "1 or more"),
-            (self.most_sites > 0, "most_sites", "1 or more"),
-            ((256..=65_536).contains(&self.evidence_bytes), "evidence_bytes", "256 to 65,536"),
+            (is_span(self.max_evidence_age), "evidence_span", span),
+            (self.max_evidence > 0, "most_evidence", "1 or more"),
+            (self.max_sites_per_router > 0, "most_sites", "1 or more"),
+            (evidence_fits, "evidence_bytes", "256 to 65,536"),
         ];
-        let first = checks.into_iter().find(|(fits, _, _)| !fits);
-        first.map_or(Ok(()), |(_, name, expected)| Err(MembershipError::Setting(name, expected)))
+        let invalid = checks.into_iter().find(|(fits, _, _)| !fits);
+        invalid.map_or(Ok(()), |(_, name, expected)| Err(MembershipError::Setting(name, expected)))
     }
 
-    /// The longest message between two rosters.
-    pub(crate) fn most_bytes(&self) -> usize {
-        // Room for the lengths and the kind of message.
-        self.packet + self.evidence_bytes + 64
+    /// The longest message between two memberships.
+    pub(crate) fn max_message_bytes(&self) -> usize {
+        self.max_packet_bytes + self.max_evidence_bytes + MESSAGE_OVERHEAD_BYTES
     }
 
-    /// As the library has them; only after [`Settings::fault`] found none.
-    pub(crate) fn config(&self) -> Config {
-        let span = |ms: Ms| Duration::from_secs_f64(ms / 1000.0);
-        let each = |ms, n| {
-            Some(PeriodicParams {
-                frequency: span(ms),
-                num_members: NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN),
-            })
+    /// The settings of the SWIM library; only after [`Settings::check`].
+    pub(crate) fn swim_config(&self) -> Config {
+        let duration = |ms: Ms| Duration::from_secs_f64(ms / MS_PER_SECOND);
+        let periodic = |ms, members| {
+            let num_members = NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
+            Some(PeriodicParams { frequency: duration(ms), num_members })
         };
         Config {
-            probe_period: span(self.period),
-            probe_rtt: span(self.rtt),
-            num_indirect_probes: NonZeroUsize::new(self.helpers).unwrap_or(NonZeroUsize::MIN),
-            max_transmissions: NonZeroU8::new(self.spread).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: span(self.suspicion),
-            // Names are bounded, and a former life must not be forgotten.
+            probe_period: duration(self.probe_period),
+            probe_rtt: duration(self.probe_timeout),
+            num_indirect_probes: NonZeroUsize::new(self.fanout).unwrap_or(NonZeroUsize::MIN),
+            max_transmissions: NonZeroU8::new(self.transmissions).unwrap_or(NonZeroU8::MIN),
+            suspect_to_down_after: duration(self.suspicion_timeout),
+            // The names are bounded, and a replaced incarnation must not be forgotten.
             remove_down_after: None,
-            max_packet_size: NonZeroUsize::new(self.packet).unwrap_or(NonZeroUsize::MIN),
+            max_packet_size: NonZeroUsize::new(self.max_packet_bytes).unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
-            periodic_announce: each(self.refresh, 1),
-            periodic_announce_to_down_members: each(self.heal, 2),
-            periodic_gossip: each(self.gossip, self.helpers),
+            periodic_announce: periodic(self.announce_interval, 1),
+            periodic_announce_to_down_members: periodic(self.down_announce_interval, 2),
+            periodic_gossip: periodic(self.gossip_interval, self.fanout),
         }
     }
 }
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! Rosters in simulated time: messages take 0.5 to 5 ms and may be lost or cut off, as a seed says.
+//! Memberships in simulated time: messages take 0.5 to 5 ms and may be lost, by a seed, or blocked by a partition.
 
 use basaltgw_membership::{Action, Event, Evidence, Membership, Presence, Settings, State};
 use basaltgw_types::{Domain, Incarnation, Member, Ms, RouterId};
@@ -7,34 +7,34 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Events by their time in microseconds, then in the order in which they were caused.
+/// Times in microseconds, sequence numbers and nodes of the scheduled events.
 type Queue = BinaryHeap<Reverse<(u64, u64, usize)>>;
 
 pub struct Node {
-    pub roster: Membership,
-    /// What it was told last of each member.
+    pub membership: Membership,
+    /// The last reported state of each member.
     pub states: BTreeMap<Member, State>,
     pub evidence: Vec<(Ms, Member, Evidence)>,
-    /// A stopped process: what comes is lost, timers wait.
-    pub stopped: bool,
-    held: Vec<Event>,
+    /// The process is suspended: messages are lost, timers wait.
+    pub suspended: bool,
+    waiting_timers: Vec<Event>,
 }
 
 pub struct Net {
     pub nodes: Vec<Node>,
-    /// Which node runs with a folder.
+    /// The node that runs a member.
     current: BTreeMap<Member, usize>,
     queue: Queue,
-    waiting: BTreeMap<u64, Event>,
-    count: u64,
+    scheduled: BTreeMap<u64, Event>,
+    last_sequence: u64,
     pub now: Ms,
     rng: Xoshiro256PlusPlus,
-    /// The share of messages that is lost.
+    /// The probability that a message is lost.
     pub loss: f64,
-    /// Nodes whose messages to and from the others are lost.
-    pub cut: Vec<bool>,
-    /// Events may be refused: the net has strangers.
-    pub allow_refusals: bool,
+    /// Nodes on the other side of a partition.
+    pub partitioned: Vec<bool>,
+    /// Events may be rejected: not every router is listed.
+    pub allow_rejections: bool,
 }
 
 pub fn presence(name: usize, incarnation: u128) -> Presence {
@@ -44,9 +44,9 @@
     Presence { member, address: ([127, 0, 0, 1], 7100 + name as u16).into(), domain }
 }
 
-/// Settings under which as many routers are listed, and one to come.
-pub fn listed(many: usize) -> Settings {
-    Settings { listed: (0..=many).map(|i| presence(i, 0).member.router).collect(), ..Settings::default() }
+/// Settings that list that many routers and one more.
+pub fn listed(routers: usize) -> Settings {
+    Settings { listed: (0..=routers).map(|i| presence(i, 0).member.router).collect(), ..Settings::default() }
 }
 
 impl Net {
@@ -55,87 +55,89 @@
             nodes: Vec::new(),
             current: BTreeMap::new(),
             queue: Queue::new(),
-            waiting: BTreeMap::new(),
-            count: 0,
+            scheduled: BTreeMap::new(),
+            last_sequence: 0,
             now: 0.0,
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             loss: 0.0,
-            cut: Vec::new(),
-            allow_refusals: false,
+            partitioned: Vec::new(),
+            allow_rejections: false,
         }
     }
 
-    /// So many routers that have all met, some periods later.
-    pub fn of(many: usize, seed: u64) -> Self {
+    /// A fleet in which all links have been up for some periods.
+    pub fn with_routers(routers: usize, seed: u64) -> Self {
         let mut net = Self::new(seed);
-        for name in 0..many {
-            net.start(name, 1, many);
+        for name in 0..routers {
+            net.start(name, 1, routers);
             for other in 0..name {
-                net.meet(other, name);
+                net.link(other, name);
             }
         }
         net.run(5000.0);
         net
     }
 
-    /// Starts a router; its place among the nodes.
-    pub fn start(&mut self, name: usize, incarnation: u128, many: usize) -> usize {
+    /// Starts a router; returns the index of its node.
+    pub fn start(&mut self, name: usize, incarnation: u128, routers: usize) -> usize {
         let who = presence(name, incarnation);
         self.current.insert(who.member.clone(), self.nodes.len());
-        let roster = Membership::new(who, listed(many), self.rng.random()).expect("settings");
+        let membership = Membership::new(who, listed(routers), self.rng.random()).expect("valid settings");
         self.nodes.push(Node {
-            roster,
+            membership,
             states: BTreeMap::new(),
             evidence: Vec::new(),
-            stopped: false,
-            held: Vec::new(),
+            suspended: false,
+            waiting_timers: Vec::new(),
         });
-        self.cut.push(false);
+        self.partitioned.push(false);
         self.nodes.len() - 1
     }
 
-    /// A link between two comes up.
-    pub fn meet(&mut self, a: usize, b: usize) {
+    /// Brings a link between two nodes up.
+    pub fn link(&mut self, a: usize, b: usize) {
         for (at, other) in [(a, b), (b, a)] {
-            let event = Event::LinkUp(self.nodes[other].roster.me().clone());
-            self.later(0.0, at, event);
+            let event = Event::LinkUp(self.nodes[other].membership.me().clone());
+            self.schedule(0.0, at, event);
         }
     }
 
-    fn later(&mut self, after: Ms, at: usize, event: Event) {
-        self.count += 1;
-        self.waiting.insert(self.count, event);
-        self.queue.push(Reverse((((self.now + after) * 1000.0) as u64, self.count, at)));
+    fn schedule(&mut self, after: Ms, at: usize, event: Event) {
+        self.last_sequence += 1;
+        self.scheduled.insert(self.last_sequence, event);
+        self.queue.push(Reverse((((self.now + after) * 1000.0) as u64, self.last_sequence, at)));
     }
 
-    /// A stopped process runs on.
-    pub fn wake(&mut self, at: usize) {
-        self.nodes[at].stopped = false;
-        for event in std::mem::take(&mut self.nodes[at].held) {
-            self.later(0.0, at, event);
+    /// Resumes a suspended process.
+    pub fn resume(&mut self, at: usize) {
+        self.nodes[at].suspended = false;
+        for event in std::mem::take(&mut self.nodes[at].waiting_timers) {
+            self.schedule(0.0, at, event);
         }
     }
 
-    pub fn event(&mut self, at: usize, event: Event) {
+    pub fn handle(&mut self, at: usize, event: Event) {
         let node = &mut self.nodes[at];
-        if node.stopped {
-            node.held.extend(matches!(event, Event::Timer(_)).then_some(event));
+        if node.suspended {
+            node.waiting_timers.extend(matches!(event, Event::Timer(_)).then_some(event));
             return;
         }
         let mut actions = Vec::new();
-        let done = self.nodes[at].roster.handle(self.now, event, &mut actions);
-        assert!(done.is_ok() || self.allow_refusals, "{done:?}");
+        let result = self.nodes[at].membership.handle(self.now, event, &mut actions);
+        assert!(result.is_ok() || self.allow_rejections, "{result:?}");
         for action in actions {
             match action {
                 Action::Send(to, bytes) => {
                     let Some(&there) = self.current.get(&to) else { continue };
-                    let from = self.nodes[at].roster.me().member.clone();
-                    if self.cut[at] == self.cut[there] && self.rng.random::<f64>() >= self.loss {
+                    let from = self.nodes[at].membership.me().member.clone();
+                    if self.partitioned[at] == self.partitioned[there]
+                        && self.rng.random::<f64>() >= self.loss
+                    {
                         let delay = self.rng.random_range(0.5..5.0);
-                        self.later(delay, there, Event::MessageReceived(from, bytes));
+                        self.schedule(delay, there, Event::MessageReceived(from, bytes));
                     }
                 }
-                Action::Timer(after, no) => self.later(after, at, Event::Timer(no)),
+                Action::Timer(after, number) => self.schedule(after, at, Event::Timer(number)),
                 Action::StateChanged(who, state) => {
                     self.nodes[at].states.insert(who.member, state);
                 }
@@ -147,50 +149,50 @@
 
     pub fn run(&mut self, span: Ms) {
         let end = self.now + span;
-        self.until(end, |_| false);
+        self.run_until(end, |_| false);
     }
 
-    /// Runs until something holds, at most until then; whether it held.
-    pub fn until(&mut self, end: Ms, holds: impl Fn(&Self) -> bool) -> bool {
-        let mut look = self.now;
+    /// Runs until the condition is true, or the time has come; returns the condition.
+    pub fn run_until(&mut self, end: Ms, condition: impl Fn(&Self) -> bool) -> bool {
+        let mut next_check = self.now;
         while let Some(Reverse((at, _, _))) = self.queue.peek() {
             if *at as f64 / 1000.0 > end {
                 break;
             }
-            let Some(Reverse((at, no, node))) = self.queue.pop() else { break };
+            let Some(Reverse((at, number, node))) = self.queue.pop() else { break };
             self.now = self.now.max(at as f64 / 1000.0);
-            if self.now >= look {
-                if holds(self) {
+            if self.now >= next_check {
+                if condition(self) {
                     return true;
                 }
-                look = self.now + 50.0;
+                next_check = self.now + 50.0;
             }
-            if let Some(event) = self.waiting.remove(&no) {
-                self.event(node, event);
+            if let Some(event) = self.scheduled.remove(&number) {
+                self.handle(node, event);
             }
         }
         self.now = end;
-        holds(self)
+        condition(self)
     }
 
-    /// Whether all that run, but for some, hold a member to be so.
-    pub fn all_hold(&self, who: &Member, state: State, but: &[usize]) -> bool {
-        let asked = self.nodes.iter().enumerate().filter(|(i, n)| !n.stopped && !but.contains(i));
-        asked.into_iter().all(|(_, n)| n.roster.me().member == *who || n.states.get(who) == Some(&state))
+    /// True if all running nodes except some consider a member to be in that state.
+    pub fn all_consider(&self, member: &Member, state: State, except: &[usize]) -> bool {
+        let mut nodes = self.nodes.iter().enumerate().filter(|(i, n)| !n.suspended && !except.contains(i));
+        nodes.all(|(_, n)| n.membership.me().member == *member || n.states.get(member) == Some(&state))
     }
 
-    /// Whether all hold all others to be alive.
-    pub fn calm(&self) -> bool {
-        self.nodes.iter().all(|n| self.all_hold(&n.roster.me().member, State::Alive, &[]))
+    /// True if all nodes consider all others alive.
+    pub fn all_alive(&self) -> bool {
+        self.nodes.iter().all(|n| self.all_consider(&n.membership.me().member, State::Alive, &[]))
     }
 
     pub fn member(&self, at: usize) -> Member {
-        self.nodes[at].roster.me().member.clone()
+        self.nodes[at].membership.me().member.clone()
     }
 
-    /// Messages and bytes sent so far by all.
+    /// Messages and bytes sent so far by all nodes.
     pub fn sent(&self) -> (u64, u64) {
-        let of = self.nodes.iter().map(|n| n.roster.counters());
+        let of = self.nodes.iter().map(|n| n.membership.counters());
         of.fold((0, 0), |(n, b), c| (n + c.sent, b + c.sent_bytes))
     }
 }
