--- a/tests/settings/main.rs
+++ b/tests/settings/main.rs
@@ -3,6 +3,7 @@
 #[path = "../common/mod.rs"]
 mod common;
 mod generators;
+mod steps;
 mod world;
 
 use basaltgw::api::*;
