--- a/crates/node/src/caches/mod.rs
+++ b/crates/node/src/caches/mod.rs
@@ -25,6 +25,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Counts of a pool's connections.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PoolCounts {
+    /// Connections that are open or connecting.
+    pub connections: u64,
+    /// The last number given to a connection or to the probe behind an `abort`; the counter `conns`.
+    pub last_number: u64,
+}
+
 /// All connections to servers.
 pub struct Caches {
     shared: Shared,
@@ -49,9 +58,9 @@
         Self { shared, max_connections, transport, conns, by_server, last_number: 0 }
     }
 
-    /// Connections that are open or connecting, and the last number given.
-    pub fn counts(&self) -> (u64, u64) {
-        (self.conns.len() as u64, self.last_number)
+    /// The pool's connections.
+    pub fn counts(&self) -> PoolCounts {
+        PoolCounts { connections: self.conns.len() as u64, last_number: self.last_number }
     }
 
     /// Sends an attempt on the connection to a server's process that carries the fewest attempts, without those that were already `asked`
--- a/crates/node/src/connection/mod.rs
+++ b/crates/node/src/connection/mod.rs
@@ -12,5 +12,5 @@
 
 pub use close_reason::{CloseReason, IdleReason};
 pub use liveness::{ClientLiveness, RequestLiveness};
-pub use slots::ConnectionSlots;
+pub use slots::{CloseCounts, ConnectionSlots};
 pub use state::{ConnectionEvent, ConnectionPhase, ConnectionState};
--- a/crates/node/src/connection/slots.rs
+++ b/crates/node/src/connection/slots.rs
@@ -3,6 +3,19 @@
 use async_channel::{Receiver, Sender};
 use std::cell::Cell;
 
+/// Counts of special cases at the close of clients' connections.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CloseCounts {
+    /// Close requests that lapsed, since a message crossed them.
+    pub crossed: u64,
+    /// Closes after which unread bytes came.
+    pub unread: u64,
+    /// Lingering closes that reached their bound.
+    pub lingered: u64,
+    /// Closes of clients that took no byte.
+    pub stalled: u64,
+}
+
 /// The slots of all clients' connections. A slot is taken until its socket is closed.
 #[derive(Debug)]
 pub struct ConnectionSlots {
@@ -46,11 +59,14 @@
         self.lingering.get()
     }
 
-    /// Close requests that a message crossed, closes with unread bytes behind them, closes that reached the linger bound, closes of
-    /// clients that took no byte.
-    pub fn counts(&self) -> [u64; 4] {
-        [&self.closes_crossed, &self.closes_unread, &self.closes_lingered, &self.closed_stalled]
-            .map(Cell::get)
+    /// How connections were closed so far.
+    pub fn counts(&self) -> CloseCounts {
+        CloseCounts {
+            crossed: self.closes_crossed.get(),
+            unread: self.closes_unread.get(),
+            lingered: self.closes_lingered.get(),
+            stalled: self.closed_stalled.get(),
+        }
     }
 
     /// Stops accepting: from now on only what is in the backlog is accepted.
--- a/crates/node/src/owner/inputs.rs
+++ b/crates/node/src/owner/inputs.rs
@@ -3,8 +3,9 @@
 use super::attempts::{CancelResults, Delivery};
 use super::timers::TimerKind;
 use super::{request_id, request_no, Owner};
-use crate::caches::RequestNo;
+use crate::caches::{PoolCounts, RequestNo};
 use crate::clients::Reply;
+use crate::connection::CloseCounts;
 use crate::Input;
 use basaltgw::api::{Action, AttemptNo, Event};
 use basaltgw_config::Hierarchy;
@@ -100,11 +101,11 @@
     /// Brings the counters of connections, checkers and memory up to date.
     pub(super) fn collect_counters(&self) {
         let counters = &self.counters;
-        let (connections, connections_opened) = self.upstream.caches.counts();
+        let PoolCounts { connections, last_number: connections_opened } = self.upstream.caches.counts();
         counters.conns.now.set(connections);
         counters.conns.opened.reached(connections_opened);
         counters.clients.now.set(self.clients.len() as u64);
-        let [crossed, unread, lingered, stalled] = self.clients.slots.counts();
+        let CloseCounts { crossed, unread, lingered, stalled } = self.clients.slots.counts();
         counters.clients.closes_crossed.reached(crossed);
         counters.clients.closes_unread.reached(unread);
         counters.clients.closes_lingered.reached(lingered);
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -74,7 +74,7 @@
     // The owner has taken these; the signals' task needs only the settings.
     config.known = Vec::new();
     let carry = own.settings.carry.clone();
-    executor.spawn(shutdown::watch(signals, senders.urgent, (config, own), moves)).detach();
+    executor.spawn(shutdown::watch(signals, senders.urgent, config, own, moves)).detach();
     let owner::Ended { counters, learnt, left_at, fleet, fault } =
         async_io::block_on(executor.run(owner.run(inputs, listener)));
     if let Some(carry) = &carry {
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -17,7 +17,8 @@
 pub async fn watch(
     mut signals: Signals,
     urgent: Sender<Input>,
-    (running, mut own): (NodeConfig, Own),
+    running: NodeConfig,
+    mut own: Own,
     changelog: Sender<SocketAddr>,
 ) {
     loop {
--- a/crates/node/tests/connection_state.rs
+++ b/crates/node/tests/connection_state.rs
@@ -127,9 +127,9 @@
     connection.tell(ConnectionEvent::Asked(IdleReason::Idle));
     connection.tell(ConnectionEvent::Asked(IdleReason::End));
     assert_eq!(connection.stops(Some(Duration::ZERO)), None);
-    assert_eq!(slots.counts()[0], 2);
+    assert_eq!(slots.counts().crossed, 2);
     connection.tell(ConnectionEvent::Asked(IdleReason::Idle));
     assert_eq!(connection.stops(None), Some(CloseReason::Quiet(IdleReason::Idle)));
     assert!(!connection.hands());
-    assert_eq!(slots.counts()[0], 2);
+    assert_eq!(slots.counts().crossed, 2);
 }
