--- a/crates/scatter_gather/src/lib.rs
+++ b/crates/scatter_gather/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`baselines`]: three plainer ways behind the same trait [`Decide`]; [`sim`]: all four in simulated time, from a seed;
 //! - [`Settings`]: bounds and prices, with units; [`Counters`]: all that was left out, refused, voided, by cause;
 //!
-//! `docs/gather.md` has the reasons, what is promised and what is not.
+//! `docs/scatter-gather.md` has the reasons, what is promised and what is not.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
