--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -7,7 +7,7 @@
 use crate::owner::requests::PendingRequest;
 use crate::owner::timers::TimerKind;
 use crate::owner::{request_no, Owner};
-use crate::permissions::{may_begin, may_run_again, BeginState};
+use crate::permissions::{may_begin, may_run_again, AttemptRefusal, BeginState};
 use basaltgw::api::{AttemptNo, AttemptResult, AttemptSpec, Ms, ServerId};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -33,8 +33,7 @@
     pub(in crate::owner) fn start_attempt(&mut self, spec: AttemptSpec) {
         let Some(no) = request_no(&spec.request) else { return };
         // If the client has left and the owner has not handled that yet, this is the request's last attempt.
-        let client_waits = self.requests.get(no).is_some_and(PendingRequest::client_waits);
-        if !client_waits {
+        if !self.requests.get(no).is_some_and(PendingRequest::client_waits) {
             self.abandon(no);
         }
         let Some(pending) = self.requests.get(no) else { return };
@@ -43,7 +42,7 @@
         let timeout = Some(spec.timeout).filter(|timeout| *timeout != 0.0);
         let deadline = timeout.map_or(pending.deadline, |t| pending.deadline.min(self.time.now + t));
         let new = NewAttempt { no, attempt, spec: &spec, deadline };
-        let in_flight = match self.check_start(pending, &new, client_waits) {
+        let in_flight = match self.check_start(pending, &new) {
             Ok(()) => self.send(&new),
             Err(refusal) => {
                 log::debug!("request {}, attempt {}: not started: {refusal}", no.0, attempt.0);
@@ -53,24 +52,19 @@
         self.record_attempt(&new, in_flight);
     }
 
-    /// Whether the attempt may start and the request may run again; the reason against it in words.
-    fn check_start(
-        &self,
-        pending: &PendingRequest,
-        new: &NewAttempt<'_>,
-        client_waits: bool,
-    ) -> Result<(), String> {
+    /// Whether the attempt may start and the request may run again.
+    fn check_start(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> Result<(), AttemptRefusal> {
         let state = BeginState {
-            client_waits,
+            client_waits: pending.client_waits(),
             answered: pending.answered,
             time_left: new.deadline - self.time.now,
             attempts: new.attempt.0,
             max_attempts: self.config.max_attempts,
             listed: self.upstream.endpoints.contains_key(&new.spec.server),
         };
-        may_begin(&state).map_err(|refusal| refusal.to_string())?;
+        may_begin(&state)?;
         let policy = self.config.retry_policy(pending.class);
-        may_run_again(&policy, pending.earlier_attempts(self.time.now)).map_err(|refusal| refusal.to_string())
+        Ok(may_run_again(&policy, pending.earlier_attempts(self.time.now))?)
     }
 
     /// Records an attempt that was sent, with its timers, or that was not.
--- a/crates/node/src/permissions.rs
+++ b/crates/node/src/permissions.rs
@@ -107,6 +107,27 @@
     policy.check(0.0, oldest_age.map(|age| -age))
 }
 
+/// Why an attempt of a request is not made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptRefusal {
+    /// The attempt may not start.
+    Begin(BeginRefusal),
+    /// The request may not run again.
+    Retry(RetryRefusal),
+}
+
+impl From<BeginRefusal> for AttemptRefusal {
+    fn from(refusal: BeginRefusal) -> Self {
+        Self::Begin(refusal)
+    }
+}
+
+impl From<RetryRefusal> for AttemptRefusal {
+    fn from(refusal: RetryRefusal) -> Self {
+        Self::Retry(refusal)
+    }
+}
+
 /// A message to a server, as its first byte is about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct SendState {
@@ -224,6 +245,15 @@
     }
 }
 
+impl fmt::Display for AttemptRefusal {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Begin(refusal) => refusal.fmt(f),
+            Self::Retry(refusal) => refusal.fmt(f),
+        }
+    }
+}
+
 impl fmt::Display for SendRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -255,6 +285,7 @@
 }
 
 impl std::error::Error for BeginRefusal {}
+impl std::error::Error for AttemptRefusal {}
 impl std::error::Error for SendRefusal {}
 impl std::error::Error for CloseRefusal {}
 impl std::error::Error for EndRefusal {}
