--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -19,20 +19,20 @@
             return self.reject_unadmitted(incoming.requester);
         }
         let requester = incoming.requester;
-        let no = self.requests.insert(incoming, &self.memory.meter);
-        self.register_admitted(requester, no);
-        if self.requires_lease(no) {
-            self.acquire_lease(no);
+        let number = self.requests.insert(incoming, &self.memory.meter);
+        self.register_admitted(requester, number);
+        if self.requires_lease(number) {
+            self.acquire_lease(number);
         } else {
-            self.route(no);
+            self.route(number);
         }
     }
 
     /// Hands an admitted request to the decision module.
-    pub(super) fn route(&mut self, no: RequestNo) {
-        let Some(pending) = self.requests.get(no) else { return };
+    pub(super) fn route(&mut self, number: RequestNo) {
+        let Some(pending) = self.requests.get(number) else { return };
         let event = Event::Request(Request {
-            id: request_id(no),
+            id: request_id(number),
             class: pending.class,
             object: pending.request.object,
             part: pending.request.part,
@@ -45,68 +45,68 @@
     }
 
     /// A rejection invites the client to send its request again. If that could execute it twice, it becomes a failure.
-    fn without_unsafe_rejection<'a>(&self, no: RequestNo, reply: Reply<'a>) -> Reply<'a> {
-        let (Reply::Refused(_), Some(pending)) = (reply, self.requests.get(no)) else { return reply };
+    fn without_unsafe_rejection<'a>(&self, number: RequestNo, reply: Reply<'a>) -> Reply<'a> {
+        let (Reply::Refused(_), Some(pending)) = (reply, self.requests.get(number)) else { return reply };
         let policy = self.config.retry_policy(pending.class);
         match may_run_again(&policy, pending.earlier_attempts(self.time.now)) {
             Ok(()) => reply,
             Err(refusal) => {
-                log::debug!("request {}: failed instead of rejected: {refusal}", no.0);
+                log::debug!("request {}: failed instead of rejected: {refusal}", number.0);
                 Reply::Failed
             }
         }
     }
 
     /// Answers a request, once. All responses of the decision module and of servers go through this.
-    pub(super) fn answer(&mut self, no: RequestNo, reply: Reply<'_>) {
-        let reply = self.without_unsafe_rejection(no, reply);
-        if let (Reply::Refused(_), Some(pending)) = (reply, self.requests.get(no)) {
+    pub(super) fn answer(&mut self, number: RequestNo, reply: Reply<'_>) {
+        let reply = self.without_unsafe_rejection(number, reply);
+        if let (Reply::Refused(_), Some(pending)) = (reply, self.requests.get(number)) {
             let idempotency = self.config.retry_policy(pending.class).idempotency;
-            let ids = format_args!("request {}", no.0);
+            let ids = format_args!("request {}", number.0);
             self.monitors.invariants.check_rejection(idempotency, pending.results(), ids);
         }
         // The outcome of a leased request is durable before anybody learns of it.
-        match self.record_outcome(no, reply) {
-            SendResponse::Now => self.reply(no, reply),
+        match self.record_outcome(number, reply) {
+            SendResponse::Now => self.reply(number, reply),
             SendResponse::OnceStored => {}
         }
     }
 
     /// Hands a response to the requester.
-    pub(super) fn reply(&mut self, no: RequestNo, reply: Reply<'_>) {
-        let Some(answered) = self.requests.mark_answered(no) else { return };
+    pub(super) fn reply(&mut self, number: RequestNo, reply: Reply<'_>) {
+        let Some(answered) = self.requests.mark_answered(number) else { return };
         if self.deliver(answered.requester, reply, answered.copy) == Delivered::ToClient {
             self.counters.clients.answered(&reply);
         }
-        self.remove_if_complete(no);
+        self.remove_if_complete(number);
     }
 
     /// The requester no longer waits.
-    pub(super) fn on_requester_left(&mut self, no: RequestNo) {
-        if self.cancel_scatter_gather(no) {
+    pub(super) fn on_requester_left(&mut self, number: RequestNo) {
+        if self.cancel_scatter_gather(number) {
             return;
         }
-        let routed = self.requests.get(no).is_some_and(|pending| !pending.lease.is_awaited());
-        if self.abandon(no) {
+        let routed = self.requests.get(number).is_some_and(|pending| !pending.lease.is_awaited());
+        if self.abandon(number) {
             if routed {
-                self.dispatch(Event::ClientDisconnected(request_id(no)));
+                self.dispatch(Event::ClientDisconnected(request_id(number)));
             }
             // No byte of these attempts is written, so cancelling them needs no decision.
-            self.withdraw_unsent(no);
+            self.withdraw_unsent(number);
         }
-        self.remove_if_complete(no);
+        self.remove_if_complete(number);
     }
 
     /// Marks a request as answered without a response; false if it was answered before.
-    pub(super) fn abandon(&mut self, no: RequestNo) -> bool {
-        let Some(answered) = self.requests.mark_answered(no) else { return false };
+    pub(super) fn abandon(&mut self, number: RequestNo) -> bool {
+        let Some(answered) = self.requests.mark_answered(number) else { return false };
         self.counters.clients.left.more(matches!(answered.requester, Requester::Client(..)).into());
         true
     }
 
     /// Removes a request that is complete, and settles its lease.
-    pub(super) fn remove_if_complete(&mut self, no: RequestNo) {
-        self.settle_abandoned_lease(no);
-        self.requests.remove_if_complete(no);
+    pub(super) fn remove_if_complete(&mut self, number: RequestNo) {
+        self.settle_abandoned_lease(number);
+        self.requests.remove_if_complete(number);
     }
 }
--- a/crates/node/src/owner/attempts/cancel.rs
+++ b/crates/node/src/owner/attempts/cancel.rs
@@ -70,10 +70,10 @@
     }
 
     /// Cancels a request's attempts of which nothing is written, also those that their connection has withdrawn itself.
-    pub(in crate::owner) fn withdraw_unsent(&mut self, no: RequestNo) {
-        let Some(pending) = self.requests.get(no) else { return };
+    pub(in crate::owner) fn withdraw_unsent(&mut self, number: RequestNo) {
+        let Some(pending) = self.requests.get(number) else { return };
         let attempts = pending.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_unsent());
-        let keys: Vec<AttemptKey> = attempts.map(|(n, _)| (no, AttemptNo(n))).collect();
+        let keys: Vec<AttemptKey> = attempts.map(|(n, _)| (number, AttemptNo(n))).collect();
         for key in keys {
             self.cancel_attempt(key, CancelResults::CANCELLED, Delivery::NextBatch);
         }
--- a/crates/node/src/owner/attempts/complete.rs
+++ b/crates/node/src/owner/attempts/complete.rs
@@ -104,11 +104,11 @@
     ) {
         let breaks = broken(Break::RepeatAfterExecution) && result != AttemptResult::Served;
         let result = if breaks { AttemptResult::NotSent } else { result };
-        let (no, n) = key;
+        let (number, attempt_number) = key;
         let now = self.time.now;
-        let Some(pending) = self.requests.get_mut(no) else { return };
+        let Some(pending) = self.requests.get_mut(number) else { return };
         pending.lease.on_attempt_result(result);
-        let Some(attempt) = pending.attempts.get_mut(n.0) else { return };
+        let Some(attempt) = pending.attempts.get_mut(attempt_number.0) else { return };
         attempt.result = Some(result);
         self.counters.attempts.ended(result);
         let latency = now - attempt.started_at;
@@ -123,8 +123,8 @@
             self.schedule.next_batch.extend(events);
         }
         let event = Event::Outcome(Outcome {
-            request: request_id(no),
-            attempt: n,
+            request: request_id(number),
+            attempt: attempt_number,
             server: attempt.server.clone(),
             result,
             latency,
@@ -138,6 +138,6 @@
             Delivery::NextBatch => self.schedule.next_batch.push_back(event),
             Delivery::Now => self.dispatch(event),
         }
-        self.remove_if_complete(no);
+        self.remove_if_complete(number);
     }
 }
--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -14,7 +14,7 @@
 
 /// An attempt that is about to start.
 struct NewAttempt<'a> {
-    no: RequestNo,
+    number: RequestNo,
     attempt: AttemptNo,
     spec: &'a AttemptSpec,
     /// When the router gives it up.
@@ -31,21 +31,21 @@
 impl Owner {
     /// Starts an attempt if it may; if not, the decision module learns that it was not sent.
     pub(in crate::owner) fn start_attempt(&mut self, spec: AttemptSpec) {
-        let Some(no) = request_no(&spec.request) else { return };
+        let Some(number) = request_no(&spec.request) else { return };
         // If the client has left and the owner has not handled that yet, this is the request's last attempt.
-        if !self.requests.get(no).is_some_and(PendingRequest::client_waits) {
-            self.abandon(no);
+        if !self.requests.get(number).is_some_and(PendingRequest::client_waits) {
+            self.abandon(number);
         }
-        let Some(pending) = self.requests.get(no) else { return };
+        let Some(pending) = self.requests.get(number) else { return };
         let attempt = AttemptNo(pending.attempts.len());
         self.counters.attempts.made.one();
         let timeout = Some(spec.timeout).filter(|timeout| *timeout != 0.0);
         let deadline = timeout.map_or(pending.deadline, |t| pending.deadline.min(self.time.now + t));
-        let new = NewAttempt { no, attempt, spec: &spec, deadline };
+        let new = NewAttempt { number, attempt, spec: &spec, deadline };
         let in_flight = match self.check_start(pending, &new) {
             Ok(()) => self.send(&new),
             Err(refusal) => {
-                log::debug!("request {}, attempt {}: not started: {refusal}", no.0, attempt.0);
+                log::debug!("request {}, attempt {}: not started: {refusal}", number.0, attempt.0);
                 None
             }
         };
@@ -69,9 +69,9 @@
 
     /// Records an attempt that was sent, with its timers, or that was not.
     fn record_attempt(&mut self, new: &NewAttempt<'_>, in_flight: Option<InFlight>) {
-        let (no, attempt, spec) = (new.no, new.attempt, new.spec);
+        let (number, attempt, spec) = (new.number, new.attempt, new.spec);
         let connection = in_flight.as_ref().map(|in_flight| in_flight.connection);
-        let Some(pending) = self.requests.get_mut(no) else { return };
+        let Some(pending) = self.requests.get_mut(number) else { return };
         pending.attempts.push(Attempt {
             server: spec.server.clone(),
             fill_source: new.fill_source().cloned(),
@@ -82,30 +82,30 @@
         });
         if connection.is_none() {
             // Also if all connections are in use: that limit is the router's own, and says nothing of the server.
-            return self.report((no, attempt), AttemptResult::NotSent, NO_REPORT, Delivery::NextBatch);
+            return self.report((number, attempt), AttemptResult::NotSent, NO_REPORT, Delivery::NextBatch);
         }
-        self.schedule.timers.set(new.deadline, TimerKind::AttemptTimeout(no, attempt));
+        self.schedule.timers.set(new.deadline, TimerKind::AttemptTimeout(number, attempt));
         if spec.start_before.is_finite() {
-            self.schedule.timers.set(spec.start_before, TimerKind::AttemptStart(no, attempt));
+            self.schedule.timers.set(spec.start_before, TimerKind::AttemptStart(number, attempt));
         }
     }
 
     /// Queues an attempt on a connection; `None` if none may be opened.
     fn send(&mut self, new: &NewAttempt<'_>) -> Option<InFlight> {
-        let pending = self.requests.get(new.no)?;
+        let pending = self.requests.get(new.number)?;
         let place = *self.upstream.endpoints.get(&new.spec.server)?;
         let message = self.encode(pending, new);
         let terms = self.fetch_terms(pending, new);
-        let (no, attempt) = (new.no, new.attempt);
+        let (number, attempt) = (new.number, new.attempt);
         if let Some(class) = self.config.class(pending.class) {
-            let ids = format_args!("request {}, attempt {}", no.0, attempt.0);
+            let ids = format_args!("request {}, attempt {}", number.0, attempt.0);
             self.monitors.invariants.check_attempt(class.idempotency, pending.results(), ids);
         }
         let used: Vec<ConnId> = pending.attempts.iter().filter_map(|a| a.connection).collect();
         let request = (&pending.request.id, &used[..], pending.is_write());
         let to = (&new.spec.server, place);
         let caches = &mut self.upstream.caches;
-        let sent = caches.send(self.time.now, to, (no, attempt), request, (message, terms));
+        let sent = caches.send(self.time.now, to, (number, attempt), request, (message, terms));
         sent.map(|(connection, message)| InFlight { connection, message })
     }
 
@@ -149,7 +149,7 @@
             }),
             drained: Rc::default(),
             drain_grace: duration(self.config.drain_grace),
-            ids: (new.no.0, new.attempt.0),
+            ids: (new.number.0, new.attempt.0),
             invariants: Rc::clone(&self.monitors.invariants),
             stalls: Rc::clone(&self.monitors.stalls),
             route: pending.class.map(|class| FetchRoute {
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -138,10 +138,10 @@
     fn on_timer(&mut self, kind: TimerKind) {
         match kind {
             TimerKind::Router(token) => self.dispatch(Event::Timer(token)),
-            TimerKind::AttemptTimeout(no, attempt) => self.on_attempt_timeout((no, attempt)),
-            TimerKind::AttemptStart(no, attempt) => self.on_start_window_closed((no, attempt)),
-            TimerKind::LeasePoll(no) => self.poll_lease(no),
-            TimerKind::LeaseTimeout(no, number) => self.on_lease_timeout(no, number),
+            TimerKind::AttemptTimeout(number, attempt) => self.on_attempt_timeout((number, attempt)),
+            TimerKind::AttemptStart(number, attempt) => self.on_start_window_closed((number, attempt)),
+            TimerKind::LeasePoll(number) => self.poll_lease(number),
+            TimerKind::LeaseTimeout(number, change_number) => self.on_lease_timeout(number, change_number),
             TimerKind::ScatterGather => self.on_scatter_gather_timer(),
         }
     }
--- a/crates/node/src/owner/client_inputs.rs
+++ b/crates/node/src/owner/client_inputs.rs
@@ -54,7 +54,7 @@
             let ids = format_args!("client {}, closed for {reason:?}, requests {:?}", id.0, open.keys());
             self.monitors.invariants.check_close(unanswered, ids);
         }
-        open.into_values().for_each(|no| self.on_requester_left(no));
+        open.into_values().for_each(|number| self.on_requester_left(number));
     }
 
     pub(super) fn on_client_message(&mut self, id: ClientId, message: FromClient, read_at: Ms) {
@@ -84,14 +84,14 @@
     fn on_client_cancel(&mut self, id: ClientId, tag: Tag) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
         client.connection.presence().heeded(tag);
-        let Some(no) = client.open.remove(&tag) else {
+        let Some(number) = client.open.remove(&tag) else {
             if let Some(message) = client.unsent.remove(&tag) {
                 self.counters.clients.taken_back.more(message.take_back().into());
             }
             return;
         };
         let too_many = client.has_too_many_cancellations(self.time.now);
-        self.on_requester_left(no);
+        self.on_requester_left(number);
         if too_many {
             self.counters.clients.closed_broken_rule.one();
             self.fail_and_disconnect(id);
@@ -136,8 +136,8 @@
 
     /// Counts a request that its client cancelled before the owner took it. Its tag stays in use until the cancellation arrives.
     fn skip_cancelled_request(&mut self, client: ClientRequest, request: &Do) {
-        let no = self.requests.next_number();
-        self.clients.register(client, no);
+        let number = self.requests.next_number();
+        self.clients.register(client, number);
         let counters = &self.counters.clients;
         [&counters.requests, &counters.left, &counters.left_early].into_iter().for_each(Count::one);
         if request.parts.is_some() {
@@ -162,7 +162,7 @@
         client.connection.tell(Event::Dropped);
         let open = std::mem::take(&mut client.open);
         self.clients.close(id);
-        open.into_values().for_each(|no| self.on_requester_left(no));
+        open.into_values().for_each(|number| self.on_requester_left(number));
     }
 
     /// Drops a client, and answers each of its open requests as failed.
--- a/crates/node/src/owner/clients.rs
+++ b/crates/node/src/owner/clients.rs
@@ -145,9 +145,9 @@
     }
 
     /// Registers an admitted request of a client.
-    pub(super) fn register(&mut self, request: ClientRequest, no: RequestNo) {
+    pub(super) fn register(&mut self, request: ClientRequest, number: RequestNo) {
         if let Some(client) = self.connected.get_mut(&request.id) {
-            client.open.insert(request.tag, no);
+            client.open.insert(request.tag, number);
         }
     }
 
--- a/crates/node/src/owner/inputs.rs
+++ b/crates/node/src/owner/inputs.rs
@@ -69,18 +69,18 @@
         match action {
             Action::StartAttempt(attempt) => self.start_attempt(attempt),
             Action::CancelAttempt(request, attempt) => {
-                if let Some(no) = request_no(&request) {
-                    self.cancel_attempt((no, attempt), CancelResults::CANCELLED, Delivery::NextBatch);
+                if let Some(number) = request_no(&request) {
+                    self.cancel_attempt((number, attempt), CancelResults::CANCELLED, Delivery::NextBatch);
                 }
             }
             Action::Reject(request, retry_after) => {
-                if let Some(no) = request_no(&request) {
-                    self.answer(no, Reply::Refused(retry_after));
+                if let Some(number) = request_no(&request) {
+                    self.answer(number, Reply::Refused(retry_after));
                 }
             }
             Action::Fail(request) => {
-                if let Some(no) = request_no(&request) {
-                    self.answer(no, Reply::Failed);
+                if let Some(number) = request_no(&request) {
+                    self.answer(number, Reply::Failed);
                 }
             }
             Action::Timer(after, token) => {
--- a/crates/node/src/owner/lease/acquire.rs
+++ b/crates/node/src/owner/lease/acquire.rs
@@ -16,59 +16,62 @@
 
 impl Owner {
     /// Whether a request has to be leased before it may be attempted.
-    pub(in crate::owner) fn requires_lease(&self, no: RequestNo) -> bool {
-        let (Some(fleet), Some(pending)) = (&self.fleet, self.requests.get(no)) else { return false };
+    pub(in crate::owner) fn requires_lease(&self, number: RequestNo) -> bool {
+        let (Some(fleet), Some(pending)) = (&self.fleet, self.requests.get(number)) else { return false };
         let idempotency = pending.class.and_then(|class| fleet.settings.idempotency.get(class.0));
         let runs_once = matches!(idempotency, Some(Idempotency::IdempotencyKey | Idempotency::NonIdempotent));
         fleet.settings.replicate_executions && runs_once
     }
 
     /// Asks the replicas for the lease, or rejects the request for want of time or capacity.
-    pub(in crate::owner) fn acquire_lease(&mut self, no: RequestNo) {
-        if let Some(pending) = self.requests.get_mut(no) {
+    pub(in crate::owner) fn acquire_lease(&mut self, number: RequestNo) {
+        if let Some(pending) = self.requests.get_mut(number) {
             pending.lease = Lease::Acquiring;
         }
-        if self.request_lease(no) {
+        if self.request_lease(number) {
             return;
         }
         if let Some(fleet) = &mut self.fleet {
             fleet.counters.rejected += 1;
             let retry_after = fleet.settings.retry_after;
-            self.reject_unleased(no, retry_after);
+            self.reject_unleased(number, retry_after);
         }
     }
 
-    fn request_lease(&mut self, no: RequestNo) -> bool {
+    fn request_lease(&mut self, number: RequestNo) -> bool {
         let Some(me) = self.fleet.as_ref().map(|fleet| fleet.me.clone()) else { return false };
-        self.change_record(no, Change::Acquire(me))
+        self.change_record(number, Change::Acquire(me))
     }
 
     /// Asks for a change of a request's record, within the time that the request has and the settings give; false for want of time or
     /// capacity.
-    pub(super) fn change_record(&mut self, no: RequestNo, change: Change) -> bool {
-        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get(no)) else { return false };
+    pub(super) fn change_record(&mut self, number: RequestNo, change: Change) -> bool {
+        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get(number)) else {
+            return false;
+        };
         let time_left = pending.deadline - self.time.now - RESPONSE_WRITE_MARGIN_MS;
         let timeout = fleet.settings.lease_timeout.min(time_left);
         if timeout <= 0.0 {
             return false;
         }
         let key = execution_key(&pending.request.id);
-        let Some(number) = fleet.change_record(no, key, change, timeout) else { return false };
+        let Some(change_number) = fleet.change_record(number, key, change, timeout) else { return false };
         let overdue = self.time.now + timeout + LEASE_REPLY_GRACE_MS;
-        self.schedule.timers.set(overdue, TimerKind::LeaseTimeout(no, number));
+        self.schedule.timers.set(overdue, TimerKind::LeaseTimeout(number, change_number));
         true
     }
 
     /// Rejects a request that is not leased: it was not executed here. If it may have been presented to another router too, nobody here
     /// knows whether it was executed there, and it is failed.
-    fn reject_unleased(&mut self, no: RequestNo, retry_after: Ms) {
+    fn reject_unleased(&mut self, number: RequestNo, retry_after: Ms) {
         // After a pause of the process, its input may be stale and the request presented elsewhere since.
         let stale = self.fleet.as_ref().is_some_and(|fleet| self.time.now < fleet.stale_input_until);
-        let presented_before = stale || self.requests.get(no).is_some_and(|pending| pending.request.again);
+        let presented_before =
+            stale || self.requests.get(number).is_some_and(|pending| pending.request.again);
         if presented_before {
             self.count_unknown_outcome();
         }
-        self.answer(no, if presented_before { Reply::Failed } else { Reply::Refused(retry_after) });
+        self.answer(number, if presented_before { Reply::Failed } else { Reply::Refused(retry_after) });
     }
 
     pub(super) fn count_unknown_outcome(&mut self) {
@@ -76,100 +79,102 @@
     }
 
     /// The replication thread has answered a change.
-    pub(in crate::owner) fn on_record_response(&mut self, number: RequestNumber, response: Response) {
+    pub(in crate::owner) fn on_record_response(&mut self, change_number: RequestNumber, response: Response) {
         let Some(fleet) = &mut self.fleet else { return };
-        let Some(change) = fleet.pending.remove(&number) else { return };
-        let no = change.request;
-        let Some(response) = self.on_continuation_response(no, response) else { return };
-        let Some(pending) = self.requests.get_mut(no).filter(|pending| !pending.lease.is_released()) else {
+        let Some(change) = fleet.pending.remove(&change_number) else { return };
+        let number = change.request;
+        let Some(response) = self.on_continuation_response(number, response) else { return };
+        let Some(pending) = self.requests.get_mut(number).filter(|pending| !pending.lease.is_released())
+        else {
             return self.release_unwanted(change, &response);
         };
         match std::mem::take(&mut pending.lease) {
             Lease::Completing { body } => {
                 pending.lease = Lease::Released;
-                self.on_outcome_stored(no, &body, &response);
+                self.on_outcome_stored(number, &body, &response);
             }
-            Lease::Acquiring | Lease::HeldElsewhere => self.on_acquire(no, response),
+            Lease::Acquiring | Lease::HeldElsewhere => self.on_acquire(number, response),
             lease @ (Lease::NotRequired | Lease::Held { .. } | Lease::Released) => pending.lease = lease,
         }
     }
 
     /// The response to a change is overdue: the replication thread is blocked. If the response comes later, a lease that it grants is
     /// released, and an outcome is stored still.
-    pub(in crate::owner) fn on_lease_timeout(&mut self, no: RequestNo, number: RequestNumber) {
-        let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.pending.contains_key(&number)) else {
+    pub(in crate::owner) fn on_lease_timeout(&mut self, number: RequestNo, change_number: RequestNumber) {
+        let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.pending.contains_key(&change_number))
+        else {
             return;
         };
-        let Some(pending) = self.requests.get_mut(no) else { return };
+        let Some(pending) = self.requests.get_mut(number) else { return };
         match std::mem::take(&mut pending.lease) {
             Lease::Acquiring | Lease::HeldElsewhere => {
                 fleet.counters.timeouts += 1;
                 pending.lease = Lease::Released;
                 let retry_after = fleet.settings.retry_after;
-                self.reject_unleased(no, retry_after);
+                self.reject_unleased(number, retry_after);
             }
             Lease::Completing { body } => {
                 fleet.counters.timeouts += 1;
                 pending.lease = Lease::Released;
-                self.reply(no, Reply::Served(body.bytes()));
+                self.reply(number, Reply::Served(body.bytes()));
             }
             lease @ (Lease::NotRequired | Lease::Held { .. } | Lease::Released) => pending.lease = lease,
         }
     }
 
     /// The response to acquiring or polling a lease.
-    fn on_acquire(&mut self, no: RequestNo, response: Response) {
+    fn on_acquire(&mut self, number: RequestNo, response: Response) {
         let Some(fleet) = &mut self.fleet else { return };
         match response {
             Response::Committed(Record::Leased { owner, term }) if owner == fleet.me => {
-                self.on_lease_granted(no, term);
+                self.on_lease_granted(number, term);
             }
-            Response::Committed(record) => self.on_record_found(no, Some(record)),
-            Response::Conflict(record) => self.on_record_found(no, record),
+            Response::Committed(record) => self.on_record_found(number, Some(record)),
+            Response::Conflict(record) => self.on_record_found(number, record),
             // The lease may yet be granted; the replication thread releases it then.
             Response::Unavailable { not_executed: _, retry_after, reason } => {
-                self.on_lease_unavailable(no, reason, retry_after);
+                self.on_lease_unavailable(number, reason, retry_after);
             }
         }
     }
 
-    fn on_lease_granted(&mut self, no: RequestNo, term: u32) {
-        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(no)) else { return };
+    fn on_lease_granted(&mut self, number: RequestNo, term: u32) {
+        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(number)) else { return };
         fleet.counters.acquired += 1;
         pending.lease = Lease::Held { term, execution: Execution::NotExecuted };
         if pending.answered {
             // The client has left meanwhile.
-            self.remove_if_complete(no);
+            self.remove_if_complete(number);
         } else {
-            self.route(no);
+            self.route(number);
         }
     }
 
-    fn on_lease_unavailable(&mut self, no: RequestNo, reason: UnavailableReason, retry_after: Ms) {
-        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(no)) else { return };
+    fn on_lease_unavailable(&mut self, number: RequestNo, reason: UnavailableReason, retry_after: Ms) {
+        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(number)) else { return };
         fleet.counters.unavailable += 1;
-        log::debug!("request {}: lease not granted: {reason:?}, retry_after={retry_after:.0} ms", no.0);
+        log::debug!("request {}: lease not granted: {reason:?}, retry_after={retry_after:.0} ms", number.0);
         pending.lease = Lease::Released;
-        self.reject_unleased(no, retry_after);
+        self.reject_unleased(number, retry_after);
     }
 
     /// The record shows that the request is leased by another router, or how it ended.
-    fn on_record_found(&mut self, no: RequestNo, record: Option<Record>) {
-        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(no)) else { return };
+    fn on_record_found(&mut self, number: RequestNo, record: Option<Record>) {
+        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(number)) else { return };
         pending.lease = Lease::Released;
         match record {
             Some(Record::Completed(Outcome::Served(body))) => {
                 fleet.counters.replayed_outcomes += 1;
-                self.answer(no, Reply::Served(&body));
+                self.answer(number, Reply::Served(&body));
             }
             Some(Record::Leased { .. } | Record::Released { .. }) => {
                 if pending.answered {
-                    return self.remove_if_complete(no);
+                    return self.remove_if_complete(number);
                 }
                 pending.lease = Lease::HeldElsewhere;
                 fleet.counters.polls += 1;
                 let at = self.time.now + LEASE_POLL_INTERVAL_MS;
-                self.schedule.timers.set(at, TimerKind::LeasePoll(no));
+                self.schedule.timers.set(at, TimerKind::LeasePoll(number));
             }
             // It may have been executed.
             Some(
@@ -183,21 +188,21 @@
             )
             | None => {
                 fleet.counters.unknown_outcomes += 1;
-                self.answer(no, Reply::Failed);
+                self.answer(number, Reply::Failed);
             }
         }
     }
 
     /// Asks again for a lease that another router held.
-    pub(in crate::owner) fn poll_lease(&mut self, no: RequestNo) {
-        let Some(pending) = self.requests.get(no) else { return };
+    pub(in crate::owner) fn poll_lease(&mut self, number: RequestNo) {
+        let Some(pending) = self.requests.get(number) else { return };
         if !matches!(pending.lease, Lease::HeldElsewhere) || pending.answered {
             return;
         }
-        if !self.request_lease(no) {
+        if !self.request_lease(number) {
             // The other router may execute it: the client is not invited to retry.
             self.count_unknown_outcome();
-            self.answer(no, Reply::Failed);
+            self.answer(number, Reply::Failed);
         }
     }
 }
--- a/crates/node/src/owner/lease/outcome.rs
+++ b/crates/node/src/owner/lease/outcome.rs
@@ -17,8 +17,8 @@
 
 impl Owner {
     /// Stores how a leased request ends; says whether its response has to wait for that.
-    pub(in crate::owner) fn record_outcome(&mut self, no: RequestNo, reply: Reply<'_>) -> SendResponse {
-        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(no)) else {
+    pub(in crate::owner) fn record_outcome(&mut self, number: RequestNo, reply: Reply<'_>) -> SendResponse {
+        let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(number)) else {
             return SendResponse::Now;
         };
         let Lease::Held { term, .. } = pending.lease else {
@@ -42,9 +42,9 @@
         };
         let outcome = fleet.stored_outcome(body);
         let change = Change::Complete(fleet.me.clone(), term, outcome.clone());
-        if self.change_record(no, change) {
+        if self.change_record(number, change) {
             let body = Counted::new(body.to_vec(), &[&self.memory.meter]);
-            if let Some(pending) = self.requests.get_mut(no) {
+            if let Some(pending) = self.requests.get_mut(number) {
                 pending.lease = Lease::Completing { body };
             }
             return SendResponse::OnceStored;
@@ -56,18 +56,18 @@
     }
 
     /// The replication thread has answered the change that stores an outcome.
-    pub(super) fn on_outcome_stored(&mut self, no: RequestNo, body: &Counted, response: &Response) {
+    pub(super) fn on_outcome_stored(&mut self, number: RequestNo, body: &Counted, response: &Response) {
         match response {
             Response::Committed(_) | Response::Conflict(Some(Record::Completed(_))) => {}
             Response::Conflict(_) => {
                 // Others have learned that the outcome is unknown.
                 self.fleet.iter_mut().for_each(|fleet| fleet.counters.fenced += 1);
-                return self.reply(no, Reply::Failed);
+                return self.reply(number, Reply::Failed);
             }
             // It was served all the same; the replication thread keeps trying to store that.
             Response::Unavailable { .. } => {}
         }
-        self.reply(no, Reply::Served(body.bytes()));
+        self.reply(number, Reply::Served(body.bytes()));
     }
 
     /// Releases a lease that was granted after nobody waited for it: the request was not sent.
@@ -82,9 +82,9 @@
     }
 
     /// Settles the lease of a complete request whose requester had left: by the results of its attempts.
-    pub(in crate::owner) fn settle_abandoned_lease(&mut self, no: RequestNo) {
+    pub(in crate::owner) fn settle_abandoned_lease(&mut self, number: RequestNo) {
         let Some(fleet) = &mut self.fleet else { return };
-        let Some(pending) = self.requests.get_mut(no).filter(|pending| pending.is_complete()) else {
+        let Some(pending) = self.requests.get_mut(number).filter(|pending| pending.is_complete()) else {
             return;
         };
         let Lease::Held { term, execution } = pending.lease else { return };
@@ -103,19 +103,19 @@
         fleet.stale_input_until = self.time.now + STALE_INPUT_WINDOW_MS;
         let retry_after = fleet.settings.retry_after;
         // Another router may have leased these meanwhile: their outcome can't be known in time.
-        for no in self.requests.waiting_for_lease() {
+        for number in self.requests.waiting_for_lease() {
             self.count_unknown_outcome();
-            self.answer(no, Reply::Failed);
+            self.answer(number, Reply::Failed);
         }
         let unsent = self.requests.leased_unsent();
         log::warn!(
             "process paused for {gap:.0} ms: releasing the leases of {} unsent requests",
             unsent.len()
         );
-        for no in unsent {
-            self.withdraw_unsent(no);
-            self.dispatch(Event::ClientDisconnected(request_id(no)));
-            self.answer(no, Reply::Refused(retry_after));
+        for number in unsent {
+            self.withdraw_unsent(number);
+            self.dispatch(Event::ClientDisconnected(request_id(number)));
+            self.answer(number, Reply::Refused(retry_after));
         }
     }
 }
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -64,8 +64,8 @@
 }
 
 /// The decision module's id of a request.
-fn request_id(no: RequestNo) -> RequestId {
-    RequestId(Arc::from(no.0.to_string()))
+fn request_id(number: RequestNo) -> RequestId {
+    RequestId(Arc::from(number.0.to_string()))
 }
 
 /// The request that the decision module names.
--- a/crates/node/src/owner/requester.rs
+++ b/crates/node/src/owner/requester.rs
@@ -51,11 +51,11 @@
 
 impl Owner {
     /// Registers an admitted request with its requester.
-    pub(super) fn register_admitted(&mut self, requester: Requester, no: RequestNo) {
+    pub(super) fn register_admitted(&mut self, requester: Requester, number: RequestNo) {
         match requester {
-            Requester::Client(client) => self.clients.register(client, no),
-            Requester::SubRequest(key) => self.on_sub_request_admitted(key, no),
-            Requester::Peer(served) => self.on_peer_request_admitted(served, no),
+            Requester::Client(client) => self.clients.register(client, number),
+            Requester::SubRequest(key) => self.on_sub_request_admitted(key, number),
+            Requester::Peer(served) => self.on_peer_request_admitted(served, number),
         }
     }
 
--- a/crates/node/src/owner/requests.rs
+++ b/crates/node/src/owner/requests.rs
@@ -107,20 +107,20 @@
         self.pending.is_empty()
     }
 
-    pub(super) fn get(&self, no: RequestNo) -> Option<&PendingRequest> {
-        self.pending.get(&no)
+    pub(super) fn get(&self, number: RequestNo) -> Option<&PendingRequest> {
+        self.pending.get(&number)
     }
 
-    pub(super) fn get_mut(&mut self, no: RequestNo) -> Option<&mut PendingRequest> {
-        self.pending.get_mut(&no)
+    pub(super) fn get_mut(&mut self, number: RequestNo) -> Option<&mut PendingRequest> {
+        self.pending.get_mut(&number)
     }
 
-    pub(super) fn attempt(&self, (no, attempt): AttemptKey) -> Option<&Attempt> {
-        self.pending.get(&no)?.attempts.get(attempt.0)
+    pub(super) fn attempt(&self, (number, attempt): AttemptKey) -> Option<&Attempt> {
+        self.pending.get(&number)?.attempts.get(attempt.0)
     }
 
-    pub(super) fn attempt_mut(&mut self, (no, attempt): AttemptKey) -> Option<&mut Attempt> {
-        self.pending.get_mut(&no)?.attempts.get_mut(attempt.0)
+    pub(super) fn attempt_mut(&mut self, (number, attempt): AttemptKey) -> Option<&mut Attempt> {
+        self.pending.get_mut(&number)?.attempts.get_mut(attempt.0)
     }
 
     /// The matching attempts of which no byte is written.
@@ -129,10 +129,10 @@
         matches: impl Fn(&PendingRequest, &Attempt) -> bool,
     ) -> Vec<AttemptKey> {
         let mut keys = Vec::new();
-        for (no, pending) in &self.pending {
+        for (number, pending) in &self.pending {
             let unsent = |a: &Attempt| a.stage() == Some(Stage::Waiting) && matches(pending, a);
             let attempts = pending.attempts.iter().enumerate().filter(|(_, a)| unsent(a));
-            keys.extend(attempts.map(|(n, _)| (*no, AttemptNo(n))));
+            keys.extend(attempts.map(|(n, _)| (*number, AttemptNo(n))));
         }
         keys
     }
@@ -149,7 +149,7 @@
     }
 
     fn unanswered(&self, matches: impl Fn(&PendingRequest) -> bool) -> Vec<RequestNo> {
-        self.pending.iter().filter(|(_, p)| !p.answered && matches(p)).map(|(no, _)| *no).collect()
+        self.pending.iter().filter(|(_, p)| !p.answered && matches(p)).map(|(number, _)| *number).collect()
     }
 
     /// A number that no other request has.
@@ -159,26 +159,26 @@
     }
 
     pub(super) fn insert(&mut self, incoming: IncomingRequest, meter: &Rc<Meter>) -> RequestNo {
-        let no = self.next_number();
+        let number = self.next_number();
         self.ids.insert(incoming.request.id.clone());
-        self.pending.insert(no, PendingRequest::new(incoming, meter));
-        no
+        self.pending.insert(number, PendingRequest::new(incoming, meter));
+        number
     }
 
     /// Marks a request as answered; `None` if it was so before.
-    pub(super) fn mark_answered(&mut self, no: RequestNo) -> Option<Answered> {
-        let pending = self.pending.get_mut(&no).filter(|pending| !pending.answered)?;
+    pub(super) fn mark_answered(&mut self, number: RequestNo) -> Option<Answered> {
+        let pending = self.pending.get_mut(&number).filter(|pending| !pending.answered)?;
         pending.answered = true;
         pending.body = None;
         Some(Answered { requester: pending.requester, copy: pending.copy.take() })
     }
 
     /// Removes a request if it is complete.
-    pub(super) fn remove_if_complete(&mut self, no: RequestNo) {
-        if !self.pending.get(&no).is_some_and(PendingRequest::is_complete) {
+    pub(super) fn remove_if_complete(&mut self, number: RequestNo) {
+        if !self.pending.get(&number).is_some_and(PendingRequest::is_complete) {
             return;
         }
-        if let Some(pending) = self.pending.remove(&no) {
+        if let Some(pending) = self.pending.remove(&number) {
             self.ids.remove(&pending.request.id);
         }
     }
--- a/crates/node/src/owner/scatter_gather/admission.rs
+++ b/crates/node/src/owner/scatter_gather/admission.rs
@@ -76,26 +76,26 @@
         request: Box<Do>,
         deadline: Ms,
     ) {
-        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(state) = &mut self.scatter_gather else { return };
         let continuation = request.debt.as_deref().map(parts::debt);
         let is_malformed = continuation == Some(None) || !request.body.is_empty();
-        let Some(parts) = sg.decode_parts(&request).filter(|_| !is_malformed) else {
+        let Some(parts) = state.decode_parts(&request).filter(|_| !is_malformed) else {
             return self.on_undecodable_request(client.id, client.tag);
         };
         self.counters.clients.requests.one();
-        sg.counters.requests += 1;
-        if sg.open.len() >= MAX_OPEN || self.requests.is_full() || self.memory.is_exceeded() {
-            sg.counters.rejected += 1;
+        state.counters.requests += 1;
+        if state.open.len() >= MAX_OPEN || self.requests.is_full() || self.memory.is_exceeded() {
+            state.counters.rejected += 1;
             self.counters.clients.turned_away.one();
             return self.clients.reject(client);
         }
-        let no = self.requests.next_number();
-        self.clients.register(client, no);
-        let gather = GatherNo(no.0);
-        let continuation = continuation.flatten().filter(|_| sg.is_idempotent(class));
+        let number = self.requests.next_number();
+        self.clients.register(client, number);
+        let gather = GatherNo(number.0);
+        let continuation = continuation.flatten().filter(|_| state.is_idempotent(class));
         let stage = Stage::ReadingContinuation;
         let open = OpenGather { client, class, request, parts, deadline, continuation: None, stage };
-        sg.open.insert(gather, open);
+        state.open.insert(gather, open);
         match continuation {
             Some(name) => self.read_continuation(gather, name),
             None => self.start_gathering(gather),
@@ -104,10 +104,10 @@
 
     /// Hands a scatter-gather request to the decisions.
     pub(super) fn start_gathering(&mut self, gather: GatherNo) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let Some(open) = sg.open.get_mut(&gather) else { return };
+        let Some(state) = &mut self.scatter_gather else { return };
+        let Some(open) = state.open.get_mut(&gather) else { return };
         open.stage = Stage::Gathering;
-        let Some(open) = sg.open.get(&gather) else { return };
+        let Some(open) = state.open.get(&gather) else { return };
         let (object, group) = (open.request.object.0, open.request.group.0);
         let version = open.continuation.as_ref().map(|continuation| Arc::clone(&continuation.version));
         let spec = |(part, site): &RequestedPart| PartSpec {
@@ -119,14 +119,14 @@
             worth: 1.0,
             version: version.clone(),
         };
-        let class = sg.class(open.class);
+        let class = state.class(open.class);
         let ask = Ask {
             no: gather,
-            policy: sg.policy(&open.request.class, &open.parts),
+            policy: state.policy(&open.request.class, &open.parts),
             effect: effect(class),
             parts: open.parts.iter().map(spec).collect(),
             times: times(class, (open.deadline - self.time.now).max(0.0)),
-            purges: sg.purges_of(group, object).into_iter().map(decision_purge).collect(),
+            purges: state.purges_of(group, object).into_iter().map(decision_purge).collect(),
         };
         self.dispatch_scatter_gather(Event::Ask(ask));
     }
--- a/crates/node/src/owner/scatter_gather/answers.rs
+++ b/crates/node/src/owner/scatter_gather/answers.rs
@@ -49,9 +49,9 @@
 
     /// The parts of an answer; fails the request if a body is missing.
     fn take_answer_parts(&mut self, gather: GatherNo, used: &[Used]) -> Option<AnswerParts> {
-        let sg = self.scatter_gather.as_mut()?;
-        let parts = sg.take_bodies(gather, used);
-        if !sg.open.contains_key(&gather) {
+        let state = self.scatter_gather.as_mut()?;
+        let parts = state.take_bodies(gather, used);
+        if !state.open.contains_key(&gather) {
             return None;
         }
         let Some(parts) = parts else {
@@ -98,12 +98,12 @@
         bodies: &[Counted],
         decided_at: Ms,
     ) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let Some(open) = sg.open.remove(&gather) else { return };
+        let Some(state) = &mut self.scatter_gather else { return };
+        let Some(open) = state.open.remove(&gather) else { return };
         let complete = response.missing.is_empty();
         match complete {
-            true => sg.counters.complete += 1,
-            false => sg.counters.partial += 1,
+            true => state.counters.complete += 1,
+            false => state.counters.partial += 1,
         }
         bodies.iter().for_each(|body| response.body.extend_from_slice(body.bytes()));
         let client = open.client;
@@ -117,11 +117,11 @@
 
     /// Answers without parts.
     pub(super) fn reply_without_parts(&mut self, gather: GatherNo, reply: Reply<'_>) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let Some(open) = sg.open.remove(&gather) else { return };
+        let Some(state) = &mut self.scatter_gather else { return };
+        let Some(open) = state.open.remove(&gather) else { return };
         match reply {
-            Reply::Refused(_) => sg.counters.rejected += 1,
-            Reply::Failed | Reply::Served(_) | Reply::Same => sg.counters.failed += 1,
+            Reply::Refused(_) => state.counters.rejected += 1,
+            Reply::Failed | Reply::Served(_) | Reply::Same => state.counters.failed += 1,
         }
         let client = open.client;
         let bytes = answer(client.tag, reply);
@@ -131,11 +131,11 @@
     }
 
     /// The client of a scatter-gather request no longer waits; false if the number is not one's.
-    pub(in crate::owner) fn cancel_scatter_gather(&mut self, no: RequestNo) -> bool {
-        let Some(sg) = &mut self.scatter_gather else { return false };
-        let gather = GatherNo(no.0);
-        let Some(open) = sg.open.remove(&gather) else { return false };
-        sg.counters.cancelled += 1;
+    pub(in crate::owner) fn cancel_scatter_gather(&mut self, number: RequestNo) -> bool {
+        let Some(state) = &mut self.scatter_gather else { return false };
+        let gather = GatherNo(number.0);
+        let Some(open) = state.open.remove(&gather) else { return false };
+        state.counters.cancelled += 1;
         self.counters.clients.left.one();
         match open.stage {
             Stage::ReadingContinuation => {}
--- a/crates/node/src/owner/scatter_gather/continuations.rs
+++ b/crates/node/src/owner/scatter_gather/continuations.rs
@@ -46,7 +46,7 @@
 
     /// Asks for a change of a continuation's record; false for want of time or capacity.
     fn change_continuation(&mut self, gather: GatherNo, name: u128, change: Change) -> bool {
-        let open = self.scatter_gather.as_ref().and_then(|sg| sg.open.get(&gather));
+        let open = self.scatter_gather.as_ref().and_then(|state| state.open.get(&gather));
         let deadline = open.map_or(0.0, |open| open.deadline);
         let Some(fleet) = &mut self.fleet else { return false };
         let time_left = deadline - self.time.now - RESPONSE_WRITE_MARGIN_MS;
@@ -56,7 +56,7 @@
 
     /// A client requests the rest of an earlier answer.
     pub(super) fn read_continuation(&mut self, gather: GatherNo, name: u128) {
-        let Some(open) = self.scatter_gather.as_mut().and_then(|sg| sg.open.get_mut(&gather)) else {
+        let Some(open) = self.scatter_gather.as_mut().and_then(|state| state.open.get_mut(&gather)) else {
             return;
         };
         let (object, version) = (open.request.object.0, Arc::from(""));
@@ -76,7 +76,7 @@
         bodies: Vec<Counted>,
     ) {
         let decided_at = self.time.now;
-        let Some(open) = self.scatter_gather.as_mut().and_then(|sg| sg.open.get_mut(&gather)) else {
+        let Some(open) = self.scatter_gather.as_mut().and_then(|state| state.open.get_mut(&gather)) else {
             return;
         };
         let missing: Vec<u64> = response.missing.iter().map(|part| u64::from(*part)).collect();
@@ -93,8 +93,8 @@
     /// Sends the answer that waited for its continuation. Without one the missing parts are missing all the same, and the answer names
     /// no continuation.
     fn send_partial_answer(&mut self, gather: GatherNo, stored: Stored) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let Some(open) = sg.open.get_mut(&gather) else { return };
+        let Some(state) = &mut self.scatter_gather else { return };
+        let Some(open) = state.open.get_mut(&gather) else { return };
         let Stage::StoringContinuation(answer) = std::mem::replace(&mut open.stage, Stage::Gathering) else {
             return;
         };
@@ -102,11 +102,11 @@
         match stored {
             Stored::Yes => {
                 response.debt = Some(continuation.name);
-                sg.counters.continuations_stored += 1;
+                state.counters.continuations_stored += 1;
             }
             Stored::No => {
                 response.debt = None;
-                sg.counters.continuations_failed += 1;
+                state.counters.continuations_failed += 1;
             }
         }
         self.send_parts(gather, response, &bodies, decided_at);
@@ -115,11 +115,11 @@
     /// The response to a change of a continuation's record; handed back if the request is no scatter-gather request.
     pub(in crate::owner) fn on_continuation_response(
         &mut self,
-        no: RequestNo,
+        number: RequestNo,
         response: Response,
     ) -> Option<Response> {
-        let gather = GatherNo(no.0);
-        let Some(open) = self.scatter_gather.as_mut().and_then(|sg| sg.open.get_mut(&gather)) else {
+        let gather = GatherNo(number.0);
+        let Some(open) = self.scatter_gather.as_mut().and_then(|state| state.open.get_mut(&gather)) else {
             return Some(response);
         };
         match &open.stage {
@@ -136,8 +136,8 @@
 
     /// The record of the continuation that a client names.
     fn on_continuation_read(&mut self, gather: GatherNo, response: Response) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let Some(open) = sg.open.get_mut(&gather) else { return };
+        let Some(state) = &mut self.scatter_gather else { return };
+        let Some(open) = state.open.get_mut(&gather) else { return };
         let record = match response {
             Response::Committed(record) => Some(record),
             Response::Conflict(record) => record,
@@ -157,7 +157,7 @@
             }
             // It never was, it is completed, or it has expired.
             (_, _) => {
-                sg.counters.continuations_unknown += 1;
+                state.counters.continuations_unknown += 1;
                 self.reply_without_parts(gather, Reply::Failed);
             }
         }
@@ -167,8 +167,8 @@
     pub(super) fn shrink_continuation(&mut self, mut continuation: Continuation, delivered: &[u64]) {
         continuation.missing.retain(|part| !delivered.contains(part));
         if continuation.missing.is_empty() {
-            if let Some(sg) = &mut self.scatter_gather {
-                sg.counters.continuations_completed += 1;
+            if let Some(state) = &mut self.scatter_gather {
+                state.counters.continuations_completed += 1;
             }
             self.expire_continuation(&continuation);
         } else if let Some(fleet) = &mut self.fleet {
--- a/crates/node/src/owner/scatter_gather/dispatch.rs
+++ b/crates/node/src/owner/scatter_gather/dispatch.rs
@@ -13,19 +13,19 @@
 impl Owner {
     /// Hands the decisions an event and performs their actions. Events that arise meanwhile are handled after it.
     pub(in crate::owner) fn dispatch_scatter_gather(&mut self, event: Event) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        sg.queue.events.push_back(event);
-        if std::mem::replace(&mut sg.queue.dispatching, true) {
+        let Some(state) = &mut self.scatter_gather else { return };
+        state.queue.events.push_back(event);
+        if std::mem::replace(&mut state.queue.dispatching, true) {
             return;
         }
         let now = self.time.now;
-        while let Some(sg) = &mut self.scatter_gather {
-            let Some(event) = sg.queue.events.pop_front() else {
-                sg.queue.dispatching = false;
+        while let Some(state) = &mut self.scatter_gather {
+            let Some(event) = state.queue.events.pop_front() else {
+                state.queue.dispatching = false;
                 return;
             };
             let mut actions = Vec::new();
-            sg.decisions.handle(now, event, &mut actions);
+            state.decisions.handle(now, event, &mut actions);
             actions.into_iter().for_each(|action| self.perform_scatter_gather(action));
         }
     }
@@ -45,8 +45,8 @@
                 }
             }
             Action::Timer(at) => {
-                if let Some(sg) = &mut self.scatter_gather {
-                    sg.wakeup.requested_at = Some(at);
+                if let Some(state) = &mut self.scatter_gather {
+                    state.wakeup.requested_at = Some(at);
                 }
                 self.set_scatter_gather_timer();
             }
@@ -55,8 +55,8 @@
 
     /// Sets a timer for when the decisions are due, unless an earlier one is set.
     fn set_scatter_gather_timer(&mut self) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let wakeup = &mut sg.wakeup;
+        let Some(state) = &mut self.scatter_gather else { return };
+        let wakeup = &mut state.wakeup;
         let is_earlier = |at: &Ms| wakeup.timer_at.is_none_or(|timer_at| *at < timer_at);
         let Some(at) = wakeup.requested_at.filter(is_earlier) else { return };
         wakeup.timer_at = Some(at);
@@ -65,8 +65,8 @@
 
     pub(in crate::owner) fn on_scatter_gather_timer(&mut self) {
         let now = self.time.now;
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let wakeup = &mut sg.wakeup;
+        let Some(state) = &mut self.scatter_gather else { return };
+        let wakeup = &mut state.wakeup;
         wakeup.timer_at = wakeup.timer_at.filter(|at| *at > now);
         if wakeup.requested_at.is_some_and(|at| at <= now) {
             wakeup.requested_at = None;
@@ -77,9 +77,9 @@
 
     /// A purge, of the change log or replicated; `time` is in Unix milliseconds.
     pub(in crate::owner) fn purge_parts(&mut self, object: Option<ObjectId>, group: GroupId, time: Ms) {
-        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(state) = &mut self.scatter_gather else { return };
         let purge = purges::from_change_log(group, object, time);
-        if sg.purges.observe(purge) {
+        if state.purges.observe(purge) {
             self.dispatch_scatter_gather(Event::Purged(decision_purge(purge)));
         }
     }
@@ -87,16 +87,16 @@
     /// Drops the purges that have converged.
     pub(in crate::owner) fn expire_scatter_gather_purges(&mut self) {
         let now = self.time.platform.unix(self.time.now);
-        if let Some(sg) = &mut self.scatter_gather {
-            sg.purges.settle(now, sg.config.purge_convergence_time);
+        if let Some(state) = &mut self.scatter_gather {
+            state.purges.settle(now, state.config.purge_convergence_time);
         }
     }
 
     /// The fleet's counters as `name=value` words.
     pub(in crate::owner) fn fleet_counters_text(&self) -> String {
         let mut text = self.fleet.as_ref().map(crate::fleet::Fleet::counters_text).unwrap_or_default();
-        if let Some(sg) = &self.scatter_gather {
-            text.push_str(&sg.counters.to_string());
+        if let Some(state) = &self.scatter_gather {
+            text.push_str(&state.counters.to_string());
         }
         text
     }
--- a/crates/node/src/owner/scatter_gather/peer_messages.rs
+++ b/crates/node/src/owner/scatter_gather/peer_messages.rs
@@ -41,11 +41,11 @@
 impl Owner {
     /// Requests a part from a router of its branch.
     pub(super) fn request_part(&mut self, key: SubRequestKey, part: PartNo, site: &Site, time_left: Ms) {
-        let (Some(sg), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
-        let Some(open) = sg.open.get(&key.gather) else { return };
+        let (Some(state), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
+        let Some(open) = state.open.get(&key.gather) else { return };
         let request = &open.request;
-        let peer = sg.peers.next_of(&site.0);
-        let number = sg.peers.next_number();
+        let peer = state.peers.next_of(&site.0);
+        let number = state.peers.next_number();
         let message = PartMessage::Request(PartRequest {
             number,
             class: Arc::from(request.class.as_str()),
@@ -56,23 +56,23 @@
             time_left: time_left.max(0.0),
         });
         let Some(peer) = peer.filter(|peer| fleet.send(number, peer, &message).is_ok()) else {
-            sg.counters.parts_unreachable += 1;
+            state.counters.parts_unreachable += 1;
             return self.on_sub_request_failed(key, How::Unreached);
         };
-        sg.counters.parts_requested += 1;
-        sg.peers.add_requested(number, peer, key);
-        if let Some(sub_request) = sg.sub_requests.get_mut(&key) {
+        state.counters.parts_requested += 1;
+        state.peers.add_requested(number, peer, key);
+        if let Some(sub_request) = state.sub_requests.get_mut(&key) {
             sub_request.location = Location::Remote(number);
         }
     }
 
     /// Cancels a part request to another router.
     pub(super) fn cancel_part(&mut self, number: u64) {
-        let (Some(sg), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
-        if let Some(from) = sg.peers.remove_requested(number) {
+        let (Some(state), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
+        if let Some(from) = state.peers.remove_requested(number) {
             // If the message is lost, the request ends there by its own deadline.
             let sent = fleet.send(UNTRACKED, &from.peer, &PartMessage::Cancel { number });
-            sg.counters.unsent_messages += u64::from(sent.is_err());
+            state.counters.unsent_messages += u64::from(sent.is_err());
         }
     }
 
@@ -95,37 +95,37 @@
     }
 
     fn on_peer_up(&mut self, member: &Member, branch: Arc<str>) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        if let Some(before) = sg.peers.add_reachable(member, branch) {
+        let Some(state) = &mut self.scatter_gather else { return };
+        if let Some(before) = state.peers.add_reachable(member, branch) {
             self.on_peer_lost(&before);
         }
         self.report_fleet_size();
     }
 
     fn on_peer_down(&mut self, member: &Member) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        sg.peers.remove_reachable(member);
+        let Some(state) = &mut self.scatter_gather else { return };
+        state.peers.remove_reachable(member);
         self.on_peer_lost(member);
         self.report_fleet_size();
     }
 
     fn report_fleet_size(&mut self) {
-        let routers = self.scatter_gather.as_ref().map_or(1, |sg| sg.peers.reachable_count() + 1);
+        let routers = self.scatter_gather.as_ref().map_or(1, |state| state.peers.reachable_count() + 1);
         self.dispatch_scatter_gather(Event::Fleet(routers));
     }
 
     /// A peer is lost: what was requested from it has no answer, and what it requested has no requester.
     fn on_peer_lost(&mut self, member: &Member) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let LostPeer { unanswered, unwanted } = sg.peers.remove_peer(member);
+        let Some(state) = &mut self.scatter_gather else { return };
+        let LostPeer { unanswered, unwanted } = state.peers.remove_peer(member);
         unanswered.into_iter().for_each(|key| self.on_sub_request_failed(key, How::Unreached));
-        unwanted.into_iter().for_each(|no| self.on_requester_left(no));
+        unwanted.into_iter().for_each(|number| self.on_requester_left(number));
     }
 
     fn on_part_request_unsent(&mut self, number: u64) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        sg.counters.unsent_messages += 1;
-        if let Some(from) = sg.peers.remove_requested(number) {
+        let Some(state) = &mut self.scatter_gather else { return };
+        state.counters.unsent_messages += 1;
+        if let Some(from) = state.peers.remove_requested(number) {
             self.on_sub_request_failed(from.key, How::Unreached);
         }
     }
@@ -144,8 +144,8 @@
     }
 
     fn count_unexpected_message(&mut self) {
-        if let Some(sg) = &mut self.scatter_gather {
-            sg.counters.unexpected_messages += 1;
+        if let Some(state) = &mut self.scatter_gather {
+            state.counters.unexpected_messages += 1;
         }
     }
 
@@ -158,8 +158,8 @@
         purges: Vec<Purge>,
         result: PartResult,
     ) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let Some(requested) = sg.peers.requested(number) else {
+        let Some(state) = &mut self.scatter_gather else { return };
+        let Some(requested) = state.peers.requested(number) else {
             // It was cancelled meanwhile.
             return;
         };
@@ -167,7 +167,7 @@
             return self.count_unexpected_message();
         }
         let key = requested.key;
-        sg.peers.remove_requested(number);
+        state.peers.remove_requested(number);
         match result {
             PartResult::Served { version, created, body: bytes } => {
                 let copy = CopyTag { version, born: created };
@@ -183,22 +183,22 @@
     /// Another router requests a part.
     fn on_part_request(&mut self, peer: Member, request: &PartRequest) {
         let class = self.config.names.class(&request.class);
-        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(state) = &mut self.scatter_gather else { return };
         let to = PeerRequest { peer, number: request.number };
         let object = u64::from_str_radix(&request.object, 16).ok();
-        let (Some(class), Some(object)) = (class.filter(|class| sg.is_idempotent(*class)), object) else {
-            sg.counters.unexpected_messages += 1;
+        let (Some(class), Some(object)) = (class.filter(|class| state.is_idempotent(*class)), object) else {
+            state.counters.unexpected_messages += 1;
             return self.respond(PartResponse::without_part(to, PartResult::Failed));
         };
-        if sg.peers.served_count() >= MAX_SERVED_PARTS {
+        if state.peers.served_count() >= MAX_SERVED_PARTS {
             return self.respond(PartResponse::without_part(to, PartResult::Rejected(0.0)));
         }
-        if sg.peers.is_serving(&to) {
-            sg.counters.unexpected_messages += 1;
+        if state.peers.is_serving(&to) {
+            state.counters.unexpected_messages += 1;
             return;
         }
         let (since, group) = (self.time.now, request.group);
-        let served = sg.peers.add_served(ServedPart { to, request: None, since, group, object });
+        let served = state.peers.add_served(ServedPart { to, request: None, since, group, object });
         let part = PartOf {
             class: request.class.to_string(),
             object: ObjectId(object),
@@ -212,18 +212,18 @@
     }
 
     fn on_part_cancelled(&mut self, request: PeerRequest) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let served = sg.peers.remove_served_request(&request);
-        if let Some(no) = served.and_then(|served| served.request) {
-            self.on_requester_left(no);
+        let Some(state) = &mut self.scatter_gather else { return };
+        let served = state.peers.remove_served_request(&request);
+        if let Some(number) = served.and_then(|served| served.request) {
+            self.on_requester_left(number);
         }
     }
 
     /// Another router's part request was admitted.
-    pub(in crate::owner) fn on_peer_request_admitted(&mut self, served: u64, no: RequestNo) {
-        let served = self.scatter_gather.as_mut().and_then(|sg| sg.peers.served_mut(served));
+    pub(in crate::owner) fn on_peer_request_admitted(&mut self, served: u64, number: RequestNo) {
+        let served = self.scatter_gather.as_mut().and_then(|state| state.peers.served_mut(served));
         if let Some(served) = served {
-            served.request = Some(no);
+            served.request = Some(number);
         }
     }
 
@@ -235,26 +235,26 @@
         copy: Option<CopyTag>,
     ) {
         let now = self.time.now;
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let Some(served) = sg.peers.remove_served(served) else { return };
-        let purges = sg.purges_of(served.group, served.object);
+        let Some(state) = &mut self.scatter_gather else { return };
+        let Some(served) = state.peers.remove_served(served) else { return };
+        let purges = state.purges_of(served.group, served.object);
         let result = part_result(reply, copy);
-        sg.counters.parts_served += u64::from(matches!(result, PartResult::Served { .. }));
+        state.counters.parts_served += u64::from(matches!(result, PartResult::Served { .. }));
         self.respond(PartResponse { to: served.to, elapsed: now - served.since, purges, result });
     }
 
     fn respond(&mut self, response: PartResponse) {
-        let (Some(sg), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
+        let (Some(state), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
         let PartResponse { to: PeerRequest { peer, number }, elapsed, purges, result } = response;
         if fleet.send(UNTRACKED, &peer, &PartMessage::Response { number, elapsed, purges, result }).is_ok() {
             return;
         }
         // The lane is full or the message too long for a frame; one without the part may fit.
-        sg.counters.unsent_messages += 1;
+        state.counters.unsent_messages += 1;
         let result = PartResult::Failed;
         let failed = PartMessage::Response { number, elapsed, purges: Vec::new(), result };
         let sent = fleet.send(UNTRACKED, &peer, &failed);
-        sg.counters.unsent_messages += u64::from(sent.is_err());
+        state.counters.unsent_messages += u64::from(sent.is_err());
     }
 }
 
--- a/crates/node/src/owner/scatter_gather/sub_requests.rs
+++ b/crates/node/src/owner/scatter_gather/sub_requests.rs
@@ -58,12 +58,12 @@
 impl Owner {
     pub(super) fn start_sub_request(&mut self, key: SubRequestKey, part: PartNo, site: &Site, time_left: Ms) {
         let now = self.time.now;
-        let Some(sg) = &mut self.scatter_gather else { return };
-        let Some(open) = sg.open.get(&key.gather) else {
+        let Some(state) = &mut self.scatter_gather else { return };
+        let Some(open) = state.open.get(&key.gather) else {
             return self.on_sub_request_failed(key, How::Unreached);
         };
-        sg.sub_requests.insert(key, SubRequest { location: Location::None, started_at: now, body: None });
-        if site.0 != sg.config.branch {
+        state.sub_requests.insert(key, SubRequest { location: Location::None, started_at: now, body: None });
+        if site.0 != state.config.branch {
             return self.request_part(key, part, site, time_left);
         }
         let (class, client, request) = (open.class, open.client, &open.request);
@@ -88,11 +88,11 @@
         part: PartOf,
         liveness: Option<Wanted>,
     ) {
-        let Some(sg) = &mut self.scatter_gather else { return };
+        let Some(state) = &mut self.scatter_gather else { return };
         let mut request = part.into_request();
         loop {
-            sg.last_id = sg.last_id.wrapping_add(1);
-            request.id = WireId(Arc::from(format!("{:016x}", sg.last_id)));
+            state.last_id = state.last_id.wrapping_add(1);
+            request.id = WireId(Arc::from(format!("{:016x}", state.last_id)));
             if !self.requests.contains_id(&request.id) {
                 break;
             }
@@ -103,10 +103,10 @@
     }
 
     /// A sub-request of this router was admitted.
-    pub(in crate::owner) fn on_sub_request_admitted(&mut self, key: SubRequestKey, no: RequestNo) {
-        let sub_request = self.scatter_gather.as_mut().and_then(|sg| sg.sub_requests.get_mut(&key));
+    pub(in crate::owner) fn on_sub_request_admitted(&mut self, key: SubRequestKey, number: RequestNo) {
+        let sub_request = self.scatter_gather.as_mut().and_then(|state| state.sub_requests.get_mut(&key));
         if let Some(sub_request) = sub_request {
-            sub_request.location = Location::Local(no);
+            sub_request.location = Location::Local(number);
         }
     }
 
@@ -119,7 +119,7 @@
     ) {
         match (reply, copy) {
             (Reply::Served(bytes), Some(copy)) => {
-                let sub_request = self.scatter_gather.as_ref().and_then(|sg| sg.sub_requests.get(&key));
+                let sub_request = self.scatter_gather.as_ref().and_then(|state| state.sub_requests.get(&key));
                 let elapsed = sub_request.map_or(0.0, |sub_request| self.time.now - sub_request.started_at);
                 let body = PartBody { bytes: bytes.to_vec(), copy, elapsed, purges: Vec::new() };
                 self.on_part_received(key, body);
@@ -136,13 +136,13 @@
     pub(super) fn on_part_received(&mut self, key: SubRequestKey, part: PartBody) {
         if self.memory.is_exceeded() {
             // Links are not stopped by a full memory, as connections are.
-            if let Some(sg) = &mut self.scatter_gather {
-                sg.counters.parts_dropped += 1;
+            if let Some(state) = &mut self.scatter_gather {
+                state.counters.parts_dropped += 1;
             }
             return self.on_sub_request_failed(key, How::Failed);
         }
         let meter = &self.memory.meter;
-        let sub_request = self.scatter_gather.as_mut().and_then(|sg| sg.sub_requests.get_mut(&key));
+        let sub_request = self.scatter_gather.as_mut().and_then(|state| state.sub_requests.get_mut(&key));
         let Some(sub_request) = sub_request else { return };
         let PartBody { bytes, copy: CopyTag { version, born }, elapsed: took, purges } = part;
         let len = bytes.len() as u64;
@@ -156,18 +156,18 @@
 
     /// A sub-request ended without a part.
     pub(super) fn on_sub_request_failed(&mut self, key: SubRequestKey, how: How) {
-        let Some(sg) = &mut self.scatter_gather else { return };
-        sg.sub_requests.remove(&key);
+        let Some(state) = &mut self.scatter_gather else { return };
+        state.sub_requests.remove(&key);
         let SubRequestKey { gather: no, attempt } = key;
         self.dispatch_scatter_gather(Event::Ended(Ended { no, attempt, how }));
     }
 
     /// Cancels a sub-request, or frees its buffered bytes.
     pub(super) fn drop_sub_request(&mut self, key: SubRequestKey) {
-        let sub_request = self.scatter_gather.as_mut().and_then(|sg| sg.sub_requests.remove(&key));
+        let sub_request = self.scatter_gather.as_mut().and_then(|state| state.sub_requests.remove(&key));
         match sub_request.map(|sub_request| sub_request.location) {
             Some(Location::None) | None => {}
-            Some(Location::Local(no)) => self.on_requester_left(no),
+            Some(Location::Local(number)) => self.on_requester_left(number),
             Some(Location::Remote(number)) => self.cancel_part(number),
         }
     }
--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -172,15 +172,15 @@
 }
 
 /// A request's attempts.
-fn attempts(owner: &Owner, no: u64) -> Vec<AttemptView> {
-    let pending = owner.requests.get(RequestNo(no)).expect("an open request");
+fn attempts(owner: &Owner, number: u64) -> Vec<AttemptView> {
+    let pending = owner.requests.get(RequestNo(number)).expect("an open request");
     let view = |a: &Attempt| AttemptView { server: a.server.clone(), in_flight: a.is_in_flight() };
     pending.attempts.iter().map(view).collect()
 }
 
 /// Whether each of a request's attempts is in flight.
-fn in_flight(owner: &Owner, no: u64) -> Vec<bool> {
-    attempts(owner, no).iter().map(|a| a.in_flight).collect()
+fn in_flight(owner: &Owner, number: u64) -> Vec<bool> {
+    attempts(owner, number).iter().map(|a| a.in_flight).collect()
 }
 
 fn draining(owner: &Owner, id: &ServerId) -> Input {
--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -80,8 +80,8 @@
     let (mut owner, messages) = owner();
     let both = [request(&owner, 1), request(&owner, 2)];
     owner.batch(&mut Vec::from(both));
-    let connection = |no| {
-        let pending = owner.requests.get(RequestNo(no)).expect("open");
+    let connection = |number| {
+        let pending = owner.requests.get(RequestNo(number)).expect("open");
         pending.attempts[0].in_flight.as_ref().expect("in flight").connection
     };
     let (first, second) = (connection(1), connection(2));
