--- a/crates/scatter_gather/src/weigh.rs
+++ b/crates/scatter_gather/src/weigh.rs
@@ -187,19 +187,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::at_least;
-
-    #[test]
-    fn counts_of_independent_events() {
-        let near = |a: f64, b: f64| assert!((a - b).abs() < 1e-12, "{a} {b}");
-        near(at_least(0, &[0.5]), 1.0);
-        near(at_least(2, &[0.5]), 0.0);
-        near(at_least(2, &[0.5, 0.5]), 0.25);
-        near(at_least(1, &[0.5, 0.5, 0.5]), 0.875);
-        near(
-            at_least(2, &[0.2, 0.7, 0.5]),
-            0.2 * 0.7 * 0.5 + 0.2 * 0.7 * 0.5 + 0.2 * 0.3 * 0.5 + 0.8 * 0.7 * 0.5,
-        );
-    }
-}
+mod tests;
