--- a/crates/hierarchy/src/reshape/tests.rs
+++ b/crates/hierarchy/src/reshape/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::plan::tests::{node, spec, tree};
 use crate::Cold;
+use crate::PlanSpec;
 
 struct Rig {
     reshape: Reshape,
