--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -54,10 +54,10 @@
     assert!(!s.must_watch_endpoints && !s.dynamic_weights);
     let (_, bare) = settings(&json!({})).expect("an empty object");
     assert_eq!((bare.routers, bare.max_attempts, bare.hedging), (1, 1, false));
-    let mut asked = start();
-    asked["discovery"] = json!("subscribe");
-    asked["weight-kind"] = json!("live");
-    let (_, s) = settings(&asked).expect("settings");
+    let mut watching = start();
+    watching["discovery"] = json!("subscribe");
+    watching["weight-kind"] = json!("live");
+    let (_, s) = settings(&watching).expect("settings");
     assert!(s.must_watch_endpoints && s.dynamic_weights);
 }
 
@@ -139,12 +139,12 @@
 #[test]
 fn every_result_and_fill_report_is_decoded() {
     let ends = ["GOOD", "BAD", "FULL", "LATE", "NOCONN", "RST", "CXL", "NOP", "MISS"];
-    let mut met = Vec::new();
+    let mut decoded = Vec::new();
     for (n, code) in ends.iter().enumerate() {
         let v = json!(["FINISHED", 3, R, 0, C, code, 1.0, false, n, 0.0, null]);
         let Ok(Some(Event::Outcome(o))) = read(v) else { panic!("{code}") };
-        assert!(!met.contains(&(o.result, o.fill_report)));
-        met.push((o.result, o.fill_report));
+        assert!(!decoded.contains(&(o.result, o.fill_report)));
+        decoded.push((o.result, o.fill_report));
     }
     assert!(read(json!(["FINISHED", 3, R, 0, C, "WHAT", 1.0, false])).is_err());
     assert!(read(json!(["FINISHED", 3, R, 0, C, "BAD", 1.0, false, 11])).is_err());
@@ -152,7 +152,7 @@
 
 #[test]
 fn every_action_is_encoded_with_its_ids_unchanged() {
-    let fetch = |join, held_only, renew| AttemptSpec {
+    let attempt = |join_fill, cached_only, revalidate| AttemptSpec {
         start_before: f64::INFINITY,
         request: rid(),
         server: cache(),
@@ -160,13 +160,13 @@
         fill_source: ServerId(Arc::from("p:1")),
         rank: Rank::Top,
         max_age: Some(1500.0),
-        join_fill: join,
-        cached_only: held_only,
-        revalidate: renew,
+        join_fill,
+        cached_only,
+        revalidate,
     };
-    let written = action(3, Action::StartAttempt(fetch(true, false, true)));
+    let written = action(3, Action::StartAttempt(attempt(true, false, true)));
     assert_eq!(written, json!(["DELIVER_VIA", 3, R, C, 900.0, "p:1", 3, 1500.0, 9]));
-    let plain = AttemptSpec { max_age: None, rank: Rank::Low, ..fetch(false, true, false) };
+    let plain = AttemptSpec { max_age: None, rank: Rank::Low, ..attempt(false, true, false) };
     assert_eq!(
         action(3, Action::StartAttempt(plain)),
         json!(["DELIVER_VIA", 3, R, C, 900.0, "p:1", 1, 0.0, 2])
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -8,7 +8,7 @@
 use super::concurrency_limit::ConcurrencyLimit;
 use super::fill_sources::FillSources;
 use super::outlier_ejection::OutlierState;
-use super::request::{PendingRequests, Route};
+use super::request::Route;
 use super::slow_start::{SendLedger, Warmup};
 use super::weight_penalty::WeightPenalty;
 use super::Router;
@@ -17,6 +17,7 @@
 use basaltgw_structures::Candidates;
 use indexmap::IndexMap;
 use std::ops::{Index, IndexMut};
+use std::sync::Arc;
 
 #[cfg(test)]
 mod tests;
@@ -285,14 +286,29 @@
             EndpointUpdate::Delta => {}
         }
         for entry in entries {
-            update_endpoint(&mut self.endpoints, &self.requests, &self.settings, entry, self.now);
+            self.update_endpoint(entry);
         }
         self.endpoints.rebuild(self.settings.zone);
         self.fill_sources.rebuild(&self.endpoints);
     }
 
+    /// Adds a server or replaces its entry.
+    fn update_endpoint(&mut self, mut entry: Endpoint) {
+        let Self { endpoints, requests, settings, now, .. } = self;
+        // Weights that follow the load would move every object's home with each list.
+        let is_stable = !settings.dynamic_weights && entry.weight > 0.0;
+        entry.weight = if is_stable { entry.weight } else { DEFAULT_WEIGHT };
+        let senders = if entry.role == Role::Edge { settings.zone_routers } else { settings.routers };
+        let new = || {
+            let limit = ConcurrencyLimit::new(*now, senders);
+            Server::new(entry.clone(), address(&entry.id.0), *now, limit)
+        };
+        let server = endpoints.find_or_insert(&entry.id, new, |index| requests.refer_to(index));
+        server.update(entry, *now);
+    }
+
     /// Replaces the plan of fill sources.
-    pub(super) fn on_fill_plan(&mut self, plan: Option<std::sync::Arc<FillPlan>>) {
+    pub(super) fn on_fill_plan(&mut self, plan: Option<Arc<FillPlan>>) {
         self.fill_sources = FillSources::new(plan);
         self.fill_sources.rebuild(&self.endpoints);
     }
@@ -303,19 +319,3 @@
         self.endpoints.shift_listed_starts(by);
     }
 }
-
-fn update_endpoint(
-    endpoints: &mut Endpoints,
-    requests: &PendingRequests,
-    settings: &Settings,
-    mut entry: Endpoint,
-    now: Ms,
-) {
-    // Weights that follow the load would move every object's home with each list.
-    let is_stable = !settings.dynamic_weights && entry.weight > 0.0;
-    entry.weight = if is_stable { entry.weight } else { DEFAULT_WEIGHT };
-    let senders = if entry.role == Role::Edge { settings.zone_routers } else { settings.routers };
-    let new = || Server::new(entry.clone(), address(&entry.id.0), now, ConcurrencyLimit::new(now, senders));
-    let server = endpoints.find_or_insert(&entry.id, new, |index| requests.refer_to(index));
-    server.update(entry, now);
-}
