--- a/src/routing/outlier_ejection.rs
+++ b/src/routing/outlier_ejection.rs
@@ -32,6 +32,8 @@
 /// Time until an ejected server's first probe, doubled with each failed probe up to the limit.
 const BASE_EJECTION_MS: Ms = 1000.0;
 const MAX_EJECTION_MS: Ms = 8000.0;
+/// Doublings are counted up to here, so that the multiple does not overflow.
+const MAX_DOUBLINGS: u32 = 16;
 /// Served probes, minus failed ones, that end an ejection.
 const PROBE_SUCCESSES: u32 = 3;
 
@@ -118,7 +120,7 @@
 
     /// Ejects the server and returns for how many milliseconds.
     fn eject(&mut self, now: Ms, unreachable: bool) -> Ms {
-        let doublings = self.consecutive_ejections.min(16);
+        let doublings = self.consecutive_ejections.min(MAX_DOUBLINGS);
         let duration = (BASE_EJECTION_MS * f64::from(1u32 << doublings)).min(MAX_EJECTION_MS);
         self.health = Health::Ejected { until: now + duration };
         self.consecutive_ejections += 1;
