--- a/crates/node/src/fleet/handle.rs
+++ b/crates/node/src/fleet/handle.rs
@@ -267,7 +267,7 @@
         Some(self.shut_down().unwrap_or_else(|| "a thread of the fleet has ended unexpectedly".to_string()))
     }
 
-    /// Ends the threads in order, after all that was asked of them; gives the cause if one ended by itself.
+    /// Ends the threads in order, after all that was asked of them; returns the cause if one ended by itself.
     pub fn shut_down(&mut self) -> Option<String> {
         self.shutting_down = true;
         let unanswered = self.pending.keys().copied().collect();
--- a/crates/node/src/owner/attempts/cancel.rs
+++ b/crates/node/src/owner/attempts/cancel.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Ends the aborted attempts that match; gives how many.
+    /// Ends the aborted attempts that match; returns how many.
     pub(in crate::owner) fn reap_aborted(&mut self, matches: impl Fn(&AbortingAttempt) -> bool) -> u64 {
         let aborting = std::mem::take(&mut self.upstream.aborting).into_iter();
         let (ended, aborting): (Vec<_>, Vec<_>) = aborting.partition(matches);
--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -17,7 +17,7 @@
     number: RequestNo,
     attempt: AttemptNo,
     spec: &'a AttemptSpec,
-    /// When the router gives it up.
+    /// When the router cancels it.
     deadline: Ms,
 }
 
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Closes idle connections, and gives the cache tree, the fleet and purges their regular turn.
+    /// Periodic work: closes idle connections, advances the cache tree, handles the fleet, drops converged purges.
     fn maintain(&mut self) {
         self.upstream.caches.tidy(self.time.now);
         let events = self.upstream.tree.tick(self.time.now);
--- a/crates/node/src/owner/client_inputs.rs
+++ b/crates/node/src/owner/client_inputs.rs
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Drops a client whose requests can't be told apart: they are cancelled; what is queued for it is still written.
+    /// Drops a client whose requests can't be told apart: they are cancelled; what is queued for it is written before the close.
     fn disconnect(&mut self, id: ClientId) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
         client.connection.tell(Event::Dropped);
--- a/crates/node/src/owner/lease/acquire.rs
+++ b/crates/node/src/owner/lease/acquire.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// The response to a change is overdue: the replication thread is blocked. If the response comes later, a lease that it grants is
-    /// released, and an outcome is stored still.
+    /// The response to a change is overdue: the replication thread is blocked. If the response arrives later, a lease that it grants
+    /// is released, and an outcome is still stored.
     pub(in crate::owner) fn on_lease_timeout(&mut self, number: RequestNo, change_number: RequestNumber) {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.pending.contains_key(&change_number))
         else {
--- a/crates/node/src/owner/lease/mod.rs
+++ b/crates/node/src/owner/lease/mod.rs
@@ -2,15 +2,9 @@
 //! is answered. Without a fleet no request needs one.
 //!
 //! `acquire` leases a request or learns that another router has; `outcome` stores how it ended, or releases the lease of a request that was
-//! not executed. The states are those of [`Lease`]:
-//!
-//! ```text
-//! NotRequired
-//! Acquiring -> Held -> Completing -> Released
-//!     |  ^       `----------------------^
-//!     v  |                              |
-//! HeldElsewhere ------------------------'
-//! ```
+//! not executed. The inputs are the responses of the replication thread, the results of attempts, and times in milliseconds. A request moves
+//! through the states of [`Lease`]: `Acquiring` -> `Held` -> `Completing` -> `Released`; from `Acquiring` to `HeldElsewhere` and back with each
+//! poll; and from every state but `NotRequired` to `Released` at once when it is answered without waiting.
 
 mod acquire;
 mod outcome;
--- a/crates/node/src/owner/lease/outcome.rs
+++ b/crates/node/src/owner/lease/outcome.rs
@@ -16,7 +16,7 @@
 const PAUSE_THRESHOLD_MS: Ms = 750.0;
 
 impl Owner {
-    /// Stores how a leased request ends; says whether its response has to wait for that.
+    /// Stores how a leased request ends; returns whether its response has to wait for that.
     pub(in crate::owner) fn record_outcome(&mut self, number: RequestNo, reply: Reply<'_>) -> SendResponse {
         let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(number)) else {
             return SendResponse::Now;
--- a/crates/node/src/owner/memory_pressure.rs
+++ b/crates/node/src/owner/memory_pressure.rs
@@ -1,4 +1,6 @@
-//! Sheds load when buffered messages exceed the memory limit.
+//! Sheds load when the bytes buffered for connections exceed the memory limit, a share of the configured memory.
+//!
+//! It fails unsent responses of the client with the most buffered bytes first, so that slow readers do not take the memory of others.
 
 use super::clients::{Client, Clients};
 use super::Owner;
@@ -6,8 +8,8 @@
 use crate::outbox::Stage;
 
 impl Clients {
-    /// Fails the responses of which nothing is written, of the client for which most bytes are buffered; gives how many, `None` if no
-    /// client has any.
+    /// Fails the responses of which nothing is written, of the client for which most bytes are buffered; returns how many, `None`
+    /// if no client has any.
     fn fail_unsent_responses(&mut self) -> Option<u64> {
         let has_unsent = |c: &Client| c.unsent.values().any(|message| message.stage() == Stage::Waiting);
         let candidates = self.connected.values_mut().filter(|client| has_unsent(client));
--- a/crates/node/src/owner/scatter_gather/peers.rs
+++ b/crates/node/src/owner/scatter_gather/peers.rs
@@ -76,7 +76,7 @@
         self.reachable.len()
     }
 
-    /// A link is up; gives the peer's earlier incarnation, if that was reachable.
+    /// A link is up; returns the peer's earlier incarnation, if that was reachable.
     pub(super) fn add_reachable(&mut self, member: &Member, branch: Arc<str>) -> Option<Member> {
         let peer = ReachablePeer { member: member.clone(), branch };
         let before = self.reachable.insert(member.router.clone(), peer)?;
@@ -123,7 +123,7 @@
         self.served_numbers.contains_key(request)
     }
 
-    /// Registers a part request of another router; gives this router's number for it.
+    /// Registers a part request of another router; returns this router's number for it.
     pub(super) fn add_served(&mut self, part: ServedPart) -> u64 {
         let number = self.next_number();
         self.served_numbers.insert(part.to.clone(), number);
