--- a/crates/transport/src/byte_tests.rs
+++ b/crates/transport/src/byte_tests.rs
@@ -1,7 +1,7 @@
-//! The bytes of hellos and frames between routers, compared with bytes that are written down here.
+//! The bytes of hellos and frames, compared with those written down here.
 
 use crate::codec::{Codec, Frame, Kind};
-use crate::hub::Greeting;
+use crate::connection_manager::SessionHello;
 use crate::{Hello, Lane, PROTOCOL_VERSION};
 use asynchronous_codec::{Decoder, Encoder};
 use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
@@ -26,10 +26,10 @@
         domain: Domain { branch: Arc::from("b1"), machine: Arc::from("m1") },
         table: table(),
     };
-    let greeting = Greeting { hello, start: 0x1122_3344_5566_7788 };
-    let bytes = postcard::to_stdvec(&greeting).expect("plain values");
+    let session = SessionHello { hello, session_id: 0x1122_3344_5566_7788 };
+    let bytes = postcard::to_stdvec(&session).expect("plain values");
     assert_eq!(hex(&bytes), "0105666c656574027231909eb8e8c0e1828589909cb0d080c1818202026231026d31ac02070707070707070707070707070707070707070707070707070707070707070788ef99abc5e88c9111");
-    assert_eq!(postcard::from_bytes(&bytes), Ok(greeting));
+    assert_eq!(postcard::from_bytes(&bytes), Ok(session));
     let bytes = postcard::to_stdvec(&table()).expect("plain values");
     assert_eq!(hex(&bytes), "ac020707070707070707070707070707070707070707070707070707070707070707");
 }
--- a/crates/transport/src/codec.rs
+++ b/crates/transport/src/codec.rs
@@ -1,28 +1,28 @@
-//! Frames: the length of what follows the checksum, CRC-32 of it, a kind, a body. Numbers are big-endian.
+//! Frames: the length of kind and body, their CRC-32, the kind, the body. Numbers are big-endian.
 
-use crate::limits::OWN_FRAME;
+use crate::limits::MAX_CONTROL_FRAME_BYTES;
 use crate::Lane;
 use asynchronous_codec::{Decoder, Encoder};
 use bytes::{Buf, BufMut, BytesMut};
 use std::io;
 
-/// Bytes before the kind: length and checksum.
-const HEAD: usize = 8;
+/// Length and checksum.
+const HEADER_BYTES: usize = 8;
 
-/// What a frame is.
+/// The kind of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Nothing but a sign of life.
+    /// A keepalive.
     Alive,
-    /// Who speaks.
+    /// The sender's hello.
     Hello,
-    /// From the router with the smaller name: this connection is the link.
+    /// From the router with the smaller name: this connection becomes the link.
     Go,
-    /// The speaker's table.
+    /// The sender's table.
     Table,
-    /// The speaker closes the link in order and writes nothing more.
+    /// The sender closes the link and writes nothing more.
     Close,
-    /// A user's.
+    /// A user's frame.
     Lane(Lane),
 }
 
@@ -47,56 +47,56 @@
         all.into_iter().chain(lanes).find(|k| k.number() == number)
     }
 
-    /// The longest body of this kind, if users' may have `most` bytes.
-    fn most(self, most: usize) -> usize {
+    /// The longest body of this kind, if those of users' frames may have so many bytes.
+    fn max_body_bytes(self, max_user_bytes: usize) -> usize {
         match self {
             Self::Alive | Self::Go | Self::Close => 0,
-            Self::Hello | Self::Table => OWN_FRAME,
-            Self::Lane(_) => most,
+            Self::Hello | Self::Table => MAX_CONTROL_FRAME_BYTES,
+            Self::Lane(_) => max_user_bytes,
         }
     }
 }
 
-/// A frame as it was read.
+/// A frame that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// What it is.
+    /// Its kind.
     pub kind: Kind,
-    /// What it carries.
+    /// Its body.
     pub body: Vec<u8>,
 }
 
 /// Bytes that are no frame.
 #[derive(Debug, thiserror::Error)]
 pub enum BadFrame {
-    /// Longer than it may be.
+    /// The length is out of range.
     #[error("a frame of {found} bytes, expected 1 to {most}")]
     Length {
-        /// What it says.
+        /// The length in the header.
         found: usize,
-        /// What it may have.
+        /// The longest length.
         most: usize,
     },
-    /// Changed on its way.
+    /// The checksum does not match.
     #[error("a frame with checksum {found:08x}, expected {expected:08x}")]
     Checksum {
-        /// What its bytes give.
+        /// The checksum of the bytes.
         found: u32,
-        /// What it says.
+        /// The checksum in the header.
         expected: u32,
     },
-    /// Not a known kind.
+    /// The kind is unknown.
     #[error("a frame of the unknown kind {0}")]
     Kind(u8),
-    /// The connection broke.
+    /// The connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Reads and writes frames; nothing longer than `most` is waited or made room for.
+/// Reads and writes frames; never buffers more than the longest one.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
-    /// The longest body of a lane's frame, in bytes. 0 until the peer is known: then only the links' own frames are read.
+    /// The longest body of a user's frame, in bytes. 0 during the handshake, so that only control frames are read.
     pub most: usize,
 }
 
@@ -105,10 +105,10 @@
     type Error = BadFrame;
 
     fn encode(&mut self, (kind, body): Self::Item<'_>, to: &mut BytesMut) -> Result<(), BadFrame> {
-        let most = kind.most(self.most);
+        let most = kind.max_body_bytes(self.most);
         let length = u32::try_from(body.len() + 1).ok().filter(|_| body.len() <= most);
         let length = length.ok_or(BadFrame::Length { found: body.len() + 1, most: most + 1 })?;
-        to.reserve(HEAD + 1 + body.len());
+        to.reserve(HEADER_BYTES + 1 + body.len());
         to.put_u32(length);
         to.put_u32(checksum(kind.number(), body));
         to.put_u8(kind.number());
@@ -122,17 +122,17 @@
     type Error = BadFrame;
 
     fn decode(&mut self, from: &mut BytesMut) -> Result<Option<Frame>, BadFrame> {
-        let Some(mut head) = from.get(..HEAD) else { return Ok(None) };
-        let (found, expected) = (head.get_u32() as usize, head.get_u32());
-        // How long it may be is known by its kind, and asked before room is made.
-        let Some(number) = from.get(HEAD).copied() else { return Ok(None) };
+        let Some(mut header) = from.get(..HEADER_BYTES) else { return Ok(None) };
+        let (found, expected) = (header.get_u32() as usize, header.get_u32());
+        // The longest length follows from the kind, and is checked before memory is reserved.
+        let Some(number) = from.get(HEADER_BYTES).copied() else { return Ok(None) };
         let kind = Kind::from_number(number).ok_or(BadFrame::Kind(number))?;
-        let most = kind.most(self.most) + 1;
+        let most = kind.max_body_bytes(self.most) + 1;
         if found == 0 || found > most {
             return Err(BadFrame::Length { found, most });
         }
-        let Some(body) = from.get(HEAD + 1..HEAD + found) else {
-            from.reserve(HEAD + found - from.len());
+        let Some(body) = from.get(HEADER_BYTES + 1..HEADER_BYTES + found) else {
+            from.reserve(HEADER_BYTES + found - from.len());
             return Ok(None);
         };
         let checksum = checksum(number, body);
@@ -140,7 +140,7 @@
             return Err(BadFrame::Checksum { found: checksum, expected });
         }
         let body = body.to_vec();
-        from.advance(HEAD + found);
+        from.advance(HEADER_BYTES + found);
         Ok(Some(Frame { kind, body }))
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,33 +1,33 @@
-//! Links between routers: a thread of its own, length-delimited and checksummed frames, a hello, and bounded lanes.
+//! Links between routers: frames with length and checksum, a handshake, and bounded queues, in a thread of their own.
 //!
-//! It carries bytes for others and decides nothing. Rings join it to its two users (the owner's thread and the copies' thread): a full ring
-//! or lane refuses at once, and what was taken and could not be written is told as unsent. A slow, silent, garbling or flooding peer costs only
-//! its own link. Addresses that were not listed are not spoken to.
+//! The transport carries bytes for others and decides nothing. Rings connect it to its two users (the owner's thread and the replication
+//! thread). A full ring or queue rejects at once, and frames that were accepted but not written are reported by [`LinkEvent::SendFailed`]. A
+//! slow, silent, malformed or flooding peer affects only its own link. Unlisted addresses get no response.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 #[cfg(test)]
 mod byte_tests;
 mod codec;
-mod counts;
-mod hub;
-mod lanes;
+mod connection;
+mod connection_manager;
+mod counters;
+mod dialling;
+mod frame_stream;
+mod handshake;
 pub mod limits;
-mod link;
-mod outbox;
-#[cfg(test)]
-mod outbox_tests;
 mod port;
+mod priority_queues;
 mod settings;
 mod thread;
-mod wants;
+mod user_endpoint;
 
-pub use counts::Counts;
+pub use counters::Counts;
 pub use port::{CommandError, Links, Port, TransportEnded, TransportHandle, TransportUser};
 pub use settings::{DialPolicy, Settings};
 pub use thread::start;
 
-/// The frames as bytes, for tests that play a peer.
+/// The codec of frames, for tests that act as a peer and for the fleet simulation.
 pub mod frames {
     pub use crate::codec::{BadFrame, Codec, Frame, Kind};
 }
@@ -39,20 +39,20 @@
 /// A peer as the configuration lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerConfig {
-    /// Its name.
+    /// The name.
     pub router: RouterId,
-    /// Where it listens for peers.
+    /// The address on which it accepts links.
     pub address: SocketAddr,
-    /// Where it stands; its hello must agree.
+    /// The failure domain; its hello must match.
     pub domain: Domain,
 }
 
-/// Bounds of each lane of each link, and of the rings.
+/// The limits of each queue of each link, and of the rings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Frames that wait to be written on a lane.
+    /// Frames in a queue.
     pub max_queued_frames: usize,
-    /// Their bytes; also the bytes of bodies that each of a user's two rings holds. At least one frame.
+    /// Body bytes in a queue, and in each of a user's two rings; at least one frame.
     pub max_queued_bytes: usize,
     /// The longest frame, in bytes.
     pub max_frame_bytes: usize,
@@ -60,54 +60,54 @@
     pub ring_entries: usize,
 }
 
-/// What is asked of the links.
+/// A command to the transport.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkCommand {
-    /// Carry bytes to a router. `no` comes back in [`Told::Unsent`] if they were not written whole.
+    /// Sends bytes to a router. Its number is returned by [`LinkEvent::SendFailed`] if they were not written completely.
     Send {
-        /// The sender's number for it.
+        /// The sender's number.
         number: u64,
-        /// To whom; only to this life of it.
+        /// The recipient; only this incarnation of it.
         to: Member,
-        /// On which lane.
+        /// The lane.
         lane: Lane,
-        /// What.
+        /// The bytes.
         body: Vec<u8>,
     },
-    /// A router is wanted from now on, or no more; only where [`Dials::Wanted`]. While any user wants it, it is dialled until a link is up; each
-    /// try that comes to nothing is answered by [`Told::Unreached`]. If a link is up it is told again: it is not closed for being idle then.
+    /// Whether the user wants a link to a router; only with [`DialPolicy::OnDemand`]. While any user wants one, the router is dialled until a
+    /// link is up, and each failure is reported by [`LinkEvent::DialFailed`]. An existing link is reported again, and not closed as idle.
     SetWanted(RouterId, bool),
-    /// The table by which the own hello goes from now on.
+    /// The table that this router's hello names from now on.
     AdvertiseTable(TableVersion, TableHash),
-    /// End in order.
+    /// Graceful shutdown.
     Shutdown,
 }
 
-/// What the links tell.
+/// An event of the transport.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkEvent {
-    /// A link came up, or its peer goes by another table.
+    /// A link is up, or its peer uses another table.
     LinkUp(Hello),
     /// A link is down.
     LinkDown(Member, LinkError),
-    /// A router that this user wants was dialled and not reached. It is dialled again while it is wanted.
+    /// A dial to a router that this user wants has failed. It is repeated while the router is wanted.
     DialFailed(RouterId),
-    /// Bytes came.
+    /// Bytes were received.
     MessageReceived {
-        /// From whom.
+        /// The sender.
         from: Member,
-        /// On which lane.
+        /// The lane.
         lane: Lane,
-        /// What.
+        /// The bytes.
         body: Vec<u8>,
     },
-    /// What was to be sent was not written whole: it may have reached nobody, or (if `Broken`) somebody.
+    /// Bytes were not written completely. They were not received, or (with [`LinkError::ConnectionLost`]) may have been.
     SendFailed {
         /// The sender's number.
         number: u64,
-        /// To whom.
+        /// The recipient.
         to: Member,
-        /// Why.
+        /// The cause.
         error: LinkError,
     },
 }
--- a/crates/transport/src/limits.rs
+++ b/crates/transport/src/limits.rs
@@ -1,45 +1,44 @@
-//! The limits of a link that are the transport's, with their reasons. What users bound is in [`crate::Limits`].
+//! The limits of the transport. What its users limit is in [`crate::Limits`].
 
 use std::time::Duration;
 
-/// A connect is given up after this: on one site an answer takes milliseconds, and a machine that vanished never answers.
+/// The timeout of a connect: on one site a response takes milliseconds, and a machine that has vanished never responds.
 pub const CONNECT: Duration = Duration::from_millis(1000);
-/// From the connection to the last word of the hello: whoever connects and says nothing holds a place no longer.
+/// The timeout of a handshake, so that a silent connection does not occupy a slot.
 pub const HELLO: Duration = Duration::from_millis(1000);
-/// Without anything else to write, an empty frame is written each time: four may be lost or late before a link counts as silent.
+/// The interval of keepalive frames on a link without other frames; four may be lost or late before [`SILENT`].
 pub const KEEPALIVE: Duration = Duration::from_millis(250);
-/// A link on which no byte came for so long is silent: what vanished says nothing, and its shards wait for it.
+/// The time without a byte after which a link is considered down: its shards wait for a peer that has vanished.
 pub const SILENT: Duration = Duration::from_millis(1000);
-/// A frame that began is whole after this, and after the time of silence, or the link is silent: a peer that drips bytes is none.
-pub const WHOLE: Duration = Duration::from_millis(5000);
-/// A write of which no byte was taken for so long: longer than [`SILENT`], for a peer that only pauses to read. Twice the time of silence where
-/// that is set to more.
-pub const STUCK: Duration = Duration::from_millis(2000);
-/// The first wait between two dials; doubled up to [`DIAL_MOST`], each shortened by up to half at random.
+/// The time in which a frame must be complete, so that a peer that sends single bytes is considered silent.
+pub const FRAME_TIMEOUT: Duration = Duration::from_millis(5000);
+/// The least time without progress after which a write fails; longer than [`SILENT`], for a peer that only pauses reading.
+pub const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// The first backoff between two dials; doubled up to [`DIAL_MOST`], with jitter from half to the whole.
 pub const DIAL_FIRST: Duration = Duration::from_millis(50);
-/// See [`DIAL_FIRST`]: a router that returns is met within a second.
+/// The longest backoff between two dials: a router that returns is linked within a second.
 pub const DIAL_MOST: Duration = Duration::from_millis(1000);
-/// A link that was up for so long was a good one: the next dial waits for [`DIAL_FIRST`] only.
+/// The age of a link after which the dial backoff is reset.
 pub const GOOD: Duration = Duration::from_millis(1000);
-/// At the end, what waits is written for so long.
-pub const ENDING: Duration = Duration::from_millis(200);
-/// Bytes of a hello or another frame of the links' own: three names of 64 bytes, a hash and numbers fit several times.
-pub const OWN_FRAME: usize = 1024;
-/// Connections from others that have not said who they are. More are closed at once: the fleet has at most as many routers that dial.
+/// The time in which queued frames are written at shutdown.
+pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
+/// The longest body of the transport's own frames: three names of 64 bytes, a hash and numbers fit several times.
+pub const MAX_CONTROL_FRAME_BYTES: usize = 1024;
+/// Accepted connections without a complete handshake; further ones are closed at once. A fleet has at most as many routers that dial.
 pub const UNKNOWN: usize = 64;
-/// Bytes read from one link in a second; then reading waits for the next: four times what a 100 Mbit/s line brings.
-pub const READ_PER_S: usize = 48 << 20;
-/// Frames of the links' own in a second before a peer counts as flooding; a peer in order sends four, and one for each table.
-pub const OWN_PER_S: u32 = 100;
-/// Dials at a time where only wanted routers are dialled: a second for each that vanished, and a start finds its few at once.
-pub const DIALS: usize = 16;
-/// Connections to a router that it closed before it was a link, in a row, after which it counts as not reached. One is usual where both dial.
-pub const UNMET: u32 = 2;
-/// Orders carried out before others have their turn.
-pub const ORDER_ROW: usize = 64;
-/// Frames of each lane in a turn while all wait, in the order of [`crate::Lane`]: news first, and none starves.
+/// Bytes read from one link in a second: four times what a line of 100 Mbit/s brings.
+pub const MAX_READ_BYTES_PER_SECOND: usize = 48 << 20;
+/// Control frames from one link in a second; a correct peer sends four, and one for each table.
+pub const MAX_CONTROL_FRAMES_PER_SECOND: u32 = 100;
+/// Dials at a time with [`crate::DialPolicy::OnDemand`].
+pub const MAX_CONCURRENT_DIALS: usize = 16;
+/// Connections in a row that a peer closed during the handshake, after which the dial has failed. One is usual where both routers dial.
+pub const MAX_CLOSED_HANDSHAKES: u32 = 2;
+/// Commands executed before other tasks run.
+pub const COMMAND_BATCH: usize = 64;
+/// Frames of each lane that are written in a turn while all lanes have some, in the order of [`crate::Lane`].
 pub const TURN: [u32; 4] = [8, 4, 2, 1];
-/// A wait after an accept that failed, for want of descriptors mostly: they come back when something is closed.
-pub const ACCEPT_AGAIN: Duration = Duration::from_millis(100);
-/// Names and reasons of refused peers that were said once in the log and are not said again.
-pub const SAID: usize = 64;
+/// The pause after a failed accept, mostly for lack of descriptors, which are freed when something is closed.
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Reasons of rejected connections that are logged; each is logged once.
+pub const MAX_LOGGED_REJECTIONS: usize = 64;
--- a/crates/transport/src/port.rs
+++ b/crates/transport/src/port.rs
@@ -1,54 +1,55 @@
-//! The rings between the links' thread and its two users.
+//! The rings between the transport's thread and its two users, as the users see them.
 
-use crate::counts::Counts;
+use crate::counters::Counts;
 use crate::{Lane, Limits, LinkCommand, LinkEvent};
 use async_channel::Sender;
 use rtrb::{Consumer, Producer, PushError};
+use std::any::Any;
 use std::net::SocketAddr;
 use std::sync::atomic::{fence, AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// A user of the links, as it is handed in at the start.
+/// A user of the transport, as it is given at the start.
 pub struct TransportUser {
-    /// The lanes whose frames it takes. A lane of both users' is told to both.
+    /// The lanes whose frames it receives. Frames of a lane of both users are delivered to both.
     pub lanes: Vec<Lane>,
-    /// Called from the links' thread after something was told, and when that thread ends: wakes the user. Must neither wait nor panic.
+    /// Called by the transport's thread after an event was queued, and when that thread ends. Must neither block nor panic.
     pub wake: Box<dyn Fn() + Send>,
 }
 
-/// An order that was not taken; it is handed back.
+/// Why a command was not accepted; the command is returned.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// The ring is full: try again after something was told, or give up.
-    #[error("the ring of orders is full")]
+    /// The ring is full: retry after an event, or give up.
+    #[error("the ring of commands is full")]
     QueueFull(LinkCommand),
-    /// Longer than a frame may be.
+    /// The body is longer than a frame may be.
     #[error("a frame longer than {max_bytes} bytes")]
     FrameTooLong {
-        /// The order.
+        /// The command.
         command: LinkCommand,
-        /// The bound.
+        /// The limit.
         max_bytes: usize,
     },
-    /// The links' thread has ended.
-    #[error("the links have ended")]
+    /// The transport's thread has ended.
+    #[error("the transport has ended")]
     Ended(LinkCommand),
 }
 
-/// How the links' thread ended.
+/// The cause of an end that was not requested.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the links' thread ended: {0}")]
+#[error("the transport's thread ended: {0}")]
 pub struct TransportEnded(pub String);
 
-/// The running links.
+/// The running transport.
 #[derive(Debug)]
 pub struct Links {
     pub(crate) ports: (Port, Port),
-    pub(crate) rest: TransportHandle,
+    pub(crate) handle: TransportHandle,
 }
 
-/// What is left of [`Links`] once its ports are with their users: the thread and the counters.
+/// The thread and the counters of the transport.
 #[derive(Debug)]
 pub struct TransportHandle {
     pub(crate) thread: JoinHandle<()>,
@@ -57,67 +58,73 @@
 }
 
 impl Links {
-    /// The ports, in the order in which the users were handed in, and what watches over the thread.
+    /// The ports, in the order of the users, and the handle of the thread.
     pub fn split(self) -> (Port, Port, TransportHandle) {
-        (self.ports.0, self.ports.1, self.rest)
+        (self.ports.0, self.ports.1, self.handle)
     }
 }
 
 impl TransportHandle {
-    /// Whether the thread has ended, in order or not.
+    /// True if the thread has ended, for whatever reason.
     pub fn ended(&self) -> bool {
         self.thread.is_finished()
     }
 
-    /// Waits for the thread's end.
+    /// Waits for the end of the thread.
     ///
     /// # Errors
-    /// [`Ended`] with the cause if it was not [`Order::End`] or a dropped [`Port`].
+    /// [`TransportEnded`] with the cause if the end was caused neither by [`LinkCommand::Shutdown`] nor by a dropped [`Port`].
     pub fn join(self) -> Result<(), TransportEnded> {
-        let text = |cause: Box<dyn std::any::Any + Send>| match cause.downcast::<String>() {
-            Ok(text) => *text,
-            Err(cause) => (*cause.downcast::<&str>().unwrap_or(Box::new("a panic without words"))).into(),
-        };
-        self.thread.join().map_err(|cause| TransportEnded(text(cause)))
+        self.thread.join().map_err(|panic| TransportEnded(panic_message(panic)))
     }
 
-    /// What was counted so far.
+    /// The counters.
     pub fn counts(&self) -> Arc<Counts> {
         self.counts.clone()
     }
 
-    /// Where the links listen.
+    /// The address on which links are accepted.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// A user's end: orders in, news out. Neither waits. Dropping one of the two ends the links in order.
+fn panic_message(panic: Box<dyn Any + Send>) -> String {
+    match panic.downcast::<String>() {
+        Ok(message) => *message,
+        Err(panic) => (*panic.downcast::<&str>().unwrap_or(Box::new("a panic without a message"))).into(),
+    }
+}
+
+/// A user's end: commands in, events out, without waiting. Dropping one of the two ports shuts the transport down gracefully.
 #[derive(Debug)]
 pub struct Port {
-    pub(crate) orders: Producer<LinkCommand>,
-    pub(crate) told: Consumer<LinkEvent>,
-    pub(crate) bell: Sender<()>,
-    pub(crate) starved: Arc<AtomicBool>,
-    pub(crate) held: Held,
+    pub(crate) commands: Producer<LinkCommand>,
+    pub(crate) events: Consumer<LinkEvent>,
+    /// Signals the transport's thread that there are commands, or capacity for events.
+    pub(crate) signal: Sender<()>,
+    /// Set while the transport's thread waits for capacity.
+    pub(crate) awaits_capacity: Arc<AtomicBool>,
+    pub(crate) ring_bytes: RingBytes,
     pub(crate) limits: Limits,
 }
 
-/// Bytes of bodies in a port's two rings, which would else be bounded in entries only.
+/// Body bytes in a port's two rings, which bound only the number of entries.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Held {
-    pub orders: Arc<AtomicUsize>,
-    pub told: Arc<AtomicUsize>,
+pub(crate) struct RingBytes {
+    pub commands: Arc<AtomicUsize>,
+    pub events: Arc<AtomicUsize>,
 }
 
-/// Takes room for some bytes, if there is; an empty ring has room for any one frame.
-pub(crate) fn hold(held: &AtomicUsize, bytes: usize, most: usize) -> bool {
-    let fits = |now: usize| (now == 0 || now + bytes <= most).then_some(now + bytes);
-    bytes == 0 || held.fetch_update(SeqCst, SeqCst, fits).is_ok()
+/// Reserves bytes of a ring, if it has the capacity; an empty ring admits any single entry.
+pub(crate) fn reserve(reserved: &AtomicUsize, bytes: usize, max_bytes: usize) -> bool {
+    let admit = |now: usize| (now == 0 || now + bytes <= max_bytes).then_some(now + bytes);
+    bytes == 0 || reserved.fetch_update(SeqCst, SeqCst, admit).is_ok()
 }
 
 impl LinkCommand {
-    pub(crate) fn bytes(&self) -> usize {
+    /// Bytes of the body.
+    pub(crate) fn body_bytes(&self) -> usize {
         match self {
             Self::Send { body, .. } => body.len(),
             Self::SetWanted(..) | Self::AdvertiseTable(..) | Self::Shutdown => 0,
@@ -126,7 +133,8 @@
 }
 
 impl LinkEvent {
-    pub(crate) fn bytes(&self) -> usize {
+    /// Bytes of the body.
+    pub(crate) fn body_bytes(&self) -> usize {
         match self {
             Self::MessageReceived { body, .. } => body.len(),
             Self::LinkUp(_) | Self::LinkDown(..) | Self::DialFailed(_) | Self::SendFailed { .. } => 0,
@@ -135,51 +143,51 @@
 }
 
 impl Port {
-    /// Gives an order.
+    /// Queues a command.
     ///
     /// # Errors
-    /// [`Refused`], at once, with the order.
-    pub fn send(&mut self, order: LinkCommand) -> Result<(), CommandError> {
+    /// [`CommandError`] with the command, at once.
+    pub fn send(&mut self, command: LinkCommand) -> Result<(), CommandError> {
         if self.ended() {
-            return Err(CommandError::Ended(order));
+            return Err(CommandError::Ended(command));
         }
-        let Limits { max_frame_bytes: most, max_queued_bytes: ring, .. } = self.limits;
-        let bytes = order.bytes();
-        if bytes > most {
-            return Err(CommandError::FrameTooLong { command: order, max_bytes: most });
+        let Limits { max_frame_bytes, max_queued_bytes, .. } = self.limits;
+        let bytes = command.body_bytes();
+        if bytes > max_frame_bytes {
+            return Err(CommandError::FrameTooLong { command, max_bytes: max_frame_bytes });
         }
-        if !hold(&self.held.orders, bytes, ring) {
-            return Err(CommandError::QueueFull(order));
+        if !reserve(&self.ring_bytes.commands, bytes, max_queued_bytes) {
+            return Err(CommandError::QueueFull(command));
         }
-        if let Err(PushError::Full(order)) = self.orders.push(order) {
-            self.held.orders.fetch_sub(bytes, SeqCst);
-            return Err(CommandError::QueueFull(order));
+        if let Err(PushError::Full(command)) = self.commands.push(command) {
+            self.ring_bytes.commands.fetch_sub(bytes, SeqCst);
+            return Err(CommandError::QueueFull(command));
         }
-        // A bell that rings already is enough.
-        let _ = self.bell.try_send(());
+        // A signal that is already pending is sufficient.
+        let _ = self.signal.try_send(());
         Ok(())
     }
 
-    /// Whether the links' thread has ended: nothing more comes than what [`Port::next`] still has.
+    /// True if the transport's thread has ended: [`Port::next`] returns only what is already queued.
     pub fn ended(&self) -> bool {
-        self.told.is_abandoned()
+        self.events.is_abandoned()
     }
 }
 
 impl Iterator for Port {
     type Item = LinkEvent;
 
-    /// The next that was told, if there is something.
+    /// The next event, if there is one.
     fn next(&mut self) -> Option<LinkEvent> {
-        let told = self.told.pop().ok();
-        if let Some(told) = &told {
-            self.held.told.fetch_sub(told.bytes(), SeqCst);
-            // What was taken is seen to be gone by whoever says after it that there was no room.
+        let event = self.events.pop().ok();
+        if let Some(event) = &event {
+            self.ring_bytes.events.fetch_sub(event.body_bytes(), SeqCst);
+            // Pairs with the fence in `UserEndpoint::push`: either side sees what the other has done.
             fence(SeqCst);
-            if self.starved.swap(false, SeqCst) {
-                let _ = self.bell.try_send(());
+            if self.awaits_capacity.swap(false, SeqCst) {
+                let _ = self.signal.try_send(());
             }
         }
-        told
+        event
     }
 }
--- a/crates/transport/src/settings.rs
+++ b/crates/transport/src/settings.rs
@@ -1,31 +1,31 @@
-//! Whom a router dials, and how its links are seen to live.
+//! Which routers are dialled, and when a link is considered down.
 
 use crate::limits::{KEEPALIVE, SILENT};
 use std::time::Duration;
 
-/// Signs of life that fit into the time after which a link is silent, at the least: two may be lost or late.
-const SIGNS: u32 = 3;
+/// Keepalives in a peer timeout at the least: two may be lost or late.
+const MIN_KEEPALIVES: u32 = 3;
 
-/// Which of the listed routers are dialled. Links that others dial are taken from each of them either way.
+/// Which of the listed routers are dialled. Links that they dial are accepted from all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialPolicy {
-    /// All.
+    /// All of them.
     All,
-    /// Those that a user wants ([`crate::Order::Want`]).
+    /// Those that a user wants ([`crate::LinkCommand::SetWanted`]).
     OnDemand {
-        /// A link that was dialled here, that nobody here wants any more and on which nothing but signs of life has gone for so long is closed.
+        /// The time without users' frames after which a link is closed that was dialled here and is not wanted any more.
         idle: Duration,
     },
 }
 
-/// How links are kept.
+/// The settings of links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Who is dialled.
+    /// Which routers are dialled.
     pub dial_policy: DialPolicy,
-    /// Without anything else to write, a sign of life is written each time.
+    /// The interval of keepalives on a link without other frames.
     pub keepalive_interval: Duration,
-    /// A link on which no byte came for so long is silent. At least three signs of life of the peer.
+    /// The time without a byte after which a link is considered down; at least three keepalive intervals of the peer.
     pub peer_timeout: Duration,
 }
 
@@ -36,13 +36,16 @@
 }
 
 impl Settings {
-    /// What is the matter with them, if anything.
-    pub(crate) fn fault(&self) -> Result<(), String> {
-        match self.keepalive_interval.checked_mul(SIGNS) {
+    /// Checks the ranges.
+    ///
+    /// # Errors
+    /// The first setting that is out of range, under the name of its key.
+    pub(crate) fn check(&self) -> Result<(), String> {
+        match self.keepalive_interval.checked_mul(MIN_KEEPALIVES) {
             _ if self.keepalive_interval.is_zero() => Err("alive: expected more than 0".into()),
             Some(least) if least <= self.peer_timeout => Ok(()),
             Some(_) | None => Err(format!(
-                "silent: expected {SIGNS} times {:?} or more, found {:?}",
+                "silent: expected {MIN_KEEPALIVES} times {:?} or more, found {:?}",
                 self.keepalive_interval, self.peer_timeout
             )),
         }
--- a/crates/transport/src/thread.rs
+++ b/crates/transport/src/thread.rs
@@ -1,17 +1,21 @@
-//! The links' thread: its start, its tasks, its end.
+//! The transport's thread: its start, its tasks, its shutdown.
 
-use crate::counts::{count, Counts};
-use crate::hub::{Greeting, Hub};
-use crate::lanes::LANES;
-use crate::limits::{ACCEPT_AGAIN, CONNECT, DIAL_FIRST, DIAL_MOST, ENDING, ORDER_ROW, UNKNOWN, UNMET};
-use crate::link::{connection, End};
-use crate::outbox::port;
+use crate::connection::{run_connection, ConnectionEnd};
+use crate::connection_manager::{ConnectionManager, ManagerConfig, SessionHello};
+use crate::counters::{increment, Counts};
+use crate::limits::{
+    ACCEPT_RETRY_DELAY, COMMAND_BATCH, CONNECT, DIAL_FIRST, DIAL_MOST, MAX_CLOSED_HANDSHAKES,
+    SHUTDOWN_TIMEOUT, UNKNOWN,
+};
 use crate::port::{Links, TransportHandle, TransportUser};
-use crate::{DialPolicy, Hello, Limits, LinkError, PeerConfig, Settings, PROTOCOL_VERSION};
+use crate::priority_queues::{UserIndex, LANES};
+use crate::user_endpoint::{create_port, PortPair, UserEndpoint};
+use crate::{DialPolicy, Hello, Limits, LinkCommand, LinkError, PeerConfig, Settings, PROTOCOL_VERSION};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use basaltgw_types::RouterId;
 use futures_lite::{future, FutureExt};
+use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::io;
@@ -20,238 +24,278 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Listens at `listen`, dials those that are `listed` or of them the wanted ones, and carries frames until [`crate::Order::End`] or until a port is dropped.
+/// Starts the transport: it listens at `listen`, dials the `listed` peers as the settings say, and carries frames until
+/// [`crate::LinkCommand::Shutdown`] or until a port is dropped.
 ///
-/// `draw` is random and another at each start of a process.
+/// `session_id` is a random number, different at each start of a process.
 ///
 /// # Errors
-/// If the address can't be listened at, the thread can't be started, a limit is 0, a setting can't be, a lane is nobody's, or the list names a router twice
-/// or this one.
+/// If the address can't be bound, the thread can't be started, a limit or setting is out of range, no user receives a lane, or the list names
+/// a router twice or this one.
 pub fn start(
     me: Hello,
     listen: SocketAddr,
     listed: Vec<PeerConfig>,
     (limits, settings): (Limits, Settings),
-    draw: u64,
+    session_id: u64,
     users: [TransportUser; 2],
 ) -> io::Result<Links> {
-    let wrong = |what: String| Err(io::Error::new(io::ErrorKind::InvalidInput, what));
-    let Limits {
-        max_queued_frames: frames,
-        max_queued_bytes: bytes,
-        max_frame_bytes: frame,
-        ring_entries: ring,
-    } = limits;
-    if frames == 0
-        || bytes < frame
-        || frame == 0
-        || ring == 0
-        || u32::try_from(frame).is_ok_and(|f| f == u32::MAX)
-    {
-        return wrong(format!(
-            "limits of links: expected frames, frame, ring over 0, bytes at least frame: {limits:?}"
-        ));
-    }
-    if let Err(what) = settings.fault() {
-        return wrong(format!("settings of links: {what}"));
-    }
+    check_limits(&limits)?;
+    settings.check().map_err(|what| invalid(format!("settings of links: {what}")))?;
     if me.protocol != PROTOCOL_VERSION {
-        return wrong(format!("the own protocol is {}, expected {PROTOCOL_VERSION}", me.protocol));
+        return Err(invalid(format!("the own protocol is {}, expected {PROTOCOL_VERSION}", me.protocol)));
     }
     if let Some(lane) = LANES.iter().find(|l| !users.iter().any(|u| u.lanes.contains(l))) {
-        return wrong(format!("no user takes the lane {lane:?}"));
+        return Err(invalid(format!("no user receives the lane {lane:?}")));
+    }
+    let listed = peers_by_name(&me, listed)?;
+    let listener = TcpListener::bind(listen)?;
+    let address = listener.local_addr()?;
+    let listener = Async::new(listener)?;
+    let counts = Arc::new(Counts::default());
+    let [first, second] = users.map(|user| create_port(user, &limits));
+    let PortPair { port: first_port, endpoint: first_endpoint } = first;
+    let PortPair { port: second_port, endpoint: second_endpoint } = second;
+    let thread_counts = counts.clone();
+    let run_thread = move || {
+        let me = SessionHello { hello: me, session_id };
+        let config = ManagerConfig { me, listed, limits, settings };
+        run(listener, ConnectionManager::new(config, [first_endpoint, second_endpoint], thread_counts));
+    };
+    let thread = std::thread::Builder::new().name("peers".into()).spawn(run_thread)?;
+    let handle = TransportHandle { thread, counts, address };
+    Ok(Links { ports: (first_port, second_port), handle })
+}
+
+fn invalid(what: String) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidInput, what)
+}
+
+fn check_limits(limits: &Limits) -> io::Result<()> {
+    let Limits { max_queued_frames, max_queued_bytes, max_frame_bytes, ring_entries } = *limits;
+    let has_zero = max_queued_frames == 0 || max_frame_bytes == 0 || ring_entries == 0;
+    let length_overflows = u32::try_from(max_frame_bytes).is_ok_and(|f| f == u32::MAX);
+    if has_zero || max_queued_bytes < max_frame_bytes || length_overflows {
+        return Err(invalid(format!(
+            "limits of links: expected frames, frame, ring over 0, bytes at least frame: {limits:?}"
+        )));
     }
+    Ok(())
+}
+
+fn peers_by_name(me: &Hello, listed: Vec<PeerConfig>) -> io::Result<BTreeMap<RouterId, PeerConfig>> {
     let mut by_name = BTreeMap::new();
     for peer in listed {
         let name = peer.router.clone();
         if name == me.member.router || by_name.insert(name.clone(), peer).is_some() {
-            return wrong(format!("peers: expected each other router once, found {name} again"));
+            let what = format!("peers: expected each other router once, found {name} again");
+            return Err(invalid(what));
         }
     }
-    let listener = TcpListener::bind(listen)?;
-    let address = listener.local_addr()?;
-    let listener = Async::new(listener)?;
-    let counts = Arc::new(Counts::default());
-    let [first, second] = users;
-    let ((one, out_one), (two, out_two)) = (port(first, &limits), port(second, &limits));
-    let counted = counts.clone();
-    let run = move || {
-        let me = Greeting { hello: me, start: draw };
-        run(listener, Hub::new(me, by_name, (limits, settings), [out_one, out_two], counted))
-    };
-    let thread = std::thread::Builder::new().name("peers".into()).spawn(run)?;
-    Ok(Links { ports: (one, two), rest: TransportHandle { thread, counts, address } })
+    Ok(by_name)
 }
 
-/// What the thread's main task does next.
-enum Next {
-    /// A connection came, or accepting failed.
+/// What the main task does next.
+enum MainStep {
+    /// A connection was accepted, or accepting failed.
     Accepted(io::Result<Async<TcpStream>>),
-    /// A router is wanted.
-    Dial(RouterId),
-    End,
+    /// A dial task is to be started.
+    StartDialTask(RouterId),
+    Shutdown,
 }
 
-fn run(listener: Async<TcpListener>, hub: Hub) {
-    let hub = Rc::new(hub);
+/// Runs the tasks to the end of the thread.
+fn run(listener: Async<TcpListener>, manager: ConnectionManager) {
+    let manager = Rc::new(manager);
     let tasks = LocalExecutor::new();
-    for user in 0..2 {
-        tasks.spawn(seen(hub.clone(), orders(hub.clone(), user))).detach();
+    for user in 0..manager.endpoints.len() {
+        let commands = process_commands(manager.clone(), UserIndex(user));
+        tasks.spawn(supervise(manager.clone(), commands)).detach();
     }
-    let dials = |name: RouterId| tasks.spawn(seen(hub.clone(), dial(hub.clone(), name))).detach();
-    match hub.settings.dial_policy {
-        DialPolicy::All => hub.listed.keys().cloned().for_each(dials),
-        DialPolicy::OnDemand { .. } => {}
+    if manager.settings.dial_policy == DialPolicy::All {
+        manager.listed.keys().for_each(|name| spawn_dial_task(&tasks, &manager, name.clone()));
     }
-    let body = async {
-        loop {
-            let accepted = async { Next::Accepted(listener.accept().await.map(|(stream, _)| stream)) };
-            match future::or(told(&hub), accepted).await {
-                Next::End => break,
-                Next::Dial(name) => dials(name),
-                Next::Accepted(Ok(stream)) => {
-                    count(&hub.counts.peer_accepted);
-                    if hub.unknown.get() >= UNKNOWN {
-                        count(&hub.counts.peer_no_place);
-                        continue;
-                    }
-                    hub.unknown.set(hub.unknown.get() + 1);
-                    let own = hub.clone();
-                    let carry = async move { _ = connection(&own, stream, None, None).await };
-                    tasks.spawn(seen(hub.clone(), carry)).detach();
-                }
-                Next::Accepted(Err(e)) => {
-                    hub.refuse(&hub.counts.peer_accept_failed, &format!("accept: {e}"));
-                    Timer::after(ACCEPT_AGAIN).await;
-                }
+    let main = async {
+        accept_until_shutdown(&listener, &tasks, &manager).await;
+        close_links(&manager).await;
+    };
+    async_io::block_on(tasks.run(main));
+    // The thread ends with the task's panic, so that whoever joins it gets the cause.
+    if let Some(panic) = manager.panic.take() {
+        resume_unwind(panic);
+    }
+}
+
+fn spawn_dial_task(tasks: &LocalExecutor<'_>, manager: &Rc<ConnectionManager>, name: RouterId) {
+    tasks.spawn(supervise(manager.clone(), dial_while_wanted(manager.clone(), name))).detach();
+}
+
+/// Accepts connections, and starts dial tasks, until the shutdown begins.
+async fn accept_until_shutdown(
+    listener: &Async<TcpListener>,
+    tasks: &LocalExecutor<'_>,
+    manager: &Rc<ConnectionManager>,
+) {
+    loop {
+        let accepted = async { MainStep::Accepted(listener.accept().await.map(|(stream, _)| stream)) };
+        match future::or(next_requested_step(manager), accepted).await {
+            MainStep::Shutdown => return,
+            MainStep::StartDialTask(name) => spawn_dial_task(tasks, manager, name),
+            MainStep::Accepted(Ok(stream)) => on_accepted(stream, tasks, manager),
+            MainStep::Accepted(Err(e)) => {
+                manager.reject(&manager.counts.peer_accept_failed, &format!("accept: {e}"));
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
-        let empty = async {
-            while hub.panic.borrow().is_none() {
-                let listener = hub.changed.listen();
-                if hub.links.borrow().is_empty() {
-                    return;
-                }
-                listener.await;
+    }
+}
+
+/// Starts the task of an accepted connection, unless too many are in their handshake.
+fn on_accepted(stream: Async<TcpStream>, tasks: &LocalExecutor<'_>, manager: &Rc<ConnectionManager>) {
+    increment(&manager.counts.peer_accepted);
+    if manager.in_handshake.get() >= UNKNOWN {
+        increment(&manager.counts.peer_no_place);
+        return;
+    }
+    manager.in_handshake.set(manager.in_handshake.get() + 1);
+    let own = manager.clone();
+    let connection = async move { _ = run_connection(&own, stream, None, None).await };
+    tasks.spawn(supervise(manager.clone(), connection)).detach();
+}
+
+/// Waits for a limited time until all links have written their queued frames, then closes the others.
+async fn close_links(manager: &Rc<ConnectionManager>) {
+    let all_closed = async {
+        while manager.panic.borrow().is_none() {
+            let listener = manager.changed.listen();
+            if manager.links.borrow().is_empty() {
+                return;
             }
-        };
-        let late = async { _ = Timer::after(ENDING).await };
-        future::or(empty, late).await;
-        let links: Vec<_> = hub.links.borrow().values().cloned().collect();
-        links.iter().for_each(|link| hub.down(link, LinkError::NotConnected));
+            listener.await;
+        }
     };
-    async_io::block_on(tasks.run(body));
-    // The thread ends as its task did: whoever joins it has the cause.
-    if let Some(cause) = hub.panic.take() {
-        resume_unwind(cause);
-    }
+    let timeout = async { _ = Timer::after(SHUTDOWN_TIMEOUT).await };
+    future::or(all_closed, timeout).await;
+    let links: Vec<_> = manager.links.borrow().values().cloned().collect();
+    links.iter().for_each(|link| manager.link_down(link, LinkError::NotConnected));
 }
 
-/// Runs a task. Its panic would be the executor's to keep; it ends the thread.
-async fn seen(hub: Rc<Hub>, task: impl Future<Output = ()>) {
-    if let Err(cause) = AssertUnwindSafe(task).catch_unwind().await {
-        *hub.panic.borrow_mut() = Some(cause);
-        hub.end();
+/// Runs a task. The executor would drop its panic; here it ends the thread.
+async fn supervise(manager: Rc<ConnectionManager>, task: impl Future<Output = ()>) {
+    if let Err(panic) = AssertUnwindSafe(task).catch_unwind().await {
+        *manager.panic.borrow_mut() = Some(panic);
+        manager.begin_shutdown();
     }
 }
 
-/// Waits for the end to begin, or for a router that is to be dialled.
-async fn told(hub: &Hub) -> Next {
+/// Waits for the shutdown, or for a router whose dial task is to be started.
+async fn next_requested_step(manager: &ConnectionManager) -> MainStep {
     loop {
-        let listener = hub.changed.listen();
-        if hub.ending.get() {
-            return Next::End;
+        let listener = manager.changed.listen();
+        if manager.is_shutting_down.get() {
+            return MainStep::Shutdown;
         }
-        if let Some(name) = hub.next_dial() {
-            return Next::Dial(name);
+        if let Some(name) = manager.next_dial_task() {
+            return MainStep::StartDialTask(name);
         }
         listener.await;
     }
 }
 
-/// Carries out a user's orders, and tells what had no room once there is some.
-async fn orders(hub: Rc<Hub>, user: usize) {
-    let Some(outbox) = hub.outboxes.get(user) else { return };
-    let bell = outbox.borrow().bell.clone();
+/// Executes a user's commands, and delivers waiting events once there is capacity.
+async fn process_commands(manager: Rc<ConnectionManager>, user: UserIndex) {
+    let Some(endpoint) = manager.endpoint(user) else { return };
+    let signal = endpoint.borrow().signal.clone();
     loop {
-        for row in 1.. {
-            let order = {
-                let mut outbox = outbox.borrow_mut();
-                let free = outbox.flush();
-                if outbox.room() {
-                    hub.room.notify(usize::MAX);
-                }
-                // What was refused is told before more is taken: what waits to be told stays bounded.
-                if free {
-                    outbox.order()
-                } else {
-                    None
-                }
-            };
-            let Some(order) = order else { break };
-            hub.order(user, order);
-            if row % ORDER_ROW == 0 {
+        for executed in 1.. {
+            let Some(command) = flush_and_take_command(&manager, endpoint) else { break };
+            manager.execute(user, command);
+            if executed % COMMAND_BATCH == 0 {
                 future::yield_now().await;
             }
         }
-        if hub.ending.get() {
+        if manager.is_shutting_down.get() {
             return;
         }
-        if bell.recv().await.is_err() {
-            // The user is gone, and nobody is left to tell: its last orders, and the end.
-            while let Some(order) = { outbox.borrow_mut().order() } {
-                hub.order(user, order);
+        if signal.recv().await.is_err() {
+            // The port was dropped: its last commands are executed, then the transport shuts down.
+            while let Some(command) = { endpoint.borrow_mut().next_command() } {
+                manager.execute(user, command);
             }
-            hub.end();
+            manager.begin_shutdown();
         }
     }
 }
 
-/// Keeps a link to a router while it is wanted: dials while there is none, and waits longer each time.
-async fn dial(hub: Rc<Hub>, name: RouterId) {
-    let Some(address) = hub.listed.get(&name).map(|l| l.address) else { return };
-    let (mut wait, mut unmet) = (DIAL_FIRST, 0);
-    while !hub.ending.get() {
-        let listener = hub.changed.listen();
-        if hub.dialled_enough(&name) {
+/// Delivers waiting events, and takes a command only if none is left, so that their number is bounded.
+fn flush_and_take_command(
+    manager: &ConnectionManager,
+    endpoint: &RefCell<UserEndpoint>,
+) -> Option<LinkCommand> {
+    let mut endpoint = endpoint.borrow_mut();
+    let flushed = endpoint.flush();
+    if endpoint.has_capacity() {
+        manager.capacity_freed.notify(usize::MAX);
+    }
+    if flushed {
+        endpoint.next_command()
+    } else {
+        None
+    }
+}
+
+/// Dials a router with backoff while it is wanted and has no link.
+async fn dial_while_wanted(manager: Rc<ConnectionManager>, name: RouterId) {
+    let Some(address) = manager.listed.get(&name).map(|l| l.address) else { return };
+    let (mut backoff, mut closed_handshakes) = (DIAL_FIRST, 0);
+    while !manager.is_shutting_down.get() {
+        let listener = manager.changed.listen();
+        if manager.end_dial_task_if_unwanted(&name) {
             return;
         }
-        if hub.links.borrow().contains_key(&name) {
+        if manager.links.borrow().contains_key(&name) {
             listener.await;
             continue;
         }
-        let place = hub.place().await;
-        // While it waited for a place the other may have dialled, or nobody want it any more.
-        if hub.links.borrow().contains_key(&name) || hub.dialled_enough(&name) {
-            continue;
-        }
-        count(&hub.counts.peer_dialled);
-        let late = async {
-            Timer::after(CONNECT).await;
-            Err(io::ErrorKind::TimedOut.into())
-        };
-        let end = match future::or(Async::<TcpStream>::connect(address), late).await {
-            Ok(stream) => connection(&hub, stream, Some(&name), place).await,
-            Err(_) => {
-                drop(place);
-                count(&hub.counts.peer_dial_failed);
-                End::Refused
-            }
-        };
-        unmet = if end == End::Unmet { unmet + 1 } else { 0 };
-        let reached = match end {
-            End::Good | End::Brief | End::Second => true,
-            End::Unmet => unmet < UNMET,
-            End::Refused => false,
+        let Some(end) = dial(&manager, &name, address).await else { continue };
+        closed_handshakes = if end == ConnectionEnd::ClosedInHandshake { closed_handshakes + 1 } else { 0 };
+        let was_reached = match end {
+            ConnectionEnd::Stable | ConnectionEnd::ShortLived | ConnectionEnd::Duplicate => true,
+            ConnectionEnd::ClosedInHandshake => closed_handshakes < MAX_CLOSED_HANDSHAKES,
+            ConnectionEnd::Failed => false,
         };
-        if !reached && !hub.links.borrow().contains_key(&name) {
-            hub.unreached(&name);
+        if !was_reached && !manager.links.borrow().contains_key(&name) {
+            manager.on_dial_failed(&name);
         }
-        if end == End::Good {
-            wait = DIAL_FIRST;
+        if end == ConnectionEnd::Stable {
+            backoff = DIAL_FIRST;
+        }
+        let jitter = 0.5 + 0.5 * manager.rng.borrow_mut().f64();
+        Timer::after(backoff.mul_f64(jitter)).await;
+        backoff = (backoff * 2).min(DIAL_MOST);
+    }
+}
+
+/// Dials once, and runs the connection to its end. `None` if the dial became unnecessary while it waited for a slot.
+async fn dial(
+    manager: &Rc<ConnectionManager>,
+    name: &RouterId,
+    address: SocketAddr,
+) -> Option<ConnectionEnd> {
+    let slot = manager.acquire_dial_slot().await;
+    if manager.links.borrow().contains_key(name) || manager.end_dial_task_if_unwanted(name) {
+        return None;
+    }
+    increment(&manager.counts.peer_dialled);
+    let timeout = async {
+        Timer::after(CONNECT).await;
+        Err(io::ErrorKind::TimedOut.into())
+    };
+    match future::or(Async::<TcpStream>::connect(address), timeout).await {
+        Ok(stream) => Some(run_connection(manager, stream, Some(name), slot).await),
+        Err(_) => {
+            increment(&manager.counts.peer_dial_failed);
+            Some(ConnectionEnd::Failed)
         }
-        let part = 0.5 + 0.5 * hub.draws.borrow_mut().f64();
-        Timer::after(wait.mul_f64(part)).await;
-        wait = (wait * 2).min(DIAL_MOST);
     }
 }
--- a/crates/transport/tests/codec.rs
+++ b/crates/transport/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The frames as bytes from outside: never a panic, never more room than a frame may take, and nothing read that was not written.
+//! The codec with bytes from outside: it never panics, never buffers more than a frame, and never reads what was not written.
 
 use asynchronous_codec::{Decoder, Encoder};
 use basaltgw_transport::frames::{Codec, Frame, Kind};
@@ -7,7 +7,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-const MOST: usize = 5000;
+const MAX_BODY_BYTES: usize = 5000;
 
 fn kinds() -> impl Strategy<Value = (Kind, usize)> {
     prop_oneof![
@@ -22,7 +22,7 @@
             Just(Lane::Table),
             Just(Lane::ScatterGather)
         ]
-        .prop_map(|lane| (Kind::Lane(lane), MOST)),
+        .prop_map(|lane| (Kind::Lane(lane), MAX_BODY_BYTES)),
     ]
 }
 
@@ -32,9 +32,9 @@
     vec(frame, 0..6)
 }
 
-/// What is read of bytes that come in pieces, until there is no more, or none that can be read.
+/// Decodes bytes that arrive in pieces; the flag is false if an error ended it.
 fn read(bytes: &[u8], piece: usize) -> (Vec<Frame>, bool) {
-    let (mut codec, mut buffer, mut frames) = (Codec { most: MOST }, BytesMut::new(), vec![]);
+    let (mut codec, mut buffer, mut frames) = (Codec { most: MAX_BODY_BYTES }, BytesMut::new(), vec![]);
     for piece in bytes.chunks(piece) {
         buffer.extend_from_slice(piece);
         loop {
@@ -44,8 +44,8 @@
                 Err(_) => return (frames, false),
             }
         }
-        // Twice a frame and a piece: a buffer doubles when it grows.
-        assert!(buffer.capacity() <= 2 * (MOST + piece.len() + 64), "{}", buffer.capacity());
+        // Twice a frame and a piece: buffers double when they grow.
+        assert!(buffer.capacity() <= 2 * (MAX_BODY_BYTES + piece.len() + 64), "{}", buffer.capacity());
     }
     (frames, true)
 }
@@ -53,31 +53,31 @@
 fn written(frames: &[Frame]) -> BytesMut {
     let mut bytes = BytesMut::new();
     for frame in frames {
-        Codec { most: MOST }.encode((frame.kind, &frame.body), &mut bytes).unwrap();
+        Codec { most: MAX_BODY_BYTES }.encode((frame.kind, &frame.body), &mut bytes).unwrap();
     }
     bytes
 }
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in vec(any::<u8>(), 0..3000), piece in 1usize..500) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in vec(any::<u8>(), 0..3000), piece in 1usize..500) {
         read(&bytes, piece);
     }
 
     #[test]
-    fn any_length_is_bounded(length in prop_oneof![0u32..40, any::<u32>()], rest in vec(any::<u8>(), 0..50)) {
+    fn an_arbitrary_length_is_bounded(length in prop_oneof![0u32..40, any::<u32>()], rest in vec(any::<u8>(), 0..50)) {
         let bytes = [&length.to_be_bytes()[..], &rest].concat();
         let (frames, _) = read(&bytes, 7);
         prop_assert!(frames.len() <= 1);
     }
 
     #[test]
-    fn what_is_written_is_read(frames in frames(), piece in 1usize..9000) {
+    fn encoded_frames_are_decoded(frames in frames(), piece in 1usize..9000) {
         prop_assert_eq!(read(&written(&frames), piece), (frames, true));
     }
 
     #[test]
-    fn a_flipped_bit_is_never_read(frames in frames(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
+    fn a_flipped_bit_is_never_decoded(frames in frames(), at in any::<prop::sample::Index>(), bit in 0..8u8) {
         let mut bytes = written(&frames);
         prop_assume!(!bytes.is_empty());
         let at = at.index(bytes.len());
@@ -88,15 +88,19 @@
 }
 
 #[test]
-fn what_is_too_long_is_not_written() {
-    for (kind, length) in [(Kind::Alive, 1), (Kind::Hello, 1025), (Kind::Lane(Lane::Registers), MOST + 1)] {
+fn a_frame_over_its_limit_is_neither_encoded_nor_decoded() {
+    for (kind, length) in
+        [(Kind::Alive, 1), (Kind::Hello, 1025), (Kind::Lane(Lane::Registers), MAX_BODY_BYTES + 1)]
+    {
         let body = vec![0; length];
-        assert!(Codec { most: MOST }.encode((kind, &body), &mut BytesMut::new()).is_err());
-        // Nor is it read, or room made for it, where another one wrote it.
+        assert!(Codec { most: MAX_BODY_BYTES }.encode((kind, &body), &mut BytesMut::new()).is_err());
+        // It is not decoded or buffered either, if a peer sends it.
         let mut bytes = BytesMut::new();
-        Codec { most: 100 * MOST }.encode((Kind::Lane(Lane::Registers), &body), &mut bytes).unwrap();
-        bytes[8] = [0, 1, 17][[1, 1025, MOST + 1].iter().position(|l| *l == length).unwrap()];
+        Codec { most: 100 * MAX_BODY_BYTES }
+            .encode((Kind::Lane(Lane::Registers), &body), &mut bytes)
+            .unwrap();
+        bytes[8] = [0, 1, 17][[1, 1025, MAX_BODY_BYTES + 1].iter().position(|l| *l == length).unwrap()];
         bytes.truncate(9);
-        assert!(Codec { most: MOST }.decode(&mut bytes).is_err(), "{kind:?}");
+        assert!(Codec { most: MAX_BODY_BYTES }.decode(&mut bytes).is_err(), "{kind:?}");
     }
 }
--- a/crates/transport/tests/on_loopback/common.rs
+++ b/crates/transport/tests/on_loopback/common.rs
@@ -1,4 +1,4 @@
-//! Routers on loopback, and raw connections that play a peer.
+//! Routers on loopback, and raw connections that act as a peer.
 
 use asynchronous_codec::{Decoder, Encoder};
 use basaltgw_transport::frames::{Codec, Frame, Kind};
@@ -21,7 +21,7 @@
     ring_entries: 256,
 };
 
-/// An address of its own on loopback: processes by their id, tests by counting.
+/// A loopback address of its own: by process id and a counter.
 pub fn address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -29,20 +29,20 @@
     SocketAddr::from((ip, 7400))
 }
 
-pub fn member(name: &str, life: u128) -> Member {
-    Member { router: RouterId(Arc::from(name)), incarnation: Incarnation(life) }
+pub fn member(name: &str, incarnation: u128) -> Member {
+    Member { router: RouterId(Arc::from(name)), incarnation: Incarnation(incarnation) }
 }
 
 pub fn domain(machine: &str) -> Domain {
     Domain { branch: Arc::from("east"), machine: Arc::from(machine) }
 }
 
-pub fn hello(name: &str, life: u128) -> Hello {
+pub fn hello(name: &str, incarnation: u128) -> Hello {
     let table = (TableVersion(1), TableHash([7; 32]));
     Hello {
         protocol: PROTOCOL_VERSION,
         cluster: Arc::from("test"),
-        member: member(name, life),
+        member: member(name, incarnation),
         domain: domain(name),
         table,
     }
@@ -52,23 +52,29 @@
     PeerConfig { router: member(name, 0).router, address, domain: domain(name) }
 }
 
-/// A router's links: the owner's port takes gathers and news, the other one the rest and news.
+/// A router's transport: the owner's port receives scatter-gather and membership frames, the other one the rest and membership frames.
 pub struct Node {
     pub owner: Port,
     pub copies: Port,
-    pub rest: TransportHandle,
+    pub handle: TransportHandle,
     pub me: Member,
     pub address: SocketAddr,
 }
 
 impl Node {
-    pub fn new(name: &str, life: u128, address: SocketAddr, peers: &[PeerConfig], limits: Limits) -> Self {
-        Self::with(name, life, address, peers, (limits, Settings::default()))
+    pub fn new(
+        name: &str,
+        incarnation: u128,
+        address: SocketAddr,
+        peers: &[PeerConfig],
+        limits: Limits,
+    ) -> Self {
+        Self::with(name, incarnation, address, peers, (limits, Settings::default()))
     }
 
     pub fn with(
         name: &str,
-        life: u128,
+        incarnation: u128,
         address: SocketAddr,
         peers: &[PeerConfig],
         set: (Limits, Settings),
@@ -78,68 +84,68 @@
             user(&[Lane::ScatterGather, Lane::Membership]),
             user(&[Lane::Registers, Lane::Table, Lane::Membership]),
         ];
-        let draw = life as u64 * 1000 + u64::from(address.port());
-        let links = start(hello(name, life), address, peers.to_vec(), set, draw, users).unwrap();
-        let (owner, copies, rest) = links.split();
-        Self { owner, copies, rest, me: member(name, life), address }
+        let session_id = incarnation as u64 * 1000 + u64::from(address.port());
+        let links = start(hello(name, incarnation), address, peers.to_vec(), set, session_id, users).unwrap();
+        let (owner, copies, handle) = links.split();
+        Self { owner, copies, handle, me: member(name, incarnation), address }
     }
 
     pub fn count(&self, name: &str) -> u64 {
-        self.rest.counts().all().into_iter().find(|(n, _)| *n == name).unwrap().1
+        self.handle.counts().all().into_iter().find(|(n, _)| *n == name).unwrap().1
     }
 }
 
-pub fn send(port: &mut Port, no: u64, to: &Member, lane: Lane, body: &[u8]) {
-    let order = LinkCommand::Send { number: no, to: to.clone(), lane, body: body.to_vec() };
-    wait("room for an order", || port.send(order.clone()).ok());
+pub fn send(port: &mut Port, number: u64, to: &Member, lane: Lane, body: &[u8]) {
+    let command = LinkCommand::Send { number, to: to.clone(), lane, body: body.to_vec() };
+    wait("capacity for a command", || port.send(command.clone()).ok());
 }
 
-/// Waits until something holds.
+/// Waits until the closure returns a value.
 pub fn wait<T>(what: &str, mut until: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(found) = until() {
             return found;
         }
-        assert!(start.elapsed() < Duration::from_secs(20), "waited in vain for {what}");
+        assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Waits until a port tells something of a kind; the rest is dropped.
-pub fn told<T>(port: &mut Port, what: &str, mut which: impl FnMut(&LinkEvent) -> Option<T>) -> T {
+/// Waits for an event of a kind; other events are dropped.
+pub fn wait_for_event<T>(port: &mut Port, what: &str, mut which: impl FnMut(&LinkEvent) -> Option<T>) -> T {
     wait(what, || port.find_map(|t| which(&t)))
 }
 
 pub fn up(port: &mut Port, member: &Member) -> Hello {
-    told(port, &format!("{member} up"), |t| match t {
+    wait_for_event(port, &format!("{member} up"), |t| match t {
         LinkEvent::LinkUp(hello) if hello.member == *member => Some(hello.clone()),
         _ => None,
     })
 }
 
 pub fn down(port: &mut Port, member: &Member) -> basaltgw_transport::LinkError {
-    told(port, &format!("{member} down"), |t| match t {
+    wait_for_event(port, &format!("{member} down"), |t| match t {
         LinkEvent::LinkDown(m, why) if m == member => Some(*why),
         _ => None,
     })
 }
 
-pub fn got(port: &mut Port, member: &Member) -> (Lane, Vec<u8>) {
-    told(port, &format!("a frame of {member}"), |t| match t {
+pub fn receive(port: &mut Port, member: &Member) -> (Lane, Vec<u8>) {
+    wait_for_event(port, &format!("a frame of {member}"), |t| match t {
         LinkEvent::MessageReceived { from, lane, body } if from == member => Some((*lane, body.clone())),
         _ => None,
     })
 }
 
-/// A raw connection that plays a peer.
+/// A raw connection that acts as a peer.
 pub struct Raw {
     pub stream: TcpStream,
     buffer: BytesMut,
 }
 
 impl Raw {
-    /// Connects, and says a hello as the given start of a process.
+    /// Connects, and sends a hello of the given session.
     pub fn dial(to: SocketAddr, hello: &Hello, start: u64) -> Self {
         let stream = TcpStream::connect(to).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -154,14 +160,14 @@
         Self { stream, buffer: BytesMut::new() }
     }
 
-    /// As [`Raw::dial`], up to being the link: the one dialled has the smaller name, and chooses.
+    /// As [`Raw::dial`], up to the link: the dialled router has the smaller name, and selects the connection.
     pub fn up(to: SocketAddr, hello: &Hello, start: u64) -> Self {
         let mut raw = Self::dial(to, hello, start);
         assert_eq!([raw.read().unwrap().kind, raw.read().unwrap().kind], [Kind::Hello, Kind::Go]);
         raw
     }
 
-    /// As [`Raw::up`], and gives signs of life until it is dropped.
+    /// As [`Raw::up`], and sends keepalives until it is dropped.
     pub fn alive(to: SocketAddr, hello: &Hello, start: u64) -> Self {
         let raw = Self::up(to, hello, start);
         let mut stream = raw.stream.try_clone().unwrap();
@@ -177,7 +183,7 @@
         self.stream.write_all(&bytes(kind, body))
     }
 
-    /// The next frame; none if the connection is closed.
+    /// The next frame; `None` if the connection is closed.
     pub fn read(&mut self) -> Option<Frame> {
         loop {
             if let Some(frame) = (Codec { most: LIMITS.max_frame_bytes }).decode(&mut self.buffer).unwrap() {
@@ -196,7 +202,7 @@
 
 impl Drop for Raw {
     fn drop(&mut self) {
-        // The thread that gives signs of life has the socket too.
+        // The keepalive thread has the socket too.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/transport/tests/on_loopback/bad.rs
+++ b/crates/transport/tests/on_loopback/faulty_peers.rs
@@ -1,4 +1,4 @@
-//! Peers that do what they must not, and users that are slow: each costs only itself.
+//! Faulty peers and slow users: each affects only its own link.
 
 use crate::common::*;
 use basaltgw_transport::frames::Kind;
@@ -8,7 +8,7 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// A router m, and one in order beside it.
+/// A router m, and a correct peer.
 fn pair(others: &[&str]) -> (Node, Node) {
     let at_m = address();
     let mut peers = vec![listed("good", address())];
@@ -20,12 +20,12 @@
     (m, good)
 }
 
-/// A frame from the one in order to m; its link never goes down.
-fn exchange(m: &mut Node, good: &mut Node, no: u64) {
-    send(&mut good.copies, no, &m.me, Lane::Registers, &no.to_be_bytes());
-    told(&mut m.copies, "a frame of the one in order", |t| match t {
+/// Sends a frame from the correct peer to m; its link must not go down.
+fn exchange(m: &mut Node, good: &mut Node, number: u64) {
+    send(&mut good.copies, number, &m.me, Lane::Registers, &number.to_be_bytes());
+    wait_for_event(&mut m.copies, "a frame of the correct peer", |t| match t {
         LinkEvent::MessageReceived { from, body, .. } if *from == good.me => {
-            assert_eq!(body[..], no.to_be_bytes());
+            assert_eq!(body[..], number.to_be_bytes());
             Some(())
         }
         LinkEvent::LinkDown(member, why) if *member == good.me => panic!("{why:?}"),
@@ -34,12 +34,12 @@
     });
 }
 
-/// Waits until m has another's link down, while the one in order goes on; tells what else the owner was told.
+/// Waits until m's link to the faulty peer is down, while the correct one continues; returns the cause and the owner's events.
 fn down_beside(m: &mut Node, good: &mut Node, bad: &Member) -> (LinkError, Vec<LinkEvent>) {
-    let (mut no, mut others) = (0, vec![]);
+    let (mut number, mut others) = (0, vec![]);
     let why = wait("the link's end", || {
-        exchange(m, good, no);
-        no += 1;
+        exchange(m, good, number);
+        number += 1;
         let mut why = None;
         others.extend(m.owner.by_ref().inspect(|t| {
             if let LinkEvent::LinkDown(member, w) = t {
@@ -48,12 +48,12 @@
         }));
         why
     });
-    (0..10).for_each(|n| exchange(m, good, no + n));
+    (0..10).for_each(|n| exchange(m, good, number + n));
     (why, others)
 }
 
 #[test]
-fn garbled_silent_and_flooding_peers_cost_their_own_link() {
+fn malformed_silent_and_flooding_peers_lose_only_their_own_link() {
     let (mut m, mut good) = pair(&["x"]);
     let bad = member("x", 1);
     let cut = |bytes: &[u8], at: usize| [&bytes[..at], &[bytes[at] ^ 1], &bytes[at + 1..]].concat();
@@ -68,14 +68,14 @@
         ),
         ("a second hello", bytes(Kind::Hello, &[]).to_vec(), LinkError::MalformedFrame),
         ("a table that is none", bytes(Kind::Table, &[1, 2]).to_vec(), LinkError::MalformedFrame),
-        ("signs of life", bytes(Kind::Alive, &[]).repeat(300), LinkError::RateExceeded),
+        ("keepalives", bytes(Kind::Alive, &[]).repeat(300), LinkError::RateExceeded),
         ("nothing", vec![], LinkError::PeerTimeout),
         ("half a head", frame[..5].to_vec(), LinkError::PeerTimeout),
         ("half a body", frame[..12].to_vec(), LinkError::PeerTimeout),
     ];
     for (start, (what, bytes, expected)) in sent.into_iter().enumerate() {
         let mut raw = Raw::up(m.address, &hello("x", 1), start as u64);
-        // It may be closed before all is written.
+        // The connection may be closed before everything is written.
         let _ = std::io::Write::write_all(&mut raw.stream, &bytes);
         let (why, _) = down_beside(&mut m, &mut good, &bad);
         assert_eq!(why, expected, "{what}");
@@ -86,26 +86,26 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_costs_its_own_lanes_and_no_word_is_lost() {
+fn a_peer_that_does_not_read_fills_only_its_own_queues_and_every_frame_is_accounted_for() {
     let (mut m, mut good) = pair(&["x"]);
     let bad = member("x", 1);
     let mut raw = Raw::alive(m.address, &hello("x", 1), 1);
     up(&mut m.owner, &bad);
-    for no in 0..100 {
-        send(&mut m.owner, no, &bad, Lane::Registers, &[0; 256 * 1024]);
+    for number in 0..100 {
+        send(&mut m.owner, number, &bad, Lane::Registers, &[0; 256 * 1024]);
     }
-    let (why, told) = down_beside(&mut m, &mut good, &bad);
+    let (why, events) = down_beside(&mut m, &mut good, &bad);
     assert_eq!(why, LinkError::PeerTimeout);
-    let mut unsent = BTreeMap::new();
-    let mut take = |told: &LinkEvent| {
-        if let LinkEvent::SendFailed { number: no, error: why, .. } = told {
-            assert_eq!(unsent.insert(*no, *why), None, "told twice");
+    let mut failed = BTreeMap::new();
+    let mut take = |event: &LinkEvent| {
+        if let LinkEvent::SendFailed { number, error: why, .. } = event {
+            assert_eq!(failed.insert(*number, *why), None, "reported twice");
         }
-        unsent.len() as u64
+        failed.len() as u64
     };
-    told.iter().for_each(|t| _ = take(t));
+    events.iter().for_each(|t| _ = take(t));
     let written = m.count("peer_frames_out");
-    wait("all unsent words", || {
+    wait("all failed sends", || {
         m.owner
             .by_ref()
             .map(|t| take(&t))
@@ -114,33 +114,33 @@
             .filter(|n| n + written == 100)
     });
     assert!(
-        unsent.values().any(|why| *why == LinkError::QueueFull)
-            && unsent.values().any(|why| *why == LinkError::PeerTimeout)
+        failed.values().any(|why| *why == LinkError::QueueFull)
+            && failed.values().any(|why| *why == LinkError::PeerTimeout)
     );
     assert_eq!(
-        unsent.values().filter(|why| **why == LinkError::ConnectionLost).count(),
+        failed.values().filter(|why| **why == LinkError::ConnectionLost).count(),
         1,
-        "only what was begun"
+        "only the frame whose write had begun"
     );
     while raw.read().is_some() {}
 }
 
 #[test]
-fn news_pass_what_waits_on_lower_lanes() {
+fn membership_frames_overtake_queued_frames_of_lower_lanes() {
     let (mut m, _good) = pair(&["x"]);
     let bad = member("x", 1);
     let mut raw = Raw::alive(m.address, &hello("x", 1), 1);
     up(&mut m.owner, &bad);
-    for no in 0..100 {
-        send(&mut m.owner, no, &bad, Lane::ScatterGather, &[0; 256 * 1024]);
+    for number in 0..100 {
+        send(&mut m.owner, number, &bad, Lane::ScatterGather, &[0; 256 * 1024]);
     }
-    // The lane is full, so at least its 4 MiB wait.
-    told(&mut m.owner, "a full lane", |t| {
+    // The queue is full, so at least 4 MiB wait.
+    wait_for_event(&mut m.owner, "a full lane", |t| {
         matches!(t, LinkEvent::SendFailed { error: LinkError::QueueFull, .. }).then_some(())
     });
-    send(&mut m.copies, 200, &bad, Lane::Membership, b"news");
+    send(&mut m.copies, 200, &bad, Lane::Membership, b"an event");
     let mut after = None;
-    wait("gathers after the news", || {
+    wait("gather frames after the membership frame", || {
         match raw.read().unwrap().kind {
             Kind::Lane(Lane::Membership) => after = Some(0),
             Kind::Lane(Lane::ScatterGather) => after = after.map(|n| n + 1),
@@ -152,27 +152,27 @@
 }
 
 #[test]
-fn strangers_are_refused_without_a_word() {
+fn unlisted_and_mismatched_peers_are_closed_without_a_hello() {
     let (mut m, mut good) = pair(&["x"]);
     let right = hello("x", 1);
     let other = Member { router: RouterId(Arc::from("nobody")), ..right.member.clone() };
     let place = Domain { machine: Arc::from("elsewhere"), ..right.domain.clone() };
-    let strangers = [
+    let rejected = [
         Hello { protocol: 2, ..right.clone() },
         Hello { cluster: Arc::from("other"), ..right.clone() },
         Hello { member: other, ..right.clone() },
         Hello { member: m.me.clone(), domain: domain("m"), ..right.clone() },
         Hello { domain: place, ..right.clone() },
     ];
-    for (start, hello) in strangers.iter().enumerate() {
+    for (start, hello) in rejected.iter().enumerate() {
         assert_eq!(Raw::dial(m.address, hello, start as u64).read(), None, "{hello:?}");
     }
     assert_eq!(m.count("peer_stranger"), 5);
-    // Those that say nothing hold a bounded number of places, for a bounded time.
-    let dumb: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(m.address).unwrap()).collect();
+    // Silent connections occupy a bounded number of slots, for a bounded time.
+    let silent: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(m.address).unwrap()).collect();
     wait("the bound", || (m.count("peer_no_place") > 0).then_some(()));
     wait("the time", || (m.count("peer_no_hello") > 0).then_some(()));
-    drop(dumb);
+    drop(silent);
     exchange(&mut m, &mut good, 1);
     let _raw = wait("a place", || {
         let mut raw = Raw::dial(m.address, &right, 9);
@@ -182,22 +182,22 @@
 }
 
 #[test]
-fn a_full_ring_refuses_at_once_and_every_order_taken_is_told() {
+fn a_full_ring_rejects_at_once_and_every_accepted_command_is_answered() {
     let mut m = Node::new("m", 1, address(), &[], Limits { ring_entries: 4, ..LIMITS });
     let nobody = member("nobody", 1);
-    let order =
-        |no| LinkCommand::Send { number: no, to: nobody.clone(), lane: Lane::Registers, body: vec![] };
+    let command =
+        |number| LinkCommand::Send { number, to: nobody.clone(), lane: Lane::Registers, body: vec![] };
     let mut taken = 0;
-    // What is told is not taken, so no more orders are carried out, and their ring fills.
-    let back = wait("a full ring", || match m.owner.send(order(taken)) {
+    // The events are not taken, so number more commands are executed, and their ring fills.
+    let back = wait("a full ring", || match m.owner.send(command(taken)) {
         Ok(()) => {
             taken += 1;
             None
         }
-        Err(CommandError::QueueFull(order)) => (taken >= 9).then_some(order),
+        Err(CommandError::QueueFull(command)) => (taken >= 9).then_some(command),
         Err(other) => panic!("{other}"),
     });
-    assert_eq!(back, order(taken));
+    assert_eq!(back, command(taken));
     let long = LinkCommand::Send {
         number: 0,
         to: nobody.clone(),
@@ -206,57 +206,57 @@
     };
     assert!(matches!(m.owner.send(long), Err(CommandError::FrameTooLong { max_bytes: 0x10_0000, .. })));
     for expected in 0..taken {
-        let unsent =
+        let failed =
             LinkEvent::SendFailed { number: expected, to: nobody.clone(), error: LinkError::NotConnected };
-        assert_eq!(wait("an answer", || m.owner.next()), unsent);
+        assert_eq!(wait("a response", || m.owner.next()), failed);
     }
 }
 
 #[test]
-fn rings_are_bounded_in_bytes_too() {
+fn reading_waits_while_a_ring_is_full_in_bytes() {
     let at_m = address();
     let small = Limits { max_queued_bytes: 1000, max_frame_bytes: 600, ..LIMITS };
     let mut m = Node::new("m", 1, at_m, &[listed("x", address())], small);
     let from = member("x", 1);
     let mut raw = Raw::alive(at_m, &hello("x", 1), 1);
     up(&mut m.copies, &from);
-    for no in 0..10u8 {
-        raw.write(Kind::Lane(Lane::Registers), &[no; 600]).unwrap();
+    for number in 0..10u8 {
+        raw.write(Kind::Lane(Lane::Registers), &[number; 600]).unwrap();
     }
-    // Room for one frame at a time, of 256 entries: reading waits.
+    // The ring has 256 entries, but its bytes admit one frame at a time: reading waits.
     wait("a full ring", || (m.count("peer_ring_waits") > 0).then_some(()));
     assert!(m.count("peer_frames_in") < 10);
-    for no in 0..10u8 {
-        assert_eq!(got(&mut m.copies, &from), (Lane::Registers, vec![no; 600]));
+    for number in 0..10u8 {
+        assert_eq!(receive(&mut m.copies, &from), (Lane::Registers, vec![number; 600]));
     }
 }
 
 #[test]
-fn what_a_slow_user_has_no_room_for_waits_and_is_not_lost() {
+fn events_of_a_slow_user_wait_and_are_coalesced_without_loss() {
     let mut m = Node::new("m", 1, address(), &[listed("x", address())], Limits { ring_entries: 2, ..LIMITS });
     let (first, third) = (member("x", 1), member("x", 3));
     let mut raw = Raw::alive(m.address, &hello("x", 1), 1);
-    for no in 0..100u8 {
-        raw.write(Kind::Lane(Lane::Registers), &[no]).unwrap();
+    for number in 0..100u8 {
+        raw.write(Kind::Lane(Lane::Registers), &[number]).unwrap();
     }
     assert_eq!(up(&mut m.copies, &first).member, first);
     wait("a full ring", || (m.count("peer_ring_waits") > 0).then_some(()));
-    for no in 0..100u8 {
-        assert_eq!(got(&mut m.copies, &first), (Lane::Registers, vec![no]));
+    for number in 0..100u8 {
+        assert_eq!(receive(&mut m.copies, &first), (Lane::Registers, vec![number]));
     }
     raw.write(Kind::Lane(Lane::Membership), b"1").unwrap();
     raw.write(Kind::Lane(Lane::Membership), b"2").unwrap();
     wait("both frames", || (m.count("peer_frames_in") == 102).then_some(()));
     let _raw = Raw::alive(m.address, &hello("x", 2), 2);
-    wait("another life", || (m.count("peer_up") == 2).then_some(()));
+    wait("another incarnation", || (m.count("peer_up") == 2).then_some(()));
     let _raw = Raw::alive(m.address, &hello("x", 3), 3);
-    wait("a third life", || (m.count("peer_up") == 3).then_some(()));
-    // The owner took nothing so far: it has what fitted, and then what is left of the changes.
-    let told: Vec<LinkEvent> = (0..4).map(|_| wait("news", || m.owner.next())).collect();
-    assert_eq!(told[0], LinkEvent::LinkUp(hello("x", 1)));
-    assert!(matches!(told[1], LinkEvent::MessageReceived { lane: Lane::Membership, .. }));
+    wait("a third incarnation", || (m.count("peer_up") == 3).then_some(()));
+    // The owner has taken nothing so far: it gets the events that fitted, and then the coalesced changes.
+    let events: Vec<LinkEvent> = (0..4).map(|_| wait("an event", || m.owner.next())).collect();
+    assert_eq!(events[0], LinkEvent::LinkUp(hello("x", 1)));
+    assert!(matches!(events[1], LinkEvent::MessageReceived { lane: Lane::Membership, .. }));
     assert_eq!(
-        told[2..],
+        events[2..],
         [LinkEvent::LinkDown(first, LinkError::Replaced), LinkEvent::LinkUp(hello("x", 3))]
     );
     assert_eq!(up(&mut m.copies, &third).member, third);
--- a/crates/transport/tests/on_loopback/links.rs
+++ b/crates/transport/tests/on_loopback/links.rs
@@ -1,4 +1,4 @@
-//! Links between routers in order: both dial, frames, tables, other lives, other addresses, the end.
+//! Links between correct routers: dials, frames, tables, incarnations, addresses, shutdown.
 
 use crate::common::*;
 use basaltgw_transport::frames::Kind;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 #[test]
-fn both_dial_and_one_link_carries_all_lanes() {
+fn both_routers_dial_and_one_link_carries_all_lanes() {
     let (at_a, at_b) = (address(), address());
     let mut a = Node::new("a", 1, at_a, &[listed("b", at_b)], LIMITS);
     let mut b = Node::new("b", 2, at_b, &[listed("a", at_a)], LIMITS);
@@ -18,15 +18,15 @@
     for port in [&mut b.owner, &mut b.copies] {
         assert_eq!(up(port, &a.me), hello("a", 1));
     }
-    for no in 0..50u64 {
+    for number in 0..50u64 {
         for (lane, long) in
             [(Lane::ScatterGather, 10), (Lane::Membership, 0), (Lane::Registers, 100), (Lane::Table, 50_000)]
         {
-            send(&mut a.owner, no, &b.me, lane, &vec![no as u8; long]);
-            send(&mut b.copies, no, &a.me, lane, &vec![no as u8; long]);
+            send(&mut a.owner, number, &b.me, lane, &vec![number as u8; long]);
+            send(&mut b.copies, number, &a.me, lane, &vec![number as u8; long]);
         }
     }
-    // Each user gets its lanes, each lane in order, and nothing went down meanwhile.
+    // Each user receives its lanes, each lane in order, and no link went down.
     for (node, from) in [(&mut a, &member("b", 2)), (&mut b, &member("a", 1))] {
         for (port, lanes) in [
             (&mut node.owner, [(Lane::ScatterGather, 10), (Lane::Membership, 0), (Lane::Membership, 0)]),
@@ -35,7 +35,7 @@
             let mut next = [0; 4];
             let total = if lanes[1] == lanes[2] { 100 } else { 150 };
             for _ in 0..total {
-                let (lane, body) = told(port, "a frame", |t| match t {
+                let (lane, body) = wait_for_event(port, "a frame", |t| match t {
                     LinkEvent::MessageReceived { from: f, lane, body } if f == from => {
                         Some((*lane, body.clone()))
                     }
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn another_table_is_told_as_up() {
+fn a_changed_table_is_reported_as_link_up() {
     let at_a = address();
     let mut a = Node::new("a", 1, at_a, &[listed("b", address())], LIMITS);
     let mut b = Node::new("b", 2, address(), &[listed("a", at_a)], LIMITS);
@@ -63,58 +63,59 @@
 }
 
 #[test]
-fn another_life_takes_the_place_of_the_one_before() {
+fn another_incarnation_replaces_the_link() {
     let mut a = Node::new("a", 1, address(), &[listed("z", address())], LIMITS);
     let (first, second) = (member("z", 1), member("z", 2));
     let mut old = Raw::alive(a.address, &hello("z", 1), 1);
     up(&mut a.owner, &first);
-    // A second connection of the same start is closed, without a word.
+    // A second connection of the same session is closed without a frame.
     assert_eq!(Raw::dial(a.address, &hello("z", 1), 1).read(), None);
     assert_eq!(a.count("peer_second"), 1);
     let mut new = Raw::alive(a.address, &hello("z", 2), 2);
     assert_eq!(down(&mut a.owner, &first), LinkError::Replaced);
     up(&mut a.owner, &second);
     wait("the old connection's end", || old.read().is_none().then_some(()));
-    // What is for the old life does not reach the new one.
+    // Frames for the old incarnation do not reach the new one.
     send(&mut a.owner, 1, &first, Lane::Registers, b"old");
     send(&mut a.owner, 2, &second, Lane::Registers, b"new");
-    let unsent =
-        told(&mut a.owner, "unsent", |t| matches!(t, LinkEvent::SendFailed { .. }).then(|| t.clone()));
-    assert_eq!(unsent, LinkEvent::SendFailed { number: 1, to: first, error: LinkError::NotConnected });
+    let failed = wait_for_event(&mut a.owner, "a failed send", |t| {
+        matches!(t, LinkEvent::SendFailed { .. }).then(|| t.clone())
+    });
+    assert_eq!(failed, LinkEvent::SendFailed { number: 1, to: first, error: LinkError::NotConnected });
     let frame = wait("a frame", || new.read().filter(|f| f.kind != Kind::Alive));
     assert_eq!((frame.kind, &frame.body[..]), (Kind::Lane(Lane::Registers), &b"new"[..]));
 }
 
 #[test]
-fn the_end_writes_what_waits_and_a_router_returns_at_another_address() {
+fn shutdown_writes_queued_frames_and_a_router_returns_at_another_address() {
     let at_a = address();
     let mut a = Node::new("a", 1, at_a, &[listed("b", address())], LIMITS);
     let mut b = Node::new("b", 2, address(), &[listed("a", at_a)], LIMITS);
     up(&mut a.copies, &b.me);
     up(&mut b.copies, &a.me);
-    for no in 0..50 {
-        send(&mut b.copies, no, &a.me, Lane::Registers, &[no as u8; 1000]);
+    for number in 0..50 {
+        send(&mut b.copies, number, &a.me, Lane::Registers, &[number as u8; 1000]);
     }
     b.copies.send(LinkCommand::Shutdown).unwrap();
-    for no in 0..50 {
-        assert_eq!(got(&mut a.copies, &b.me), (Lane::Registers, vec![no; 1000]));
+    for number in 0..50 {
+        assert_eq!(receive(&mut a.copies, &b.me), (Lane::Registers, vec![number; 1000]));
     }
     down(&mut a.copies, &b.me);
-    wait("the end", || b.rest.ended().then_some(()));
+    wait("the end", || b.handle.ended().then_some(()));
     assert!(
         b.owner.ended()
             && matches!(b.owner.send(LinkCommand::Shutdown), Err(CommandError::Ended(LinkCommand::Shutdown)))
     );
-    assert_eq!(b.rest.join(), Ok(()));
+    assert_eq!(b.handle.join(), Ok(()));
     let b = Node::new("b", 2, address(), &[listed("a", at_a)], LIMITS);
     up(&mut a.copies, &b.me);
 }
 
 #[test]
-fn a_dropped_port_ends_the_links_and_a_panic_is_told() {
+fn a_dropped_port_shuts_down_and_a_panic_is_returned_by_join() {
     let a = Node::new("a", 1, address(), &[], LIMITS);
     drop(a.owner);
-    assert_eq!(a.rest.join(), Ok(()));
+    assert_eq!(a.handle.join(), Ok(()));
     let first = Arc::new(AtomicBool::new(true));
     let users = [[Lane::ScatterGather, Lane::Membership], [Lane::Registers, Lane::Table]].map(|lanes| {
         basaltgw_transport::TransportUser {
@@ -128,8 +129,8 @@
     let links =
         basaltgw_transport::start(hello("a", 1), address(), vec![], (LIMITS, Settings::default()), 1, users)
             .unwrap();
-    let (mut one, two, rest) = links.split();
+    let (mut one, two, handle) = links.split();
     send(&mut one, 1, &member("b", 1), Lane::Registers, b"");
     wait("the end", || two.ended().then_some(()));
-    assert_eq!(rest.join().unwrap_err().0, "woken");
+    assert_eq!(handle.join().unwrap_err().0, "woken");
 }
--- a/crates/transport/tests/on_loopback/main.rs
+++ b/crates/transport/tests/on_loopback/main.rs
@@ -1,6 +1,6 @@
 //! The links with real threads and sockets.
 
-mod bad;
 mod common;
+mod faulty_peers;
 mod links;
-mod wanted;
+mod on_demand;
--- a/crates/transport/tests/on_loopback/wanted.rs
+++ b/crates/transport/tests/on_loopback/on_demand.rs
@@ -1,4 +1,4 @@
-//! Routers that are dialled only when they are wanted, and links that close when they are idle.
+//! On-demand links: routers are dialled while they are wanted, and idle links are closed.
 
 use crate::common::*;
 use basaltgw_transport::frames::Kind;
@@ -9,24 +9,24 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-/// Idle links go soon, and signs of life come often.
+/// Short idle times and keepalive intervals.
 fn set(idle_ms: u64) -> Settings {
     let (dials, alive) =
         (DialPolicy::OnDemand { idle: Duration::from_millis(idle_ms) }, Duration::from_millis(20));
     Settings { dial_policy: dials, keepalive_interval: alive, ..Settings::default() }
 }
 
-fn node(name: &str, life: u128, address: SocketAddr, peers: &[PeerConfig], idle_ms: u64) -> Node {
-    Node::with(name, life, address, peers, (LIMITS, set(idle_ms)))
+fn node(name: &str, incarnation: u128, address: SocketAddr, peers: &[PeerConfig], idle_ms: u64) -> Node {
+    Node::with(name, incarnation, address, peers, (LIMITS, set(idle_ms)))
 }
 
-fn want(port: &mut Port, router: &Member, yes: bool) {
-    let order = LinkCommand::SetWanted(router.router.clone(), yes);
-    wait("room for an order", || port.send(order.clone()).ok());
+fn want(port: &mut Port, router: &Member, wanted: bool) {
+    let command = LinkCommand::SetWanted(router.router.clone(), wanted);
+    wait("capacity for a command", || port.send(command.clone()).ok());
 }
 
-fn unreached(port: &mut Port, router: &Member) {
-    let of = told(port, "unreached", |t| match t {
+fn expect_dial_failed(port: &mut Port, router: &Member) {
+    let of = wait_for_event(port, "unreached", |t| match t {
         LinkEvent::DialFailed(of) => Some(of.clone()),
         LinkEvent::LinkUp(_)
         | LinkEvent::LinkDown(..)
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn only_who_is_wanted_is_dialled_and_both_users_hear_of_it() {
+fn only_wanted_routers_are_dialled_and_both_users_are_notified() {
     let (at_a, at_b, at_c) = (address(), address(), address());
     let mut a = node("a", 1, at_a, &[listed("b", at_b), listed("c", at_c)], 60_000);
     let mut b = node("b", 2, at_b, &[listed("a", at_a), listed("c", at_c)], 60_000);
@@ -48,8 +48,8 @@
     }
     up(&mut b.copies, &a.me);
     send(&mut b.copies, 1, &a.me, Lane::Registers, b"there and back");
-    assert_eq!(got(&mut a.copies, &b.me), (Lane::Registers, b"there and back".to_vec()));
-    // Wanted once more, it is told once more: to whoever wants it.
+    assert_eq!(receive(&mut a.copies, &b.me), (Lane::Registers, b"there and back".to_vec()));
+    // Wanted again, the link is reported again, to the user that wants it.
     want(&mut a.copies, &b.me, true);
     up(&mut a.copies, &b.me);
     assert_eq!(a.owner.next(), None);
@@ -57,8 +57,8 @@
 }
 
 #[test]
-fn a_link_that_nobody_wants_is_closed_when_it_is_idle_by_whoever_dialled_it() {
-    // Whichever of the two has the smaller name, which chooses the connection.
+fn an_idle_unwanted_link_is_closed_by_the_router_that_dialled_it() {
+    // For either order of names, which decides who selects the connection.
     for (one, other) in [("a", "b"), ("b", "a")] {
         let (at_a, at_b, at_c) = (address(), address(), address());
         let mut a = node(one, 1, at_a, &[listed(other, at_b), listed("c", at_c)], 100);
@@ -67,10 +67,10 @@
         want(&mut a.copies, &b.me, true);
         up(&mut a.copies, &b.me);
         up(&mut b.copies, &a.me);
-        // Wanted by both users, it stays as long as one of them wants it, while another that nobody wants goes again and again.
+        // Wanted by both users, the link stays as long as one of them wants it, while another unwanted one is closed repeatedly.
         up(&mut a.owner, &b.me);
         want(&mut a.owner, &b.me, true);
-        // Orders of the two users have no order between them: this one is carried out before the next is given.
+        // Commands of the two users are not ordered: this one is executed before the next is sent.
         up(&mut a.owner, &b.me);
         want(&mut a.copies, &b.me, false);
         for times in 1..=3 {
@@ -81,7 +81,7 @@
         }
         assert_eq!((b.count("peer_idle"), b.count("peer_up")), (0, 1));
         send(&mut a.copies, 1, &b.me, Lane::Registers, b"");
-        got(&mut b.copies, &a.me);
+        receive(&mut b.copies, &a.me);
         want(&mut a.owner, &b.me, false);
         assert_eq!(down(&mut a.copies, &b.me), LinkError::Idle);
         assert_eq!(down(&mut b.copies, &a.me), LinkError::Idle);
@@ -89,12 +89,13 @@
             assert_eq!([counts.count("peer_idle"), counts.count("peer_broken")], [idle, 0]);
             assert_eq!([counts.count("peer_silent"), counts.count("peer_unsent_broken")], [0, 0]);
         }
-        // A word for it goes nowhere, and is told; wanted again it is there again, from either end.
+        // A frame for it fails; wanted again, the link returns, from either end.
         send(&mut a.copies, 7, &b.me, Lane::Registers, b"");
-        let unsent =
-            told(&mut a.copies, "unsent", |t| matches!(t, LinkEvent::SendFailed { .. }).then(|| t.clone()));
+        let failed = wait_for_event(&mut a.copies, "a failed send", |t| {
+            matches!(t, LinkEvent::SendFailed { .. }).then(|| t.clone())
+        });
         assert_eq!(
-            unsent,
+            failed,
             LinkEvent::SendFailed { number: 7, to: b.me.clone(), error: LinkError::NotConnected }
         );
         want(&mut b.copies, &a.me, true);
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn whoever_did_not_dial_keeps_a_link_that_it_does_not_want() {
+fn the_accepting_router_keeps_an_unwanted_link() {
     let mut a = node("a", 1, address(), &[listed("z", address())], 1);
     let z = member("z", 2);
     let mut raw = Raw::alive(a.address, &hello("z", 2), 5);
@@ -112,7 +113,7 @@
     want(&mut a.copies, &z, true);
     up(&mut a.copies, &z);
     want(&mut a.copies, &z, false);
-    // With each sign of life it could have been closed.
+    // It could have been closed at each keepalive.
     for _ in 0..20 {
         assert_eq!(raw.read().map(|f| f.kind), Some(Kind::Alive));
     }
@@ -122,40 +123,40 @@
 }
 
 #[test]
-fn who_is_wanted_and_not_reached_is_told_each_time_until_it_comes_or_is_wanted_no_more() {
+fn each_failed_dial_is_reported_until_the_link_is_up_or_not_wanted() {
     let (at_a, at_b) = (address(), address());
     let stranger = member("nobody", 1);
     let mut a = node("a", 1, at_a, &[listed("b", at_b), listed("c", address())], 60_000);
     want(&mut a.copies, &stranger, true);
-    unreached(&mut a.copies, &stranger);
-    let who = member("b", 2);
-    want(&mut a.copies, &who, true);
-    (0..3).for_each(|_| unreached(&mut a.copies, &who));
+    expect_dial_failed(&mut a.copies, &stranger);
+    let wanted = member("b", 2);
+    want(&mut a.copies, &wanted, true);
+    (0..3).for_each(|_| expect_dial_failed(&mut a.copies, &wanted));
     let b = node("b", 2, at_b, &[listed("a", at_a)], 60_000);
     up(&mut a.copies, &b.me);
-    // The user that did not want it was told that it is up, and nothing else.
+    // The user that did not want it was notified of the link, and of nothing else.
     let all: Vec<LinkEvent> = std::iter::from_fn(|| a.owner.next()).collect();
     assert_eq!(all, [LinkEvent::LinkUp(hello("b", 2))]);
     drop(b);
-    down(&mut a.copies, &who);
-    unreached(&mut a.copies, &who);
-    want(&mut a.copies, &who, false);
-    // The dial under way may still fail; then there is no other, while another router is dialled again and again.
+    down(&mut a.copies, &wanted);
+    expect_dial_failed(&mut a.copies, &wanted);
+    want(&mut a.copies, &wanted, false);
+    // The dial in progress may still fail; no other follows, while another router is dialled repeatedly.
     let other = member("c", 3);
     let before = a.count("peer_dialled");
     want(&mut a.copies, &other, true);
-    let mut tries = 0;
-    wait("tries", || {
-        let told = a.copies.next()?;
-        tries += u64::from(told == LinkEvent::DialFailed(other.router.clone()));
-        (tries == 6).then_some(())
+    let mut failures = 0;
+    wait("failed dials", || {
+        let event = a.copies.next()?;
+        failures += u64::from(event == LinkEvent::DialFailed(other.router.clone()));
+        (failures == 6).then_some(())
     });
-    assert!(a.count("peer_dialled") <= before + 1 + tries + 1);
+    assert!(a.count("peer_dialled") <= before + 1 + failures + 1);
 }
 
 #[test]
-fn dials_at_a_time_are_bounded_and_all_have_their_turn() {
-    // They take connections and say nothing: each dial lasts as long as a hello is waited for.
+fn concurrent_dials_are_bounded_and_all_routers_are_dialled() {
+    // They accept connections silently: each dial lasts as long as the handshake's timeout.
     let silent: Vec<TcpListener> = (0..40).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     let name = |n: usize| format!("s{n}");
     let at = |n: usize| silent[n].local_addr().unwrap();
@@ -175,11 +176,11 @@
         }));
         (seen.len() == 40).then_some(())
     });
-    assert!(most <= basaltgw_transport::limits::DIALS as u64 && most > 8, "{most}");
+    assert!(most <= basaltgw_transport::limits::MAX_CONCURRENT_DIALS as u64 && most > 8, "{most}");
 }
 
 #[test]
-fn what_waits_on_a_link_that_breaks_is_given_back_once() {
+fn queued_frames_of_a_lost_link_fail_exactly_once() {
     let (at_a, at_z) = (address(), address());
     let mut a = node("a", 1, at_a, &[listed("z", at_z)], 60_000);
     let z = member("z", 2);
@@ -191,17 +192,17 @@
     raw.write(Kind::Hello, &postcard::to_stdvec(&(hello("z", 2), 5u64)).unwrap()).unwrap();
     assert_eq!(raw.read().unwrap().kind, Kind::Go);
     up(&mut a.copies, &z);
-    // More than the kernel takes while nothing is read.
-    for no in 0..60 {
-        send(&mut a.copies, no, &z, Lane::Registers, &[0; 65_536]);
+    // More than the kernel buffers while nothing is read.
+    for number in 0..60 {
+        send(&mut a.copies, number, &z, Lane::Registers, &[0; 65_536]);
     }
     drop(raw);
     let why = down(&mut a.copies, &z);
     assert!(matches!(why, LinkError::ConnectionLost | LinkError::PeerTimeout), "{why:?}");
     let mut back = std::collections::BTreeSet::new();
-    wait("all to be written or given back", || {
-        if let Some(LinkEvent::SendFailed { number: no, .. }) = a.copies.next() {
-            assert!(back.insert(no), "{no} twice");
+    wait("all to be written or to fail", || {
+        if let Some(LinkEvent::SendFailed { number, .. }) = a.copies.next() {
+            assert!(back.insert(number), "{number} twice");
         }
         (back.len() as u64 + a.count("peer_frames_out") == 60).then_some(())
     });
@@ -211,7 +212,7 @@
 }
 
 #[test]
-fn a_silence_shorter_than_three_signs_of_life_is_refused() {
+fn a_peer_timeout_below_three_keepalive_intervals_is_rejected() {
     let lanes = || vec![Lane::Membership, Lane::Registers, Lane::Table, Lane::ScatterGather];
     let users = || [(); 2].map(|()| TransportUser { lanes: lanes(), wake: Box::new(|| ()) });
     let try_with = |alive, silent| {
@@ -221,24 +222,24 @@
     };
     assert_eq!(try_with(1_250, 4_000), None);
     assert_eq!(try_with(250, 750), None);
-    let said = try_with(250, 749).unwrap();
-    assert_eq!(said, "settings of links: silent: expected 3 times 250ms or more, found 749ms");
+    let error = try_with(250, 749).unwrap();
+    assert_eq!(error, "settings of links: silent: expected 3 times 250ms or more, found 749ms");
     assert_eq!(try_with(0, 749).unwrap(), "settings of links: alive: expected more than 0");
 }
 
 #[test]
-fn a_longer_silence_is_borne_where_it_is_set() {
+fn a_longer_peer_timeout_is_respected() {
     let (alive, silent) = (Duration::from_millis(1_250), Duration::from_millis(4_000));
     let set = Settings { keepalive_interval: alive, peer_timeout: silent, ..Settings::default() };
     let mut a = Node::with("a", 1, address(), &[listed("z", address())], (LIMITS, set));
     let z = member("z", 2);
     let mut raw = Raw::up(a.address, &hello("z", 2), 5);
     up(&mut a.copies, &z);
-    // It says nothing for as long as two of their signs of life take: longer than the usual silence.
-    let begun = std::time::Instant::now();
+    // The peer is silent for two keepalive intervals: longer than the default timeout.
+    let started = std::time::Instant::now();
     assert_eq!([raw.read().unwrap().kind, raw.read().unwrap().kind], [Kind::Alive; 2]);
-    assert!(begun.elapsed() >= 2 * alive);
+    assert!(started.elapsed() >= 2 * alive);
     raw.write(Kind::Lane(Lane::Registers), b"x").unwrap();
-    assert_eq!(got(&mut a.copies, &z).1, b"x");
+    assert_eq!(receive(&mut a.copies, &z).1, b"x");
     assert_eq!((a.count("peer_silent"), a.count("peer_up")), (0, 1));
 }
