--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -27,7 +27,7 @@
 
 /// An address that refuses connections while its socket is kept, unless a router is told to listen there: no other program is given the
 /// port.
-pub fn refusing() -> (OwnedFd, SocketAddr) {
+pub fn refused_address() -> (OwnedFd, SocketAddr) {
     let held = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
     // Whoever listens sets this too; ports that the system chooses are not shared all the same.
     set_socket_reuseaddr(&held, true).expect("a socket");
@@ -37,7 +37,7 @@
 }
 
 /// As `until`, with something to do in between.
-pub fn until_asked(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn until_polling(what: &str, mut holds: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
     while !holds() {
         assert!(start.elapsed() < PATIENCE, "never: {what}");
--- a/crates/node/tests/crossing/closing.rs
+++ b/crates/node/tests/crossing/closing.rs
@@ -35,7 +35,7 @@
 }
 
 /// An edge cache that answers nothing until it is released.
-fn held() -> (Cache, Arc<AtomicBool>) {
+fn held_cache() -> (Cache, Arc<AtomicBool>) {
     let released = Arc::new(AtomicBool::new(false));
     let gate = Arc::clone(&released);
     let edge = Cache::start(move |s| {
@@ -47,19 +47,19 @@
     (edge, released)
 }
 
-fn serves(client: &mut Client, tag: u64) {
+fn assert_served(client: &mut Client, tag: u64) {
     client.ask(tag, "pages", tag, "", b"");
     let got = client.must();
     assert_eq!((got.tag, got.word.as_str()), (tag, "200"));
 }
 
 /// How a connection ends from which all answers are read: by a close in order, or by a reset.
-fn end(client: &mut Client) -> Result<usize, ErrorKind> {
+fn read_to_close(client: &mut Client) -> Result<usize, ErrorKind> {
     client.socket.read(&mut [0; 1]).map_err(|e| e.kind())
 }
 
 /// A client that takes few bytes at a time, so that answers wait on the router's side.
-fn narrow(router: &Process) -> Client {
+fn slow_reader(router: &Process) -> Client {
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
     sockopt::set_socket_recv_buffer_size(&socket, 4096).expect("a small buffer");
     connect(&socket, &router.address).expect("a connection");
@@ -84,7 +84,7 @@
 #[test]
 fn answer_written_before_a_close_over_unread_bytes_arrives_complete() {
     let rig = rig(Cache::start(|_| Do::Ok(vec![b'x'; 100_000])));
-    let mut client = narrow(&rig.router);
+    let mut client = slow_reader(&rig.router);
     client.ask(1, "pages", 1, "", b"");
     until("the answer is written", || rig.router.counter("served") == 1 && rig.router.counter("held") == 0);
     // The tag a second time, and more behind it than the owner takes before it closes.
@@ -97,7 +97,7 @@
     let _ = burst.join().expect("a thread that ends");
     let got = client.must();
     assert_eq!((got.tag, got.word.as_str(), got.body.len()), (1, "200", 100_000));
-    assert_eq!(end(&mut client), Ok(0), "closed in order");
+    assert_eq!(read_to_close(&mut client), Ok(0), "closed in order");
     assert_eq!(rig.edge.count(), 1);
 }
 
@@ -109,7 +109,7 @@
         Some("0000000000000001") => Do::Ok(vec![b'x'; 100_000]),
         _ => Do::Once(Arc::clone(&gate), content(s)),
     }));
-    let mut client = narrow(&rig.router);
+    let mut client = slow_reader(&rig.router);
     client.ask(1, "pages", 1, "", b"");
     until("the answer is written", || rig.router.counter("served") == 1 && rig.router.counter("held") == 0);
     client.ask(2, "pages", 2, "", b"");
@@ -120,7 +120,7 @@
     released.store(true, Ordering::SeqCst);
     let got = client.must();
     assert_eq!((got.tag, got.word.as_str(), got.body.len()), (1, "200", 100_000));
-    assert_eq!(end(&mut client), Ok(0), "who sends garbage is served nothing more");
+    assert_eq!(read_to_close(&mut client), Ok(0), "who sends garbage is served nothing more");
     assert_eq!((rig.router.counter("requests"), rig.router.counter("left")), (3, 2));
 }
 
@@ -128,7 +128,7 @@
 fn request_with_too_low_a_word_count_fails_and_reaches_no_cache() {
     let rig = rig(Cache::full());
     let mut client = rig.router.client();
-    serves(&mut client, 1);
+    assert_served(&mut client, 1);
     let request = |tag: &str, object: &str, body: &[u8]| {
         let fields = format!("i=00000000000000{object},d=5000,o=00000000000000{object},nth=0,batch=17");
         basaltgw_node::resp::encode(&[b"DO", tag.as_bytes(), b"pages", fields.as_bytes(), body])
@@ -139,7 +139,7 @@
     client.write(&few);
     let got = client.must();
     assert_eq!((got.tag, got.word.as_str()), (2, "500"));
-    assert_eq!(end(&mut client), Ok(0));
+    assert_eq!(read_to_close(&mut client), Ok(0));
     assert_eq!((rig.edge.count(), rig.router.counter("closed_unreadable")), (1, 1));
 }
 
@@ -160,21 +160,21 @@
 // ---- Closes of connections at rest ----
 
 /// What a router meets first when it wakes is up to the system: several at once meet it in either order.
-fn at_several(run: fn()) {
+fn run_in_parallel(run: fn()) {
     let all: Vec<_> = (0..6).map(|_| thread::spawn(run)).collect();
     all.into_iter().for_each(|one| one.join().expect("each holds"));
 }
 
 #[test]
 fn request_that_crosses_an_idle_close_is_answered() {
-    at_several(crosses_an_idle_close);
+    run_in_parallel(run_request_crossing_idle_close);
 }
 
-fn crosses_an_idle_close() {
+fn run_request_crossing_idle_close() {
     let rig = rig(Cache::full());
     for round in 1..=5 {
         let mut client = rig.router.client();
-        serves(&mut client, 1);
+        assert_served(&mut client, 1);
         // The router sleeps over the time of its close, and finds the request beside that when it wakes.
         thread::sleep(Duration::from_millis(4500));
         rig.router.signal("STOP");
@@ -239,7 +239,7 @@
     for (tag, mut client) in (1..).zip(crowd) {
         if let Some(got) = client.next() {
             assert_eq!((got.tag, got.word.as_str()), (tag, "200"));
-            assert_eq!(end(&mut client), Ok(0));
+            assert_eq!(read_to_close(&mut client), Ok(0));
         }
     }
 }
--- a/crates/node/tests/crossing/closing/end.rs
+++ b/crates/node/tests/crossing/closing/end.rs
@@ -6,7 +6,7 @@
 
 /// A router that is told to end, and sleeps from before the time until which it accepts to after it; what is done meanwhile is found
 /// when it wakes. `None` if it was too late for that.
-fn over_its_end<T>(rig: &Rig, meanwhile: impl FnOnce() -> Option<T>) -> Option<T> {
+fn pause_over_shutdown<T>(rig: &Rig, meanwhile: impl FnOnce() -> Option<T>) -> Option<T> {
     rig.router.signal("TERM");
     until("it is told", || rig.router.said("shutdown requested"));
     rig.router.signal("STOP");
@@ -18,15 +18,15 @@
 
 #[test]
 fn request_arriving_as_shutdown_completes_is_answered() {
-    at_several(comes_in_the_moment_of_the_end);
+    run_in_parallel(run_arrivals_at_shutdown);
 }
 
-fn comes_in_the_moment_of_the_end() {
+fn run_arrivals_at_shutdown() {
     for _ in 0..5 {
         let mut rig = rig(Cache::full());
         let (mut rests, mut half) = (rig.router.client(), rig.router.client());
-        serves(&mut rests, 1);
-        serves(&mut half, 1);
+        assert_served(&mut rests, 1);
+        assert_served(&mut half, 1);
         let second = basaltgw_node::resp::encode(&[
             b"DO",
             b"2",
@@ -36,7 +36,7 @@
         ]);
         let (first, rest) = second.split_at(20);
         half.write(first);
-        let asked = over_its_end(&rig, || {
+        let asked = pause_over_shutdown(&rig, || {
             // In the backlog, on a connection at rest, and the rest of half a message.
             let mut new = Client::new(TcpStream::connect(rig.router.address).ok()?);
             if !is_open(&rests) || !is_open(&half) {
@@ -51,7 +51,7 @@
         for (client, tag) in [(&mut rests, 2), (&mut half, 2), (&mut new, 1)] {
             let got = client.must();
             assert_eq!((got.tag, got.word.as_str()), (tag, "200"));
-            assert_eq!(end(client), Ok(0));
+            assert_eq!(read_to_close(client), Ok(0));
         }
         drop((rests, half, new));
         assert!(rig.router.ended().success());
@@ -72,8 +72,8 @@
             with_second(c, &second);
         });
         let mut rest: Vec<Client> = (0..5).map(|_| rig.router.client()).collect();
-        rest.iter_mut().for_each(|c| serves(c, 1));
-        let asked = over_its_end(&rig, || {
+        rest.iter_mut().for_each(|c| assert_served(c, 1));
+        let asked = pause_over_shutdown(&rig, || {
             let new = (0..30).map(|object| {
                 let mut new = Client::new(TcpStream::connect(rig.router.address).ok()?);
                 new.ask(1, "pages", object, "", b"");
@@ -85,7 +85,7 @@
         for client in &mut new {
             let got = client.must();
             assert_eq!(got.word, "200", "{got:?} {}", rig.router.text());
-            assert_eq!(end(client), Ok(0));
+            assert_eq!(read_to_close(client), Ok(0));
         }
         assert!(rig.router.ended().success());
         return;
@@ -94,14 +94,14 @@
 }
 
 /// Whether a socket listens there. One that connects to find out would be a client at the end too.
-fn is_listened_at(address: SocketAddr) -> bool {
+fn has_listener(address: SocketAddr) -> bool {
     TcpListener::bind(address).is_err()
 }
 
 #[test]
 fn partial_message_at_shutdown_is_closed_gracefully_without_delay() {
     for _ in 0..5 {
-        let (edge, released) = held();
+        let (edge, released) = held_cache();
         let mut rig = rig(edge);
         let mut client = rig.router.client();
         client.ask(1, "pages", 1, "", b"");
@@ -109,10 +109,10 @@
         client.write(b"*5\r\n$2\r\nDO\r\n$1\r\n2\r\n");
         until("it is open", || rig.router.counter("requests") == 1);
         rig.router.signal("TERM");
-        until("nobody is accepted", || !is_listened_at(rig.router.address));
+        until("nobody is accepted", || !has_listener(rig.router.address));
         released.store(true, Ordering::SeqCst);
         assert_eq!(client.must().tag, 1);
-        assert_eq!(end(&mut client), Ok(0));
+        assert_eq!(read_to_close(&mut client), Ok(0));
         // Where the machine was that slow, it may have been closed for the time that a message has.
         if written.elapsed() >= CLIENT_READ_LIMITS.message {
             continue;
@@ -128,8 +128,8 @@
 }
 
 /// Ends a router with a request open, told in some way; the request is answered before the end.
-fn ends(tell: impl FnOnce(&Rig)) {
-    let (edge, released) = held();
+fn run_shutdown_with_open_request(tell: impl FnOnce(&Rig)) {
+    let (edge, released) = held_cache();
     let mut rig = rig(edge);
     let mut client = rig.router.client();
     client.ask(1, "pages", 1, "", b"");
@@ -139,13 +139,13 @@
     released.store(true, Ordering::SeqCst);
     let got = client.must();
     assert_eq!((got.tag, got.word.as_str()), (1, "200"));
-    assert_eq!(end(&mut client), Ok(0));
+    assert_eq!(read_to_close(&mut client), Ok(0));
     assert!(rig.router.ended().success());
 }
 
 #[test]
 fn repeated_sigterm_is_one_shutdown() {
-    ends(|rig| {
+    run_shutdown_with_open_request(|rig| {
         rig.router.signal("TERM");
         until("it is told", || rig.router.said("shutdown requested"));
         rig.router.signal("TERM");
@@ -154,7 +154,7 @@
 
 #[test]
 fn sigterm_during_a_reload_takes_effect() {
-    ends(|rig| {
+    run_shutdown_with_open_request(|rig| {
         rig.router.rewrite(&rig.config.to_string());
         rig.router.signal("HUP");
         rig.router.signal("TERM");
@@ -164,7 +164,7 @@
 
 #[test]
 fn router_shuts_down_gracefully_while_discovery_is_down() {
-    ends(|rig| {
+    run_shutdown_with_open_request(|rig| {
         rig.log.down.store(true, Ordering::SeqCst);
         until("it is lost", || rig.router.counter("log_lost") > 0);
         rig.router.signal("TERM");
@@ -180,7 +180,7 @@
     client.ask(1, "pages", 1, "", b"");
     rig.router.signal("TERM");
     assert!(client.must().word != "200");
-    assert_eq!(end(&mut client), Ok(0));
+    assert_eq!(read_to_close(&mut client), Ok(0));
     assert!(rig.router.ended().success());
 }
 
@@ -188,7 +188,7 @@
 fn clients_that_never_close_delay_shutdown_up_to_the_bound() {
     let mut rig = rig(Cache::full());
     let mut all: Vec<Client> = (0..20).map(|_| rig.router.client()).collect();
-    all.iter_mut().for_each(|c| serves(c, 1));
+    all.iter_mut().for_each(|c| assert_served(c, 1));
     let asked = Instant::now();
     rig.router.signal("TERM");
     assert!(rig.router.ended().success());
@@ -196,13 +196,13 @@
     let counted = rig.router.last_counters();
     assert_eq!((counted["closed_at_end"], counted["closes_lingered"]), (20.0, 20.0));
     // They find out whenever they look.
-    all.iter_mut().for_each(|c| assert_eq!(end(c), Ok(0)));
+    all.iter_mut().for_each(|c| assert_eq!(read_to_close(c), Ok(0)));
 }
 
 #[test]
 fn client_that_reads_no_answers_does_not_delay_shutdown() {
     let mut rig = rig(Cache::start(|_| Do::Ok(vec![b'x'; 240_000])));
-    let (mut slow, mut good) = (narrow(&rig.router), rig.router.client());
+    let (mut slow, mut good) = (slow_reader(&rig.router), rig.router.client());
     for tag in 1..=30 {
         slow.ask(tag, "pages", tag, "", b"");
     }
--- a/crates/node/tests/crossing/leaving.rs
+++ b/crates/node/tests/crossing/leaving.rs
@@ -109,7 +109,7 @@
     fn edge_serves(&self) {
         let mut other = self.client();
         let (mut tag, mut ids) = (0, Vec::new());
-        until_asked("the edge cache is asked", || {
+        until_polling("the edge cache is asked", || {
             tag += 1;
             ids.push(other.ask_for(WAITS, tag, "pages", 100 + tag, "", b""));
             assert_eq!(other.must().word, "200");
@@ -124,7 +124,7 @@
     [(Way::Closes, false), (Way::TakesBack, false), (Way::Closes, true), (Way::TakesBack, true)];
 
 /// An edge cache that takes no connection, and answers nothing, before the command.
-fn proved_by(gate: &Gate) -> Cache {
+fn cache_behind_gate(gate: &Gate) -> Cache {
     let held = gate.clone();
     let waits = move |_| {
         held.pass();
@@ -134,7 +134,7 @@
 }
 
 /// Fills a listener's backlog, until no connection comes up any more.
-fn fill(at: SocketAddr) -> Vec<TcpStream> {
+fn fill_backlog(at: SocketAddr) -> Vec<TcpStream> {
     let mut all = Vec::new();
     while let Ok(socket) = TcpStream::connect_timeout(&at, Duration::from_millis(300)) {
         all.push(socket);
@@ -144,13 +144,13 @@
 }
 
 /// Its client leaves while a request waits for a connection, which then comes up; `busy`: only then is one taken at all.
-fn leaves_before_it_is_sent(busy: bool) {
+fn run_client_leaves_before_send(busy: bool) {
     for (way, may) in WAYS_AND_RIGHTS {
         let gate = Gate::default();
-        let edge = proved_by(&gate);
-        let fillers = if busy { fill(edge.address) } else { Vec::new() };
+        let edge = cache_behind_gate(&gate);
+        let fillers = if busy { fill_backlog(edge.address) } else { Vec::new() };
         let rig = Rig::start(edge, |c| c["settings"]["limits"]["cancel"] = json!(may));
-        let (mut clients, ids) = clients_with_one(&rig, 1);
+        let (mut clients, ids) = clients_with_one_request(&rig, 1);
         let kept = clients.pop().and_then(|client| way.go(client, 1));
         until("it has left", || rig.router.counter("left") == 1);
         drop(fillers);
@@ -168,12 +168,12 @@
 
 #[test]
 fn attempt_waiting_for_a_connection_is_not_sent_after_its_client_left() {
-    leaves_before_it_is_sent(true);
+    run_client_leaves_before_send(true);
 }
 
 #[test]
 fn attempt_waiting_for_a_probe_is_not_sent_after_its_client_left() {
-    leaves_before_it_is_sent(false);
+    run_client_leaves_before_send(false);
 }
 
 /// An open socket, as the kernel's table tells of it.
@@ -185,7 +185,7 @@
 }
 
 /// Open sockets at that port, or with a peer at that.
-fn sockets(own: Option<u16>, peer: Option<u16>) -> Vec<Row> {
+fn socket_table(own: Option<u16>, peer: Option<u16>) -> Vec<Row> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of sockets");
     let port = |word: &str| u16::from_str_radix(word.rsplit(':').next().expect("a port"), 16).expect("hex");
     // A busy machine's table has ten thousand rows, most of them of connections that are over.
@@ -201,21 +201,21 @@
     table.lines().skip(1).filter(names).filter_map(of_row).collect()
 }
 
-fn waiting(own: Option<u16>, peer: Option<u16>) -> Vec<(u64, u64)> {
-    sockets(own, peer).iter().map(|row| row.waiting).collect()
+fn queued_bytes(own: Option<u16>, peer: Option<u16>) -> Vec<(u64, u64)> {
+    socket_table(own, peer).iter().map(|row| row.waiting).collect()
 }
 
 /// Waits until all that clients left behind has come to the stopped router, whose only clients they are.
-fn all_is_there(rig: &Rig, way: Way) {
+fn wait_until_received(rig: &Rig, way: Way) {
     let port = Some(rig.router.address.port());
     until("all is there that was left behind", || match way {
-        Way::Closes => sockets(port, None).iter().all(|row| row.ended),
-        Way::TakesBack => waiting(None, port).iter().all(|(sent, _)| *sent == 0),
+        Way::Closes => socket_table(port, None).iter().all(|row| row.ended),
+        Way::TakesBack => queued_bytes(None, port).iter().all(|(sent, _)| *sent == 0),
     });
 }
 
-fn unread(own: Option<u16>, peer: Option<u16>) -> Vec<u64> {
-    waiting(own, peer).into_iter().map(|(_, come)| come).collect()
+fn unread_bytes(own: Option<u16>, peer: Option<u16>) -> Vec<u64> {
+    queued_bytes(own, peer).into_iter().map(|(_, come)| come).collect()
 }
 
 fn message(verb: &str, tag: u64) -> Vec<u8> {
@@ -224,21 +224,21 @@
 }
 
 /// Clients leave behind more than the owner's queue holds, and `meanwhile` happens; the router sees all of it in one turn.
-fn leave_at_once(rig: &Rig, clients: Vec<Client>, way: Way, meanwhile: impl FnOnce()) -> Vec<Client> {
+fn disconnect_all(rig: &Rig, clients: Vec<Client>, way: Way, meanwhile: impl FnOnce()) -> Vec<Client> {
     rig.router.signal("STOP");
     let leave = |mut client: Client| {
         client.write(&(0..300).flat_map(|n| message("PING", 1_000 + n)).collect::<Vec<u8>>());
         way.go(client, 1)
     };
     let left = clients.into_iter().filter_map(leave).collect();
-    all_is_there(rig, way);
+    wait_until_received(rig, way);
     meanwhile();
     rig.router.signal("CONT");
     left
 }
 
 /// Clients with one request each, which is at the edge cache or waits there.
-fn clients_with_one(rig: &Rig, many: u64) -> (Vec<Client>, Vec<String>) {
+fn clients_with_one_request(rig: &Rig, many: u64) -> (Vec<Client>, Vec<String>) {
     let one = |n: u64| {
         let mut client = rig.client();
         let id = client.ask_for(WAITS, 1, "pages", 1 + n, "", b"");
@@ -253,16 +253,16 @@
 fn probe_answered_while_clients_leave_behind_a_full_queue_sends_nothing() {
     for way in WAYS {
         let gate = Gate::default();
-        let rig = Rig::start(proved_by(&gate), |_| {});
+        let rig = Rig::start(cache_behind_gate(&gate), |_| {});
         let edge = rig.edge.address.port();
-        let (clients, ids) = clients_with_one(&rig, 8);
+        let (clients, ids) = clients_with_one_request(&rig, 8);
         until("the edge cache is asked whether its connections work", || {
-            let asked = unread(Some(edge), None);
+            let asked = unread_bytes(Some(edge), None);
             !asked.is_empty() && asked.iter().all(|n| *n > 0)
         });
-        let kept = leave_at_once(&rig, clients, way, || {
+        let kept = disconnect_all(&rig, clients, way, || {
             gate.open();
-            until("its answers are there", || unread(None, Some(edge)).iter().all(|n| *n > 0));
+            until("its answers are there", || unread_bytes(None, Some(edge)).iter().all(|n| *n > 0));
         });
         until("all have left", || rig.router.counter("left") == 8);
         rig.edge_serves();
@@ -273,7 +273,7 @@
 }
 
 /// All attempts that were made are over.
-fn attempts_over(router: &Process) -> bool {
+fn all_attempts_ended(router: &Process) -> bool {
     let all = router.counters(PATIENCE).expect("counters");
     let ends =
         ["served", "error", "full", "late", "no_connection", "broken", "cancelled", "not_sent", "miss"];
@@ -298,12 +298,12 @@
             };
             let rig = Rig::alike(act);
             let ports = [rig.edge.address.port(), rig.others[0].address.port()];
-            let (mut clients, ids) = clients_with_one(&rig, 1);
+            let (mut clients, ids) = clients_with_one_request(&rig, 1);
             until("a cache has it", || came.is_open());
             let kept = if crowd {
-                leave_at_once(&rig, clients, way, || {
+                disconnect_all(&rig, clients, way, || {
                     gate.open();
-                    let answers = || ports.iter().flat_map(|at| unread(None, Some(*at))).any(|n| n > 0);
+                    let answers = || ports.iter().flat_map(|at| unread_bytes(None, Some(*at))).any(|n| n > 0);
                     until("its answer is there", answers);
                 })
             } else {
@@ -313,7 +313,7 @@
                 kept
             };
             until("it has left", || rig.router.counter("left") == 1);
-            until("its attempt is over", || attempts_over(&rig.router));
+            until("its attempt is over", || all_attempts_ended(&rig.router));
             rig.edge_serves();
             let fetched = rig.fetched().iter().filter(|id| **id == ids[0]).count();
             assert_eq!(fetched, 1, "{way:?}, behind a crowd: {crowd}");
@@ -345,7 +345,7 @@
             client.write(&bytes);
         }
         let kept: Vec<Client> = clients.into_iter().filter(|_| way == Way::TakesBack).collect();
-        all_is_there(&rig, way);
+        wait_until_received(&rig, way);
         rig.router.signal("CONT");
         match way {
             Way::TakesBack => until("all of it is heard", || rig.router.counter("left_early") == 600),
--- a/crates/node/tests/crossing/leaving/memory.rs
+++ b/crates/node/tests/crossing/leaving/memory.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// A router whose servers keep writes until a command, and refuse object 1 on another.
-fn holding(writes: &Gate, refuses: &Gate, came: &Gate) -> Rig {
+fn rig_with_held_writes(writes: &Gate, refuses: &Gate, came: &Gate) -> Rig {
     let (writes, refuses, came) = (writes.clone(), refuses.clone(), came.clone());
     let act = move |s: &Seen| {
         if s.field("c") == Some("loan") {
@@ -51,8 +51,8 @@
 fn client_disconnect_is_seen_while_reading_is_paused_for_memory() {
     for way in WAYS {
         let (writes, refuses, came) = (Gate::default(), Gate::default(), Gate::default());
-        let rig = holding(&writes, &refuses, &came);
-        let (mut clients, ids) = clients_with_one(&rig, 1);
+        let rig = rig_with_held_writes(&writes, &refuses, &came);
+        let (mut clients, ids) = clients_with_one_request(&rig, 1);
         until("a cache has it", || came.is_open());
         let slow = fill_memory(&rig);
         assert_eq!(clients[0].settle(), []);
@@ -61,7 +61,7 @@
         assert!(rig.router.counter("held") > 500_000, "nothing was released for that");
         refuses.open();
         writes.open();
-        until("all attempts are over", || attempts_over(&rig.router));
+        until("all attempts are over", || all_attempts_ended(&rig.router));
         rig.edge_serves();
         // A stand-in notes a fetch when it has done with it.
         until("the fetch that was held is noted", || rig.fetched().contains(&ids[0]));
@@ -74,18 +74,19 @@
 #[test]
 fn cancelled_request_is_not_sent_while_reading_is_paused_for_memory() {
     let writes = Gate::default();
-    let rig = holding(&writes, &Gate::default(), &Gate::default());
+    let rig = rig_with_held_writes(&writes, &Gate::default(), &Gate::default());
     let slow = fill_memory(&rig);
     let mut client = rig.client();
     let ids: Vec<String> = (2..=4).map(|tag| client.ask_for(WAITS, tag, "pages", tag, "", b"")).collect();
     [2, 4].into_iter().for_each(|tag| client.say("UNDO", tag));
     let (own, port) = (rig.router.address.port(), client.socket.local_addr().expect("an address").port());
-    let read = || waiting(Some(port), Some(own)) == [(0, 0)] && unread(Some(own), Some(port)) == [0];
+    let read =
+        || queued_bytes(Some(port), Some(own)) == [(0, 0)] && unread_bytes(Some(own), Some(port)) == [0];
     until("all of it has come and is read", read);
     assert!(rig.router.counter("held") > 500_000, "nothing was released for that");
     writes.open();
     assert_eq!((client.must().tag, client.settle()), (3, vec![]));
-    until("all attempts are over", || attempts_over(&rig.router));
+    until("all attempts are over", || all_attempts_ended(&rig.router));
     assert_eq!(rig.router.counter("left_early"), 2);
     let fetched = rig.fetched();
     assert!(fetched.contains(&ids[1]) && !fetched.contains(&ids[0]) && !fetched.contains(&ids[2]));
--- a/crates/node/tests/crossing/retries.rs
+++ b/crates/node/tests/crossing/retries.rs
@@ -8,7 +8,7 @@
 
 /// A keyed request that waits for a connection until its window is over, and others behind it there. False if the machine was so slow
 /// that none of them came on that connection, which takes no more after 0.8 s of silence.
-fn works_only_after_its_window() -> bool {
+fn run_probe_answered_after_key_window() -> bool {
     // So long that a busy machine comes to the second attempt before it is over.
     const WINDOW_MS: u64 = 3_000;
     let (first, conns) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
@@ -55,12 +55,15 @@
 
 #[test]
 fn request_is_not_written_after_its_idempotency_key_window() {
-    let stood = (0..5).any(|_| works_only_after_its_window());
+    let stood = (0..5).any(|_| run_probe_answered_after_key_window());
     assert!(stood, "nothing ever stood behind it");
 }
 
 /// A router before an edge cache, a parent and an origin that all do this with each fetch.
-fn before(behaviour: fn(&Seen) -> Do, change: impl FnOnce(&mut serde_json::Value)) -> (Process, [Cache; 3]) {
+fn router_before_caches(
+    behaviour: fn(&Seen) -> Do,
+    change: impl FnOnce(&mut serde_json::Value),
+) -> (Process, [Cache; 3]) {
     let all = [(); 3].map(|()| Cache::start(behaviour));
     let log = ChangeLog::start();
     let mut config = configuration(&three(&all[0], &all[1], &all[2]), log.address);
@@ -70,18 +73,18 @@
     (router(&config), all)
 }
 
-fn fetches(all: &[Cache]) -> usize {
+fn fetch_count(all: &[Cache]) -> usize {
     all.iter().map(Cache::count).sum()
 }
 
-fn let_go(all: &[Cache]) {
+fn release_all(all: &[Cache]) {
     all.iter().for_each(|cache| cache.go_on.store(true, Ordering::SeqCst));
 }
 
 /// A request that waits for far less than the transport does, and one behind it on its connection, whose server holds both. How long it
 /// waited for its answer; `None` if the machine was too slow to write it in its time, or both on one connection.
-fn far_below(class: &str, word: &str) -> Option<u64> {
-    let (router, all) = before(|s| Do::Held(content(s)), |_| {});
+fn run_short_deadline(class: &str, word: &str) -> Option<u64> {
+    let (router, all) = router_before_caches(|s| Do::Held(content(s)), |_| {});
     let mut client = router.client();
     let asked = unix_ms();
     client.ask_for(150, 1, class, 1, "", b"body of it");
@@ -95,15 +98,15 @@
     until("its end was told", || ends().iter().sum::<u64>() == 1);
     let unsent = ends()[2] + ends()[3] == 1;
     assert_eq!((got.tag, got.word.as_str()), (1, if unsent { "503" } else { word }), "{class}");
-    until("what was sent is at a server", || fetches(&all) >= 1);
+    until("what was sent is at a server", || fetch_count(&all) >= 1);
     if all.iter().map(|cache| cache.conns.load(Ordering::SeqCst)).sum::<usize>() > 1 {
         return None;
     }
-    let_go(&all);
+    release_all(&all);
     assert_eq!(client.must().tag, 2);
     until("the late answer came", || unsent || router.counter("late_answers") == 1);
     assert_eq!(client.settle(), []);
-    assert_eq!((fetches(&all), router.counter("attempts")), (if unsent { 1 } else { 2 }, 2));
+    assert_eq!((fetch_count(&all), router.counter("attempts")), (if unsent { 1 } else { 2 }, 2));
     Some(waited).filter(|_| !unsent)
 }
 
@@ -113,8 +116,8 @@
     for (class, word) in [("pages", "503"), ("loan", "500")] {
         // Not only once the attempt is held to be over, 0.55 s after it was asked. A busy machine may add to one play or another.
         let mut plays = Vec::new();
-        until_asked("it is answered in less than 500 ms", || {
-            plays.push(far_below(class, word));
+        until_polling("it is answered in less than 500 ms", || {
+            plays.push(run_short_deadline(class, word));
             assert!(plays.len() < 12, "{class}: answered after {plays:?} ms");
             plays.iter().flatten().any(|waited| *waited < 500)
         });
@@ -126,17 +129,17 @@
     let acts: [fn(&Seen) -> Do; 2] = [|s| Do::Held(content(s)), |_| Do::Reset];
     for act in acts {
         for class in ["pages", "loan"] {
-            let (router, all) = before(act, |_| {});
+            let (router, all) = router_before_caches(act, |_| {});
             let mut client = router.client();
             client.ask(1, class, 1, "", b"body of it");
-            until("it is at a server", || fetches(&all) == 1);
+            until("it is at a server", || fetch_count(&all) == 1);
             client.say("UNDO", 1);
             until("it was taken back", || router.counter("left") == 1);
-            let_go(&all);
+            release_all(&all);
             let ends = ["late", "cancelled", "broken"].map(|end| format!("attempts_{end}"));
             until("its end was told", || ends.iter().map(|end| router.counter(end)).sum::<u64>() == 1);
             assert_eq!(client.settle(), []);
-            assert_eq!((router.counter("attempts"), fetches(&all)), (1, 1), "{class} was sent again");
+            assert_eq!((router.counter("attempts"), fetch_count(&all)), (1, 1), "{class} was sent again");
         }
     }
 }
@@ -144,13 +147,13 @@
 #[test]
 fn request_reset_long_after_its_first_byte_may_have_been_executed() {
     for (class, word, attempts) in [("pages", "503", None), ("loan", "500", Some(1))] {
-        let (router, all) = before(|_| Do::Reset, |_| {});
+        let (router, all) = router_before_caches(|_| Do::Reset, |_| {});
         let mut client = router.client();
         client.ask_for(3000, 1, class, 1, "", b"body of it");
-        until("it is at a server", || fetches(&all) == 1);
-        let_go(&all);
+        until("it is at a server", || fetch_count(&all) == 1);
+        release_all(&all);
         assert_eq!(client.must().word, word, "{class}");
-        assert!(attempts.is_none_or(|n| fetches(&all) == n), "{class}: {}", fetches(&all));
+        assert!(attempts.is_none_or(|n| fetch_count(&all) == n), "{class}: {}", fetch_count(&all));
         assert!(router.counter("attempts_broken") >= 1);
         assert_eq!(client.settle(), []);
     }
--- a/crates/node/tests/crossing/settings.rs
+++ b/crates/node/tests/crossing/settings.rs
@@ -8,7 +8,7 @@
 
 /// A kiosk's router: no parents and no origin, a long tick, and requests that wait for no longer than a blink, as each says itself. By
 /// the settings nothing is late: a server that a busy machine lets wait for some 30 ms refused no connection, and for 0.4 s is not silent.
-fn kiosk(edges: &[&Cache], log: &ChangeLog) -> Value {
+fn kiosk_configuration(edges: &[&Cache], log: &ChangeLog) -> Value {
     let listed: Vec<Listed> =
         edges.iter().zip(EDGE..).map(|(cache, id)| Listed(id, cache.address, "box")).collect();
     let mut config = configuration(&listed, log.address);
@@ -29,21 +29,21 @@
 }
 
 /// One that answers nothing before it is released.
-fn holding() -> (Cache, Arc<AtomicBool>) {
+fn held_cache() -> (Cache, Arc<AtomicBool>) {
     let released = Arc::new(AtomicBool::new(false));
     let gate = Arc::clone(&released);
     (Cache::start(move |s| Do::Once(Arc::clone(&gate), content(s))), released)
 }
 
-fn settled(client: &mut Client) {
+fn assert_settled(client: &mut Client) {
     assert_eq!(client.settle(), [], "an answer after the answer");
 }
 
 #[test]
 fn short_deadlines_are_answered_before_late_attempts() {
     let log = ChangeLog::start();
-    let ((one, first), (two, second)) = (holding(), holding());
-    let router = router(&kiosk(&[&one, &two], &log));
+    let ((one, first), (two, second)) = (held_cache(), held_cache());
+    let router = router(&kiosk_configuration(&[&one, &two], &log));
     let mut client = router.client();
     for (tag, wait) in [(1, 60), (2, 100), (3, 150), (4, 30)] {
         client.ask_for(wait, tag, "fares", tag, "", b"");
@@ -65,12 +65,12 @@
     }
     first.store(true, Ordering::SeqCst);
     second.store(true, Ordering::SeqCst);
-    settled(&mut client);
+    assert_settled(&mut client);
     // Nothing of it is left over, and what is asked next is served, given the time.
     until("all is over", || router.counter("held") == 0);
     client.ask_for(20_000, 7, "fares", 7, "", b"");
     assert_eq!(client.must().word, "200");
-    settled(&mut client);
+    assert_settled(&mut client);
     assert_eq!(router.counter("requests"), 7);
     for (tag, class) in effects {
         assert_eq!(answers[&tag], if went(class) { "500" } else { "503" }, "{answers:?}");
@@ -95,7 +95,7 @@
         }
     };
     let caches: Vec<Cache> = (0..4).map(|_| Cache::start(act.clone())).collect();
-    let mut config = kiosk(&caches.iter().collect::<Vec<_>>(), &log);
+    let mut config = kiosk_configuration(&caches.iter().collect::<Vec<_>>(), &log);
     // Time enough on a busy machine: what is asked here is where it goes, not when.
     config["settings"]["services"][1]["window"] = json!(20_000.0);
     let router = router(&config);
@@ -108,15 +108,15 @@
         assert_eq!(client.must().word, "500", "{class}");
         assert_eq!(seen.lock().expect("lock")[&id], ["refused", "error"], "{class}");
     }
-    settled(&mut client);
+    assert_settled(&mut client);
 }
 
 #[test]
 fn refused_connection_leaves_a_short_deadline_time_for_a_retry() {
     let log = ChangeLog::start();
     let good = Cache::full();
-    let (_port, gone) = refusing();
-    let mut config = kiosk(&[&good], &log);
+    let (_port, gone) = refused_address();
+    let mut config = kiosk_configuration(&[&good], &log);
     let members = &mut config["known"]["results"][0]["fleet"]["members"];
     let mut member = members[0].clone();
     (member["id"], member["host_port"]) = (json!("s-000000ff"), json!(gone.to_string()));
@@ -128,7 +128,7 @@
         let got = client.must();
         assert_eq!((got.tag, got.word.as_str()), (tag, "200"), "nothing ran there, so all classes go on");
     }
-    settled(&mut client);
+    assert_settled(&mut client);
     assert!(router.counter("attempts_no_connection") > 0, "some of them were sent there first");
 }
 
@@ -148,7 +148,7 @@
         }
     };
     let edge = Cache::start(act);
-    let mut config = kiosk(&[&edge], &log);
+    let mut config = kiosk_configuration(&[&edge], &log);
     config["settings"]["limits"]["max-streams"] = json!(1);
     config["settings"]["granularity"] = json!(2.0);
     // So few that the connections of one server take all that servers may hold.
@@ -175,6 +175,6 @@
     assert_eq!(tags, (1..=most).collect::<Vec<_>>());
     client.ask_for(60_000, 99, "fares", 99, "", b"");
     assert_eq!(client.must().word, "200");
-    settled(&mut client);
+    assert_settled(&mut client);
     assert_eq!(router.counter("attempts_not_sent"), 8);
 }
--- a/crates/node/tests/crossing/stops.rs
+++ b/crates/node/tests/crossing/stops.rs
@@ -12,7 +12,7 @@
 const WAIT_MS: u64 = 4_000;
 
 /// A router before caches that do this when they are asked whether a connection works.
-fn before(proof: Proof) -> (Process, [Cache; 3]) {
+fn router_before_caches(proof: Proof) -> (Process, [Cache; 3]) {
     let all = [(); 3].map(|()| Cache::start_as(move |_| proof, |s| Do::Ok(content(s))));
     let log = ChangeLog::start();
     let mut config = configuration(&three(&all[0], &all[1], &all[2]), log.address);
@@ -20,13 +20,13 @@
     (router(&config), all)
 }
 
-fn fetches(all: &[Cache]) -> Vec<Seen> {
+fn all_fetches(all: &[Cache]) -> Vec<Seen> {
     all.iter().flat_map(Cache::all).collect()
 }
 
 /// What each fetch was told is what its client had left, who asked at that time.
-fn tells_what_is_left(all: &[Cache], asked: u64) {
-    let fetches = fetches(all);
+fn assert_remaining_deadline(all: &[Cache], asked: u64) {
+    let fetches = all_fetches(all);
     assert!(!fetches.is_empty());
     for fetch in fetches {
         let told: u64 = fetch.field("w").expect("a wait").parse().expect("whole milliseconds");
@@ -37,7 +37,7 @@
 
 #[test]
 fn deadline_of_a_request_received_during_a_pause_counts_from_its_arrival() {
-    let (router, all) = before(Proof::Yes);
+    let (router, all) = router_before_caches(Proof::Yes);
     let mut client = router.client();
     assert_eq!(client.settle(), []);
     router.signal("STOP");
@@ -46,12 +46,12 @@
     std::thread::sleep(STOPPED);
     router.signal("CONT");
     assert_eq!(client.must().tag, 1);
-    tells_what_is_left(&all, asked);
+    assert_remaining_deadline(&all, asked);
 }
 
 #[test]
 fn deadline_of_an_attempt_that_waited_for_its_connection_is_reduced_by_the_wait() {
-    let (router, all) = before(Proof::Held);
+    let (router, all) = router_before_caches(Proof::Held);
     let mut client = router.client();
     let asked = unix_ms();
     client.ask_for(WAIT_MS, 1, "pages", 1, "", b"");
@@ -59,13 +59,13 @@
     std::thread::sleep(STOPPED);
     all.iter().for_each(|cache| cache.go_on.store(true, std::sync::atomic::Ordering::SeqCst));
     assert_eq!(client.must().tag, 1);
-    tells_what_is_left(&all, asked);
+    assert_remaining_deadline(&all, asked);
 }
 
 #[test]
 fn request_whose_client_left_during_a_pause_is_not_sent() {
     for _ in 0..3 {
-        let (router, all) = before(Proof::Held);
+        let (router, all) = router_before_caches(Proof::Held);
         let mut client = router.client();
         client.ask_for(WAIT_MS, 1, "pages", 1, "", b"");
         until("it waits for its connection", || router.counter("attempts") == 1);
@@ -76,6 +76,6 @@
         std::thread::sleep(Duration::from_millis(300));
         router.signal("CONT");
         until("the router hears that its client left", || router.counter("left") == 1);
-        assert_eq!(fetches(&all).len(), 0, "an attempt began though its client had left");
+        assert_eq!(all_fetches(&all).len(), 0, "an attempt began though its client had left");
     }
 }
--- a/crates/node/tests/crossing/watches.rs
+++ b/crates/node/tests/crossing/watches.rs
@@ -37,19 +37,19 @@
 }
 
 /// How often it was asked.
-fn asks(log: &ChangeLog) -> usize {
+fn connection_count(log: &ChangeLog) -> usize {
     log.asked.lock().expect("lock").len()
 }
 
 #[test]
 fn missing_event_named_by_empty_frames_is_requested_again() {
     let rig = rig();
-    until("it is followed", || asks(&rig.log) == 1);
+    until("it is followed", || connection_count(&rig.log) == 1);
     rig.log.names_last.store(true, Ordering::SeqCst);
     rig.log.starved.store(1, Ordering::SeqCst);
     rig.log.tell(2, 3, &purge(77));
     until("the event is told", || rig.router.counter("purges") == 1);
-    assert_eq!((asks(&rig.log), rig.router.counter("log_behind")), (2, 1));
+    assert_eq!((connection_count(&rig.log), rig.router.counter("log_behind")), (2, 1));
     assert_eq!(
         rig.log.asked.lock().expect("lock")[..],
         [1, 1],
@@ -64,31 +64,31 @@
 fn rechecks_for_an_event_that_never_comes_back_off() {
     let start = Instant::now();
     let rig = rig();
-    until("it is followed", || asks(&rig.log) == 1);
+    until("it is followed", || connection_count(&rig.log) == 1);
     rig.log.names_last.store(true, Ordering::SeqCst);
     rig.log.starved.store(usize::MAX, Ordering::SeqCst);
     rig.log.tell(2, 3, &purge(77));
     // After 0.1, 0.2, 0.4, 0.8 and 1.6 s more.
-    until("it is asked some times", || asks(&rig.log) >= 6);
+    until("it is asked some times", || connection_count(&rig.log) >= 6);
     assert!(start.elapsed() >= Duration::from_millis(3100), "{:?}", start.elapsed());
     assert_eq!(rig.router.counter("purges"), 0);
-    let asked = asks(&rig.log);
+    let asked = connection_count(&rig.log);
     rig.log.starved.store(0, Ordering::SeqCst);
     until("what it then tells is heard", || rig.router.counter("purges") == 1);
-    assert!(asks(&rig.log) <= asked + 1, "on a connection that was open");
+    assert!(connection_count(&rig.log) <= asked + 1, "on a connection that was open");
 }
 
 #[test]
 fn silent_reconnect_is_replaced_by_another_connection() {
     let rig = rig();
-    until("it is followed", || asks(&rig.log) == 1);
+    until("it is followed", || connection_count(&rig.log) == 1);
     let stopped = Instant::now();
     rig.log.mute.store(2, Ordering::SeqCst);
     rig.log.tell(2, 3, &purge(77));
     until("the event is told", || rig.router.counter("purges") == 1);
     // A watch that stopped counts as told after 4 s.
     assert!(stopped.elapsed() < Duration::from_secs(4), "{:?}", stopped.elapsed());
-    assert_eq!((asks(&rig.log), rig.router.counter("log_quiet")), (3, 2));
+    assert_eq!((connection_count(&rig.log), rig.router.counter("log_quiet")), (3, 2));
 }
 
 // ---- New configurations ----
@@ -105,13 +105,13 @@
 #[test]
 fn reload_in_the_middle_of_a_frame_loses_and_repeats_no_event() {
     let mut rig = rig();
-    until("it is followed", || asks(&rig.log) == 1);
+    until("it is followed", || connection_count(&rig.log) == 1);
     // The next one begins event 3, and then nothing more comes of it.
     let half = TcpListener::bind("127.0.0.1:0").expect("a port");
     reload(&mut rig, half.local_addr().expect("an address"));
     half.set_nonblocking(true).expect("a listener that does not wait");
     let mut taken = None;
-    until_asked("the router connects", || {
+    until_polling("the router connects", || {
         taken = half.accept().ok();
         taken.is_some()
     });
@@ -137,7 +137,7 @@
 #[test]
 fn event_on_a_connection_being_replaced_is_notified_once() {
     let mut rig = rig();
-    until("it is followed", || asks(&rig.log) == 1);
+    until("it is followed", || connection_count(&rig.log) == 1);
     let other = ChangeLog::start();
     (2..=5).for_each(|n| other.tell(n, 3, &purge(n)));
     // All in one moment: two events on the old connection, and that it is to be left.
@@ -150,7 +150,7 @@
     rig.router.signal("CONT");
     until("all is told", || rig.router.counter("purges") >= 4);
     until("it is read", || rig.router.counter("reloads") == 1);
-    assert_eq!((rig.router.counter("purges"), asks(&other)), (4, 1));
+    assert_eq!((rig.router.counter("purges"), connection_count(&other)), (4, 1));
 }
 
 /// A machine that answers no connection: what would be accepted waits already.
@@ -173,9 +173,9 @@
 #[test]
 fn reload_takes_effect_during_connect_and_during_backoff() {
     let mut rig = rig();
-    until("it is followed", || asks(&rig.log) == 1);
+    until("it is followed", || connection_count(&rig.log) == 1);
     let (back, silent) = (rig.log.address, full());
-    let (_port, gone) = refusing();
+    let (_port, gone) = refused_address();
     for (round, elsewhere) in [silent.address, gone].into_iter().enumerate() {
         let round = round as u64;
         reload(&mut rig, elsewhere);
@@ -183,7 +183,7 @@
         let lost = rig.router.counter("log_lost");
         until("tries fail", || rig.router.counter("log_lost") >= lost + 2);
         rig.log.tell(2 + round, 3, &purge(round));
-        let asked = asks(&rig.log);
+        let asked = connection_count(&rig.log);
         reload(&mut rig, back);
         until("the event is told", || rig.router.counter("purges") == 1 + round);
         assert_eq!(rig.log.asked.lock().expect("lock")[asked..], [1 + round]);
@@ -193,7 +193,7 @@
 #[test]
 fn concurrent_reloads_end_at_the_last_address() {
     let mut rig = rig();
-    until("it is followed", || asks(&rig.log) == 1);
+    until("it is followed", || connection_count(&rig.log) == 1);
     let (back, silent) = (rig.log.address, full());
     let mut quickest = Duration::MAX;
     for round in 0..5 {
@@ -211,7 +211,7 @@
 #[test]
 fn frame_cut_at_any_byte_is_notified_once_by_the_next_connection() {
     let rig = rig();
-    until("it is followed", || asks(&rig.log) == 1);
+    until("it is followed", || connection_count(&rig.log) == 1);
     let whole = frame(2, 3, &purge(2)).len();
     for at in 0..whole {
         let number = 2 + at as u64;
@@ -225,7 +225,7 @@
 }
 
 /// Asks for some objects; each gets one answer. Gives how many were served.
-fn round(client: &mut Client, from: u64) -> usize {
+fn request_objects(client: &mut Client, from: u64) -> usize {
     (from..from + 20).for_each(|t| {
         client.ask(t, "pages", t * 7919, "", b"");
     });
@@ -247,7 +247,7 @@
     let mut client = rig.router.client();
     client.say("PING", 1);
     assert_eq!(client.must().word, "serving", "what it was started with is a list");
-    assert_eq!(round(&mut client, 2), 20);
+    assert_eq!(request_objects(&mut client, 2), 20);
 }
 
 #[test]
@@ -260,7 +260,7 @@
     let mut client = rig.router.client();
     client.say("PING", 1);
     assert_eq!(client.must().word, "not_serving");
-    assert_ne!(round(&mut client, 2), 20, "no server is known");
+    assert_ne!(request_objects(&mut client, 2), 20, "no server is known");
     rig.log.tell(
         1,
         1,
@@ -269,14 +269,14 @@
     let back = Instant::now();
     rig.log.down.store(false, Ordering::SeqCst);
     let mut tag = 1000;
-    until_asked("it is ready", || {
+    until_polling("it is ready", || {
         tag += 1;
         client.say("PING", tag);
         client.must().word == "serving"
     });
     // Nine in ten have 10 s from their start on.
     assert!(back.elapsed() < Duration::from_secs(5), "{:?}", back.elapsed());
-    assert_eq!(round(&mut client, 100), 20);
+    assert_eq!(request_objects(&mut client, 100), 20);
 }
 
 #[test]
@@ -286,7 +286,7 @@
     let mut config = configuration(&three(&edge, &Cache::full(), &origin), log.address);
     config["limits"]["sockets"] = json!(64);
     let router = router_by(&config, "ulimit -n 64; exec \"$0\" serve");
-    until("it is followed", || asks(&log) == 1);
+    until("it is followed", || connection_count(&log) == 1);
     log.down.store(true, Ordering::SeqCst);
     until("discovery is down", || router.counter("log_lost") >= 3);
     // More than there is room for; all ask once and keep their connections for good.
--- a/crates/node/tests/crossing/watches/lists.rs
+++ b/crates/node/tests/crossing/watches/lists.rs
@@ -1,6 +1,6 @@
 //! Lists that cross breaks, each other and requests.
 
-use super::{full, rig, rig_of, round, Rig};
+use super::{full, request_objects, rig, rig_of, Rig};
 use crate::common::*;
 use serde_json::json;
 use std::sync::atomic::Ordering;
@@ -15,7 +15,7 @@
 fn complete_list_after_a_reconnect_removes_missing_servers() {
     let rig = rig();
     let mut client = rig.router.client();
-    assert_eq!(round(&mut client, 1), 20);
+    assert_eq!(request_objects(&mut client, 1), 20);
     let before = rig.edge.count();
     assert!(before > 0);
     rig.log.down.store(true, Ordering::SeqCst);
@@ -24,11 +24,11 @@
     rig.log.down.store(false, Ordering::SeqCst);
     until("the list is in", || rig.router.counter("lists") == 2);
     assert_eq!(rig.router.counter("servers_now"), 1);
-    round(&mut client, 101);
+    request_objects(&mut client, 101);
     assert_eq!(rig.edge.count(), before, "nothing to a cache that is no longer listed");
     // Without any server each request still has its answer.
     listed(&rig, 3, 1, &[]);
-    assert_eq!((rig.router.counter("servers_now"), round(&mut client, 201)), (0, 0));
+    assert_eq!((rig.router.counter("servers_now"), request_objects(&mut client, 201)), (0, 0));
     // Ids that were never heard of, in any state.
     let (edge, unknown) = (rig.edge.address, full().address);
     let changes = [
@@ -39,7 +39,7 @@
     ];
     listed(&rig, 4, 2, &changes);
     assert_eq!(rig.router.counter("servers_now"), 3);
-    assert_eq!(round(&mut client, 301), 20);
+    assert_eq!(request_objects(&mut client, 301), 20);
     assert!(rig.edge.count() > before, "it is back");
 }
 
@@ -49,12 +49,12 @@
     let mut client = rig.router.client();
     let (edge, moved) = (rig.edge.address, Cache::full());
     listed(&rig, 2, 2, &[record(EDGE, edge, 1, 0), record(EDGE, moved.address, 0, 0)]);
-    assert_eq!(round(&mut client, 1), 20);
+    assert_eq!(request_objects(&mut client, 1), 20);
     assert_eq!(rig.edge.count(), 0);
     let before = moved.count();
     assert!(before > 0);
     listed(&rig, 3, 2, &[record(EDGE, moved.address, 0, 0), record(EDGE, moved.address, 1, 0)]);
-    round(&mut client, 101);
+    request_objects(&mut client, 101);
     assert_eq!(moved.count(), before, "nothing to a draining cache");
 }
 
@@ -62,11 +62,11 @@
 fn new_server_at_a_reused_address_gets_new_connections() {
     let rig = rig();
     let mut client = rig.router.client();
-    assert_eq!(round(&mut client, 1), 20);
+    assert_eq!(request_objects(&mut client, 1), 20);
     let old = rig.edge.conns.load(Ordering::SeqCst);
     let before = rig.edge.count();
     listed(&rig, 2, 2, &[record(EDGE, rig.edge.address, 2, 0), record(EDGE_2, rig.edge.address, 0, 0)]);
-    assert_eq!(round(&mut client, 101), 20);
+    assert_eq!(request_objects(&mut client, 101), 20);
     let since = rig.edge.all().split_off(before);
     assert!(!since.is_empty() && since.iter().all(|s| s.conn > old), "the old connections are another's");
 }
@@ -82,7 +82,7 @@
     let mut client = rig.router.client();
     for at in 0..5 {
         let from = 1 + 1000 * at;
-        assert_eq!(round(&mut client, from), 20);
+        assert_eq!(request_objects(&mut client, from), 20);
         let before = rig.edge.count();
         assert!(before > 0 && second.count() > 0, "both are in use");
         let number = 2 + 2 * at;
--- a/crates/node/tests/fleet/checkouts.rs
+++ b/crates/node/tests/fleet/checkouts.rs
@@ -1,104 +1,104 @@
 //! A checkout is one, through whichever routers it comes, and whoever of them dies.
 
 use crate::common::{until, PATIENCE};
-use crate::trial::{in_doubt, is_refused, trial, Trial, WITHIN};
+use crate::harness::{is_outcome_unknown, is_rejected, start_fleet, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::Final;
 
 #[test]
 fn the_same_checkout_through_two_routers_at_once_runs_once_with_one_outcome() {
-    let mut t = trial(3);
-    t.effects_take(60);
+    let mut t = start_fleet(3);
+    t.set_effect_duration_ms(60);
     for round in 0..12 {
-        let id = t.id();
+        let id = t.new_id();
         let (one, other) = (t.caller(round % 3), t.caller((round + 1) % 3));
-        let asks = [one.checkout_beside(&id, WITHIN), other.checkout_beside(&id, WITHIN)];
-        let ends = asks.map(|ask| t.end(ask));
+        let asks = [one.checkout_beside(&id, DEADLINE_MS), other.checkout_beside(&id, DEADLINE_MS)];
+        let ends = asks.map(|ask| t.wait_for_outcome(ask));
         let runs = t.rig.archive.runs(&id);
         assert!(runs <= 1, "{ends:?}");
         // Whoever asks later gets the same word.
         let later = (round + 2) % 3;
         if let Some(Final::Served(bytes)) = ends.iter().flatten().find(|e| matches!(e, Final::Served(_))) {
-            let same = |e: &Option<Final>| *e == Some(Final::Served(bytes.clone())) || in_doubt(e);
+            let same = |e: &Option<Final>| *e == Some(Final::Served(bytes.clone())) || is_outcome_unknown(e);
             assert!(ends.iter().all(same), "{ends:?}");
-            t.says_so(later, &id, bytes);
+            t.assert_outcome(later, &id, bytes);
             continue;
         }
         t.checkout(later, &id);
-        if ends.iter().all(is_refused) {
+        if ends.iter().all(is_rejected) {
             assert_eq!(runs, 0, "{ends:?}");
         }
     }
-    let counted = t.holds();
+    let counted = t.assert_history();
     // On a busy machine a word may come too late now and then; mostly it does not.
     assert!(counted.ran >= 8 && counted.served_again >= 8, "{counted:?}");
 }
 
 /// A checkout that runs while its router is killed; `wiped` with its disk.
-fn dies_with_it_out(t: &mut Trial, wiped: bool) -> String {
-    t.effects_take(30_000);
-    let (id, _caller, ask) = t.comes_to_run(0);
+fn kill_with_open_checkout(t: &mut FleetHarness, wiped: bool) -> String {
+    t.set_effect_duration_ms(30_000);
+    let (id, _caller, ask) = t.start_checkout(0);
     match wiped {
         true => t.rig.kill_wiped(0).expect("a folder"),
         false => t.rig.kill(0),
     }
-    assert_eq!(t.end(ask), None, "lost with its router");
-    t.effects_take(0);
+    assert_eq!(t.wait_for_outcome(ask), None, "lost with its router");
+    t.set_effect_duration_ms(0);
     id
 }
 
 #[test]
 fn outcome_is_unknown_at_all_routers_after_its_router_died_and_is_not_executed_again() {
     for wiped in [false, true] {
-        let mut t = trial(3);
-        let id = dies_with_it_out(&mut t, wiped);
+        let mut t = start_fleet(3);
+        let id = kill_with_open_checkout(&mut t, wiped);
         for router in [1, 2, 1] {
             let end = t.checkout(router, &id);
-            assert!(in_doubt(&end), "{end:?}");
+            assert!(is_outcome_unknown(&end), "{end:?}");
         }
         // It returns, with its disk or with another one.
         t.rig.begin(0).expect("a router");
-        t.serves(0);
+        t.wait_until_serving(0);
         let end = t.checkout(0, &id);
-        assert!(in_doubt(&end), "{end:?}");
+        assert!(is_outcome_unknown(&end), "{end:?}");
         assert_eq!(t.rig.archive.runs(&id), 1);
-        t.comes_to_serve(0);
-        t.holds();
+        t.serve_eventually(0);
+        t.assert_history();
     }
 }
 
 #[test]
 fn outcome_survives_the_loss_of_its_machine_and_disk() {
-    let mut t = trial(3);
-    let (id, bytes) = t.served(0);
+    let mut t = start_fleet(3);
+    let (id, bytes) = t.serve_checkout(0);
     t.rig.kill_wiped(0).expect("a folder");
-    t.says_so(1, &id, &bytes);
+    t.assert_outcome(1, &id, &bytes);
     // It returns elsewhere with an empty disk.
     t.rig.moves(0).expect("a port");
     t.rig.begin(0).expect("a router");
-    t.serves(0);
-    (0..3).for_each(|router| t.says_so(router, &id, &bytes));
+    t.wait_until_serving(0);
+    (0..3).for_each(|router| t.assert_outcome(router, &id, &bytes));
     assert_eq!(t.rig.archive.runs(&id), 1);
-    assert_eq!(t.holds().served_again, 1);
+    assert_eq!(t.assert_history().served_again, 1);
 }
 
 #[test]
 fn machine_lost_at_each_step_of_a_lease_leaves_one_outcome() {
-    let mut t = trial(3);
-    t.effects_take(40);
+    let mut t = start_fleet(3);
+    t.set_effect_duration_ms(40);
     // Each step lasts long enough to be met: words between routers take a while.
     for step in 0..5 {
         for (a, b) in [(0, 1), (0, 2), (1, 0), (2, 0)] {
             t.rig.between(a, b).shape(|s| s.delay = (25.0, 35.0));
         }
-        let said = |t: &Trial, from, to| t.rig.between(from, to).carried().bytes;
+        let said = |t: &FleetHarness, from, to| t.rig.between(from, to).carried().bytes;
         let before = (said(&t, 0, 1), said(&t, 1, 0));
-        let asks = |t: &mut Trial| {
-            let (id, caller) = (t.id(), t.caller(0));
-            let ask = caller.checkout(&id, WITHIN);
+        let asks = |t: &mut FleetHarness| {
+            let (id, caller) = (t.new_id(), t.caller(0));
+            let ask = caller.checkout(&id, DEADLINE_MS);
             (id, caller, ask)
         };
         // Its client stays until it is killed.
-        let (id, _caller, ask) = if [2, 3].contains(&step) { t.comes_to_run(0) } else { asks(&mut t) };
+        let (id, _caller, ask) = if [2, 3].contains(&step) { t.start_checkout(0) } else { asks(&mut t) };
         match step {
             0 => until("it asks others", || said(&t, 0, 1) > before.0),
             1 => until("they answer", || said(&t, 0, 1) > before.0 && said(&t, 1, 0) > before.1),
@@ -115,25 +115,25 @@
         assert!(ends.iter().all(Option::is_some), "step {step}: {ends:?}");
         assert!(t.rig.heal(), "links are up again");
         t.rig.begin(0).expect("a router");
-        t.serves(0);
-        t.comes_to_serve(0);
+        t.wait_until_serving(0);
+        t.serve_eventually(0);
     }
-    t.holds();
+    t.assert_history();
 }
 
 #[test]
 fn restart_of_half_the_fleet_keeps_every_outcome() {
-    let mut t = trial(4);
-    let kept: Vec<_> = (0..4).map(|r| t.served(r)).collect();
+    let mut t = start_fleet(4);
+    let kept: Vec<_> = (0..4).map(|r| t.serve_checkout(r)).collect();
     t.rig.kill(0);
     t.rig.kill(1);
     for r in [0, 1] {
         t.rig.begin(r).expect("a router");
     }
-    (0..2).for_each(|r| t.serves(r));
+    (0..2).for_each(|r| t.wait_until_serving(r));
     for r in 0..4 {
-        t.comes_to_serve(r);
-        kept.iter().for_each(|(id, bytes)| t.says_so(r, id, bytes));
+        t.serve_eventually(r);
+        kept.iter().for_each(|(id, bytes)| t.assert_outcome(r, id, bytes));
     }
-    t.holds();
+    t.assert_history();
 }
--- a/crates/node/tests/fleet/crossings.rs
+++ b/crates/node/tests/fleet/crossings.rs
@@ -1,75 +1,75 @@
 //! Two events at once, at routers that keep each other's word: a client goes, a promise fails or an end comes while a hold moves.
 
 use crate::common::{binary, until, PATIENCE};
-use crate::trial::{trial, trial_of, Trial, WITHIN};
+use crate::harness::{start_fleet, start_fleet_with, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::{Ask, Caller, Final, Spec};
 use std::time::{Duration, Instant};
 
 /// What one router has sent the others, as its links took it in.
-fn said(t: &Trial, router: usize) -> Vec<u64> {
+fn sent_bytes(t: &FleetHarness, router: usize) -> Vec<u64> {
     let others = (0..t.rig.len()).filter(|o| *o != router);
     others.map(|o| t.rig.between(router, o).carried().taken).collect()
 }
 
-fn others(t: &Trial, router: usize) -> Vec<usize> {
+fn other_routers(t: &FleetHarness, router: usize) -> Vec<usize> {
     (0..t.rig.len()).filter(|o| *o != router).collect()
 }
 
 /// What others answer one router takes so long.
-fn answers_take(t: &Trial, router: usize, ms: f64) {
-    others(t, router).iter().for_each(|o| t.rig.between(*o, router).shape(|s| s.delay = (ms, ms)));
+fn set_answer_delay(t: &FleetHarness, router: usize, ms: f64) {
+    other_routers(t, router).iter().for_each(|o| t.rig.between(*o, router).shape(|s| s.delay = (ms, ms)));
 }
 
 /// All links of a router are reset, with what they carry; until then they carried nothing.
-fn loses_all_on_its_way(t: &Trial, router: usize) {
-    for o in others(t, router) {
+fn reset_links(t: &FleetHarness, router: usize) {
+    for o in other_routers(t, router) {
         t.rig.between(router, o).reset();
         t.rig.between(o, router).reset();
     }
     let resets = |a: usize, b: usize| t.rig.between(a, b).carried().resets;
-    let lost = || others(t, router).iter().all(|o| resets(router, *o) + resets(*o, router) > 0);
+    let lost = || other_routers(t, router).iter().all(|o| resets(router, *o) + resets(*o, router) > 0);
     until("its links are reset", lost);
 }
 
-fn counter(t: &Trial, router: usize, name: &str) -> f64 {
+fn counter(t: &FleetHarness, router: usize, name: &str) -> f64 {
     t.rig.counters(router).get(name).copied().unwrap_or(0.0)
 }
 
 /// Presents ids to a router until its keepers have promised and its word that it takes them is under way, then loses that word with its
 /// links: it may be found taken, and is not. All are turned away.
-fn turned_away_in_part(t: &mut Trial, router: usize, ids: &[String]) {
-    answers_take(t, router, 500.0);
+fn reject_after_partial_commit(t: &mut FleetHarness, router: usize, ids: &[String]) {
+    set_answer_delay(t, router, 500.0);
     let callers: Vec<Caller> = ids.iter().map(|_| t.caller(router)).collect();
     let rounds = counter(t, router, "holds_rounds") + ids.len() as f64;
-    let asks: Vec<_> = callers.iter().zip(ids).map(|(c, id)| c.checkout(id, WITHIN)).collect();
+    let asks: Vec<_> = callers.iter().zip(ids).map(|(c, id)| c.checkout(id, DEADLINE_MS)).collect();
     until("keepers are asked for all", || counter(t, router, "holds_rounds") >= rounds);
-    others(t, router).iter().for_each(|o| t.rig.between(router, *o).cut(true));
+    other_routers(t, router).iter().for_each(|o| t.rig.between(router, *o).cut(true));
     // Signs of life are few and small; asking is said again until it is answered, and so is taking.
     let more = |now: Vec<u64>, was: &[u64]| now.iter().zip(was).filter(|(n, w)| **n > **w + 300).count() >= 3;
-    let came = |t: &Trial| -> Vec<u64> {
-        others(t, router).iter().map(|o| t.rig.between(*o, router).carried().bytes).collect()
+    let came = |t: &FleetHarness| -> Vec<u64> {
+        other_routers(t, router).iter().map(|o| t.rig.between(*o, router).carried().bytes).collect()
     };
     let before: Vec<u64> = came(t);
     until("keepers have promised", || more(came(t), &before));
-    let asked = said(t, router);
-    until("it says that it takes them", || more(said(t, router), &asked));
-    loses_all_on_its_way(t, router);
+    let asked = sent_bytes(t, router);
+    until("it says that it takes them", || more(sent_bytes(t, router), &asked));
+    reset_links(t, router);
     asks.into_iter().for_each(|ask| {
-        let end = t.end(ask);
+        let end = t.wait_for_outcome(ask);
         assert!(!matches!(end, Some(Final::Served(_))), "{end:?}");
     });
     assert!(ids.iter().all(|id| t.rig.archive.runs(id) == 0));
 }
 
 /// Presents ids to a router again and again until they run, or some do and others go on being turned away.
-fn run_again(t: &Trial, ids: &[String], callers: &[Caller]) {
+fn retry_until_executed(t: &FleetHarness, ids: &[String], callers: &[Caller]) {
     let mut asks: Vec<Option<Ask>> = ids.iter().map(|_| None).collect();
     let (begun, mut first) = (Instant::now(), None);
     while ids.iter().any(|id| t.rig.archive.runs(id) == 0) {
         for ((id, caller), ask) in ids.iter().zip(callers).zip(&mut asks) {
             let waits = ask.is_some_and(|ask| t.rig.history.end(ask, Duration::ZERO).is_none());
             if !waits && t.rig.archive.runs(id) == 0 {
-                *ask = Some(caller.checkout(id, WITHIN));
+                *ask = Some(caller.checkout(id, DEADLINE_MS));
             }
         }
         if ids.iter().any(|id| t.rig.archive.runs(id) > 0) {
@@ -85,62 +85,62 @@
 
 #[test]
 fn lease_taken_after_a_rejection_is_not_released_while_it_runs() {
-    let mut t = trial_of(Spec::new(binary(), 5));
+    let mut t = start_fleet_with(Spec::new(binary(), 5));
     // Of the keepers of some the router is none: its own disk then knows nothing of the first taking.
-    let ids: Vec<String> = (0..10).map(|_| t.id()).collect();
-    t.effects_take(30_000);
-    turned_away_in_part(&mut t, 0, &ids);
+    let ids: Vec<String> = (0..10).map(|_| t.new_id()).collect();
+    t.set_effect_duration_ms(30_000);
+    reject_after_partial_commit(&mut t, 0, &ids);
     // The same requests come again, while the links come up, and run for long.
     let again: Vec<Caller> = ids.iter().map(|_| t.caller(0)).collect();
-    for o in others(&t, 0) {
+    for o in other_routers(&t, 0) {
         t.rig.between(0, o).cut(false);
         t.rig.between(o, 0).shape(|s| s.delay = (0.0, 0.0));
     }
-    run_again(&t, &ids, &again);
+    retry_until_executed(&t, &ids, &again);
     // Whoever presents them elsewhere waits until they are free, which they are not.
     let elsewhere: Vec<Caller> = ids.iter().map(|_| t.caller(1)).collect();
-    let asks: Vec<_> = elsewhere.iter().zip(&ids).map(|(c, id)| c.checkout_beside(id, WITHIN)).collect();
-    let ends: Vec<_> = asks.into_iter().map(|ask| t.end(ask)).collect();
+    let asks: Vec<_> = elsewhere.iter().zip(&ids).map(|(c, id)| c.checkout_beside(id, DEADLINE_MS)).collect();
+    let ends: Vec<_> = asks.into_iter().map(|ask| t.wait_for_outcome(ask)).collect();
     let runs: Vec<u64> = ids.iter().map(|id| t.rig.archive.runs(id)).collect();
     assert!(runs.iter().all(|n| *n <= 1), "they ran so often: {runs:?}, {ends:?}");
 }
 
 #[test]
 fn lease_requested_for_a_disconnected_client_is_released() {
-    let mut t = trial(3);
-    answers_take(&t, 0, 300.0);
-    let (id, caller, before) = (t.id(), t.caller(0), said(&t, 0));
+    let mut t = start_fleet(3);
+    set_answer_delay(&t, 0, 300.0);
+    let (id, caller, before) = (t.new_id(), t.caller(0), sent_bytes(&t, 0));
     let (late, taken) = (counter(&t, 0, "holds_unkept_late"), counter(&t, 0, "requests"));
     // Its time is over when it has been taken on disks, and before the router has heard so.
     caller.checkout(&id, 450);
     // Who leaves before it is taken in has nothing asked for it.
     until("it is taken in", || counter(&t, 0, "requests") > taken);
-    until("its keepers are asked", || said(&t, 0).iter().zip(&before).any(|(now, was)| now > was));
+    until("its keepers are asked", || sent_bytes(&t, 0).iter().zip(&before).any(|(now, was)| now > was));
     caller.leave();
     until("its time is over", || counter(&t, 0, "holds_unkept_late") > late);
-    answers_take(&t, 0, 0.0);
-    let end = t.known(1, &id);
+    set_answer_delay(&t, 0, 0.0);
+    let end = t.known_outcome(1, &id);
     assert!(matches!(end, Some(Final::Served(_))), "it never ran, and is free again: {end:?}");
     assert_eq!(t.rig.archive.runs(&id), 1);
-    t.holds();
+    t.assert_history();
 }
 
 #[test]
 fn outcome_being_recorded_survives_a_graceful_shutdown() {
     // The end is bounded, and a busy machine may not come to it: then the router says so.
     for left in (0..4).rev() {
-        let mut t = trial(3);
-        t.effects_take(100);
-        let (id, caller) = (t.id(), t.caller(0));
+        let mut t = start_fleet(3);
+        t.set_effect_duration_ms(100);
+        let (id, caller) = (t.new_id(), t.caller(0));
         // It is answered when this is over, since its outcome can't be put down: time for a busy machine to serve it.
         let ask = caller.checkout(&id, 1_500);
-        t.runs(&id);
+        t.wait_until_executed(&id);
         t.rig.cut(0, &[1, 2]);
         t.rig.asked_to_end(0);
-        let end = t.end(ask);
+        let end = t.wait_for_outcome(ask);
         // It was served; that is put down when the links are up again, and the router has been asked to end since.
-        loses_all_on_its_way(&t, 0);
-        others(&t, 0).iter().for_each(|o| {
+        reset_links(&t, 0);
+        other_routers(&t, 0).iter().for_each(|o| {
             t.rig.between(0, *o).cut(false);
             t.rig.between(*o, 0).cut(false);
         });
@@ -149,9 +149,9 @@
         if text.contains("were not committed before shutdown") && left > 0 {
             continue;
         }
-        t.says_so(1, &id, &bytes);
+        t.assert_outcome(1, &id, &bytes);
         assert_eq!(t.rig.archive.runs(&id), 1);
-        t.holds();
+        t.assert_history();
         return;
     }
 }
@@ -166,9 +166,9 @@
     for (place, branch) in spec.places.iter_mut().zip(["north", "north", "north", "south", "east"]) {
         place.branch = branch.into();
     }
-    let mut t = trial_of(spec);
-    t.effects_take(40);
-    let mut kept: Vec<_> = (0..20).map(|n| t.served(n % 5)).collect();
+    let mut t = start_fleet_with(spec);
+    t.set_effect_duration_ms(40);
+    let mut kept: Vec<_> = (0..20).map(|n| t.serve_checkout(n % 5)).collect();
     // Words take a while, so that promises are asked under one table and answered under another.
     for (a, b) in (0..5).flat_map(|a| (0..5).map(move |b| (a, b))).filter(|(a, b)| a != b) {
         t.rig.between(a, b).shape(|s| s.delay = (10.0, 20.0));
@@ -180,16 +180,16 @@
     until("another hears of the offer", || t.rig.seats[1].said(" by r1 is "));
     t.rig.asked_to_end(0);
     let (mut asks, begun) = (Vec::new(), Instant::now());
-    let all_go_by = |t: &Trial, than: u64| {
+    let all_go_by = |t: &FleetHarness, than: u64| {
         let versions = t.rig.versions();
         versions.values().all(|v| *v > than && Some(v) == versions.values().next())
     };
     // Whose offer it was has ended: it comes to hold, or is taken back.
-    let taken_back = |t: &Trial| (1..5).any(|r| counter(t, r, "tables_taken_back") > 0.0);
+    let taken_back = |t: &FleetHarness| (1..5).any(|r| counter(t, r, "tables_taken_back") > 0.0);
     for round in 0.. {
         for caller in &callers {
-            let id = t.id();
-            asks.push((caller.checkout(&id, WITHIN), id));
+            let id = t.new_id();
+            asks.push((caller.checkout(&id, DEADLINE_MS), id));
         }
         match round {
             10 => {
@@ -204,16 +204,16 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     for (ask, id) in asks {
-        if let Some(Final::Served(bytes)) = t.end(ask) {
+        if let Some(Final::Served(bytes)) = t.wait_for_outcome(ask) {
             kept.push((id, bytes));
         }
     }
-    t.serves(0);
+    t.wait_until_serving(0);
     assert!(t.rig.heal(), "links are up again");
     until("all go by one table", || t.rig.versions().len() == 5 && all_go_by(&t, 0));
     for (n, (id, bytes)) in kept.iter().enumerate() {
-        t.says_so(n % 5, id, bytes);
+        t.assert_outcome(n % 5, id, bytes);
         assert_eq!(t.rig.archive.runs(id), 1);
     }
-    t.holds();
+    t.assert_history();
 }
--- a/crates/node/tests/fleet/cuts.rs
+++ b/crates/node/tests/fleet/cuts.rs
@@ -1,50 +1,50 @@
 //! Links that are cut, break what they carry, or lead to a router that is stopped.
 
 use crate::common::until;
-use crate::trial::{in_doubt, is_refused, trial, Trial, WITHIN};
+use crate::harness::{is_outcome_unknown, is_rejected, start_fleet, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::relay::Once;
 use basaltgw_emulator::rig::{Final, Party, Seen};
 use std::time::Duration;
 
 #[test]
 fn minority_rejects_writes_with_retry_after_and_serves_reads() {
-    let mut t = trial(3);
-    let (before, bytes) = t.served(0);
+    let mut t = start_fleet(3);
+    let (before, bytes) = t.serve_checkout(0);
     t.rig.cut(0, &[1, 2]);
     for _ in 0..3 {
-        let (id, begun) = (t.id(), std::time::Instant::now());
+        let (id, begun) = (t.new_id(), std::time::Instant::now());
         let end = t.checkout(0, &id);
-        assert!(is_refused(&end), "{end:?}");
-        assert!(begun.elapsed() < Duration::from_millis(WITHIN / 2), "{:?}", begun.elapsed());
+        assert!(is_rejected(&end), "{end:?}");
+        assert!(begun.elapsed() < Duration::from_millis(DEADLINE_MS / 2), "{:?}", begun.elapsed());
         assert_eq!(t.rig.archive.runs(&id), 0);
     }
-    let (id, caller) = (t.id(), t.caller(0));
-    let end = t.end(caller.read(&id, 9, WITHIN));
-    assert!(matches!(end, Some(Final::Served(_))), "{end:?}: {}\n{:?}", t.said(), t.rig.counters(0));
+    let (id, caller) = (t.new_id(), t.caller(0));
+    let end = t.wait_for_outcome(caller.read(&id, 9, DEADLINE_MS));
+    assert!(matches!(end, Some(Final::Served(_))), "{end:?}: {}\n{:?}", t.logs(), t.rig.counters(0));
     // The others keep the word of all.
-    t.comes_to_serve(1);
-    t.says_so(2, &before, &bytes);
+    t.serve_eventually(1);
+    t.assert_outcome(2, &before, &bytes);
     assert!(t.rig.heal(), "links are up again");
-    t.comes_to_serve(0);
-    t.says_so(0, &before, &bytes);
-    assert!(t.holds().refused_apart >= 3);
+    t.serve_eventually(0);
+    t.assert_outcome(0, &before, &bytes);
+    assert!(t.assert_history().refused_apart >= 3);
 }
 
 #[test]
 fn one_way_partition_breaks_no_outcome_and_heals_with_both_sides_changed() {
-    let mut t = trial(3);
+    let mut t = start_fleet(3);
     t.rig.cut_one_way(0, 1);
     let mut kept = Vec::new();
     for _ in 0..3 {
         for router in 0..3 {
-            let id = t.id();
+            let id = t.new_id();
             let end = t.checkout(router, &id);
             assert!(end.is_some(), "router {router}");
             kept.push((id, end));
         }
     }
     // The other two reach each other both ways.
-    let (id, _) = t.comes_to_serve(2);
+    let (id, _) = t.serve_eventually(2);
     assert!(t.rig.heal(), "links are up again");
     for (id, end) in &kept {
         for router in 0..3 {
@@ -56,11 +56,11 @@
         assert!(t.rig.archive.runs(id) <= 1);
     }
     (0..3).for_each(|r| assert!(matches!(t.checkout(r, &id), Some(Final::Served(_)))));
-    t.holds();
+    t.assert_history();
 }
 
 /// What a router has sent each of its caches, as their links saw it.
-fn sent(t: &Trial, router: usize) -> [u64; 3] {
+fn bytes_sent(t: &FleetHarness, router: usize) -> [u64; 3] {
     [0, 1, 2].map(|c| t.rig.flow(Party::Router(router), Party::Cache(c)).carried().taken)
 }
 
@@ -69,35 +69,35 @@
 
 #[test]
 fn router_paused_past_its_lease_executes_once_and_keeps_the_outcome() {
-    let mut t = trial(3);
-    t.served(0);
+    let mut t = start_fleet(3);
+    t.serve_checkout(0);
     // What it sends takes long to arrive: it has the checkout out, and nothing has run.
     for cache in 0..3 {
         t.rig.flow(Party::Router(0), Party::Cache(cache)).shape(|s| s.delay = (300.0, 300.0));
     }
-    let (id, caller, before) = (t.id(), t.caller(0), sent(&t, 0));
-    let ask = caller.checkout(&id, WITHIN);
-    until("it is sent", || sent(&t, 0).iter().zip(before).any(|(now, was)| *now > was + FETCH));
+    let (id, caller, before) = (t.new_id(), t.caller(0), bytes_sent(&t, 0));
+    let ask = caller.checkout(&id, DEADLINE_MS);
+    until("it is sent", || bytes_sent(&t, 0).iter().zip(before).any(|(now, was)| *now > was + FETCH));
     t.rig.stop(0);
     let end = t.checkout(1, &id);
-    assert!(in_doubt(&end), "{end:?}");
-    t.runs(&id);
+    assert!(is_outcome_unknown(&end), "{end:?}");
+    t.wait_until_executed(&id);
     t.rig.wake(0);
-    t.serves(0);
-    let end = t.end(ask);
-    assert!(!is_refused(&end), "it ran: {end:?}");
+    t.wait_until_serving(0);
+    let end = t.wait_for_outcome(ask);
+    assert!(!is_rejected(&end), "it ran: {end:?}");
     for router in [2, 0, 1] {
         let end = t.checkout(router, &id);
-        assert!(!is_refused(&end), "{end:?}");
+        assert!(!is_rejected(&end), "{end:?}");
     }
     assert_eq!(t.rig.archive.runs(&id), 1);
-    t.comes_to_serve(0);
-    t.holds();
+    t.serve_eventually(0);
+    t.assert_history();
 }
 
 #[test]
 fn late_duplicate_and_corrupt_messages_break_no_outcome() {
-    let mut t = trial(3);
+    let mut t = start_fleet(3);
     for round in 0..8 {
         let (a, b) = (round % 3, (round + 1) % 3);
         t.rig.between(a, b).shape(|s| s.delay = (0.0, 30.0));
@@ -106,37 +106,40 @@
         if round % 4 == 3 {
             t.rig.between(a, b).reset();
         }
-        let id = t.id();
+        let id = t.new_id();
         let ends = [a, b, (round + 2) % 3].map(|r| t.checkout(r, &id));
         assert!(t.rig.archive.runs(&id) <= 1, "{ends:?}");
     }
     assert!(t.rig.heal(), "links are up again");
-    (0..3).for_each(|r| drop(t.comes_to_serve(r)));
+    (0..3).for_each(|r| drop(t.serve_eventually(r)));
     let carried = t.rig.carried();
     assert!(carried.broken > 0 && carried.repeated > 0, "{carried:?}");
-    t.holds();
+    t.assert_history();
 }
 
 #[test]
 fn full_disk_rejects_new_leases_only() {
-    let mut t = trial(3);
-    let (kept, bytes) = t.served(0);
+    let mut t = start_fleet(3);
+    let (kept, bytes) = t.serve_checkout(0);
     t.rig.disk_full(0, true);
     for _ in 0..3 {
-        let id = t.id();
+        let id = t.new_id();
         let end = t.checkout(0, &id);
-        assert!(matches!(end, Some(Final::Served(_))) || is_refused(&end) || in_doubt(&end), "{end:?}");
-        let (id, caller) = (t.id(), t.caller(0));
-        let end = t.end(caller.read(&id, 4, WITHIN));
+        assert!(
+            matches!(end, Some(Final::Served(_))) || is_rejected(&end) || is_outcome_unknown(&end),
+            "{end:?}"
+        );
+        let (id, caller) = (t.new_id(), t.caller(0));
+        let end = t.wait_for_outcome(caller.read(&id, 4, DEADLINE_MS));
         assert!(matches!(end, Some(Final::Served(_))), "{end:?}");
     }
-    t.comes_to_serve(1);
-    t.says_so(2, &kept, &bytes);
+    t.serve_eventually(1);
+    t.assert_outcome(2, &kept, &bytes);
     t.rig.disk_full(0, false);
     t.rig.kill(0);
     t.rig.begin(0).expect("a router");
-    t.serves(0);
-    t.comes_to_serve(0);
+    t.wait_until_serving(0);
+    t.serve_eventually(0);
     assert_eq!(t.rig.history.count(|s| matches!(s, Seen::Lost(_))), 0);
-    t.holds();
+    t.assert_history();
 }
--- a/crates/node/tests/fleet/trial.rs
+++ b/crates/node/tests/fleet/harness.rs
@@ -1,45 +1,45 @@
-//! What the tests of the fleet share: a rig whose routers keep each other's word, and requests made through it.
+//! The harness of the fleet's tests: a rig of routers that replicate leases and outcomes, and requests through it.
 
 use crate::common::{binary, until, PATIENCE};
 use basaltgw_emulator::rig::{check, Ask, Caller, Counted, Final, Limits, Rig, Seen, Spec};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long clients wait, in milliseconds.
-pub const WITHIN: u64 = 4_000;
+/// The deadline of requests, in milliseconds.
+pub const DEADLINE_MS: u64 = 4_000;
 
-/// A rig, and the ids that it has given out.
-pub struct Trial {
+/// A rig, and the last request id that it gave out.
+pub struct FleetHarness {
     pub rig: Rig,
     ids: u64,
 }
 
-pub fn trial(routers: usize) -> Trial {
-    trial_of(Spec::new(binary(), routers))
+pub fn start_fleet(routers: usize) -> FleetHarness {
+    start_fleet_with(Spec::new(binary(), routers))
 }
 
-pub fn trial_of(spec: Spec) -> Trial {
+pub fn start_fleet_with(spec: Spec) -> FleetHarness {
     let rig = Rig::start(spec).expect("a rig");
-    let trial = Trial { rig, ids: 0xf1ee7 << 32 };
-    (0..trial.rig.len()).for_each(|r| trial.serves(r));
-    trial.rig.founded(PATIENCE).expect("a fleet");
-    trial
+    let harness = FleetHarness { rig, ids: 0xf1ee7 << 32 };
+    (0..harness.rig.len()).for_each(|r| harness.wait_until_serving(r));
+    harness.rig.founded(PATIENCE).expect("a fleet");
+    harness
 }
 
-impl Trial {
-    /// An id that nobody has used.
-    pub fn id(&mut self) -> String {
+impl FleetHarness {
+    /// An unused request id.
+    pub fn new_id(&mut self) -> String {
         self.ids += 1;
         format!("{:016x}", self.ids)
     }
 
-    /// Waits until a router serves.
-    pub fn serves(&self, router: usize) {
+    /// Waits until a router is serving.
+    pub fn wait_until_serving(&self, router: usize) {
         let serves = self.rig.serves(router, PATIENCE);
         assert!(serves, "router {router} does not serve: {}", tail(&self.rig.seats[router].text()));
     }
 
-    pub fn effects_take(&self, ms: u64) {
+    pub fn set_effect_duration_ms(&self, ms: u64) {
         self.rig.archive.effect_ms.store(ms, Ordering::SeqCst);
     }
 
@@ -47,19 +47,19 @@
         self.rig.caller(router).expect("a connection")
     }
 
-    /// The end of a request: `None` if its connection was lost.
-    pub fn end(&self, ask: Ask) -> Option<Final> {
+    /// The outcome of a request: `None` if its connection was lost.
+    pub fn wait_for_outcome(&self, ask: Ask) -> Option<Final> {
         self.rig.history.end(ask, PATIENCE).expect("an end")
     }
 
-    /// Presents a checkout to a router, and gives its end.
+    /// Presents a checkout to a router; returns its outcome.
     pub fn checkout(&self, router: usize, id: &str) -> Option<Final> {
         let caller = self.caller(router);
-        self.end(caller.checkout(id, WITHIN))
+        self.wait_for_outcome(caller.checkout(id, DEADLINE_MS))
     }
 
-    /// Changes of holds that a router has counted as not kept, and promises it did not get: why it refuses, or does not know.
-    fn unkept(&self, router: usize) -> f64 {
+    /// Register changes and leases that a router has counted as unavailable: the reasons of its rejections and unknown outcomes.
+    fn unavailable_count(&self, router: usize) -> f64 {
         let counters = self.rig.counters(router);
         let why = |name: &str| name.starts_with("holds_unkept_") || name.starts_with("promises_");
         counters.iter().filter(|(name, _)| why(name)).map(|(_, n)| n).sum()
@@ -67,34 +67,39 @@
 
     /// Presents a checkout to a router until its end is known there. It is in doubt only where keepers are not heard in time, as on a busy machine, and
     /// that is counted.
-    pub fn known(&self, router: usize, id: &str) -> Option<Final> {
+    pub fn known_outcome(&self, router: usize, id: &str) -> Option<Final> {
         let begun = std::time::Instant::now();
         loop {
-            let before = self.unkept(router);
+            let before = self.unavailable_count(router);
             let end = self.checkout(router, id);
-            if !in_doubt(&end) || begun.elapsed() > PATIENCE {
+            if !is_outcome_unknown(&end) || begun.elapsed() > PATIENCE {
                 return end;
             }
-            until("it is counted why it does not know", || self.unkept(router) > before);
+            until("it is counted why it does not know", || self.unavailable_count(router) > before);
         }
     }
 
-    /// A checkout that was served is served so by a router, and was never refused there before it knew.
-    pub fn says_so(&self, router: usize, id: &str, bytes: &[u8]) {
-        let end = self.known(router, id);
-        assert_eq!(end, Some(Final::Served(bytes.to_vec())), "router {router}: {}", self.why(router));
+    /// Asserts that a router answers a served checkout with the same bytes, and did not reject it before.
+    pub fn assert_outcome(&self, router: usize, id: &str, bytes: &[u8]) {
+        let end = self.known_outcome(router, id);
+        assert_eq!(
+            end,
+            Some(Final::Served(bytes.to_vec())),
+            "router {router}: {}",
+            self.register_counters(router)
+        );
     }
 
-    /// All that the routers have said.
-    pub fn said(&self) -> String {
+    /// The logs of all routers.
+    pub fn logs(&self) -> String {
         self.rig.seats.iter().map(|s| s.text()).collect::<Vec<_>>().join("\n----\n")
     }
 
-    /// Presents new checkouts to a router until one is served; gives its id and bytes.
-    pub fn comes_to_serve(&mut self, router: usize) -> (String, Vec<u8>) {
+    /// Presents new checkouts to a router until one is served; returns its id and bytes.
+    pub fn serve_eventually(&mut self, router: usize) -> (String, Vec<u8>) {
         let begun = std::time::Instant::now();
         loop {
-            let id = self.id();
+            let id = self.new_id();
             match self.checkout(router, &id) {
                 Some(Final::Served(bytes)) => return (id, bytes),
                 end => {
@@ -112,20 +117,24 @@
     }
 
     /// Presents a checkout to a router, which has to be served; another one if keepers were not heard in time, which is counted.
-    pub fn served(&mut self, router: usize) -> (String, Vec<u8>) {
+    pub fn serve_checkout(&mut self, router: usize) -> (String, Vec<u8>) {
         let begun = std::time::Instant::now();
         loop {
-            let (id, before) = (self.id(), self.unkept(router));
+            let (id, before) = (self.new_id(), self.unavailable_count(router));
             match self.checkout(router, &id) {
                 Some(Final::Served(bytes)) => return (id, bytes),
-                end => assert!(begun.elapsed() < PATIENCE, "router {router}: {end:?}; {}", self.why(router)),
+                end => assert!(
+                    begun.elapsed() < PATIENCE,
+                    "router {router}: {end:?}; {}",
+                    self.register_counters(router)
+                ),
             }
-            until("it is counted why it did not serve", || self.unkept(router) > before);
+            until("it is counted why it did not serve", || self.unavailable_count(router) > before);
         }
     }
 
-    /// What a router counts of its table and of holds that were not kept.
-    pub fn why(&self, router: usize) -> String {
+    /// A router's counters of its table and registers.
+    pub fn register_counters(&self, router: usize) -> String {
         let counters = self.rig.counters(router);
         let of_holds = counters
             .iter()
@@ -134,45 +143,49 @@
     }
 
     /// Presents new checkouts to a router until one runs: those before are turned away, as on a machine on which words come late.
-    pub fn comes_to_run(&mut self, router: usize) -> (String, Caller, Ask) {
+    pub fn start_checkout(&mut self, router: usize) -> (String, Caller, Ask) {
         let begun = std::time::Instant::now();
         loop {
-            let (id, caller) = (self.id(), self.caller(router));
-            let ask = caller.checkout(&id, WITHIN);
+            let (id, caller) = (self.new_id(), self.caller(router));
+            let ask = caller.checkout(&id, DEADLINE_MS);
             let ended = || self.rig.history.end(ask, Duration::ZERO);
             until("the effect runs, or never does", || self.rig.archive.runs(&id) == 1 || ended().is_some());
             if self.rig.archive.runs(&id) == 1 {
                 return (id, caller, ask);
             }
-            assert!(ended().is_some_and(|e| is_refused(&e)), "{:?}", ended());
-            assert!(begun.elapsed() < PATIENCE, "router {router} takes none: {}", self.why(router));
+            assert!(ended().is_some_and(|e| is_rejected(&e)), "{:?}", ended());
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "router {router} takes none: {}",
+                self.register_counters(router)
+            );
         }
     }
 
-    /// Waits until an effect has arrived at the archive.
-    pub fn runs(&self, id: &str) {
+    /// Waits until a request was executed at the archive.
+    pub fn wait_until_executed(&self, id: &str) {
         until("the effect runs", || self.rig.archive.runs(id) == 1);
     }
 
-    /// Nothing that was promised was broken.
-    pub fn holds(&self) -> Counted {
-        self.holds_to(&Limits::default())
+    /// Asserts that the history breaks no rule.
+    pub fn assert_history(&self) -> Counted {
+        self.assert_history_within(&Limits::default())
     }
 
-    /// The same where the routers are known to have heard of each purge before it was asked for again: none has any time left to heed it.
-    pub fn holds_heeding_at_once(&self) -> Counted {
-        self.holds_to(&Limits { heed_ms: 0, ..Limits::default() })
+    /// The same where the routers are known to have received each purge before the next request: purges take effect at once.
+    pub fn assert_history_with_immediate_purges(&self) -> Counted {
+        self.assert_history_within(&Limits { heed_ms: 0, ..Limits::default() })
     }
 
-    fn holds_to(&self, limits: &Limits) -> Counted {
+    fn assert_history_within(&self, limits: &Limits) -> Counted {
         let (events, left_out) = self.rig.history.events();
         let (broken, counted) = check(&events, left_out, limits);
         assert!(broken.is_empty(), "{broken:#?}");
         counted
     }
 
-    /// Waits until the first purge is so long ago that whoever does not heed it breaks a rule.
-    pub fn is_to_be_heeded(&self) {
+    /// Waits until the first purge is so old that ignoring it breaks a rule.
+    pub fn wait_until_purge_due(&self) {
         until("it is to be heeded", || {
             let (events, _) = self.rig.history.events();
             let told = events.iter().find(|e| matches!(e.seen, Seen::Purged { .. })).map(|e| e.at);
@@ -187,11 +200,11 @@
     lines[lines.len().saturating_sub(8)..].join("\n")
 }
 
-/// It was said to be in doubt, or to have failed: nothing that invites a repeat.
-pub fn in_doubt(end: &Option<Final>) -> bool {
+/// Whether the outcome is unknown or a failure, neither of which invites a retry.
+pub fn is_outcome_unknown(end: &Option<Final>) -> bool {
     matches!(end, Some(Final::Failed(_)))
 }
 
-pub fn is_refused(end: &Option<Final>) -> bool {
+pub fn is_rejected(end: &Option<Final>) -> bool {
     matches!(end, Some(Final::Refused(Some(_))))
 }
--- a/crates/node/tests/fleet/overlay.rs
+++ b/crates/node/tests/fleet/overlay.rs
@@ -1,25 +1,25 @@
 //! Purges that travel by the overlay between real routers.
 
 use crate::common::{binary, until};
-use crate::trial::{trial_of, Trial, WITHIN};
+use crate::harness::{start_fleet_with, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::{Final, Spec};
 use serde_json::json;
 
 /// A fleet with an overlay over branches; five are two in two of them and one in the third.
-fn with_overlay(routers: usize) -> Trial {
+fn with_overlay(routers: usize) -> FleetHarness {
     let more = json!({"limits": {"promise_ms": 2000}, "overlay": {"batch_ms": 100}});
-    let t = trial_of(Spec { more, ..Spec::new(binary(), routers) });
+    let t = start_fleet_with(Spec { more, ..Spec::new(binary(), routers) });
     until("all have neighbours", || (0..routers).all(|r| count(&t, r, "overlay_neighbours") >= 1));
     t
 }
 
-fn count(t: &Trial, router: usize, name: &str) -> u64 {
+fn count(t: &FleetHarness, router: usize, name: &str) -> u64 {
     t.rig.counters(router).get(name).copied().unwrap_or(0.0) as u64
 }
 
-fn read(t: &mut Trial, router: usize, object: u64) -> Option<Final> {
-    let (id, caller) = (t.id(), t.caller(router));
-    t.end(caller.read(&id, object, WITHIN))
+fn read(t: &mut FleetHarness, router: usize, object: u64) -> Option<Final> {
+    let (id, caller) = (t.new_id(), t.caller(router));
+    t.wait_for_outcome(caller.read(&id, object, DEADLINE_MS))
 }
 
 #[test]
@@ -32,7 +32,7 @@
         t.rig.purge(5, &[hearer]);
         until("all others have heard", || (0..hearer).all(|r| count(&t, r, "purges_from_peers") == 1));
         (0..routers).for_each(|r| assert!(matches!(read(&mut t, r, 5), Some(Final::Served(_)))));
-        assert_eq!(t.holds_heeding_at_once().purged_reads, routers as u64);
+        assert_eq!(t.assert_history_with_immediate_purges().purged_reads, routers as u64);
         let said = || (0..routers).map(|r| count(&t, r, "overlay_said")).sum::<u64>();
         until("the counters are brought up to date", || said() > 0);
         assert_eq!(said(), 1);
@@ -49,12 +49,12 @@
     t.rig.purge(5, &[0]);
     until("the others have heard", || [2, 3, 4].into_iter().all(|r| count(&t, r, "purges_from_peers") == 1));
     t.rig.begin(1).expect("a router");
-    t.serves(1);
+    t.wait_until_serving(1);
     assert!(matches!(read(&mut t, 1, 5), Some(Final::Served(_))));
     until("it has learnt it", || count(&t, 1, "purges_from_peers") == 1);
-    t.is_to_be_heeded();
+    t.wait_until_purge_due();
     assert!(matches!(read(&mut t, 1, 5), Some(Final::Served(_))));
     let said = t.rig.seats[1].text();
     println!("known at its start: {}", !said.contains("purges from before this start are not available"));
-    assert!(t.holds().purged_reads >= 1);
+    assert!(t.assert_history().purged_reads >= 1);
 }
--- a/crates/node/tests/fleet/purges.rs
+++ b/crates/node/tests/fleet/purges.rs
@@ -1,20 +1,20 @@
 //! A purge that one router heard is kept by all, whoever restarts.
 
 use crate::common::until;
-use crate::trial::{trial, Trial, WITHIN};
+use crate::harness::{start_fleet, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::Final;
 use std::sync::atomic::Ordering;
 
-fn read(t: &mut Trial, router: usize, object: u64) -> Option<Final> {
-    let (id, caller) = (t.id(), t.caller(router));
-    t.end(caller.read(&id, object, WITHIN))
+fn read(t: &mut FleetHarness, router: usize, object: u64) -> Option<Final> {
+    let (id, caller) = (t.new_id(), t.caller(router));
+    t.wait_for_outcome(caller.read(&id, object, DEADLINE_MS))
 }
 
 #[test]
 fn purge_received_by_a_router_that_dies_survives_a_full_restart_without_discovery() {
-    let mut t = trial(3);
+    let mut t = start_fleet(3);
     assert!(matches!(read(&mut t, 1, 5), Some(Final::Served(_))));
-    let kept = |t: &Trial| t.rig.counters(0).get("holds_kept").copied().unwrap_or(0.0);
+    let kept = |t: &FleetHarness| t.rig.counters(0).get("holds_kept").copied().unwrap_or(0.0);
     let before = kept(&t);
     t.rig.purge(5, &[0]);
     until("it is kept", || kept(&t) > before);
@@ -25,10 +25,10 @@
     for r in [1, 2, 0] {
         t.rig.begin(r).expect("a router");
     }
-    (0..3).for_each(|r| t.serves(r));
-    t.is_to_be_heeded();
+    (0..3).for_each(|r| t.wait_until_serving(r));
+    t.wait_until_purge_due();
     for r in [2, 1, 0] {
         assert!(matches!(read(&mut t, r, 5), Some(Final::Served(_))));
     }
-    assert_eq!(t.holds().purged_reads, 3);
+    assert_eq!(t.assert_history().purged_reads, 3);
 }
--- a/crates/node/tests/gather.rs
+++ b/crates/node/tests/gather.rs
@@ -51,7 +51,7 @@
         };
         let caches = (0..3).map(cache).collect();
         let dir = TempDir::new().expect("a folder");
-        let (_ports, listen) = (0..3).map(|_| refusing()).unzip();
+        let (_ports, listen) = (0..3).map(|_| refused_address()).unzip();
         let routers = vec![None, None, None];
         let mut three =
             Self { spec, _ports, listen, routers, caches, versions, log: ChangeLog::start(), dir };
@@ -83,7 +83,7 @@
 
     fn serves(&self, r: usize) {
         let mut client = self.router(r).client();
-        until_asked("it serves", || {
+        until_polling("it serves", || {
             client.say("PING", 999_999);
             client.must().word == "serving"
         });
@@ -153,19 +153,19 @@
         other.ask(tag, "pages", 9, &format!(",parts=2@east,debt={debt}"), b"");
         other.must()
     };
-    until_asked("the other version is had", || {
+    until_polling("the other version is had", || {
         assert_ne!(ask().word, "200");
         three.caches[2].count() > 0
     });
     three.versions[2].store(1, Ordering::SeqCst);
     let mut paid = None;
-    until_asked("the rest is had", || {
+    until_polling("the rest is had", || {
         let got = ask();
         paid = (got.word == "200").then_some(got.body);
         paid.is_some()
     });
     assert_eq!(paid, Some(bytes("2", "east")));
-    until_asked("the debt is over", || ask().word == "500");
+    until_polling("the debt is over", || ask().word == "500");
     assert!(three.router(1).counter("debts_paid") >= 1);
 }
 
--- a/crates/node/tests/placement.rs
+++ b/crates/node/tests/placement.rs
@@ -83,7 +83,7 @@
 }
 
 /// A founded fleet of three, with a checkout that the first has served.
-fn founded() -> (Rig, String, Vec<u8>) {
+fn bootstrapped_fleet() -> (Rig, String, Vec<u8>) {
     let rig = Rig::start(Spec { rules: Some(FOUNDED.into()), ..Spec::new(binary(), 3) }).expect("a rig");
     (0..rig.len()).for_each(|r| assert!(rig.serves(r, PATIENCE), "{}", rig.seats[r].text()));
     rig.founded(PATIENCE).expect("a fleet");
@@ -112,7 +112,7 @@
 
 #[test]
 fn new_placement_rules_converge_and_outcomes_stay_readable() {
-    let (mut rig, id, bytes) = founded();
+    let (mut rig, id, bytes) = bootstrapped_fleet();
     let file = rules_file(&rig);
     // What can't be met is refused with its place, and nothing changes.
     std::fs::write(&file, FOUNDED.replace("copies 3", "copies 5")).expect("a file");
@@ -140,7 +140,7 @@
 
 #[test]
 fn concurrent_rule_changes_adopt_one_and_reject_the_other() {
-    let (mut rig, id, bytes) = founded();
+    let (mut rig, id, bytes) = bootstrapped_fleet();
     let file = rules_file(&rig);
     // With one that does not answer the first offer is still under way when the second comes.
     rig.stop(2);
--- a/crates/node/tests/service/clients.rs
+++ b/crates/node/tests/service/clients.rs
@@ -5,14 +5,14 @@
 
 #[test]
 fn hundreds_of_silent_clients_are_closed_while_another_is_served() {
-    let rig = rig_of(Cache::full(), few(64));
+    let rig = rig_of(Cache::full(), with_sockets(64));
     let mut early = rig.router.client();
-    serves(&mut early, 1);
+    assert_served(&mut early, 1);
     let silent: Vec<Client> = (0..300).map(|_| rig.router.client()).collect();
     // The one after all of them waits for none of their 2 s.
     let asked = Instant::now();
     let mut late = rig.router.client();
-    serves(&mut late, 2);
+    assert_served(&mut late, 2);
     let waited = asked.elapsed();
     assert!(rig.router.counter("closed_for_room") > 100, "room was made");
     for mut client in silent {
@@ -24,12 +24,12 @@
 
 #[test]
 fn idle_client_gives_up_its_slot_to_others() {
-    let rig = rig_of(Cache::full(), few(64));
+    let rig = rig_of(Cache::full(), with_sockets(64));
     let mut all = Vec::new();
     // More than there are places for, each with an answer and nothing further to say.
     for tag in 1..=80 {
         let mut client = rig.router.client();
-        serves(&mut client, tag);
+        assert_served(&mut client, tag);
         all.push(client);
     }
     assert!(rig.router.counter("clients_now") <= 27);
@@ -43,7 +43,7 @@
 
 #[test]
 fn client_with_an_open_request_keeps_its_slot() {
-    let rig = rig_of(Cache::start(|s| Do::Later(1500, content(s))), few(64));
+    let rig = rig_of(Cache::start(|s| Do::Later(1500, content(s))), with_sockets(64));
     let mut busy: Vec<Client> = (0..27).map(|_| rig.router.client()).collect();
     for (tag, client) in (1..).zip(&mut busy) {
         client.ask(tag, "pages", tag, "", b"");
@@ -61,7 +61,7 @@
 fn partial_message_keeps_a_slot_no_longer_than_silence() {
     let rig = rig();
     let mut good = rig.router.client();
-    serves(&mut good, 1);
+    assert_served(&mut good, 1);
     for bytes in [&b""[..], b"*5\r\n", b"*5\r\n$2\r\nDO\r\n$1\r\n7\r\n$5\r\npag"] {
         let start = Instant::now();
         let mut bad = rig.router.client();
@@ -71,7 +71,7 @@
     }
     // A whole message before it gives the next one no more time.
     let mut bad = rig.router.client();
-    serves(&mut bad, 2);
+    assert_served(&mut bad, 2);
     bad.write(b"*5\r\n$2\r\nDO\r\n");
     assert_eq!(bad.next(), None);
     until("all are told of", || rig.router.counter("closed_unfinished") == 3);
@@ -111,7 +111,7 @@
         assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
     }
     until("all are told of", || rig.router.counter("closed_unreadable") == 7);
-    serves(&mut good, 1);
+    assert_served(&mut good, 1);
     assert!(rig.router.counter("held_most") < 1_000_000, "nothing of the 60 MB was kept");
 }
 
@@ -144,7 +144,7 @@
         failed += usize::from(got.word == "500");
     }
     assert!(failed <= 8);
-    serves(&mut good, 1);
+    assert_served(&mut good, 1);
     assert_eq!((rig.edge.count(), rig.router.counter("closed_broken_rule")), (1, 1));
 }
 
@@ -170,7 +170,7 @@
     assert_eq!(bad.next(), None);
     // Nor under one that has been answered.
     let mut bad = rig.router.client();
-    serves(&mut bad, 3);
+    assert_served(&mut bad, 3);
     bad.ask(3, "pages", 4, "", b"");
     assert_eq!(bad.next(), None);
     assert_eq!(rig.router.counter("closed_broken_rule"), 2);
@@ -186,7 +186,7 @@
         |_| {},
     );
     let mut good = rig.router.client();
-    serves(&mut good, 1);
+    assert_served(&mut good, 1);
     for undo in [false, true] {
         let mut bad = rig.router.client();
         let mut bytes = Vec::new();
--- a/crates/node/tests/service/main.rs
+++ b/crates/node/tests/service/main.rs
@@ -40,7 +40,7 @@
     [object.to_be_bytes(), unix_ms().to_be_bytes()].concat()
 }
 
-fn serves(client: &mut Client, tag: u64) {
+fn assert_served(client: &mut Client, tag: u64) {
     client.ask(tag, "pages", tag, "", b"");
     let got = client.must();
     assert_eq!((got.tag, got.word.as_str()), (tag, "200"));
@@ -49,7 +49,7 @@
 /// The time within which what misbehaves is owed a close.
 const OWED: Duration = Duration::from_secs(3);
 
-fn few(sockets: u64) -> impl FnOnce(&mut Value) {
+fn with_sockets(sockets: u64) -> impl FnOnce(&mut Value) {
     move |c| c["limits"]["sockets"] = json!(sockets)
 }
 
@@ -59,7 +59,7 @@
 fn sighup_follows_the_change_log_at_its_new_address_from_the_last_event() {
     let mut rig = rig();
     let mut client = rig.router.client();
-    serves(&mut client, 1);
+    assert_served(&mut client, 1);
     rig.log.tell(2, 3, &purge(77));
     until("an event is told", || rig.router.counter("purges") == 1);
     let moved = ChangeLog::start();
@@ -71,7 +71,7 @@
     until("the next event is told", || rig.router.counter("purges") == 2);
     assert_eq!(moved.asked.lock().expect("lock")[..], [2], "from the last event on");
     // Open connections go on, and what was told holds.
-    serves(&mut client, 5);
+    assert_served(&mut client, 5);
     assert!(rig.edge.all()[1].field("oldest").is_some());
     // Any number of signals; the last file holds, also when its change log is not there yet.
     rig.config["changelog"] = json!("127.0.0.1:1");
@@ -85,7 +85,7 @@
     rig.log.tell(3, 3, &purge(6));
     until("it is followed where it was", || rig.log.asked.lock().expect("lock").contains(&3));
     until("event 4 is told", || rig.router.counter("purges") == 3);
-    serves(&mut client, 6);
+    assert_served(&mut client, 6);
     assert_eq!(client.settle(), []);
 }
 
@@ -93,7 +93,7 @@
 fn sighup_with_a_bad_file_names_it_and_changes_nothing() {
     let mut rig = rig();
     let mut client = rig.router.client();
-    serves(&mut client, 1);
+    assert_served(&mut client, 1);
     for (text, fault) in [
         ("{", "GW_CONFIG"),
         (&rig.config.to_string().replace("\"changelog\"", "\"other\""), "field changelog"),
@@ -112,7 +112,7 @@
     rig.router.signal("HUP");
     until("it is read", || rig.router.counter("reloads") == 1);
     assert!(rig.router.said("change of limits needs a restart"));
-    serves(&mut client, 2);
+    assert_served(&mut client, 2);
     assert_eq!(client.settle(), []);
     assert_eq!(rig.router.counter("log_lost"), 0);
 }
--- a/crates/node/tests/service/servers.rs
+++ b/crates/node/tests/service/servers.rs
@@ -31,7 +31,7 @@
     });
     let rig = rig_of(edge, |_| {});
     let mut client = rig.router.client();
-    serves(&mut client, 1);
+    assert_served(&mut client, 1);
     assert_eq!(client.settle(), []);
     assert_eq!((rig.edge.count(), rig.router.counter("attempts_miss")), (2, 1));
     assert_eq!(rig.router.counter("late_answers"), 1);
@@ -82,7 +82,7 @@
         c["settings"]["limits"]["connect-timeout"] = json!(400.0);
     });
     let mut client = rig.router.client();
-    serves(&mut client, 1);
+    assert_served(&mut client, 1);
     assert_eq!(rig.edge.count() + second.count(), 1);
     assert_eq!(rig.router.counter("attempts_no_connection"), 1);
     assert_eq!(client.settle(), []);
@@ -136,7 +136,7 @@
     until("the next is told", || rig.router.counter("purges") >= 4);
     assert_eq!((rig.router.counter("purges"), rig.router.counter("log_lost")), (4, 1));
     let mut client = rig.router.client();
-    (1..=5).for_each(|tag| serves(&mut client, tag));
+    (1..=5).for_each(|tag| assert_served(&mut client, tag));
     assert_eq!(client.settle(), []);
     let bound = rig.edge.all().iter().filter(|s| s.field("oldest").is_some()).count();
     assert_eq!(bound, 4);
@@ -146,7 +146,7 @@
 fn servers_that_come_and_go_leave_no_connections() {
     let rig = rig();
     let mut client = rig.router.client();
-    serves(&mut client, 1);
+    assert_served(&mut client, 1);
     let address = rig.edge.address;
     for round in 0..40u32 {
         let ids = (0..50).map(|n| 0x1000 + 50 * round + n);
@@ -156,6 +156,6 @@
     }
     until("2,000 came and went", || rig.router.counter("lists") == 81);
     assert_eq!(rig.router.counter("servers_now"), 3);
-    serves(&mut client, 2);
+    assert_served(&mut client, 2);
     assert_eq!(client.settle(), []);
 }
--- a/crates/node/tests/snapshot.rs
+++ b/crates/node/tests/snapshot.rs
@@ -68,7 +68,7 @@
 }
 
 /// Asks for objects one after another; how many of them the slow cache was asked for.
-fn at_the_slow_one(client: &mut Client, zone: &Zone, tags: std::ops::Range<u64>) -> usize {
+fn requests_to_slow_cache(client: &mut Client, zone: &Zone, tags: std::ops::Range<u64>) -> usize {
     let before = zone.slow.count();
     for tag in tags {
         client.ask(tag, "pages", 0x7000 + tag, "", b"");
@@ -87,8 +87,8 @@
     until("it is read again", || router.counter("reloads") == 1);
     assert!(router.said("reload: change log address") && !router.said("no plan in section hierarchy"));
     let mut client = router.client();
-    let unlearnt = at_the_slow_one(&mut client, &zone, 1..13);
-    at_the_slow_one(&mut client, &zone, 13..80);
+    let unlearnt = requests_to_slow_cache(&mut client, &zone, 1..13);
+    requests_to_slow_cache(&mut client, &zone, 13..80);
     router.signal("TERM");
     drop(client);
     assert!(router.ended().success());
@@ -97,7 +97,7 @@
     let router = files.start(&zone.other());
     assert_eq!(router.counter("carried"), 4);
     let mut client = router.client();
-    let carried = at_the_slow_one(&mut client, &zone, 1..13);
+    let carried = requests_to_slow_cache(&mut client, &zone, 1..13);
     assert!(unlearnt >= 3 && carried * 2 < unlearnt, "{unlearnt} of 12 without, {carried} with it");
     assert_eq!(client.settle(), []);
 }
@@ -131,7 +131,7 @@
     let (zone, files) = (Zone::new(), Files::new());
     let mut router = files.start(&zone.config());
     let mut client = router.client();
-    at_the_slow_one(&mut client, &zone, 1..40);
+    requests_to_slow_cache(&mut client, &zone, 1..40);
     router.signal("TERM");
     drop(client);
     assert!(router.ended().success());
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -68,7 +68,7 @@
 }
 
 /// A read whose first attempt ends in that way is served by the next.
-fn served_by_the_next(act: fn() -> Do) -> Rig {
+fn run_retry_after(act: fn() -> Do) -> Rig {
     let act = once(act);
     let (edge, second) = (Cache::start(act.clone()), Cache::start(act));
     let rig = rig_of(edge, Cache::full(), Cache::full(), |c| with_second(c, &second));
@@ -81,13 +81,13 @@
 
 #[test]
 fn malformed_answer_closes_the_connection_and_loses_no_request() {
-    let rig = served_by_the_next(|| Do::Raw(b"HTTP/1.1 200 OK\r\n\r\n"));
+    let rig = run_retry_after(|| Do::Raw(b"HTTP/1.1 200 OK\r\n\r\n"));
     assert_eq!((rig.router.counter("attempts_broken"), rig.router.counter("conns_now")), (1, 1));
 }
 
 #[test]
 fn answer_with_an_unknown_word_fails_its_attempt_only() {
-    let rig = served_by_the_next(|| Do::Word("what", "note=hit"));
+    let rig = run_retry_after(|| Do::Word("what", "note=hit"));
     assert_eq!((rig.router.counter("attempts_error"), rig.router.counter("conns_now")), (1, 2));
 }
 
--- a/crates/node/tests/sockets/main.rs
+++ b/crates/node/tests/sockets/main.rs
@@ -216,7 +216,7 @@
 
 #[test]
 fn write_to_a_refused_connection_counts_as_not_executed() {
-    let (_port, closed) = refusing();
+    let (_port, closed) = refused_address();
     let (edge, parent, log) = (Cache::full(), Cache::full(), ChangeLog::start());
     let list = [
         Listed(EDGE, edge.address, "box"),
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -17,7 +17,7 @@
     _dir: TempDir,
 }
 
-fn configured(caches: &[Cache; 3]) -> Value {
+fn configuration_for(caches: &[Cache; 3]) -> Value {
     let log = ChangeLog::start();
     let mut config = configuration(&three(&caches[0], &caches[1], &caches[2]), log.address);
     config["settings"]["limits"]["connect-timeout"] = json!(20_000.0);
@@ -28,12 +28,12 @@
     let caches = [(); 3].map(|()| Cache::full());
     let dir = TempDir::new().expect("a folder");
     let faults = Faults::new(&dir.path().join("faults")).expect("the fault injection library");
-    let router = Process::start_under(binary(), &configured(&caches), &faults).expect("a router");
+    let router = Process::start_under(binary(), &configuration_for(&caches), &faults).expect("a router");
     Rig { router, faults, caches, _dir: dir }
 }
 
 /// All requests of one connection are served while one call in so many is so.
-fn serves_all_under(fault: Fault, one_in: i64) {
+fn run_under_fault(fault: Fault, one_in: i64) {
     let rig = rig();
     let mut client = rig.router.client();
     assert_eq!(client.settle(), []);
@@ -48,12 +48,12 @@
 
 #[test]
 fn interrupted_reads_and_writes_keep_connections_open() {
-    serves_all_under(Fault::Interrupted, 2);
+    run_under_fault(Fault::Interrupted, 2);
 }
 
 #[test]
 fn single_byte_transfers_carry_complete_messages() {
-    serves_all_under(Fault::Short, 2);
+    run_under_fault(Fault::Short, 2);
 }
 
 #[test]
@@ -71,7 +71,7 @@
 #[test]
 fn connect_without_descriptors_is_retried_without_a_mark_against_the_server() {
     let caches = [(); 3].map(|()| Cache::full());
-    let router = router(&configured(&caches));
+    let router = router(&configuration_for(&caches));
     let mut client = router.client();
     assert_eq!(client.settle(), []);
     router.descriptors_up_to(Some(1));
@@ -87,7 +87,7 @@
 #[test]
 fn full_log_pipe_does_not_block_the_router() {
     let caches = [(); 3].map(|()| Cache::full());
-    let router = router_by(&configured(&caches), "GW_LOG=debug exec \"$0\" serve");
+    let router = router_by(&configuration_for(&caches), "GW_LOG=debug exec \"$0\" serve");
     let mut client = router.client();
     assert_eq!(client.settle(), []);
     router.read_log(false);
@@ -135,7 +135,7 @@
 const SLACK_MS: u64 = 150;
 
 /// What each fetch was told is what its client had left, who asked at that time.
-fn tells_what_is_left(rig: &Rig, asked: u64) {
+fn assert_remaining_deadline(rig: &Rig, asked: u64) {
     let fetches: Vec<Seen> = rig.caches.iter().flat_map(Cache::all).collect();
     assert!(!fetches.is_empty());
     for fetch in fetches {
@@ -157,7 +157,7 @@
     std::thread::sleep(LIES);
     rig.router.signal("CONT");
     assert_eq!(client.must().tag, 1);
-    tells_what_is_left(&rig, asked);
+    assert_remaining_deadline(&rig, asked);
 }
 
 #[test]
@@ -170,5 +170,5 @@
     std::thread::sleep(LIES);
     rig.faults.set(Fault::Accept, 0).expect("no fault");
     assert_eq!(client.must().tag, 1);
-    tells_what_is_left(&rig, asked);
+    assert_remaining_deadline(&rig, asked);
 }
--- a/crates/node/tests/tree.rs
+++ b/crates/node/tests/tree.rs
@@ -98,7 +98,7 @@
     router.signal("HUP");
     until("it is taken", || router.counter("plans") == 2);
     let mut next = 60;
-    until_asked("the change is through", || {
+    until_polling("the change is through", || {
         let seen = sources(&mut client, &edge, next..next + 20);
         next += 20;
         assert!(seen.iter().all(|s| *s == id(PARENT) || *s == id(PARENT_2)));
--- a/crates/node/tests/wall_clock.rs
+++ b/crates/node/tests/wall_clock.rs
@@ -62,7 +62,7 @@
     }
 }
 
-fn heeds_a_purge_after_a_step(step_ms: i64) {
+fn run_purge_after_clock_step(step_ms: i64) {
     let rig = rig(0, |_| {});
     rig.step(step_ms);
     let purged_at = unix_ms();
@@ -74,12 +74,12 @@
 
 #[test]
 fn purge_after_a_forward_clock_step_takes_effect() {
-    heeds_a_purge_after_a_step(HOUR_MS);
+    run_purge_after_clock_step(HOUR_MS);
 }
 
 #[test]
 fn purge_after_a_backward_clock_step_takes_effect() {
-    heeds_a_purge_after_a_step(-HOUR_MS);
+    run_purge_after_clock_step(-HOUR_MS);
 }
 
 #[test]
