--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -23,8 +23,10 @@
 pub mod permissions;
 pub mod placement_report;
 pub mod platform_time;
+mod reload;
 mod serve;
 pub mod shutdown;
+mod signal_handler;
 pub mod signals;
 pub mod slow_start_watch;
 mod snapshot_file;
@@ -34,4 +36,5 @@
 
 pub use basaltgw_resp as resp;
 pub use messages::{Input, Inputs, Shared};
-pub use serve::{serve, Own};
+pub use reload::Own;
+pub use serve::serve;
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -8,27 +8,19 @@
 };
 use crate::messages::{Input, Inputs, Shared};
 use crate::owner::Owner;
-use crate::{changelog, clients, fleet, owner, shutdown, signals, snapshot_file};
+use crate::reload::Own;
+use crate::signal_handler::handle_signals;
+use crate::{changelog, clients, fleet, owner, signals, snapshot_file};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::Async;
 use basaltgw_config::fleet::Fleet;
-use basaltgw_config::{NodeConfig, OwnSettings};
+use basaltgw_config::NodeConfig;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
-use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The project's own settings, and the file from which they are read again.
-#[derive(Clone, Debug, Default)]
-pub struct Own {
-    /// The file, if one was given.
-    pub file: Option<PathBuf>,
-    /// Its settings.
-    pub settings: OwnSettings,
-}
-
 /// The sending ends of the owner's queues.
 struct InputSenders {
     urgent: Sender<Input>,
@@ -74,7 +66,7 @@
     // The owner has taken these; the signals' task needs only the settings.
     config.known = Vec::new();
     let carry = own.settings.carry.clone();
-    executor.spawn(shutdown::watch(signals, senders.urgent, config, own, moves)).detach();
+    executor.spawn(handle_signals(signals, senders.urgent, config, own, moves)).detach();
     let owner::Ended { counters, learnt, left_at, fleet, fault } =
         async_io::block_on(executor.run(owner.run(inputs, listener)));
     if let Some(carry) = &carry {
