--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a router is started with, typed.
+//! The platform's settings: their keys in the file, mapped to the settings of the decision module.
 
 use crate::typed::{bounded, dashed, typed, Amount, Whole};
 use crate::value::BadInput;
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The names by which the wire speaks of an instance's classes, zones and kinds.
+/// The names of classes, zones and kinds of servers on the wire.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     pub(crate) classes: Vec<String>,
@@ -29,17 +29,17 @@
         place(&self.zones, name).map(ZoneId)
     }
 
-    /// The zone at that place of the settings' list.
+    /// The zone at an index of the settings' list.
     pub fn zone_at(&self, at: usize) -> Option<ZoneId> {
         (at < self.zones.len()).then_some(ZoneId(at))
     }
 
-    /// The role of servers of the kind of that name.
+    /// The role of servers of a kind, by the kind's name.
     pub fn role(&self, kind: &str) -> Option<Role> {
         self.role_at(place(&self.kinds, kind)?)
     }
 
-    /// The role of servers of the kind at that place of the settings' list.
+    /// The role of servers of a kind, by its index in the settings' list.
     pub fn role_at(&self, at: usize) -> Option<Role> {
         (at < self.kinds.len()).then_some(match Some(at) {
             k if k == self.parent => Role::Parent,
@@ -53,7 +53,7 @@
     names.iter().position(|n| n == name)
 }
 
-/// The settings as they stand in the file; what is absent or null has the meaning that [`settings`] gives it.
+/// The settings in the file; [`module_settings`] has the defaults of keys that are absent or null.
 #[derive(Deserialize, Validate)]
 #[serde(rename_all = "kebab-case")]
 #[garde(allow_unvalidated)]
@@ -123,7 +123,7 @@
     pass_through_ok: Option<bool>,
     collapses: Option<bool>,
     lateral: Option<Reach>,
-    #[garde(inner(custom(pace)))]
+    #[garde(inner(custom(response_rate)))]
     pace_kb_per_s: Option<Amount>,
 }
 
@@ -195,7 +195,7 @@
     Live,
 }
 
-/// Faults are named by the keys of the file; lists of the family's by their key alone.
+/// The key of a fault as it is in the file; of the family's lists, without an index.
 fn key(path: &str) -> String {
     let mut names = dashed(path);
     while let Some((open, close)) = names.find('[').zip(names.find(']')) {
@@ -204,7 +204,7 @@
     names.replace("()", "[]")
 }
 
-/// One entry for each of so many, or none at all.
+/// A list with `many` entries, or empty.
 fn one_each<'a, T>(list: &'a Option<Vec<T>>, many: usize, key: &str) -> Result<&'a [T], BadInput> {
     let list = list.as_deref().unwrap_or_default();
     let what = || {
@@ -214,28 +214,28 @@
     (list.is_empty() || list.len() == many).then_some(list).ok_or_else(what)
 }
 
-/// Batches come at least once a second: nothing is answered in between.
-const MOST_TICK_MS: f64 = 1000.0;
-/// Slower than this no part of any size is sent in time, and sending times grow beyond all numbers.
-const LEAST_PACE: f64 = 1.0;
-const MOST_PACE: f64 = 1e12;
-/// No client waits for longer; taken for classes that name no deadline.
-const LONGEST_WAIT_MS: f64 = 600_000.0;
+/// The longest tick; nothing is answered between two batches.
+const MAX_TICK_MS: f64 = 1000.0;
+/// The bounds of the response rate; below them no part arrives in time.
+const MIN_RATE_KB_PER_S: f64 = 1.0;
+const MAX_RATE_KB_PER_S: f64 = 1e12;
+/// The deadline of classes without one; the longest that a client waits.
+const DEFAULT_DEADLINE_MS: f64 = 600_000.0;
 
 fn tick(n: &Amount, (): &()) -> garde::Result {
-    bounded(n.0, 0.0, MOST_TICK_MS)
+    bounded(n.0, 0.0, MAX_TICK_MS)
 }
 
-/// A pace that is not told may be 0.
-fn pace(n: &Amount, (): &()) -> garde::Result {
+/// Checks a response rate; 0 means that it is unknown.
+fn response_rate(n: &Amount, (): &()) -> garde::Result {
     if n.0 == 0.0 {
         return Ok(());
     }
-    bounded(n.0, LEAST_PACE, MOST_PACE)
+    bounded(n.0, MIN_RATE_KB_PER_S, MAX_RATE_KB_PER_S)
 }
 
-/// A place in a list of the settings; negative for none.
-fn place_of(n: Option<f64>, list: &[String], key: &str) -> Result<Option<usize>, BadInput> {
+/// An index in a list of the settings; -1 for none.
+fn index_of(n: Option<f64>, list: &[String], key: &str) -> Result<Option<usize>, BadInput> {
     let Some(n) = n.filter(|n| *n != -1.0) else { return Ok(None) };
     let fits = n.fract() == 0.0 && (0.0..list.len() as f64).contains(&n);
     let what = || format!("expected -1 or a place among {}, found {n}", list.len());
@@ -247,7 +247,7 @@
     amount.map_or(absent, |a| a.0)
 }
 
-/// The classes, with what the family says of each by its place.
+/// The classes, with the family's entries of the same index.
 fn classes(services: &[Service], family: &Family) -> Result<Vec<Class>, BadInput> {
     let many = services.len();
     let fresh = one_each(&family.lifetime_by_class, many, "lifetime-by-class")?;
@@ -257,7 +257,7 @@
         name: s.name.clone().unwrap_or_default(),
         latency_objective: or(s.slo, 0.0),
         latency_objective_stretch: or(s.aim_stretch, 0.0),
-        deadline: s.deadline.map(|d| d.0).filter(|d| *d > 0.0).unwrap_or(LONGEST_WAIT_MS),
+        deadline: s.deadline.map(|d| d.0).filter(|d| *d > 0.0).unwrap_or(DEFAULT_DEADLINE_MS),
         idempotency: match s.idempotency.unwrap_or(Idempotency::NonIdempotent) {
             Idempotency::ReadLike => api::Idempotency::Idempotent,
             Idempotency::Keyed => api::Idempotency::IdempotencyKey,
@@ -278,45 +278,71 @@
     Ok(services.iter().enumerate().map(class).collect())
 }
 
-/// The typed settings of an instance and the names its messages use.
+/// Parses the settings of an instance, and the names that its messages use.
+///
+/// # Errors
+/// The key at fault.
 pub fn settings(v: &Value) -> Result<(Names, Settings), BadInput> {
     if !v.is_object() {
         return Err(BadInput::new("settings", "expected an object"));
     }
-    let file: File = typed(v, "settings", key)?;
-    let family = file.family_info.unwrap_or_default();
-    let limits = file.limits.unwrap_or_default();
-    let contract = file.contract.unwrap_or_default();
-    let classes = classes(&file.services.unwrap_or_default(), &family)?;
-    let kinds = file.kinds.unwrap_or_default();
+    let mut file: File = typed(v, "settings", key)?;
+    let family = file.family_info.take().unwrap_or_default();
+    let classes = classes(&file.services.take().unwrap_or_default(), &family)?;
+    let kinds = file.kinds.take().unwrap_or_default();
     let names = Names {
         classes: classes.iter().map(|c| c.name.clone()).collect(),
-        parent: place_of(family.shield_kind, &kinds, "shield-kind")?,
-        origin: place_of(family.store_kind, &kinds, "store-kind")?,
+        parent: index_of(family.shield_kind, &kinds, "shield-kind")?,
+        origin: index_of(family.store_kind, &kinds, "store-kind")?,
         kinds,
-        zones: file.areas.unwrap_or_default(),
+        zones: file.areas.take().unwrap_or_default(),
     };
-    // One that is misspelt would have the router send to another zone's caches.
+    let topology = topology(&file, &family, &names)?;
+    Ok((names, module_settings(file, &family, classes, topology)))
+}
+
+/// The zones and routers of an instance.
+struct Topology {
+    zone: ZoneId,
+    routers: usize,
+    zone_routers: usize,
+    zone_parent_group: Vec<ZoneId>,
+}
+
+fn topology(file: &File, family: &Family, names: &Names) -> Result<Topology, BadInput> {
+    // A misspelt name would have the router send to another zone's caches.
     let zone = match &file.my_zone {
         Some(name) => names.zone(name).ok_or_else(|| {
             BadInput::new("settings.my-zone", format!("expected one of settings.areas, found {name:?}"))
         })?,
         None => ZoneId(0),
     };
-    let routers = file.peers_total.map_or(1, |n| n.0 as usize);
+    let routers = file.peers_total.as_ref().map_or(1, |n| n.0 as usize);
     let by_zone = one_each(&family.count_by_zone, names.zones.len(), "count-by-zone")?.get(zone.0);
     let hubs = one_each(&family.zone_hub, names.zones.len(), "zone-hub")?;
     if let Some(hub) = hubs.iter().find(|h| h.0 >= names.zones.len() as u64) {
         let what = format!("expected places in settings.areas, found {}", hub.0);
         return Err(BadInput::new("settings.family-info.zone-hub", what));
     }
-    let window = or(contract.fall, 0.0);
-    let weights = file.weight_kind.unwrap_or(WeightKind::Silent);
-    let parsed = Settings {
+    Ok(Topology {
         zone,
-        zone_routers: by_zone.map_or(routers, |n| n.0 as usize).max(1),
         routers: routers.max(1),
+        zone_routers: by_zone.map_or(routers, |n| n.0 as usize).max(1),
         zone_parent_group: hubs.iter().map(|h| ZoneId(h.0 as usize)).collect(),
+    })
+}
+
+/// The settings of the decision module; absent keys get their defaults here.
+fn module_settings(file: File, family: &Family, classes: Vec<Class>, topology: Topology) -> Settings {
+    let limits = file.limits.unwrap_or_default();
+    let contract = file.contract.unwrap_or_default();
+    let window = or(contract.fall, 0.0);
+    let weights = file.weight_kind.unwrap_or(WeightKind::Silent);
+    Settings {
+        zone: topology.zone,
+        zone_routers: topology.zone_routers,
+        routers: topology.routers,
+        zone_parent_group: topology.zone_parent_group,
         classes,
         edge_slow_start: SlowStartPolicy {
             share: or(contract.cold_share, 1.0),
@@ -356,6 +382,5 @@
         },
         dynamic_weights: weights == WeightKind::Live,
         tick: or(file.granularity, 0.0),
-    };
-    Ok((names, parsed))
+    }
 }
