--- a/crates/config/src/typed.rs
+++ b/crates/config/src/typed.rs
@@ -1,4 +1,4 @@
-//! Values of JSON as types: serde reads, garde checks, and a fault names the field and says what was expected.
+//! Typed parsing of JSON: serde deserializes, garde validates, and a fault names the field and what was expected.
 
 use crate::value::BadInput;
 use garde::Validate;
@@ -6,7 +6,10 @@
 use serde_json::Value;
 use std::fmt;
 
-/// Reads a value that stands at `at` (empty for the whole). `key` spells a path within it as messages have it.
+/// Parses the value at the path `at` (empty for the whole document); `key` formats a path within it for messages.
+///
+/// # Errors
+/// The field at fault.
 pub(crate) fn typed<'a, T>(v: &'a Value, at: &str, key: fn(&str) -> String) -> Result<T, BadInput>
 where
     T: Deserialize<'a> + Validate<Context = ()>,
@@ -17,7 +20,7 @@
         (at, path) => format!("{at}.{path}"),
     };
     let read = T::deserialize(v).or_else(|_| {
-        // Once more for the way to the fault: to note it costs as much as to read, and most values are good.
+        // Deserialized again for the path to the fault: tracking it doubles the cost, and most values are valid.
         serde_path_to_error::deserialize(v).map_err(|e| {
             let (path, text) = (e.path().to_string(), e.inner().to_string());
             match text.strip_prefix("missing field `").and_then(|rest| rest.split_once('`')) {
@@ -25,7 +28,7 @@
                 Some((name, _)) => {
                     BadInput::new(&field(&format!("{path}.{name}")), "expected, found nothing")
                 }
-                None => BadInput::new(&field(&path), said(&text)),
+                None => BadInput::new(&field(&path), expected_found(&text)),
             }
         })
     })?;
@@ -39,18 +42,18 @@
     }
 }
 
-/// A path as it is.
+/// A path unchanged.
 pub(crate) fn plain(path: &str) -> String {
     path.to_string()
 }
 
-/// A path of keys that have dashes.
+/// A path whose keys have dashes.
 pub(crate) fn dashed(path: &str) -> String {
     path.replace('_', "-")
 }
 
-/// Serde's words as ours: what was expected, then what was found.
-fn said(text: &str) -> String {
+/// Rewords a message of serde: what was expected, then what was found.
+fn expected_found(text: &str) -> String {
     let wrong = text.strip_prefix("invalid type: ").or_else(|| text.strip_prefix("invalid value: "));
     if let Some((found, expected)) = wrong.and_then(|rest| rest.rsplit_once(", expected ")) {
         let expected = match expected {
@@ -69,7 +72,7 @@
     }
 }
 
-/// A whole number of 0 or more, also where it is written as `2.0`.
+/// An unsigned integer, also one that is written as `2.0`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Whole(pub u64);
 
@@ -97,23 +100,22 @@
     }
 }
 
-/// More milliseconds than thirty years hold, and more of anything else that settings name: beyond this times lose their fractions,
-/// and what is reckoned with them is no number any more.
-const MOST_AMOUNT: f64 = 1e12;
+/// The largest amount (thirty years in milliseconds); larger floats lose their fractions.
+const MAX_AMOUNT: f64 = 1e12;
 
 /// A number of 0 or more: a time, a share, a multiple.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize, Validate)]
 #[garde(transparent)]
 #[serde(transparent)]
-pub(crate) struct Amount(#[garde(custom(sensible))] pub f64);
+pub(crate) struct Amount(#[garde(custom(amount_in_range))] pub f64);
 
-fn sensible(n: &f64, (): &()) -> garde::Result {
-    let what = if *n > MOST_AMOUNT { format!("{MOST_AMOUNT} or less") } else { "0 or more".into() };
-    let fits = (0.0..=MOST_AMOUNT).contains(n);
+fn amount_in_range(n: &f64, (): &()) -> garde::Result {
+    let what = if *n > MAX_AMOUNT { format!("{MAX_AMOUNT} or less") } else { "0 or more".into() };
+    let fits = (0.0..=MAX_AMOUNT).contains(n);
     fits.then_some(()).ok_or_else(|| garde::Error::new(format!("expected {what}, found {}", short(*n))))
 }
 
-/// A number as messages have it: hundreds of digits help nobody.
+/// A number in a message, without hundreds of digits.
 fn short(n: f64) -> String {
     let usual = n == 0.0 || (1e-6..1e16).contains(&n.abs());
     if usual {
@@ -123,8 +125,8 @@
     }
 }
 
-/// Within bounds that are named where it is not.
-pub(crate) fn bounded(n: f64, least: f64, most: f64) -> garde::Result {
-    let what = || garde::Error::new(format!("expected {least} to {most}, found {}", short(n)));
-    (least..=most).contains(&n).then_some(()).ok_or_else(what)
+/// Checks that a number is within bounds.
+pub(crate) fn bounded(n: f64, min: f64, max: f64) -> garde::Result {
+    let what = || garde::Error::new(format!("expected {min} to {max}, found {}", short(n)));
+    (min..=max).contains(&n).then_some(()).ok_or_else(what)
 }
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn all_of_it_is_typed() {
+fn configuration_is_parsed() {
     let c = parse(&whole(), &Environment::default()).expect("a good configuration");
     assert_eq!((c.name.as_str(), c.listen.to_string().as_str()), ("n3", "127.0.0.4:10080"));
     assert_eq!((c.seed, c.changelog.to_string().as_str()), (0x8c1f30d27a5be964, "127.2.0.1:4222"));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_may_be_absent_has_a_default() {
+fn absent_keys_have_defaults() {
     let bare = json!({"listen": "127.0.0.1:1", "changelog": "127.0.0.1:2", "settings": {}});
     let c = parse(&bare, &Environment::default()).expect("enough");
     assert_eq!((c.limits, c.known_seq, c.known.len()), (Limits { memory_mb: 192, sockets: 1024 }, Seq(0), 0));
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn variables_win_over_the_file() {
+fn variables_override_the_file() {
     let env = Environment { name: Some("n9".into()), listen: Some("127.0.0.9:7".into()), config: None };
     let c = parse(&whole(), &env).expect("a good configuration");
     assert_eq!((c.name.as_str(), c.listen.to_string().as_str()), ("n9", "127.0.0.9:7"));
 }
 
 #[test]
-fn messages_name_the_key_at_fault() {
+fn fault_names_its_key() {
     let said = |change: &dyn Fn(&mut Value)| {
         let mut v = whole();
         change(&mut v);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_file_that_is_absent_or_no_json_is_named() {
+fn missing_or_malformed_file_is_named() {
     let message = read(&Environment::default()).expect_err("no file").to_string();
     assert!(message.starts_with("field GW_CONFIG:"), "{message}");
     let file = std::env::temp_dir().join(format!("basaltgw-config-{}.json", std::process::id()));
@@ -121,7 +121,7 @@
 
 /// Each setting that the module reads is checked: a bad one is named by its key, an absent one changes nothing.
 #[test]
-fn settings_that_make_no_sense_are_named_by_their_key() {
+fn invalid_setting_is_named_by_its_key() {
     let good = || {
         let mut config = whole();
         config["settings"]["services"] = json!([{"name": "a", "slo": 100.0}, {"name": "b"}]);
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_may_be_absent_has_a_default() {
+fn absent_keys_have_defaults() {
     let fleet = read(GOOD).expect("a fleet");
     assert_eq!((&*fleet.cluster, &*fleet.name.0, &*fleet.domain.machine), ("rig", "r1", "m1"));
     assert_eq!((fleet.copies, fleet.shards, fleet.gather, &fleet.rules), (3, 16, false, &None));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_overlay_is_off_unless_named_and_stands_by_branch_and_machine() {
+fn overlay_is_off_by_default_and_positions_default_to_branch_and_machine() {
     let off = read(GOOD).expect("a fleet");
     assert!(off.overlay.is_none() && off.peers.iter().all(|p| p.standing.is_none()));
     let fleet = read(&with_overlay("")).expect("a fleet");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn each_fault_of_an_overlay_names_file_line_and_key() {
+fn overlay_fault_names_file_line_and_key() {
     let cases = [
         ("batch_ms: 9", "16: fleet.overlay.batch_ms: 9 is less than"),
         ("batch_ms: 1001", "16: fleet.overlay.batch_ms: 1001 is greater than"),
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn links_are_a_mesh_unless_they_are_said_to_be_standing() {
+fn links_default_to_a_mesh() {
     let links = |more: &str| read(&with_overlay(more)).map(|f| f.overlay.expect("one").links);
     for mesh in ["", "links: mesh"] {
         assert_eq!(links(mesh), Ok(Links::Mesh), "{mesh}");
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn three_signs_of_life_fit_into_the_time_of_silence() {
+fn silence_timeout_is_at_least_three_keepalives() {
     let limits =
         |text: &str| read(&GOOD.replace("ring: 8", text)).map(|f| (f.limits.alive_ms, f.limits.silent_ms));
     assert_eq!(limits("ring: 8"), Ok((250.0, 1_000.0)));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn words_are_kept_for_twice_as_long_as_a_purge_takes_to_settle() {
+fn messages_are_retained_for_twice_the_purge_convergence_time() {
     let keep =
         |more: &str, settles| read(&with_overlay(more)).expect("a fleet").overlay.expect("one").keep(settles);
     assert_eq!(
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn the_defaults_are_those_that_the_schema_names_and_lie_in_its_ranges() {
+fn defaults_match_the_schema() {
     let schema: serde_json::Value =
         serde_json::from_str(include_str!("../../../deploy/basaltgw.schema.json")).expect("JSON");
     let limits = &schema["properties"]["fleet"]["properties"]["limits"]["properties"];
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn each_fault_names_file_line_and_key() {
+fn fleet_fault_names_file_line_and_key() {
     let reach = "expected an IP address that others can reach and a port but 0, as in 10.0.0.1:7101, found";
     let r2 = "address: 127.0.0.1:7102";
     let cases = [
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn rules_lie_beside_the_file_and_are_bounded_text() {
+fn rules_file_is_relative_to_the_settings_file_and_bounded() {
     let folder = std::env::temp_dir().join(format!("basaltgw-fleet-{}", std::process::id()));
     std::fs::create_dir_all(folder.join("sub")).expect("a folder");
     let (file, rules) = (folder.join("b.yaml").display().to_string(), folder.join("p.rules"));
--- a/crates/config/tests/nonsense.rs
+++ b/crates/config/tests/nonsense.rs
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn one_value_of_nonsense_is_named_by_its_key_or_harms_nothing() {
+fn invalid_value_is_rejected_by_key_or_has_no_effect() {
     let good = whole();
     let parsed = parse(&good, &Environment::default()).expect("a good configuration");
     assert_eq!(sensible(&parsed), Ok(()));
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn what_would_be_taken_for_something_else_is_refused_by_its_key() {
+fn ambiguous_value_is_rejected_by_its_key() {
     for (pointer, value, says) in [
         ("/settings/granularity", json!(1e300), "granularity: expected 0 to 1000, found 1e300"),
         (
