--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -127,21 +127,3 @@
     // The owner is gone only when the process ends.
     let _ = shared.queue.send(Input::ClientClosed(id)).await;
 }
-
-/// The paths of before `connection`, until the owner's imports are renamed (pending-e).
-#[doc(hidden)]
-pub mod life {
-    pub use crate::connection::{
-        ConnectionEvent as Event, ConnectionPhase as State, ConnectionState as Life, IdleReason as Quiet,
-    };
-}
-/// See [`life`].
-#[doc(hidden)]
-pub mod places {
-    pub use crate::connection::ConnectionSlots as Places;
-}
-/// See [`life`].
-#[doc(hidden)]
-pub mod presence {
-    pub use crate::connection::{ClientLiveness as Presence, RequestLiveness as Wanted};
-}
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -3,8 +3,6 @@
 //! Reading pauses while all buffered messages use too much memory, the peer is slow to read, or the owner's queue is full. A client is
 //! watched meanwhile, so that its close and its cancellations still take effect.
 
-pub use crate::connection::CloseReason as Over;
-
 use crate::clients::message::FromClient;
 use crate::connection::{CloseReason, ConnectionState};
 use crate::limits::{ReadLimits, READ_AHEAD_BYTES, READ_AHEAD_MESSAGES, READ_BYTES, RETRY_INTERVAL};
--- a/crates/node/src/owner/attempts/complete.rs
+++ b/crates/node/src/owner/attempts/complete.rs
@@ -4,7 +4,7 @@
 use crate::breaks::{broken, Break};
 use crate::caches::{Answer, AttemptKey, ConnId, Down};
 use crate::clients::Reply;
-use crate::inbox::Over;
+use crate::connection::CloseReason;
 use crate::outbox::Stage;
 use crate::owner::requests::PendingRequest;
 use crate::owner::{request_id, Owner};
@@ -17,9 +17,11 @@
         match reason {
             Down::NeverUp => counters.failed.one(),
             Down::Shortage => counters.shortages.one(),
-            Down::Ended(Over::Ended | Over::Silent | Over::Quiet(_) | Over::Dropped) => {}
-            Down::Ended(Over::Unreadable(_)) => counters.unreadable.one(),
-            Down::Ended(Over::Unfinished) => counters.unfinished.one(),
+            Down::Ended(
+                CloseReason::Ended | CloseReason::Silent | CloseReason::Quiet(_) | CloseReason::Dropped,
+            ) => {}
+            Down::Ended(CloseReason::Unreadable(_)) => counters.unreadable.one(),
+            Down::Ended(CloseReason::Unfinished) => counters.unfinished.one(),
         }
         self.reap_aborted(|aborting| aborting.connection == connection);
         for key in self.upstream.caches.down(connection) {
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -4,7 +4,7 @@
 use super::timers::TimerKind;
 use super::Owner;
 use crate::caches::Down;
-use crate::clients::life::Quiet;
+use crate::connection::IdleReason;
 use crate::counters::Counters;
 use crate::limits::{CLIENT_IDLE_MS, LEAVING_MS, QUEUE};
 use crate::{Input, Inputs};
@@ -158,7 +158,8 @@
             self.handle_input(Input::CacheDown(connection, Down::NeverUp));
         }
         let shutting_down = !self.shutdown.accepts(self.time.now);
-        let (reason, idle) = if shutting_down { (Quiet::End, 0.0) } else { (Quiet::Idle, CLIENT_IDLE_MS) };
+        let (reason, idle) =
+            if shutting_down { (IdleReason::End, 0.0) } else { (IdleReason::Idle, CLIENT_IDLE_MS) };
         self.clients.close_idle(self.time.now, idle, reason);
     }
 }
--- a/crates/node/src/owner/client_inputs.rs
+++ b/crates/node/src/owner/client_inputs.rs
@@ -5,40 +5,49 @@
 use super::scatter_gather::ScatterGather;
 use super::Owner;
 use crate::breaks::{broken, Break};
-use crate::clients::life::{Event, Life, Quiet};
-use crate::clients::presence::Wanted;
 use crate::clients::{answer, pong, ClientId, Do, FromClient, Reply, Tag};
+use crate::connection::CloseReason;
+use crate::connection::RequestLiveness;
+use crate::connection::{ConnectionEvent, ConnectionState, IdleReason};
 use crate::counters::Count;
-use crate::inbox::Over;
 use crate::outbox::Outbox;
 use basaltgw::api::Ms;
 use std::rc::Rc;
 
 impl Owner {
-    pub(super) fn on_client_connected(&mut self, id: ClientId, outbox: Outbox, connection: Rc<Life>) {
+    pub(super) fn on_client_connected(
+        &mut self,
+        id: ClientId,
+        outbox: Outbox,
+        connection: Rc<ConnectionState>,
+    ) {
         self.counters.clients.connected.one();
         self.clients.connected.insert(id, Client::new(self.time.now, outbox, connection));
     }
 
     /// Nothing more is read of a client. Its open requests are answered, except where it sent what can't be decoded: then they may have
     /// meant anything, and all are failed.
-    pub(super) fn on_client_stopped(&mut self, id: ClientId, reason: Over) {
+    pub(super) fn on_client_stopped(&mut self, id: ClientId, reason: CloseReason) {
         let counters = &self.counters.clients;
         match reason {
-            Over::Ended | Over::Dropped => {}
-            Over::Unreadable(_) => counters.closed_unreadable.one(),
-            Over::Silent => counters.closed_silent.one(),
-            Over::Unfinished => counters.closed_unfinished.one(),
-            Over::Quiet(Quiet::Idle) => counters.closed_idle.one(),
-            Over::Quiet(Quiet::Room) => counters.closed_for_room.one(),
-            Over::Quiet(Quiet::End) => counters.closed_at_end.one(),
+            CloseReason::Ended | CloseReason::Dropped => {}
+            CloseReason::Unreadable(_) => counters.closed_unreadable.one(),
+            CloseReason::Silent => counters.closed_silent.one(),
+            CloseReason::Unfinished => counters.closed_unfinished.one(),
+            CloseReason::Quiet(IdleReason::Idle) => counters.closed_idle.one(),
+            CloseReason::Quiet(IdleReason::Room) => counters.closed_for_room.one(),
+            CloseReason::Quiet(IdleReason::End) => counters.closed_at_end.one(),
         }
-        if let (Over::Quiet(reason), Some(client)) = (reason, self.clients.connected.get_mut(&id)) {
+        if let (CloseReason::Quiet(reason), Some(client)) = (reason, self.clients.connected.get_mut(&id)) {
             client.close_reason = Some(reason);
         }
         match reason {
-            Over::Unreadable(_) => self.fail_and_disconnect(id),
-            Over::Ended | Over::Dropped | Over::Silent | Over::Unfinished | Over::Quiet(_) => {
+            CloseReason::Unreadable(_) => self.fail_and_disconnect(id),
+            CloseReason::Ended
+            | CloseReason::Dropped
+            | CloseReason::Silent
+            | CloseReason::Unfinished
+            | CloseReason::Quiet(_) => {
                 self.clients.close(id);
             }
         }
@@ -59,7 +68,7 @@
 
     pub(super) fn on_client_message(&mut self, id: ClientId, message: FromClient, read_at: Ms) {
         let Some(client) = self.clients.connected.get_mut(&id).filter(|c| !c.closing) else { return };
-        client.connection.tell(Event::Taken);
+        client.connection.tell(ConnectionEvent::Taken);
         (client.has_sent, client.last_active) = (true, self.time.now);
         match message {
             FromClient::Do(tag, request) => self.on_client_request(id, tag, request, read_at),
@@ -116,7 +125,7 @@
             self.counters.clients.closed_broken_rule.one();
             return self.disconnect(id);
         }
-        let liveness = Wanted::new(client.connection.presence(), tag);
+        let liveness = RequestLiveness::new(client.connection.presence(), tag);
         if !liveness.holds() {
             return self.skip_cancelled_request(ClientRequest { id, tag }, &request);
         }
@@ -151,7 +160,7 @@
     pub(super) fn close_least_active_clients(&mut self) {
         for id in self.clients.least_active(self.time.now) {
             if let Some(client) = self.clients.connected.get(&id) {
-                client.connection.tell(Event::Asked(Quiet::Room));
+                client.connection.tell(ConnectionEvent::Asked(IdleReason::Room));
             }
         }
     }
@@ -159,7 +168,7 @@
     /// Drops a client whose requests can't be told apart: they are cancelled; what is queued for it is written before the close.
     fn disconnect(&mut self, id: ClientId) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
-        client.connection.tell(Event::Dropped);
+        client.connection.tell(ConnectionEvent::Dropped);
         let open = std::mem::take(&mut client.open);
         self.clients.close(id);
         open.into_values().for_each(|number| self.on_requester_left(number));
--- a/crates/node/src/owner/clients.rs
+++ b/crates/node/src/owner/clients.rs
@@ -8,10 +8,10 @@
 use super::timers::micros;
 use crate::breaks::{broken, Break};
 use crate::caches::RequestNo;
-use crate::clients::life::{Event, Life, Quiet};
-use crate::clients::places::Places;
-use crate::clients::presence::Wanted;
 use crate::clients::{answer, ClientId, Reply, Tag};
+use crate::connection::ConnectionSlots;
+use crate::connection::RequestLiveness;
+use crate::connection::{ConnectionEvent, ConnectionState, IdleReason};
 use crate::limits::{
     OPEN_PER_CLIENT, ROOM_IDLE_MS, ROOM_REST_MS, ROOM_SHARE, ROOM_SILENT_MS, TAGS_KEPT, UNDONE_MOST,
     UNDONE_WINDOW_MS, UNREADABLE_MOST,
@@ -46,15 +46,15 @@
     /// When it connected, sent its last message or got its last response.
     pub(super) last_active: Ms,
     /// The state of its connection.
-    pub(super) connection: Rc<Life>,
+    pub(super) connection: Rc<ConnectionState>,
     /// Nothing more is read from it; it is released once nothing is pending for it.
     pub(super) closing: bool,
     /// Why the router closes it, if the router does.
-    pub(super) close_reason: Option<Quiet>,
+    pub(super) close_reason: Option<IdleReason>,
 }
 
 impl Client {
-    pub(super) fn new(now: Ms, outbox: Outbox, connection: Rc<Life>) -> Self {
+    pub(super) fn new(now: Ms, outbox: Outbox, connection: Rc<ConnectionState>) -> Self {
         Self {
             outbox,
             open: BTreeMap::new(),
@@ -140,7 +140,7 @@
     pub(super) connected: BTreeMap<ClientId, Client>,
     closing: BTreeSet<ClientId>,
     /// The slots of their connections, until the sockets are closed.
-    pub(super) slots: Rc<Places>,
+    pub(super) slots: Rc<ConnectionSlots>,
 }
 
 impl Clients {
@@ -156,8 +156,8 @@
     }
 
     /// What tells whether a client still waits; `None` if it is not connected.
-    pub(super) fn liveness(&self, request: ClientRequest) -> Option<Wanted> {
-        Some(Wanted::new(self.connected.get(&request.id)?.connection.presence(), request.tag))
+    pub(super) fn liveness(&self, request: ClientRequest) -> Option<RequestLiveness> {
+        Some(RequestLiveness::new(self.connected.get(&request.id)?.connection.presence(), request.tag))
     }
 
     /// Rejects a request that was not admitted.
@@ -184,11 +184,11 @@
     }
 
     /// Asks for the close of connections that have been idle for this long. A message that crosses that is handled first.
-    pub(super) fn close_idle(&self, now: Ms, idle: Ms, reason: Quiet) {
+    pub(super) fn close_idle(&self, now: Ms, idle: Ms, reason: IdleReason) {
         let breaks = broken(Break::CloseOverRequest);
         let is_idle = |c: &Client| breaks || (c.is_idle() && now - c.last_active >= idle);
         for client in self.connected.values().filter(|c| !c.is_closing() && is_idle(c)) {
-            client.connection.tell(Event::Asked(reason));
+            client.connection.tell(ConnectionEvent::Asked(reason));
         }
     }
 
--- a/crates/node/src/owner/lease/tests.rs
+++ b/crates/node/src/owner/lease/tests.rs
@@ -3,9 +3,9 @@
 
 use crate::caches::{Answer, ConnId, Down, RequestNo};
 use crate::clients::{FromClient, Tag};
+use crate::connection::CloseReason;
 use crate::fleet::stand_in::{fleet, StandIn};
 use crate::fleet::{ControlNotification, ControlRequest};
-use crate::inbox::Over;
 use crate::outbox::{OutgoingMessage, Stage};
 use crate::owner::attempts::InFlight;
 use crate::owner::tests::{owner, request, CLIENT};
@@ -211,7 +211,7 @@
             (Step::ConnectionClosed, Some((at, written, _))) => {
                 self.executed |= written;
                 self.answered_on.push(at);
-                Some(Input::CacheDown(at, Down::Ended(Over::Ended)))
+                Some(Input::CacheDown(at, Down::Ended(CloseReason::Ended)))
             }
             (_, _) => None,
         }
@@ -265,7 +265,8 @@
             let aborting = self.owner.upstream.aborting.iter();
             let connections: Vec<_> = aborting.map(|aborting| aborting.connection).collect();
             self.executed |= !connections.is_empty();
-            let closed = connections.into_iter().map(|at| Input::CacheDown(at, Down::Ended(Over::Ended)));
+            let closed =
+                connections.into_iter().map(|at| Input::CacheDown(at, Down::Ended(CloseReason::Ended)));
             self.batch(closed.collect(), true);
             self.steps(&[Step::Committed]);
             self.replicas.apply_background();
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -26,7 +26,7 @@
 mod watch_events;
 
 use crate::caches::{Caches, RequestNo};
-use crate::clients::places::Places;
+use crate::connection::ConnectionSlots;
 use crate::counters::Counters;
 use crate::fleet::Fleet;
 use crate::shutdown::Ending;
@@ -100,7 +100,7 @@
     }
 
     /// The slots of clients' connections, for the task that accepts them.
-    pub fn places(&self) -> Rc<Places> {
+    pub fn places(&self) -> Rc<ConnectionSlots> {
         Rc::clone(&self.clients.slots)
     }
 
--- a/crates/node/src/owner/requester.rs
+++ b/crates/node/src/owner/requester.rs
@@ -6,8 +6,8 @@
 use super::scatter_gather::SubRequestKey;
 use super::Owner;
 use crate::caches::{CopyTag, RequestNo};
-use crate::clients::presence::Wanted;
 use crate::clients::{answer, ClientId, Do, Reply, Tag};
+use crate::connection::RequestLiveness;
 use basaltgw::api::{ClassId, Ms};
 
 /// A request of a client, by its tag on the client's connection.
@@ -37,7 +37,7 @@
     /// When the requester stops waiting.
     pub(super) deadline: Ms,
     /// Tells whether a client still waits, if one does at all.
-    pub(super) liveness: Option<Wanted>,
+    pub(super) liveness: Option<RequestLiveness>,
 }
 
 /// What became of a response.
--- a/crates/node/src/owner/requests.rs
+++ b/crates/node/src/owner/requests.rs
@@ -4,8 +4,8 @@
 use super::lease::Lease;
 use super::requester::{IncomingRequest, Requester};
 use crate::caches::{AttemptKey, CopyTag, RequestNo};
-use crate::clients::presence::Wanted;
 use crate::clients::{Do, WireId};
+use crate::connection::RequestLiveness;
 use crate::outbox::{Counted, Meter, Stage};
 use crate::permissions::EarlierAttempt;
 use basaltgw::api::{AttemptNo, AttemptResult, ClassId, Ms};
@@ -21,7 +21,7 @@
     pub(super) body: Option<Counted>,
     pub(super) deadline: Ms,
     /// Tells whether a client still waits, if one does at all.
-    pub(super) liveness: Option<Wanted>,
+    pub(super) liveness: Option<RequestLiveness>,
     /// Its response is given, or nobody waits for one.
     pub(super) answered: bool,
     pub(super) attempts: Vec<Attempt>,
@@ -54,7 +54,7 @@
 
     /// Whether its client still waits, as far as the reader of its connection knows.
     pub(super) fn client_waits(&self) -> bool {
-        self.liveness.as_ref().is_none_or(Wanted::holds)
+        self.liveness.as_ref().is_none_or(RequestLiveness::holds)
     }
 
     /// Whether it has a body, while that is stored.
--- a/crates/node/src/owner/scatter_gather/sub_requests.rs
+++ b/crates/node/src/owner/scatter_gather/sub_requests.rs
@@ -2,8 +2,8 @@
 
 use super::{decision_purge, Location, SubRequest, SubRequestKey};
 use crate::caches::{CopyTag, RequestNo};
-use crate::clients::presence::Wanted;
 use crate::clients::{Do, Reply, WireId};
+use crate::connection::RequestLiveness;
 use crate::fleet::purges::Purge;
 use crate::outbox::Counted;
 use crate::owner::requester::{IncomingRequest, Requester};
@@ -86,7 +86,7 @@
         requester: Requester,
         class: ClassId,
         part: PartOf,
-        liveness: Option<Wanted>,
+        liveness: Option<RequestLiveness>,
     ) {
         let Some(state) = &mut self.scatter_gather else { return };
         let mut request = part.into_request();
--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -3,10 +3,10 @@
 use super::attempts::{AbortingAttempt, Attempt, CancelResults, Delivery};
 use super::*;
 use crate::caches::{Answer, AttemptKey, Down};
-use crate::clients::life::{Life, Quiet, State};
 use crate::clients::{ClientId, Do, FromClient, Tag, WireId};
 use crate::clock::Clock;
-use crate::inbox::Over;
+use crate::connection::CloseReason;
+use crate::connection::{ConnectionPhase, ConnectionState, IdleReason};
 use crate::limits::{CLIENT_IDLE_MS, LEAVING_MS, ROOM_IDLE_MS, ROOM_REST_MS, ROOM_SILENT_MS};
 use crate::outbox::{outbox, OutgoingMessage};
 use crate::Input;
@@ -58,8 +58,8 @@
     (owner, messages)
 }
 
-fn connection(owner: &Owner) -> Rc<Life> {
-    Rc::new(Life::new(&owner.clients.slots))
+fn connection(owner: &Owner) -> Rc<ConnectionState> {
+    Rc::new(ConnectionState::new(&owner.clients.slots))
 }
 
 fn first_attempt(owner: &Owner) -> &Attempt {
@@ -139,7 +139,7 @@
     let key = write_first_attempt(&mut owner);
     owner.cancel_attempt(key, CancelResults::CANCELLED, Delivery::NextBatch);
     let in_flight = first_attempt(&owner).in_flight.as_ref().expect("still in flight");
-    let down = Input::CacheDown(in_flight.connection, Down::Ended(Over::Ended));
+    let down = Input::CacheDown(in_flight.connection, Down::Ended(CloseReason::Ended));
     owner.batch(&mut vec![down]);
     assert!(!attempts(&owner, 1)[0].in_flight && owner.upstream.aborting.is_empty());
 }
@@ -252,13 +252,16 @@
             owner.schedule.maintained_at = 0.0;
             owner.batch(&mut Vec::new());
         }
-        let why = if room { Quiet::Room } else { Quiet::Idle };
+        let why = if room { IdleReason::Room } else { IdleReason::Idle };
         assert_eq!(life.asked(), Some(why));
         assert_eq!(life.stops(None), None);
         let first = request(&owner, 1);
         owner.batch(&mut vec![first]);
         assert_eq!(owner.counters.clients.requests.get(), 1);
-        assert_eq!((life.state(), attempts(&owner, 1).len()), (State::Open { on_way: 0, asked: None }, 1));
+        assert_eq!(
+            (life.state(), attempts(&owner, 1).len()),
+            (ConnectionPhase::Open { on_way: 0, asked: None }, 1)
+        );
         owner.batch(&mut vec![Input::RoomWanted]);
         assert_eq!(life.asked(), None, "something is open");
     }
--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -230,7 +230,7 @@
                 self.inputs.push(Input::CacheDown(connection, Down::NeverUp));
             }
             Step::ConnectionClosed if self.established.contains(&connection) => {
-                self.inputs.push(Input::CacheDown(connection, Down::Ended(Over::Ended)));
+                self.inputs.push(Input::CacheDown(connection, Down::Ended(CloseReason::Ended)));
             }
             Step::Drain if self.owner.upstream.endpoints.contains_key(&server) => {
                 self.inputs.push(draining(&self.owner, &server));
