--- a/crates/control/src/control/dissemination.rs
+++ b/crates/control/src/control/dissemination.rs
@@ -39,19 +39,18 @@
     }
 
     fn has_link(&self, member: &Member) -> bool {
-        self.overlay.links().any(|(linked, ..)| linked == member)
+        self.overlay.links().any(|link| link.member == member)
     }
 
     /// Routers with a link of the overlay, and those that it dials.
     pub fn wanted(&self) -> impl Iterator<Item = RouterId> + '_ {
-        let linked = self.overlay.links().map(|(member, ..)| member.router.clone());
+        let linked = self.overlay.links().map(|link| link.member.router.clone());
         linked.chain(self.pending_dials.iter().cloned())
     }
 
     /// Whether a router is one of [`Self::wanted`].
     pub fn wants(&self, router: &RouterId) -> bool {
-        self.pending_dials.contains(router)
-            || self.overlay.links().any(|(member, ..)| member.router == *router)
+        self.pending_dials.contains(router) || self.overlay.links().any(|link| link.member.router == *router)
     }
 
     /// Ends a pending dial; false if there was none.
--- a/crates/overlay/examples/figures.rs
+++ b/crates/overlay/examples/figures.rs
@@ -101,7 +101,7 @@
         sum(|c| c.differed), sum(|c| c.vectors), sum(|c| c.eager_refused), sum(|c| c.full_here), sum(|c| c.waited[0]), sum(|c| c.crossed));
     let most = net.nodes.iter().flatten().map(|o| o.state_sizes().word_bytes).max();
     let without =
-        net.nodes.iter().flatten().filter(|o| !o.links().any(|(_, above, push)| above && push)).count();
+        net.nodes.iter().flatten().filter(|o| !o.links().any(|link| link.is_parent && link.pushes)).count();
     println!("without words at once from above {without}");
     println!("most links {}, most bytes of words {most:?}, simulated", net.most_links);
 }
--- a/crates/overlay/src/counters.rs
+++ b/crates/overlay/src/counters.rs
@@ -1,102 +1,102 @@
-//! What is counted, by cause.
+//! Counters of an overlay.
 
-/// Counters of one router's overlay since its start; each only grows.
+/// Counters of one router's overlay since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Words that were said here.
+    /// Updates published here.
     pub said: u64,
-    /// Of those, words that another was to say and did not: a control machine that does not answer.
+    /// Of those, updates that another control machine was to publish and did not.
     pub said_for_others: u64,
-    /// Of those, words that came up from below, or from another control machine.
+    /// Of those, updates that a child or another control machine escalated.
     pub said_for_below: u64,
-    /// Words that the router above was asked about.
+    /// Updates queried at the parent.
     pub asked: u64,
-    /// Of those, asked about once more, by the whole hash.
+    /// Of those, updates queried again, by the full hash.
     pub asked_again: u64,
-    /// Words given to the router above, which did not know them.
+    /// Updates escalated to the parent.
     pub given: u64,
-    /// Words that one below asked about and that were not known here.
+    /// Updates that a child queried and that were not known here.
     pub unknown: u64,
-    /// Words from below that found no room; they are asked about once more.
+    /// Escalated updates rejected without capacity; children escalate them again.
     pub below_full: u64,
-    /// Words known here that another said in time, or that the router above has.
+    /// Pending updates that another router published in time, or that the parent knows.
     pub spared: u64,
-    /// Words said at once since no more may be held back.
+    /// Updates published at once because no more may be pending.
     pub unheld: u64,
-    /// Words told as new.
+    /// Updates delivered.
     pub told: u64,
-    /// Words that came under another number before; not told again.
+    /// Updates that arrived under another number before; not delivered again.
     pub same: u64,
-    /// Words that came with the number they had come with before.
+    /// Updates that arrived under the same number before.
     pub again: u64,
-    /// Words that came, of any of these.
+    /// Updates received, of any of these.
     pub got: u64,
-    /// Words that came from another region.
+    /// Updates received from another region.
     pub crossed: u64,
-    /// Words sent.
+    /// Updates sent.
     pub sent: u64,
-    /// Frames and their bytes with what they cost on the wire, sent and got.
+    /// Frames sent.
     pub frames_sent: u64,
-    /// See `frames_sent`.
+    /// Frames received.
     pub frames_got: u64,
-    /// See `frames_sent`.
+    /// Bytes sent, with the overhead of frames.
     pub bytes_sent: u64,
-    /// See `frames_sent`.
+    /// Bytes received, with the overhead of frames.
     pub bytes_got: u64,
-    /// Words that came before those between.
+    /// Updates that arrived before earlier ones.
     pub gaps: u64,
-    /// Spans asked for.
+    /// Fetches sent.
     pub fetches: u64,
-    /// Of those, asked for again elsewhere.
+    /// Of those, fetches repeated at another neighbor.
     pub fetched_again: u64,
-    /// Spans that were to be given and are not kept any more, or have settled.
+    /// Fetched spans that have expired or converged here.
     pub gone: u64,
-    /// Spans that had settled before this router started: neither had nor reported.
+    /// Spans that had converged before this router started: neither received nor reported as a gap.
     pub settled: u64,
-    /// Spans that nobody has, or that have settled, reported as missed.
+    /// Spans reported as a gap.
     pub missed: u64,
-    /// Times that words of a kind waited for the budget: purges, tables, evidence, filling.
+    /// Ticks in which updates of a kind waited for the budget, by kind.
     pub waited: [u64; 4],
-    /// Words that went early since memory was full.
+    /// Updates dropped before the end of the retention.
     pub log_full: u64,
-    /// Streams not taken: as many as may be are known.
+    /// Streams not accepted without capacity.
     pub streams_full: u64,
-    /// Spans not fetched yet: as many as may be are.
+    /// Repairs not started without capacity.
     pub missing_full: u64,
-    /// Requests for words, or questions about them, dropped, since the asker has as many waiting as may be.
+    /// Fetch requests and queries of neighbors dropped without capacity.
     pub asked_full: u64,
-    /// Streams forgotten, as nothing was said in them for long.
+    /// Streams forgotten after a long time without an update.
     pub forgotten: u64,
     /// Dials.
     pub dials: u64,
-    /// Dials refused or failed, or not up in time.
+    /// Dials that failed or timed out.
     pub dials_failed: u64,
-    /// Links that we dialled and were told that there is no room.
+    /// Links that the neighbor rejected without capacity.
     pub full_there: u64,
-    /// Links refused here, since there is no room.
+    /// Links rejected here without capacity.
     pub full_here: u64,
-    /// Links refused here: not listed, or this router itself.
+    /// Links closed here because the neighbor is not listed, or is this router.
     pub not_listed: u64,
-    /// Links closed as nothing came.
+    /// Links closed because they were silent.
     pub silent: u64,
-    /// Links closed since better ones stand.
+    /// Links closed because better ones are established.
     pub spare: u64,
     /// Links lost.
     pub lost: u64,
-    /// Requests for words at once that were refused here.
+    /// Push requests rejected here.
     pub eager_refused: u64,
-    /// Changes of the link by which words come at once.
+    /// Changes of the primary parent.
     pub primary_changes: u64,
-    /// Of those, since it stayed behind.
+    /// Of those, changes because it lagged.
     pub grafts: u64,
     /// Digests that differed.
     pub differed: u64,
-    /// Exchanges of vectors begun.
+    /// Comparisons of buckets begun.
     pub vectors: u64,
-    /// Frames that could not be read; the link is closed.
+    /// Malformed frames; the link is closed.
     pub garbled: u64,
-    /// Events about a router with which there is no such link.
+    /// Events about a router without such a link.
     pub stray: u64,
-    /// Words of our own that were too long to say.
+    /// Updates too long to be published.
     pub too_long: u64,
 }
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -1,51 +1,62 @@
-//! Which routers of a fleet link with which, and how words for all of them reach each once. Decided without I/O or clock.
+//! Dissemination overlay of the fleet: which routers are linked, and how an update reaches each router once. Decided without I/O and clock.
 //!
-//! Links follow from an agreed [`List`]: a router dials two routers above it, control machines on top, a few relays in each region, tiers of
-//! the region's routers below. Words go down and up the first of the two links at once, in batches; of the second a router only hears what is
-//! new, and fetches there what doesn't come by the first. Short digests between neighbours find all else.
+//! Links follow from an agreed [`RouterList`]: a router dials two parents. Control machines are on top, a few relays of each region below
+//! them, and tiers of the region's routers below the relays. The primary parent pushes updates in batches; other links announce them, and the
+//! router fetches what the primary parent does not send in time. Digests between neighbors find everything else.
 //!
-//! - [`Overlay`]: the decisions; [`Event`] in, [`Action`] out; it wants to be woken at [`Overlay::due`];
-//! - [`List`], [`choices`]: who links to whom;
-//! - [`Settings`]: times and bounds, with units; [`Counters`]: all that was refused, dropped, late, by cause.
+//! [`Overlay::handle`] takes the time and an [`Event`], and returns [`Action`]s; [`Overlay::next_timer`] says when
+//! [`Event::TimersDue`] is due.
 //!
-//! Nothing is agreed on here and nothing that must be safe may rest on it: a word comes to all who live and hang together, or the router that
-//! missed one is told so ([`Action::Missed`]). `docs/overlay.md` has the reasons, what is promised and what is not.
+//! | module | decides |
+//! | --- | --- |
+//! | `router_list`, `topology` | places of the listed routers; which routers a router dials |
+//! | `link_selection`, `candidates` | dials, closed links, the primary parent |
+//! | `publication`, `escalation` | which router publishes an update that several know; how it gets there |
+//! | `deduplication` | which updates are new |
+//! | `forwarding`, `rate_limit` | what goes into the next frames; the budget |
+//! | `repair`, `anti_entropy` | fetching missing updates; comparison of digests, and the lag of a router |
+//! | `update_log`, `frame`, `link` | known updates; the wire format; the state of one link |
+//!
+//! Delivery is best effort: an update reaches all running routers that are connected, or a router that misses it reports
+//! [`Action::GapDetected`]. `docs/overlay.md` has the guarantees and their reasons.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod ask;
-mod broken;
+mod anti_entropy;
 #[cfg(test)]
 mod byte_tests;
-mod compare;
+mod candidates;
 mod counters;
-mod fetch;
-mod flow;
+mod deduplication;
+mod escalation;
+mod forwarding;
+mod frame;
+mod injected_bug;
 mod link;
-mod list;
+mod link_selection;
 mod overlay;
-mod pace;
-mod place;
+mod publication;
+mod rate_limit;
+mod repair;
+mod router_list;
 mod settings;
-mod standing;
-mod streams;
-mod told;
-mod wire;
+mod topology;
+mod update_log;
 
-#[cfg(feature = "broken")]
-pub use broken::InjectedBug;
-pub use compare::{Behind, StateSizes};
+pub use anti_entropy::{Behind, StateSizes};
 pub use counters::Counters;
-pub use list::{RouterEntry, RouterList, Shape};
-pub use overlay::Overlay;
-pub use place::{choices, Choice};
+#[cfg(feature = "broken")]
+pub use injected_bug::InjectedBug;
+pub use overlay::{LinkStatus, Overlay};
+pub use router_list::{RouterEntry, RouterList, Shape};
 pub use settings::{Settings, CATCH_UP_MS};
+pub use topology::{choices, Choice};
 
 use basaltgw_types::{Member, RouterId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What words are about; those of each kind come in the order in which their router said them, and the kinds go in this order.
+/// Kind of an update, in the order of priority. The updates of one kind and router arrive in the order of their publication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// Purges.
@@ -54,100 +65,99 @@
     Table,
     /// Evidence.
     Evidence,
-    /// All else, when there is room.
+    /// Everything else, as far as the budget allows.
     Background,
 }
 
 impl Kind {
-    /// All, the first first.
+    /// All kinds in the order of priority.
     pub const ALL: [Kind; 4] = [Kind::Purge, Kind::Table, Kind::Evidence, Kind::Background];
 }
 
-/// Who dialled.
+/// End of a link that dialed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
     /// This router.
     Local,
-    /// The other.
+    /// The neighbor.
     Remote,
 }
 
-/// Who said a word: one life of a router.
+/// Publisher of an update: one incarnation of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Origin {
-    /// The short form of its name; see [`Overlay::named`].
+    /// Short form of its name; see [`Overlay::router_name`].
     pub router: u32,
-    /// Drawn at its start.
+    /// Random number of the incarnation.
     pub incarnation: u32,
 }
 
-/// What the overlay is told.
+/// Input of [`Overlay::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The agreed list has changed.
     RouterListChanged(Arc<RouterList>),
-    /// A link is up.
+    /// A link is established.
     LinkUp(Member, Side),
-    /// A link is gone.
+    /// A link is closed.
     LinkDown(Member),
-    /// A dial came to nothing.
+    /// A dial failed.
     DialFailed(RouterId),
-    /// A frame came.
+    /// A frame arrived.
     FrameReceived(Member, Vec<u8>),
-    /// A word for all. Words of one kind with the same bytes are one word for as long as words are kept: whoever means another puts its
-    /// number in.
+    /// Publish an update. During the retention, updates of one kind with equal bytes are the same update: a publisher that means another one
+    /// includes a number.
     Publish(Kind, Vec<u8>),
-    /// A word that is known here by another way, and likely at the other routers too: the router above is asked whether it knows it, and it
-    /// is said by whoever has nobody above.
+    /// An update that this router knows without the overlay, as others probably do: one of them publishes it.
     AlreadyKnown(Kind, Vec<u8>),
-    /// The time of [`Overlay::due`] has come.
+    /// The time of [`Overlay::next_timer`] has come.
     TimersDue,
 }
 
-/// What it wants done.
+/// Output of [`Overlay::handle`], to be executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Dial a router; [`Event::Up`] or [`Event::Refused`] follows.
+    /// Dial a router; [`Event::LinkUp`] or [`Event::DialFailed`] follows.
     Dial(RouterId),
-    /// Close a link, once what was sent on it has gone; no [`Event::Down`] need follow.
+    /// Close a link after its sent frames; [`Event::LinkDown`] need not follow.
     Close(Member),
-    /// Send a frame; its most urgent kind is named.
+    /// Send a frame with this highest priority.
     Send(Member, Kind, Vec<u8>),
-    /// A word that was not known here, and who said it; this router itself if it came up from one below.
+    /// A new update with its publisher: this router itself for one that a child escalated.
     Deliver(Kind, Vec<u8>, Origin),
-    /// Words that nobody has any more, or that have settled while this router did not hear: copies made before must be held to be stale.
+    /// Updates that no neighbor has any more, or that have converged while this router was not connected.
     GapDetected {
-        /// Whose.
+        /// Publisher.
         origin: Origin,
-        /// Of which kind.
+        /// Kind of the updates.
         kind: Kind,
-        /// The first.
+        /// First missed number.
         from: u64,
-        /// The last.
+        /// Last missed number.
         to: u64,
     },
-    /// A line for the operators.
+    /// Line for the log.
     Log(String),
 }
 
-/// Why something was refused; nothing changed.
+/// Error of an overlay. The state is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverlayError {
-    /// A setting that can't be.
+    /// A setting is out of its bounds: its name, and the expected values.
     #[error("overlay.{0}: expected {1}")]
     Setting(&'static str, &'static str),
     /// A router is listed twice.
     #[error("list: {0} is listed twice")]
-    Twice(RouterId),
-    /// A frame can't be read.
-    #[error("a frame of an overlay: {0}")]
-    Garbled(String),
-    /// A frame is longer than any overlay writes.
-    #[error("a frame of an overlay: expected at most {most} bytes, found {found}")]
+    DuplicateRouter(RouterId),
+    /// A frame is malformed.
+    #[error("overlay frame: {0}")]
+    MalformedFrame(String),
+    /// A frame is too long.
+    #[error("overlay frame: expected at most {most} bytes, found {found}")]
     TooLong {
-        /// The bound.
+        /// Largest accepted size in bytes.
         most: usize,
-        /// Its bytes.
+        /// Size of the frame in bytes.
         found: usize,
     },
 }
--- a/crates/overlay/src/link.rs
+++ b/crates/overlay/src/link.rs
@@ -1,176 +1,188 @@
-//! One link, and what is known of the other end.
+//! State of one link, and what is known about the neighbor at its other end.
 
-use crate::streams::StreamId;
-use crate::wire::{Names, Part, MOST_HASHES};
+use crate::frame::{Part, StreamNames, MAX_HASHES};
+use crate::update_log::StreamId;
 use basaltgw_types::{Member, Ms};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What the other end is to this one.
+/// Role of the neighbor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// Above: this router dialled it.
+    /// This router dialed the neighbor.
     Parent,
-    /// Below: it dialled.
+    /// The neighbor dialed this router.
     Child,
     /// Both are control machines.
     Peer,
 }
 
-/// Where the other end stands.
+/// Level of a router in the dissemination tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stand {
+pub(crate) enum Level {
     Control,
     Relay,
+    /// A tier below the relays of a region.
     Tier,
 }
 
-/// Words that the other end has asked for.
+/// Updates that the neighbor has requested.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct FetchRequest {
     pub stream: StreamId,
     pub from: u64,
     pub to: u64,
-    pub filling: bool,
+    pub is_backfill: bool,
 }
 
-/// What the other end had at a time; once all of it is had here too, this router was as far as that.
+/// State of the neighbor at a time. Once all of its updates are known here, this router was as far as the neighbor at that time.
 #[derive(Clone, Debug)]
-pub(crate) struct Target {
+pub(crate) struct SyncTarget {
     pub at: Ms,
+    /// Milliseconds since the neighbor itself had caught up.
     pub age: Option<Ms>,
-    pub hot: Vec<(StreamId, u64)>,
+    pub recent: Vec<(StreamId, u64)>,
+}
+
+/// When this router was last as far as the neighbor.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Synced {
+    pub at: Ms,
+    /// Milliseconds since the neighbor itself had caught up.
+    pub age: Option<Ms>,
+}
+
+/// Queries of the neighbor that the next frame answers.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct QueryAnswers {
+    unknown: Vec<[u8; 4]>,
+    known: Vec<[u8; 8]>,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Link {
     pub member: Member,
     pub role: Role,
-    pub stand: Stand,
-    /// Whether the other end is in another region, or a control machine.
-    pub outside: bool,
-    pub up_at: Ms,
-    pub heard: Ms,
-    /// Whether words go there at once.
-    pub push: bool,
-    /// Until when it isn't asked for words at once.
-    pub not_eager_until: Ms,
-    /// Up to which number the other end has a stream, or has been sent it.
-    pub knows: BTreeMap<StreamId, u64>,
-    /// Streams with words that are to go there, or to be named there.
+    pub level: Level,
+    /// Whether the neighbor is in another region, or a control machine.
+    pub is_outside: bool,
+    pub established_at: Ms,
+    pub last_received_at: Ms,
+    /// Whether updates are pushed on the link.
+    pub pushes: bool,
+    /// Until when no push is requested from the neighbor.
+    pub push_rejected_until: Ms,
+    /// Last number of each stream that the neighbor has, or was sent.
+    pub neighbor_last: BTreeMap<StreamId, u64>,
+    /// Streams with updates to push or announce.
     pub dirty: BTreeSet<StreamId>,
-    /// What goes with the next frame.
+    /// Parts of the next frame.
     pub parts: Vec<Part>,
-    pub asked: VecDeque<Asked>,
-    /// How streams are called on it.
-    pub names: Names,
-    /// By which it knows words that it is asked about.
-    pub key: Option<u64>,
-    /// Words that it asked about and that are not known here, or had; to be answered with the next frame.
-    pub unknown: Vec<[u8; 4]>,
-    /// See `unknown`.
-    pub known: Vec<[u8; 8]>,
-    /// When words may go, between peers.
-    pub words_at: Ms,
-    pub news_at: Ms,
-    pub digest_at: Ms,
-    /// Digests in a row that differed.
-    pub differ: u8,
-    pub target: Option<Target>,
-    /// When this router was last as far as the other end, and how old that was.
-    pub compared: Option<(Ms, Option<Ms>)>,
+    pub fetch_requests: VecDeque<FetchRequest>,
+    pub names: StreamNames,
+    /// The neighbor's key for the hashes of queried updates.
+    pub hash_key: Option<u64>,
+    pub answers: QueryAnswers,
+    /// Earliest next push to a peer.
+    pub next_push_at: Ms,
+    pub next_announcement_at: Ms,
+    pub next_digest_at: Ms,
+    /// Consecutive digests that differed.
+    pub differing_digests: u8,
+    pub sync_target: Option<SyncTarget>,
+    pub synced: Option<Synced>,
 }
 
-/// Spans that one end may have asked for, and parts that wait for a frame.
-const MOST_WAITING: usize = 128;
+/// Largest number of spans that a neighbor may have requested, and of parts that wait for a frame.
+const MAX_WAITING: usize = 128;
 
 impl Link {
-    pub fn new(now: Ms, member: Member, role: Role, stand: Stand, outside: bool) -> Self {
+    pub fn new(now: Ms, member: Member, role: Role, level: Level, is_outside: bool) -> Self {
         Self {
             member,
             role,
-            stand,
-            outside,
-            up_at: now,
-            heard: now,
-            push: role == Role::Peer,
-            not_eager_until: 0.0,
-            knows: BTreeMap::new(),
+            level,
+            is_outside,
+            established_at: now,
+            last_received_at: now,
+            pushes: role == Role::Peer,
+            push_rejected_until: 0.0,
+            neighbor_last: BTreeMap::new(),
             dirty: BTreeSet::new(),
             parts: Vec::new(),
-            asked: VecDeque::new(),
-            names: Names::default(),
-            key: None,
-            unknown: Vec::new(),
-            known: Vec::new(),
-            words_at: now,
-            news_at: now,
-            digest_at: now,
-            differ: 0,
-            target: None,
-            compared: None,
+            fetch_requests: VecDeque::new(),
+            names: StreamNames::default(),
+            hash_key: None,
+            answers: QueryAnswers::default(),
+            next_push_at: now,
+            next_announcement_at: now,
+            next_digest_at: now,
+            differing_digests: 0,
+            sync_target: None,
+            synced: None,
         }
     }
 
-    /// Puts a part into the next frame; a newer one of its kind takes the place of the older, where one says all. False if there is no room.
-    pub fn say(&mut self, part: Part) -> bool {
-        let single = match &part {
-            Part::News(_)
-            | Part::Digest(_)
-            | Part::Buckets { .. }
-            | Part::Vector(_)
-            | Part::Want { .. }
-            | Part::NotEager
-            | Part::Key(_)
-            | Part::Full => true,
-            Part::Words { .. }
-            | Part::Fetch { .. }
-            | Part::Gone { .. }
-            | Part::Ask(_)
-            | Part::AskWhole(_)
-            | Part::Unknown(_)
-            | Part::Known(_)
-            | Part::Hear { .. } => false,
+    /// Adds a part to the next frame; false without capacity. Of the kinds of which one says all, a new part replaces the earlier one.
+    pub fn enqueue(&mut self, part: Part) -> bool {
+        let replaces_earlier = match &part {
+            Part::Announcement(_) | Part::Digest(_) | Part::Buckets { .. } | Part::Vector(_) => true,
+            Part::PushRequest { .. } | Part::PushRejected | Part::HashKey(_) | Part::LinkRejected => true,
+            Part::Updates { .. } | Part::Fetch { .. } | Part::Unavailable { .. } => false,
+            Part::Query(_) | Part::FullQuery(_) | Part::Unknown(_) | Part::Known(_) => false,
+            Part::Escalation { .. } => false,
         };
-        if single {
+        if replaces_earlier {
             self.parts.retain(|p| std::mem::discriminant(p) != std::mem::discriminant(&part));
         }
-        let room = self.parts.len() < MOST_WAITING;
-        if room {
+        let has_capacity = self.parts.len() < MAX_WAITING;
+        if has_capacity {
             self.parts.push(part);
         }
-        room
+        has_capacity
     }
 
-    /// Puts the answers to what the other end asked into the next frame.
-    pub fn answer(&mut self) {
-        let (unknown, known) = (std::mem::take(&mut self.unknown), std::mem::take(&mut self.known));
+    /// Moves the answers to queries into the next frame.
+    pub fn enqueue_answers(&mut self) {
+        let QueryAnswers { unknown, known } = std::mem::take(&mut self.answers);
         if !unknown.is_empty() {
-            self.say(Part::Unknown(unknown));
+            self.enqueue(Part::Unknown(unknown));
         }
         if !known.is_empty() {
-            self.say(Part::Known(known));
+            self.enqueue(Part::Known(known));
         }
     }
 
-    /// Notes that the other end asks for words; false if it has as many spans waiting as may be.
-    pub fn ask(&mut self, asked: Asked) -> bool {
-        self.asked.retain(|a| a.stream != asked.stream);
-        let room = self.asked.len() < MOST_WAITING;
-        if room {
-            self.asked.push_back(asked);
+    /// Adds a request, which replaces an earlier one for the same stream; false without capacity.
+    pub fn add_fetch_request(&mut self, request: FetchRequest) -> bool {
+        self.fetch_requests.retain(|earlier| earlier.stream != request.stream);
+        let has_capacity = self.fetch_requests.len() < MAX_WAITING;
+        if has_capacity {
+            self.fetch_requests.push_back(request);
         }
-        room
+        has_capacity
+    }
+
+    /// The neighbor has a stream up to this number, or was sent it.
+    pub fn observe_last(&mut self, stream: StreamId, last: u64) {
+        let neighbor_last = self.neighbor_last.entry(stream).or_insert(last);
+        *neighbor_last = last.max(*neighbor_last);
+    }
+}
+
+impl QueryAnswers {
+    /// Adds unknown updates; false without capacity for all. The neighbor queries the others again.
+    pub fn add_unknown(&mut self, hashes: &[[u8; 4]]) -> bool {
+        extend(&mut self.unknown, hashes)
     }
 
-    pub fn has(&mut self, stream: StreamId, upto: u64) {
-        let knows = self.knows.entry(stream).or_insert(upto);
-        *knows = upto.max(*knows);
+    /// Adds known updates; false without capacity for all. The neighbor queries the others again.
+    pub fn add_known(&mut self, hashes: &[[u8; 8]]) -> bool {
+        extend(&mut self.known, hashes)
     }
 }
 
-/// Adds as many hashes as one part may have; false if that is not all, and the rest is asked about again.
-pub(crate) fn extend<T: Copy>(all: &mut Vec<T>, more: &[T]) -> bool {
-    let room = MOST_HASHES.saturating_sub(all.len());
-    all.extend(more.iter().take(room));
-    more.len() <= room
+fn extend<T: Copy>(hashes: &mut Vec<T>, more: &[T]) -> bool {
+    let capacity = MAX_HASHES.saturating_sub(hashes.len());
+    hashes.extend(more.iter().take(capacity));
+    more.len() <= capacity
 }
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -1,291 +1,308 @@
-//! One router's overlay: its state, and what each event changes.
+//! [`Overlay`]: the state of one router's overlay, and the dispatch of events and frames.
 
-use crate::broken::Faults;
+use crate::candidates::Group;
+use crate::deduplication::Deduplication;
+use crate::frame::{unpack_all, Part, Vector};
 #[cfg(feature = "broken")]
-use crate::broken::InjectedBug;
-use crate::fetch::Missing;
-use crate::link::{Asked, Link, Role, Stand};
-use crate::list::RouterList;
-use crate::pace::Pace;
-use crate::standing::Group;
-use crate::streams::{StreamId, Streams};
-use crate::told::Told;
-use crate::wire::{unpack, Packed, Part, Vector};
+use crate::injected_bug::InjectedBug;
+use crate::injected_bug::InjectedBugs;
+use crate::link::{FetchRequest, Level, Link, Role};
+use crate::rate_limit::RateLimit;
+use crate::repair::Repairs;
+use crate::router_list::RouterList;
+use crate::update_log::{StreamId, UpdateLog};
 use crate::{Action, Counters, Event, Kind, Origin, OverlayError, Settings};
 use basaltgw_structures::hash::{mix, unit};
 use basaltgw_types::{Member, Ms, RouterId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A timer may be early by so much, ms.
-const NEAR_MS: Ms = 1.0;
+/// A timer may fire this early, because callers' timers round.
+const TIMER_TOLERANCE_MS: Ms = 1.0;
+
+/// Parent to which updates are escalated.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct EscalationParent {
+    pub router: RouterId,
+    pub established_at: Ms,
+}
 
 /// The overlay of one router.
 #[derive(Clone, Debug)]
 pub struct Overlay {
     pub(crate) me: RouterId,
-    pub(crate) life: u32,
+    pub(crate) incarnation: u32,
     seed: u64,
     pub(crate) settings: Settings,
-    pub(crate) faults: Faults,
+    pub(crate) bugs: InjectedBugs,
     pub(crate) list: Option<Arc<RouterList>>,
     pub(crate) groups: Vec<Group>,
     pub(crate) links: BTreeMap<RouterId, Link>,
+    /// Parent that pushes updates to this router.
     pub(crate) primary: Option<RouterId>,
-    /// Times that the primary link stayed behind, since it last brought something.
-    pub(crate) strikes: u32,
-    pub(crate) streams: Streams,
-    pub(crate) told: Told,
-    /// When somebody above was last heard of, or the first look.
-    pub(crate) above_at: Ms,
-    /// Who is asked about words that are held, and since when that link is up.
-    pub(crate) asks: Option<(RouterId, Ms)>,
-    pub(crate) missing: Missing,
-    pub(crate) pace: Pace,
+    /// How often the primary parent lagged since it last sent a new update.
+    pub(crate) primary_lags: u32,
+    pub(crate) log: UpdateLog,
+    pub(crate) deduplication: Deduplication,
+    /// When a parent last sent anything; the time of the first tick before that.
+    pub(crate) parent_received_at: Ms,
+    pub(crate) escalation_parent: Option<EscalationParent>,
+    pub(crate) repairs: Repairs,
+    pub(crate) rate_limit: RateLimit,
     pub(crate) counters: Counters,
-    /// The first time that it was told of.
-    pub(crate) started: Option<Ms>,
-    /// Set once two neighbours were compared with.
-    pub(crate) settled: bool,
-    pub(crate) turn: usize,
-    pub(crate) next: Ms,
+    /// Time of the first event.
+    pub(crate) started_at: Option<Ms>,
+    /// Set once two neighbors were compared with.
+    pub(crate) has_compared: bool,
+    pub(crate) tick_count: usize,
+    pub(crate) next_tick_at: Ms,
+}
+
+/// State of a link for observers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LinkStatus<'a> {
+    /// The neighbor.
+    pub member: &'a Member,
+    /// Whether the neighbor is a parent.
+    pub is_parent: bool,
+    /// Whether updates are pushed on the link.
+    pub pushes: bool,
 }
 
 impl Overlay {
-    /// The overlay of a router that starts; `drawn` is a random number, another one at each start.
+    /// The overlay of a router that starts. `seed` is a random number, different at each start.
     ///
     /// # Errors
-    /// If a setting can't be.
-    pub fn new(me: RouterId, settings: Settings, drawn: u64) -> Result<Self, OverlayError> {
-        settings.fault()?;
-        let pace = Pace::new(settings.budget_bytes_per_s, settings.burst_bytes);
+    /// If a setting is out of its bounds.
+    pub fn new(me: RouterId, settings: Settings, seed: u64) -> Result<Self, OverlayError> {
+        settings.check()?;
+        let rate_limit = RateLimit::new(settings.budget_bytes_per_s, settings.burst_bytes);
         Ok(Self {
-            life: mix(drawn, 1) as u32,
-            seed: mix(drawn, 2),
-            told: Told::new(mix(drawn, 3)),
+            incarnation: mix(seed, 1) as u32,
+            seed: mix(seed, 2),
+            deduplication: Deduplication::new(mix(seed, 3)),
             me,
             settings,
-            faults: Faults::default(),
+            bugs: InjectedBugs::default(),
             list: None,
             groups: Vec::new(),
             links: BTreeMap::new(),
             primary: None,
-            strikes: 0,
-            above_at: 0.0,
-            asks: None,
-            streams: Streams::new(),
-            missing: Missing::default(),
-            pace,
+            primary_lags: 0,
+            parent_received_at: 0.0,
+            escalation_parent: None,
+            log: UpdateLog::new(),
+            repairs: Repairs::default(),
+            rate_limit,
             counters: Counters::default(),
-            started: None,
-            settled: false,
-            turn: 0,
-            next: 0.0,
+            started_at: None,
+            has_compared: false,
+            tick_count: 0,
+            next_tick_at: 0.0,
         })
     }
 
-    /// Breaks it, for checks that must find that.
+    /// Injects a bug, for checks that must detect it.
     #[cfg(feature = "broken")]
     #[must_use]
-    pub fn broken(mut self, broken: InjectedBug) -> Self {
-        self.faults.broken = Some(broken);
-        self.streams.skips_odd = broken == InjectedBug::DigestSkips;
+    pub fn with_injected_bug(mut self, bug: InjectedBug) -> Self {
+        self.bugs.injected = Some(bug);
+        self.log.omits_odd = bug == InjectedBug::DigestOmitsStreams;
         self
     }
 
-    /// Between 0 and 1.
-    pub(crate) fn draw(&mut self) -> f64 {
+    /// A random number between 0 and 1.
+    pub(crate) fn random(&mut self) -> f64 {
         self.seed = mix(self.seed, 0x6f76);
         unit(self.seed)
     }
 
-    /// When it wants [`Event::Due`].
+    /// When [`Event::TimersDue`] is next due.
     pub fn next_timer(&self) -> Ms {
-        self.next
+        self.next_tick_at
     }
 
-    /// What was counted.
+    /// Counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// The routers with which links are up, whether they are above, and whether words go there at once.
-    pub fn links(&self) -> impl Iterator<Item = (&Member, bool, bool)> {
-        self.links.values().map(|l| (&l.member, l.role == Role::Parent, l.push))
+    /// Established links in the order of the neighbors' names.
+    pub fn links(&self) -> impl Iterator<Item = LinkStatus<'_>> {
+        self.links.values().map(|link| LinkStatus {
+            member: &link.member,
+            is_parent: link.role == Role::Parent,
+            pushes: link.pushes,
+        })
     }
 
-    /// Whose words those are, if it is listed.
+    /// Name of the router of an origin, if it is listed.
     pub fn router_name(&self, origin: Origin) -> Option<&RouterId> {
-        self.list.as_ref().and_then(|list| list.called(origin.router))
+        self.list.as_ref().and_then(|list| list.by_short_name(origin.router))
     }
 
-    /// Takes an event; what is to be done is added to `out`.
-    pub fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) {
-        self.started.get_or_insert(now);
+    /// Handles an event and appends the resulting actions.
+    pub fn handle(&mut self, now: Ms, event: Event, actions: &mut Vec<Action>) {
+        self.started_at.get_or_insert(now);
         match event {
-            Event::RouterListChanged(list) => self.set_list(now, list, out),
-            Event::LinkUp(member, side) => self.up(now, member, side, out),
-            Event::LinkDown(member) => self.down(now, &member, out),
-            Event::DialFailed(router) => self.refused(now, &router, out),
-            Event::FrameReceived(member, bytes) => self.got(now, &member, &bytes, out),
-            Event::Publish(kind, word) => self.say_new(now, kind, word, out),
-            Event::AlreadyKnown(kind, word) => self.hear(now, kind, word, out),
+            Event::RouterListChanged(list) => self.set_list(now, list, actions),
+            Event::LinkUp(member, side) => self.on_link_up(now, member, side, actions),
+            Event::LinkDown(member) => self.on_link_down(now, &member, actions),
+            Event::DialFailed(router) => self.on_dial_failed(now, &router, actions),
+            Event::FrameReceived(member, bytes) => self.on_frame(now, &member, &bytes, actions),
+            Event::Publish(kind, update) => self.publish_new(now, kind, update, actions),
+            Event::AlreadyKnown(kind, update) => self.on_already_known(now, kind, update, actions),
             Event::TimersDue => {
-                // Callers' timers round.
-                if now + NEAR_MS >= self.next {
-                    self.tick(now, out);
+                if now + TIMER_TOLERANCE_MS >= self.next_tick_at {
+                    self.tick(now, actions);
                 }
             }
         }
     }
 
-    fn got(&mut self, now: Ms, from: &Member, bytes: &[u8], out: &mut Vec<Action>) {
-        let Some(link) = self.links.get_mut(&from.router).filter(|l| l.member == *from) else {
+    fn on_frame(&mut self, now: Ms, from: &Member, bytes: &[u8], actions: &mut Vec<Action>) {
+        let Some(link) = self.links.get_mut(&from.router).filter(|link| link.member == *from) else {
             self.counters.stray += 1;
             return;
         };
-        link.heard = now;
+        link.last_received_at = now;
         let cost = bytes.len() + self.settings.frame_bytes;
         self.counters.frames_got += 1;
         self.counters.bytes_got += cost as u64;
-        self.pace.refill(now);
-        self.pace.take(cost);
-        let read = link.names.read(bytes, self.settings.most_frame);
-        let done = read.and_then(|parts| parts.into_iter().try_for_each(|p| self.part(now, from, p, out)));
-        if let Err(bad) = done {
+        self.rate_limit.refill(now);
+        self.rate_limit.consume(cost);
+        let parts = link.names.decode(bytes, self.settings.most_frame);
+        let result =
+            parts.and_then(|parts| parts.into_iter().try_for_each(|p| self.on_part(now, from, p, actions)));
+        if let Err(error) = result {
             self.counters.garbled += 1;
-            out.push(Action::Log(format!("{from}: {bad}")));
-            self.close(now, &from.router, out);
-            self.upkeep(now, out);
+            actions.push(Action::Log(format!("frame of {from}: {error}")));
+            self.close(now, &from.router, actions);
+            self.select_links(now, actions);
         }
     }
 
-    fn part(
+    fn on_part(
         &mut self,
         now: Ms,
         from: &Member,
         part: Part,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Result<(), OverlayError> {
         let router = &from.router;
-        // A part before may have ended the link.
-        let Some(link) = self.links.get_mut(router).filter(|l| l.member == *from) else {
+        // An earlier part may have closed the link.
+        let Some(link) = self.links.get_mut(router).filter(|link| link.member == *from) else {
             return Ok(());
         };
         match part {
-            Part::Words { stream, first, words } => {
-                let words = unpack_all(&words, self.settings.most_word)?;
-                self.take(now, router, stream, first, words, out);
+            Part::Updates { stream, first, updates } => {
+                let updates = unpack_all(&updates, self.settings.most_word)?;
+                self.on_updates(now, router, stream, first, updates, actions);
             }
-            Part::News(named) => self.claims(now, router, &named, false),
-            Part::Digest(digest) => self.digest(now, router, digest),
-            Part::Buckets { named, hashes } => self.buckets(now, router, &named, &hashes),
-            Part::Vector(entries) => self.vector(now, router, &entries),
-            Part::Fetch { stream, from, to, filling } => {
-                if !link.ask(Asked { stream, from, to, filling }) {
+            Part::Announcement(named) => self.on_neighbor_streams(now, router, &named, false),
+            Part::Digest(digest) => self.on_digest(now, router, digest),
+            Part::Buckets { named, hashes } => self.on_buckets(now, router, &named, &hashes),
+            Part::Vector(entries) => self.on_vector(now, router, &entries),
+            Part::Fetch { stream, from, to, is_backfill } => {
+                if !link.add_fetch_request(FetchRequest { stream, from, to, is_backfill }) {
                     self.counters.asked_full += 1;
                 }
             }
-            Part::Gone { stream, first, age } => self.gone(now, router, (stream, first), age.into(), out),
-            Part::Want { eager, has } => self.want(now, router, eager, &has),
-            Part::NotEager => {
-                link.not_eager_until = now + self.settings.not_eager_ms;
-                self.upkeep(now, out);
+            Part::Unavailable { stream, first, age } => {
+                self.on_unavailable(now, router, stream, first, age.into(), actions);
             }
-            Part::Full => self.full(now, router, out),
-            Part::Key(key) => link.key = Some(key),
-            Part::Ask(hashes) => self.asked(router, &hashes),
-            Part::AskWhole(hashes) => self.asked_whole(router, &hashes),
-            Part::Unknown(hashes) => self.unknown(now, router, &hashes),
-            Part::Known(hashes) => self.known(router, &hashes),
-            Part::Hear { kind, words } => {
-                let words = unpack_all(&words, self.settings.most_word)?;
-                self.hear_below(now, router, kind, words, out);
+            Part::PushRequest { enabled, known } => self.on_push_request(now, router, enabled, &known),
+            Part::PushRejected => {
+                link.push_rejected_until = now + self.settings.not_eager_ms;
+                self.select_links(now, actions);
+            }
+            Part::LinkRejected => self.on_link_rejected(now, router, actions),
+            Part::HashKey(key) => link.hash_key = Some(key),
+            Part::Query(hashes) => self.on_query(router, &hashes),
+            Part::FullQuery(hashes) => self.on_full_query(router, &hashes),
+            Part::Unknown(hashes) => self.on_unknown(now, router, &hashes),
+            Part::Known(hashes) => self.on_known(router, &hashes),
+            Part::Escalation { kind, updates } => {
+                let updates = unpack_all(&updates, self.settings.most_word)?;
+                self.on_escalation(now, router, kind, updates, actions);
             }
         }
         Ok(())
     }
 
-    /// The other end asks for words at once, or no more so.
-    fn want(&mut self, now: Ms, router: &RouterId, eager: bool, has: &Vector) {
-        let eager_now = |l: &&Link| l.role == Role::Child && l.push && l.member.router != *router;
-        let most = match self.my_stand() {
-            Some(Stand::Control) => self.list.as_ref().map_or(0, |l| l.shape().control_eager),
-            Some(Stand::Relay | Stand::Tier) | None => self.settings.most_eager,
-        };
-        let mut full = self.links.values().filter(eager_now).count() >= most;
-        if eager && full {
-            // Whoever is to get them here by rule takes the place of one that is not.
-            let other = self.links.values().filter(eager_now).map(|l| l.member.router.clone());
-            let other = other.into_iter().find(|r| self.rightful(router) && !self.rightful(r));
-            if let Some(link) = other.and_then(|r| self.links.get_mut(&r)) {
-                link.push = false;
-                link.say(Part::NotEager);
-                full = false;
-            }
-        }
-        let Some(link) = self.links.get_mut(router).filter(|l| l.role == Role::Child) else {
-            return;
-        };
-        link.push = eager && !full;
-        if !eager {
+    /// A child starts or stops the push of updates to it.
+    fn on_push_request(&mut self, now: Ms, router: &RouterId, enabled: bool, known: &Vector) {
+        let is_accepted = enabled && self.accepts_push(router);
+        let Some(link) = self.links.get_mut(router).filter(|link| link.role == Role::Child) else { return };
+        link.pushes = is_accepted;
+        if !enabled {
             return;
         }
-        if full {
+        if !is_accepted {
             self.counters.eager_refused += 1;
-            link.say(Part::NotEager);
+            link.enqueue(Part::PushRejected);
             return;
         }
-        // What it has counts, and not what it was once seen to have.
-        link.knows = has.iter().copied().collect();
-        link.digest_at = now;
-        let behind = has.iter().filter(|(s, upto)| self.streams.upto(*s) > *upto);
-        link.dirty = behind.map(|(s, _)| *s).collect();
-        self.claims(now, router, has, false);
+        // The request supersedes what the child was observed to have.
+        link.neighbor_last = known.iter().copied().collect();
+        link.next_digest_at = now;
+        let behind = known.iter().filter(|(stream, last)| self.log.last(*stream) > *last);
+        link.dirty = behind.map(|(stream, _)| *stream).collect();
+        self.on_neighbor_streams(now, router, known, false);
     }
 
-    /// Whether this is a control machine and the other a relay that control machines send words to at once.
-    pub(crate) fn rightful(&self, router: &RouterId) -> bool {
-        let by_control = |l: &Arc<RouterList>| l.number(router).is_some_and(|number| l.by_control(number));
-        self.my_stand() == Some(Stand::Control) && self.list.as_ref().is_some_and(by_control)
+    /// Whether updates may be pushed to one more child. A designated child displaces one that is not.
+    fn accepts_push(&mut self, router: &RouterId) -> bool {
+        let is_other_push =
+            |link: &&Link| link.role == Role::Child && link.pushes && link.member.router != *router;
+        let max_pushes = match self.own_level() {
+            Some(Level::Control) => self.list.as_ref().map_or(0, |list| list.shape().control_eager),
+            Some(Level::Relay | Level::Tier) | None => self.settings.most_eager,
+        };
+        if self.links.values().filter(is_other_push).count() < max_pushes {
+            return true;
+        }
+        if !self.is_designated_child(router) {
+            return false;
+        }
+        let others = self.links.values().filter(is_other_push).map(|link| &link.member.router);
+        let displaced = others.into_iter().find(|other| !self.is_designated_child(other)).cloned();
+        let Some(link) = displaced.and_then(|other| self.links.get_mut(&other)) else { return false };
+        link.pushes = false;
+        link.enqueue(Part::PushRejected);
+        true
     }
 
-    /// A word of this router's own.
-    pub(crate) fn say_new(&mut self, now: Ms, kind: Kind, word: Vec<u8>, out: &mut Vec<Action>) {
-        if word.len() > self.settings.most_word {
+    /// Whether this is a control machine, and the other router a relay to which control machines push updates.
+    pub(crate) fn is_designated_child(&self, router: &RouterId) -> bool {
+        let is_pushed =
+            |list: &Arc<RouterList>| list.index(router).is_some_and(|index| list.is_pushed_by_control(index));
+        self.own_level() == Some(Level::Control) && self.list.as_ref().is_some_and(is_pushed)
+    }
+
+    /// Publishes an update that no other router knows.
+    pub(crate) fn publish_new(&mut self, now: Ms, kind: Kind, update: Vec<u8>, actions: &mut Vec<Action>) {
+        if update.len() > self.settings.most_word {
             self.counters.too_long += 1;
-            out.push(Action::Log(format!("a word of {} bytes is too long to be said", word.len())));
+            let (found, max) = (update.len(), self.settings.most_word);
+            actions.push(Action::Log(format!("update of {found} bytes exceeds {max} bytes, not published")));
             return;
         }
-        let key = self.told.key(kind, &word);
-        self.told.held.remove(&key);
-        self.told.first(key);
-        self.say(now, kind, &word);
+        let hash = self.deduplication.hash(kind, &update);
+        self.deduplication.pending.remove(&hash);
+        self.deduplication.insert(hash);
+        self.publish(now, kind, &update);
     }
 
-    pub(crate) fn say(&mut self, now: Ms, kind: Kind, word: &[u8]) {
+    pub(crate) fn publish(&mut self, now: Ms, kind: Kind, update: &[u8]) {
         self.counters.said += 1;
-        let stream = StreamId::new(kind, &self.me, self.life);
-        let upto = self.streams.push(now, stream, word);
-        self.changed(stream, upto - 1, upto, None);
+        let stream = self.own_stream(kind);
+        let last = self.log.push(now, stream, update);
+        self.on_stream_advanced(stream, last - 1, last, None);
     }
-}
 
-pub(crate) fn unpack_all(packed: &[Packed], most: usize) -> Result<Vec<Vec<u8>>, OverlayError> {
-    let mut words: Vec<Vec<u8>> = Vec::with_capacity(packed.len());
-    let mut bytes = 0;
-    for one in packed {
-        let before = words.last().map_or(&[][..], Vec::as_slice);
-        let word = unpack(before, one, most)?;
-        bytes += word.len();
-        // A few bytes on the wire must not become many here: more than any sender's frame of plain words.
-        if bytes > MOST_UNPACKED {
-            return Err(OverlayError::Garbled("words that become too many bytes".into()));
-        }
-        words.push(word);
+    /// Stream of this router's own updates.
+    pub(crate) fn own_stream(&self, kind: Kind) -> StreamId {
+        StreamId::new(kind, &self.me, self.incarnation)
     }
-    Ok(words)
 }
-
-/// What the words of one part come to at most, in bytes.
-pub(crate) const MOST_UNPACKED: usize = 256 << 10;
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -1,82 +1,82 @@
-//! Times and bounds of an overlay.
+//! Settings of an overlay, and the check of their bounds.
 
 use crate::OverlayError;
 use basaltgw_types::Ms;
 
-/// Whoever returns has links, has compared and has fetched after this, ms: words are given for so much longer than they take to settle, or what
-/// had not settled as it returned would be gone as it asks.
+/// Time in which a router that returns has links, has compared and has fetched. Updates stay available this much longer than they take to
+/// converge, or those that had not converged when it returned would be unavailable when it fetches them.
 pub const CATCH_UP_MS: Ms = 4_000.0;
 
-/// Times and bounds of an overlay.
+/// Settings of an overlay. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Links that a router takes from others; who dials beyond is refused.
+    /// Largest number of children.
     pub most_children: usize,
-    /// The same for a control machine, which two of each region's relays want.
+    /// Largest number of children of a control machine: two relays of each region dial it.
     pub most_control_children: usize,
-    /// Of those, how many get words at once; the others are told of them and fetch.
+    /// Largest number of children to which updates are pushed; the others receive announcements and fetch.
     pub most_eager: usize,
-    /// A dial that has not come up within this has failed, ms.
+    /// A dial fails after this time, ms.
     pub dial_ms: Ms,
-    /// After a failed dial or a lost link the router isn't dialled for so long; twice as long after each further one, ms.
+    /// Backoff after a failed dial or a lost link, doubled with each further failure, ms.
     pub backoff_ms: Ms,
-    /// The longest of those, ms.
+    /// Largest backoff, ms.
     pub most_backoff_ms: Ms,
-    /// After a refusal of a link it isn't asked for so long, ms.
+    /// Backoff after a rejected link, ms.
     pub refused_ms: Ms,
-    /// After a refusal of words at once it isn't asked for them for so long, ms.
+    /// Backoff after a rejected push, ms.
     pub not_eager_ms: Ms,
-    /// A link that has stood so long was no failure, ms.
+    /// A link that was up for this long counts as no failure, ms.
     pub stable_ms: Ms,
-    /// A link on which nothing came for so long is closed; more than two comparisons, ms.
+    /// A link without a message for this long is closed, ms; more than two of `compare_ms`.
     pub silent_ms: Ms,
-    /// How long words wait at each router, so that they go in batches, ms.
+    /// Interval over which each router collects updates, ms.
     pub batch_ms: Ms,
-    /// The same between control machines, each of which has links with all others, ms.
+    /// The same between control machines, which are all linked with each other, ms.
     pub peer_batch_ms: Ms,
-    /// How often lazy links are told what is new, ms.
+    /// Interval of announcements on links without push, ms.
     pub announce_ms: Ms,
-    /// What was announced and has not come within this is fetched, ms. A few batches: ways of different length are the rule.
+    /// An announced update that has not arrived by push after this time is fetched, ms; a few batches, because paths differ in length.
     pub late_ms: Ms,
-    /// A fetch that brought nothing in this time goes to another, ms.
+    /// A fetch without a result is sent to another neighbor after this time, ms.
     pub fetch_ms: Ms,
-    /// How often each link is sent a digest, ms.
+    /// Interval of digests on each link, ms.
     pub compare_ms: Ms,
-    /// Streams that changed within this are named in a digest; all others go into its hash, ms.
+    /// Streams that changed within this time are named in a digest, ms; all others are hashed.
     pub hot_ms: Ms,
-    /// How many are named at most.
+    /// Largest number of streams named in a digest.
     pub most_hot: usize,
-    /// Streams that are named at a time when vectors are compared.
+    /// Largest number of streams in one vector.
     pub page: usize,
-    /// How long words are kept for those who fetch, ms.
+    /// Retention of updates, ms.
     pub keep_ms: Ms,
-    /// What came longer ago than this has settled: whoever lacks it is told so and not given it, ms. See [`CATCH_UP_MS`].
+    /// Updates that arrived longer ago have converged, and are reported as unavailable, ms. See [`CATCH_UP_MS`].
     pub settle_ms: Ms,
-    /// A stream in which nothing was said for so long is forgotten, ms.
+    /// A stream without an update for this long is forgotten, ms.
     pub forget_ms: Ms,
-    /// Bytes of kept words; beyond, the oldest go.
+    /// Largest size of the retained updates, in bytes; beyond it the oldest are dropped.
     pub most_log_bytes: usize,
-    /// Streams that are known at most.
+    /// Largest number of known streams.
     pub most_streams: usize,
-    /// Streams that are being fetched at most.
+    /// Largest number of streams being repaired.
     pub most_missing: usize,
-    /// The longest word, bytes.
+    /// Largest update, in bytes.
     pub most_word: usize,
-    /// The longest frame, bytes.
+    /// Largest frame, in bytes.
     pub most_frame: usize,
-    /// Control machines wait so long for the one that is to say what all know, ms: more than a word takes between them.
+    /// Control machines wait this long for the publisher of an update that all know, ms; longer than an update takes between them.
     pub hold_ms: Ms,
-    /// A relay asks above whether a word is known that has not come for so long, ms; each tier half a batch sooner.
+    /// A relay queries its parent for an update that has not arrived after this time, ms; each further tier half a batch sooner.
     pub ask_ms: Ms,
-    /// Whoever was asked and has not answered is asked once more, ms.
+    /// A query without an answer is repeated after this time, ms.
     pub again_ms: Ms,
-    /// Words that wait for another to say them.
+    /// Largest number of updates that wait for another router to publish them.
     pub most_held: usize,
-    /// Bytes a second, those that come and those that go, with what frames cost on the wire.
+    /// Budget in bytes per second, sent and received together, with the overhead of frames.
     pub budget_bytes_per_s: f64,
-    /// What may be sent at once after a quiet time, bytes.
+    /// Bytes that may be sent at once after a quiet time.
     pub burst_bytes: f64,
-    /// What a frame costs on the wire besides its bytes: headers, the record layer, the acknowledgement.
+    /// Overhead of a frame on the wire, in bytes: headers, record layer, acknowledgement.
     pub frame_bytes: usize,
 }
 
@@ -121,12 +121,12 @@
     }
 }
 
-/// No time is longer: a day.
-const MOST_MS: Ms = 86_400_000.0;
+/// Largest time in the settings: a day.
+const MAX_TIME_MS: Ms = 86_400_000.0;
 
 impl Settings {
-    /// What is the matter with them, if anything.
-    pub(crate) fn fault(&self) -> Result<(), OverlayError> {
+    /// Checks the bounds.
+    pub(crate) fn check(&self) -> Result<(), OverlayError> {
         let times = [
             (self.dial_ms, "dial_ms"),
             (self.backoff_ms, "backoff_ms"),
@@ -149,7 +149,7 @@
             (self.ask_ms, "ask_ms"),
             (self.again_ms, "again_ms"),
         ];
-        let bad_time = times.into_iter().find(|(ms, _)| !(*ms > 0.0 && *ms <= MOST_MS));
+        let bad_time = times.into_iter().find(|(ms, _)| !(*ms > 0.0 && *ms <= MAX_TIME_MS));
         if let Some((_, name)) = bad_time {
             return Err(OverlayError::Setting(name, "more than 0 and at most a day in ms"));
         }
@@ -168,7 +168,7 @@
             (self.most_missing > 0, "most_missing", "1 or more"),
             ((1..=65_536).contains(&self.most_word), "most_word", "1 to 65,536 bytes"),
             (self.most_log_bytes >= self.most_word, "most_log_bytes", "most_word or more"),
-            // Room for a word, a page and a digest in one frame.
+            // One frame fits an update, a page and a digest.
             (self.most_frame >= self.most_word + 40_960, "most_frame", "most_word and 40,960 or more"),
             (self.most_held > 0, "most_held", "1 or more"),
             (self.budget_bytes_per_s >= 1000.0, "budget_bytes_per_s", "1,000 or more"),
--- a/crates/overlay/tests/asking.rs
+++ b/crates/overlay/tests/asking.rs
@@ -39,7 +39,7 @@
 fn bottom(net: &Net, region: &str) -> Vec<usize> {
     let children = |i: &usize| {
         let overlay = net.nodes[*i].as_ref().expect("lives");
-        overlay.links().filter(|(_, above, _)| !above).count()
+        overlay.links().filter(|link| !link.is_parent).count()
     };
     net.of_region(region).into_iter().filter(|i| children(i) == 0).collect()
 }
@@ -157,8 +157,8 @@
         let asked = |n: &Net| n.nodes[i].as_ref().is_some_and(|o| o.counters().asked > 0);
         assert!(net.until(SOON, asked), "it asks");
         net.run(at as Ms * 60.0);
-        let above = net.nodes[i].as_ref().and_then(|o| o.links().find(|(_, above, push)| *above && *push));
-        let above = above.map(|(m, ..)| m.router.clone()).expect("one above");
+        let above = net.nodes[i].as_ref().and_then(|o| o.links().find(|link| link.is_parent && link.pushes));
+        let above = above.map(|link| link.member.router.clone()).expect("one above");
         let above = net.listed.iter().position(|l| l.router == above).expect("listed");
         net.kill(above, at % 2 == 1);
         // One that dies in silence is found after 4 s.
@@ -171,7 +171,8 @@
 
 #[test]
 fn a_hash_that_is_that_of_another_word_is_asked_about_by_all_of_it() {
-    let mut net = broken(2, 40, 9, 9, Settings::default(), |o| o.broken(InjectedBug::HalvesCollide));
+    let mut net =
+        broken(2, 40, 9, 9, Settings::default(), |o| o.with_injected_bug(InjectedBug::ShortHashesCollide));
     let who = bottom(&net, "g1")[0];
     hears(&mut net, who, "one");
     assert!(!net.until(SOON, |n| n.all_told("one", who)), "the first question has come to nothing");
--- a/crates/overlay/tests/broken.rs
+++ b/crates/overlay/tests/broken.rs
@@ -26,7 +26,7 @@
     // What one router alone hears, in the lowest tier of a region.
     let lowest = |n: &Net| {
         let children =
-            |i: &usize| n.nodes[*i].iter().flat_map(Overlay::links).filter(|(_, above, _)| !above).count();
+            |i: &usize| n.nodes[*i].iter().flat_map(Overlay::links).filter(|link| !link.is_parent).count();
         n.of_region("g1").into_iter().find(|i| children(i) == 0)
     };
     let alone = lowest(&net).expect("a router without children");
@@ -61,37 +61,37 @@
 
 #[test]
 fn a_relay_that_forgets_to_hand_on_is_caught() {
-    let found = faults(|o| o.broken(InjectedBug::ForgetsToHandOn));
+    let found = faults(|o| o.with_injected_bug(InjectedBug::DropsForwarding));
     assert!(found.contains(&"missed") || found.contains(&"not told"), "{found:?}");
 }
 
 #[test]
 fn a_digest_that_skips_an_origin_is_caught() {
-    let found = faults(|o| o.broken(InjectedBug::DigestSkips));
+    let found = faults(|o| o.with_injected_bug(InjectedBug::DigestOmitsStreams));
     assert!(found.contains(&"not told"), "{found:?}");
 }
 
 #[test]
 fn a_newcomer_that_counts_itself_up_to_date_is_caught() {
-    let found = faults(|o| o.broken(InjectedBug::NewcomerIsUpToDate));
+    let found = faults(|o| o.with_injected_bug(InjectedBug::ReportsCaughtUpAtStart));
     assert_eq!(found, ["a newcomer is up to date"]);
 }
 
 #[test]
 fn a_word_told_twice_is_caught() {
-    let found = faults(|o| o.broken(InjectedBug::TellsTwice));
+    let found = faults(|o| o.with_injected_bug(InjectedBug::DeliversDuplicates));
     assert_eq!(found, ["told twice"]);
 }
 
 #[test]
 fn a_parent_that_claims_to_know_and_forgets_is_caught() {
-    let found = faults(|o| o.broken(InjectedBug::ClaimsToKnow));
+    let found = faults(|o| o.with_injected_bug(InjectedBug::ClaimsToKnowAll));
     assert_eq!(found, ["what one alone has heard is late", "what one alone has heard is lost"]);
 }
 
 #[test]
 fn an_asker_that_drops_what_it_asked_about_is_caught() {
-    let found = faults(|o| o.broken(InjectedBug::DropsAsked));
+    let found = faults(|o| o.with_injected_bug(InjectedBug::DropsQueriedUpdates));
     assert_eq!(found, ["what one alone has heard is late", "what one alone has heard is lost"]);
 }
 
--- a/crates/overlay/tests/interleavings.rs
+++ b/crates/overlay/tests/interleavings.rs
@@ -123,7 +123,7 @@
 
 #[test]
 fn a_broken_one_is_caught() {
-    let fleet = Fleet { adapt: |o| o.broken(InjectedBug::ForgetsToHandOn) };
+    let fleet = Fleet { adapt: |o| o.with_injected_bug(InjectedBug::DropsForwarding) };
     let checker = fleet.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let found = checker.discoveries();
     assert!(found.keys().any(|name| *name != "all told soon"), "{:?}", found.keys());
@@ -131,8 +131,10 @@
 
 #[test]
 fn broken_questions_are_caught() {
-    let broken: [fn(Overlay) -> Overlay; 2] =
-        [|o| o.broken(InjectedBug::ClaimsToKnow), |o| o.broken(InjectedBug::DropsAsked)];
+    let broken: [fn(Overlay) -> Overlay; 2] = [
+        |o| o.with_injected_bug(InjectedBug::ClaimsToKnowAll),
+        |o| o.with_injected_bug(InjectedBug::DropsQueriedUpdates),
+    ];
     for adapt in broken {
         let fleet = Fleet { adapt };
         let checker = fleet.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
