--- a/crates/overlay/examples/figures.rs
+++ b/crates/overlay/examples/figures.rs
@@ -5,24 +5,24 @@
 mod net;
 
 use basaltgw_overlay::{Event, Kind, Settings, Shape};
-use net::{listed, Net};
+use net::{listed, Network};
 
 fn main() {
     let arg = |at: usize, or: usize| std::env::args().nth(at).and_then(|a| a.parse().ok()).unwrap_or(or);
     let (regions, each, control) = (arg(1, 21), arg(2, 204), arg(3, 9));
     let (rate, seconds) = (arg(4, 100), arg(5, 20));
     let keep = Settings { keep_ms: 30_000.0, ..Settings::default() };
-    let mut net = Net::new(listed(regions, each, control), Shape::default(), keep, 1);
+    let mut net = Network::new(listed(regions, each, control), Shape::default(), keep, 1);
     let n = net.nodes.len();
-    let settled = net.until(60_000.0, |n| n.settled(5000.0));
+    let settled = net.run_until(60_000.0, |n| n.all_caught_up(5000.0));
     println!("{n} routers, settled {settled} after {:.1} s", net.now / 1000.0);
     net.run(10_000.0);
-    let bytes = |net: &Net, i: usize| {
-        let c = net.nodes[i].as_ref().expect("lives").counters().clone();
+    let bytes = |net: &Network, i: usize| {
+        let c = net.nodes[i].as_ref().expect("a running router").counters().clone();
         (c.bytes_sent, c.bytes_got, c.frames_sent, c.frames_got)
     };
     let mut start: Vec<_> = (0..n).map(|i| bytes(&net, i)).collect();
-    let figures = |net: &Net, start: &[(u64, u64, u64, u64)], seconds: f64, what: &str| {
+    let figures = |net: &Network, start: &[(u64, u64, u64, u64)], seconds: f64, what: &str| {
         let rate = |a: u64, b: u64| (a - b) as f64 / seconds;
         let mut both: Vec<(f64, usize, f64, f64, f64)> = (0..n)
             .map(|i| {
@@ -45,32 +45,32 @@
     net.run(10_000.0);
     figures(&net, &start, 10.0, "at rest");
     start = (0..n).map(|i| bytes(&net, i)).collect();
-    let counted = |net: &Net| -> Vec<[u64; 5]> {
+    let counted = |net: &Network| -> Vec<[u64; 5]> {
         let five = |c: &basaltgw_overlay::Counters| [c.sent, c.fetches, c.again, c.grafts, c.primary_changes];
         net.nodes.iter().flatten().map(|o| five(o.counters())).collect()
     };
     let before = counted(&net);
     // As a change log brings them: every router knows each word within half a second.
-    let mut said = Vec::new();
+    let mut published = Vec::new();
     for tick in 0..seconds * rate {
-        let word = format!("purge/{:08}/catalogue/{:05}", 17_000_000 + tick, tick * 7919 % 100_000);
-        said.push((word, net.now));
+        let update = format!("purge/{:08}/catalogue/{:05}", 17_000_000 + tick, tick * 7919 % 100_000);
+        published.push((update, net.now));
         net.run(1000.0 / rate as f64);
         let back = rate / 4;
         if tick >= back {
-            let word = said[tick - back].0.as_bytes().to_vec();
+            let update = published[tick - back].0.as_bytes().to_vec();
             for i in 0..control {
-                net.event(i, Event::AlreadyKnown(Kind::Purge, word.clone()));
+                net.event(i, Event::AlreadyKnown(Kind::Purge, update.clone()));
             }
         }
     }
     figures(&net, &start, seconds as f64, "with words that all control machines know");
     net.run(10_000.0);
-    let told = &said[..said.len() - rate / 4];
+    let delivered = &published[..published.len() - rate / 4];
     let (mut times, mut not) = (Vec::new(), 0);
     for i in control..n {
-        for (word, at) in told {
-            match net.seen[i].new.get(word.as_bytes()) {
+        for (update, at) in delivered {
+            match net.observed[i].deliveries.get(update.as_bytes()) {
                 Some((_, when)) => times.push(when - at),
                 None => not += 1,
             }
@@ -80,7 +80,7 @@
     let at = |share: f64| times.get((times.len() as f64 * share) as usize).copied().unwrap_or(f64::NAN);
     println!(
         "not told {not}, twice {}, p50 {:.0} ms, p99 {:.0}, last {:.0} (250 ms of that until they are known)",
-        !net.nobody_twice(),
+        !net.has_no_duplicates(),
         at(0.5),
         at(0.99),
         at(1.0 - 1e-9)
--- a/crates/overlay/tests/bytes.rs
+++ b/crates/overlay/tests/bytes.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes come: no panic, no growth, and only the link they came by is closed.
+//! Arbitrary frames: no panic, bounded state, and only their own link is closed.
 
 mod net;
 
@@ -30,9 +30,9 @@
     (overlay, member, sent.expect("a frame"))
 }
 
-/// A router with one above, and frames that it sends there: a question, and the word once that is not known.
+/// A router with one parent, and its frames: a query, and the escalated update.
 fn asking() -> (Overlay, Member, Vec<Vec<u8>>) {
-    let (mut above, _, first) = linked();
+    let (mut parent, _, first) = linked();
     let all = listed(2, 6, 2);
     let list = Arc::new(RouterList::new(1, Shape::default(), all.clone()).expect("a list"));
     let settings = Settings { ask_ms: 250.0, ..Settings::default() };
@@ -47,7 +47,7 @@
     for at in 1..20 {
         let now = f64::from(at) * 250.0;
         for who in [up, down] {
-            let (from, to) = if who == up { (&mut above, &mut below) } else { (&mut below, &mut above) };
+            let (from, to) = if who == up { (&mut parent, &mut below) } else { (&mut below, &mut parent) };
             out.clear();
             from.handle(now, Event::TimersDue, &mut out);
             for action in std::mem::take(&mut out) {
@@ -58,8 +58,8 @@
             }
         }
     }
-    assert!(below.counters().given == 1 && above.counters().unknown == 1, "{:?}", below.counters());
-    (above, member(down), frames)
+    assert!(below.counters().given == 1 && parent.counters().unknown == 1, "{:?}", below.counters());
+    (parent, member(down), frames)
 }
 
 fn sound(overlay: &mut Overlay, member: &Member, frames: Vec<Vec<u8>>) {
@@ -85,13 +85,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn any_bytes_are_read(frames in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..200), 0..20)) {
+    fn arbitrary_frames_leave_the_state_bounded(frames in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..200), 0..20)) {
         let (mut overlay, member, _) = linked();
         sound(&mut overlay, &member, frames);
     }
 
     #[test]
-    fn changed_bytes_of_a_true_frame_are_read(changes in proptest::collection::vec((any::<u16>(), any::<u8>()), 0..12)) {
+    fn corrupted_update_frames_leave_the_state_bounded(changes in proptest::collection::vec((any::<u16>(), any::<u8>()), 0..12)) {
         let (mut overlay, member, frame) = linked();
         let mut frames = vec![frame.clone()];
         for (at, to) in changes {
@@ -104,7 +104,7 @@
     }
 
     #[test]
-    fn changed_bytes_of_questions_are_read(changes in proptest::collection::vec((any::<u8>(), any::<u16>(), any::<u8>()), 0..12)) {
+    fn corrupted_query_frames_leave_the_state_bounded(changes in proptest::collection::vec((any::<u8>(), any::<u16>(), any::<u8>()), 0..12)) {
         let (mut overlay, member, frames) = asking();
         let mut all = Vec::new();
         for (frame, at, to) in changes {
@@ -118,10 +118,10 @@
 }
 
 #[test]
-fn a_router_below_that_asks_about_anything_and_gives_anything_has_bounded_room() {
+fn queries_and_escalations_of_a_child_leave_the_state_bounded() {
     let (mut overlay, member, _) = linked();
     let mut out = Vec::new();
-    // As the wire has it: no names, and one part with as many hashes or words as a frame has room for.
+    // Encoded by hand: no names, and one part with as many hashes or updates as a frame fits.
     let many = |part: u8, count: u32, each: &[u8]| {
         let mut frame = vec![0, 0, 1, part];
         let mut left = count;
@@ -138,9 +138,9 @@
         let hash = [at as u8, (at >> 8) as u8, 1, 2, 3, 4, 5, 6];
         overlay.handle(now, Event::FrameReceived(member.clone(), many(11, 512, &hash[..4])), &mut out);
         overlay.handle(now, Event::FrameReceived(member.clone(), many(12, 512, &hash)), &mut out);
-        let mut word = vec![0, 0, 1, 15, 0, 200, 1];
-        word.extend((0..200_u32).flat_map(|n| [0, 4, at as u8, (at >> 8) as u8, n as u8, 7]));
-        overlay.handle(now, Event::FrameReceived(member.clone(), word), &mut out);
+        let mut update = vec![0, 0, 1, 15, 0, 200, 1];
+        update.extend((0..200_u32).flat_map(|n| [0, 4, at as u8, (at >> 8) as u8, n as u8, 7]));
+        overlay.handle(now, Event::FrameReceived(member.clone(), update), &mut out);
         overlay.handle(now, Event::TimersDue, &mut out);
     }
     let (sizes, settings, counters) =
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_frame_that_can_t_be_read_closes_its_link_and_is_counted() {
+fn a_malformed_frame_closes_its_link_and_is_counted() {
     let (mut overlay, member, _) = linked();
     let mut out = Vec::new();
     overlay.handle(20.0, Event::FrameReceived(member.clone(), vec![0xff; 40]), &mut out);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn settings_that_can_t_be_are_refused_by_name() {
+fn invalid_settings_are_rejected_by_name() {
     let me = listed(1, 1, 0)[0].router.clone();
     let bad = Settings { late_ms: f64::NAN, ..Settings::default() };
     let found = Overlay::new(me.clone(), bad, 1).expect_err("no time");
--- a/crates/overlay/tests/interleavings.rs
+++ b/crates/overlay/tests/interleavings.rs
@@ -1,27 +1,27 @@
-//! Every sequence of a loss and stalls of links at every moment of a small fleet, by stateright: at the end all have been told, once. A router's
+//! Model check by stateright of all sequences of a loss and of stalled links in a small fleet: in the end each update was delivered once. A router's
 //! decisions follow from its events alone, so a state is known by what was chosen on the way to it.
 
 mod net;
 
 use basaltgw_overlay::{Event, InjectedBug, Kind, Overlay, Settings, Shape};
-use net::{listed, Net};
+use net::{listed, Network};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::fmt::{Debug, Formatter};
 use std::hash::{Hash, Hasher};
 
-/// Between two choices, ms: a batch.
+/// Time between two choices, ms: a batch.
 const STEP: f64 = 250.0;
-/// Steps in which something may be chosen, and in all: enough to find what is missing by comparing.
+/// Number of steps with a choice, and of all steps: enough to find missing updates by comparison.
 const CHOOSE: usize = 6;
 const END: usize = 40;
-/// How long a stalled link holds frames back, ms: past the time at which what is late is fetched.
+/// Delay of frames on a stalled link, ms: longer than the time until late updates are fetched.
 const STALL: f64 = 1200.0;
-/// Who alone hears of a word by another way.
+/// The router that alone knows an update without the overlay.
 const ALONE: usize = 3;
 
 #[derive(Clone)]
 struct State {
-    net: Net,
+    net: Network,
     chosen: Vec<Step>,
 }
 
@@ -60,13 +60,13 @@
 
     fn init_states(&self) -> Vec<State> {
         let shape = Shape { relays: 1, ..Shape::default() };
-        // Questions go, and are answered, while something may still be chosen.
+        // Queries are sent and answered while choices remain.
         let settings = Settings { ask_ms: 500.0, ..Settings::default() };
-        let mut net = Net::adapted(listed(2, 3, 1), shape, settings, 3, self.adapt);
+        let mut net = Network::adapted(listed(2, 3, 1), shape, settings, 3, self.adapt);
         assert!(!net.list.is_relay(&net.listed[ALONE].router), "in the lowest tier");
         net.run(8000.0);
-        net.say(2, Kind::Purge, "word");
-        net.say(4, Kind::Purge, "other");
+        net.publish(2, Kind::Purge, "word");
+        net.publish(4, Kind::Purge, "other");
         net.event(ALONE, Event::AlreadyKnown(Kind::Purge, b"alone".to_vec()));
         vec![State { net, chosen: Vec::new() }]
     }
@@ -78,7 +78,7 @@
         }
         actions.push(Step::Go);
         if at < CHOOSE {
-            let links = 0..state.net.standing();
+            let links = 0..state.net.link_count();
             let broken = state.chosen.iter().any(|s| matches!(s, Step::Break(_)));
             let stalled = state.chosen.iter().any(|s| matches!(s, Step::Stall(_)));
             actions.extend(links.clone().filter(|_| !broken).map(Step::Break));
@@ -90,7 +90,7 @@
         let mut next = last.clone();
         match step {
             Step::Go => {}
-            Step::Break(at) => next.net.break_one(at),
+            Step::Break(at) => next.net.break_link(at),
             Step::Stall(at) => next.net.stall(at, STALL),
         }
         next.net.run(STEP);
@@ -100,21 +100,21 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody twice", |_, s: &State| s.net.nobody_twice()),
-            Property::always("nobody is told of words that are gone", |_, s: &State| s.net.nobody_missed()),
+            Property::always("nobody twice", |_, s: &State| s.net.has_no_duplicates()),
+            Property::always("nobody is told of words that are gone", |_, s: &State| s.net.has_no_gaps()),
             Property::always("all told at the end", |_, s: &State| {
-                let told = |(word, but): &(&str, usize)| s.net.all_told(word, *but);
-                s.chosen.len() < END || [("word", 2), ("other", 4), ("alone", ALONE)].iter().all(told)
+                let delivered = |(update, but): &(&str, usize)| s.net.all_received(update, *but);
+                s.chosen.len() < END || [("word", 2), ("other", 4), ("alone", ALONE)].iter().all(delivered)
             }),
             Property::sometimes("all told soon", |_, s: &State| {
-                s.chosen.len() < CHOOSE && s.net.all_told("word", 2)
+                s.chosen.len() < CHOOSE && s.net.all_received("word", 2)
             }),
         ]
     }
 }
 
 #[test]
-fn all_are_told_once_whatever_is_lost_or_late() {
+fn each_update_reaches_all_once_in_every_interleaving_of_losses_and_stalls() {
     let checker = Fleet { adapt: |o| o }.checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_broken_one_is_caught() {
+fn dropped_forwarding_is_detected() {
     let fleet = Fleet { adapt: |o| o.with_injected_bug(InjectedBug::DropsForwarding) };
     let checker = fleet.checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let found = checker.discoveries();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn broken_questions_are_caught() {
+fn bugs_of_queries_are_detected() {
     let broken: [fn(Overlay) -> Overlay; 2] = [
         |o| o.with_injected_bug(InjectedBug::ClaimsToKnowAll),
         |o| o.with_injected_bug(InjectedBug::DropsQueriedUpdates),
--- a/crates/overlay/tests/net/mod.rs
+++ b/crates/overlay/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! Overlays on a simulated net: links with delays, kills, cuts, all from a seed.
+//! Overlays on a simulated network with delays, killed routers and partitions, seeded.
 #![allow(dead_code)]
 
 use basaltgw_overlay::{Action, Event, Kind, Overlay, RouterEntry, RouterList, Settings, Shape, Side};
@@ -11,7 +11,7 @@
 /// Milliseconds.
 pub type Ms = f64;
 
-/// A fleet: regions with routers in three zones each, two sites a zone, two racks a site; control machines in regions of their own.
+/// A fleet: three zones in each region, two sites in each zone, two racks in each site; control machines in regions of their own.
 pub fn listed(regions: usize, each: usize, control: usize) -> Vec<RouterEntry> {
     let router = |name: String, region: String, place: usize, control| RouterEntry {
         router: RouterId(Arc::from(name)),
@@ -29,9 +29,9 @@
     all.collect()
 }
 
-/// What is under way.
+/// Scheduled event.
 #[derive(Clone, Debug)]
-enum Way {
+enum Transit {
     Dial { from: usize, to: usize },
     Frame { conn: usize, to: usize, bytes: Vec<u8> },
     End { conn: usize, to: usize },
@@ -39,46 +39,46 @@
 }
 
 #[derive(Clone)]
-struct Conn {
+struct Connection {
     ends: [usize; 2],
     open: [bool; 2],
-    /// Frames vanish since it was cut.
+    /// Frames are lost because of a partition.
     dead: bool,
-    /// Frames wait until then.
+    /// Frames are delayed until this time.
     stalled: Ms,
 }
 
-/// What a router was told.
+/// Observed actions of a router.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Each word with how often and when first.
-    pub new: BTreeMap<Vec<u8>, (u32, Ms)>,
-    /// Numbers that were missed.
+pub struct Observed {
+    /// Number of deliveries of each update, and the time of the first.
+    pub deliveries: BTreeMap<Vec<u8>, (u32, Ms)>,
+    /// Number of updates reported as a gap.
     pub missed: u64,
-    /// Reports.
+    /// Log lines.
     pub reports: Vec<String>,
 }
 
 #[derive(Clone)]
-pub struct Net {
+pub struct Network {
     pub now: Ms,
     pub listed: Vec<RouterEntry>,
     pub list: Arc<RouterList>,
     pub nodes: Vec<Option<Overlay>>,
-    pub seen: Vec<Seen>,
-    /// The side of a cut that each router is on.
+    pub observed: Vec<Observed>,
+    /// Side of a partition that each router is on.
     pub sides: Vec<u8>,
-    /// The most links that a router had.
+    /// Largest number of links of a router.
     pub most_links: usize,
-    lives: Vec<u64>,
-    conns: Vec<Conn>,
+    incarnations: Vec<u64>,
+    connections: Vec<Connection>,
     by_pair: BTreeMap<(usize, usize), usize>,
     numbers: BTreeMap<RouterId, usize>,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    ways: Vec<Option<Way>>,
+    slots: Vec<Option<Transit>>,
     free: Vec<usize>,
     seq: u64,
-    woken: Vec<u64>,
+    next_wake_us: Vec<u64>,
     seed: u64,
     settings: Settings,
     adapt: fn(Overlay) -> Overlay,
@@ -88,12 +88,12 @@
     (ms * 1000.0).ceil() as u64
 }
 
-impl Net {
+impl Network {
     pub fn new(listed: Vec<RouterEntry>, shape: Shape, settings: Settings, seed: u64) -> Self {
         Self::adapted(listed, shape, settings, seed, |o| o)
     }
 
-    /// With overlays changed before they start: broken ones.
+    /// With overlays changed before their first event, for injected bugs.
     pub fn adapted(
         listed: Vec<RouterEntry>,
         shape: Shape,
@@ -109,18 +109,18 @@
             listed,
             list,
             nodes: vec![None; n],
-            seen: vec![Seen::default(); n],
+            observed: vec![Observed::default(); n],
             sides: vec![0; n],
             most_links: 0,
-            lives: vec![0; n],
-            conns: Vec::new(),
+            incarnations: vec![0; n],
+            connections: Vec::new(),
             by_pair: BTreeMap::new(),
             numbers,
             queue: BinaryHeap::new(),
-            ways: Vec::new(),
+            slots: Vec::new(),
             free: Vec::new(),
             seq: 0,
-            woken: vec![u64::MAX; n],
+            next_wake_us: vec![u64::MAX; n],
             seed,
             settings,
             adapt,
@@ -129,33 +129,33 @@
         net
     }
 
-    pub fn draw(&mut self) -> f64 {
+    pub fn random(&mut self) -> f64 {
         self.seed = mix(self.seed, 1);
         unit(self.seed)
     }
 
-    /// A router starts, or starts anew with nothing.
+    /// Starts or restarts a router without state.
     pub fn start(&mut self, i: usize) {
-        self.lives[i] += 1;
-        let drawn = mix(self.seed, mix(i as u64, self.lives[i]));
+        self.incarnations[i] += 1;
+        let seed = mix(self.seed, mix(i as u64, self.incarnations[i]));
         let me = self.listed[i].router.clone();
-        let overlay = Overlay::new(me, self.settings.clone(), drawn).expect("settings");
+        let overlay = Overlay::new(me, self.settings.clone(), seed).expect("settings");
         self.nodes[i] = Some((self.adapt)(overlay));
-        self.seen[i] = Seen::default();
-        self.woken[i] = u64::MAX;
+        self.observed[i] = Observed::default();
+        self.next_wake_us[i] = u64::MAX;
         self.event(i, Event::RouterListChanged(self.list.clone()));
     }
 
-    /// A router ends; its neighbours' links break, or go on in silence.
+    /// Stops a router; its neighbors' links close or go silent.
     pub fn kill(&mut self, i: usize, silent: bool) {
         self.nodes[i] = None;
         let of: Vec<usize> =
             self.by_pair.iter().filter(|((a, b), _)| *a == i || *b == i).map(|(_, c)| *c).collect();
         for conn in of {
-            let side = usize::from(self.conns[conn].ends[1] == i);
-            self.conns[conn].open[side] = false;
+            let side = usize::from(self.connections[conn].ends[1] == i);
+            self.connections[conn].open[side] = false;
             if silent {
-                self.conns[conn].dead = true;
+                self.connections[conn].dead = true;
             } else {
                 self.end(conn, 1 - side);
             }
@@ -163,33 +163,33 @@
     }
 
     /// Links between different sides go silent.
-    pub fn cut(&mut self) {
+    pub fn partition(&mut self) {
         for conn in self.by_pair.values() {
-            let [a, b] = self.conns[*conn].ends;
-            self.conns[*conn].dead |= self.sides[a] != self.sides[b];
+            let [a, b] = self.connections[*conn].ends;
+            self.connections[*conn].dead |= self.sides[a] != self.sides[b];
         }
     }
 
-    /// Frames of a link wait for a while.
+    /// Delays the frames of a link.
     pub fn stall(&mut self, at: usize, span: Ms) {
         if let Some(conn) = self.by_pair.values().nth(at).copied() {
-            self.conns[conn].stalled = self.now + span;
+            self.connections[conn].stalled = self.now + span;
         }
     }
 
-    /// How many links stand.
-    pub fn standing(&self) -> usize {
+    /// Number of links.
+    pub fn link_count(&self) -> usize {
         self.by_pair.len()
     }
 
-    /// A random link breaks.
-    pub fn break_any(&mut self) {
-        let at = (self.draw() * self.by_pair.len() as f64) as usize;
-        self.break_one(at);
+    /// Closes a random link.
+    pub fn break_random_link(&mut self) {
+        let at = (self.random() * self.by_pair.len() as f64) as usize;
+        self.break_link(at);
     }
 
-    /// A link breaks.
-    pub fn break_one(&mut self, at: usize) {
+    /// Closes a link.
+    pub fn break_link(&mut self, at: usize) {
         if let Some(conn) = self.by_pair.values().nth(at).copied() {
             self.end(conn, 0);
             self.end(conn, 1);
@@ -197,7 +197,10 @@
     }
 
     fn member(&self, i: usize) -> Member {
-        Member { router: self.listed[i].router.clone(), incarnation: Incarnation(u128::from(self.lives[i])) }
+        Member {
+            router: self.listed[i].router.clone(),
+            incarnation: Incarnation(u128::from(self.incarnations[i])),
+        }
     }
 
     fn delay(&self, a: usize, b: usize) -> Ms {
@@ -210,21 +213,21 @@
         }
     }
 
-    fn later(&mut self, after: Ms, way: Way) {
+    fn schedule(&mut self, after: Ms, transit: Transit) {
         let slot = self.free.pop().unwrap_or_else(|| {
-            self.ways.push(None);
-            self.ways.len() - 1
+            self.slots.push(None);
+            self.slots.len() - 1
         });
-        self.ways[slot] = Some(way);
+        self.slots[slot] = Some(transit);
         self.seq += 1;
         self.queue.push(Reverse((micros(self.now + after), self.seq, slot)));
     }
 
     fn end(&mut self, conn: usize, side: usize) {
-        let [a, b] = self.conns[conn].ends;
+        let [a, b] = self.connections[conn].ends;
         self.by_pair.remove(&(a.min(b), a.max(b)));
-        let to = self.conns[conn].ends[side];
-        self.later(self.delay(a, b), Way::End { conn, to });
+        let to = self.connections[conn].ends[side];
+        self.schedule(self.delay(a, b), Transit::End { conn, to });
     }
 
     pub fn event(&mut self, i: usize, event: Event) {
@@ -235,9 +238,9 @@
         overlay.handle(self.now, event, &mut out);
         self.most_links = self.most_links.max(overlay.links().count());
         let due = overlay.next_timer().max(self.now);
-        if micros(due) < self.woken[i] {
-            self.woken[i] = micros(due);
-            self.later((due - self.now).max(0.0), Way::Wake(i));
+        if micros(due) < self.next_wake_us[i] {
+            self.next_wake_us[i] = micros(due);
+            self.schedule((due - self.now).max(0.0), Transit::Wake(i));
         }
         for action in out {
             self.act(i, action);
@@ -248,35 +251,35 @@
         match action {
             Action::Dial(router) => {
                 let to = self.numbers[&router];
-                self.later(2.0 * self.delay(i, to), Way::Dial { from: i, to });
+                self.schedule(2.0 * self.delay(i, to), Transit::Dial { from: i, to });
             }
             Action::Close(member) => {
                 let to = self.numbers[&member.router];
                 if let Some(conn) = self.by_pair.get(&(i.min(to), i.max(to))).copied() {
-                    let side = usize::from(self.conns[conn].ends[1] == i);
-                    self.conns[conn].open[side] = false;
+                    let side = usize::from(self.connections[conn].ends[1] == i);
+                    self.connections[conn].open[side] = false;
                     self.end(conn, 1 - side);
                 }
             }
             Action::Send(member, _, bytes) => {
                 let to = self.numbers[&member.router];
                 if let Some(conn) = self.by_pair.get(&(i.min(to), i.max(to))).copied() {
-                    if !self.conns[conn].dead {
-                        let wait = (self.conns[conn].stalled - self.now).max(0.0);
-                        self.later(wait + self.delay(i, to), Way::Frame { conn, to, bytes });
+                    if !self.connections[conn].dead {
+                        let wait = (self.connections[conn].stalled - self.now).max(0.0);
+                        self.schedule(wait + self.delay(i, to), Transit::Frame { conn, to, bytes });
                     }
                 }
             }
-            Action::Deliver(_, word, _) => {
+            Action::Deliver(_, update, _) => {
                 let now = self.now;
-                self.seen[i].new.entry(word).or_insert((0, now)).0 += 1;
+                self.observed[i].deliveries.entry(update).or_insert((0, now)).0 += 1;
             }
-            Action::GapDetected { from, to, .. } => self.seen[i].missed += to + 1 - from,
-            Action::Log(line) => self.seen[i].reports.push(line),
+            Action::GapDetected { from, to, .. } => self.observed[i].missed += to + 1 - from,
+            Action::Log(line) => self.observed[i].reports.push(line),
         }
     }
 
-    fn dialled(&mut self, from: usize, to: usize) {
+    fn on_dial(&mut self, from: usize, to: usize) {
         let apart = self.sides[from] != self.sides[to];
         if self.nodes[from].is_none() {
             return;
@@ -286,46 +289,46 @@
             let router = self.listed[to].router.clone();
             return self.event(from, Event::DialFailed(router));
         }
-        self.conns.push(Conn { ends: [from, to], open: [true, true], dead: false, stalled: 0.0 });
-        self.by_pair.insert(pair, self.conns.len() - 1);
+        self.connections.push(Connection { ends: [from, to], open: [true, true], dead: false, stalled: 0.0 });
+        self.by_pair.insert(pair, self.connections.len() - 1);
         let (them, us) = (self.member(to), self.member(from));
         self.event(from, Event::LinkUp(them, Side::Local));
         self.event(to, Event::LinkUp(us, Side::Remote));
     }
 
-    /// Whether a conn is open at an end, and who is at the other.
+    /// One end of a connection: its side, the member at the other end, and whether it is open.
     fn end_of(&self, conn: usize, to: usize) -> (usize, Member, bool) {
-        let c = &self.conns[conn];
+        let c = &self.connections[conn];
         let side = usize::from(c.ends[1] == to);
         (side, self.member(c.ends[1 - side]), c.open[side])
     }
 
-    /// Runs for a span.
+    /// Runs for a span of milliseconds.
     pub fn run(&mut self, span: Ms) {
         let until = micros(self.now + span);
         while let Some(Reverse((at, _, slot))) = self.queue.peek().copied().filter(|Reverse(q)| q.0 <= until)
         {
             self.queue.pop();
             self.now = self.now.max(at as f64 / 1000.0);
-            let way = self.ways[slot].take().expect("a way");
+            let transit = self.slots[slot].take().expect("a way");
             self.free.push(slot);
-            match way {
-                Way::Wake(i) => {
-                    if self.woken[i] == at {
-                        self.woken[i] = u64::MAX;
+            match transit {
+                Transit::Wake(i) => {
+                    if self.next_wake_us[i] == at {
+                        self.next_wake_us[i] = u64::MAX;
                         self.event(i, Event::TimersDue);
                     }
                 }
-                Way::Dial { from, to } => self.dialled(from, to),
-                Way::Frame { conn, to, bytes } => {
+                Transit::Dial { from, to } => self.on_dial(from, to),
+                Transit::Frame { conn, to, bytes } => {
                     let (_, other, open) = self.end_of(conn, to);
-                    if open && !self.conns[conn].dead {
+                    if open && !self.connections[conn].dead {
                         self.event(to, Event::FrameReceived(other, bytes));
                     }
                 }
-                Way::End { conn, to } => {
+                Transit::End { conn, to } => {
                     let (side, other, open) = self.end_of(conn, to);
-                    self.conns[conn].open[side] = false;
+                    self.connections[conn].open[side] = false;
                     if open {
                         self.event(to, Event::LinkDown(other));
                     }
@@ -335,8 +338,8 @@
         self.now = self.now.max(until as f64 / 1000.0);
     }
 
-    /// Runs until a condition holds; false if it doesn't within a span.
-    pub fn until(&mut self, span: Ms, holds: impl Fn(&Self) -> bool) -> bool {
+    /// Runs until a condition is true; false if it isn't within a span.
+    pub fn run_until(&mut self, span: Ms, holds: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + span;
         while !holds(self) {
             if self.now >= end {
@@ -347,35 +350,37 @@
         true
     }
 
-    pub fn say(&mut self, i: usize, kind: Kind, word: &str) {
-        self.event(i, Event::Publish(kind, word.as_bytes().to_vec()));
+    pub fn publish(&mut self, i: usize, kind: Kind, update: &str) {
+        self.event(i, Event::Publish(kind, update.as_bytes().to_vec()));
     }
 
-    pub fn live(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn running(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.nodes.len()).filter(|i| self.nodes[*i].is_some())
     }
 
-    pub fn of_region(&self, region: &str) -> Vec<usize> {
+    pub fn routers_of_region(&self, region: &str) -> Vec<usize> {
         (0..self.listed.len()).filter(|i| &*self.listed[*i].region == region).collect()
     }
 
-    /// Whether all who live, but the one who said it, were told a word; and nobody twice.
-    pub fn all_told(&self, word: &str, but: usize) -> bool {
-        self.live().filter(|i| *i != but).all(|i| self.seen[i].new.contains_key(word.as_bytes()))
+    /// Whether an update was delivered at all running routers except `but`.
+    pub fn all_received(&self, update: &str, but: usize) -> bool {
+        self.running()
+            .filter(|i| *i != but)
+            .all(|i| self.observed[i].deliveries.contains_key(update.as_bytes()))
     }
 
-    pub fn nobody_twice(&self) -> bool {
-        self.seen.iter().all(|s| s.new.values().all(|(times, _)| *times == 1))
+    pub fn has_no_duplicates(&self) -> bool {
+        self.observed.iter().all(|s| s.deliveries.values().all(|(times, _)| *times == 1))
     }
 
-    pub fn nobody_missed(&self) -> bool {
-        self.live().all(|i| self.seen[i].missed == 0)
+    pub fn has_no_gaps(&self) -> bool {
+        self.running().all(|i| self.observed[i].missed == 0)
     }
 
-    /// Whether all have the links that they want, and are up to date within a span.
-    pub fn settled(&self, within: Ms) -> bool {
-        self.live().all(|i| {
-            let overlay = self.nodes[i].as_ref().expect("lives");
+    /// Whether all running routers have caught up within a span.
+    pub fn all_caught_up(&self, within: Ms) -> bool {
+        self.running().all(|i| {
+            let overlay = self.nodes[i].as_ref().expect("a running router");
             overlay.behind(self.now).age.is_some_and(|age| age <= within)
         })
     }
--- a/crates/overlay/tests/placement.rs
+++ b/crates/overlay/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Who links to whom: bounded, spread over what is lost together, hardly moved by one more or less.
+//! Topology: bounded numbers of links, spread over failure domains, stable under changes of the list.
 
 mod net;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_region_s_relays_stand_in_zones_of_their_own() {
+fn the_relays_of_a_region_are_in_different_zones() {
     let list = list(listed(21, 60, 9));
     for region in 0..21 {
         let of = |l: &&RouterEntry| *l.region == *format!("g{region}") && list.is_relay(&l.router);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn no_zone_site_or_rack_is_all_that_a_router_has() {
+fn no_router_depends_on_a_single_zone_site_or_rack() {
     let list = list(listed(21, 60, 9));
     let mut pairs: BTreeSet<Vec<RouterId>> = BTreeSet::new();
     for l in list.all().iter().filter(|l| !l.control) {
@@ -48,7 +48,7 @@
             let [only] = &choices[..] else { panic!("{}: one choice", l.router) };
             assert_eq!(only.need, 2);
             assert_ne!(zone(&list, &only.routers[0]), zone(&list, &only.routers[1]), "{}", l.router);
-            // Beyond the own region too, if all above is lost there.
+            // Candidates outside the region serve the loss of all its upper tiers.
             assert!(only.routers.iter().any(|r| list.get(r).expect("listed").control));
             assert!(only.routers.iter().any(|r| zone(&list, r).0 != *l.region));
         }
@@ -75,19 +75,19 @@
 }
 
 #[test]
-fn links_above_form_no_ring() {
+fn links_to_parents_form_no_cycle() {
     let list = list(listed(6, 40, 9));
-    // Whom words may come from at once: a ring of those would lead back.
-    let above: BTreeMap<RouterId, BTreeSet<RouterId>> = list
+    // Routers that may push to each router: a cycle among them would return updates.
+    let parent: BTreeMap<RouterId, BTreeSet<RouterId>> = list
         .all()
         .iter()
         .filter(|l| !l.control)
         .map(|l| (l.router.clone(), choices(&list, &l.router).into_iter().flat_map(|c| c.routers).collect()))
         .collect();
-    let (mut left, mut gone): (BTreeSet<RouterId>, usize) = (above.keys().cloned().collect(), usize::MAX);
+    let (mut left, mut gone): (BTreeSet<RouterId>, usize) = (parent.keys().cloned().collect(), usize::MAX);
     while gone > 0 {
         let free: Vec<RouterId> =
-            left.iter().filter(|r| above[*r].iter().all(|a| !left.contains(a))).cloned().collect();
+            left.iter().filter(|r| parent[*r].iter().all(|a| !left.contains(a))).cloned().collect();
         gone = free.len();
         free.iter().for_each(|r| {
             left.remove(r);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn one_more_or_less_moves_few_links() {
+fn one_router_more_or_less_changes_few_links() {
     let all = listed(21, 60, 9);
     let whole = standing(&list(all.clone()));
     let links: usize = whole.values().map(BTreeSet::len).sum();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_list_that_can_t_be_is_refused_by_name() {
+fn an_invalid_list_is_rejected_by_name() {
     let mut all = listed(1, 3, 1);
     all.push(all[1].clone());
     let bad = RouterList::new(1, Shape::default(), all).expect_err("twice");
