--- a/crates/storage/tests/damaged_files.rs
+++ b/crates/storage/tests/damaged_files.rs
@@ -150,12 +150,12 @@
     // It does not open with a corrupted newer mark either.
     let path = damaged.path().join("current/life");
     for mark in [4096, 8192] {
-        let mut life = fs::read(&path).unwrap();
-        life[mark] ^= 1;
-        fs::write(&path, &life).unwrap();
+        let mut superblock = fs::read(&path).unwrap();
+        superblock[mark] ^= 1;
+        fs::write(&path, &superblock).unwrap();
         assert!(open(damaged.path()).unwrap_err().requires_new_incarnation());
-        life[mark] ^= 1;
-        fs::write(&path, &life).unwrap();
+        superblock[mark] ^= 1;
+        fs::write(&path, &superblock).unwrap();
     }
 }
 
