--- a/crates/node/src/caches/conn.rs
+++ b/crates/node/src/caches/conn.rs
@@ -1,16 +1,16 @@
 //! A connection to a server: its state, and the task that reads and writes its socket.
 
-use super::ids::{AttemptKey, ConnId, Down};
-use super::wire::Answer;
+use super::ids::{AttemptKey, ConnId, ConnectionFailure};
+use super::wire::ServerAnswer;
 use crate::clients::message::WireId;
 use crate::clock::late;
 use crate::connection::CloseReason;
 use crate::inbox::{either, read_all, DecodedMessage};
 use crate::limits::{
-    CONNECT_RETRY_INTERVAL, SERVER_READ_LIMITS, SERVER_STALLED, SILENT_CONNECTION_MS, VALIDATED_FOR_MS,
+    CONNECT_RETRY_INTERVAL, SERVER_READ_LIMITS, SERVER_WRITE_TIMEOUT, SILENT_CONNECTION_MS, VALIDATED_FOR_MS,
 };
 use crate::messages::{Input, Shared};
-use crate::outbox::{write_all, Drained, FetchTerms, Outbox, OutgoingMessage};
+use crate::outbox::{write_all, DrainedSince, OutgoingMessage, SendConditions, SendQueue};
 use crate::resp::encode;
 use crate::socket;
 use async_io::{Async, Timer};
@@ -31,7 +31,7 @@
 pub(super) struct Conn {
     pub server: ServerId,
     pub place: Place,
-    pub outbox: Outbox,
+    pub outbox: SendQueue,
     pub up: bool,
     /// It takes no more attempts.
     pub retired: bool,
@@ -47,12 +47,12 @@
     /// Attempts that are queued when the probe is answered.
     behind_probe: Vec<Rc<OutgoingMessage>>,
     /// Since when its server takes no new attempts.
-    pub drained: Drained,
+    pub drained: DrainedSince,
 }
 
 impl Conn {
     /// A connection that is connecting.
-    pub(super) fn new(now: Ms, server: ServerId, place: Place, outbox: Outbox) -> Self {
+    pub(super) fn new(now: Ms, server: ServerId, place: Place, outbox: SendQueue) -> Self {
         Self {
             server,
             place,
@@ -72,7 +72,7 @@
 
     /// Whether it has no open attempt and no unwritten byte.
     pub(super) fn idle(&self) -> bool {
-        self.open.is_empty() && self.outbox.unsent() == 0
+        self.open.is_empty() && self.outbox.unsent_bytes() == 0
     }
 
     /// Whether it has awaited answers for long, and nothing came.
@@ -92,14 +92,15 @@
         now: Ms,
         at: ConnId,
         bytes: Vec<u8>,
-        terms: FetchTerms,
+        terms: SendConditions,
     ) -> Rc<OutgoingMessage> {
         if self.probe.is_none() && self.unvalidated(now) {
             let tag = WireId(Arc::from(at.0.to_string()));
-            self.outbox.put(encode(&[b"alive", tag.0.as_bytes()]));
+            self.outbox.push(encode(&[b"alive", tag.0.as_bytes()]));
             self.probe = Some(tag);
         }
-        let message = self.outbox.hold(bytes, FetchTerms { drained: Rc::clone(&self.drained), ..terms });
+        let message =
+            self.outbox.make_held(bytes, SendConditions { drained: Rc::clone(&self.drained), ..terms });
         match self.probe {
             Some(_) => self.behind_probe.push(Rc::clone(&message)),
             None => self.outbox.release(&message),
@@ -138,13 +139,13 @@
             self.retired = true;
         }
         self.aborted.insert(id.clone());
-        self.outbox.put(encode(&[b"abort", id.0.as_bytes()]));
-        self.outbox.put(encode(&[b"alive", tag.0.as_bytes()]));
+        self.outbox.push(encode(&[b"abort", id.0.as_bytes()]));
+        self.outbox.push(encode(&[b"alive", tag.0.as_bytes()]));
     }
 }
 
 /// Connects within the time-out; retries while this machine is short of a resource.
-async fn connect(place: Place, timeout: Duration) -> Result<Async<TcpStream>, Down> {
+async fn connect(place: Place, timeout: Duration) -> Result<Async<TcpStream>, ConnectionFailure> {
     let short_of_resource = Cell::new(false);
     let attempts = async {
         loop {
@@ -164,9 +165,9 @@
     future::or(attempts, late(timeout)).await.map_err(|e| {
         log::debug!("connect to {} failed: {e}", place.address);
         if short_of_resource.get() {
-            Down::Shortage
+            ConnectionFailure::LocalShortage
         } else {
-            Down::NeverUp
+            ConnectionFailure::ConnectFailed
         }
     })
 }
@@ -178,7 +179,7 @@
     timeout: Duration,
     shared: &Shared,
     outgoing: async_channel::Receiver<Rc<OutgoingMessage>>,
-) -> Down {
+) -> ConnectionFailure {
     let socket = match connect(place, timeout).await {
         Ok(socket) => socket,
         Err(down) => return down,
@@ -186,16 +187,16 @@
     if let Err(e) = socket.get_ref().set_nodelay(true) {
         log::debug!("connection {} to {}: TCP_NODELAY failed: {e}", at.0, place.address);
     }
-    if shared.queue.send(Input::CacheUp(at)).await.is_ok() {
+    if shared.queue.send(Input::ServerConnected(at)).await.is_ok() {
         let read = async {
             let decode = |decoded: DecodedMessage| {
-                Some(Input::Cache(at, Answer::read(decoded.words, &[&shared.meter])?))
+                Some(Input::ServerAnswer(at, ServerAnswer::read(decoded.words, &[&shared.meter])?))
             };
             read_all(&socket, SERVER_READ_LIMITS, shared, || false, decode, None).await
         };
-        let reason = either(read, write_all(&socket, outgoing, || late(SERVER_STALLED))).await;
+        let reason = either(read, write_all(&socket, outgoing, || late(SERVER_WRITE_TIMEOUT))).await;
         log::debug!("connection {} to {}: closed: {reason:?}", at.0, place.address);
-        return Down::Ended(reason);
+        return ConnectionFailure::Closed(reason);
     }
-    Down::Ended(CloseReason::Ended)
+    ConnectionFailure::Closed(CloseReason::PeerClosed)
 }
--- a/crates/node/src/caches/ids.rs
+++ b/crates/node/src/caches/ids.rs
@@ -15,22 +15,22 @@
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
+pub enum ConnectionFailure {
     /// It never came up.
-    NeverUp,
+    ConnectFailed,
     /// It never came up, since this machine was short of a resource; this says nothing about the server.
-    Shortage,
+    LocalShortage,
     /// It was up.
-    Ended(CloseReason),
+    Closed(CloseReason),
 }
 
 /// How an attempt was cancelled.
 #[derive(Debug)]
-pub enum GivenUp {
+pub enum CancelOutcome {
     /// No byte of it was written: it was not executed.
-    Never,
+    NotSent,
     /// The server may have it until it answers under this tag, or its connection is closed.
-    Behind(WireId),
+    AwaitingConfirmation(WireId),
     /// Its connection is closed.
     Closed,
 }
--- a/crates/node/src/caches/mod.rs
+++ b/crates/node/src/caches/mod.rs
@@ -8,15 +8,15 @@
 pub(crate) mod ids;
 pub(crate) mod wire;
 
-pub use ids::{AttemptKey, ConnId, Down, GivenUp, RequestNo};
-pub use wire::{with_wait, Answer, Ask, CopyTag};
+pub use ids::{AttemptKey, CancelOutcome, ConnId, ConnectionFailure, RequestNo};
+pub use wire::{with_timeout, AttemptRequest, CopyTag, ServerAnswer};
 
 use crate::clients::message::WireId;
 use crate::limits::{
     ABANDONED_CONNECTION_MS, IDLE_TIMEOUT_SHARE, MAX_CONNECTIONS_PER_SERVER, SHARED_STREAMS,
 };
 use crate::messages::{Input, Shared};
-use crate::outbox::{outbox, FetchTerms, OutgoingMessage};
+use crate::outbox::{send_queue, OutgoingMessage, SendConditions};
 use basaltgw::api::{Ms, ServerId};
 use basaltgw_config::{Place, Transport};
 use conn::{connection, Conn};
@@ -35,7 +35,7 @@
 }
 
 /// All connections to servers.
-pub struct Caches {
+pub struct ServerPool {
     shared: Shared,
     max_connections: usize,
     transport: Transport,
@@ -51,7 +51,7 @@
     MAX_CONNECTIONS_PER_SERVER.max((MAX_CONNECTIONS_PER_SERVER * SHARED_STREAMS).div_ceil(streams.max(1)))
 }
 
-impl Caches {
+impl ServerPool {
     /// A pool without connections.
     pub fn new(shared: Shared, max_connections: usize, transport: Transport) -> Self {
         let (conns, by_server) = (BTreeMap::new(), BTreeMap::new());
@@ -72,7 +72,7 @@
         to: (&ServerId, Place),
         key: AttemptKey,
         (id, asked, alone): (&WireId, &[ConnId], bool),
-        (bytes, terms): (Vec<u8>, FetchTerms),
+        (bytes, terms): (Vec<u8>, SendConditions),
     ) -> Option<(ConnId, Rc<OutgoingMessage>)> {
         let (server, place) = to;
         let streams = self.transport.max_streams;
@@ -121,7 +121,7 @@
     fn open(&mut self, now: Ms, server: &ServerId, place: Place) -> ConnId {
         self.last_number += 1;
         let at = ConnId(self.last_number);
-        let (outbox, outgoing) = outbox(&self.shared.meter, &Rc::default());
+        let (outbox, outgoing) = send_queue(&self.shared.meter, &Rc::default());
         let conn = Conn::new(now, server.clone(), place, outbox);
         self.by_server.entry(server.clone()).or_default().insert(at);
         self.conns.insert(at, conn);
@@ -130,14 +130,14 @@
         let run = async move {
             let down = connection(at, place, timeout, &shared, outgoing).await;
             // The owner is gone only when the process ends.
-            let _ = shared.queue.send(Input::CacheDown(at, down)).await;
+            let _ = shared.queue.send(Input::ServerDisconnected(at, down)).await;
         };
         self.shared.executor.spawn(run).detach();
         at
     }
 
     /// Notes that a connection came up.
-    pub fn up(&mut self, now: Ms, at: ConnId) {
+    pub fn on_connected(&mut self, now: Ms, at: ConnId) {
         if let Some(conn) = self.conns.get_mut(&at) {
             conn.up = true;
             conn.awaiting_since = Some(now).filter(|_| !conn.open.is_empty());
@@ -156,26 +156,26 @@
 
     /// Cancels an attempt. It was not executed if no byte of it was written; else the server may execute it until it reads the `abort` that
     /// this queues, which the answer to the probe behind it confirms.
-    pub fn give_up(&mut self, at: ConnId, id: &WireId, message: &OutgoingMessage) -> GivenUp {
-        let recalled = message.take_back();
+    pub fn cancel(&mut self, at: ConnId, id: &WireId, message: &OutgoingMessage) -> CancelOutcome {
+        let recalled = message.recall();
         let mut conn = self.conns.get_mut(&at);
         if let Some(conn) = &mut conn {
             conn.open.remove(id);
         }
         match conn {
-            _ if recalled => GivenUp::Never,
-            None => GivenUp::Closed,
+            _ if recalled => CancelOutcome::NotSent,
+            None => CancelOutcome::Closed,
             Some(conn) => {
                 self.last_number += 1;
                 let tag = WireId(Arc::from(self.last_number.to_string()));
                 conn.abort(id, &tag);
-                GivenUp::Behind(tag)
+                CancelOutcome::AwaitingConfirmation(tag)
             }
         }
     }
 
     /// Closes a connection. Its attempts end when its socket is closed, which `Input::CacheDown` notes.
-    pub fn end(&mut self, at: ConnId) {
+    pub fn close(&mut self, at: ConnId) {
         if let Some(conn) = self.conns.get_mut(&at) {
             conn.retired = true;
             conn.outbox.close();
@@ -183,7 +183,7 @@
     }
 
     /// Removes a closed connection; returns its open attempts.
-    pub fn down(&mut self, at: ConnId) -> Vec<AttemptKey> {
+    pub fn on_closed(&mut self, at: ConnId) -> Vec<AttemptKey> {
         self.remove(at).map(|c| c.open.into_values().collect()).unwrap_or_default()
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// A server's process has moved to this place, or is gone: connections to another place take no more attempts; returns these.
-    pub fn moved(&mut self, server: &ServerId, place: Option<Place>) -> Vec<ConnId> {
+    pub fn retire_moved(&mut self, server: &ServerId, place: Option<Place>) -> Vec<ConnId> {
         let mut retired = Vec::new();
         for at in self.by_server.get(server).into_iter().flatten() {
             if let Some(conn) = self.conns.get_mut(at).filter(|c| Some(c.place) != place) {
@@ -213,7 +213,7 @@
     }
 
     /// Connections whose health probe was not answered within the connect time-out.
-    pub fn unproved(&self, now: Ms) -> Vec<ConnId> {
+    pub fn failed_probes(&self, now: Ms) -> Vec<ConnId> {
         let timeout = self.transport.connect_timeout;
         let failed = |c: &Conn| c.probe.is_some() && c.awaiting_since.is_some_and(|t| now - t >= timeout);
         self.conns.iter().filter(|(_, c)| failed(c)).map(|(at, _)| *at).collect()
--- a/crates/node/src/caches/wire.rs
+++ b/crates/node/src/caches/wire.rs
@@ -1,7 +1,7 @@
 //! Encodes attempts and decodes their answers. The protocol's names of fields and words are mapped to ours here only.
 
 use crate::clients::message::WireId;
-use crate::outbox::{Counted, Meter};
+use crate::outbox::{BufferMeter, BufferedBytes};
 use crate::resp::{decimal, encode, Bounds, Decoder, FieldList, Fields};
 use basaltgw::api::{AttemptResult, FillReport, LoadReport, Ms, Rank, ServerId};
 use std::rc::Rc;
@@ -13,33 +13,33 @@
     /// The version's name.
     pub version: Arc<str>,
     /// When the origin served it, in Unix milliseconds.
-    pub born: u64,
+    pub origin_time_ms: u64,
 }
 
 /// A server's answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ServerAnswer {
     /// The request's id.
     pub id: WireId,
     /// The attempt's result; `None` for the answer to a health probe.
-    pub end: Option<AttemptResult>,
+    pub result: Option<AttemptResult>,
     /// The client's copy is current; the answer has no body.
-    pub same: bool,
+    pub not_modified: bool,
     /// The copy, which a server has to name where it may be cached.
     pub copy: Option<CopyTag>,
     /// How the server got the object.
-    pub note: FillReport,
+    pub fill_report: FillReport,
     /// Time that the server spent waiting for its source, in milliseconds.
-    pub waited: Ms,
+    pub source_wait_ms: Ms,
     /// The server's load report.
     pub load: LoadReport,
     /// The object's bytes.
-    pub body: Counted,
+    pub body: BufferedBytes,
 }
 
-impl Answer {
+impl ServerAnswer {
     /// Decodes an answer; `None` if it is malformed.
-    pub fn read(words: Vec<Vec<u8>>, meters: &[&Rc<Meter>]) -> Option<Self> {
+    pub fn read(words: Vec<Vec<u8>>, meters: &[&Rc<BufferMeter>]) -> Option<Self> {
         let mut words = words.into_iter();
         let id = words.next()?;
         let id = WireId(Arc::from(std::str::from_utf8(&id).ok()?));
@@ -50,7 +50,7 @@
         let copy = match (fields.get("ver"), fields.get("born")) {
             (None, None) => None,
             (Some(tag), Some(born)) if !tag.is_empty() => {
-                Some(CopyTag { version: Arc::from(tag), born: decimal(born)? as u64 })
+                Some(CopyTag { version: Arc::from(tag), origin_time_ms: decimal(born)? as u64 })
             }
             (_, _) => return None,
         };
@@ -72,13 +72,13 @@
         };
         Some(Self {
             id,
-            end,
-            same: word == b"current",
+            result: end,
+            not_modified: word == b"current",
             copy,
-            note: fill_report(fields.get("note")),
-            waited,
+            fill_report: fill_report(fields.get("note")),
+            source_wait_ms: waited,
             load: fields.get("load").map(load_report).unwrap_or_default(),
-            body: Counted::new(body.unwrap_or_default(), meters),
+            body: BufferedBytes::new(body.unwrap_or_default(), meters),
         })
     }
 }
@@ -119,7 +119,7 @@
 
 /// An attempt to be encoded.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct AttemptRequest<'a> {
     /// The request's id.
     pub id: &'a WireId,
     /// Its class.
@@ -150,7 +150,7 @@
     pub body: &'a [u8],
 }
 
-impl Ask<'_> {
+impl AttemptRequest<'_> {
     /// Encodes it.
     pub fn encode(&self) -> Vec<u8> {
         let mut fields = FieldList::default();
@@ -192,7 +192,7 @@
 }
 
 /// Encodes an attempt anew with another time-out; `None` if the bytes are no attempt.
-pub fn with_wait(fetch: &[u8], wait: Ms) -> Option<Vec<u8>> {
+pub fn with_timeout(fetch: &[u8], wait: Ms) -> Option<Vec<u8>> {
     let mut decoder = Decoder::new(Bounds { words: 4, bytes: fetch.len() });
     decoder.feed(fetch);
     let words = decoder.message().ok()??;
--- a/crates/node/src/caches/wire/tests.rs
+++ b/crates/node/src/caches/wire/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn reencoded_attempt_differs_in_its_timeout_only() {
     let id = WireId(Arc::from("00000000000000ff"));
-    let ask = |wait| Ask {
+    let ask = |wait| AttemptRequest {
         id: &id,
         class: "pages",
         object: "0000000000000007",
@@ -21,7 +21,7 @@
         key: Some("w1"),
         body: b"w=9,\r\n body",
     };
-    assert_eq!(with_wait(&ask(1_500.0).encode(), 70.9), Some(ask(70.0).encode()));
-    assert_eq!(with_wait(&ask(1_500.0).encode(), 0.0), Some(ask(1.0).encode()));
-    assert_eq!(with_wait(b"*1\r\n$5\r\nabort\r\n", 1.0), None);
+    assert_eq!(with_timeout(&ask(1_500.0).encode(), 70.9), Some(ask(70.0).encode()));
+    assert_eq!(with_timeout(&ask(1_500.0).encode(), 0.0), Some(ask(1.0).encode()));
+    assert_eq!(with_timeout(b"*1\r\n$5\r\nabort\r\n", 1.0), None);
 }
--- a/crates/node/src/changelog/follow.rs
+++ b/crates/node/src/changelog/follow.rs
@@ -160,7 +160,7 @@
             self.recheck = RecheckTimer { interval, due: None };
         }
         self.standby = Some(Standby { watch, reason });
-        vec![Input::LogDoubted(reason)]
+        vec![Input::ChangeLogStandbyOpened(reason)]
     }
 
     /// Takes a frame of the active connection, or the first frame of the standby with its reason.
@@ -187,7 +187,7 @@
             None => Some(Instant::now() + self.recheck.interval),
             due => due,
         };
-        inputs.extend(event.map(Input::News));
+        inputs.extend(event.map(Input::WatchEvent));
         inputs
     }
 
@@ -216,6 +216,6 @@
 
     fn lost(&self, why: &str) -> Vec<Input> {
         log::info!("change log: connection lost ({why}), resuming after event {}", self.follower.last().0);
-        vec![Input::LogLost]
+        vec![Input::ChangeLogLost]
     }
 }
--- a/crates/node/src/clients/message.rs
+++ b/crates/node/src/clients/message.rs
@@ -2,7 +2,7 @@
 //!
 //! A request is valid only if every field is as the protocol defines it; nothing is guessed.
 
-use crate::limits::{COPY_TAG, LONGEST_WAIT_MS, MAX_BODY_BYTES, MOST_GROUP, MOST_KB, MOST_PART};
+use crate::limits::{COPY_TAG_MAX_BYTES, MAX_BODY_BYTES, MAX_DEADLINE_MS, MAX_GROUP, MAX_PART, MAX_SIZE_KB};
 use crate::resp::{decimal, whole, Fields};
 use basaltgw::api::{GroupId, Ms, ObjectId, Part};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 /// A decoded request; text fields that are passed on are as the client wrote them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Do {
+pub struct RequestMessage {
     /// The request's id.
     pub id: WireId,
     /// Its class.
@@ -35,57 +35,57 @@
     /// The part's size in KB; 0 if unknown.
     pub size_kb: f64,
     /// How long the client waits, in milliseconds.
-    pub left: Ms,
+    pub deadline_ms: Ms,
     /// The tag of the copy that the client has.
-    pub got: Option<String>,
+    pub copy_tag: Option<String>,
     /// The idempotency key; servers recognize a repeat by it, whatever its id.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The client has presented this id before, or does so elsewhere at the same time. Used only with leases on requests.
-    pub again: bool,
+    pub repeated: bool,
     /// Several parts instead of the one, not parsed.
     pub parts: Option<String>,
     /// The continuation of an earlier partial answer, not parsed.
-    pub debt: Option<String>,
+    pub continuation: Option<String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 /// A client's message.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FromClient {
+pub enum ClientMessage {
     /// A request.
-    Do(Tag, Box<Do>),
+    Request(Tag, Box<RequestMessage>),
     /// A cancellation.
-    Undo(Tag),
+    Cancel(Tag),
     /// A health probe.
-    Ping(Tag),
+    Probe(Tag),
     /// A malformed request whose tag is readable, so that it can be answered.
-    Unreadable(Tag),
+    Malformed(Tag),
 }
 
-impl FromClient {
+impl ClientMessage {
     /// Decodes a message; `None` without a readable tag, since nothing can be answered then.
-    pub fn read(words: Vec<Vec<u8>>) -> Option<Self> {
+    pub fn decode(words: Vec<Vec<u8>>) -> Option<Self> {
         let mut words = words.into_iter();
         let verb = words.next()?;
         let tag = Tag(tag(&words.next()?)?);
         Some(match verb.as_slice() {
             b"DO" => match request(words) {
-                Some(request) => Self::Do(tag, Box::new(request)),
-                None => Self::Unreadable(tag),
+                Some(request) => Self::Request(tag, Box::new(request)),
+                None => Self::Malformed(tag),
             },
-            b"UNDO" => Self::Undo(tag),
-            b"PING" => Self::Ping(tag),
-            _ => Self::Unreadable(tag),
+            b"UNDO" => Self::Cancel(tag),
+            b"PING" => Self::Probe(tag),
+            _ => Self::Malformed(tag),
         })
     }
 
     /// The same message where its end is uncertain, for example because its word count is too low: a request may have lost words and
     /// counts as malformed.
-    pub fn in_doubt(self) -> Self {
+    pub fn with_uncertain_end(self) -> Self {
         match self {
-            Self::Do(tag, _) => Self::Unreadable(tag),
-            Self::Undo(_) | Self::Ping(_) | Self::Unreadable(_) => self,
+            Self::Request(tag, _) => Self::Malformed(tag),
+            Self::Cancel(_) | Self::Probe(_) | Self::Malformed(_) => self,
         }
     }
 }
@@ -104,11 +104,11 @@
 
 /// Whether a copy tag or idempotency key can be passed on unchanged: nothing in it may end a field.
 fn opaque(text: &str) -> bool {
-    (1..=COPY_TAG).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_alphanumeric())
+    (1..=COPY_TAG_MAX_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_alphanumeric())
 }
 
 /// Decodes the words behind verb and tag.
-fn request(mut words: impl Iterator<Item = Vec<u8>>) -> Option<Do> {
+fn request(mut words: impl Iterator<Item = Vec<u8>>) -> Option<RequestMessage> {
     let class = String::from_utf8(words.next()?).ok()?;
     let fields = words.next()?;
     let fields = Fields::read(&fields)?;
@@ -119,27 +119,27 @@
     let (id, object_text) = (fields.get("i")?, fields.get("o")?);
     hex(id)?;
     let size_kb = match fields.get("m") {
-        Some(size) => decimal(size).filter(|m| *m > 0.0 && *m <= MOST_KB)?,
+        Some(size) => decimal(size).filter(|m| *m > 0.0 && *m <= MAX_SIZE_KB)?,
         None => 0.0,
     };
     let (got, key) = (fields.get("got"), fields.get("k"));
     if !got.is_none_or(opaque) || !key.is_none_or(opaque) {
         return None;
     }
-    Some(Do {
+    Some(RequestMessage {
         id: WireId(Arc::from(id)),
         class,
         object: ObjectId(hex(object_text)?),
         object_text: object_text.to_string(),
-        part: Part(fields.whole("nth", MOST_PART)?),
-        group: GroupId(fields.whole("batch", MOST_GROUP)?),
+        part: Part(fields.whole("nth", MAX_PART)?),
+        group: GroupId(fields.whole("batch", MAX_GROUP)?),
         size_kb,
-        left: fields.decimal("d").filter(|d| *d <= LONGEST_WAIT_MS)?,
-        got: got.map(str::to_string),
-        key: key.map(str::to_string),
-        again: fields.get("again") == Some("1"),
+        deadline_ms: fields.decimal("d").filter(|d| *d <= MAX_DEADLINE_MS)?,
+        copy_tag: got.map(str::to_string),
+        idempotency_key: key.map(str::to_string),
+        repeated: fields.get("again") == Some("1"),
         parts: fields.get("parts").map(str::to_string),
-        debt: fields.get("debt").map(str::to_string),
+        continuation: fields.get("debt").map(str::to_string),
         body,
     })
 }
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -9,8 +9,8 @@
 mod response;
 mod slot;
 
-pub use message::{ClientId, Do, FromClient, Tag, WireId};
-pub use response::{answer, pong, Reply};
+pub use message::{ClientId, ClientMessage, RequestMessage, Tag, WireId};
+pub use response::{encode_answer, encode_pong, Reply};
 
 use crate::connection::{CloseReason, ConnectionEvent, ConnectionSlots, ConnectionState};
 use crate::inbox::{read_all, ClientReader, DecodedMessage};
@@ -19,7 +19,7 @@
     RETRY_INTERVAL,
 };
 use crate::messages::{Input, Shared};
-use crate::outbox::{outbox, write_all, Meter};
+use crate::outbox::{send_queue, write_all, BufferMeter};
 use crate::socket;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -48,13 +48,13 @@
         }
         while slots.taken() >= max_clients {
             waiting_since.get_or_insert_with(Instant::now);
-            if shared.queue.send(Input::RoomWanted).await.is_err() {
+            if shared.queue.send(Input::SlotWanted).await.is_err() {
                 return;
             }
             Timer::after(RETRY_INTERVAL).await;
         }
         let ended = async {
-            slots.ended().await;
+            slots.accepting_stopped().await;
             None
         };
         // The backlog is accepted before the end takes effect.
@@ -73,7 +73,7 @@
             }
             None => return,
         }
-        accepted_at_end += i32::from(slots.ending());
+        accepted_at_end += i32::from(slots.stopped_accepting());
         turns += 1;
         if turns.is_multiple_of(ACCEPTS_PER_TURN) {
             future::yield_now().await;
@@ -93,26 +93,26 @@
     if let Err(e) = socket.get_ref().set_nodelay(true) {
         log::debug!("client {}: TCP_NODELAY failed: {e}", id.0);
     }
-    let buffered = Rc::new(Meter::default());
+    let buffered = Rc::new(BufferMeter::default());
     let state = Rc::new(ConnectionState::watched(slot.slots(), &shared.invariants));
-    let (outbox, outgoing) = outbox(&shared.meter, &buffered);
-    if shared.queue.send(Input::ClientOpen(id, outbox, Rc::clone(&state))).await.is_err() {
+    let (outbox, outgoing) = send_queue(&shared.meter, &buffered);
+    if shared.queue.send(Input::ClientConnected(id, outbox, Rc::clone(&state))).await.is_err() {
         return;
     }
     let read = async {
-        let paused = || buffered.held() > CLIENT_UNSENT_MAX_BYTES;
+        let paused = || buffered.bytes() > CLIENT_UNSENT_MAX_BYTES;
         let decode = |decoded: DecodedMessage| {
-            let message = FromClient::read(decoded.words)?;
-            state.presence().read(&message);
-            let message = if decoded.boundary_uncertain { message.in_doubt() } else { message };
+            let message = ClientMessage::decode(decoded.words)?;
+            state.liveness().observe(&message);
+            let message = if decoded.boundary_uncertain { message.with_uncertain_end() } else { message };
             Some(Input::Client(id, message, decoded.read_at))
         };
         let client = ClientReader { state: &state, waiting_since };
         let reason = read_all(&socket, CLIENT_READ_LIMITS, &shared, paused, decode, Some(client)).await;
         log::debug!("client {}: reading stopped: {reason:?}", id.0);
-        state.tell(ConnectionEvent::ReadStopped);
-        let lingers = reason != CloseReason::Ended;
-        if lingers && shared.queue.send(Input::ClientStopped(id, reason)).await.is_ok() {
+        state.apply(ConnectionEvent::ReadStopped);
+        let lingers = reason != CloseReason::PeerClosed;
+        if lingers && shared.queue.send(Input::ClientReadStopped(id, reason)).await.is_ok() {
             slot.discard(&socket, &state, reason).await;
         }
     };
@@ -122,8 +122,8 @@
         }
     };
     future::or(read, write).await;
-    state.tell(ConnectionEvent::Closed);
-    state.presence().leave();
+    state.apply(ConnectionEvent::Closed);
+    state.liveness().disconnect();
     // The owner is gone only when the process ends.
     let _ = shared.queue.send(Input::ClientClosed(id)).await;
 }
--- a/crates/node/src/clients/parts.rs
+++ b/crates/node/src/clients/parts.rs
@@ -1,7 +1,7 @@
 //! Decodes and encodes requests for several parts and their answers.
 
 use super::Tag;
-use crate::limits::MOST_PART;
+use crate::limits::MAX_PART;
 use crate::resp::{encode, whole, FieldList};
 use basaltgw::api::Ms;
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 const CONTINUATION_DIGITS: usize = 32;
 
 /// Decodes `0@north+1@south+2`: each part once, with the site that has it (without one: this router's caches). `None` if it is malformed.
-pub fn parts(text: &str) -> Option<Vec<(u32, Option<Arc<str>>)>> {
+pub fn parse_parts(text: &str) -> Option<Vec<(u32, Option<Arc<str>>)>> {
     let mut seen = BTreeSet::new();
     let mut parts = Vec::new();
     for item in text.split('+') {
@@ -21,7 +21,7 @@
             Some((number, site)) => (number, Some(basaltgw_types::name(site).ok()?)),
             None => (item, None),
         };
-        let number = whole(number).filter(|n| *n <= MOST_PART).and_then(|n| u32::try_from(n).ok())?;
+        let number = whole(number).filter(|n| *n <= MAX_PART).and_then(|n| u32::try_from(n).ok())?;
         if parts.len() >= MOST_PARTS || !seen.insert(number) {
             return None;
         }
@@ -31,14 +31,14 @@
 }
 
 /// Decodes a continuation's id; `None` if it is malformed.
-pub fn debt(text: &str) -> Option<u128> {
+pub fn parse_continuation(text: &str) -> Option<u128> {
     let digits = text.len() == CONTINUATION_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
     u128::from_str_radix(text, 16).ok().filter(|_| digits)
 }
 
 /// An answer to a request for several parts, in the order in which they were requested.
 #[derive(Debug, Default)]
-pub struct Gathered {
+pub struct PartsAnswer {
     /// Each part with its length in bytes.
     pub parts: Vec<(u32, usize)>,
     /// Their bytes, one after the other.
@@ -46,9 +46,9 @@
     /// Requested parts that are not in the answer.
     pub missing: Vec<u32>,
     /// When the missing parts may be requested again, in milliseconds from now.
-    pub come_back: Option<Ms>,
+    pub retry_after_ms: Option<Ms>,
     /// The id of the continuation that answers the missing parts.
-    pub debt: Option<u128>,
+    pub continuation: Option<u128>,
 }
 
 fn joined(items: impl Iterator<Item = String>) -> String {
@@ -56,17 +56,17 @@
 }
 
 /// Encodes an answer. A partial one has its own status, `206`, so that no client takes it for complete.
-pub fn gathered(tag: Tag, answer: &Gathered) -> Vec<u8> {
+pub fn encode_parts_answer(tag: Tag, answer: &PartsAnswer) -> Vec<u8> {
     let mut fields = FieldList::default();
     fields.add("parts", joined(answer.parts.iter().map(|(part, len)| format!("{part}:{len}"))));
     let word: &[u8] = if answer.missing.is_empty() { b"200" } else { b"206" };
     if !answer.missing.is_empty() {
         fields.add("missing", joined(answer.missing.iter().map(u32::to_string)));
     }
-    if let Some(retry_after) = answer.come_back {
+    if let Some(retry_after) = answer.retry_after_ms {
         fields.add("w", retry_after.max(1.0).round());
     }
-    if let Some(debt) = answer.debt {
+    if let Some(debt) = answer.continuation {
         fields.add("debt", format!("{debt:032x}"));
     }
     encode(&[tag.0.to_string().as_bytes(), word, fields.text().as_bytes(), &answer.body])
--- a/crates/node/src/clients/response.rs
+++ b/crates/node/src/clients/response.rs
@@ -10,24 +10,24 @@
     /// The object's bytes.
     Served(&'a [u8]),
     /// The client's copy is current.
-    Same,
+    NotModified,
     /// Rejected, with a Retry-After in milliseconds (0: none).
-    Refused(Ms),
+    Rejected(Ms),
     /// Failed.
     Failed,
 }
 
 /// Encodes an answer.
-pub fn answer(tag: Tag, reply: Reply<'_>) -> Vec<u8> {
+pub fn encode_answer(tag: Tag, reply: Reply<'_>) -> Vec<u8> {
     let tag = tag.0.to_string();
     let mut fields = FieldList::default();
     let (word, body): (&[u8], &[u8]) = match reply {
         Reply::Served(body) => (b"200", body),
-        Reply::Same => {
+        Reply::NotModified => {
             fields.add("ok304", 1);
             (b"200", b"")
         }
-        Reply::Refused(retry_after) => {
+        Reply::Rejected(retry_after) => {
             if retry_after >= 1.0 {
                 fields.add("w", retry_after.round());
             }
@@ -39,7 +39,7 @@
 }
 
 /// Encodes the answer to `PING`.
-pub fn pong(tag: Tag, serving: bool) -> Vec<u8> {
+pub fn encode_pong(tag: Tag, serving: bool) -> Vec<u8> {
     let word: &[u8] = if serving { b"serving" } else { b"not_serving" };
     encode(&[tag.0.to_string().as_bytes(), word, b"", b""])
 }
--- a/crates/node/src/clients/slot.rs
+++ b/crates/node/src/clients/slot.rs
@@ -41,7 +41,7 @@
     /// Waits for the time after which a client that takes no byte counts as gone; shorter during shutdown.
     pub(super) async fn stalled(&self) -> io::Result<usize> {
         let at_shutdown = async {
-            self.slots.ended().await;
+            self.slots.accepting_stopped().await;
             late(CLIENT_WRITE_TIMEOUT_AT_SHUTDOWN).await
         };
         let gone = future::or(late(CLIENT_WRITE_TIMEOUT), at_shutdown).await;
@@ -55,7 +55,7 @@
         if let Err(e) = socket.get_ref().shutdown(Shutdown::Write) {
             log::debug!("shutdown of a client's socket failed: {e}");
         }
-        state.tell(ConnectionEvent::WriteShutdown);
+        state.apply(ConnectionEvent::WriteShutdown);
         // A client that sent no message has no answer that a reset could lose.
         if state.has_received() {
             self.lingering.set(true);
@@ -72,7 +72,7 @@
         state: &ConnectionState,
         reason: CloseReason,
     ) {
-        if reason == CloseReason::Quiet(IdleReason::Room) {
+        if reason == CloseReason::IdleClose(IdleReason::SlotNeeded) {
             self.linger_timeout.set(LINGER_TIMEOUT_WHEN_FULL);
         }
         let mut chunk = vec![0; READ_BYTES];
@@ -80,7 +80,7 @@
         while left > 0 {
             match io_socket::read(&mut socket, &mut chunk).await {
                 Ok(n) if n > 0 => {
-                    if left == LINGER_MAX_BYTES && matches!(reason, CloseReason::Quiet(_)) {
+                    if left == LINGER_MAX_BYTES && matches!(reason, CloseReason::IdleClose(_)) {
                         self.slots.count_unread();
                     }
                     left = left.saturating_sub(n);
@@ -89,7 +89,7 @@
             }
             future::yield_now().await;
         }
-        if state.state() != ConnectionPhase::HalfClosed {
+        if state.phase() != ConnectionPhase::HalfClosed {
             future::pending::<()>().await;
         }
         self.slots.count_lingered();
--- a/crates/node/src/connection/close_reason.rs
+++ b/crates/node/src/connection/close_reason.rs
@@ -6,26 +6,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleReason {
     /// It has been idle for longer than the idle timeout.
-    Idle,
+    IdleTimeout,
     /// Other clients wait for its slot.
-    Room,
+    SlotNeeded,
     /// The process shuts down.
-    End,
+    Shutdown,
 }
 
 /// Why no more is read on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The peer closed it, or it failed.
-    Ended,
+    PeerClosed,
     /// The peer sent bytes that can't be decoded.
-    Unreadable(Malformed),
+    Malformed(Malformed),
     /// No complete message came within the time for the first one.
-    Silent,
+    NoFirstMessage,
     /// A message was begun and not completed in time.
-    Unfinished,
+    IncompleteMessage,
     /// The owner asked for the close, and no message crossed the request.
-    Quiet(IdleReason),
+    IdleClose(IdleReason),
     /// The owner dropped the client.
     Dropped,
 }
--- a/crates/node/src/connection/liveness.rs
+++ b/crates/node/src/connection/liveness.rs
@@ -2,7 +2,7 @@
 //! queue to the owner; the owner and the writers of connections to servers check it.
 
 use crate::breaks::{broken, Break};
-use crate::clients::message::{FromClient, Tag};
+use crate::clients::message::{ClientMessage, Tag};
 use crate::limits::MAX_CANCELLATIONS_AHEAD;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,13 +19,13 @@
 
 impl ClientLiveness {
     /// Whether the client still waits for the answer under this tag.
-    pub fn wants(&self, tag: Tag) -> bool {
+    pub fn is_waiting(&self, tag: Tag) -> bool {
         self.disconnected.get().is_none() && !self.cancelled.borrow().contains_key(&tag)
     }
 
     /// Notes a message that was read. Above the bound of cancellations the owner learns of one by its queue only.
-    pub fn read(&self, message: &FromClient) {
-        if let FromClient::Undo(tag) = message {
+    pub fn observe(&self, message: &ClientMessage) {
+        if let ClientMessage::Cancel(tag) = message {
             let mut cancelled = self.cancelled.borrow_mut();
             if cancelled.len() < MAX_CANCELLATIONS_AHEAD {
                 cancelled.insert(*tag, Instant::now());
@@ -34,17 +34,17 @@
     }
 
     /// The owner has handled the cancellation under this tag. A tag is used once, so no request is under it any more.
-    pub fn heeded(&self, tag: Tag) {
+    pub fn cancellation_handled(&self, tag: Tag) {
         self.cancelled.borrow_mut().remove(&tag);
     }
 
     /// Whether the client has not cancelled this request, connected or not.
-    pub fn not_taken_back(&self, tag: Tag) -> bool {
+    pub fn not_cancelled(&self, tag: Tag) -> bool {
         !self.cancelled.borrow().contains_key(&tag)
     }
 
     /// Notes that the connection is closed.
-    pub fn leave(&self) {
+    pub fn disconnect(&self) {
         self.disconnected.set(Some(Instant::now()));
     }
 
@@ -68,8 +68,8 @@
     }
 
     /// Whether the client waits.
-    pub fn holds(&self) -> bool {
-        broken(Break::CancelIgnored) || self.client.wants(self.tag)
+    pub fn is_waiting(&self) -> bool {
+        broken(Break::CancelIgnored) || self.client.is_waiting(self.tag)
     }
 
     /// For how long the client has not waited; `None` while it does.
--- a/crates/node/src/connection/slots.rs
+++ b/crates/node/src/connection/slots.rs
@@ -70,17 +70,17 @@
     }
 
     /// Stops accepting: from now on only what is in the backlog is accepted.
-    pub fn end(&self) {
+    pub fn stop_accepting(&self) {
         self.accept_end.0.close();
     }
 
     /// Whether accepting has stopped.
-    pub fn ending(&self) -> bool {
+    pub fn stopped_accepting(&self) -> bool {
         self.accept_end.0.is_closed()
     }
 
     /// Waits until accepting has stopped.
-    pub async fn ended(&self) {
+    pub async fn accepting_stopped(&self) {
         // Nothing is ever sent; the receive returns when the channel is closed.
         let _ = self.accept_end.1.recv().await;
     }
--- a/crates/node/src/connection/state.rs
+++ b/crates/node/src/connection/state.rs
@@ -19,9 +19,9 @@
     /// Messages are read and queued for the owner.
     Open {
         /// Messages that the owner has not taken from the queue.
-        on_way: u32,
+        queued: u32,
         /// Why the owner wants it closed; cleared when a message crosses the request.
-        asked: Option<IdleReason>,
+        close_requested: Option<IdleReason>,
     },
     /// No more messages are read. Open requests are answered unless the owner cancelled them, and queued answers are written.
     Closing,
@@ -43,9 +43,9 @@
     /// The reader stops: what came can't be decoded, or not in time.
     ReadStopped,
     /// The owner takes a message from the queue.
-    Taken,
+    Dequeued,
     /// The owner wants it closed.
-    Asked(IdleReason),
+    CloseRequested(IdleReason),
     /// The owner drops the client with all its open requests.
     Dropped,
     /// The writer has written all that is queued and shut our side down.
@@ -60,19 +60,25 @@
         use ConnectionEvent as E;
         use ConnectionPhase::{Closed, Closing, HalfClosed, Open};
         match (self, event) {
-            (Open { on_way, asked }, E::Enqueued) => Open { on_way: on_way.saturating_add(1), asked },
+            (Open { queued: on_way, close_requested: asked }, E::Enqueued) => {
+                Open { queued: on_way.saturating_add(1), close_requested: asked }
+            }
             // A message that crossed the close request is answered, and the request lapses.
-            (Open { on_way, .. }, E::Taken) => Open { on_way: on_way.saturating_sub(1), asked: None },
-            (Open { on_way, asked }, E::Asked(why)) => Open { on_way, asked: asked.or(Some(why)) },
-            (Open { on_way, asked }, E::AtRest) => {
-                let may = may_close(&CloseState { wanted: asked.is_some(), on_way });
+            (Open { queued: on_way, .. }, E::Dequeued) => {
+                Open { queued: on_way.saturating_sub(1), close_requested: None }
+            }
+            (Open { queued: on_way, close_requested: asked }, E::CloseRequested(why)) => {
+                Open { queued: on_way, close_requested: asked.or(Some(why)) }
+            }
+            (Open { queued: on_way, close_requested: asked }, E::AtRest) => {
+                let may = may_close(&CloseState { wanted: asked.is_some(), queued_messages: on_way });
                 if may.is_ok() || broken(Break::CloseOverRequest) {
                     Closing
                 } else {
-                    Open { on_way, asked: None }
+                    Open { queued: on_way, close_requested: None }
                 }
             }
-            (Open { on_way, .. }, E::MidMessage) => Open { on_way, asked: None },
+            (Open { queued: on_way, .. }, E::MidMessage) => Open { queued: on_way, close_requested: None },
             (Open { .. }, E::ReadStopped | E::Dropped) => Closing,
             // The owner dropped the outbox without an event: no one is left to queue messages for.
             (Open { .. } | Closing, E::WriteShutdown) => HalfClosed,
@@ -83,8 +89,8 @@
                 | E::AtRest
                 | E::MidMessage
                 | E::ReadStopped
-                | E::Taken
-                | E::Asked(_)
+                | E::Dequeued
+                | E::CloseRequested(_)
                 | E::Dropped,
             ) => Closing,
             (
@@ -93,8 +99,8 @@
                 | E::AtRest
                 | E::MidMessage
                 | E::ReadStopped
-                | E::Taken
-                | E::Asked(_)
+                | E::Dequeued
+                | E::CloseRequested(_)
                 | E::Dropped
                 | E::WriteShutdown,
             ) => HalfClosed,
@@ -126,7 +132,7 @@
     /// A connection that was just accepted.
     pub fn new(slots: &Rc<ConnectionSlots>) -> Self {
         Self {
-            phase: Cell::new(ConnectionPhase::Open { on_way: 0, asked: None }),
+            phase: Cell::new(ConnectionPhase::Open { queued: 0, close_requested: None }),
             has_received: Cell::new(false),
             close_requests: async_channel::bounded(1),
             slots: Rc::clone(slots),
@@ -146,25 +152,27 @@
     }
 
     /// Whether its client still waits for its requests.
-    pub fn presence(&self) -> &Rc<ClientLiveness> {
+    pub fn liveness(&self) -> &Rc<ClientLiveness> {
         &self.liveness
     }
 
     /// The current phase.
-    pub fn state(&self) -> ConnectionPhase {
+    pub fn phase(&self) -> ConnectionPhase {
         self.phase.get()
     }
 
     /// Applies an event; returns the phase after it.
-    pub fn tell(&self, event: ConnectionEvent) -> ConnectionPhase {
+    pub fn apply(&self, event: ConnectionEvent) -> ConnectionPhase {
         let (before, after) = (self.phase.get(), self.phase.get().after(event));
         self.phase.set(after);
-        if let (ConnectionPhase::Open { asked: Some(_), .. }, ConnectionPhase::Open { asked: None, .. }) =
-            (before, after)
+        if let (
+            ConnectionPhase::Open { close_requested: Some(_), .. },
+            ConnectionPhase::Open { close_requested: None, .. },
+        ) = (before, after)
         {
             self.slots.count_crossed();
         }
-        if matches!(event, ConnectionEvent::Asked(_) | ConnectionEvent::Dropped) {
+        if matches!(event, ConnectionEvent::CloseRequested(_) | ConnectionEvent::Dropped) {
             // A wake-up that is already queued wakes the reader as well.
             let _ = self.close_requests.0.try_send(());
         }
@@ -172,16 +180,16 @@
     }
 
     /// Why the owner wants it closed, while that request is undecided.
-    pub fn asked(&self) -> Option<IdleReason> {
-        match self.state() {
-            ConnectionPhase::Open { asked, .. } => asked,
+    pub fn close_reason(&self) -> Option<IdleReason> {
+        match self.phase() {
+            ConnectionPhase::Open { close_requested: asked, .. } => asked,
             ConnectionPhase::Closing | ConnectionPhase::HalfClosed | ConnectionPhase::Closed => None,
         }
     }
 
     /// Waits until the owner wants the connection closed or drops the client.
     pub async fn close_requested(&self) {
-        while let ConnectionPhase::Open { asked: None, .. } = self.state() {
+        while let ConnectionPhase::Open { close_requested: None, .. } = self.phase() {
             if self.close_requests.1.recv().await.is_err() {
                 return;
             }
@@ -190,18 +198,18 @@
 
     /// Decides a close request when the reader finds the socket empty; `partial_for` is the age of a partial message. Returns why the
     /// reader stops, or `None` if it goes on.
-    pub fn stops(&self, partial_for: Option<Duration>) -> Option<CloseReason> {
-        let asked = self.asked();
+    pub fn decide_close(&self, partial_for: Option<Duration>) -> Option<CloseReason> {
+        let asked = self.close_reason();
         // Shutdown waits for a partial message for a bounded time only.
         let mid_message = partial_for
-            .is_some_and(|age| asked != Some(IdleReason::End) || age < PARTIAL_MESSAGE_AT_SHUTDOWN);
+            .is_some_and(|age| asked != Some(IdleReason::Shutdown) || age < PARTIAL_MESSAGE_AT_SHUTDOWN);
         let event = if mid_message { ConnectionEvent::MidMessage } else { ConnectionEvent::AtRest };
-        (!self.tell(event).reads()).then_some(asked.map_or(CloseReason::Dropped, CloseReason::Quiet))
+        (!self.apply(event).reads()).then_some(asked.map_or(CloseReason::Dropped, CloseReason::IdleClose))
     }
 
     /// Notes a decoded message that the reader is about to queue; false if the connection no longer takes any.
-    pub fn hands(&self) -> bool {
-        let open = self.tell(ConnectionEvent::Enqueued).reads();
+    pub fn enqueue(&self) -> bool {
+        let open = self.apply(ConnectionEvent::Enqueued).reads();
         self.has_received.set(self.has_received.get() || open);
         open
     }
--- a/crates/node/src/counters/kinds.rs
+++ b/crates/node/src/counters/kinds.rs
@@ -34,17 +34,17 @@
 
 impl Count {
     /// Adds 1.
-    pub fn one(&self) {
-        self.more(1);
+    pub fn increment(&self) {
+        self.add(1);
     }
 
     /// Adds an amount.
-    pub fn more(&self, amount: u64) {
+    pub fn add(&self, amount: u64) {
         self.0.inc_by(amount);
     }
 
     /// Sets the value to one that was counted elsewhere.
-    pub fn reached(&self, value: u64) {
+    pub fn set(&self, value: u64) {
         self.0.inner().0.store(value, Ordering::Relaxed);
     }
 
--- a/crates/node/src/counters/mod.rs
+++ b/crates/node/src/counters/mod.rs
@@ -52,18 +52,18 @@
             AttemptResult::NotSent => &self.not_sent,
             AttemptResult::CacheMiss => &self.miss,
         };
-        count.one();
+        count.increment();
     }
 }
 
 impl ChangeLog {
     /// Counts a second connection by its reason.
-    pub fn doubted(&self, reason: ReconnectReason) {
+    pub fn standby_opened(&self, reason: ReconnectReason) {
         match reason {
             ReconnectReason::Silent => &self.quiet,
             ReconnectReason::MissingEvents => &self.behind,
         }
-        .one();
+        .increment();
     }
 }
 
@@ -72,22 +72,22 @@
     pub fn answered(&self, reply: &Reply<'_>) {
         let count = match reply {
             Reply::Served(_) => &self.served,
-            Reply::Same => &self.same,
-            Reply::Refused(_) => &self.refused,
+            Reply::NotModified => &self.same,
+            Reply::Rejected(_) => &self.refused,
             Reply::Failed => &self.failed,
         };
-        count.one();
+        count.increment();
     }
 }
 
 impl Tree {
     /// Copies the tree's own counters.
     pub fn reached(&self, counted: &TreeCounters) {
-        self.offered.reached(counted.offered);
-        self.refused.reached(counted.refused);
-        self.ended.reached(counted.ended);
-        self.loops.reached(counted.loops);
-        self.set_aside.reached(counted.set_aside);
+        self.offered.set(counted.offered);
+        self.refused.set(counted.refused);
+        self.ended.set(counted.ended);
+        self.loops.set(counted.loops);
+        self.set_aside.set(counted.set_aside);
     }
 }
 
@@ -96,16 +96,16 @@
     pub fn reached(&self, invariants: &Invariants) {
         for violation in Violation::ALL {
             let count = match violation {
-                Violation::SecondAnswer => &self.second_answer,
+                Violation::SecondResponse => &self.second_answer,
                 Violation::AttemptAfterClientLeft => &self.attempt_after_client_left,
                 Violation::RepeatAfterExecution => &self.repeat_after_execution,
-                Violation::RefusalAfterExecution => &self.refusal_after_execution,
+                Violation::RejectionAfterExecution => &self.refusal_after_execution,
                 Violation::SentToDrained => &self.sent_to_drained,
                 Violation::DeadlineExceeded => &self.deadline_exceeded,
-                Violation::ClosedOverRequest => &self.closed_over_request,
+                Violation::ClosedWithOpenRequest => &self.closed_over_request,
                 Violation::SlowStartExceeded => &self.slow_start_exceeded,
             };
-            count.reached(invariants.count(violation));
+            count.set(invariants.count(violation));
         }
     }
 }
--- a/crates/node/src/counters/tests.rs
+++ b/crates/node/src/counters/tests.rs
@@ -5,10 +5,10 @@
     let counters = Counters::default();
     counters.batches.longest.raise(1.236);
     counters.batches.longest.raise(0.5);
-    counters.attempts.unheeded.more(3);
+    counters.attempts.unheeded.add(3);
     counters.attempts.ended(AttemptResult::CacheMiss);
-    counters.log.lost.one();
-    counters.clients.answered(&Reply::Same);
+    counters.log.lost.increment();
+    counters.clients.answered(&Reply::NotModified);
     assert_eq!(
         counters.to_string(),
         "clients=0 clients_now=0 requests=0 closed_unreadable=0 closed_silent=0 closed_unfinished=0 \
@@ -30,7 +30,7 @@
 fn registry_on_another_thread_reads_every_counter() {
     let counters = Counters::default();
     let registry = counters.registry();
-    counters.clients.requests.more(7);
+    counters.clients.requests.add(7);
     counters.memory.held.set(4096);
     let read = std::thread::spawn(move || {
         let mut text = String::new();
--- a/crates/node/src/fleet/handle.rs
+++ b/crates/node/src/fleet/handle.rs
@@ -102,7 +102,7 @@
     /// What the owner needs for scatter-gather requests, until it has taken it over.
     pub scatter_gather: Option<ScatterGatherConfig>,
     /// Receives when a notification was pushed.
-    pub bell: Receiver<()>,
+    pub wakeup: Receiver<()>,
     last_number: u64,
     requests: RequestQueue,
     notifications: rtrb::Consumer<ControlNotification>,
@@ -128,7 +128,7 @@
             shutting_down: false,
             takes_scatter_gather: scatter_gather.is_some(),
             scatter_gather,
-            bell: rings.wakeup,
+            wakeup: rings.wakeup,
             last_number: 0,
             requests: RequestQueue { ring: rings.requests, backlog: VecDeque::new() },
             notifications: rings.notifications,
--- a/crates/node/src/fleet/message.rs
+++ b/crates/node/src/fleet/message.rs
@@ -3,7 +3,7 @@
 //! The encoding is postcard and goes by the order of variants and fields; `byte_tests` fixes its bytes.
 
 use super::purges::Purge;
-use crate::limits::{COPY_TAG, LONGEST_WAIT_MS, MOST_GROUP, MOST_KB, MOST_PART};
+use crate::limits::{COPY_TAG_MAX_BYTES, MAX_DEADLINE_MS, MAX_GROUP, MAX_PART, MAX_SIZE_KB};
 use basaltgw_types::{Ms, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -101,7 +101,7 @@
         let object = self.object.len() == OBJECT_ID_DIGITS
             && self.object.bytes().all(|digit| digit.is_ascii_hexdigit());
         let numbers =
-            self.part <= MOST_PART && self.group <= MOST_GROUP && (0.0..=MOST_KB).contains(&self.size_kb);
+            self.part <= MAX_PART && self.group <= MAX_GROUP && (0.0..=MAX_SIZE_KB).contains(&self.size_kb);
         object && numbers && self.class.len() <= MAX_NAME_BYTES && is_time_span(self.time_left)
     }
 }
@@ -109,7 +109,7 @@
 impl PartResult {
     fn is_within_bounds(&self) -> bool {
         match self {
-            Self::Served { version, .. } => (1..=COPY_TAG).contains(&version.len()),
+            Self::Served { version, .. } => (1..=COPY_TAG_MAX_BYTES).contains(&version.len()),
             Self::Rejected(retry_after) => is_time_span(*retry_after),
             Self::Failed => true,
         }
@@ -117,5 +117,5 @@
 }
 
 fn is_time_span(span: Ms) -> bool {
-    (0.0..=LONGEST_WAIT_MS).contains(&span)
+    (0.0..=MAX_DEADLINE_MS).contains(&span)
 }
--- a/crates/node/src/fleet/message_tests.rs
+++ b/crates/node/src/fleet/message_tests.rs
@@ -2,7 +2,7 @@
 
 use super::message::{PartMessage, PartRequest, PartResult};
 use super::purges::Purge;
-use crate::limits::{COPY_TAG, LONGEST_WAIT_MS};
+use crate::limits::{COPY_TAG_MAX_BYTES, MAX_DEADLINE_MS};
 use proptest::prelude::*;
 
 fn request() -> PartRequest {
@@ -21,13 +21,13 @@
     for message in [PartMessage::Request(request()), response("v1"), PartMessage::Cancel { number: 7 }] {
         assert_eq!(PartMessage::decode(&message.encode()), Some(message));
     }
-    for time_left in [f64::NAN, -1.0, LONGEST_WAIT_MS * 2.0] {
+    for time_left in [f64::NAN, -1.0, MAX_DEADLINE_MS * 2.0] {
         let message = PartMessage::Request(PartRequest { time_left, ..request() });
         assert_eq!(PartMessage::decode(&message.encode()), None);
     }
     let message = PartMessage::Request(PartRequest { object: "x".into(), ..request() });
     assert_eq!(PartMessage::decode(&message.encode()), None);
-    assert_eq!(PartMessage::decode(&response(&"v".repeat(COPY_TAG + 1)).encode()), None);
+    assert_eq!(PartMessage::decode(&response(&"v".repeat(COPY_TAG_MAX_BYTES + 1)).encode()), None);
 }
 
 proptest! {
--- a/crates/node/src/fleet/start.rs
+++ b/crates/node/src/fleet/start.rs
@@ -188,14 +188,14 @@
         me: me.clone(),
         founders,
         capacity: set.limits.holds as u64,
-        rules: rules(set),
+        rules: placement_rules(set),
         replace_after: set.limits.replace_after_ms,
     };
     TableManager::new(config, register).map_err(io_error)
 }
 
 /// The placement rules as file name and text: those of the rules file, or those that the section itself amounts to.
-pub fn rules(set: &FleetConfig) -> Vec<(String, String)> {
+pub fn placement_rules(set: &FleetConfig) -> Vec<(String, String)> {
     match &set.rules {
         Some(rules) => vec![(rules.file.display().to_string(), rules.text.clone())],
         None => {
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -3,7 +3,7 @@
 //! Reading pauses while all buffered messages use too much memory, the peer is slow to read, or the owner's queue is full. A client is
 //! watched meanwhile, so that its close and its cancellations still take effect.
 
-use crate::clients::message::FromClient;
+use crate::clients::message::ClientMessage;
 use crate::connection::{CloseReason, ConnectionState};
 use crate::limits::{ReadLimits, READ_AHEAD_BYTES, READ_AHEAD_MESSAGES, READ_BYTES, RETRY_INTERVAL};
 use crate::messages::{Input, Shared};
@@ -69,7 +69,7 @@
 ) -> CloseReason {
     let written = async {
         write.await;
-        CloseReason::Ended
+        CloseReason::PeerClosed
     };
     future::or(read, written).await
 }
@@ -163,7 +163,7 @@
     }
 
     fn pause_reason(&self, paused: &impl Fn() -> bool) -> Option<PauseReason> {
-        if self.shared.meter.held() > self.shared.held_limit {
+        if self.shared.meter.bytes() > self.shared.buffer_limit_bytes {
             return Some(PauseReason::Memory);
         }
         paused().then_some(PauseReason::SlowPeer)
@@ -173,12 +173,12 @@
     async fn read(&mut self) -> Result<usize, CloseReason> {
         match self.wait_readable().await {
             ReadEvent::Read(Ok(n)) if n > 0 => Ok(n),
-            ReadEvent::Read(Ok(_) | Err(_)) => Err(CloseReason::Ended),
-            ReadEvent::TimedOut if self.message_started.is_none() => Err(CloseReason::Silent),
-            ReadEvent::TimedOut => Err(CloseReason::Unfinished),
+            ReadEvent::Read(Ok(_) | Err(_)) => Err(CloseReason::PeerClosed),
+            ReadEvent::TimedOut if self.message_started.is_none() => Err(CloseReason::NoFirstMessage),
+            ReadEvent::TimedOut => Err(CloseReason::IncompleteMessage),
             ReadEvent::CloseRequested => {
                 let partial_for = self.message_started.map(|t| t.elapsed());
-                match self.state.and_then(|state| state.stops(partial_for)) {
+                match self.state.and_then(|state| state.decide_close(partial_for)) {
                     Some(reason) => Err(reason),
                     None => Ok(0),
                 }
@@ -232,7 +232,7 @@
                 Ok(Some(words)) => words,
                 Ok(None) => break,
                 Err(e) => {
-                    self.failure = Some(CloseReason::Unreadable(e));
+                    self.failure = Some(CloseReason::Malformed(e));
                     break;
                 }
             };
@@ -240,9 +240,11 @@
             (self.message_started, self.first_message_due) = (None, None);
             self.pending_bytes += words.iter().map(Vec::len).sum::<usize>();
             match (self.decode)(DecodedMessage { words, read_at, boundary_uncertain: next.is_err() }) {
-                Some(input) if self.state.is_none_or(ConnectionState::hands) => self.pending.push_back(input),
+                Some(input) if self.state.is_none_or(ConnectionState::enqueue) => {
+                    self.pending.push_back(input)
+                }
                 Some(_) => self.failure = Some(CloseReason::Dropped),
-                None => self.failure = Some(CloseReason::Unreadable(Malformed::SENSELESS)),
+                None => self.failure = Some(CloseReason::Malformed(Malformed::SENSELESS)),
             }
         }
         self.buffered.set(self.decoder.held());
@@ -264,12 +266,12 @@
     async fn enqueue(&mut self, count: usize) -> Result<(), CloseReason> {
         for _ in 0..count {
             let Some(input) = self.pending.pop_front() else { break };
-            if self.state.is_some_and(|state| !state.state().reads()) {
+            if self.state.is_some_and(|state| !state.phase().reads()) {
                 return Err(CloseReason::Dropped);
             }
             match self.shared.queue.try_send(input) {
                 Ok(()) => {}
-                Err(TrySendError::Closed(_)) => return Err(CloseReason::Ended),
+                Err(TrySendError::Closed(_)) => return Err(CloseReason::PeerClosed),
                 Err(TrySendError::Full(input)) => self.enqueue_when_free(input).await?,
             }
         }
@@ -284,7 +286,7 @@
         let queue = &self.shared.queue;
         let mut send = pin!(queue.send(input));
         loop {
-            let sent = async { Some(send.as_mut().await.map_err(|_| CloseReason::Ended)) };
+            let sent = async { Some(send.as_mut().await.map_err(|_| CloseReason::PeerClosed)) };
             let paused = async { self.wait_paused(PauseReason::QueueFull).await.err().map(Err) };
             if let Some(result) = future::or(sent, paused).await {
                 return result;
@@ -303,7 +305,7 @@
         if reads_ahead {
             self.read_ahead(read_ahead).await?;
         } else if self.limits.watched && peer_closed(self.socket) {
-            return Err(CloseReason::Ended);
+            return Err(CloseReason::PeerClosed);
         } else {
             Timer::after(RETRY_INTERVAL).await;
         }
@@ -312,7 +314,7 @@
             PauseReason::Memory
                 if self.message_started.is_some_and(|t| t.elapsed() > self.limits.message) =>
             {
-                Err(CloseReason::Unfinished)
+                Err(CloseReason::IncompleteMessage)
             }
             PauseReason::Memory => Ok(()),
             // The time of the pause doesn't count against the partial message.
@@ -332,7 +334,7 @@
         };
         match future::or(async { Some(socket::read(&mut socket, chunk).await) }, timeout).await {
             Some(Ok(n)) if n > 0 => self.decode_chunk(n),
-            Some(Ok(_) | Err(_)) => return Err(CloseReason::Ended),
+            Some(Ok(_) | Err(_)) => return Err(CloseReason::PeerClosed),
             None => {}
         }
         Ok(())
@@ -340,7 +342,7 @@
 }
 
 fn is_cancellation(input: &Input) -> bool {
-    matches!(input, Input::Client(_, FromClient::Undo(_), _))
+    matches!(input, Input::Client(_, ClientMessage::Cancel(_), _))
 }
 
 /// Whether the peer has closed its side, even if bytes before the close are unread. Where that can't be polled, the next read shows it.
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -20,19 +20,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A response was sent for a request that was not open.
-    SecondAnswer,
+    SecondResponse,
     /// An attempt started after its client had left.
     AttemptAfterClientLeft,
     /// A non-idempotent request was attempted again though it may have been executed.
     RepeatAfterExecution,
     /// A non-idempotent request was rejected, which invites a retry, though it may have been executed.
-    RefusalAfterExecution,
+    RejectionAfterExecution,
     /// A request was sent to a server that is draining or removed.
     SentToDrained,
     /// A server was given more time than the client has left.
     DeadlineExceeded,
     /// The router closed a client's connection with a request unanswered.
-    ClosedOverRequest,
+    ClosedWithOpenRequest,
     /// This router alone sent more to a server in slow start than all routers may.
     SlowStartExceeded,
 }
@@ -40,13 +40,13 @@
 impl Violation {
     /// All violations, in the order of their counters.
     pub const ALL: [Self; 8] = [
-        Self::SecondAnswer,
+        Self::SecondResponse,
         Self::AttemptAfterClientLeft,
         Self::RepeatAfterExecution,
-        Self::RefusalAfterExecution,
+        Self::RejectionAfterExecution,
         Self::SentToDrained,
         Self::DeadlineExceeded,
-        Self::ClosedOverRequest,
+        Self::ClosedWithOpenRequest,
         Self::SlowStartExceeded,
     ];
 }
@@ -59,15 +59,15 @@
 
 /// A fetch whose first byte is being written.
 #[derive(Clone, Copy, Debug)]
-pub struct FetchBegun {
+pub struct FetchStart {
     /// How long ago its client left; `None` while it waits.
-    pub client_gone_for: Option<Duration>,
+    pub since_client_left: Option<Duration>,
     /// By how much its server has been draining or removed for longer than the grace period; `None` if it is not.
-    pub drained_beyond_grace: Option<Duration>,
+    pub past_drain_grace: Option<Duration>,
     /// The timeout that is passed to the server.
-    pub passed_on_ms: Ms,
+    pub timeout_ms: Ms,
     /// How long the client still waits.
-    pub client_left_ms: Ms,
+    pub client_time_left_ms: Ms,
 }
 
 impl Invariants {
@@ -95,7 +95,7 @@
     /// Checks a response that is queued for a client.
     pub fn check_answer(&self, was_open: bool, ids: fmt::Arguments<'_>) {
         if !was_open {
-            self.violated(Violation::SecondAnswer, ids);
+            self.violated(Violation::SecondResponse, ids);
         }
     }
 
@@ -119,19 +119,19 @@
         ids: fmt::Arguments<'_>,
     ) {
         if idempotency == Idempotency::NonIdempotent && earlier.into_iter().any(may_have_executed) {
-            self.violated(Violation::RefusalAfterExecution, ids);
+            self.violated(Violation::RejectionAfterExecution, ids);
         }
     }
 
     /// Checks a fetch whose first byte is being written.
-    pub fn begun(&self, fetch: &FetchBegun, ids: fmt::Arguments<'_>) {
-        if fetch.client_gone_for.is_some_and(|gone| gone > CLIENT_LEFT_TOLERANCE) {
+    pub fn check_fetch(&self, fetch: &FetchStart, ids: fmt::Arguments<'_>) {
+        if fetch.since_client_left.is_some_and(|gone| gone > CLIENT_LEFT_TOLERANCE) {
             self.violated(Violation::AttemptAfterClientLeft, ids);
         }
-        if fetch.drained_beyond_grace.is_some() {
+        if fetch.past_drain_grace.is_some() {
             self.violated(Violation::SentToDrained, ids);
         }
-        if fetch.passed_on_ms > fetch.client_left_ms + TIMEOUT_TOLERANCE_MS {
+        if fetch.timeout_ms > fetch.client_time_left_ms + TIMEOUT_TOLERANCE_MS {
             self.violated(Violation::DeadlineExceeded, ids);
         }
     }
@@ -139,7 +139,7 @@
     /// Checks a client's connection that the router has closed, with the number of requests neither answered nor cancelled.
     pub fn check_close(&self, unanswered: usize, ids: fmt::Arguments<'_>) {
         if unanswered > 0 {
-            self.violated(Violation::ClosedOverRequest, ids);
+            self.violated(Violation::ClosedWithOpenRequest, ids);
         }
     }
 }
--- a/crates/node/src/invariants/tests.rs
+++ b/crates/node/src/invariants/tests.rs
@@ -11,18 +11,18 @@
     invariants.count(violation) == 1
 }
 
-const FETCH: FetchBegun = FetchBegun {
-    client_gone_for: None,
-    drained_beyond_grace: None,
-    passed_on_ms: 1_150.0,
-    client_left_ms: 1_000.0,
+const FETCH: FetchStart = FetchStart {
+    since_client_left: None,
+    past_drain_grace: None,
+    timeout_ms: 1_150.0,
+    client_time_left_ms: 1_000.0,
 };
 
 #[test]
 fn each_violation_is_counted_under_its_name() {
     let ids = || format_args!("request 1");
-    assert!(violates(Violation::SecondAnswer, |i| i.check_answer(false, ids())));
-    assert!(!violates(Violation::SecondAnswer, |i| i.check_answer(true, ids())));
+    assert!(violates(Violation::SecondResponse, |i| i.check_answer(false, ids())));
+    assert!(!violates(Violation::SecondResponse, |i| i.check_answer(true, ids())));
     let connection_lost = [Some(AttemptResult::ConnectionLost)];
     assert!(violates(Violation::RepeatAfterExecution, |i| i.check_attempt(
         Idempotency::NonIdempotent,
@@ -39,30 +39,30 @@
         connection_lost,
         ids()
     )));
-    assert!(violates(Violation::RefusalAfterExecution, |i| i.check_rejection(
+    assert!(violates(Violation::RejectionAfterExecution, |i| i.check_rejection(
         Idempotency::NonIdempotent,
         connection_lost,
         ids()
     )));
     let rejected = [Some(AttemptResult::Rejected)];
-    assert!(!violates(Violation::RefusalAfterExecution, |i| i.check_rejection(
+    assert!(!violates(Violation::RejectionAfterExecution, |i| i.check_rejection(
         Idempotency::NonIdempotent,
         rejected,
         ids()
     )));
-    assert!(violates(Violation::ClosedOverRequest, |i| i.check_close(1, ids())));
-    assert!(!violates(Violation::ClosedOverRequest, |i| i.check_close(0, ids())));
+    assert!(violates(Violation::ClosedWithOpenRequest, |i| i.check_close(1, ids())));
+    assert!(!violates(Violation::ClosedWithOpenRequest, |i| i.check_close(0, ids())));
 }
 
 #[test]
 fn fetch_start_is_checked_against_client_server_and_deadline() {
-    let begun = |fetch: FetchBegun| move |i: &Invariants| i.begun(&fetch, format_args!("request 1"));
+    let begun = |fetch: FetchStart| move |i: &Invariants| i.check_fetch(&fetch, format_args!("request 1"));
     assert!(!violates(Violation::DeadlineExceeded, begun(FETCH)));
-    let late = FetchBegun { passed_on_ms: 1_151.0, ..FETCH };
+    let late = FetchStart { timeout_ms: 1_151.0, ..FETCH };
     assert!(violates(Violation::DeadlineExceeded, begun(late)));
-    let left = |ms| FetchBegun { client_gone_for: Some(Duration::from_millis(ms)), ..FETCH };
+    let left = |ms| FetchStart { since_client_left: Some(Duration::from_millis(ms)), ..FETCH };
     assert!(!violates(Violation::AttemptAfterClientLeft, begun(left(100))));
     assert!(violates(Violation::AttemptAfterClientLeft, begun(left(101))));
-    let drained = FetchBegun { drained_beyond_grace: Some(Duration::ZERO), ..FETCH };
+    let drained = FetchStart { past_drain_grace: Some(Duration::ZERO), ..FETCH };
     assert!(violates(Violation::SentToDrained, begun(drained)));
 }
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -46,15 +46,15 @@
 /// The body of a write.
 pub const MAX_BODY_BYTES: usize = 48_000;
 /// The highest group number.
-pub const MOST_GROUP: u64 = 255;
+pub const MAX_GROUP: u64 = 255;
 /// The highest part number; higher ones are malformed.
-pub const MOST_PART: u64 = 9_999_999;
+pub const MAX_PART: u64 = 9_999_999;
 /// The largest part size in KB; larger ones are malformed.
-pub const MOST_KB: f64 = 1e7;
+pub const MAX_SIZE_KB: f64 = 1e7;
 /// The longest deadline of a request, in milliseconds.
-pub const LONGEST_WAIT_MS: Ms = 600_000.0;
+pub const MAX_DEADLINE_MS: Ms = 600_000.0;
 /// The tag of a copy, in bytes; the same bound holds for an idempotency key.
-pub const COPY_TAG: usize = 64;
+pub const COPY_TAG_MAX_BYTES: usize = 64;
 
 // Reading.
 
@@ -64,27 +64,27 @@
 /// cancellations.
 pub const READ_AHEAD_BYTES: usize = 4 * 1024;
 /// Messages read ahead on a client's connection while reading is paused.
-pub const READ_AHEAD_MESSAGES: usize = OPEN_PER_CLIENT;
+pub const READ_AHEAD_MESSAGES: usize = MAX_OPEN_REQUESTS_PER_CLIENT;
 /// Cancellations of one client that take effect ahead of the queue to the owner: as many as one read can bring with their requests.
 pub const MAX_CANCELLATIONS_AHEAD: usize = 128;
 /// Inputs that each queue to the owner takes before its senders wait.
-pub const QUEUE: usize = 256;
+pub const INPUT_QUEUE_CAPACITY: usize = 256;
 /// How often a paused operation is tried again.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 // Clients.
 
 /// Requests open on one client's connection.
-pub const OPEN_PER_CLIENT: usize = 32;
+pub const MAX_OPEN_REQUESTS_PER_CLIENT: usize = 32;
 /// Recent tags that a client's connection remembers, to reject a tag used twice.
-pub const TAGS_KEPT: usize = 32;
+pub const RECENT_TAGS_PER_CLIENT: usize = 32;
 /// Requests cancelled within [`UNDONE_WINDOW_MS`] without an answer between them that end a client's connection: three times
 /// [`OPEN_PER_CLIENT`].
-pub const UNDONE_MOST: u32 = 96;
+pub const MAX_CANCELLATIONS: u32 = 96;
 /// See [`UNDONE_MOST`].
-pub const UNDONE_WINDOW_MS: Ms = 1_000.0;
+pub const CANCELLATION_WINDOW_MS: Ms = 1_000.0;
 /// Malformed requests that end a client's connection.
-pub const UNREADABLE_MOST: u32 = 16;
+pub const MAX_MALFORMED_REQUESTS: u32 = 16;
 /// Bytes that wait to be written to a client before no more is read from it.
 pub const CLIENT_UNSENT_MAX_BYTES: usize = 1024 * 1024;
 /// A client that takes no byte of an answer for this long counts as gone. Long, since all requests on its connection end with it.
@@ -106,13 +106,13 @@
 pub const BIND_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Without a free slot, one client in this many is closed (see `Owner::make_room`): of those that sent nothing within
 /// [`ROOM_SILENT_MS`] of connecting, or were idle for [`ROOM_IDLE_MS`].
-pub const ROOM_SHARE: usize = 8;
+pub const SLOT_RECLAIM_DIVISOR: usize = 8;
 /// See [`ROOM_SHARE`].
-pub const ROOM_SILENT_MS: Ms = 100.0;
+pub const RECLAIM_SILENT_MS: Ms = 100.0;
 /// See [`ROOM_SHARE`].
-pub const ROOM_IDLE_MS: Ms = 4_200.0;
+pub const RECLAIM_IDLE_MS: Ms = 4_200.0;
 /// Where those are too few, clients with all answers written that were idle for this long are closed, longest idle first.
-pub const ROOM_REST_MS: Ms = 50.0;
+pub const RECLAIM_SERVED_MS: Ms = 50.0;
 
 // Closing.
 
@@ -146,15 +146,15 @@
 /// A connection whose attempts were all cancelled is closed when nothing came for this long.
 pub const ABANDONED_CONNECTION_MS: Ms = 300.0;
 /// A server that takes no byte for this long counts as gone.
-pub const SERVER_STALLED: Duration = Duration::from_secs(6);
+pub const SERVER_WRITE_TIMEOUT: Duration = Duration::from_secs(6);
 /// A server that has not confirmed an `abort` after this is silent, and the cancelled attempt counts as over.
-pub const LEAVING_MS: Ms = 400.0;
+pub const ABORT_CONFIRM_TIMEOUT_MS: Ms = 400.0;
 
 // Memory.
 
 /// The part of memory that buffered messages may use before the client with most unsent bytes has its unsent answers failed, so that slow
 /// readers don't exhaust the router.
-pub const HELD_SHARE: f64 = 0.4;
+pub const MEMORY_PRESSURE_SHARE: f64 = 0.4;
 /// The part of memory at which nothing more is read.
 pub const READ_STOP_MEMORY_SHARE: f64 = 0.5;
 
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -1,13 +1,13 @@
 //! Inputs of the owner, and what the tasks that send them share.
 
-use crate::caches::ids::{ConnId, Down};
-use crate::caches::wire::Answer;
+use crate::caches::ids::{ConnId, ConnectionFailure};
+use crate::caches::wire::ServerAnswer;
 use crate::changelog::reconnect_reason::ReconnectReason;
-use crate::clients::message::{ClientId, FromClient};
+use crate::clients::message::{ClientId, ClientMessage};
 use crate::clock::Clock;
 use crate::connection::{CloseReason, ConnectionState};
 use crate::invariants::Invariants;
-use crate::outbox::{Meter, Outbox};
+use crate::outbox::{BufferMeter, SendQueue};
 use crate::stalls::Stalls;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -18,39 +18,39 @@
 /// An input of the owner.
 pub enum Input {
     /// A client connected.
-    ClientOpen(ClientId, Outbox, Rc<ConnectionState>),
+    ClientConnected(ClientId, SendQueue, Rc<ConnectionState>),
     /// A client sent a message; its last byte was read at that time.
-    Client(ClientId, FromClient, Ms),
+    Client(ClientId, ClientMessage, Ms),
     /// Nothing more is read of a client.
-    ClientStopped(ClientId, CloseReason),
+    ClientReadStopped(ClientId, CloseReason),
     /// A client's connection is closed.
     ClientClosed(ClientId),
     /// A client waits in the backlog for a free slot.
-    RoomWanted,
+    SlotWanted,
     /// A connection to a server came up.
-    CacheUp(ConnId),
+    ServerConnected(ConnId),
     /// A server answered.
-    Cache(ConnId, Answer),
+    ServerAnswer(ConnId, ServerAnswer),
     /// A connection to a server is closed, or never came up.
-    CacheDown(ConnId, Down),
+    ServerDisconnected(ConnId, ConnectionFailure),
     /// An event of the change log.
-    News(News),
+    WatchEvent(News),
     /// The change log's connection was lost, or its address changed.
-    LogLost,
+    ChangeLogLost,
     /// A second connection to the change log was opened.
-    LogDoubted(ReconnectReason),
+    ChangeLogStandbyOpened(ReconnectReason),
     /// The configuration was read again; false if it was rejected.
     Reloaded(bool),
     /// A plan of the cache tree was read again.
     Plan(Box<Hierarchy>),
     /// New placement rules of the fleet, by file name and text.
-    Rules(String, String),
+    PlacementRules(String, String),
     /// The fleet's threads have queued something.
     Fleet,
     /// The process shuts down.
-    End,
+    Shutdown,
     /// The counters are to be logged.
-    Count,
+    LogCounters,
 }
 
 /// The owner's queues, in the order of their priority.
@@ -73,11 +73,11 @@
     /// The monotonic clock.
     pub clock: Clock,
     /// Bytes buffered by all of them.
-    pub meter: Rc<Meter>,
+    pub meter: Rc<BufferMeter>,
     /// The invariant checker.
     pub invariants: Rc<Invariants>,
     /// Pauses of the process.
     pub stalls: Rc<Stalls>,
     /// Bytes buffered above which nothing more is read.
-    pub held_limit: usize,
+    pub buffer_limit_bytes: usize,
 }
--- a/crates/node/src/outbox/buffered.rs
+++ b/crates/node/src/outbox/buffered.rs
@@ -5,11 +5,11 @@
 
 /// Bytes buffered by the messages of one connection, or of all.
 #[derive(Debug, Default)]
-pub struct Meter(Cell<usize>);
+pub struct BufferMeter(Cell<usize>);
 
-impl Meter {
+impl BufferMeter {
     /// Bytes buffered now.
-    pub fn held(&self) -> usize {
+    pub fn bytes(&self) -> usize {
         self.0.get()
     }
 
@@ -24,14 +24,14 @@
 
 /// Bytes that are counted at meters until they are dropped.
 #[derive(Debug)]
-pub struct Counted {
+pub struct BufferedBytes {
     bytes: Vec<u8>,
-    meters: Vec<Rc<Meter>>,
+    meters: Vec<Rc<BufferMeter>>,
 }
 
-impl Counted {
+impl BufferedBytes {
     /// Counts bytes at these meters.
-    pub fn new(bytes: Vec<u8>, meters: &[&Rc<Meter>]) -> Self {
+    pub fn new(bytes: Vec<u8>, meters: &[&Rc<BufferMeter>]) -> Self {
         meters.iter().for_each(|m| m.add(bytes.len()));
         Self { bytes, meters: meters.iter().map(|m| Rc::clone(m)).collect() }
     }
@@ -43,12 +43,12 @@
 
     /// Other bytes in place of these, counted at the same meters.
     pub(super) fn replaced(&self, bytes: Vec<u8>) -> Self {
-        let meters: Vec<&Rc<Meter>> = self.meters.iter().collect();
+        let meters: Vec<&Rc<BufferMeter>> = self.meters.iter().collect();
         Self::new(bytes, &meters)
     }
 }
 
-impl Drop for Counted {
+impl Drop for BufferedBytes {
     fn drop(&mut self) {
         self.meters.iter().for_each(|m| m.subtract(self.bytes.len()));
     }
@@ -57,13 +57,13 @@
 /// A variable number of bytes counted at a meter, such as a partial message; subtracted when dropped.
 #[derive(Debug)]
 pub struct BufferReservation {
-    meter: Rc<Meter>,
+    meter: Rc<BufferMeter>,
     bytes: usize,
 }
 
 impl BufferReservation {
     /// A reservation of no bytes.
-    pub fn new(meter: &Rc<Meter>) -> Self {
+    pub fn new(meter: &Rc<BufferMeter>) -> Self {
         Self { meter: Rc::clone(meter), bytes: 0 }
     }
 
--- a/crates/node/src/outbox/mod.rs
+++ b/crates/node/src/outbox/mod.rs
@@ -8,8 +8,8 @@
 mod buffered;
 mod fetch_terms;
 
-pub use buffered::{BufferReservation, Counted, Meter};
-pub use fetch_terms::{Drained, FetchRoute, FetchTerms, FetchTime, TellWait};
+pub use buffered::{BufferMeter, BufferReservation, BufferedBytes};
+pub use fetch_terms::{AttemptRoute, AttemptTimes, DrainedSince, EncodeTimeout, SendConditions};
 
 use crate::permissions::may_send;
 use crate::socket;
@@ -21,62 +21,62 @@
 
 /// How far a message is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum DeliveryState {
     /// No byte is written.
-    Waiting,
+    Queued,
     /// Some bytes are written.
-    Begun,
+    Partial,
     /// All bytes are written.
     Written,
     /// It was recalled before its first byte.
-    TakenBack,
+    Recalled,
 }
 
 /// A message.
 #[derive(Debug)]
 pub struct OutgoingMessage {
-    stage: Cell<Stage>,
+    delivery_state: Cell<DeliveryState>,
     /// The conditions, of an attempt.
-    fetch: Option<Box<FetchTerms>>,
-    bytes: RefCell<Option<Counted>>,
+    fetch: Option<Box<SendConditions>>,
+    bytes: RefCell<Option<BufferedBytes>>,
 }
 
 impl OutgoingMessage {
     /// How far it is written.
-    pub fn stage(&self) -> Stage {
-        self.stage.get()
+    pub fn delivery_state(&self) -> DeliveryState {
+        self.delivery_state.get()
     }
 
     /// Marks it as written.
     #[cfg(test)]
     pub fn write(&self) {
-        self.stage.set(Stage::Written);
+        self.delivery_state.set(DeliveryState::Written);
         self.bytes.take();
     }
 
     /// Recalls it unless its first byte is written; true if no byte of it is or ever will be written.
-    pub fn take_back(&self) -> bool {
-        let unwritten = matches!(self.stage.get(), Stage::Waiting | Stage::TakenBack);
+    pub fn recall(&self) -> bool {
+        let unwritten = matches!(self.delivery_state.get(), DeliveryState::Queued | DeliveryState::Recalled);
         if unwritten {
-            self.stage.set(Stage::TakenBack);
+            self.delivery_state.set(DeliveryState::Recalled);
             self.bytes.take();
         }
         unwritten
     }
 
     /// The bytes to write, unless it was recalled or its conditions fail: the owner may not have handled the cancellation yet.
-    fn begin(&self) -> Option<Counted> {
+    fn begin(&self) -> Option<BufferedBytes> {
         let now = Instant::now();
         if let Some(fetch) = &self.fetch {
-            let recalled = self.stage.get() == Stage::TakenBack;
+            let recalled = self.delivery_state.get() == DeliveryState::Recalled;
             if let Err(refusal) = may_send(&fetch.send_state(now, recalled)) {
                 let (request, attempt) = fetch.ids;
                 log::debug!("request {request}, attempt {attempt}: not sent: {refusal}");
-                self.take_back();
+                self.recall();
             }
         }
         let bytes = self.bytes.take()?;
-        self.stage.set(Stage::Begun);
+        self.delivery_state.set(DeliveryState::Partial);
         Some(match &self.fetch {
             Some(fetch) => fetch.on_first_byte(now, bytes),
             None => bytes,
@@ -85,7 +85,7 @@
 
     /// Its last byte is written.
     fn finish(&self) {
-        self.stage.set(Stage::Written);
+        self.delivery_state.set(DeliveryState::Written);
         if let Some(fetch) = &self.fetch {
             fetch.on_last_byte();
         }
@@ -101,46 +101,46 @@
 
 /// A connection's queue of outgoing messages. Dropped, the connection is closed once they are written.
 #[derive(Debug)]
-pub struct Outbox {
+pub struct SendQueue {
     queue: Sender<Rc<OutgoingMessage>>,
-    all_connections: Rc<Meter>,
-    connection: Rc<Meter>,
+    all_connections: Rc<BufferMeter>,
+    connection: Rc<BufferMeter>,
 }
 
 /// A queue whose bytes are counted at two meters, and the end from which its connection writes.
-pub fn outbox(
-    all_connections: &Rc<Meter>,
-    connection: &Rc<Meter>,
-) -> (Outbox, Receiver<Rc<OutgoingMessage>>) {
+pub fn send_queue(
+    all_connections: &Rc<BufferMeter>,
+    connection: &Rc<BufferMeter>,
+) -> (SendQueue, Receiver<Rc<OutgoingMessage>>) {
     // Bounded by the requests that may be open on the connection; the owner must not wait for a socket.
     let (queue, outgoing) = async_channel::unbounded();
     let (all_connections, connection) = (Rc::clone(all_connections), Rc::clone(connection));
-    (Outbox { queue, all_connections, connection }, outgoing)
+    (SendQueue { queue, all_connections, connection }, outgoing)
 }
 
-impl Outbox {
+impl SendQueue {
     /// Queues a message.
-    pub fn put(&self, bytes: Vec<u8>) -> Rc<OutgoingMessage> {
+    pub fn push(&self, bytes: Vec<u8>) -> Rc<OutgoingMessage> {
         let message = self.message(bytes, None);
         self.release(&message);
         message
     }
 
     /// Makes an attempt's message that is queued only when it is released.
-    pub fn hold(&self, bytes: Vec<u8>, fetch: FetchTerms) -> Rc<OutgoingMessage> {
+    pub fn make_held(&self, bytes: Vec<u8>, fetch: SendConditions) -> Rc<OutgoingMessage> {
         self.message(bytes, Some(Box::new(fetch)))
     }
 
-    fn message(&self, bytes: Vec<u8>, fetch: Option<Box<FetchTerms>>) -> Rc<OutgoingMessage> {
-        let bytes = RefCell::new(Some(Counted::new(bytes, &[&self.all_connections, &self.connection])));
-        Rc::new(OutgoingMessage { stage: Cell::new(Stage::Waiting), fetch, bytes })
+    fn message(&self, bytes: Vec<u8>, fetch: Option<Box<SendConditions>>) -> Rc<OutgoingMessage> {
+        let bytes = RefCell::new(Some(BufferedBytes::new(bytes, &[&self.all_connections, &self.connection])));
+        Rc::new(OutgoingMessage { delivery_state: Cell::new(DeliveryState::Queued), fetch, bytes })
     }
 
     /// Queues a message that was made with `hold`.
     pub fn release(&self, message: &Rc<OutgoingMessage>) {
         if self.queue.try_send(Rc::clone(message)).is_err() {
             // The connection is closed; nothing of this will be written.
-            message.take_back();
+            message.recall();
         }
     }
 
@@ -150,8 +150,8 @@
     }
 
     /// Bytes that are not written.
-    pub fn unsent(&self) -> usize {
-        self.connection.held()
+    pub fn unsent_bytes(&self) -> usize {
+        self.connection.bytes()
     }
 }
 
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -46,7 +46,7 @@
 
     /// A rejection invites the client to send its request again. If that could execute it twice, it becomes a failure.
     fn without_unsafe_rejection<'a>(&self, number: RequestNo, reply: Reply<'a>) -> Reply<'a> {
-        let (Reply::Refused(_), Some(pending)) = (reply, self.requests.get(number)) else { return reply };
+        let (Reply::Rejected(_), Some(pending)) = (reply, self.requests.get(number)) else { return reply };
         let policy = self.config.retry_policy(pending.class);
         match may_run_again(&policy, pending.earlier_attempts(self.time.now)) {
             Ok(()) => reply,
@@ -60,7 +60,7 @@
     /// Answers a request, once. All responses of the decision module and of servers go through this.
     pub(super) fn answer(&mut self, number: RequestNo, reply: Reply<'_>) {
         let reply = self.without_unsafe_rejection(number, reply);
-        if let (Reply::Refused(_), Some(pending)) = (reply, self.requests.get(number)) {
+        if let (Reply::Rejected(_), Some(pending)) = (reply, self.requests.get(number)) {
             let idempotency = self.config.retry_policy(pending.class).idempotency;
             let ids = format_args!("request {}", number.0);
             self.monitors.invariants.check_rejection(idempotency, pending.results(), ids);
@@ -100,7 +100,7 @@
     /// Marks a request as answered without a response; false if it was answered before.
     pub(super) fn abandon(&mut self, number: RequestNo) -> bool {
         let Some(answered) = self.requests.mark_answered(number) else { return false };
-        self.counters.clients.left.more(matches!(answered.requester, Requester::Client(..)).into());
+        self.counters.clients.left.add(matches!(answered.requester, Requester::Client(..)).into());
         true
     }
 
--- a/crates/node/src/owner/attempts/cancel.rs
+++ b/crates/node/src/owner/attempts/cancel.rs
@@ -1,7 +1,7 @@
 //! Withdraws, aborts and times out attempts.
 
 use super::{Attempt, Delivery, NO_REPORT};
-use crate::caches::{AttemptKey, ConnId, GivenUp, RequestNo};
+use crate::caches::{AttemptKey, CancelOutcome, ConnId, RequestNo};
 use crate::clients::WireId;
 use crate::owner::requests::PendingRequest;
 use crate::owner::Owner;
@@ -47,10 +47,10 @@
             return;
         }
         let connection = in_flight.connection;
-        match self.upstream.caches.give_up(connection, &pending.request.id, &in_flight.message) {
-            GivenUp::Never => self.end_attempt(key, results.unsent, NO_REPORT, delivery),
-            GivenUp::Closed => self.end_attempt(key, results.sent, NO_REPORT, delivery),
-            GivenUp::Behind(tag) => {
+        match self.upstream.caches.cancel(connection, &pending.request.id, &in_flight.message) {
+            CancelOutcome::NotSent => self.end_attempt(key, results.unsent, NO_REPORT, delivery),
+            CancelOutcome::Closed => self.end_attempt(key, results.sent, NO_REPORT, delivery),
+            CancelOutcome::AwaitingConfirmation(tag) => {
                 let (result, since) = (results.sent, self.time.now);
                 self.upstream.aborting.push(AbortingAttempt { key, result, connection, tag, since });
             }
@@ -102,7 +102,7 @@
     /// The time by which an attempt had to start has passed: it ends unless its first byte is written.
     pub(in crate::owner) fn on_start_window_closed(&mut self, key: AttemptKey) {
         if self.requests.attempt(key).is_some_and(Attempt::is_unsent) {
-            self.counters.attempts.window_over.one();
+            self.counters.attempts.window_over.increment();
             let results = CancelResults { sent: AttemptResult::NotSent, unsent: AttemptResult::NotSent };
             self.cancel_attempt(key, results, Delivery::Now);
         }
--- a/crates/node/src/owner/attempts/complete.rs
+++ b/crates/node/src/owner/attempts/complete.rs
@@ -2,51 +2,54 @@
 
 use super::{Attempt, AttemptReport, Delivery, NO_REPORT};
 use crate::breaks::{broken, Break};
-use crate::caches::{Answer, AttemptKey, ConnId, Down};
+use crate::caches::{AttemptKey, ConnId, ConnectionFailure, ServerAnswer};
 use crate::clients::Reply;
 use crate::connection::CloseReason;
-use crate::outbox::Stage;
+use crate::outbox::DeliveryState;
 use crate::owner::requests::PendingRequest;
 use crate::owner::{request_id, Owner};
 use basaltgw::api::{AttemptResult, Event, Ms, Outcome};
 
 impl Owner {
     /// A connection to a server is closed, and with it ends what was in flight on it.
-    pub(in crate::owner) fn on_connection_closed(&mut self, connection: ConnId, reason: Down) {
+    pub(in crate::owner) fn on_connection_closed(&mut self, connection: ConnId, reason: ConnectionFailure) {
         let counters = &self.counters.conns;
         match reason {
-            Down::NeverUp => counters.failed.one(),
-            Down::Shortage => counters.shortages.one(),
-            Down::Ended(
-                CloseReason::Ended | CloseReason::Silent | CloseReason::Quiet(_) | CloseReason::Dropped,
+            ConnectionFailure::ConnectFailed => counters.failed.increment(),
+            ConnectionFailure::LocalShortage => counters.shortages.increment(),
+            ConnectionFailure::Closed(
+                CloseReason::PeerClosed
+                | CloseReason::NoFirstMessage
+                | CloseReason::IdleClose(_)
+                | CloseReason::Dropped,
             ) => {}
-            Down::Ended(CloseReason::Unreadable(_)) => counters.unreadable.one(),
-            Down::Ended(CloseReason::Unfinished) => counters.unfinished.one(),
+            ConnectionFailure::Closed(CloseReason::Malformed(_)) => counters.unreadable.increment(),
+            ConnectionFailure::Closed(CloseReason::IncompleteMessage) => counters.unfinished.increment(),
         }
         self.reap_aborted(|aborting| aborting.connection == connection);
-        for key in self.upstream.caches.down(connection) {
+        for key in self.upstream.caches.on_closed(connection) {
             let result = match (reason, self.requests.attempt(key).and_then(Attempt::stage)) {
-                (Down::NeverUp, _) => AttemptResult::NoConnection,
+                (ConnectionFailure::ConnectFailed, _) => AttemptResult::NoConnection,
                 // Nothing was written, and the server is not at fault.
-                (Down::Shortage, _) => AttemptResult::NotSent,
-                (Down::Ended(_), Some(Stage::Written)) => AttemptResult::ConnectionLost,
+                (ConnectionFailure::LocalShortage, _) => AttemptResult::NotSent,
+                (ConnectionFailure::Closed(_), Some(DeliveryState::Written)) => AttemptResult::ConnectionLost,
                 // Its last byte was not written.
-                (Down::Ended(_), _) => AttemptResult::NotSent,
+                (ConnectionFailure::Closed(_), _) => AttemptResult::NotSent,
             };
             self.end_attempt(key, result, NO_REPORT, Delivery::Now);
         }
     }
 
     /// A server answers an attempt, or confirms an abort.
-    pub(in crate::owner) fn on_answer(&mut self, connection: ConnId, answer: Answer) {
+    pub(in crate::owner) fn on_answer(&mut self, connection: ConnId, answer: ServerAnswer) {
         let is_abort_of = |aborting: &super::AbortingAttempt| aborting.tag == answer.id;
         if self.upstream.aborting.iter().any(|a| a.connection == connection && is_abort_of(a)) {
             self.reap_aborted(is_abort_of);
             return;
         }
         let key = self.upstream.caches.answered(self.time.now, connection, &answer.id);
-        let (Some(key), Some(result)) = (key, answer.end) else {
-            self.counters.attempts.late_answers.more(answer.end.is_some().into());
+        let (Some(key), Some(result)) = (key, answer.result) else {
+            self.counters.attempts.late_answers.add(answer.result.is_some().into());
             return;
         };
         let is_write = self.requests.get(key.0).is_some_and(PendingRequest::is_write);
@@ -54,21 +57,22 @@
             return self.on_malformed_answer(key, connection);
         }
         if let Some(copy) = &answer.copy {
-            let shift = self.time.observe(copy.born as Ms);
+            let shift = self.time.observe(copy.origin_time_ms as Ms);
             self.on_clock_corrected(shift);
         }
         if result == AttemptResult::Served {
             if let Some(pending) = self.requests.get_mut(key.0) {
                 pending.copy.clone_from(&answer.copy);
             }
-            let reply = if answer.same { Reply::Same } else { Reply::Served(answer.body.bytes()) };
+            let reply =
+                if answer.not_modified { Reply::NotModified } else { Reply::Served(answer.body.bytes()) };
             self.answer(key.0, reply);
         }
         let report = AttemptReport {
-            fill: answer.note,
-            source_wait: answer.waited,
+            fill: answer.fill_report,
+            source_wait: answer.source_wait_ms,
             load: answer.load,
-            body_complete: result == AttemptResult::Served && !answer.same,
+            body_complete: result == AttemptResult::Served && !answer.not_modified,
         };
         self.end_attempt(key, result, report, Delivery::Now);
     }
@@ -76,8 +80,8 @@
     /// A read's answer without its copy's tag is malformed, and so is the rest of its connection. What else is in flight there stays so
     /// until the socket is closed.
     fn on_malformed_answer(&mut self, key: AttemptKey, connection: ConnId) {
-        self.counters.conns.unreadable.one();
-        self.upstream.caches.end(connection);
+        self.counters.conns.unreadable.increment();
+        self.upstream.caches.close(connection);
         self.recall(|_, attempt| attempt.is_on(connection));
         self.end_attempt(key, AttemptResult::ConnectionLost, NO_REPORT, Delivery::Now);
     }
--- a/crates/node/src/owner/attempts/mod.rs
+++ b/crates/node/src/owner/attempts/mod.rs
@@ -7,7 +7,7 @@
 pub(super) use cancel::{AbortingAttempt, CancelResults};
 
 use crate::caches::ConnId;
-use crate::outbox::{OutgoingMessage, Stage};
+use crate::outbox::{DeliveryState, OutgoingMessage};
 use crate::permissions::{AttemptState, EarlierAttempt};
 use basaltgw::api::{AttemptResult, FillReport, LoadReport, Ms, ServerId};
 use std::rc::Rc;
@@ -50,13 +50,13 @@
     }
 
     /// How far its message is; `None` once it has ended.
-    pub(super) fn stage(&self) -> Option<Stage> {
-        self.in_flight.as_ref().map(|in_flight| in_flight.message.stage())
+    pub(super) fn stage(&self) -> Option<DeliveryState> {
+        self.in_flight.as_ref().map(|in_flight| in_flight.message.delivery_state())
     }
 
     /// Whether no byte of it is written.
     fn is_unsent(&self) -> bool {
-        matches!(self.stage(), Some(Stage::Waiting | Stage::TakenBack))
+        matches!(self.stage(), Some(DeliveryState::Queued | DeliveryState::Recalled))
     }
 }
 
--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -1,13 +1,13 @@
 //! Starts attempts: permission, message, connection.
 
 use super::{Attempt, Delivery, InFlight, NO_REPORT};
-use crate::caches::{with_wait, Ask, ConnId, RequestNo};
-use crate::limits::LONGEST_WAIT_MS;
-use crate::outbox::{Counted, FetchRoute, FetchTerms, FetchTime};
+use crate::caches::{with_timeout, AttemptRequest, ConnId, RequestNo};
+use crate::limits::MAX_DEADLINE_MS;
+use crate::outbox::{AttemptRoute, AttemptTimes, BufferedBytes, SendConditions};
 use crate::owner::requests::PendingRequest;
 use crate::owner::timers::TimerKind;
 use crate::owner::{request_no, Owner};
-use crate::permissions::{may_begin, may_run_again, AttemptRefusal, BeginState};
+use crate::permissions::{may_run_again, may_start, AttemptRefusal, StartState};
 use basaltgw::api::{AttemptNo, AttemptResult, AttemptSpec, Ms, ServerId};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
         }
         let Some(pending) = self.requests.get(number) else { return };
         let attempt = AttemptNo(pending.attempts.len());
-        self.counters.attempts.made.one();
+        self.counters.attempts.made.increment();
         let timeout = Some(spec.timeout).filter(|timeout| *timeout != 0.0);
         let deadline = timeout.map_or(pending.deadline, |t| pending.deadline.min(self.time.now + t));
         let new = NewAttempt { number, attempt, spec: &spec, deadline };
@@ -54,7 +54,7 @@
 
     /// Whether the attempt may start and the request may run again.
     fn check_start(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> Result<(), AttemptRefusal> {
-        let state = BeginState {
+        let state = StartState {
             client_waits: pending.client_waits(),
             answered: pending.answered,
             time_left: new.deadline - self.time.now,
@@ -62,7 +62,7 @@
             max_attempts: self.config.max_attempts,
             listed: self.upstream.endpoints.contains_key(&new.spec.server),
         };
-        may_begin(&state)?;
+        may_start(&state)?;
         let policy = self.config.retry_policy(pending.class);
         Ok(may_run_again(&policy, pending.earlier_attempts(self.time.now))?)
     }
@@ -112,7 +112,7 @@
     /// The message of an attempt.
     fn encode(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> Vec<u8> {
         let (request, spec) = (&pending.request, new.spec);
-        let ask = Ask {
+        let ask = AttemptRequest {
             id: &request.id,
             class: &request.class,
             object: &request.object_text,
@@ -124,35 +124,35 @@
             share: spec.join_fill,
             peek: spec.cached_only,
             renew: spec.revalidate,
-            seen: request.got.as_deref(),
-            key: request.key.as_deref(),
-            body: pending.body.as_ref().map_or(&[][..], Counted::bytes),
+            seen: request.copy_tag.as_deref(),
+            key: request.idempotency_key.as_deref(),
+            body: pending.body.as_ref().map_or(&[][..], BufferedBytes::bytes),
         };
         ask.encode()
     }
 
     /// What the writer of the connection checks when the first byte is written.
-    fn fetch_terms(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> FetchTerms {
+    fn fetch_terms(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> SendConditions {
         let now = Instant::now();
         let clock_now = self.time.clock.now();
         // Times of the owner's clock in the terms of the writers.
-        let instant = |at: Ms| now + duration((at - clock_now).clamp(0.0, LONGEST_WAIT_MS));
+        let instant = |at: Ms| now + duration((at - clock_now).clamp(0.0, MAX_DEADLINE_MS));
         let spec = new.spec;
-        FetchTerms {
+        SendConditions {
             begin_by: spec.start_before.is_finite().then(|| instant(spec.start_before)),
-            wanted: pending.liveness.clone(),
-            time: Some(FetchTime {
-                until: instant(new.deadline),
-                client_until: instant(pending.deadline),
-                made: now,
-                tell_wait: with_wait,
+            liveness: pending.liveness.clone(),
+            times: Some(AttemptTimes {
+                attempt_deadline: instant(new.deadline),
+                client_deadline: instant(pending.deadline),
+                encoded_at: now,
+                encode_timeout: with_timeout,
             }),
             drained: Rc::default(),
             drain_grace: duration(self.config.drain_grace),
             ids: (new.number.0, new.attempt.0),
             invariants: Rc::clone(&self.monitors.invariants),
             stalls: Rc::clone(&self.monitors.stalls),
-            route: pending.class.map(|class| FetchRoute {
+            route: pending.class.map(|class| AttemptRoute {
                 to: [Some(spec.server.clone()), new.fill_source().cloned()],
                 class: class.0,
                 watch: Rc::clone(&self.monitors.slow_start),
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -3,10 +3,10 @@
 use super::snapshot::TimedSnapshot;
 use super::timers::TimerKind;
 use super::Owner;
-use crate::caches::Down;
+use crate::caches::ConnectionFailure;
 use crate::connection::IdleReason;
 use crate::counters::Counters;
-use crate::limits::{CLIENT_IDLE_MS, LEAVING_MS, QUEUE};
+use crate::limits::{ABORT_CONFIRM_TIMEOUT_MS, CLIENT_IDLE_MS, INPUT_QUEUE_CAPACITY};
 use crate::{Input, Inputs};
 use async_channel::Receiver;
 use async_executor::Task;
@@ -20,15 +20,15 @@
 const MAINTENANCE_INTERVAL_MS: Ms = 100.0;
 
 /// What an owner leaves when the process ends.
-pub struct Ended {
+pub struct ExitReport {
     /// The counters.
     pub counters: Counters,
     /// What the next process takes over; its times are Unix times in milliseconds.
-    pub learnt: Snapshot,
+    pub snapshot: Snapshot,
     /// When that was taken, in Unix milliseconds.
-    pub left_at: Ms,
+    pub snapshot_taken_at: Ms,
     /// The fleet's counters as `name=value` words.
-    pub fleet: String,
+    pub fleet_counters: String,
     /// Why the process ends, if it was not asked to.
     pub fault: Option<String>,
 }
@@ -36,7 +36,7 @@
 impl Owner {
     /// Handles inputs until the process may end. `listener` accepts clients, and finishes once the backlog is empty after
     /// accepting has ended.
-    pub async fn run(mut self, from: Inputs, listener: Task<()>) -> Ended {
+    pub async fn run(mut self, from: Inputs, listener: Task<()>) -> ExitReport {
         let mut inputs = Vec::new();
         loop {
             inputs.extend(self.first_input(&from).await);
@@ -46,7 +46,7 @@
             future::yield_now().await;
             // Each queue has a share of the batch, so that a flood on one does not delay the others.
             for queue in [&from.urgent, &from.servers, &from.clients] {
-                inputs.extend(std::iter::from_fn(|| queue.try_recv().ok()).take(QUEUE));
+                inputs.extend(std::iter::from_fn(|| queue.try_recv().ok()).take(INPUT_QUEUE_CAPACITY));
             }
             self.batch(&mut inputs);
             self.monitors.stalls.turn();
@@ -84,20 +84,26 @@
         if self.shutdown.accepts(self.time.now) {
             return false;
         }
-        self.clients.slots.end();
+        self.clients.slots.stop_accepting();
         // A client is in the table until its connection is closed, and has its slot until the socket is.
         let open = !listener.is_finished() || self.clients.len() > 0 || self.clients.slots.taken() > 0;
-        self.shutdown.over(self.time.now, open)
+        self.shutdown.may_exit(self.time.now, open)
     }
 
-    fn exit(mut self) -> Ended {
+    fn exit(mut self) -> ExitReport {
         self.collect_counters();
         // Leases of clients that have left are released before the threads end.
         self.on_fleet_wakeup();
         let fault = self.fleet.as_mut().and_then(|f| f.fault.take().or(f.shut_down()));
         let fleet = self.fleet_counters_text();
         let TimedSnapshot { snapshot: learnt, taken_at: left_at } = self.take_snapshot();
-        Ended { counters: self.counters, learnt, left_at, fleet, fault }
+        ExitReport {
+            counters: self.counters,
+            snapshot: learnt,
+            snapshot_taken_at: left_at,
+            fleet_counters: fleet,
+            fault,
+        }
     }
 
     /// Handles the inputs, the timers that are due, and what the last batch left.
@@ -107,7 +113,7 @@
         self.on_pause(begun - last_batch);
         // Endpoint lists and purges go before all other inputs, and before what is routed again.
         let (watch_events, others): (Vec<_>, Vec<_>) =
-            inputs.drain(..).partition(|input| matches!(input, Input::News(..)));
+            inputs.drain(..).partition(|input| matches!(input, Input::WatchEvent(..)));
         self.dispatch_written();
         let left_over = std::mem::take(&mut self.schedule.next_batch);
         watch_events.into_iter().for_each(|input| self.handle_input(input));
@@ -123,16 +129,16 @@
         }
         self.apply_memory_pressure();
         self.clients.release_closed();
-        self.counters.batches.given.one();
+        self.counters.batches.given.increment();
         self.counters.batches.longest.raise(self.time.clock.now() - begun);
-        self.counters.memory.held_most.raise(self.memory.meter.held() as u64);
+        self.counters.memory.held_most.raise(self.memory.meter.bytes() as u64);
     }
 
     /// Ends cancelled attempts whose server has not confirmed that in time.
     fn reap_unconfirmed(&mut self) {
-        let cancelled_before = self.time.now - LEAVING_MS;
+        let cancelled_before = self.time.now - ABORT_CONFIRM_TIMEOUT_MS;
         let unconfirmed = self.reap_aborted(|aborting| aborting.since < cancelled_before);
-        self.counters.attempts.unheeded.more(unconfirmed);
+        self.counters.attempts.unheeded.add(unconfirmed);
     }
 
     fn on_timer(&mut self, kind: TimerKind) {
@@ -154,12 +160,15 @@
         self.expire_scatter_gather_purges();
         self.dispatch_all(events);
         // Nothing was written on connections that failed their health check, so they count as never established.
-        for connection in self.upstream.caches.unproved(self.time.now) {
-            self.handle_input(Input::CacheDown(connection, Down::NeverUp));
+        for connection in self.upstream.caches.failed_probes(self.time.now) {
+            self.handle_input(Input::ServerDisconnected(connection, ConnectionFailure::ConnectFailed));
         }
         let shutting_down = !self.shutdown.accepts(self.time.now);
-        let (reason, idle) =
-            if shutting_down { (IdleReason::End, 0.0) } else { (IdleReason::Idle, CLIENT_IDLE_MS) };
+        let (reason, idle) = if shutting_down {
+            (IdleReason::Shutdown, 0.0)
+        } else {
+            (IdleReason::IdleTimeout, CLIENT_IDLE_MS)
+        };
         self.clients.close_idle(self.time.now, idle, reason);
     }
 }
--- a/crates/node/src/owner/client_inputs.rs
+++ b/crates/node/src/owner/client_inputs.rs
@@ -5,12 +5,12 @@
 use super::scatter_gather::ScatterGather;
 use super::Owner;
 use crate::breaks::{broken, Break};
-use crate::clients::{answer, pong, ClientId, Do, FromClient, Reply, Tag};
+use crate::clients::{encode_answer, encode_pong, ClientId, ClientMessage, Reply, RequestMessage, Tag};
 use crate::connection::CloseReason;
 use crate::connection::RequestLiveness;
 use crate::connection::{ConnectionEvent, ConnectionState, IdleReason};
 use crate::counters::Count;
-use crate::outbox::Outbox;
+use crate::outbox::SendQueue;
 use basaltgw::api::Ms;
 use std::rc::Rc;
 
@@ -18,10 +18,10 @@
     pub(super) fn on_client_connected(
         &mut self,
         id: ClientId,
-        outbox: Outbox,
+        outbox: SendQueue,
         connection: Rc<ConnectionState>,
     ) {
-        self.counters.clients.connected.one();
+        self.counters.clients.connected.increment();
         self.clients.connected.insert(id, Client::new(self.time.now, outbox, connection));
     }
 
@@ -30,24 +30,25 @@
     pub(super) fn on_client_stopped(&mut self, id: ClientId, reason: CloseReason) {
         let counters = &self.counters.clients;
         match reason {
-            CloseReason::Ended | CloseReason::Dropped => {}
-            CloseReason::Unreadable(_) => counters.closed_unreadable.one(),
-            CloseReason::Silent => counters.closed_silent.one(),
-            CloseReason::Unfinished => counters.closed_unfinished.one(),
-            CloseReason::Quiet(IdleReason::Idle) => counters.closed_idle.one(),
-            CloseReason::Quiet(IdleReason::Room) => counters.closed_for_room.one(),
-            CloseReason::Quiet(IdleReason::End) => counters.closed_at_end.one(),
+            CloseReason::PeerClosed | CloseReason::Dropped => {}
+            CloseReason::Malformed(_) => counters.closed_unreadable.increment(),
+            CloseReason::NoFirstMessage => counters.closed_silent.increment(),
+            CloseReason::IncompleteMessage => counters.closed_unfinished.increment(),
+            CloseReason::IdleClose(IdleReason::IdleTimeout) => counters.closed_idle.increment(),
+            CloseReason::IdleClose(IdleReason::SlotNeeded) => counters.closed_for_room.increment(),
+            CloseReason::IdleClose(IdleReason::Shutdown) => counters.closed_at_end.increment(),
         }
-        if let (CloseReason::Quiet(reason), Some(client)) = (reason, self.clients.connected.get_mut(&id)) {
+        if let (CloseReason::IdleClose(reason), Some(client)) = (reason, self.clients.connected.get_mut(&id))
+        {
             client.close_reason = Some(reason);
         }
         match reason {
-            CloseReason::Unreadable(_) => self.fail_and_disconnect(id),
-            CloseReason::Ended
+            CloseReason::Malformed(_) => self.fail_and_disconnect(id),
+            CloseReason::PeerClosed
             | CloseReason::Dropped
-            | CloseReason::Silent
-            | CloseReason::Unfinished
-            | CloseReason::Quiet(_) => {
+            | CloseReason::NoFirstMessage
+            | CloseReason::IncompleteMessage
+            | CloseReason::IdleClose(_) => {
                 self.clients.close(id);
             }
         }
@@ -58,51 +59,51 @@
         let Some(client) = self.clients.connected.remove(&id) else { return };
         let open = client.open;
         if let Some(reason) = client.close_reason {
-            let presence = client.connection.presence();
-            let unanswered = open.keys().filter(|tag| presence.not_taken_back(**tag)).count();
+            let presence = client.connection.liveness();
+            let unanswered = open.keys().filter(|tag| presence.not_cancelled(**tag)).count();
             let ids = format_args!("client {}, closed for {reason:?}, requests {:?}", id.0, open.keys());
             self.monitors.invariants.check_close(unanswered, ids);
         }
         open.into_values().for_each(|number| self.on_requester_left(number));
     }
 
-    pub(super) fn on_client_message(&mut self, id: ClientId, message: FromClient, read_at: Ms) {
+    pub(super) fn on_client_message(&mut self, id: ClientId, message: ClientMessage, read_at: Ms) {
         let Some(client) = self.clients.connected.get_mut(&id).filter(|c| !c.closing) else { return };
-        client.connection.tell(ConnectionEvent::Taken);
+        client.connection.apply(ConnectionEvent::Dequeued);
         (client.has_sent, client.last_active) = (true, self.time.now);
         match message {
-            FromClient::Do(tag, request) => self.on_client_request(id, tag, request, read_at),
-            FromClient::Undo(_) if broken(Break::CancelIgnored) => {}
-            FromClient::Undo(tag) => self.on_client_cancel(id, tag),
-            FromClient::Ping(tag) => {
+            ClientMessage::Request(tag, request) => self.on_client_request(id, tag, request, read_at),
+            ClientMessage::Cancel(_) if broken(Break::CancelIgnored) => {}
+            ClientMessage::Cancel(tag) => self.on_client_cancel(id, tag),
+            ClientMessage::Probe(tag) => {
                 let ready = self.is_ready();
                 if let Some(client) = self.clients.connected.get_mut(&id) {
-                    client.outbox.put(pong(tag, ready));
+                    client.outbox.push(encode_pong(tag, ready));
                 }
             }
-            FromClient::Unreadable(tag) => self.on_undecodable_request(id, tag),
+            ClientMessage::Malformed(tag) => self.on_undecodable_request(id, tag),
         }
     }
 
     /// Whether the router may take requests: it has an endpoint list, knows the purges, and is not shutting down.
     fn is_ready(&self) -> bool {
         let purges_known = self.fleet.as_ref().is_none_or(|fleet| fleet.purges_known);
-        self.upstream.list_received && purges_known && !self.shutdown.asked()
+        self.upstream.list_received && purges_known && !self.shutdown.has_begun()
     }
 
     fn on_client_cancel(&mut self, id: ClientId, tag: Tag) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
-        client.connection.presence().heeded(tag);
+        client.connection.liveness().cancellation_handled(tag);
         let Some(number) = client.open.remove(&tag) else {
             if let Some(message) = client.unsent.remove(&tag) {
-                self.counters.clients.taken_back.more(message.take_back().into());
+                self.counters.clients.taken_back.add(message.recall().into());
             }
             return;
         };
         let too_many = client.has_too_many_cancellations(self.time.now);
         self.on_requester_left(number);
         if too_many {
-            self.counters.clients.closed_broken_rule.one();
+            self.counters.clients.closed_broken_rule.increment();
             self.fail_and_disconnect(id);
         }
     }
@@ -110,23 +111,23 @@
     /// Fails a request that can't be decoded; a client that sends many of them is closed.
     pub(super) fn on_undecodable_request(&mut self, id: ClientId, tag: Tag) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
-        self.counters.clients.unreadable.one();
-        client.outbox.put(answer(tag, Reply::Failed));
+        self.counters.clients.unreadable.increment();
+        client.outbox.push(encode_answer(tag, Reply::Failed));
         if client.has_too_many_undecodable() {
-            self.counters.clients.closed_broken_rule.one();
+            self.counters.clients.closed_broken_rule.increment();
             self.fail_and_disconnect(id);
         }
     }
 
-    fn on_client_request(&mut self, id: ClientId, tag: Tag, request: Box<Do>, read_at: Ms) {
+    fn on_client_request(&mut self, id: ClientId, tag: Tag, request: Box<RequestMessage>, read_at: Ms) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
         if !client.register_tag(tag) {
             // A response could be for either of two requests under one tag: the connection is closed, and nothing open on it is answered.
-            self.counters.clients.closed_broken_rule.one();
+            self.counters.clients.closed_broken_rule.increment();
             return self.disconnect(id);
         }
-        let liveness = RequestLiveness::new(client.connection.presence(), tag);
-        if !liveness.holds() {
+        let liveness = RequestLiveness::new(client.connection.liveness(), tag);
+        if !liveness.is_waiting() {
             return self.skip_cancelled_request(ClientRequest { id, tag }, &request);
         }
         let class = self.config.names.class(&request.class);
@@ -134,21 +135,21 @@
         if class.is_none() || self.requests.contains_id(&request.id) {
             return self.on_undecodable_request(id, tag);
         }
-        let deadline = read_at + request.left;
+        let deadline = read_at + request.deadline_ms;
         if let Some(class) = class.filter(|_| self.scatter_gather.is_some() && request.parts.is_some()) {
             return self.on_scatter_gather_request(ClientRequest { id, tag }, class, request, deadline);
         }
-        self.counters.clients.requests.one();
+        self.counters.clients.requests.increment();
         let requester = Requester::Client(ClientRequest { id, tag });
         self.admit(IncomingRequest { requester, class, request, deadline, liveness: Some(liveness) });
     }
 
     /// Counts a request that its client cancelled before the owner took it. Its tag stays in use until the cancellation arrives.
-    fn skip_cancelled_request(&mut self, client: ClientRequest, request: &Do) {
+    fn skip_cancelled_request(&mut self, client: ClientRequest, request: &RequestMessage) {
         let number = self.requests.next_number();
         self.clients.register(client, number);
         let counters = &self.counters.clients;
-        [&counters.requests, &counters.left, &counters.left_early].into_iter().for_each(Count::one);
+        [&counters.requests, &counters.left, &counters.left_early].into_iter().for_each(Count::increment);
         if request.parts.is_some() {
             self.scatter_gather.iter_mut().for_each(ScatterGather::count_early_cancel);
         }
@@ -160,7 +161,7 @@
     pub(super) fn close_least_active_clients(&mut self) {
         for id in self.clients.least_active(self.time.now) {
             if let Some(client) = self.clients.connected.get(&id) {
-                client.connection.tell(ConnectionEvent::Asked(IdleReason::Room));
+                client.connection.apply(ConnectionEvent::CloseRequested(IdleReason::SlotNeeded));
             }
         }
     }
@@ -168,7 +169,7 @@
     /// Drops a client whose requests can't be told apart: they are cancelled; what is queued for it is written before the close.
     fn disconnect(&mut self, id: ClientId) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
-        client.connection.tell(ConnectionEvent::Dropped);
+        client.connection.apply(ConnectionEvent::Dropped);
         let open = std::mem::take(&mut client.open);
         self.clients.close(id);
         open.into_values().for_each(|number| self.on_requester_left(number));
@@ -177,8 +178,8 @@
     /// Drops a client, and answers each of its open requests as failed.
     fn fail_and_disconnect(&mut self, id: ClientId) {
         let Some(client) = self.clients.connected.get(&id) else { return };
-        for tag in client.open.keys().filter(|tag| client.connection.presence().wants(**tag)) {
-            client.outbox.put(answer(*tag, Reply::Failed));
+        for tag in client.open.keys().filter(|tag| client.connection.liveness().is_waiting(**tag)) {
+            client.outbox.push(encode_answer(*tag, Reply::Failed));
         }
         self.disconnect(id);
     }
--- a/crates/node/src/owner/clients.rs
+++ b/crates/node/src/owner/clients.rs
@@ -8,15 +8,15 @@
 use super::timers::micros;
 use crate::breaks::{broken, Break};
 use crate::caches::RequestNo;
-use crate::clients::{answer, ClientId, Reply, Tag};
+use crate::clients::{encode_answer, ClientId, Reply, Tag};
 use crate::connection::ConnectionSlots;
 use crate::connection::RequestLiveness;
 use crate::connection::{ConnectionEvent, ConnectionState, IdleReason};
 use crate::limits::{
-    OPEN_PER_CLIENT, ROOM_IDLE_MS, ROOM_REST_MS, ROOM_SHARE, ROOM_SILENT_MS, TAGS_KEPT, UNDONE_MOST,
-    UNDONE_WINDOW_MS, UNREADABLE_MOST,
+    CANCELLATION_WINDOW_MS, MAX_CANCELLATIONS, MAX_MALFORMED_REQUESTS, MAX_OPEN_REQUESTS_PER_CLIENT,
+    RECENT_TAGS_PER_CLIENT, RECLAIM_IDLE_MS, RECLAIM_SERVED_MS, RECLAIM_SILENT_MS, SLOT_RECLAIM_DIVISOR,
 };
-use crate::outbox::{Outbox, OutgoingMessage, Stage};
+use crate::outbox::{DeliveryState, OutgoingMessage, SendQueue};
 use basaltgw::api::Ms;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -34,7 +34,7 @@
 
 /// A client that is connected.
 pub(super) struct Client {
-    pub(super) outbox: Outbox,
+    pub(super) outbox: SendQueue,
     pub(super) open: BTreeMap<Tag, RequestNo>,
     /// Responses of which nothing is written yet.
     pub(super) unsent: BTreeMap<Tag, Rc<OutgoingMessage>>,
@@ -54,7 +54,7 @@
 }
 
 impl Client {
-    pub(super) fn new(now: Ms, outbox: Outbox, connection: Rc<ConnectionState>) -> Self {
+    pub(super) fn new(now: Ms, outbox: SendQueue, connection: Rc<ConnectionState>) -> Self {
         Self {
             outbox,
             open: BTreeMap::new(),
@@ -72,36 +72,36 @@
     /// Counts a cancellation; true if there were too many in a short time without a response between them.
     pub(super) fn has_too_many_cancellations(&mut self, now: Ms) -> bool {
         let misuse = &mut self.misuse;
-        if now - misuse.counted_since > UNDONE_WINDOW_MS {
+        if now - misuse.counted_since > CANCELLATION_WINDOW_MS {
             (misuse.cancellations, misuse.counted_since) = (0, now);
         }
         misuse.cancellations += 1;
-        misuse.cancellations >= UNDONE_MOST
+        misuse.cancellations >= MAX_CANCELLATIONS
     }
 
     /// Counts a message that could not be decoded; true if there were too many.
     pub(super) fn has_too_many_undecodable(&mut self) -> bool {
         self.misuse.undecodable += 1;
-        self.misuse.undecodable >= UNREADABLE_MOST
+        self.misuse.undecodable >= MAX_MALFORMED_REQUESTS
     }
 
     /// Nothing is pending for it.
     fn is_idle(&self) -> bool {
-        self.open.is_empty() && self.outbox.unsent() == 0
+        self.open.is_empty() && self.outbox.unsent_bytes() == 0
     }
 
     /// The router is about to close it.
     pub(super) fn is_closing(&self) -> bool {
-        self.closing || self.connection.asked().is_some()
+        self.closing || self.connection.close_reason().is_some()
     }
 
     /// Registers the tag of a new request; false if it was used lately or too many requests are open.
     pub(super) fn register_tag(&mut self, tag: Tag) -> bool {
-        if self.recent_tags.contains(&tag) || self.open.len() >= OPEN_PER_CLIENT {
+        if self.recent_tags.contains(&tag) || self.open.len() >= MAX_OPEN_REQUESTS_PER_CLIENT {
             return false;
         }
         self.recent_tags.push_back(tag);
-        if self.recent_tags.len() > TAGS_KEPT {
+        if self.recent_tags.len() > RECENT_TAGS_PER_CLIENT {
             self.recent_tags.pop_front();
         }
         true
@@ -123,14 +123,14 @@
 impl CloseOrder {
     fn of(now: Ms, id: ClientId, client: &Client) -> Self {
         let idle = now - client.last_active;
-        let limit = if client.has_sent { ROOM_IDLE_MS } else { ROOM_SILENT_MS };
+        let limit = if client.has_sent { RECLAIM_IDLE_MS } else { RECLAIM_SILENT_MS };
         let (may_be_in_use, has_sent) = (idle < limit, client.has_sent);
         Self { may_be_in_use, has_sent, idle_us: Reverse(micros(idle)), id }
     }
 
     /// One that may be in use is closed only after it has had its responses for a while.
     fn may_be_closed(&self) -> bool {
-        !self.may_be_in_use || (self.has_sent && self.idle_us.0 >= micros(ROOM_REST_MS))
+        !self.may_be_in_use || (self.has_sent && self.idle_us.0 >= micros(RECLAIM_SERVED_MS))
     }
 }
 
@@ -157,13 +157,13 @@
 
     /// What tells whether a client still waits; `None` if it is not connected.
     pub(super) fn liveness(&self, request: ClientRequest) -> Option<RequestLiveness> {
-        Some(RequestLiveness::new(self.connected.get(&request.id)?.connection.presence(), request.tag))
+        Some(RequestLiveness::new(self.connected.get(&request.id)?.connection.liveness(), request.tag))
     }
 
     /// Rejects a request that was not admitted.
     pub(super) fn reject(&mut self, request: ClientRequest) {
         if let Some(client) = self.connected.get(&request.id) {
-            client.outbox.put(answer(request.tag, Reply::Refused(0.0)));
+            client.outbox.push(encode_answer(request.tag, Reply::Rejected(0.0)));
         }
     }
 
@@ -175,11 +175,11 @@
         let ids = format_args!("client {}, request {}", id.0, tag.0);
         client.connection.invariants().check_answer(was_open, ids);
         (client.last_active, client.misuse.cancellations) = (now, 0);
-        client.unsent.retain(|_, message| message.stage() == Stage::Waiting);
+        client.unsent.retain(|_, message| message.delivery_state() == DeliveryState::Queued);
         if broken(Break::SecondAnswer) {
-            client.outbox.put(response.clone());
+            client.outbox.push(response.clone());
         }
-        client.unsent.insert(tag, client.outbox.put(response));
+        client.unsent.insert(tag, client.outbox.push(response));
         Delivered::ToClient
     }
 
@@ -188,7 +188,7 @@
         let breaks = broken(Break::CloseOverRequest);
         let is_idle = |c: &Client| breaks || (c.is_idle() && now - c.last_active >= idle);
         for client in self.connected.values().filter(|c| !c.is_closing() && is_idle(c)) {
-            client.connection.tell(ConnectionEvent::Asked(reason));
+            client.connection.apply(ConnectionEvent::CloseRequested(reason));
         }
     }
 
@@ -220,8 +220,8 @@
         let mut order: Vec<_> = idle.map(|(id, c)| CloseOrder::of(now, *id, c)).collect();
         order.sort_unstable();
         // Several at once, so that a crowd does not wait; slots that are about to be free count.
-        let asked = self.connected.values().filter(|c| c.connection.asked().is_some()).count();
-        let count = (open.count() / ROOM_SHARE + 1).saturating_sub(asked + self.slots.lingering());
+        let asked = self.connected.values().filter(|c| c.connection.close_reason().is_some()).count();
+        let count = (open.count() / SLOT_RECLAIM_DIVISOR + 1).saturating_sub(asked + self.slots.lingering());
         order.iter().filter(|o| o.may_be_closed()).take(count).map(|o| o.id).collect()
     }
 }
--- a/crates/node/src/owner/fleet_events.rs
+++ b/crates/node/src/owner/fleet_events.rs
@@ -56,7 +56,7 @@
         if let Some(fleet) = self.fleet.as_mut().filter(|f| f.fault.is_none() && !f.shutting_down) {
             fleet.fault = Some(cause.to_string());
             log::error!("a thread of the fleet has ended, the router shuts down: {cause}");
-            self.shutdown.ask(self.time.now);
+            self.shutdown.begin(self.time.now);
         }
     }
 
@@ -77,7 +77,7 @@
         // A later correction of the platform's clock must not make these purges older.
         self.time.platform.settle();
         let now = self.time.unix_at_most();
-        for group in (0..=crate::limits::MOST_GROUP).map(GroupId) {
+        for group in (0..=crate::limits::MAX_GROUP).map(GroupId) {
             self.dispatch(Event::Purged(group, None, 0.0));
             self.purge_parts(None, group, now);
         }
--- a/crates/node/src/owner/inputs.rs
+++ b/crates/node/src/owner/inputs.rs
@@ -13,31 +13,35 @@
 impl Owner {
     pub(super) fn handle_input(&mut self, input: Input) {
         match input {
-            Input::ClientOpen(id, outbox, connection) => self.on_client_connected(id, outbox, connection),
+            Input::ClientConnected(id, outbox, connection) => {
+                self.on_client_connected(id, outbox, connection)
+            }
             Input::Client(id, message, read_at) => self.on_client_message(id, message, read_at),
-            Input::ClientStopped(id, reason) => self.on_client_stopped(id, reason),
+            Input::ClientReadStopped(id, reason) => self.on_client_stopped(id, reason),
             Input::ClientClosed(id) => self.on_client_closed(id),
-            Input::RoomWanted => self.close_least_active_clients(),
-            Input::CacheUp(connection) => self.upstream.caches.up(self.time.now, connection),
-            Input::Cache(connection, answer) => self.on_answer(connection, answer),
-            Input::CacheDown(connection, reason) => self.on_connection_closed(connection, reason),
-            Input::News(event) => self.on_watch_event(event),
-            Input::LogLost => self.counters.log.lost.one(),
-            Input::LogDoubted(doubt) => self.counters.log.doubted(doubt),
-            Input::Reloaded(true) => self.counters.files.reloads.one(),
-            Input::Reloaded(false) => self.counters.files.reloads_refused.one(),
+            Input::SlotWanted => self.close_least_active_clients(),
+            Input::ServerConnected(connection) => {
+                self.upstream.caches.on_connected(self.time.now, connection)
+            }
+            Input::ServerAnswer(connection, answer) => self.on_answer(connection, answer),
+            Input::ServerDisconnected(connection, reason) => self.on_connection_closed(connection, reason),
+            Input::WatchEvent(event) => self.on_watch_event(event),
+            Input::ChangeLogLost => self.counters.log.lost.increment(),
+            Input::ChangeLogStandbyOpened(doubt) => self.counters.log.standby_opened(doubt),
+            Input::Reloaded(true) => self.counters.files.reloads.increment(),
+            Input::Reloaded(false) => self.counters.files.reloads_refused.increment(),
             Input::Plan(hierarchy) => self.offer_plan(&hierarchy),
-            Input::Rules(file, text) => {
+            Input::PlacementRules(file, text) => {
                 if let Some(fleet) = &mut self.fleet {
                     fleet.propose_rules(file, text);
                 }
             }
             Input::Fleet => self.on_fleet_wakeup(),
-            Input::End => {
+            Input::Shutdown => {
                 log::info!("shutdown requested");
-                self.shutdown.ask(self.time.now);
+                self.shutdown.begin(self.time.now);
             }
-            Input::Count => self.print_counters(),
+            Input::LogCounters => self.print_counters(),
         }
     }
 
@@ -75,7 +79,7 @@
             }
             Action::Reject(request, retry_after) => {
                 if let Some(number) = request_no(&request) {
-                    self.answer(number, Reply::Refused(retry_after));
+                    self.answer(number, Reply::Rejected(retry_after));
                 }
             }
             Action::Fail(request) => {
@@ -103,19 +107,19 @@
         let counters = &self.counters;
         let PoolCounts { connections, last_number: connections_opened } = self.upstream.caches.counts();
         counters.conns.now.set(connections);
-        counters.conns.opened.reached(connections_opened);
+        counters.conns.opened.set(connections_opened);
         counters.clients.now.set(self.clients.len() as u64);
         let CloseCounts { crossed, unread, lingered, stalled } = self.clients.slots.counts();
-        counters.clients.closes_crossed.reached(crossed);
-        counters.clients.closes_unread.reached(unread);
-        counters.clients.closes_lingered.reached(lingered);
-        counters.clients.closed_stalled.reached(stalled);
+        counters.clients.closes_crossed.set(crossed);
+        counters.clients.closes_unread.set(unread);
+        counters.clients.closes_lingered.set(lingered);
+        counters.clients.closed_stalled.set(stalled);
         counters.log.servers_now.set(self.upstream.endpoints.len() as u64);
-        counters.memory.held.set(self.memory.meter.held() as u64);
+        counters.memory.held.set(self.memory.meter.bytes() as u64);
         counters.tree.reached(&self.upstream.tree.counters);
         counters.violations.reached(&self.monitors.invariants);
         counters.violations.slow_start_highest.raise(self.monitors.slow_start.highest_share());
-        counters.violations.stops.reached(self.monitors.stalls.count());
-        counters.violations.log_dropped.reached(crate::log_writer::dropped());
+        counters.violations.stops.set(self.monitors.stalls.count());
+        counters.violations.log_dropped.set(crate::log_writer::dropped());
     }
 }
--- a/crates/node/src/owner/lease/acquire.rs
+++ b/crates/node/src/owner/lease/acquire.rs
@@ -67,11 +67,11 @@
         // After a pause of the process, its input may be stale and the request presented elsewhere since.
         let stale = self.fleet.as_ref().is_some_and(|fleet| self.time.now < fleet.stale_input_until);
         let presented_before =
-            stale || self.requests.get(number).is_some_and(|pending| pending.request.again);
+            stale || self.requests.get(number).is_some_and(|pending| pending.request.repeated);
         if presented_before {
             self.count_unknown_outcome();
         }
-        self.answer(number, if presented_before { Reply::Failed } else { Reply::Refused(retry_after) });
+        self.answer(number, if presented_before { Reply::Failed } else { Reply::Rejected(retry_after) });
     }
 
     pub(super) fn count_unknown_outcome(&mut self) {
--- a/crates/node/src/owner/lease/mod.rs
+++ b/crates/node/src/owner/lease/mod.rs
@@ -12,7 +12,7 @@
 mod tests;
 
 use crate::clients::WireId;
-use crate::outbox::Counted;
+use crate::outbox::BufferedBytes;
 use crate::permissions::not_executed;
 use basaltgw::api::{AttemptResult, Ms};
 use basaltgw_registers::{Kind, RecordKey};
@@ -63,7 +63,7 @@
     /// This router holds it, in this term, and may send attempts.
     Held { term: u32, execution: Execution },
     /// The outcome is being stored; then it is sent to the requester.
-    Completing { body: Counted },
+    Completing { body: BufferedBytes },
     /// It is over: released, completed, or left to the background.
     Released,
 }
--- a/crates/node/src/owner/lease/outcome.rs
+++ b/crates/node/src/owner/lease/outcome.rs
@@ -4,7 +4,7 @@
 use crate::caches::RequestNo;
 use crate::clients::Reply;
 use crate::fleet::PendingChange;
-use crate::outbox::Counted;
+use crate::outbox::BufferedBytes;
 use crate::owner::{request_id, Owner};
 use basaltgw::api::{Event, Ms};
 use basaltgw_registers::{Change, Outcome, Record, Response};
@@ -29,7 +29,7 @@
         pending.lease = Lease::Released;
         let body = match reply {
             // These are sent at once; the record is changed in the background.
-            Reply::Refused(_) => {
+            Reply::Rejected(_) => {
                 fleet.release(key, term);
                 return SendResponse::Now;
             }
@@ -38,12 +38,12 @@
                 return SendResponse::Now;
             }
             Reply::Served(body) => body,
-            Reply::Same => &[],
+            Reply::NotModified => &[],
         };
         let outcome = fleet.stored_outcome(body);
         let change = Change::Complete(fleet.me.clone(), term, outcome.clone());
         if self.change_record(number, change) {
-            let body = Counted::new(body.to_vec(), &[&self.memory.meter]);
+            let body = BufferedBytes::new(body.to_vec(), &[&self.memory.meter]);
             if let Some(pending) = self.requests.get_mut(number) {
                 pending.lease = Lease::Completing { body };
             }
@@ -56,7 +56,7 @@
     }
 
     /// The replication thread has answered the change that stores an outcome.
-    pub(super) fn on_outcome_stored(&mut self, number: RequestNo, body: &Counted, response: &Response) {
+    pub(super) fn on_outcome_stored(&mut self, number: RequestNo, body: &BufferedBytes, response: &Response) {
         match response {
             Response::Committed(_) | Response::Conflict(Some(Record::Completed(_))) => {}
             Response::Conflict(_) => {
@@ -115,7 +115,7 @@
         for number in unsent {
             self.withdraw_unsent(number);
             self.dispatch(Event::ClientDisconnected(request_id(number)));
-            self.answer(number, Reply::Refused(retry_after));
+            self.answer(number, Reply::Rejected(retry_after));
         }
     }
 }
--- a/crates/node/src/owner/lease/tests.rs
+++ b/crates/node/src/owner/lease/tests.rs
@@ -1,12 +1,12 @@
 //! A leased request between an owner and a replication thread that is a test: in every order of events it has one response, is executed at
 //! most once, and leaves no lease behind.
 
-use crate::caches::{Answer, ConnId, Down, RequestNo};
-use crate::clients::{FromClient, Tag};
+use crate::caches::{ConnId, ConnectionFailure, RequestNo, ServerAnswer};
+use crate::clients::{ClientMessage, Tag};
 use crate::connection::CloseReason;
 use crate::fleet::stand_in::{fleet, StandIn};
 use crate::fleet::{ControlNotification, ControlRequest};
-use crate::outbox::{OutgoingMessage, Stage};
+use crate::outbox::{DeliveryState, OutgoingMessage};
 use crate::owner::attempts::InFlight;
 use crate::owner::tests::{owner, request, CLIENT};
 use crate::owner::Owner;
@@ -133,12 +133,12 @@
     fn new() -> Self {
         let (mut owner, responses) = owner();
         let (fleet, thread) = fleet(64);
-        owner.join(fleet);
-        let Input::Client(client, FromClient::Do(tag, mut write), at) = request(&owner, 1) else {
+        owner.join_fleet(fleet);
+        let Input::Client(client, ClientMessage::Request(tag, mut write), at) = request(&owner, 1) else {
             panic!("a request")
         };
         (write.class, write.body) = ("loan".into(), b"borrow".to_vec());
-        owner.batch(&mut vec![Input::Client(client, FromClient::Do(tag, write), at)]);
+        owner.batch(&mut vec![Input::Client(client, ClientMessage::Request(tag, write), at)]);
         let (pending, background) = Default::default();
         let mut scenario = Self {
             owner,
@@ -168,12 +168,12 @@
         let answer = |result: &str, at| {
             let fields = b"ver=1,born=5,note=via_origin,waited=0".to_vec();
             let parts = vec![format!("{:016x}", 1).into_bytes(), result.into(), fields, b"receipt".to_vec()];
-            Some(Input::Cache(at, Answer::read(parts, &[]).expect("an answer")))
+            Some(Input::ServerAnswer(at, ServerAnswer::read(parts, &[]).expect("an answer")))
         };
         let in_flight = self
             .in_flight()
             .filter(|of| !self.answered_on.contains(&of.connection))
-            .map(|of| (of.connection, of.message.stage() == Stage::Written, of.message));
+            .map(|of| (of.connection, of.message.delivery_state() == DeliveryState::Written, of.message));
         match (step, in_flight) {
             (
                 Step::Committed | Step::NotCommitted | Step::UnknownCommitted | Step::UnknownNotCommitted,
@@ -181,13 +181,15 @@
             ) => self.replicas.answer(step).then_some(Input::Fleet),
             (Step::ClientCancels, _) => {
                 self.client_left = true;
-                Some(Input::Client(CLIENT, FromClient::Undo(Tag(1)), self.owner.time.clock.now()))
+                Some(Input::Client(CLIENT, ClientMessage::Cancel(Tag(1)), self.owner.time.clock.now()))
             }
             (Step::ClientCloses, _) => {
                 self.client_left = true;
                 Some(Input::ClientClosed(CLIENT))
             }
-            (Step::Written, Some((at, false, message))) if message.stage() == Stage::Waiting => {
+            (Step::Written, Some((at, false, message)))
+                if message.delivery_state() == DeliveryState::Queued =>
+            {
                 // Nothing is sent unless this router holds the lease.
                 let me = self.owner.fleet.as_ref().map(|f| f.me.clone()).expect("a fleet");
                 assert!(
@@ -196,7 +198,7 @@
                     self.replicas.record
                 );
                 message.write();
-                Some(Input::CacheUp(at))
+                Some(Input::ServerConnected(at))
             }
             (Step::Ok | Step::Error | Step::Rejected, Some((at, true, _))) => {
                 self.answered_on.push(at);
@@ -211,7 +213,7 @@
             (Step::ConnectionClosed, Some((at, written, _))) => {
                 self.executed |= written;
                 self.answered_on.push(at);
-                Some(Input::CacheDown(at, Down::Ended(CloseReason::Ended)))
+                Some(Input::ServerDisconnected(at, ConnectionFailure::Closed(CloseReason::PeerClosed)))
             }
             (_, _) => None,
         }
@@ -265,8 +267,9 @@
             let aborting = self.owner.upstream.aborting.iter();
             let connections: Vec<_> = aborting.map(|aborting| aborting.connection).collect();
             self.executed |= !connections.is_empty();
-            let closed =
-                connections.into_iter().map(|at| Input::CacheDown(at, Down::Ended(CloseReason::Ended)));
+            let closed = connections
+                .into_iter()
+                .map(|at| Input::ServerDisconnected(at, ConnectionFailure::Closed(CloseReason::PeerClosed)));
             self.batch(closed.collect(), true);
             self.steps(&[Step::Committed]);
             self.replicas.apply_background();
--- a/crates/node/src/owner/memory_pressure.rs
+++ b/crates/node/src/owner/memory_pressure.rs
@@ -4,21 +4,22 @@
 
 use super::clients::{Client, Clients};
 use super::Owner;
-use crate::clients::{answer, Reply};
-use crate::outbox::Stage;
+use crate::clients::{encode_answer, Reply};
+use crate::outbox::DeliveryState;
 
 impl Clients {
     /// Fails the responses of which nothing is written, of the client for which most bytes are buffered; returns how many, `None`
     /// if no client has any.
     fn fail_unsent_responses(&mut self) -> Option<u64> {
-        let has_unsent = |c: &Client| c.unsent.values().any(|message| message.stage() == Stage::Waiting);
+        let has_unsent =
+            |c: &Client| c.unsent.values().any(|message| message.delivery_state() == DeliveryState::Queued);
         let candidates = self.connected.values_mut().filter(|client| has_unsent(client));
-        let client = candidates.max_by_key(|client| client.outbox.unsent())?;
+        let client = candidates.max_by_key(|client| client.outbox.unsent_bytes())?;
         let mut failed = 0;
         for (tag, message) in std::mem::take(&mut client.unsent) {
-            if message.take_back() {
+            if message.recall() {
                 failed += 1;
-                client.outbox.put(answer(tag, Reply::Failed));
+                client.outbox.push(encode_answer(tag, Reply::Failed));
             }
         }
         Some(failed)
@@ -30,7 +31,7 @@
     pub(super) fn apply_memory_pressure(&mut self) {
         while self.memory.is_exceeded() {
             let Some(failed) = self.clients.fail_unsent_responses() else { return };
-            self.counters.clients.withheld.more(failed);
+            self.counters.clients.withheld.add(failed);
         }
     }
 }
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -25,18 +25,18 @@
 mod timers;
 mod watch_events;
 
-use crate::caches::{Caches, RequestNo};
+use crate::caches::{RequestNo, ServerPool};
 use crate::connection::ConnectionSlots;
 use crate::counters::Counters;
 use crate::fleet::Fleet;
-use crate::shutdown::Ending;
+use crate::shutdown::GracefulShutdown;
 use crate::tree::Tree;
 use crate::Shared;
 use basaltgw::api::RequestId;
 use basaltgw::routing::snapshot::Snapshot;
 use basaltgw::routing::Router;
 use basaltgw_config::{NodeConfig, OwnSettings};
-pub use batch::Ended;
+pub use batch::ExitReport;
 use clients::Clients;
 use requests::Requests;
 use scatter_gather::ScatterGather;
@@ -59,7 +59,7 @@
     fleet: Option<Fleet>,
     /// Requests for several parts, if the own settings take them.
     scatter_gather: Option<ScatterGather>,
-    shutdown: Ending,
+    shutdown: GracefulShutdown,
     counters: Counters,
 }
 
@@ -75,7 +75,7 @@
 
 impl Owner {
     /// An owner whose decision module has handled the endpoint lists and purges that the configuration knows.
-    pub fn new(config: &NodeConfig, own: &OwnSettings, shared: &Shared, caches: Caches) -> Self {
+    pub fn new(config: &NodeConfig, own: &OwnSettings, shared: &Shared, caches: ServerPool) -> Self {
         let mut owner = Self {
             router: Router::new(config.settings.clone(), config.seed),
             config: RoutingConfig::new(config),
@@ -88,7 +88,7 @@
             schedule: Schedule::default(),
             fleet: None,
             scatter_gather: None,
-            shutdown: Ending::default(),
+            shutdown: GracefulShutdown::default(),
             counters: Counters::default(),
         };
         owner.router.report_writes();
@@ -100,21 +100,21 @@
     }
 
     /// The slots of clients' connections, for the task that accepts them.
-    pub fn places(&self) -> Rc<ConnectionSlots> {
+    pub fn client_slots(&self) -> Rc<ConnectionSlots> {
         Rc::clone(&self.clients.slots)
     }
 
     /// Restores a snapshot of an earlier process; its times are Unix times in milliseconds.
-    pub fn adopt(&mut self, snapshot: Snapshot) {
+    pub fn restore(&mut self, snapshot: Snapshot) {
         let snapshot = self.map_to_local_times(snapshot);
         let (servers, purges) = (snapshot.servers.len(), snapshot.purges.len());
         let restored = self.router.restore(self.time.now, snapshot);
-        self.counters.files.carried.reached(restored as u64);
+        self.counters.files.carried.set(restored as u64);
         log::info!("snapshot restored: {restored} of {servers} servers, {purges} purges");
     }
 
     /// Joins a fleet: requests that must not run twice are leased from now on.
-    pub fn join(&mut self, mut fleet: Fleet) {
+    pub fn join_fleet(&mut self, mut fleet: Fleet) {
         if let Some(config) = fleet.scatter_gather.take() {
             match ScatterGather::new(config) {
                 Ok(scatter_gather) => self.scatter_gather = Some(scatter_gather),
--- a/crates/node/src/owner/requester.rs
+++ b/crates/node/src/owner/requester.rs
@@ -6,7 +6,7 @@
 use super::scatter_gather::SubRequestKey;
 use super::Owner;
 use crate::caches::{CopyTag, RequestNo};
-use crate::clients::{answer, ClientId, Do, Reply, Tag};
+use crate::clients::{encode_answer, ClientId, Reply, RequestMessage, Tag};
 use crate::connection::RequestLiveness;
 use basaltgw::api::{ClassId, Ms};
 
@@ -33,7 +33,7 @@
     pub(super) requester: Requester,
     pub(super) class: Option<ClassId>,
     /// The decoded request; its id is not open yet.
-    pub(super) request: Box<Do>,
+    pub(super) request: Box<RequestMessage>,
     /// When the requester stops waiting.
     pub(super) deadline: Ms,
     /// Tells whether a client still waits, if one does at all.
@@ -63,13 +63,13 @@
     pub(super) fn reject_unadmitted(&mut self, requester: Requester) {
         match requester {
             Requester::Client(client) => {
-                self.counters.clients.turned_away.one();
+                self.counters.clients.turned_away.increment();
                 self.clients.reject(client);
             }
             Requester::SubRequest(key) => {
-                self.on_sub_request_answered(key, Reply::Refused(0.0), None);
+                self.on_sub_request_answered(key, Reply::Rejected(0.0), None);
             }
-            Requester::Peer(served) => self.on_peer_request_answered(served, Reply::Refused(0.0), None),
+            Requester::Peer(served) => self.on_peer_request_answered(served, Reply::Rejected(0.0), None),
         }
     }
 
@@ -77,7 +77,7 @@
     pub(super) fn deliver(&mut self, to: Requester, reply: Reply<'_>, copy: Option<CopyTag>) -> Delivered {
         match to {
             Requester::Client(client) => {
-                self.clients.send_response(self.time.now, client, answer(client.tag, reply))
+                self.clients.send_response(self.time.now, client, encode_answer(client.tag, reply))
             }
             Requester::SubRequest(key) => {
                 self.on_sub_request_answered(key, reply, copy);
--- a/crates/node/src/owner/requests.rs
+++ b/crates/node/src/owner/requests.rs
@@ -4,9 +4,9 @@
 use super::lease::Lease;
 use super::requester::{IncomingRequest, Requester};
 use crate::caches::{AttemptKey, CopyTag, RequestNo};
-use crate::clients::{Do, WireId};
+use crate::clients::{RequestMessage, WireId};
 use crate::connection::RequestLiveness;
-use crate::outbox::{Counted, Meter, Stage};
+use crate::outbox::{BufferMeter, BufferedBytes, DeliveryState};
 use crate::permissions::EarlierAttempt;
 use basaltgw::api::{AttemptNo, AttemptResult, ClassId, Ms};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,9 +16,9 @@
 pub(super) struct PendingRequest {
     requester: Requester,
     pub(super) class: Option<ClassId>,
-    pub(super) request: Box<Do>,
+    pub(super) request: Box<RequestMessage>,
     /// Its body, metered while an attempt may have to send it.
-    pub(super) body: Option<Counted>,
+    pub(super) body: Option<BufferedBytes>,
     pub(super) deadline: Ms,
     /// Tells whether a client still waits, if one does at all.
     pub(super) liveness: Option<RequestLiveness>,
@@ -31,9 +31,9 @@
 }
 
 impl PendingRequest {
-    fn new(incoming: IncomingRequest, meter: &Rc<Meter>) -> Self {
+    fn new(incoming: IncomingRequest, meter: &Rc<BufferMeter>) -> Self {
         let IncomingRequest { requester, class, mut request, deadline, liveness } = incoming;
-        let body = Some(Counted::new(std::mem::take(&mut request.body), &[meter]));
+        let body = Some(BufferedBytes::new(std::mem::take(&mut request.body), &[meter]));
         Self {
             requester,
             class,
@@ -54,7 +54,7 @@
 
     /// Whether its client still waits, as far as the reader of its connection knows.
     pub(super) fn client_waits(&self) -> bool {
-        self.liveness.as_ref().is_none_or(RequestLiveness::holds)
+        self.liveness.as_ref().is_none_or(RequestLiveness::is_waiting)
     }
 
     /// Whether it has a body, while that is stored.
@@ -130,7 +130,7 @@
     ) -> Vec<AttemptKey> {
         let mut keys = Vec::new();
         for (number, pending) in &self.pending {
-            let unsent = |a: &Attempt| a.stage() == Some(Stage::Waiting) && matches(pending, a);
+            let unsent = |a: &Attempt| a.stage() == Some(DeliveryState::Queued) && matches(pending, a);
             let attempts = pending.attempts.iter().enumerate().filter(|(_, a)| unsent(a));
             keys.extend(attempts.map(|(n, _)| (*number, AttemptNo(n))));
         }
@@ -144,7 +144,8 @@
 
     /// Leased requests that were not executed and have no attempt on the wire.
     pub(super) fn leased_unsent(&self) -> Vec<RequestNo> {
-        let on_wire = |a: &Attempt| matches!(a.stage(), Some(Stage::Begun | Stage::Written));
+        let on_wire =
+            |a: &Attempt| matches!(a.stage(), Some(DeliveryState::Partial | DeliveryState::Written));
         self.unanswered(|pending| pending.lease.is_held_unexecuted() && !pending.attempts.iter().any(on_wire))
     }
 
@@ -158,7 +159,7 @@
         RequestNo(self.last_number)
     }
 
-    pub(super) fn insert(&mut self, incoming: IncomingRequest, meter: &Rc<Meter>) -> RequestNo {
+    pub(super) fn insert(&mut self, incoming: IncomingRequest, meter: &Rc<BufferMeter>) -> RequestNo {
         let number = self.next_number();
         self.ids.insert(incoming.request.id.clone());
         self.pending.insert(number, PendingRequest::new(incoming, meter));
--- a/crates/node/src/owner/scatter_gather/admission.rs
+++ b/crates/node/src/owner/scatter_gather/admission.rs
@@ -2,7 +2,7 @@
 
 use super::{decision_purge, OpenGather, RequestedPart, ScatterGather, Stage, MAX_OPEN};
 use crate::clients::parts;
-use crate::clients::Do;
+use crate::clients::RequestMessage;
 use crate::owner::requester::ClientRequest;
 use crate::owner::Owner;
 use basaltgw::api::{Class, ClassId, Idempotency, Ms};
@@ -11,9 +11,9 @@
 
 impl ScatterGather {
     /// The requested parts with their branches; `None` if they can't be decoded, or a branch is not of the fleet.
-    fn decode_parts(&self, request: &Do) -> Option<Vec<RequestedPart>> {
+    fn decode_parts(&self, request: &RequestMessage) -> Option<Vec<RequestedPart>> {
         let config = &self.config;
-        let requested = parts::parts(request.parts.as_deref()?)?;
+        let requested = parts::parse_parts(request.parts.as_deref()?)?;
         let with_branch = |(part, branch): (u32, Option<Arc<str>>)| {
             let branch = branch.unwrap_or_else(|| Arc::clone(&config.branch));
             config.branches.contains(&branch).then_some((PartNo(part), Site(branch)))
@@ -73,20 +73,20 @@
         &mut self,
         client: ClientRequest,
         class: ClassId,
-        request: Box<Do>,
+        request: Box<RequestMessage>,
         deadline: Ms,
     ) {
         let Some(state) = &mut self.scatter_gather else { return };
-        let continuation = request.debt.as_deref().map(parts::debt);
+        let continuation = request.continuation.as_deref().map(parts::parse_continuation);
         let is_malformed = continuation == Some(None) || !request.body.is_empty();
         let Some(parts) = state.decode_parts(&request).filter(|_| !is_malformed) else {
             return self.on_undecodable_request(client.id, client.tag);
         };
-        self.counters.clients.requests.one();
+        self.counters.clients.requests.increment();
         state.counters.requests += 1;
         if state.open.len() >= MAX_OPEN || self.requests.is_full() || self.memory.is_exceeded() {
             state.counters.rejected += 1;
-            self.counters.clients.turned_away.one();
+            self.counters.clients.turned_away.increment();
             return self.clients.reject(client);
         }
         let number = self.requests.next_number();
--- a/crates/node/src/owner/scatter_gather/answers.rs
+++ b/crates/node/src/owner/scatter_gather/answers.rs
@@ -1,10 +1,10 @@
 //! How a scatter-gather request ends: with a complete or partial answer, rejected, failed, or cancelled.
 
-use super::{Gathered, Stage};
+use super::{PartsAnswer, Stage};
 use crate::caches::RequestNo;
-use crate::clients::parts::gathered;
-use crate::clients::{answer, Reply};
-use crate::outbox::Counted;
+use crate::clients::parts::encode_parts_answer;
+use crate::clients::{encode_answer, Reply};
+use crate::outbox::BufferedBytes;
 use crate::owner::requester::Delivered;
 use crate::owner::Owner;
 use basaltgw::api::Ms;
@@ -13,14 +13,14 @@
 
 /// The parts of an answer.
 struct AnswerParts {
-    response: Gathered,
-    bodies: Vec<Counted>,
+    response: PartsAnswer,
+    bodies: Vec<BufferedBytes>,
 }
 
 impl AnswerParts {
-    fn new(parts: Vec<(PartNo, Counted)>) -> Self {
+    fn new(parts: Vec<(PartNo, BufferedBytes)>) -> Self {
         let lengths = parts.iter().map(|(part, body)| (part.0, body.bytes().len())).collect();
-        let response = Gathered { parts: lengths, ..Gathered::default() };
+        let response = PartsAnswer { parts: lengths, ..PartsAnswer::default() };
         Self { response, bodies: parts.into_iter().map(|(_, body)| body).collect() }
     }
 
@@ -38,7 +38,7 @@
                 // Parts that the policy drops do not come, and have no Retry-After.
                 self.on_partial(gather, &used, &missing, owed.then_some(come_back));
             }
-            Verdict::Refused { come_back } => self.reply_without_parts(gather, Reply::Refused(come_back)),
+            Verdict::Refused { come_back } => self.reply_without_parts(gather, Reply::Rejected(come_back)),
             Verdict::Failed => self.reply_without_parts(gather, Reply::Failed),
             Verdict::Unfit(reason) => {
                 log::debug!("scatter-gather request {}: {reason}", gather.0);
@@ -75,9 +75,9 @@
     fn on_partial(&mut self, gather: GatherNo, used: &[Used], missing: &[PartNo], retry_after: Option<Ms>) {
         let Some(mut parts) = self.take_answer_parts(gather, used) else { return };
         parts.response.missing = missing.iter().map(|part| part.0).collect();
-        parts.response.come_back = retry_after;
+        parts.response.retry_after_ms = retry_after;
         if let Some(continuation) = self.take_continuation(gather) {
-            parts.response.debt = Some(continuation.name);
+            parts.response.continuation = Some(continuation.name);
             self.shrink_continuation(continuation, &parts.numbers());
             return self.send_parts(gather, parts.response, &parts.bodies, self.time.now);
         }
@@ -94,8 +94,8 @@
     pub(super) fn send_parts(
         &mut self,
         gather: GatherNo,
-        mut response: Gathered,
-        bodies: &[Counted],
+        mut response: PartsAnswer,
+        bodies: &[BufferedBytes],
         decided_at: Ms,
     ) {
         let Some(state) = &mut self.scatter_gather else { return };
@@ -107,7 +107,7 @@
         }
         bodies.iter().for_each(|body| response.body.extend_from_slice(body.bytes()));
         let client = open.client;
-        let bytes = gathered(client.tag, &response);
+        let bytes = encode_parts_answer(client.tag, &response);
         let delivered = self.clients.send_response(self.time.now, client, bytes);
         if delivered == Delivered::ToClient && complete {
             self.counters.clients.answered(&Reply::Served(&[]));
@@ -120,11 +120,11 @@
         let Some(state) = &mut self.scatter_gather else { return };
         let Some(open) = state.open.remove(&gather) else { return };
         match reply {
-            Reply::Refused(_) => state.counters.rejected += 1,
-            Reply::Failed | Reply::Served(_) | Reply::Same => state.counters.failed += 1,
+            Reply::Rejected(_) => state.counters.rejected += 1,
+            Reply::Failed | Reply::Served(_) | Reply::NotModified => state.counters.failed += 1,
         }
         let client = open.client;
-        let bytes = answer(client.tag, reply);
+        let bytes = encode_answer(client.tag, reply);
         if self.clients.send_response(self.time.now, client, bytes) == Delivered::ToClient {
             self.counters.clients.answered(&reply);
         }
@@ -136,7 +136,7 @@
         let gather = GatherNo(number.0);
         let Some(open) = state.open.remove(&gather) else { return false };
         state.counters.cancelled += 1;
-        self.counters.clients.left.one();
+        self.counters.clients.left.increment();
         match open.stage {
             Stage::ReadingContinuation => {}
             Stage::Gathering => self.dispatch_scatter_gather(Event::Left(gather)),
--- a/crates/node/src/owner/scatter_gather/continuations.rs
+++ b/crates/node/src/owner/scatter_gather/continuations.rs
@@ -1,7 +1,7 @@
 //! Continuations: replicated records of the parts that a partial answer leaves out. One is stored before the answer names it, and is known
 //! at whichever router is asked for the rest.
 
-use super::{Counted, Gathered, PartialAnswer, RequestedPart, Stage};
+use super::{BufferedBytes, PartialAnswer, PartsAnswer, RequestedPart, Stage};
 use crate::caches::RequestNo;
 use crate::clients::Reply;
 use crate::fleet::start::random_u128;
@@ -63,7 +63,7 @@
         open.continuation = Some(Continuation { name, object, version, missing: Vec::new() });
         if !self.change_continuation(gather, name, Change::Read) {
             let retry_after = self.fleet.as_ref().map_or(0.0, |fleet| fleet.settings.retry_after);
-            self.reply_without_parts(gather, Reply::Refused(retry_after));
+            self.reply_without_parts(gather, Reply::Rejected(retry_after));
         }
     }
 
@@ -72,8 +72,8 @@
         &mut self,
         gather: GatherNo,
         version: Arc<str>,
-        response: Gathered,
-        bodies: Vec<Counted>,
+        response: PartsAnswer,
+        bodies: Vec<BufferedBytes>,
     ) {
         let decided_at = self.time.now;
         let Some(open) = self.scatter_gather.as_mut().and_then(|state| state.open.get_mut(&gather)) else {
@@ -101,11 +101,11 @@
         let PartialAnswer { continuation, mut response, bodies, decided_at } = *answer;
         match stored {
             Stored::Yes => {
-                response.debt = Some(continuation.name);
+                response.continuation = Some(continuation.name);
                 state.counters.continuations_stored += 1;
             }
             Stored::No => {
-                response.debt = None;
+                response.continuation = None;
                 state.counters.continuations_failed += 1;
             }
         }
@@ -142,7 +142,7 @@
             Response::Committed(record) => Some(record),
             Response::Conflict(record) => record,
             Response::Unavailable { retry_after, .. } => {
-                return self.reply_without_parts(gather, Reply::Refused(retry_after));
+                return self.reply_without_parts(gather, Reply::Rejected(retry_after));
             }
         };
         let are_missing = |parts: &[RequestedPart], missing: &[u64]| {
--- a/crates/node/src/owner/scatter_gather/mod.rs
+++ b/crates/node/src/owner/scatter_gather/mod.rs
@@ -20,11 +20,11 @@
 
 use super::requester::ClientRequest;
 use crate::caches::RequestNo;
-use crate::clients::parts::{self, Gathered};
-use crate::clients::Do;
+use crate::clients::parts::{self, PartsAnswer};
+use crate::clients::RequestMessage;
 use crate::fleet::purges::{Purge, Purges};
 use crate::fleet::{Policies, ScatterGatherConfig};
-use crate::outbox::Counted;
+use crate::outbox::BufferedBytes;
 use basaltgw::api::{Class, ClassId, Idempotency, Ms};
 use basaltgw_scatter_gather as scatter_gather;
 use basaltgw_scatter_gather::{
@@ -59,8 +59,8 @@
 /// A partial answer before it is sent.
 struct PartialAnswer {
     continuation: Continuation,
-    response: Gathered,
-    bodies: Vec<Counted>,
+    response: PartsAnswer,
+    bodies: Vec<BufferedBytes>,
     /// When the decisions gave it.
     decided_at: Ms,
 }
@@ -72,7 +72,7 @@
 struct OpenGather {
     client: ClientRequest,
     class: ClassId,
-    request: Box<Do>,
+    request: Box<RequestMessage>,
     parts: Vec<RequestedPart>,
     deadline: Ms,
     /// The continuation that it names, if any.
@@ -94,7 +94,7 @@
 struct SubRequest {
     location: Location,
     started_at: Ms,
-    body: Option<Counted>,
+    body: Option<BufferedBytes>,
 }
 
 /// Events that arise while another is handled.
@@ -167,7 +167,7 @@
     }
 
     /// Takes the bodies of the parts that an answer is made of; `None` if one is missing.
-    fn take_bodies(&mut self, gather: GatherNo, used: &[Used]) -> Option<Vec<(PartNo, Counted)>> {
+    fn take_bodies(&mut self, gather: GatherNo, used: &[Used]) -> Option<Vec<(PartNo, BufferedBytes)>> {
         let take = |used: &Used| {
             let key = SubRequestKey { gather, attempt: used.attempt };
             Some((used.part, self.sub_requests.remove(&key)?.body?))
--- a/crates/node/src/owner/scatter_gather/peer_messages.rs
+++ b/crates/node/src/owner/scatter_gather/peer_messages.rs
@@ -8,7 +8,7 @@
 use crate::fleet::message::{PartMessage, PartRequest, PartResult};
 use crate::fleet::purges::Purge;
 use crate::fleet::Fleet;
-use crate::limits::{COPY_TAG, LONGEST_WAIT_MS};
+use crate::limits::{COPY_TAG_MAX_BYTES, MAX_DEADLINE_MS};
 use crate::owner::requester::Requester;
 use crate::owner::Owner;
 use basaltgw::api::{GroupId, Ms, ObjectId};
@@ -170,7 +170,7 @@
         state.peers.remove_requested(number);
         match result {
             PartResult::Served { version, created, body: bytes } => {
-                let copy = CopyTag { version, born: created };
+                let copy = CopyTag { version, origin_time_ms: created };
                 self.on_part_received(key, PartBody { bytes, copy, elapsed, purges });
             }
             PartResult::Rejected(retry_after) => {
@@ -260,10 +260,12 @@
 
 fn part_result(reply: Reply<'_>, copy: Option<CopyTag>) -> PartResult {
     match (reply, copy) {
-        (Reply::Served(bytes), Some(CopyTag { version, born })) if version.len() <= COPY_TAG => {
+        (Reply::Served(bytes), Some(CopyTag { version, origin_time_ms: born }))
+            if version.len() <= COPY_TAG_MAX_BYTES =>
+        {
             PartResult::Served { version, created: born, body: bytes.to_vec() }
         }
-        (Reply::Served(_) | Reply::Same | Reply::Failed, _) => PartResult::Failed,
-        (Reply::Refused(retry_after), _) => PartResult::Rejected(retry_after.clamp(0.0, LONGEST_WAIT_MS)),
+        (Reply::Served(_) | Reply::NotModified | Reply::Failed, _) => PartResult::Failed,
+        (Reply::Rejected(retry_after), _) => PartResult::Rejected(retry_after.clamp(0.0, MAX_DEADLINE_MS)),
     }
 }
--- a/crates/node/src/owner/scatter_gather/sub_requests.rs
+++ b/crates/node/src/owner/scatter_gather/sub_requests.rs
@@ -2,10 +2,10 @@
 
 use super::{decision_purge, Location, SubRequest, SubRequestKey};
 use crate::caches::{CopyTag, RequestNo};
-use crate::clients::{Do, Reply, WireId};
+use crate::clients::{Reply, RequestMessage, WireId};
 use crate::connection::RequestLiveness;
 use crate::fleet::purges::Purge;
-use crate::outbox::Counted;
+use crate::outbox::BufferedBytes;
 use crate::owner::requester::{IncomingRequest, Requester};
 use crate::owner::Owner;
 use basaltgw::api::{ClassId, GroupId, Ms, ObjectId, Part};
@@ -25,8 +25,8 @@
 
 impl PartOf {
     /// As a request like a client's, whose id is still to be given.
-    pub(super) fn into_request(self) -> Do {
-        Do {
+    pub(super) fn into_request(self) -> RequestMessage {
+        RequestMessage {
             id: WireId(Arc::from("")),
             class: self.class,
             object: self.object,
@@ -34,12 +34,12 @@
             part: Part(self.part),
             group: self.group,
             size_kb: self.size_kb,
-            left: self.time_left,
-            got: None,
-            key: None,
-            again: false,
+            deadline_ms: self.time_left,
+            copy_tag: None,
+            idempotency_key: None,
+            repeated: false,
             parts: None,
-            debt: None,
+            continuation: None,
             body: Vec::new(),
         }
     }
@@ -97,7 +97,7 @@
                 break;
             }
         }
-        let deadline = self.time.now + request.left;
+        let deadline = self.time.now + request.deadline_ms;
         let (class, request) = (Some(class), Box::new(request));
         self.admit(IncomingRequest { requester, class, request, deadline, liveness });
     }
@@ -125,10 +125,10 @@
                 self.on_part_received(key, body);
             }
             // Without its copy's tag, the part can't be matched with others.
-            (Reply::Served(_) | Reply::Same | Reply::Failed, _) => {
+            (Reply::Served(_) | Reply::NotModified | Reply::Failed, _) => {
                 self.on_sub_request_failed(key, How::Failed);
             }
-            (Reply::Refused(retry_after), _) => self.on_sub_request_failed(key, How::Refused(retry_after)),
+            (Reply::Rejected(retry_after), _) => self.on_sub_request_failed(key, How::Refused(retry_after)),
         }
     }
 
@@ -144,10 +144,10 @@
         let meter = &self.memory.meter;
         let sub_request = self.scatter_gather.as_mut().and_then(|state| state.sub_requests.get_mut(&key));
         let Some(sub_request) = sub_request else { return };
-        let PartBody { bytes, copy: CopyTag { version, born }, elapsed: took, purges } = part;
+        let PartBody { bytes, copy: CopyTag { version, origin_time_ms: born }, elapsed: took, purges } = part;
         let len = bytes.len() as u64;
         sub_request.location = Location::None;
-        sub_request.body = Some(Counted::new(bytes, &[meter]));
+        sub_request.body = Some(BufferedBytes::new(bytes, &[meter]));
         let SubRequestKey { gather: no, attempt } = key;
         let purges = purges.into_iter().map(decision_purge).collect();
         let came = Came { no, attempt, version, born, whole: true, len, took, purges };
--- a/crates/node/src/owner/state.rs
+++ b/crates/node/src/owner/state.rs
@@ -2,11 +2,11 @@
 
 use super::attempts::AbortingAttempt;
 use super::timers::Timers;
-use crate::caches::Caches;
+use crate::caches::ServerPool;
 use crate::clock::{wall_now, Clock};
 use crate::invariants::Invariants;
-use crate::limits::{HELD_SHARE, SOCKET_SLACK_MS};
-use crate::outbox::Meter;
+use crate::limits::{MEMORY_PRESSURE_SHARE, SOCKET_SLACK_MS};
+use crate::outbox::BufferMeter;
 use crate::permissions::{RetryPolicy, NO_RETRIES};
 use crate::platform_time::PlatformTime;
 use crate::slow_start_watch::SlowStartWatch;
@@ -82,17 +82,20 @@
 
 /// Bytes buffered by messages of all connections.
 pub(super) struct Memory {
-    pub(super) meter: Rc<Meter>,
+    pub(super) meter: Rc<BufferMeter>,
     limit_bytes: usize,
 }
 
 impl Memory {
     pub(super) fn new(config: &NodeConfig, shared: &Shared) -> Self {
-        Self { meter: Rc::clone(&shared.meter), limit_bytes: config.limits.share_of_memory(HELD_SHARE) }
+        Self {
+            meter: Rc::clone(&shared.meter),
+            limit_bytes: config.limits.share_of_memory(MEMORY_PRESSURE_SHARE),
+        }
     }
 
     pub(super) fn is_exceeded(&self) -> bool {
-        self.meter.held() > self.limit_bytes
+        self.meter.bytes() > self.limit_bytes
     }
 }
 
@@ -115,7 +118,7 @@
 
 /// The servers and the connections to them.
 pub(super) struct Upstream {
-    pub(super) caches: Caches,
+    pub(super) caches: ServerPool,
     /// Cancelled attempts whose server has not confirmed that yet.
     pub(super) aborting: Vec<AbortingAttempt>,
     /// The address and start of each listed server.
@@ -127,7 +130,7 @@
 }
 
 impl Upstream {
-    pub(super) fn new(caches: Caches, tree: Tree) -> Self {
+    pub(super) fn new(caches: ServerPool, tree: Tree) -> Self {
         Self { caches, aborting: Vec::new(), endpoints: BTreeMap::new(), list_received: false, tree }
     }
 }
--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -2,13 +2,15 @@
 
 use super::attempts::{AbortingAttempt, Attempt, CancelResults, Delivery};
 use super::*;
-use crate::caches::{Answer, AttemptKey, Down};
-use crate::clients::{ClientId, Do, FromClient, Tag, WireId};
+use crate::caches::{AttemptKey, ConnectionFailure, ServerAnswer};
+use crate::clients::{ClientId, ClientMessage, RequestMessage, Tag, WireId};
 use crate::clock::Clock;
 use crate::connection::CloseReason;
 use crate::connection::{ConnectionPhase, ConnectionState, IdleReason};
-use crate::limits::{CLIENT_IDLE_MS, LEAVING_MS, ROOM_IDLE_MS, ROOM_REST_MS, ROOM_SILENT_MS};
-use crate::outbox::{outbox, OutgoingMessage};
+use crate::limits::{
+    ABORT_CONFIRM_TIMEOUT_MS, CLIENT_IDLE_MS, RECLAIM_IDLE_MS, RECLAIM_SERVED_MS, RECLAIM_SILENT_MS,
+};
+use crate::outbox::{send_queue, OutgoingMessage};
 use crate::Input;
 use async_executor::LocalExecutor;
 use basaltgw::api::{
@@ -48,12 +50,12 @@
         meter: Rc::default(),
         invariants: Rc::default(),
         stalls: Rc::default(),
-        held_limit: usize::MAX,
+        buffer_limit_bytes: usize::MAX,
     };
-    let (out, messages) = outbox(&shared.meter, &Rc::default());
-    let caches = Caches::new(shared.clone(), 100, config.transport);
+    let (out, messages) = send_queue(&shared.meter, &Rc::default());
+    let caches = ServerPool::new(shared.clone(), 100, config.transport);
     let mut owner = Owner::new(&config, &OwnSettings::default(), &shared, caches);
-    let open = Input::ClientOpen(CLIENT, out, connection(&owner));
+    let open = Input::ClientConnected(CLIENT, out, connection(&owner));
     owner.batch(&mut vec![open]);
     (owner, messages)
 }
@@ -72,7 +74,7 @@
     owner.batch(&mut vec![first]);
     let in_flight = first_attempt(owner).in_flight.as_ref().expect("in flight");
     in_flight.message.write();
-    let up = Input::CacheUp(in_flight.connection);
+    let up = Input::ServerConnected(in_flight.connection);
     owner.batch(&mut vec![up]);
     (RequestNo(1), AttemptNo(0))
 }
@@ -94,8 +96,8 @@
             panic!("one that is being aborted")
         };
         let (connection, fields) = (*connection, vec![tag.0.as_bytes().to_vec(), b"yes".to_vec()]);
-        let confirmation = Answer::read(fields, &[]).expect("an answer");
-        owner.batch(&mut vec![Input::Cache(connection, confirmation)]);
+        let confirmation = ServerAnswer::read(fields, &[]).expect("an answer");
+        owner.batch(&mut vec![Input::ServerAnswer(connection, confirmation)]);
         let out = in_flight(&owner, 1);
         assert!(
             !out[0] && out.len() == 2 && owner.upstream.aborting.is_empty(),
@@ -109,7 +111,7 @@
     let (mut owner, _messages) = owner();
     let key = write_first_attempt(&mut owner);
     owner.cancel_attempt(key, CancelResults::CANCELLED, Delivery::NextBatch);
-    owner.upstream.aborting[0].since -= LEAVING_MS + 1.0;
+    owner.upstream.aborting[0].since -= ABORT_CONFIRM_TIMEOUT_MS + 1.0;
     owner.batch(&mut Vec::new());
     assert!(!attempts(&owner, 1)[0].in_flight && owner.upstream.aborting.is_empty());
     assert_eq!(owner.counters.attempts.unheeded.get(), 1);
@@ -118,11 +120,11 @@
 #[test]
 fn write_of_which_nothing_was_sent_in_time_is_rejected_and_not_failed() {
     let (mut owner, _messages) = owner();
-    let Input::Client(client, FromClient::Do(tag, mut write), at) = request(&owner, 1) else {
+    let Input::Client(client, ClientMessage::Request(tag, mut write), at) = request(&owner, 1) else {
         panic!("a request")
     };
-    (write.class, write.body, write.left) = ("loan".into(), b"borrow".to_vec(), 60.0);
-    owner.batch(&mut vec![Input::Client(client, FromClient::Do(tag, write), at)]);
+    (write.class, write.body, write.deadline_ms) = ("loan".into(), b"borrow".to_vec(), 60.0);
+    owner.batch(&mut vec![Input::Client(client, ClientMessage::Request(tag, write), at)]);
     assert_eq!(attempts(&owner, 1).len(), 1, "it waits for a connection");
     // One batch in which its attempt times out and the decision module's own timer is due as well.
     let over = owner.time.now + 200.0;
@@ -139,13 +141,14 @@
     let key = write_first_attempt(&mut owner);
     owner.cancel_attempt(key, CancelResults::CANCELLED, Delivery::NextBatch);
     let in_flight = first_attempt(&owner).in_flight.as_ref().expect("still in flight");
-    let down = Input::CacheDown(in_flight.connection, Down::Ended(CloseReason::Ended));
+    let down =
+        Input::ServerDisconnected(in_flight.connection, ConnectionFailure::Closed(CloseReason::PeerClosed));
     owner.batch(&mut vec![down]);
     assert!(!attempts(&owner, 1)[0].in_flight && owner.upstream.aborting.is_empty());
 }
 
 pub(super) fn request(owner: &Owner, tag: u64) -> Input {
-    let request = Do {
+    let request = RequestMessage {
         id: WireId(Arc::from(format!("{tag:016x}"))),
         class: "pages".into(),
         object: ObjectId(7),
@@ -153,15 +156,15 @@
         part: Part(0),
         group: GroupId(17),
         size_kb: 0.0,
-        left: 60_000.0,
-        got: None,
-        key: None,
-        again: false,
+        deadline_ms: 60_000.0,
+        copy_tag: None,
+        idempotency_key: None,
+        repeated: false,
         parts: None,
-        debt: None,
+        continuation: None,
         body: Vec::new(),
     };
-    Input::Client(CLIENT, FromClient::Do(Tag(tag), Box::new(request)), owner.time.clock.now())
+    Input::Client(CLIENT, ClientMessage::Request(Tag(tag), Box::new(request)), owner.time.clock.now())
 }
 
 /// An attempt as the tests compare it.
@@ -194,7 +197,7 @@
         weight: 1.0,
         started: None,
     };
-    Input::News(News::Servers { whole: false, members: vec![Member { entry, address }] })
+    Input::WatchEvent(News::Servers { whole: false, members: vec![Member { entry, address }] })
 }
 
 #[test]
@@ -221,7 +224,7 @@
     let (mut owner, _messages) = owner();
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
-    owner.batch(&mut vec![Input::News(News::Servers { whole: true, members: Vec::new() })]);
+    owner.batch(&mut vec![Input::WatchEvent(News::Servers { whole: true, members: Vec::new() })]);
     // No server is left, so it is answered; and none of its attempts is in flight.
     assert!(owner.requests.is_empty());
     assert_eq!((owner.counters.clients.refused.get(), owner.counters.attempts.made.get()), (1, 1));
@@ -232,8 +235,9 @@
     owner.close_least_active_clients();
     owner.close_least_active_clients();
     let connected = owner.clients.connected.iter();
-    let asked = connected.filter_map(|(id, c)| Some((*id, c.connection.asked().map(|_| &c.connection)?)));
-    let stopped: Vec<_> = asked.filter_map(|(id, life)| Some((id, life.stops(None)?))).collect();
+    let asked =
+        connected.filter_map(|(id, c)| Some((*id, c.connection.close_reason().map(|_| &c.connection)?)));
+    let stopped: Vec<_> = asked.filter_map(|(id, life)| Some((id, life.decide_close(None)?))).collect();
     stopped.into_iter().for_each(|(id, reason)| owner.on_client_stopped(id, reason));
     owner.clients.release_closed();
 }
@@ -245,25 +249,25 @@
         owner.clients.connected.iter_mut().for_each(|(_, c)| c.last_active -= CLIENT_IDLE_MS);
         let life = Rc::clone(&owner.clients.connected.get(&CLIENT).expect("a client").connection);
         // The owner finds it idle while its reader has a request of it in hand.
-        assert!(life.hands());
+        assert!(life.enqueue());
         if room {
-            owner.batch(&mut vec![Input::RoomWanted]);
+            owner.batch(&mut vec![Input::SlotWanted]);
         } else {
             owner.schedule.maintained_at = 0.0;
             owner.batch(&mut Vec::new());
         }
-        let why = if room { IdleReason::Room } else { IdleReason::Idle };
-        assert_eq!(life.asked(), Some(why));
-        assert_eq!(life.stops(None), None);
+        let why = if room { IdleReason::SlotNeeded } else { IdleReason::IdleTimeout };
+        assert_eq!(life.close_reason(), Some(why));
+        assert_eq!(life.decide_close(None), None);
         let first = request(&owner, 1);
         owner.batch(&mut vec![first]);
         assert_eq!(owner.counters.clients.requests.get(), 1);
         assert_eq!(
-            (life.state(), attempts(&owner, 1).len()),
-            (ConnectionPhase::Open { on_way: 0, asked: None }, 1)
+            (life.phase(), attempts(&owner, 1).len()),
+            (ConnectionPhase::Open { queued: 0, close_requested: None }, 1)
         );
-        owner.batch(&mut vec![Input::RoomWanted]);
-        assert_eq!(life.asked(), None, "something is open");
+        owner.batch(&mut vec![Input::SlotWanted]);
+        assert_eq!(life.close_reason(), None, "something is open");
     }
 }
 
@@ -274,26 +278,26 @@
     owner.batch(&mut vec![first]);
     let mut queues = Vec::new();
     for id in 2..=17 {
-        let (out, messages) = outbox(&owner.memory.meter, &Rc::default());
+        let (out, messages) = send_queue(&owner.memory.meter, &Rc::default());
         queues.push(messages);
-        let open = Input::ClientOpen(ClientId(id), out, connection(&owner));
+        let open = Input::ClientConnected(ClientId(id), out, connection(&owner));
         owner.batch(&mut vec![open]);
     }
     let now = owner.time.now;
     for (id, client) in &mut owner.clients.connected {
         // Two have long been idle; of the others some have sent nothing yet.
         client.has_sent = id.0 > 5;
-        client.last_active = if [8, 9].contains(&id.0) { now - ROOM_IDLE_MS } else { now };
+        client.last_active = if [8, 9].contains(&id.0) { now - RECLAIM_IDLE_MS } else { now };
     }
     let left = |owner: &Owner| owner.clients.connected.keys().map(|id| id.0).collect::<Vec<_>>();
     free_slots(&mut owner);
     assert!(!left(&owner).contains(&8) && !left(&owner).contains(&9), "{:?}", left(&owner));
     assert_eq!(left(&owner).len(), 15, "the others were active just now");
-    owner.time.now = now + ROOM_REST_MS;
+    owner.time.now = now + RECLAIM_SERVED_MS;
     free_slots(&mut owner);
     let rested: Vec<u64> = left(&owner).into_iter().filter(|n| *n > 5).collect();
     assert_eq!(rested, [10, 11, 12, 13, 14, 15, 16, 17], "two of those that had their responses");
-    owner.time.now = now + ROOM_SILENT_MS;
+    owner.time.now = now + RECLAIM_SILENT_MS;
     (0..20).for_each(|_| free_slots(&mut owner));
     assert_eq!(left(&owner), [1], "one with something open stays");
 }
@@ -304,7 +308,7 @@
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
     let purge = |group| News::Purge { object: None, group: GroupId(group), time: owner.time.clock.now() };
-    let (elsewhere, here) = (Input::News(purge(16)), Input::News(purge(17)));
+    let (elsewhere, here) = (Input::WatchEvent(purge(16)), Input::WatchEvent(purge(17)));
     owner.batch(&mut vec![elsewhere]);
     assert_eq!(attempts(&owner, 1).len(), 1, "another group's purge is no reason");
     owner.batch(&mut vec![here]);
--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::caches::ConnId;
-use crate::limits::SERVER_STALLED;
-use crate::outbox::{write_all, FetchTerms, Stage};
+use crate::limits::SERVER_WRITE_TIMEOUT;
+use crate::outbox::{write_all, DeliveryState, SendConditions};
 use crate::owner::attempts::InFlight;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -22,7 +22,7 @@
         started: Some(owner.time.now),
     };
     let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
-    Input::News(News::Servers { whole: false, members: vec![Member { entry, address }] })
+    Input::WatchEvent(News::Servers { whole: false, members: vec![Member { entry, address }] })
 }
 
 #[test]
@@ -48,13 +48,13 @@
     owner.batch(&mut vec![first]);
     let home = attempts(&owner, 1)[0].server.clone();
     let port = owner.upstream.endpoints[&home].address.port();
-    let Input::News(News::Servers { members: back, .. }) = moved(&owner, &home, port) else {
+    let Input::WatchEvent(News::Servers { members: back, .. }) = moved(&owner, &home, port) else {
         panic!("a list")
     };
     let mut gone = back.clone();
     gone[0].entry.state = EndpointState::Removed;
     let members = gone.into_iter().chain(back).collect();
-    owner.batch(&mut vec![Input::News(News::Servers { whole: false, members })]);
+    owner.batch(&mut vec![Input::WatchEvent(News::Servers { whole: false, members })]);
     let all = attempts(&owner, 1);
     assert!(all.len() == 2 && !all[0].in_flight && all[1].in_flight, "{all:?}");
 }
@@ -62,17 +62,20 @@
 #[test]
 fn message_whose_start_window_has_passed_is_not_written() {
     let meter = Rc::default();
-    let (out, messages) = outbox(&meter, &Rc::default());
-    let by = |at| FetchTerms::unwatched(Some(at), None);
-    let late = out.hold(b"late".to_vec(), by(Instant::now()));
-    let in_time = out.hold(b"in time".to_vec(), by(Instant::now() + SERVER_STALLED));
+    let (out, messages) = send_queue(&meter, &Rc::default());
+    let by = |at| SendConditions::unwatched(Some(at), None);
+    let late = out.make_held(b"late".to_vec(), by(Instant::now()));
+    let in_time = out.make_held(b"in time".to_vec(), by(Instant::now() + SERVER_WRITE_TIMEOUT));
     [&late, &in_time].into_iter().for_each(|message| out.release(message));
     drop(out);
     let mut socket = Vec::new();
     futures_lite::future::block_on(write_all(&mut socket, messages, futures_lite::future::pending));
     assert_eq!(socket, b"in time");
-    assert_eq!((late.stage(), in_time.stage()), (Stage::TakenBack, Stage::Written));
-    assert!(late.take_back() && !in_time.take_back(), "what was not written may be reported as not sent");
+    assert_eq!(
+        (late.delivery_state(), in_time.delivery_state()),
+        (DeliveryState::Recalled, DeliveryState::Written)
+    );
+    assert!(late.recall() && !in_time.recall(), "what was not written may be reported as not sent");
 }
 
 #[test]
@@ -88,24 +91,24 @@
     let other = ConnId(first.0.max(second.0) + 1);
     let ok = |id: &str| {
         let parts = [id, "ok", "ver=1,born=1,note=hit", "bytes"].map(|part| part.as_bytes().to_vec());
-        Answer::read(parts.to_vec(), &[]).expect("an answer")
+        ServerAnswer::read(parts.to_vec(), &[]).expect("an answer")
     };
     // On a connection that is not its own, and under an id that no request has.
     owner.batch(&mut vec![
-        Input::Cache(other, ok(&format!("{:016x}", 1))),
-        Input::Cache(first, ok("00000000000000ff")),
+        Input::ServerAnswer(other, ok(&format!("{:016x}", 1))),
+        Input::ServerAnswer(first, ok("00000000000000ff")),
     ]);
     assert_eq!((owner.counters.attempts.late_answers.get(), messages.len()), (2, 0));
     // The same id again, while it is open: a client that breaks the protocol gets a failure, and the first goes on.
-    let Input::Client(client, FromClient::Do(_, again), at) = request(&owner, 1) else {
+    let Input::Client(client, ClientMessage::Request(_, again), at) = request(&owner, 1) else {
         panic!("a request")
     };
-    owner.batch(&mut vec![Input::Client(client, FromClient::Do(Tag(3), again), at)]);
+    owner.batch(&mut vec![Input::Client(client, ClientMessage::Request(Tag(3), again), at)]);
     assert_eq!(
         (owner.counters.clients.unreadable.get(), attempts(&owner, 1).len(), messages.len()),
         (1, 1, 1)
     );
-    owner.batch(&mut vec![Input::Cache(first, ok(&format!("{:016x}", 1)))]);
+    owner.batch(&mut vec![Input::ServerAnswer(first, ok(&format!("{:016x}", 1)))]);
     assert_eq!((owner.counters.clients.served.get(), messages.len()), (1, 2));
 }
 
@@ -162,14 +165,14 @@
 impl Scenario {
     fn new(class: &'static str) -> Self {
         let (mut owner, responses) = owner();
-        let Input::Client(client, FromClient::Do(tag, mut request), at) = request(&owner, 1) else {
+        let Input::Client(client, ClientMessage::Request(tag, mut request), at) = request(&owner, 1) else {
             panic!("a request")
         };
-        (request.class, request.left) = (class.into(), DEADLINE_MS);
+        (request.class, request.deadline_ms) = (class.into(), DEADLINE_MS);
         if class == "loan" {
             request.body = b"borrow".to_vec();
         }
-        owner.batch(&mut vec![Input::Client(client, FromClient::Do(tag, request), at)]);
+        owner.batch(&mut vec![Input::Client(client, ClientMessage::Request(tag, request), at)]);
         let (established, validated) = Default::default();
         let executed = BTreeSet::new();
         Self { class, owner, responses, inputs: Vec::new(), established, validated, executed }
@@ -185,7 +188,7 @@
     fn answer(&mut self, connection: ConnId, id: &str, result: &str) {
         let fields: &[u8] = if result == "ok" { b"ver=1,born=1,note=hit" } else { b"-" };
         let parts = vec![id.as_bytes().to_vec(), result.as_bytes().to_vec(), fields.to_vec(), Vec::new()];
-        self.inputs.push(Input::Cache(connection, Answer::read(parts, &[]).expect("an answer")));
+        self.inputs.push(Input::ServerAnswer(connection, ServerAnswer::read(parts, &[]).expect("an answer")));
     }
 
     fn step(&mut self, step: Step) {
@@ -197,25 +200,32 @@
             return;
         }
         if let Step::ClientCancels = step {
-            return self.inputs.push(Input::Client(CLIENT, FromClient::Undo(Tag(1)), self.owner.time.now));
+            return self.inputs.push(Input::Client(
+                CLIENT,
+                ClientMessage::Cancel(Tag(1)),
+                self.owner.time.now,
+            ));
         }
         let Some((n, InFlight { connection, message })) = self.in_flight() else { return };
         let server = self.owner.requests.get(RequestNo(1)).expect("open").attempts[n].server.clone();
         match step {
             Step::Established => {
                 self.established.insert(connection);
-                self.inputs.push(Input::CacheUp(connection));
+                self.inputs.push(Input::ServerConnected(connection));
             }
             Step::Validated if self.established.contains(&connection) => {
                 self.validated.insert(connection);
                 self.answer(connection, &connection.0.to_string(), "yes");
                 self.batch();
             }
-            Step::Written if self.validated.contains(&connection) && message.stage() == Stage::Waiting => {
+            Step::Written
+                if self.validated.contains(&connection)
+                    && message.delivery_state() == DeliveryState::Queued =>
+            {
                 message.write();
                 self.executed.insert(n);
             }
-            Step::Answer(result) if message.stage() == Stage::Written => {
+            Step::Answer(result) if message.delivery_state() == DeliveryState::Written => {
                 if matches!(result, "nothing" | "refused" | "stale") {
                     self.executed.remove(&n);
                 }
@@ -227,10 +237,13 @@
                 tags.into_iter().for_each(|(connection, tag)| self.answer(connection, &tag, "yes"));
             }
             Step::ConnectFailed if !self.established.contains(&connection) => {
-                self.inputs.push(Input::CacheDown(connection, Down::NeverUp));
+                self.inputs.push(Input::ServerDisconnected(connection, ConnectionFailure::ConnectFailed));
             }
             Step::ConnectionClosed if self.established.contains(&connection) => {
-                self.inputs.push(Input::CacheDown(connection, Down::Ended(CloseReason::Ended)));
+                self.inputs.push(Input::ServerDisconnected(
+                    connection,
+                    ConnectionFailure::Closed(CloseReason::PeerClosed),
+                ));
             }
             Step::Drain if self.owner.upstream.endpoints.contains_key(&server) => {
                 self.inputs.push(draining(&self.owner, &server));
@@ -294,7 +307,7 @@
         let clients = &scenario.owner.counters.clients;
         let answers = [&clients.served, &clients.refused, &clients.failed, &clients.left].map(|c| c.get());
         prop_assert_eq!(answers.iter().sum::<u64>(), 1, "a response in time, whatever is still in flight");
-        scenario.owner.upstream.aborting.iter_mut().for_each(|a| a.since -= LEAVING_MS + 1.0);
+        scenario.owner.upstream.aborting.iter_mut().for_each(|a| a.since -= ABORT_CONFIRM_TIMEOUT_MS + 1.0);
         scenario.batch();
         scenario.batch();
         prop_assert!(scenario.owner.requests.is_empty() && scenario.owner.upstream.aborting.is_empty());
--- a/crates/node/src/owner/watch_events.rs
+++ b/crates/node/src/owner/watch_events.rs
@@ -58,7 +58,7 @@
         for event in known.iter().cloned() {
             match event {
                 News::Servers { whole, members } => {
-                    self.counters.log.lists.one();
+                    self.counters.log.lists.increment();
                     self.on_endpoint_list(whole, members);
                 }
                 News::Purge { object, group, time } => {
@@ -73,7 +73,7 @@
     pub(super) fn on_watch_event(&mut self, event: News) {
         match event {
             News::Servers { whole, members } => {
-                self.counters.log.lists.one();
+                self.counters.log.lists.increment();
                 self.observe_starts(&members);
                 self.on_endpoint_list(whole, members);
             }
@@ -121,7 +121,7 @@
 
     fn purge(&mut self, purged: Purged, age: Ms) {
         let Purged { object, group, time } = purged;
-        self.counters.log.purges.one();
+        self.counters.log.purges.increment();
         if broken(Break::PurgeIgnored) {
             return;
         }
@@ -159,7 +159,7 @@
         let is_listed = |id: &ServerId| members.iter().any(|member| member.entry.id == *id);
         let unlisted: Vec<_> = self.upstream.endpoints.keys().filter(|id| !is_listed(id)).cloned().collect();
         for id in &unlisted {
-            withdrawn.connections.extend(self.upstream.caches.moved(id, None));
+            withdrawn.connections.extend(self.upstream.caches.retire_moved(id, None));
             self.upstream.endpoints.remove(id);
         }
         withdrawn.servers.clone_from(&unlisted);
@@ -171,7 +171,7 @@
         for member in members {
             let id = &member.entry.id;
             let up = member.entry.state == EndpointState::Up;
-            withdrawn.connections.extend(upstream.caches.moved(id, up.then(|| member.place())));
+            withdrawn.connections.extend(upstream.caches.retire_moved(id, up.then(|| member.place())));
             if !up {
                 withdrawn.servers.push(id.clone());
             }
--- a/crates/node/src/permissions.rs
+++ b/crates/node/src/permissions.rs
@@ -14,7 +14,7 @@
 
 /// A request and a server, as an attempt is about to start.
 #[derive(Clone, Copy, Debug)]
-pub struct BeginState {
+pub struct StartState {
     /// The client still waits.
     pub client_waits: bool,
     /// The request has its response.
@@ -31,7 +31,7 @@
 
 /// Why an attempt may not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BeginRefusal {
+pub enum StartRefusal {
     /// The client has disconnected or cancelled the request.
     ClientLeft,
     /// The request has its response.
@@ -48,16 +48,16 @@
 ///
 /// # Errors
 /// [`BeginRefusal`] with the reason against it.
-pub fn may_begin(state: &BeginState) -> Result<(), BeginRefusal> {
+pub fn may_start(state: &StartState) -> Result<(), StartRefusal> {
     match state {
-        BeginState { client_waits: false, .. } => Err(BeginRefusal::ClientLeft),
-        BeginState { answered: true, .. } => Err(BeginRefusal::Answered),
-        BeginState { time_left, .. } if *time_left <= 0.0 => Err(BeginRefusal::DeadlineOver),
-        BeginState { attempts, max_attempts, .. } if attempts >= max_attempts => {
-            Err(BeginRefusal::AttemptsUsed)
+        StartState { client_waits: false, .. } => Err(StartRefusal::ClientLeft),
+        StartState { answered: true, .. } => Err(StartRefusal::Answered),
+        StartState { time_left, .. } if *time_left <= 0.0 => Err(StartRefusal::DeadlineOver),
+        StartState { attempts, max_attempts, .. } if attempts >= max_attempts => {
+            Err(StartRefusal::AttemptsUsed)
         }
-        BeginState { listed: false, .. } => Err(BeginRefusal::NotListed),
-        BeginState { .. } => Ok(()),
+        StartState { listed: false, .. } => Err(StartRefusal::NotListed),
+        StartState { .. } => Ok(()),
     }
 }
 
@@ -111,13 +111,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptRefusal {
     /// The attempt may not start.
-    Begin(BeginRefusal),
+    Begin(StartRefusal),
     /// The request may not run again.
     Retry(RetryRefusal),
 }
 
-impl From<BeginRefusal> for AttemptRefusal {
-    fn from(refusal: BeginRefusal) -> Self {
+impl From<StartRefusal> for AttemptRefusal {
+    fn from(refusal: StartRefusal) -> Self {
         Self::Begin(refusal)
     }
 }
@@ -132,11 +132,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SendState {
     /// The owner has withdrawn it.
-    pub taken_back: bool,
+    pub withdrawn: bool,
     /// The time by which it had to start has passed.
-    pub window_over: bool,
+    pub start_window_passed: bool,
     /// The attempt's deadline has passed.
-    pub deadline_over: bool,
+    pub deadline_passed: bool,
     /// The client still waits.
     pub client_waits: bool,
 }
@@ -160,10 +160,10 @@
 /// [`SendRefusal`] with the reason against it.
 pub fn may_send(state: &SendState) -> Result<(), SendRefusal> {
     match state {
-        SendState { taken_back: true, .. } => Err(SendRefusal::TakenBack),
+        SendState { withdrawn: true, .. } => Err(SendRefusal::TakenBack),
         SendState { client_waits: false, .. } => Err(SendRefusal::ClientLeft),
-        SendState { window_over: true, .. } => Err(SendRefusal::WindowOver),
-        SendState { deadline_over: true, .. } => Err(SendRefusal::DeadlineOver),
+        SendState { start_window_passed: true, .. } => Err(SendRefusal::WindowOver),
+        SendState { deadline_passed: true, .. } => Err(SendRefusal::DeadlineOver),
         SendState { .. } => Ok(()),
     }
 }
@@ -174,7 +174,7 @@
     /// The owner still wants it closed.
     pub wanted: bool,
     /// Messages that were read and are queued for the owner.
-    pub on_way: u32,
+    pub queued_messages: u32,
 }
 
 /// Why a connection is not closed.
@@ -192,7 +192,7 @@
 /// [`CloseRefusal`] with the reason against it.
 pub fn may_close(state: &CloseState) -> Result<(), CloseRefusal> {
     match state {
-        CloseState { on_way: 1.., .. } => Err(CloseRefusal::MessageOnWay),
+        CloseState { queued_messages: 1.., .. } => Err(CloseRefusal::MessageOnWay),
         CloseState { wanted: false, .. } => Err(CloseRefusal::NotWanted),
         CloseState { .. } => Ok(()),
     }
@@ -200,7 +200,7 @@
 
 /// A process that was asked to shut down.
 #[derive(Clone, Copy, Debug)]
-pub struct EndState {
+pub struct ExitState {
     /// New clients are still accepted.
     pub accepts: bool,
     /// Clients' connections are open, or may still be in the backlog.
@@ -211,7 +211,7 @@
 
 /// Why a process does not exit yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndRefusal {
+pub enum ExitRefusal {
     /// New clients are still accepted.
     Accepting,
     /// Connections are open.
@@ -224,16 +224,16 @@
 ///
 /// # Errors
 /// [`EndRefusal`] with the reason against it.
-pub fn may_end(state: &EndState) -> Result<(), EndRefusal> {
+pub fn may_exit(state: &ExitState) -> Result<(), ExitRefusal> {
     match state {
-        EndState { accepts: true, .. } => Err(EndRefusal::Accepting),
-        EndState { connections_open: true, .. } => Err(EndRefusal::ConnectionsOpen),
-        EndState { quiet: false, .. } => Err(EndRefusal::NotQuiet),
-        EndState { .. } => Ok(()),
+        ExitState { accepts: true, .. } => Err(ExitRefusal::Accepting),
+        ExitState { connections_open: true, .. } => Err(ExitRefusal::ConnectionsOpen),
+        ExitState { quiet: false, .. } => Err(ExitRefusal::NotQuiet),
+        ExitState { .. } => Ok(()),
     }
 }
 
-impl fmt::Display for BeginRefusal {
+impl fmt::Display for StartRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::ClientLeft => "the client has disconnected or cancelled",
@@ -274,7 +274,7 @@
     }
 }
 
-impl fmt::Display for EndRefusal {
+impl fmt::Display for ExitRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Accepting => "clients are still accepted",
@@ -284,8 +284,8 @@
     }
 }
 
-impl std::error::Error for BeginRefusal {}
+impl std::error::Error for StartRefusal {}
 impl std::error::Error for AttemptRefusal {}
 impl std::error::Error for SendRefusal {}
 impl std::error::Error for CloseRefusal {}
-impl std::error::Error for EndRefusal {}
+impl std::error::Error for ExitRefusal {}
