--- a/crates/node/src/permissions/tests.rs
+++ b/crates/node/src/permissions/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use basaltgw::api::{Idempotency, KeyScope};
 
-const BEGIN: BeginState = BeginState {
+const BEGIN: StartState = StartState {
     client_waits: true,
     answered: false,
     time_left: 1.0,
@@ -14,16 +14,16 @@
 
 #[test]
 fn attempt_starts_only_while_the_client_waits_and_the_settings_allow_it() {
-    assert_eq!(may_begin(&BEGIN), Ok(()));
+    assert_eq!(may_start(&BEGIN), Ok(()));
     let refusals = [
-        (BeginState { client_waits: false, ..BEGIN }, BeginRefusal::ClientLeft),
-        (BeginState { answered: true, ..BEGIN }, BeginRefusal::Answered),
-        (BeginState { time_left: 0.0, ..BEGIN }, BeginRefusal::DeadlineOver),
-        (BeginState { attempts: 1, ..BEGIN }, BeginRefusal::AttemptsUsed),
-        (BeginState { listed: false, ..BEGIN }, BeginRefusal::NotListed),
+        (StartState { client_waits: false, ..BEGIN }, StartRefusal::ClientLeft),
+        (StartState { answered: true, ..BEGIN }, StartRefusal::Answered),
+        (StartState { time_left: 0.0, ..BEGIN }, StartRefusal::DeadlineOver),
+        (StartState { attempts: 1, ..BEGIN }, StartRefusal::AttemptsUsed),
+        (StartState { listed: false, ..BEGIN }, StartRefusal::NotListed),
     ];
     for (state, refusal) in refusals {
-        assert_eq!(may_begin(&state), Err(refusal));
+        assert_eq!(may_start(&state), Err(refusal));
     }
 }
 
@@ -57,12 +57,17 @@
 
 #[test]
 fn message_is_written_only_while_the_client_waits_and_in_time() {
-    let sends = SendState { taken_back: false, window_over: false, deadline_over: false, client_waits: true };
+    let sends = SendState {
+        withdrawn: false,
+        start_window_passed: false,
+        deadline_passed: false,
+        client_waits: true,
+    };
     assert_eq!(may_send(&sends), Ok(()));
     let refusals = [
-        (SendState { taken_back: true, ..sends }, SendRefusal::TakenBack),
-        (SendState { window_over: true, ..sends }, SendRefusal::WindowOver),
-        (SendState { deadline_over: true, ..sends }, SendRefusal::DeadlineOver),
+        (SendState { withdrawn: true, ..sends }, SendRefusal::TakenBack),
+        (SendState { start_window_passed: true, ..sends }, SendRefusal::WindowOver),
+        (SendState { deadline_passed: true, ..sends }, SendRefusal::DeadlineOver),
         (SendState { client_waits: false, ..sends }, SendRefusal::ClientLeft),
     ];
     for (state, refusal) in refusals {
@@ -72,12 +77,12 @@
 
 #[test]
 fn connection_closes_and_process_ends_only_with_nothing_pending() {
-    assert_eq!(may_close(&CloseState { wanted: true, on_way: 0 }), Ok(()));
-    assert_eq!(may_close(&CloseState { wanted: true, on_way: 1 }), Err(CloseRefusal::MessageOnWay));
-    assert_eq!(may_close(&CloseState { wanted: false, on_way: 0 }), Err(CloseRefusal::NotWanted));
-    let ends = EndState { accepts: false, connections_open: false, quiet: true };
-    assert_eq!(may_end(&ends), Ok(()));
-    assert_eq!(may_end(&EndState { accepts: true, ..ends }), Err(EndRefusal::Accepting));
-    assert_eq!(may_end(&EndState { connections_open: true, ..ends }), Err(EndRefusal::ConnectionsOpen));
-    assert_eq!(may_end(&EndState { quiet: false, ..ends }), Err(EndRefusal::NotQuiet));
+    assert_eq!(may_close(&CloseState { wanted: true, queued_messages: 0 }), Ok(()));
+    assert_eq!(may_close(&CloseState { wanted: true, queued_messages: 1 }), Err(CloseRefusal::MessageOnWay));
+    assert_eq!(may_close(&CloseState { wanted: false, queued_messages: 0 }), Err(CloseRefusal::NotWanted));
+    let ends = ExitState { accepts: false, connections_open: false, quiet: true };
+    assert_eq!(may_exit(&ends), Ok(()));
+    assert_eq!(may_exit(&ExitState { accepts: true, ..ends }), Err(ExitRefusal::Accepting));
+    assert_eq!(may_exit(&ExitState { connections_open: true, ..ends }), Err(ExitRefusal::ConnectionsOpen));
+    assert_eq!(may_exit(&ExitState { quiet: false, ..ends }), Err(ExitRefusal::NotQuiet));
 }
--- a/crates/node/src/placement_report.rs
+++ b/crates/node/src/placement_report.rs
@@ -1,6 +1,6 @@
 //! Compiles the placement rules of a configuration for the routers that it lists, and reports the resulting table to people.
 
-use crate::fleet::start::rules;
+use crate::fleet::start::placement_rules;
 use basaltgw_config::fleet::Fleet;
 use basaltgw_placement::{compile, explain, explain_root, explain_shard, moves, Fault, Inventory};
 use basaltgw_placement::{RouterEntry, Table};
@@ -70,12 +70,12 @@
     let own = std::iter::once(entry(&fleet.name, &fleet.domain));
     let mut routers: Vec<_> = own.chain(fleet.peers.iter().map(|p| entry(&p.name, &p.domain))).collect();
     routers.sort_by(|a, b| a.member.cmp(&b.member));
-    compile(&rules(fleet), &Inventory { routers, ..Inventory::default() }, before)
+    compile(&placement_rules(fleet), &Inventory { routers, ..Inventory::default() }, before)
 }
 
 /// Renders faults with the lines that they concern.
 pub fn faults(fleet: &Fleet, faults: &[Fault]) -> String {
-    let files = rules(fleet);
+    let files = placement_rules(fleet);
     // The position is written out besides the excerpt, so that programs find it too.
     let render = |f: &Fault| format!("{f}\n{}", f.render(&files, false));
     faults.iter().map(render).collect::<Vec<_>>().join("\n")
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -88,9 +88,9 @@
     }
     if let Some(fleet) = rules {
         own.settings.fleet = Some(fleet.clone());
-        for (name, text) in crate::fleet::start::rules(&fleet) {
+        for (name, text) in crate::fleet::start::placement_rules(&fleet) {
             log::info!("reload: placement rules {name} proposed to the fleet");
-            urgent.send(Input::Rules(name, text)).await?;
+            urgent.send(Input::PlacementRules(name, text)).await?;
         }
     }
     Ok(())
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,10 +1,10 @@
 //! Starts a router from its configuration, and runs it until it ends.
 
-use crate::caches::Caches;
+use crate::caches::ServerPool;
 use crate::connection::ConnectionSlots;
 use crate::limits::{
-    BIND_RETRY_TIMEOUT, LISTEN_BACKLOG, QUEUE, READ_STOP_MEMORY_SHARE, RESERVED_DESCRIPTORS, RETRY_INTERVAL,
-    SERVER_DESCRIPTOR_DIVISOR,
+    BIND_RETRY_TIMEOUT, INPUT_QUEUE_CAPACITY, LISTEN_BACKLOG, READ_STOP_MEMORY_SHARE, RESERVED_DESCRIPTORS,
+    RETRY_INTERVAL, SERVER_DESCRIPTOR_DIVISOR,
 };
 use crate::messages::{Input, Inputs, Shared};
 use crate::owner::Owner;
@@ -45,10 +45,10 @@
     let shared = shared(&config, senders.clients);
     let descriptors = descriptor_budget(&config);
     let to_servers = Shared { queue: senders.servers, ..shared.clone() };
-    let caches = Caches::new(to_servers, descriptors.servers, config.transport);
+    let caches = ServerPool::new(to_servers, descriptors.servers, config.transport);
     let mut owner = Owner::new(&config, &own.settings, &shared, caches);
     if let Some(snapshot) = own.settings.carry.as_ref().and_then(snapshot_file::load) {
-        owner.adopt(snapshot);
+        owner.restore(snapshot);
     }
     if let Some(settings) = &own.settings.fleet {
         join_fleet(&mut owner, settings, &config, &shared, senders.urgent.clone())?;
@@ -56,10 +56,10 @@
     let listener = bind(config.listen)?;
     log::info!("{} listens at {}", config.name, listener.get_ref().local_addr()?);
     let executor = Rc::clone(&shared.executor);
-    let slots: Rc<ConnectionSlots> = owner.places();
+    let slots: Rc<ConnectionSlots> = owner.client_slots();
     // `shared` stays alive: the owner waits on the clients' queue, which must not close while it runs.
     let listener = executor.spawn(clients::accept(listener, descriptors.clients, slots, shared.clone()));
-    let (moves, moved) = async_channel::bounded(QUEUE);
+    let (moves, moved) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
     let names = config.names.clone();
     let follow = changelog::follow(config.changelog, moved, config.known_seq, names, senders.urgent.clone());
     executor.spawn(follow).detach();
@@ -67,8 +67,13 @@
     config.known = Vec::new();
     let carry = own.settings.carry.clone();
     executor.spawn(handle_signals(signals, senders.urgent, config, own, moves)).detach();
-    let owner::Ended { counters, learnt, left_at, fleet, fault } =
-        async_io::block_on(executor.run(owner.run(inputs, listener)));
+    let owner::ExitReport {
+        counters,
+        snapshot: learnt,
+        snapshot_taken_at: left_at,
+        fleet_counters: fleet,
+        fault,
+    } = async_io::block_on(executor.run(owner.run(inputs, listener)));
     if let Some(carry) = &carry {
         snapshot_file::store(carry, &learnt, left_at);
     }
@@ -79,9 +84,9 @@
 }
 
 fn input_queues() -> (InputSenders, Inputs) {
-    let (urgent, urgent_inputs) = async_channel::bounded(QUEUE);
-    let (servers, server_inputs) = async_channel::bounded(QUEUE);
-    let (clients, client_inputs) = async_channel::bounded(QUEUE);
+    let (urgent, urgent_inputs) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
+    let (servers, server_inputs) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
+    let (clients, client_inputs) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
     let inputs = Inputs { urgent: urgent_inputs, servers: server_inputs, clients: client_inputs };
     (InputSenders { urgent, servers, clients }, inputs)
 }
@@ -94,7 +99,7 @@
         meter: Rc::default(),
         invariants: Rc::default(),
         stalls: Rc::default(),
-        held_limit: config.limits.share_of_memory(READ_STOP_MEMORY_SHARE),
+        buffer_limit_bytes: config.limits.share_of_memory(READ_STOP_MEMORY_SHARE),
     }
 }
 
@@ -114,11 +119,11 @@
     urgent: Sender<Input>,
 ) -> io::Result<()> {
     let fleet = fleet::start::start(settings, config, shared.clock)?;
-    let bell = fleet.bell.clone();
+    let bell = fleet.wakeup.clone();
     let forward_bell =
         async move { while bell.recv().await.is_ok() && urgent.send(Input::Fleet).await.is_ok() {} };
     shared.executor.spawn(forward_bell).detach();
-    owner.join(fleet);
+    owner.join_fleet(fleet);
     Ok(())
 }
 
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,41 +1,41 @@
 //! Decides when a process that was asked to end may do so. Inputs: the time in milliseconds, and whether a client's connection is open.
 
 use crate::limits::{SHUTDOWN_ACCEPT_MS, SHUTDOWN_QUIET_MS};
-use crate::permissions::{may_end, EndState};
+use crate::permissions::{may_exit, ExitState};
 use basaltgw::api::Ms;
 
 /// The progress of a graceful shutdown: clients are accepted for [`SHUTDOWN_ACCEPT_MS`], and the process ends when no connection was open
 /// for [`SHUTDOWN_QUIET_MS`] after that.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ending {
-    asked: Option<Ms>,
+pub struct GracefulShutdown {
+    has_begun: Option<Ms>,
     quiet_since: Option<Ms>,
 }
 
-impl Ending {
+impl GracefulShutdown {
     /// Begins the shutdown.
-    pub fn ask(&mut self, now: Ms) {
-        self.asked.get_or_insert(now);
+    pub fn begin(&mut self, now: Ms) {
+        self.has_begun.get_or_insert(now);
     }
 
     /// Whether the shutdown has begun.
-    pub fn asked(&self) -> bool {
-        self.asked.is_some()
+    pub fn has_begun(&self) -> bool {
+        self.has_begun.is_some()
     }
 
     /// Whether new clients are accepted.
     pub fn accepts(&self, now: Ms) -> bool {
-        self.asked.is_none_or(|t| now < t + SHUTDOWN_ACCEPT_MS)
+        self.has_begun.is_none_or(|t| now < t + SHUTDOWN_ACCEPT_MS)
     }
 
     /// Whether the process may end; `open` while a client's connection is open or may come from the backlog.
-    pub fn over(&mut self, now: Ms, open: bool) -> bool {
+    pub fn may_exit(&mut self, now: Ms, open: bool) -> bool {
         let accepts = self.accepts(now);
         if accepts || open {
             self.quiet_since = None;
         }
         let since = if accepts || open { now } else { *self.quiet_since.get_or_insert(now) };
         let quiet = now >= since + SHUTDOWN_QUIET_MS;
-        may_end(&EndState { accepts, connections_open: open, quiet }).is_ok()
+        may_exit(&ExitState { accepts, connections_open: open, quiet }).is_ok()
     }
 }
--- a/crates/node/src/signal_handler.rs
+++ b/crates/node/src/signal_handler.rs
@@ -18,9 +18,9 @@
     loop {
         for order in signals.next().await {
             let input = match order {
-                Order::Count => Input::Count,
+                Order::Count => Input::LogCounters,
                 Order::Reload => Input::Reloaded(reload(&running, &mut own, &urgent, &changelog).await),
-                Order::End => Input::End,
+                Order::End => Input::Shutdown,
             };
             if urgent.send(input).await.is_err() {
                 return;
--- a/crates/node/src/slow_start_watch.rs
+++ b/crates/node/src/slow_start_watch.rs
@@ -84,7 +84,7 @@
     shortest_responses: RefCell<HashMap<ObjectId, Ms>>,
     /// By class.
     costs: RefCell<Vec<ClassCost>>,
-    written: RefCell<Vec<FetchIds>>,
+    count_written: RefCell<Vec<FetchIds>>,
     highest_share: Cell<f64>,
 }
 
@@ -123,7 +123,7 @@
             warming_up: RefCell::default(),
             shortest_responses: RefCell::default(),
             costs: RefCell::new(vec![ClassCost::default(); settings.classes.len()]),
-            written: RefCell::default(),
+            count_written: RefCell::default(),
             highest_share: Cell::default(),
         }
     }
@@ -181,14 +181,14 @@
     }
 
     /// Counts a fetch whose first byte is written to a server, which may fill a miss from a source.
-    pub fn begun(&self, now: Instant, class: usize, to: [Option<&ServerId>; 2]) -> Option<Exceeded> {
+    pub fn count_fetch(&self, now: Instant, class: usize, to: [Option<&ServerId>; 2]) -> Option<Exceeded> {
         let exceeded = to.into_iter().flatten().map(|server| self.count_request(now, server, class));
         exceeded.fold(None, |first, next| first.or(next))
     }
 
     /// Counts a fetch whose last byte is written.
-    pub fn written(&self, ids: FetchIds) {
-        let mut written = self.written.borrow_mut();
+    pub fn count_written(&self, ids: FetchIds) {
+        let mut written = self.count_written.borrow_mut();
         if written.len() < MAX_WRITTEN_FETCHES {
             written.push(ids);
         }
@@ -227,7 +227,7 @@
 
     /// Takes the fetches that were written whole since the last call.
     pub fn take_written(&self) -> Vec<FetchIds> {
-        self.written.take()
+        self.count_written.take()
     }
 
     /// The highest share of its bound that any server was sent from this router since the start.
--- a/crates/node/src/slow_start_watch/tests.rs
+++ b/crates/node/src/slow_start_watch/tests.rs
@@ -14,7 +14,7 @@
         warming_up: RefCell::default(),
         shortest_responses: RefCell::default(),
         costs: RefCell::new(vec![ClassCost::default(); 2]),
-        written: RefCell::default(),
+        count_written: RefCell::default(),
         highest_share: Cell::default(),
     };
     (0..40).for_each(|n| watch.observe_response(0, ObjectId(n % 4), 10.0));
@@ -31,7 +31,7 @@
 fn send(watch: &SlowStartWatch, from: Instant, count: u64) -> usize {
     let id = endpoint().id;
     let at = |n: u64| from + Duration::from_millis(n);
-    (0..count).filter(|n| watch.begun(at(*n), 0, [Some(&id), None]).is_some()).count()
+    (0..count).filter(|n| watch.count_fetch(at(*n), 0, [Some(&id), None]).is_some()).count()
 }
 
 #[test]
@@ -41,7 +41,7 @@
     assert_eq!(send(&watch, now, 122), 0, "100 are allowed, and chance adds 22");
     assert!((0.95..=1.0).contains(&watch.highest_share()));
     assert!(send(&watch, now + Duration::from_millis(200), 10) > 0);
-    watch.written((7, 0));
+    watch.count_written((7, 0));
     assert_eq!((watch.take_written(), watch.take_written()), (vec![(7, 0)], Vec::new()));
 }
 
--- a/crates/node/tests/codec.rs
+++ b/crates/node/tests/codec.rs
@@ -4,9 +4,9 @@
 
 use basaltgw::api::{AttemptResult, EndpointState, FillReport, GroupId, ObjectId, Role};
 use basaltgw_config::{settings, Names, News, Seq};
-use basaltgw_node::caches::Answer;
+use basaltgw_node::caches::ServerAnswer;
 use basaltgw_node::changelog::{self, Follower, Frame};
-use basaltgw_node::clients::{FromClient, Tag};
+use basaltgw_node::clients::{ClientMessage, Tag};
 use basaltgw_node::resp::{encode, Bounds, Decoder, Fields};
 use common::frame;
 use proptest::prelude::*;
@@ -79,24 +79,28 @@
 fn client_messages_are_decoded() {
     let words = |w: &[&str]| w.iter().map(|w| w.as_bytes().to_vec()).collect::<Vec<_>>();
     let fields = "i=9b1f03aa5c7e2d41,d=1500,o=7f3a9c21e0b4d655,nth=3,batch=17,m=412.5,got=4be0c1927d55a6f3";
-    let Some(FromClient::Do(Tag(7), r)) = FromClient::read(words(&["DO", "7", "segment", fields, "x"]))
+    let Some(ClientMessage::Request(Tag(7), r)) =
+        ClientMessage::decode(words(&["DO", "7", "segment", fields, "x"]))
     else {
         panic!("a request");
     };
     assert_eq!((&*r.id.0, r.class.as_str(), r.object.0), ("9b1f03aa5c7e2d41", "segment", 0x7f3a9c21e0b4d655));
-    assert_eq!((r.part.0, r.group.0, r.size_kb, r.left), (3, 17, 412.5, 1500.0));
-    assert_eq!((r.got.as_deref(), r.body.as_slice()), (Some("4be0c1927d55a6f3"), &b"x"[..]));
-    assert_eq!(FromClient::read(words(&["UNDO", "7"])), Some(FromClient::Undo(Tag(7))));
-    assert_eq!(FromClient::read(words(&["PING", "8", ""])), Some(FromClient::Ping(Tag(8))));
+    assert_eq!((r.part.0, r.group.0, r.size_kb, r.deadline_ms), (3, 17, 412.5, 1500.0));
+    assert_eq!((r.copy_tag.as_deref(), r.body.as_slice()), (Some("4be0c1927d55a6f3"), &b"x"[..]));
+    assert_eq!(ClientMessage::decode(words(&["UNDO", "7"])), Some(ClientMessage::Cancel(Tag(7))));
+    assert_eq!(ClientMessage::decode(words(&["PING", "8", ""])), Some(ClientMessage::Probe(Tag(8))));
     let good =
         ["i=9b1f03aa5c7e2d41", "d=1500", "o=7f3a9c21e0b4d655", "nth=3", "batch=17", "m=412.5", "got=4b"];
-    let read = |fields: &[&str]| FromClient::read(words(&["DO", "7", "c", &fields.join(","), ""]));
-    assert!(matches!(read(&good), Some(FromClient::Do(..))));
-    assert!(matches!(read(&good[..5]), Some(FromClient::Do(..))), "a size and a copy's tag may be absent");
+    let read = |fields: &[&str]| ClientMessage::decode(words(&["DO", "7", "c", &fields.join(","), ""]));
+    assert!(matches!(read(&good), Some(ClientMessage::Request(..))));
+    assert!(
+        matches!(read(&good[..5]), Some(ClientMessage::Request(..))),
+        "a size and a copy's tag may be absent"
+    );
     for absent in 0..5 {
         let fields: Vec<&str> =
             good.iter().enumerate().filter(|(i, _)| *i != absent).map(|(_, f)| *f).collect();
-        assert_eq!(read(&fields), Some(FromClient::Unreadable(Tag(7))), "without {}", good[absent]);
+        assert_eq!(read(&fields), Some(ClientMessage::Malformed(Tag(7))), "without {}", good[absent]);
     }
     for (at, values) in [
         (0, &["", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d411", "9b1f03aa5c7e2d4g", "+b1f03aa5c7e2d41"][..]),
@@ -112,25 +116,28 @@
             let name = good[at].split('=').next().expect("a name");
             fields[at] = format!("{name}={value}");
             let read = read(&fields.each_ref().map(String::as_str));
-            assert_eq!(read, Some(FromClient::Unreadable(Tag(7))), "{}", fields[at]);
+            assert_eq!(read, Some(ClientMessage::Malformed(Tag(7))), "{}", fields[at]);
         }
     }
     for broken in ["", "-", "i", "=1", &format!("{},d=1500", good.join(",")), &"a=1,".repeat(20)] {
-        assert_eq!(read(&[broken]), Some(FromClient::Unreadable(Tag(7))), "{broken}");
+        assert_eq!(read(&[broken]), Some(ClientMessage::Malformed(Tag(7))), "{broken}");
     }
     let fields = good.join(",");
     let long = "x".repeat(48_001);
     for wrong in
         [&["DO", "7", "c"][..], &["DO", "7", "c", &fields, &long], &["DO", "7", "c", &fields, "", ""]]
     {
-        assert_eq!(FromClient::read(words(wrong)), Some(FromClient::Unreadable(Tag(7))));
+        assert_eq!(ClientMessage::decode(words(wrong)), Some(ClientMessage::Malformed(Tag(7))));
     }
     let whole = &long[1..];
-    assert!(matches!(FromClient::read(words(&["DO", "7", "c", &fields, whole])), Some(FromClient::Do(..))));
+    assert!(matches!(
+        ClientMessage::decode(words(&["DO", "7", "c", &fields, whole])),
+        Some(ClientMessage::Request(..))
+    ));
     for untagged in
         [&["DO"][..], &["DO", "0"], &["DO", "-1", "c"], &["PING", "x"], &["PING", "+8"], &["PING", "08"]]
     {
-        assert_eq!(FromClient::read(words(untagged)), None);
+        assert_eq!(ClientMessage::decode(words(untagged)), None);
     }
     let none = Fields::read(b"-").expect("no fields");
     assert_eq!(none.get("w"), None);
@@ -138,13 +145,19 @@
 
 #[test]
 fn server_answers_are_decoded_and_incomplete_ones_rejected() {
-    let read = |w: &[&str]| Answer::read(w.iter().map(|w| w.as_bytes().to_vec()).collect(), &[]);
+    let read = |w: &[&str]| ServerAnswer::read(w.iter().map(|w| w.as_bytes().to_vec()).collect(), &[]);
     let whole = "ver=4be0c1927d55a6f3,born=1764576000123,note=filled,waited=12.5,load=inflight:7;x0:0.61";
     let got = read(&["a", "ok", whole, "bytes"]).expect("an answer");
-    assert_eq!((got.end, got.same, got.body.bytes()), (Some(AttemptResult::Served), false, &b"bytes"[..]));
-    assert_eq!((got.note, got.waited, got.load.inflight), (FillReport::FilledBySource, 12.5, Some(7.0)));
     assert_eq!(
-        read(&["a", "current", whole]).map(|a| (a.end, a.same)),
+        (got.result, got.not_modified, got.body.bytes()),
+        (Some(AttemptResult::Served), false, &b"bytes"[..])
+    );
+    assert_eq!(
+        (got.fill_report, got.source_wait_ms, got.load.inflight),
+        (FillReport::FilledBySource, 12.5, Some(7.0))
+    );
+    assert_eq!(
+        read(&["a", "current", whole]).map(|a| (a.result, a.not_modified)),
         Some((Some(AttemptResult::Served), true))
     );
     for (word, end) in [
@@ -153,14 +166,14 @@
         ("error", AttemptResult::Error),
         ("stale", AttemptResult::NotSent),
     ] {
-        assert_eq!(read(&["a", word, "-"]).map(|a| a.end), Some(Some(end)));
+        assert_eq!(read(&["a", word, "-"]).map(|a| a.result), Some(Some(end)));
     }
     assert_eq!(
-        read(&["a", "who knows", "-", ""]).map(|a| a.end),
+        read(&["a", "who knows", "-", ""]).map(|a| a.result),
         Some(Some(AttemptResult::Error)),
         "it may have run"
     );
-    let untold = read(&["a", "ok", "-", "bytes"]).map(|a| (a.end, a.copy.is_some()));
+    let untold = read(&["a", "ok", "-", "bytes"]).map(|a| (a.result, a.copy.is_some()));
     assert_eq!(untold, Some((Some(AttemptResult::Served), false)), "as writes are answered");
     for spoilt in [
         &["a"][..],
@@ -301,9 +314,9 @@
         let value = |i: usize| if bad.contains(&i) { values[i].as_str() } else { GOOD[i] };
         let fields: Vec<String> = order.iter().map(|i| format!("{}={}", NAMES[*i], value(*i))).collect();
         let words = [&b"DO"[..], b"7", b"c", fields.join(",").as_bytes(), b""].map(<[u8]>::to_vec);
-        let read = FromClient::read(words.to_vec());
+        let read = ClientMessage::decode(words.to_vec());
         let whole = (0..7).all(|i| allowed(NAMES[i], value(i)));
-        prop_assert_eq!(matches!(read, Some(FromClient::Do(..))), whole, "{:?}", fields);
+        prop_assert_eq!(matches!(read, Some(ClientMessage::Request(..))), whole, "{:?}", fields);
     }
 
     #[test]
@@ -320,8 +333,8 @@
         let split: Vec<&[u8]> = bytes.chunks(3).collect();
         prop_assert_eq!(all.is_err(), decode(&split).is_err());
         for words in all.into_iter().flatten() {
-            let _ = FromClient::read(words.clone());
-            let _ = Answer::read(words, &[]);
+            let _ = ClientMessage::decode(words.clone());
+            let _ = ServerAnswer::read(words, &[]);
         }
         let _ = frames(&[&bytes]);
         let _ = Fields::read(&bytes);
@@ -333,7 +346,7 @@
         let i = at.index(bytes.len());
         bytes[i] = to;
         for words in decode(&[&bytes]).into_iter().flatten() {
-            let _ = FromClient::read(words);
+            let _ = ClientMessage::decode(words);
         }
         let mut bytes = frame(1, 1, &record());
         let i = at.index(bytes.len());
--- a/crates/node/tests/connection_state.rs
+++ b/crates/node/tests/connection_state.rs
@@ -32,7 +32,8 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let reason = prop_oneof![Just(IdleReason::Idle), Just(IdleReason::Room), Just(IdleReason::End)];
+    let reason =
+        prop_oneof![Just(IdleReason::IdleTimeout), Just(IdleReason::SlotNeeded), Just(IdleReason::Shutdown)];
     let step = prop_oneof![
         4 => Just(Step::Message),
         1 => (0..1000u64).prop_map(Step::PartialMessage),
@@ -64,50 +65,50 @@
         // Queued messages, the undecided close request, and the age of a partial message.
         let (mut queued, mut asked, mut partial) = (0u32, None, None::<Duration>);
         for step in steps {
-            let before = connection.state();
+            let before = connection.phase();
             match step {
                 Step::Message => {
-                    let enqueued = connection.hands();
+                    let enqueued = connection.enqueue();
                     prop_assert_eq!(enqueued, before.reads(), "no message is queued once the reader has stopped");
                     queued += u32::from(enqueued);
                 }
                 Step::PartialMessage(ms) => partial = Some(Duration::from_millis(ms)),
                 Step::PartialCompleted => partial = None,
-                Step::CheckClose if before.reads() && connection.asked().is_some() => {
-                    let over = connection.stops(partial);
-                    let late = asked == Some(IdleReason::End) && partial.is_some_and(|t| t >= PARTIAL_MESSAGE_AT_SHUTDOWN);
+                Step::CheckClose if before.reads() && connection.close_reason().is_some() => {
+                    let over = connection.decide_close(partial);
+                    let late = asked == Some(IdleReason::Shutdown) && partial.is_some_and(|t| t >= PARTIAL_MESSAGE_AT_SHUTDOWN);
                     let crossed = queued > 0 || (partial.is_some() && !late);
-                    prop_assert_eq!(over, asked.filter(|_| !crossed).map(CloseReason::Quiet));
+                    prop_assert_eq!(over, asked.filter(|_| !crossed).map(CloseReason::IdleClose));
                     asked = None;
                 }
-                Step::CheckClose => prop_assert_eq!(connection.stops(partial).is_none(), before.reads()),
+                Step::CheckClose => prop_assert_eq!(connection.decide_close(partial).is_none(), before.reads()),
                 Step::MalformedBytes => {
-                    connection.tell(ConnectionEvent::ReadStopped);
+                    connection.apply(ConnectionEvent::ReadStopped);
                 }
                 Step::OwnerTakes if queued > 0 => {
                     queued -= 1;
                     asked = None;
-                    connection.tell(ConnectionEvent::Taken);
+                    connection.apply(ConnectionEvent::Dequeued);
                 }
                 Step::OwnerTakes => {}
                 Step::OwnerAsksClose(why) => {
                     asked = asked.or(Some(why)).filter(|_| before.reads());
-                    connection.tell(ConnectionEvent::Asked(why));
+                    connection.apply(ConnectionEvent::CloseRequested(why));
                 }
                 Step::OwnerDrops => {
-                    connection.tell(ConnectionEvent::Dropped);
+                    connection.apply(ConnectionEvent::Dropped);
                 }
                 Step::WriterShutsDown if !before.reads() => {
-                    connection.tell(ConnectionEvent::WriteShutdown);
+                    connection.apply(ConnectionEvent::WriteShutdown);
                 }
                 Step::WriterShutsDown => {}
                 Step::Closed => {
-                    connection.tell(ConnectionEvent::Closed);
+                    connection.apply(ConnectionEvent::Closed);
                 }
             }
-            let after = connection.state();
+            let after = connection.phase();
             prop_assert!(rank(after) >= rank(before), "{before:?} {step:?} {after:?}");
-            if let ConnectionPhase::Open { on_way, asked: close_requested } = after {
+            if let ConnectionPhase::Open { queued: on_way, close_requested: close_requested } = after {
                 prop_assert_eq!((on_way, close_requested), (queued, asked));
             }
             let half_closed = rank(after) >= 2 && rank(before) < 2;
@@ -120,16 +121,16 @@
 fn crossed_close_request_is_counted_once() {
     let slots: Rc<ConnectionSlots> = Rc::default();
     let connection = ConnectionState::new(&slots);
-    assert!(connection.hands());
-    connection.tell(ConnectionEvent::Asked(IdleReason::Room));
-    assert_eq!(connection.stops(None), None, "queued messages go first");
-    connection.tell(ConnectionEvent::Taken);
-    connection.tell(ConnectionEvent::Asked(IdleReason::Idle));
-    connection.tell(ConnectionEvent::Asked(IdleReason::End));
-    assert_eq!(connection.stops(Some(Duration::ZERO)), None);
+    assert!(connection.enqueue());
+    connection.apply(ConnectionEvent::CloseRequested(IdleReason::SlotNeeded));
+    assert_eq!(connection.decide_close(None), None, "queued messages go first");
+    connection.apply(ConnectionEvent::Dequeued);
+    connection.apply(ConnectionEvent::CloseRequested(IdleReason::IdleTimeout));
+    connection.apply(ConnectionEvent::CloseRequested(IdleReason::Shutdown));
+    assert_eq!(connection.decide_close(Some(Duration::ZERO)), None);
     assert_eq!(slots.counts().crossed, 2);
-    connection.tell(ConnectionEvent::Asked(IdleReason::Idle));
-    assert_eq!(connection.stops(None), Some(CloseReason::Quiet(IdleReason::Idle)));
-    assert!(!connection.hands());
+    connection.apply(ConnectionEvent::CloseRequested(IdleReason::IdleTimeout));
+    assert_eq!(connection.decide_close(None), Some(CloseReason::IdleClose(IdleReason::IdleTimeout)));
+    assert!(!connection.enqueue());
     assert_eq!(slots.counts().crossed, 2);
 }
--- a/crates/node/tests/reader.rs
+++ b/crates/node/tests/reader.rs
@@ -2,11 +2,11 @@
 
 use async_executor::LocalExecutor;
 use async_io::{block_on, Async, Timer};
-use basaltgw_node::clients::{ClientId, FromClient, Tag};
+use basaltgw_node::clients::{ClientId, ClientMessage, Tag};
 use basaltgw_node::connection::{ClientLiveness, CloseReason};
 use basaltgw_node::inbox::{read_all, DecodedMessage};
 use basaltgw_node::limits::{CLIENT_READ_LIMITS, READ_AHEAD_BYTES, READ_BYTES};
-use basaltgw_node::outbox::{Counted, Meter};
+use basaltgw_node::outbox::{BufferMeter, BufferedBytes};
 use basaltgw_node::resp::encode;
 use basaltgw_node::{Input, Shared};
 use futures_lite::{future, AsyncWriteExt};
@@ -43,7 +43,7 @@
             meter: Rc::default(),
             invariants: Rc::default(),
             stalls: Rc::default(),
-            held_limit: MEMORY_LIMIT_BYTES,
+            buffer_limit_bytes: MEMORY_LIMIT_BYTES,
         };
         Self {
             near: Async::new(near).expect("a socket"),
@@ -60,13 +60,13 @@
         let decode = |decoded: DecodedMessage| {
             let bytes = decoded.words.iter().map(Vec::len).sum::<usize>();
             self.decoded_bytes.set(self.decoded_bytes.get() + bytes);
-            let message = FromClient::read(decoded.words)?;
-            self.liveness.read(&message);
+            let message = ClientMessage::decode(decoded.words)?;
+            self.liveness.observe(&message);
             Some(Input::Client(ClientId(1), message, decoded.read_at))
         };
         let paused = || self.paused.get();
         let reason = read_all(&self.near, CLIENT_READ_LIMITS, &self.shared, paused, decode, None).await;
-        self.liveness.leave();
+        self.liveness.disconnect();
         reason
     }
 
@@ -84,9 +84,9 @@
     }
 
     /// Memory that other connections use.
-    fn use_memory(&self, bytes: usize) -> Counted {
-        let meter: &Rc<Meter> = &self.shared.meter;
-        Counted::new(vec![0; bytes], &[meter])
+    fn use_memory(&self, bytes: usize) -> BufferedBytes {
+        let meter: &Rc<BufferMeter> = &self.shared.meter;
+        BufferedBytes::new(vec![0; bytes], &[meter])
     }
 }
 
@@ -110,7 +110,7 @@
 }
 
 /// The message of an input, without its time.
-fn message(input: Input) -> FromClient {
+fn message(input: Input) -> ClientMessage {
     match input {
         Input::Client(_, message, _) => message,
         _ => panic!("a client's message"),
@@ -135,7 +135,7 @@
         let mut malformed = false;
         loop {
             match decoder.message() {
-                Ok(Some(words)) => match FromClient::read(words) {
+                Ok(Some(words)) => match ClientMessage::decode(words) {
                     Some(message) => expected.push(message),
                     None => { malformed = true; break }
                 },
@@ -180,7 +180,7 @@
             received.borrow_mut().push(message(input));
         }
         prop_assert_eq!(&*received.borrow(), &expected);
-        prop_assert_eq!(matches!(reason, Some(CloseReason::Unreadable(_))), malformed, "{:?}", reason);
+        prop_assert_eq!(matches!(reason, Some(CloseReason::Malformed(_))), malformed, "{:?}", reason);
     }
 
     /// Messages that the owner does not take stay in the socket, except for one read and the read-ahead.
@@ -224,12 +224,12 @@
     .concat();
     block_on(async {
         (&harness.far).write_all(&bytes).await.expect("written");
-        let reason = harness.until("it is seen", || !harness.liveness.wants(Tag(9))).await;
+        let reason = harness.until("it is seen", || !harness.liveness.is_waiting(Tag(9))).await;
         assert_eq!(reason, None);
     });
-    assert!(harness.liveness.wants(Tag(8)));
-    harness.liveness.heeded(Tag(9));
-    assert!(harness.liveness.wants(Tag(9)));
+    assert!(harness.liveness.is_waiting(Tag(8)));
+    harness.liveness.cancellation_handled(Tag(9));
+    assert!(harness.liveness.is_waiting(Tag(9)));
 }
 
 #[test]
@@ -240,8 +240,8 @@
         block_on(async {
             (&harness.far).write_all(&bytes).await.expect("written");
             harness.far.get_ref().shutdown(std::net::Shutdown::Write).expect("closed");
-            let reason = harness.until("it is seen", || !harness.liveness.wants(Tag(9_999))).await;
-            assert_eq!(reason, Some(CloseReason::Ended));
+            let reason = harness.until("it is seen", || !harness.liveness.is_waiting(Tag(9_999))).await;
+            assert_eq!(reason, Some(CloseReason::PeerClosed));
         });
     }
 }
@@ -260,11 +260,11 @@
             harness.paused.set(false);
             (&harness.far).write_all(rest).await.expect("written");
             let input = harness.inputs.recv().await.expect("an input");
-            assert_eq!(message(input), FromClient::Ping(Tag(7)));
+            assert_eq!(message(input), ClientMessage::Probe(Tag(7)));
             None
         };
         let reason = block_on(future::or(async { Some(harness.read().await) }, held_up));
-        assert_eq!(reason, if slow { None } else { Some(CloseReason::Unfinished) });
+        assert_eq!(reason, if slow { None } else { Some(CloseReason::IncompleteMessage) });
         drop(memory);
     }
 }
