--- a/crates/control/src/control/actions.rs
+++ b/crates/control/src/control/actions.rs
@@ -111,7 +111,7 @@
         if self.parts.scatter_gather_classes.is_none() {
             return;
         }
-        let membership::Evidence { site, missed, answered, latency, age } = evidence;
+        let membership::Evidence { site, missed, answered, latency_ms: latency, age_ms: age } = evidence;
         let site = scatter_gather::Site(site);
         let evidence = scatter_gather::Evidence { site, missed, answered, latency, age };
         self.notify(ControlNotification::Evidence(from.router, evidence));
--- a/crates/control/src/control/background.rs
+++ b/crates/control/src/control/background.rs
@@ -143,7 +143,7 @@
     }
 
     fn abandon(&mut self, change: &BackgroundChange) {
-        self.counts.pursuits_dropped += 1;
+        self.counts.background_changes_abandoned += 1;
         self.remove_lease_of(change);
     }
 
--- a/crates/control/src/control/commit_log.rs
+++ b/crates/control/src/control/commit_log.rs
@@ -7,7 +7,7 @@
 use super::commit::Commit;
 use super::Control;
 use crate::api::Action;
-use crate::purges::{Purge, PurgeKey, Purges, MOST_PURGES};
+use crate::purges::{Purge, PurgeKey, Purges, MAX_PURGES};
 use crate::table::{TableAction, TableRegister};
 use basaltgw_registers as registers;
 use basaltgw_registers::DiskWrite;
@@ -97,7 +97,7 @@
     /// Repeats failed removals, except of purges that were observed again.
     fn retry_removals(&mut self, removed: BTreeSet<PurgeKey>, known: &Purges) {
         self.failed_removals.extend(removed.into_iter().filter(|key| !known.contains(*key)));
-        while self.failed_removals.len() > MOST_PURGES {
+        while self.failed_removals.len() > MAX_PURGES {
             self.failed_removals.pop_last();
         }
     }
--- a/crates/control/src/control/counter_text.rs
+++ b/crates/control/src/control/counter_text.rs
@@ -20,12 +20,12 @@
 fn registers_text(registers: &Registers) -> String {
     let c = registers.counters();
     let (count, _) = registers.size();
-    let (batches, records) = registers.stores();
-    let mut text = format!("holds={count} holds_kept={} holds_stood={} ", c.kept, c.stands);
-    for (reason, count) in &c.unkept {
+    let (batches, records) = registers.write_counts();
+    let mut text = format!("holds={count} holds_kept={} holds_stood={} ", c.committed, c.conflicts);
+    for (reason, count) in &c.unavailable {
         let _ = write!(text, "holds_unkept_{}={count} ", reason.counter_name());
     }
-    let _ = write!(text, "holds_rounds={} holds_rounds_short={} ", c.rounds, c.short);
+    let _ = write!(text, "holds_rounds={} holds_rounds_short={} ", c.rounds, c.one_phase_rounds);
     let _ = write!(text, "holds_messages={} holds_batches={batches} holds_records={records}", c.messages);
     text
 }
@@ -33,19 +33,24 @@
 fn overlay_text(overlay: &Overlay) -> String {
     let c: &overlay::Counters = overlay.counters();
     let mut text = format!("overlay_neighbours={} ", overlay.links().count());
-    let _ = write!(text, "overlay_said={} overlay_said_for_others={} ", c.said, c.said_for_others);
-    let _ = write!(text, "overlay_said_for_below={} overlay_asked={} ", c.said_for_below, c.asked);
-    let _ = write!(text, "overlay_given={} overlay_settled={} ", c.given, c.settled);
-    let _ = write!(text, "overlay_below_full={} ", c.below_full);
-    let _ = write!(text, "overlay_new={} overlay_known={} ", c.told, c.same + c.again);
-    let _ = write!(text, "overlay_spared={} overlay_unheld={} ", c.spared, c.unheld);
-    let _ = write!(text, "overlay_fetched={} overlay_missed={} ", c.fetches, c.missed);
-    let _ = write!(text, "overlay_refused={} ", c.full_here + c.not_listed + c.eager_refused);
-    let _ = write!(text, "overlay_lost={} overlay_silent={} ", c.lost, c.silent);
-    let _ = write!(text, "overlay_stray={} overlay_garbled={} ", c.stray, c.garbled);
-    let _ = write!(text, "overlay_frames_sent={} overlay_frames_got={} ", c.frames_sent, c.frames_got);
-    let _ = write!(text, "overlay_bytes_sent={} overlay_bytes_got={} ", c.bytes_sent, c.bytes_got);
-    let [purge, table, evidence, background] = c.waited;
+    let _ = write!(text, "overlay_said={} overlay_said_for_others={} ", c.published, c.published_for_others);
+    let _ = write!(text, "overlay_said_for_below={} overlay_asked={} ", c.published_escalated, c.queried);
+    let _ = write!(text, "overlay_given={} overlay_settled={} ", c.escalated, c.converged_spans);
+    let _ = write!(text, "overlay_below_full={} ", c.escalations_rejected);
+    let _ = write!(
+        text,
+        "overlay_new={} overlay_known={} ",
+        c.delivered,
+        c.duplicate_contents + c.duplicate_numbers
+    );
+    let _ = write!(text, "overlay_spared={} overlay_unheld={} ", c.pending_resolved, c.pending_full);
+    let _ = write!(text, "overlay_fetched={} overlay_missed={} ", c.fetches, c.reported_gaps);
+    let _ = write!(text, "overlay_refused={} ", c.links_rejected + c.not_listed + c.pushes_rejected);
+    let _ = write!(text, "overlay_lost={} overlay_silent={} ", c.lost_links, c.silent_links);
+    let _ = write!(text, "overlay_stray={} overlay_garbled={} ", c.stray_events, c.malformed_frames);
+    let _ = write!(text, "overlay_frames_sent={} overlay_frames_got={} ", c.frames_sent, c.frames_received);
+    let _ = write!(text, "overlay_bytes_sent={} overlay_bytes_got={} ", c.bytes_sent, c.bytes_received);
+    let [purge, table, evidence, background] = c.budget_waits;
     let _ = write!(text, "overlay_waited_purge={purge} overlay_waited_table={table} ");
     let _ = write!(text, "overlay_waited_evidence={evidence} overlay_waited_filling={background}");
     text
--- a/crates/control/src/control/link_queue.rs
+++ b/crates/control/src/control/link_queue.rs
@@ -6,17 +6,17 @@
 
 /// Limits of messages that wait for links.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StandingLinks {
+pub struct LinkQueueLimits {
     /// Longest wait of a message, in milliseconds.
-    pub wait: Ms,
+    pub timeout: Ms,
     /// Messages that wait for one router.
-    pub words: usize,
+    pub messages_per_router: usize,
     /// Bytes of the messages that wait for one router.
-    pub bytes: usize,
+    pub bytes_per_router: usize,
     /// Messages that wait for all routers together.
-    pub all_words: usize,
+    pub total_messages: usize,
     /// Bytes of the messages that wait for all routers together.
-    pub all_bytes: usize,
+    pub total_bytes: usize,
 }
 
 /// Message that waits for a link to `to`.
@@ -32,30 +32,30 @@
 /// Messages by router, in the order in which they were sent.
 #[derive(Debug)]
 pub(super) struct LinkQueue {
-    limits: StandingLinks,
+    limits: LinkQueueLimits,
     by_router: BTreeMap<RouterId, VecDeque<QueuedMessage>>,
     messages: usize,
     bytes: usize,
 }
 
 impl LinkQueue {
-    pub fn new(limits: StandingLinks) -> Self {
+    pub fn new(limits: LinkQueueLimits) -> Self {
         Self { limits, by_router: BTreeMap::new(), messages: 0, bytes: 0 }
     }
 
     /// Longest wait of a message, in milliseconds.
     pub fn timeout(&self) -> Ms {
-        self.limits.wait
+        self.limits.timeout
     }
 
     /// Whether a message of this size fits into the limits.
     pub fn has_capacity(&self, router: &RouterId, bytes: usize) -> bool {
         let queue = self.by_router.get(router);
         let (queued_messages, queued_bytes) = queue.map_or((0, 0), |q| (q.len(), total_bytes(q)));
-        queued_messages < self.limits.words
-            && queued_bytes + bytes <= self.limits.bytes
-            && self.messages < self.limits.all_words
-            && self.bytes + bytes <= self.limits.all_bytes
+        queued_messages < self.limits.messages_per_router
+            && queued_bytes + bytes <= self.limits.bytes_per_router
+            && self.messages < self.limits.total_messages
+            && self.bytes + bytes <= self.limits.total_bytes
     }
 
     pub fn push(&mut self, message: QueuedMessage) {
--- a/crates/control/src/control/maintenance.rs
+++ b/crates/control/src/control/maintenance.rs
@@ -21,7 +21,7 @@
     }
 
     fn remove_converged_purges(&mut self, now: Ms) {
-        let converged = self.parts.purges.take_settled(now, self.parts.purge_convergence_time);
+        let converged = self.parts.purges.take_converged(now, self.parts.purge_convergence_time);
         self.commits.remove_purges(now, &converged);
     }
 
@@ -29,7 +29,8 @@
     fn observe_replicated_purges(&mut self, now: Ms) {
         let convergence_time = self.parts.purge_convergence_time;
         let records = self.parts.registers.purges().filter_map(|(_, record, _)| Purge::from_record(record));
-        let pending: Vec<Purge> = records.filter(|purge| !purge.settled(now, convergence_time)).collect();
+        let pending: Vec<Purge> =
+            records.filter(|purge| !purge.has_converged(now, convergence_time)).collect();
         pending.into_iter().for_each(|purge| self.on_remote_purge(now, purge));
     }
 }
--- a/crates/control/src/control/mod.rs
+++ b/crates/control/src/control/mod.rs
@@ -40,8 +40,8 @@
 mod table_actions;
 mod timers;
 
-pub use link_queue::StandingLinks;
-pub use overlay_parts::{OverlayParts, OverlayTimes};
+pub use link_queue::LinkQueueLimits;
+pub use overlay_parts::{OverlayParts, OverlaySettings};
 pub use parts::ControlParts;
 pub use storage::{decode_purges, decode_table_register, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE};
 pub use timers::MAINTENANCE_INTERVAL_MS;
--- a/crates/control/src/control/overlay_parts.rs
+++ b/crates/control/src/control/overlay_parts.rs
@@ -4,7 +4,7 @@
 //! of the batch interval.
 
 use super::dissemination::MAX_UPDATE_LAG_MS;
-use super::StandingLinks;
+use super::LinkQueueLimits;
 use crate::message::MAX_OVERLAY_FRAME_BYTES;
 use basaltgw_overlay as overlay;
 use basaltgw_overlay::{Overlay, RouterList};
@@ -40,20 +40,20 @@
     pub(super) overlay: Overlay,
     pub(super) list: Arc<RouterList>,
     pub(super) batch_ms: Ms,
-    pub(super) persistent_links: Option<StandingLinks>,
+    pub(super) persistent_links: Option<LinkQueueLimits>,
 }
 
 /// Operator settings of the overlay.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OverlayTimes {
+pub struct OverlaySettings {
     /// Interval in milliseconds over which a router collects updates, and purges that only wait to be stored.
-    pub batch: Ms,
+    pub batch_interval: Ms,
     /// Milliseconds for which updates are retained.
-    pub keep: Ms,
+    pub retention: Ms,
     /// Milliseconds after which a purge has converged.
-    pub settles: Ms,
+    pub purge_convergence_time: Ms,
     /// Budget in bytes per second, sent and received together.
-    pub budget: f64,
+    pub budget_bytes_per_s: f64,
 }
 
 impl OverlayParts {
@@ -64,7 +64,7 @@
     pub fn new(
         me: RouterId,
         list: RouterList,
-        times: OverlayTimes,
+        times: OverlaySettings,
         seed: u64,
     ) -> Result<Self, overlay::OverlayError> {
         Self::with_links(me, list, times, None, seed)
@@ -77,33 +77,33 @@
     pub fn with_links(
         me: RouterId,
         list: RouterList,
-        times: OverlayTimes,
-        persistent_links: Option<StandingLinks>,
+        times: OverlaySettings,
+        persistent_links: Option<LinkQueueLimits>,
         seed: u64,
     ) -> Result<Self, overlay::OverlayError> {
         let backoff = if persistent_links.is_some() { DIAL_BACKOFF } else { MESH_BACKOFF };
         let overlay = Overlay::new(me, settings(times, backoff), seed)?;
-        Ok(Self { overlay, list: Arc::new(list), batch_ms: times.batch, persistent_links })
+        Ok(Self { overlay, list: Arc::new(list), batch_ms: times.batch_interval, persistent_links })
     }
 }
 
-fn settings(times: OverlayTimes, backoff: Backoff) -> overlay::Settings {
+fn settings(times: OverlaySettings, backoff: Backoff) -> overlay::Settings {
     let defaults = overlay::Settings::default();
     overlay::Settings {
-        batch_ms: times.batch,
-        peer_batch_ms: PEER_BATCHES * times.batch,
-        hold_ms: HOLD_BATCHES * times.batch,
-        ask_ms: ASK_BATCHES * times.batch,
+        batch_ms: times.batch_interval,
+        peer_batch_ms: PEER_BATCHES * times.batch_interval,
+        publisher_wait_ms: HOLD_BATCHES * times.batch_interval,
+        query_delay_ms: ASK_BATCHES * times.batch_interval,
         // A router that lags less than this counts as caught up, so it must still receive every update.
-        settle_ms: (times.settles + overlay::CATCH_UP_MS).max(MAX_UPDATE_LAG_MS),
-        late_ms: defaults.late_ms.max(LATE_BATCHES * times.batch),
+        convergence_ms: (times.purge_convergence_time + overlay::CATCH_UP_MS).max(MAX_UPDATE_LAG_MS),
+        late_ms: defaults.late_ms.max(LATE_BATCHES * times.batch_interval),
         backoff_ms: backoff.initial_ms,
-        most_backoff_ms: backoff.max_ms,
-        keep_ms: times.keep,
-        forget_ms: STREAM_RETENTION_FACTOR * times.keep,
-        budget_bytes_per_s: times.budget,
-        burst_bytes: defaults.burst_bytes.max(BURST_SECONDS * times.budget),
-        most_frame: MAX_OVERLAY_FRAME_BYTES,
+        max_backoff_ms: backoff.max_ms,
+        retention_ms: times.retention,
+        forget_ms: STREAM_RETENTION_FACTOR * times.retention,
+        budget_bytes_per_s: times.budget_bytes_per_s,
+        burst_bytes: defaults.burst_bytes.max(BURST_SECONDS * times.budget_bytes_per_s),
+        max_frame_bytes: MAX_OVERLAY_FRAME_BYTES,
         ..defaults
     }
 }
--- a/crates/control/src/control/persistent_links.rs
+++ b/crates/control/src/control/persistent_links.rs
@@ -4,7 +4,7 @@
 //! known to be unreachable: only a failed dial or a broken link says so, until it is reached again. It is dialed all that time, or else
 //! forgotten, so that no router is treated as lost on outdated knowledge. The transport closes an unwanted link once it is idle.
 
-use super::link_queue::{LinkQueue, QueuedMessage, StandingLinks};
+use super::link_queue::{LinkQueue, LinkQueueLimits, QueuedMessage};
 use super::Control;
 use crate::api::Action;
 use basaltgw_overlay as overlay;
@@ -70,7 +70,7 @@
 }
 
 impl PersistentLinks {
-    pub fn new(now: Ms, limits: StandingLinks) -> Self {
+    pub fn new(now: Ms, limits: LinkQueueLimits) -> Self {
         Self {
             now,
             queue: LinkQueue::new(limits),
--- a/crates/control/src/counts.rs
+++ b/crates/control/src/counts.rs
@@ -24,7 +24,7 @@
     /// Register changes without a waiting requester that were unavailable. Printed as `unkept_unasked`.
     pub unavailable_unawaited: u64,
     /// Background changes that were abandoned, including those pending at shutdown.
-    pub pursuits_dropped: u64,
+    pub background_changes_abandoned: u64,
     /// Malformed or unexpected messages of peers. Printed as `peers_unreadable`.
     pub unreadable: u64,
     /// Adopted tables.
@@ -50,7 +50,7 @@
         write!(f, "purges_from_peers={} ", self.purges_from_peers)?;
         write!(f, "tables_adopted={} tables_taken_back={} ", self.tables_adopted, self.tables_withdrawn)?;
         write!(f, "unkept_unasked={} ", self.unavailable_unawaited)?;
-        write!(f, "pursuits_dropped={} ", self.pursuits_dropped)?;
+        write!(f, "pursuits_dropped={} ", self.background_changes_abandoned)?;
         write!(f, "peers_unreadable={} ", self.unreadable)?;
         write!(f, "tables_refused={} members_replaced={} ", self.tables_rejected, self.members_replaced)?;
         f.write_str(&self.registers)?;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -19,8 +19,8 @@
 
 pub use api::{Action, ControlNotification, ControlRequest, Event};
 pub use control::{
-    decode_purges, decode_table_register, Control, ControlParts, OverlayParts, OverlayTimes, StandingLinks,
-    MAINTENANCE_INTERVAL_MS, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE,
+    decode_purges, decode_table_register, Control, ControlParts, LinkQueueLimits, OverlayParts,
+    OverlaySettings, MAINTENANCE_INTERVAL_MS, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE,
 };
 pub use counts::Counts;
 pub use gather_policies::Policies;
--- a/crates/control/src/purges.rs
+++ b/crates/control/src/purges.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Largest number of known purges. One more replaces all purges of the largest group by one purge of the whole group.
-pub const MOST_PURGES: usize = 65_536;
+pub const MAX_PURGES: usize = 65_536;
 
 /// What a purge invalidates: an object or a whole group. Encoded as the key of a purge on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -60,7 +60,7 @@
     }
 
     /// Whether the purge has converged at `now` (Unix milliseconds), given the convergence time in milliseconds.
-    pub fn settled(&self, now: Ms, convergence_time: Ms) -> bool {
+    pub fn has_converged(&self, now: Ms, convergence_time: Ms) -> bool {
         self.time as f64 + convergence_time <= now
     }
 
@@ -106,7 +106,7 @@
         let is_new = self.latest.get(&key).is_none_or(|time| *time < purge.time);
         if is_new {
             self.latest.insert(key, purge.time);
-            if self.latest.len() > MOST_PURGES {
+            if self.latest.len() > MAX_PURGES {
                 self.merge_largest_group();
             }
         }
@@ -125,13 +125,13 @@
     }
 
     /// Removes the converged purges; see [`Purge::settled`].
-    pub fn settle(&mut self, now: Ms, convergence_time: Ms) {
-        self.take_settled(now, convergence_time);
+    pub fn remove_converged(&mut self, now: Ms, convergence_time: Ms) {
+        self.take_converged(now, convergence_time);
     }
 
     /// Removes and returns the converged purges; see [`Purge::settled`].
-    pub fn take_settled(&mut self, now: Ms, convergence_time: Ms) -> Vec<Purge> {
-        let converged: Vec<Purge> = self.all().filter(|p| p.settled(now, convergence_time)).collect();
+    pub fn take_converged(&mut self, now: Ms, convergence_time: Ms) -> Vec<Purge> {
+        let converged: Vec<Purge> = self.all().filter(|p| p.has_converged(now, convergence_time)).collect();
         for purge in &converged {
             self.latest.remove(&purge.key());
         }
--- a/crates/control/src/table/bootstrap.rs
+++ b/crates/control/src/table/bootstrap.rs
@@ -51,7 +51,7 @@
 
     /// Requests the first table once all listed routers are connected and it is this router's turn.
     pub(super) fn try_bootstrap(&mut self, now: Ms) -> Vec<TableAction> {
-        let all_connected = self.peers.connected.len() >= self.config.founders.len();
+        let all_connected = self.peers.connected.len() >= self.config.bootstrap_members.len();
         if !self.needs_bootstrap() || !all_connected {
             self.bootstrap.all_connected_since = None;
             return Vec::new();
@@ -99,7 +99,7 @@
         before: Option<&Table>,
     ) -> Result<Table, Vec<Fault>> {
         let entry = |member: &Member| {
-            let domain = self.config.founders.get(&member.router)?.domain.clone();
+            let domain = self.config.bootstrap_members.get(&member.router)?.domain.clone();
             Some(RouterEntry { member: member.clone(), domain, capacity: self.config.capacity, stays: true })
         };
         let routers = members.iter().filter_map(entry).collect();
--- a/crates/control/src/table/mod.rs
+++ b/crates/control/src/table/mod.rs
@@ -77,7 +77,7 @@
     /// This router.
     pub me: Member,
     /// All listed routers, including this one.
-    pub founders: BTreeMap<RouterId, BootstrapMember>,
+    pub bootstrap_members: BTreeMap<RouterId, BootstrapMember>,
     /// Number of registers that each router can store.
     pub capacity: u64,
     /// Placement rules as file names and texts.
--- a/crates/control/src/table/peers.rs
+++ b/crates/control/src/table/peers.rs
@@ -84,12 +84,12 @@
 
     /// Listed routers without this one.
     pub fn listed(&self) -> impl Iterator<Item = &RouterId> {
-        self.config.founders.keys().filter(|router| **router != self.config.me.router)
+        self.config.bootstrap_members.keys().filter(|router| **router != self.config.me.router)
     }
 
     /// A peer's hello in the form that membership uses.
     pub fn presence(&self, hello: &Hello) -> Presence {
-        let listed = self.config.founders.get(&hello.member.router);
+        let listed = self.config.bootstrap_members.get(&hello.member.router);
         let unknown = || SocketAddr::from(([127, 0, 0, 1], 0));
         let address = listed.map_or_else(unknown, |member| member.address);
         Presence { member: hello.member.clone(), address, domain: hello.domain.clone() }
--- a/crates/control/src/table/watch_ring.rs
+++ b/crates/control/src/table/watch_ring.rs
@@ -19,7 +19,7 @@
     /// Routers that this one watches, in the order of the ring, including lost routers between the available ones.
     pub fn watched(&self) -> Vec<RouterId> {
         let me = &self.config.me.router;
-        let listed = &self.config.founders;
+        let listed = &self.config.bootstrap_members;
         let after = listed.range((Bound::Excluded(me), Bound::Unbounded));
         let ring = after.chain(listed.range(..me.clone()));
         let (mut watched, mut available) = (Vec::new(), 0);
--- a/crates/control/tests/control/network/links.rs
+++ b/crates/control/tests/control/network/links.rs
@@ -1,7 +1,7 @@
 //! Links that are dialed when they are wanted, and closed by the router that dialed them when they are idle.
 
 use super::{Disk, Network, LONG_CONVERGENCE_MS};
-use basaltgw_control::{Event, StandingLinks};
+use basaltgw_control::{Event, LinkQueueLimits};
 use basaltgw_types::link::LinkError;
 use basaltgw_types::{Ms, RouterId};
 use std::collections::btree_map::{BTreeMap, Entry};
@@ -10,8 +10,13 @@
 /// An unwanted link is closed after this time without a message.
 pub const IDLE_TIMEOUT_MS: Ms = 1_000.0;
 /// Limits of the messages that wait for links.
-pub const QUEUE_LIMITS: StandingLinks =
-    StandingLinks { wait: 400.0, words: 64, bytes: 1 << 20, all_words: 1_024, all_bytes: 8 << 20 };
+pub const QUEUE_LIMITS: LinkQueueLimits = LinkQueueLimits {
+    timeout: 400.0,
+    messages_per_router: 64,
+    bytes_per_router: 1 << 20,
+    total_messages: 1_024,
+    total_bytes: 8 << 20,
+};
 const DIAL_DURATION_MS: Ms = 3.0;
 const REDIAL_DELAY_MS: Ms = 500.0;
 
--- a/crates/control/tests/control/network/overlay.rs
+++ b/crates/control/tests/control/network/overlay.rs
@@ -2,7 +2,7 @@
 
 use super::links::QUEUE_LIMITS;
 use super::{member, text, BATCH_MS};
-use basaltgw_control::{OverlayParts, OverlayTimes};
+use basaltgw_control::{OverlayParts, OverlaySettings};
 use basaltgw_overlay::{RouterEntry, RouterList, Shape};
 use basaltgw_types::Ms;
 
@@ -24,7 +24,12 @@
         control: false,
     };
     let list = || RouterList::new(1, Shape::default(), (0..count).map(entry).collect()).expect("a list");
-    let times = OverlayTimes { batch: BATCH_MS, keep: retention, settles: retention / 2.0, budget: 20_000.0 };
+    let times = OverlaySettings {
+        batch_interval: BATCH_MS,
+        retention: retention,
+        purge_convergence_time: retention / 2.0,
+        budget_bytes_per_s: 20_000.0,
+    };
     let limits = has_persistent_links.then_some(QUEUE_LIMITS);
     let parts = || OverlayParts::with_links(member(n).router, list(), times, limits, seed);
     (regions > 0).then(|| parts().expect("an overlay"))
--- a/crates/control/tests/control/network/parts.rs
+++ b/crates/control/tests/control/network/parts.rs
@@ -17,7 +17,7 @@
         |n: usize| (member(n).router, BootstrapMember { address: address(n), domain: domain(n) });
     let config = TableManagerConfig {
         me: member(n),
-        founders: (0..count).map(listed_member).collect(),
+        bootstrap_members: (0..count).map(listed_member).collect(),
         capacity: 1_000,
         rules: vec![("rules".into(), RULES.into())],
         replace_after: 10_000.0,
@@ -25,10 +25,10 @@
     let table = space(TABLE_SPACE.0).next().map(|(_, v)| decode_table_register(v).expect("a register"));
     let presence = Presence { member: member(n), address: address(n), domain: domain(n) };
     let listed = (0..count).filter(|other| *other != n).map(|other| member(other).router).collect();
-    let membership_settings = MembershipSettings { listed, ..MembershipSettings::default() };
+    let membership_settings = MembershipSettings { listed_routers: listed, ..MembershipSettings::default() };
     // As in the node: a register outlives the purge that it replicates.
     let register_settings =
-        RegisterSettings { purge_retention_ms: 2.0 * CONVERGENCE_MS, ..RegisterSettings::usual() };
+        RegisterSettings { purge_retention_ms: 2.0 * CONVERGENCE_MS, ..RegisterSettings::standard() };
     ControlParts {
         me: member(n),
         has_previous_data: !stored.is_empty(),
--- a/crates/control/tests/control/overlay.rs
+++ b/crates/control/tests/control/overlay.rs
@@ -50,7 +50,7 @@
     for (count, regions) in [(3, 3), (5, 1), (9, 3)] {
         let mut net = Network::bootstrapped_with_overlay(count, regions);
         let committed =
-            |net: &Network| net.nodes.iter().map(|n| n.control.registers().counters().kept).sum::<u64>();
+            |net: &Network| net.nodes.iter().map(|n| n.control.registers().counters().committed).sum::<u64>();
         let before = committed(&net);
         let one = purge(&net, 1);
         net.deliver(count - 1, Event::Request(ControlRequest::Purge(one)));
--- a/crates/control/tests/control/purges.rs
+++ b/crates/control/tests/control/purges.rs
@@ -1,7 +1,7 @@
 //! Purges: storage, notification, convergence.
 
 use crate::network::{Disk, Network, CONVERGENCE_MS};
-use basaltgw_control::purges::{Purge, Purges, MOST_PURGES};
+use basaltgw_control::purges::{Purge, Purges, MAX_PURGES};
 use basaltgw_control::{ControlNotification, ControlRequest, Event, PURGES_SPACE};
 
 #[test]
@@ -19,7 +19,7 @@
     // All routers apply it at once, but none has stored it yet.
     assert!([0, 2].into_iter().all(|n| is_notified(&net, n)) && !(0..3).any(|n| is_stored(&net, n)));
     let committed =
-        |net: &Network| net.nodes.iter().map(|n| n.control.registers().counters().kept).sum::<u64>();
+        |net: &Network| net.nodes.iter().map(|n| n.control.registers().counters().committed).sum::<u64>();
     let before = committed(&net);
     net.nodes.iter_mut().for_each(|n| n.disk = Disk::Commits(3.0));
     net.run_until(1_000.0, |net| (0..3).all(|n| is_stored(net, n)) && committed(net) > before);
@@ -40,7 +40,7 @@
     let mut net = Network::bootstrapped(Disk::Commits(1.0));
     net.nodes.iter_mut().for_each(|n| n.disk = Disk::Fails);
     let committed =
-        |net: &Network| net.nodes.iter().map(|n| n.control.registers().counters().kept).sum::<u64>();
+        |net: &Network| net.nodes.iter().map(|n| n.control.registers().counters().committed).sum::<u64>();
     let (before, purge) = (committed(&net), Purge { group: 7, object: None, time: net.now as u64 });
     net.deliver(1, Event::Request(ControlRequest::Purge(purge)));
     net.run_for(1_000.0);
@@ -94,18 +94,18 @@
     assert!(purges.observe(one) && !purges.observe(one));
     assert!(!purges.observe(Purge { time: 900, ..one }) && purges.observe(Purge { time: 1_100, ..one }));
     assert!(purges.observe(Purge { group: 7, object: None, time: 1_000 }));
-    purges.settle(7_050.0, 6_000.0);
+    purges.remove_converged(7_050.0, 6_000.0);
     assert_eq!(purges.all().collect::<Vec<_>>(), [Purge { time: 1_100, ..one }]);
 }
 
 #[test]
 fn purges_beyond_the_limit_are_merged_into_one_of_their_group() {
     let mut purges = Purges::default();
-    for n in 0..=MOST_PURGES as u64 {
+    for n in 0..=MAX_PURGES as u64 {
         purges.observe(Purge { group: n % 2, object: Some(n), time: n });
     }
-    assert!(purges.len() <= MOST_PURGES / 2 + 2);
-    assert!(purges.all().any(|p| p.object.is_none() && p.time >= MOST_PURGES as u64 - 1));
+    assert!(purges.len() <= MAX_PURGES / 2 + 2);
+    assert!(purges.all().any(|p| p.object.is_none() && p.time >= MAX_PURGES as u64 - 1));
 }
 
 #[test]
--- a/crates/fleet_simulation/src/links/arrive.rs
+++ b/crates/fleet_simulation/src/links/arrive.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Fleet;
 use crate::queue::{Key, Line, Queue};
 use crate::{No, PartyEvent};
-use basaltgw_transport::limits::{HELLO, UNKNOWN};
+use basaltgw_transport::limits::{HANDSHAKE_TIMEOUT, MAX_CONNECTIONS_IN_HANDSHAKE};
 use basaltgw_types::link::LinkError;
 
 impl Links {
@@ -30,7 +30,7 @@
             conn.ends[0].stage = Stage::Greeting;
         }
         self.hello(q, key, 0, false);
-        q.line(q.now() + span(HELLO), Line::Late(key, 0));
+        q.line(q.now() + span(HANDSHAKE_TIMEOUT), Line::Late(key, 0));
     }
 
     /// Says who an end's router is.
@@ -104,7 +104,7 @@
         let open = self.hosts[me].conns.len();
         self.counts.most_open[me] = self.counts.most_open[me].max(open);
         self.counts.links.accepted += 1;
-        if self.hosts[me].me.is_none() || self.hosts[me].unknown >= UNKNOWN {
+        if self.hosts[me].me.is_none() || self.hosts[me].unknown >= MAX_CONNECTIONS_IN_HANDSHAKE {
             self.counts.links.no_place += u64::from(self.hosts[me].me.is_some());
             return self.shut(q, fleet, key, 1, LinkError::ConnectionLost, true);
         }
@@ -112,7 +112,7 @@
         if let Some(conn) = self.conn(key) {
             conn.ends[1].unknown = true;
         }
-        q.line(q.now() + span(HELLO), Line::Late(key, 1));
+        q.line(q.now() + span(HANDSHAKE_TIMEOUT), Line::Late(key, 1));
         self.greeted(q, fleet, key, 1, body, go);
     }
 
--- a/crates/fleet_simulation/src/links/lanes.rs
+++ b/crates/fleet_simulation/src/links/lanes.rs
@@ -1,6 +1,6 @@
 //! What waits at an end that can't write: the lanes' bounds and turns as `crates/transport` has them.
 
-use basaltgw_transport::limits::TURN;
+use basaltgw_transport::limits::LANE_QUOTAS;
 use basaltgw_transport::Limits;
 use basaltgw_types::link::Lane;
 use std::collections::VecDeque;
@@ -45,7 +45,7 @@
     pub fn pop(&mut self) -> Option<Waiting> {
         let ready = |q: &Queue| !q.frames.is_empty();
         if !self.0.iter().any(|q| ready(q) && q.turn > 0) {
-            self.0.iter_mut().zip(TURN).for_each(|(queue, turn)| queue.turn = turn);
+            self.0.iter_mut().zip(LANE_QUOTAS).for_each(|(queue, turn)| queue.turn = turn);
         }
         let queue = self.0.iter_mut().find(|q| ready(q) && q.turn > 0)?;
         let frame = queue.frames.pop_front()?;
--- a/crates/fleet_simulation/src/links/mod.rs
+++ b/crates/fleet_simulation/src/links/mod.rs
@@ -17,7 +17,7 @@
 use crate::fleet::Fleet;
 use crate::queue::{Key, Line, Queue};
 use crate::{Micros, No, PartyEvent};
-use basaltgw_transport::limits::{CONNECT, DIAL_FIRST, DIAL_MOST, GOOD};
+use basaltgw_transport::limits::{CONNECT_TIMEOUT, MAX_DIAL_BACKOFF, MIN_DIAL_BACKOFF, STABLE_LINK_AGE};
 use basaltgw_transport::Limits;
 use basaltgw_types::link::{Hello, Lane, LinkError};
 use basaltgw_types::{Member, RouterId, TableHash, TableVersion};
@@ -119,7 +119,7 @@
 
     /// Keeps a link from one to another from now on.
     pub fn dial(&mut self, q: &mut Queue, fleet: &Fleet, from: No, to: No) {
-        let first = Dialler { wait: span(DIAL_FIRST), is: Dialling::Linked };
+        let first = Dialler { wait: span(MIN_DIAL_BACKOFF), is: Dialling::Linked };
         let host = &mut self.hosts[from];
         if from != to && host.me.is_some() && !host.diallers.contains_key(&to) {
             host.diallers.insert(to, first);
@@ -165,7 +165,7 @@
             self.counts.bare(now + delay, to, Some(from), SYN);
         }
         let good = answers && self.hosts[to].me.is_some();
-        let at = if answers { now + 2 * delay } else { now + span(CONNECT) };
+        let at = if answers { now + 2 * delay } else { now + span(CONNECT_TIMEOUT) };
         q.line(at, Line::Connect(key, good));
     }
 
@@ -177,10 +177,10 @@
         let rests = host.rests;
         let Some(dialler) = host.diallers.get_mut(&to) else { return };
         if good {
-            dialler.wait = span(DIAL_FIRST);
+            dialler.wait = span(MIN_DIAL_BACKOFF);
         }
         let wait = (dialler.wait as f64 * part) as Micros;
-        dialler.wait = (dialler.wait * 2).min(span(DIAL_MOST));
+        dialler.wait = (dialler.wait * 2).min(span(MAX_DIAL_BACKOFF));
         dialler.is = Dialling::Resting(rests);
         q.line(q.now() + wait, Line::Redial(from, to, rests));
     }
@@ -327,7 +327,7 @@
         let is = self.hosts[me].diallers.get(&peer).map(|d| d.is);
         match is {
             Some(Dialling::Busy(busy)) if busy == key => {
-                let good = matches!(stage, Stage::Up(since) if now >= since + span(GOOD));
+                let good = matches!(stage, Stage::Up(since) if now >= since + span(STABLE_LINK_AGE));
                 self.rest(q, me, peer, good);
             }
             Some(Dialling::Linked) if !self.linked(me, peer) => self.redial(q, fleet, me, peer),
--- a/crates/fleet_simulation/src/links/net.rs
+++ b/crates/fleet_simulation/src/links/net.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::{micros, Micros, No};
 use basaltgw_simulator::{draw, rng, Rng};
-use basaltgw_transport::limits::{KEEPALIVE, SILENT};
+use basaltgw_transport::limits::{KEEPALIVE_INTERVAL, PEER_TIMEOUT};
 
 /// A lost segment is sent again after this: Linux's least wait.
 pub const AGAIN: Micros = 200_000;
@@ -43,8 +43,8 @@
             loss: 0.0,
             bytes_a_second: None,
             socket: 256 << 10,
-            keepalive_ms: KEEPALIVE.as_secs_f64() * 1_000.0,
-            silent_ms: SILENT.as_secs_f64() * 1_000.0,
+            keepalive_ms: KEEPALIVE_INTERVAL.as_secs_f64() * 1_000.0,
+            silent_ms: PEER_TIMEOUT.as_secs_f64() * 1_000.0,
         }
     }
 }
--- a/crates/fleet_simulation/src/links/write.rs
+++ b/crates/fleet_simulation/src/links/write.rs
@@ -14,7 +14,7 @@
     static HEAD: OnceLock<usize> = OnceLock::new();
     *HEAD.get_or_init(|| {
         let mut bytes = BytesMut::new();
-        let written = Codec { most: 0 }.encode((Kind::Alive, &[]), &mut bytes);
+        let written = Codec { max_body_bytes: 0 }.encode((Kind::Alive, &[]), &mut bytes);
         written.map_or(0, |()| bytes.len())
     })
 }
--- a/crates/fleet_simulation/src/mesh.rs
+++ b/crates/fleet_simulation/src/mesh.rs
@@ -36,10 +36,10 @@
     fn default() -> Self {
         Self {
             limits: FleetLimits::default(),
-            holds: HoldSettings::usual(),
+            holds: HoldSettings::standard(),
             rules: "holds { shards 64 copies 3 spread machines }\nroot { copies 3 spread machines }\n".into(),
             settles: 6_100.0,
-            most_members: RosterSettings::default().most_members,
+            most_members: RosterSettings::default().max_members,
             changes: (0.0, (0.0, 0.0)),
         }
     }
@@ -95,7 +95,7 @@
             |s: &crate::fleet::Seat| BootstrapMember { address: s.address, domain: s.domain.clone() };
         let given = TableManagerConfig {
             me: me.clone(),
-            founders: fleet.seats.iter().map(|s| (s.router.clone(), founder(s))).collect(),
+            bootstrap_members: fleet.seats.iter().map(|s| (s.router.clone(), founder(s))).collect(),
             capacity: limits.holds as u64,
             rules: vec![("rules".into(), set.rules.clone())],
             replace_after: limits.replace_after_ms,
@@ -108,8 +108,11 @@
             out.push(PartyAction::Dial(router.clone()));
         }
         let presence = Presence { member: me.clone(), address: seat.address, domain: seat.domain.clone() };
-        let roster_set =
-            RosterSettings { listed, most_members: set.most_members, ..RosterSettings::default() };
+        let roster_set = RosterSettings {
+            listed_routers: listed,
+            max_members: set.most_members,
+            ..RosterSettings::default()
+        };
         let roster = Membership::new(presence, roster_set, !seed).map_err(|e| format!("roster: {e}"))?;
         let parts = ControlParts {
             me: me.clone(),
--- a/crates/fleet_simulation/src/sparse.rs
+++ b/crates/fleet_simulation/src/sparse.rs
@@ -42,7 +42,7 @@
 impl Default for SparseSettings {
     fn default() -> Self {
         Self {
-            overlay: Settings { settle_ms: SETTLES_MS + CATCH_UP_MS, ..Settings::default() },
+            overlay: Settings { convergence_ms: SETTLES_MS + CATCH_UP_MS, ..Settings::default() },
             shape: Shape::default(),
             limits: FleetLimits::default(),
             settles: SETTLES_MS,
@@ -203,7 +203,7 @@
     fn tick(&mut self, now: Ms, out: &mut Vec<PartyAction>) {
         self.give_up(now, out);
         self.decide(now, Event::TimersDue, out);
-        for gone in self.purges.take_settled(now, self.set.settles) {
+        for gone in self.purges.take_converged(now, self.set.settles) {
             self.writes.extend(key(&gone).map(|key| Write::Remove(PURGES_SPACE, key)));
         }
         if !self.writes.is_empty() {
@@ -253,54 +253,54 @@
     fn counts(&self) -> Vec<(&'static str, u64)> {
         let (c, s) = (self.overlay.counters(), self.overlay.state_sizes());
         vec![
-            ("said", c.said),
-            ("said_for_others", c.said_for_others),
-            ("spared", c.spared),
-            ("unheld", c.unheld),
-            ("said_for_below", c.said_for_below),
-            ("asked", c.asked),
-            ("asked_again", c.asked_again),
-            ("given", c.given),
+            ("said", c.published),
+            ("said_for_others", c.published_for_others),
+            ("spared", c.pending_resolved),
+            ("unheld", c.pending_full),
+            ("said_for_below", c.published_escalated),
+            ("asked", c.queried),
+            ("asked_again", c.queried_again),
+            ("given", c.escalated),
             ("unknown", c.unknown),
-            ("below_full", c.below_full),
-            ("told", c.told),
-            ("same", c.same),
-            ("again", c.again),
-            ("got", c.got),
+            ("below_full", c.escalations_rejected),
+            ("told", c.delivered),
+            ("same", c.duplicate_contents),
+            ("again", c.duplicate_numbers),
+            ("got", c.received),
             // From another region into this one; control machines have words from each other besides.
-            ("crossed", if self.control { 0 } else { c.crossed }),
-            ("crossed_control", if self.control { c.crossed } else { 0 }),
+            ("crossed", if self.control { 0 } else { c.received_from_other_regions }),
+            ("crossed_control", if self.control { c.received_from_other_regions } else { 0 }),
             ("sent", c.sent),
             ("gaps", c.gaps),
             ("fetches", c.fetches),
             ("fetched_again", c.fetched_again),
-            ("gone", c.gone),
-            ("settled_spans", c.settled),
-            ("missed", c.missed),
-            ("waited_purge", c.waited[0]),
+            ("gone", c.unavailable),
+            ("settled_spans", c.converged_spans),
+            ("missed", c.reported_gaps),
+            ("waited_purge", c.budget_waits[0]),
             ("log_full", c.log_full),
             ("streams_full", c.streams_full),
             ("missing_full", c.missing_full),
-            ("asked_full", c.asked_full),
+            ("asked_full", c.requests_dropped),
             ("dials", c.dials),
             ("dials_failed", c.dials_failed),
-            ("full_there", c.full_there),
-            ("full_here", c.full_here),
-            ("silent", c.silent),
-            ("spare", c.spare),
-            ("lost", c.lost),
-            ("eager_refused", c.eager_refused),
+            ("full_there", c.links_rejected_by_neighbor),
+            ("full_here", c.links_rejected),
+            ("silent", c.silent_links),
+            ("spare", c.surplus_links),
+            ("lost", c.lost_links),
+            ("eager_refused", c.pushes_rejected),
             ("primary_changes", c.primary_changes),
-            ("grafts", c.grafts),
-            ("differed", c.differed),
+            ("grafts", c.lagging_primaries),
+            ("differed", c.differing_digests),
             ("vectors", c.vectors),
-            ("garbled", c.garbled),
-            ("stray", c.stray),
+            ("garbled", c.malformed_frames),
+            ("stray", c.stray_events),
             ("links", s.links as u64),
             ("streams", s.streams as u64),
-            ("words", s.words as u64),
-            ("word_bytes", s.word_bytes as u64),
-            ("missing", s.missing as u64),
+            ("words", s.retained_updates as u64),
+            ("word_bytes", s.retained_bytes as u64),
+            ("missing", s.repairs as u64),
         ]
     }
 }
--- a/crates/fleet_simulation/tests/links.rs
+++ b/crates/fleet_simulation/tests/links.rs
@@ -127,7 +127,7 @@
     let mut troubled = setup(3);
     troubled.script = vec![cut(6_000_000, 4_000_000, Ways::Both)];
     let (_, seen) = go(&troubled, None);
-    let silent: Vec<_> = seen.iter().filter(|(_, _, what)| what.ends_with("Silent")).collect();
+    let silent: Vec<_> = seen.iter().filter(|(_, _, what)| what.ends_with("PeerTimeout")).collect();
     assert_eq!(silent.len(), 4, "{seen:?}");
     // The last sign of life was up to 250 ms old, and up to 165 ms under way.
     assert!(silent.iter().all(|(at, ..)| (6_750.0..7_166.0).contains(at)), "{silent:?}");
@@ -155,8 +155,8 @@
     let down: Vec<_> = seen.iter().filter(|(_, _, what)| what.starts_with("down")).collect();
     // Whoever hears nothing closes; what it says then still passes.
     assert_eq!(down.len(), 2, "{seen:?}");
-    assert!(down.iter().any(|(_, me, what)| me == "r00001" && what.ends_with("Silent")), "{down:?}");
-    assert!(down.iter().any(|(_, me, what)| me == "r00000" && what.ends_with("Broken")), "{down:?}");
+    assert!(down.iter().any(|(_, me, what)| me == "r00001" && what.ends_with("PeerTimeout")), "{down:?}");
+    assert!(down.iter().any(|(_, me, what)| me == "r00000" && what.ends_with("ConnectionLost")), "{down:?}");
 }
 
 #[test]
--- a/crates/fleet_simulation/tests/sparse.rs
+++ b/crates/fleet_simulation/tests/sparse.rs
@@ -66,7 +66,7 @@
         assert_eq!([is(&figures, "lost"), is(&figures, "late"), is(&figures, "twice")], [0.0; 3], "{seed}");
         // Without time to catch up some of it has settled before it is asked for.
         if let Kind::Sparse(sparse) = &mut setup.kind {
-            sparse.overlay.settle_ms -= CATCH_UP_MS;
+            sparse.overlay.convergence_ms -= CATCH_UP_MS;
         }
         assert!(is(&run(&setup).expect("a run"), "lost") > 0.0, "{seed}: nothing was shown");
     }
--- a/crates/membership/src/byte_tests.rs
+++ b/crates/membership/src/byte_tests.rs
@@ -25,7 +25,13 @@
         origin: identity("r1").member().clone(),
         start: 0x1122_3344_5566_7788,
         serial: 300,
-        evidence: Evidence { site: Arc::from("zone-1"), missed: 1, answered: 300, latency: 1.5, age: 20.0 },
+        evidence: Evidence {
+            site: Arc::from("zone-1"),
+            missed: 1,
+            answered: 300,
+            latency_ms: 1.5,
+            age_ms: 20.0,
+        },
     };
     let cases = [
         (Message::Hello(Box::new(Hello { me: identity("r1"), known: None })), "000272318202007f000001e839026231026d31ac02010900"),
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -47,7 +47,7 @@
 
 impl StoredUpdate {
     fn age(&self, now: Ms) -> Ms {
-        self.update.evidence.age + (now - self.received_at).max(0.0)
+        self.update.evidence.age_ms + (now - self.received_at).max(0.0)
     }
 }
 
@@ -92,14 +92,14 @@
         update: &EvidenceUpdate,
         settings: &Settings,
     ) -> Result<bool, MembershipError> {
-        if update.evidence.age >= settings.max_evidence_age {
+        if update.evidence.age_ms >= settings.max_evidence_age {
             return Ok(false);
         }
         let is_newer = self.updates.get(&update.key()).is_none_or(|known| {
             let same_process = update.origin == known.update.origin && update.start == known.update.start;
             match same_process {
                 true => update.serial > known.update.serial,
-                false => update.evidence.age < known.age(now),
+                false => update.evidence.age_ms < known.age(now),
             }
         });
         Ok(is_newer && self.insert(now, update.clone(), settings)?)
@@ -118,7 +118,7 @@
                 let limit = settings.max_sites_per_router;
                 return Err(MembershipError::LimitReached("sites of one router", limit));
             }
-            if self.updates.len() >= settings.max_evidence && !self.evict_older(now, update.evidence.age) {
+            if self.updates.len() >= settings.max_evidence && !self.evict_older(now, update.evidence.age_ms) {
                 return Ok(false);
             }
         }
@@ -161,7 +161,7 @@
         let (mut updates, mut bytes) = (Vec::new(), 0);
         for stored in pending {
             let age = stored.age(now);
-            let evidence = Evidence { age, ..stored.update.evidence.clone() };
+            let evidence = Evidence { age_ms: age, ..stored.update.evidence.clone() };
             let update = EvidenceUpdate { evidence, ..stored.update.clone() };
             bytes += postcard::to_allocvec(&update).map_or(0, |b| b.len());
             if bytes > settings.max_evidence_bytes {
@@ -184,7 +184,7 @@
         let expected = format!("expected 1 to {MAX_SITE_BYTES} bytes of plain text");
         return Err(MembershipError::Evidence("site", expected));
     }
-    for (field, span) in [("latency", evidence.latency), ("age", evidence.age)] {
+    for (field, span) in [("latency", evidence.latency_ms), ("age", evidence.age_ms)] {
         if !(span.is_finite() && span >= 0.0) {
             return Err(MembershipError::Evidence(field, format!("expected 0 ms or more, found {span}")));
         }
--- a/crates/membership/src/inbound.rs
+++ b/crates/membership/src/inbound.rs
@@ -67,7 +67,7 @@
             let says = self.me().member.clone();
             return Err(MembershipError::SenderMismatch { from: member.clone(), says });
         }
-        match self.settings.listed.contains(&member.router) {
+        match self.settings.listed_routers.contains(&member.router) {
             true => Ok(()),
             false => Err(MembershipError::NotListed(member.router.clone())),
         }
@@ -75,7 +75,7 @@
 
     /// Checks the limit of members for a message of this router.
     fn check_member_limit(&self, from: &Member) -> Result<(), MembershipError> {
-        let max = self.settings.most_members;
+        let max = self.settings.max_members;
         match self.known.contains_key(&from.router) || self.known.len() + 1 < max {
             true => Ok(()),
             false => Err(MembershipError::LimitReached("routers", max)),
@@ -236,7 +236,7 @@
         let me = self.swim.identity();
         let sender_is_new = !self.known.contains_key(&from.router);
         let members = self.known.len() + 1 + usize::from(sender_is_new);
-        let mut capacity = self.settings.most_members.saturating_sub(members);
+        let mut capacity = self.settings.max_members.saturating_sub(members);
         let mut new_routers: Vec<RouterId> = Vec::new();
         let mut scan = UpdateScan::default();
         let before = message.updates.len();
--- a/crates/membership/src/inbound/tests.rs
+++ b/crates/membership/src/inbound/tests.rs
@@ -14,7 +14,7 @@
     identity: &RouterIdentity,
     evidence: Vec<EvidenceUpdate>,
 ) -> (Membership, Result<(), MembershipError>, Vec<Action>) {
-    let settings = Settings { listed: [RouterId("r1".into())].into(), ..Settings::default() };
+    let settings = Settings { listed_routers: [RouterId("r1".into())].into(), ..Settings::default() };
     let mut membership = Membership::new(presence("r0", 1), settings, 1).expect("valid settings");
     let (first, mut actions) = (RouterIdentity::new(presence("r1", 1)), Vec::new());
     let hello = Message::Hello(Box::new(Hello { me: first.clone(), known: None })).encode();
@@ -55,7 +55,8 @@
 fn invalid_evidence_rejects_the_whole_message() {
     let sender = RouterIdentity::new(presence("r1", 1));
     let update = |latency| {
-        let evidence = Evidence { site: "east".into(), missed: 1, answered: 0, latency, age: 0.0 };
+        let evidence =
+            Evidence { site: "east".into(), missed: 1, answered: 0, latency_ms: latency, age_ms: 0.0 };
         EvidenceUpdate { origin: sender.member().clone(), start: 1, serial: 1, evidence }
     };
     let (_, result, actions) = receive(&sender, vec![update(1.0)]);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -65,9 +65,9 @@
     /// Requests with a response.
     pub answered: u32,
     /// The latency of the responses, in milliseconds.
-    pub latency: Ms,
+    pub latency_ms: Ms,
     /// The age of the observations, in milliseconds; clocks of different routers are not compared.
-    pub age: Ms,
+    pub age_ms: Ms,
 }
 
 /// The state of a router.
@@ -130,12 +130,12 @@
     #[error("membership message: {0}")]
     MalformedMessage(String),
     /// A message is longer than any membership sends.
-    #[error("membership message: expected at most {most} bytes, found {found}")]
+    #[error("membership message: expected at most {max_bytes} bytes, found {found_bytes}")]
     TooLong {
         /// The limit.
-        most: usize,
+        max_bytes: usize,
         /// The message's bytes.
-        found: usize,
+        found_bytes: usize,
     },
     /// A limit is reached.
     #[error("{0}: the limit of {1} is reached")]
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Routers with which links may come up.
-    pub listed: BTreeSet<RouterId>,
+    pub listed_routers: BTreeSet<RouterId>,
     /// The interval in which one router is probed.
     pub probe_period: Ms,
     /// The time after which a probe is repeated through other routers; less than half a period.
@@ -31,7 +31,7 @@
     /// The longest message of the SWIM library.
     pub max_packet_bytes: usize,
     /// Names of routers, this one included.
-    pub most_members: usize,
+    pub max_members: usize,
     /// The age at which evidence is dropped.
     pub max_evidence_age: Ms,
     /// Evidence of all routers on all sites.
@@ -46,7 +46,7 @@
     /// With up to 1,000 routers, a lost one is down everywhere within twelve periods, at about two messages a period from each router.
     fn default() -> Self {
         Self {
-            listed: BTreeSet::new(),
+            listed_routers: BTreeSet::new(),
             probe_period: 1000.0,
             probe_timeout: 300.0,
             fanout: 3,
@@ -58,7 +58,7 @@
             announce_interval: 30_000.0,
             max_packet_bytes: 8192,
             // As many as the configuration may list.
-            most_members: 1024,
+            max_members: 1024,
             max_evidence_age: 10_000.0,
             max_evidence: 1024,
             max_sites_per_router: 32,
@@ -100,7 +100,7 @@
             (is_span(self.down_announce_interval), "heal", span),
             (is_span(self.announce_interval), "refresh", span),
             (packet_fits, "packet", "2,048 to 65,536 bytes"),
-            (self.most_members > self.listed.len(), "most_members", "more than are listed"),
+            (self.max_members > self.listed_routers.len(), "most_members", "more than are listed"),
             (is_span(self.max_evidence_age), "evidence_span", span),
             (self.max_evidence > 0, "most_evidence", "1 or more"),
             (self.max_sites_per_router > 0, "most_sites", "1 or more"),
--- a/crates/membership/tests/bounds.rs
+++ b/crates/membership/tests/bounds.rs
@@ -13,7 +13,7 @@
 fn pair() -> (Membership, Vec<Vec<u8>>) {
     let mut both =
         [0, 1].map(|i| Membership::new(presence(i, 1), listed(3), i as u64).expect("valid settings"));
-    let evidence = Evidence { site: "east".into(), missed: 1, answered: 2, latency: 3.0, age: 4.0 };
+    let evidence = Evidence { site: "east".into(), missed: 1, answered: 2, latency_ms: 3.0, age_ms: 4.0 };
     let links = [0, 1].map(|i| (i, Event::LinkUp(presence(1 - i, 1))));
     let (mut events, mut sent) = (VecDeque::from(links), Vec::new());
     events.push_back((1, Event::LocalEvidence(evidence)));
@@ -48,7 +48,7 @@
         let result = membership.handle(2.0, Event::MessageReceived(presence(from, 1).member, bytes), &mut out);
         prop_assert!(result.is_ok() || out.is_empty());
         membership.handle(3.0, Event::Timer(number), &mut out).expect("any timer is accepted");
-        prop_assert!(membership.peers().count() < listed(3).most_members);
+        prop_assert!(membership.peers().count() < listed(3).max_members);
     }
 
     #[test]
@@ -76,7 +76,8 @@
     let long = rejection(Event::MessageReceived(presence(1, 1).member, vec![0; 100_000]));
     assert!(long.contains("expected at most") && long.contains("100000"), "{long}");
     for (site, latency, age) in [("", 0.0, 0.0), ("a", f64::NAN, 0.0), ("a", 0.0, -1.0), ("a\nb", 0.0, 0.0)] {
-        let evidence = Evidence { site: site.into(), missed: 0, answered: 0, latency, age };
+        let evidence =
+            Evidence { site: site.into(), missed: 0, answered: 0, latency_ms: latency, age_ms: age };
         assert!(rejection(Event::LocalEvidence(evidence)).starts_with("evidence: "));
     }
     assert!(out.is_empty());
@@ -91,7 +92,7 @@
         "roster.rtt: expected more than 0 and less than half a period"
     );
     assert!(error(Settings { probe_period: f64::NAN, ..listed(3) }).starts_with("roster.period:"));
-    assert!(error(Settings { most_members: 4, ..listed(3) }).starts_with("roster.most_members:"));
+    assert!(error(Settings { max_members: 4, ..listed(3) }).starts_with("roster.most_members:"));
     let mut me: Presence = presence(0, 1);
     me.member.router = RouterId("a b".into());
     assert_eq!(Membership::new(me, listed(3), 1).err(), Some(MembershipError::Setting("me", "plain names")));
@@ -101,8 +102,11 @@
 fn members_over_the_limit_are_dropped_and_the_others_stay() {
     let mut net = Net::with_routers(8, 1);
     let small = net.start(8, 1, 8);
-    let few =
-        Settings { listed: [presence(0, 1).member.router].into(), most_members: 3, ..Settings::default() };
+    let few = Settings {
+        listed_routers: [presence(0, 1).member.router].into(),
+        max_members: 3,
+        ..Settings::default()
+    };
     net.nodes[small].membership = Membership::new(presence(8, 1), few, 2).expect("valid settings");
     net.link(0, small);
     let member = net.member(small);
@@ -121,7 +125,7 @@
     let mut out = Vec::new();
     let mut observe = |i: usize| {
         let evidence =
-            Evidence { site: format!("s{i}").into(), missed: 1, answered: 0, latency: 1.0, age: 0.0 };
+            Evidence { site: format!("s{i}").into(), missed: 1, answered: 0, latency_ms: 1.0, age_ms: 0.0 };
         membership.handle(1.0, Event::LocalEvidence(evidence), &mut out)
     };
     assert!((0..4).all(|i| observe(i) == Ok(())));
--- a/crates/membership/tests/fleets.rs
+++ b/crates/membership/tests/fleets.rs
@@ -9,7 +9,7 @@
 const PERIOD: Ms = 1000.0;
 
 fn evidence(age: Ms) -> Evidence {
-    Evidence { site: "east".into(), missed: 7, answered: 1, latency: 12.5, age }
+    Evidence { site: "east".into(), missed: 7, answered: 1, latency_ms: 12.5, age_ms: age }
 }
 
 /// The cost of a quiet fleet, and the time until a lost router is down everywhere.
@@ -165,10 +165,10 @@
             panic!("reported {} times", node.evidence.len())
         };
         let (least, most) = (100.0, 100.0 + (at - start));
-        assert!(*origin == net.member(0) && (least..=most).contains(&what.age), "{}", what.age);
+        assert!(*origin == net.member(0) && (least..=most).contains(&what.age_ms), "{}", what.age_ms);
         // Only the time on the wire is not counted: at most 5 ms a hop.
-        assert!(what.age >= most - 60.0, "{} of {most}", what.age);
-        assert_eq!(Evidence { age: 100.0, ..what.clone() }, evidence(100.0));
+        assert!(what.age_ms >= most - 60.0, "{} of {most}", what.age_ms);
+        assert_eq!(Evidence { age_ms: 100.0, ..what.clone() }, evidence(100.0));
     }
     // Newer evidence on the same site is gossiped too, and both have expired after their span.
     net.handle(0, Event::LocalEvidence(evidence(0.0)));
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -46,7 +46,10 @@
 
 /// Settings that list that many routers and one more.
 pub fn listed(routers: usize) -> Settings {
-    Settings { listed: (0..=routers).map(|i| presence(i, 0).member.router).collect(), ..Settings::default() }
+    Settings {
+        listed_routers: (0..=routers).map(|i| presence(i, 0).member.router).collect(),
+        ..Settings::default()
+    }
 }
 
 impl Net {
--- a/crates/node/src/fleet/handle.rs
+++ b/crates/node/src/fleet/handle.rs
@@ -217,7 +217,8 @@
     /// Reports a site's health to other routers. It is advisory: a full ring drops it.
     pub fn report_evidence(&mut self, evidence: Evidence) {
         let Evidence { site, missed, answered, latency, age } = evidence;
-        let evidence = membership::Evidence { site: site.0, missed, answered, latency, age };
+        let evidence =
+            membership::Evidence { site: site.0, missed, answered, latency_ms: latency, age_ms: age };
         self.push(ControlRequest::ReportEvidence(evidence));
     }
 
@@ -260,7 +261,8 @@
 
     /// The cause, if a thread has ended that was not asked to.
     pub fn unexpected_end(&mut self) -> Option<String> {
-        let ended = |threads: &FleetThreads| threads.replication.is_finished() || threads.transport.ended();
+        let ended =
+            |threads: &FleetThreads| threads.replication.is_finished() || threads.transport.has_ended();
         if self.shutting_down || !self.threads.as_ref().is_some_and(ended) {
             return None;
         }
--- a/crates/node/src/fleet/overlay.rs
+++ b/crates/node/src/fleet/overlay.rs
@@ -2,7 +2,7 @@
 
 use basaltgw_config::fleet::Fleet;
 use basaltgw_config::overlay::{Links, Standing};
-use basaltgw_control::{OverlayParts, OverlayTimes, StandingLinks};
+use basaltgw_control::{LinkQueueLimits, OverlayParts, OverlaySettings};
 use basaltgw_overlay::{RouterEntry, RouterList, Shape};
 use basaltgw_transport::{DialPolicy, Settings};
 use basaltgw_types::{Ms, RouterId};
@@ -20,11 +20,11 @@
 /// If the configured retention of updates is too short, or the router list fits no overlay.
 pub fn parts(set: &Fleet, purge_convergence_time: Ms, seed: u64) -> Result<Option<OverlayParts>, String> {
     let Some(overlay) = &set.overlay else { return Ok(None) };
-    let times = OverlayTimes {
-        batch: overlay.batch_ms,
-        keep: overlay.keep(purge_convergence_time)?,
-        settles: purge_convergence_time,
-        budget: overlay.budget_bytes_per_s,
+    let times = OverlaySettings {
+        batch_interval: overlay.batch_ms,
+        retention: overlay.keep(purge_convergence_time)?,
+        purge_convergence_time: purge_convergence_time,
+        budget_bytes_per_s: overlay.budget_bytes_per_s,
     };
     let entry = |router: &RouterId, s: &Standing| RouterEntry {
         router: router.clone(),
@@ -43,16 +43,16 @@
 }
 
 /// Bounds of the messages that wait for a link, where links are not a mesh.
-fn persistent_links(set: &Fleet, links: Links) -> Option<StandingLinks> {
+fn persistent_links(set: &Fleet, links: Links) -> Option<LinkQueueLimits> {
     let limits = &set.limits;
     match links {
         Links::Mesh => None,
-        Links::Standing { .. } => Some(StandingLinks {
-            wait: limits.promise_ms,
-            words: (limits.lane_frames / MAX_SHARE_DIVISOR).max(1),
-            bytes: limits.frame_bytes,
-            all_words: limits.lane_frames,
-            all_bytes: limits.lane_bytes,
+        Links::Standing { .. } => Some(LinkQueueLimits {
+            timeout: limits.promise_ms,
+            messages_per_router: (limits.lane_frames / MAX_SHARE_DIVISOR).max(1),
+            bytes_per_router: limits.frame_bytes,
+            total_messages: limits.lane_frames,
+            total_bytes: limits.lane_bytes,
         }),
     }
 }
--- a/crates/node/src/fleet/replication_thread.rs
+++ b/crates/node/src/fleet/replication_thread.rs
@@ -8,7 +8,7 @@
 use async_channel::Sender;
 use basaltgw_control::{Action, Control, ControlParts, Event, MAINTENANCE_INTERVAL_MS};
 use basaltgw_storage::{Store, Write};
-use basaltgw_transport::{Counts, LinkCommand, LinkEvent, Port};
+use basaltgw_transport::{Counters, LinkCommand, LinkEvent, Port};
 use basaltgw_types::{Ms, RouterId};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -62,7 +62,7 @@
     /// The last counts, for the owner to print.
     pub published_counts: Arc<Mutex<FleetCounts>>,
     /// What the links count.
-    pub link_counts: Arc<Counts>,
+    pub link_counts: Arc<Counters>,
     /// The process's clock.
     pub clock: Clock,
 }
@@ -250,7 +250,7 @@
         // The owner locks this while it prints; it then sees the counts of the last time.
         if let Ok(mut published) = self.io.published_counts.try_lock() {
             published.control.clone_from(self.control.counts());
-            published.control.pursuits_dropped += uncommitted;
+            published.control.background_changes_abandoned += uncommitted;
             published.links = self.io.link_counts.to_string();
         }
     }
--- a/crates/node/src/fleet/start.rs
+++ b/crates/node/src/fleet/start.rs
@@ -7,13 +7,13 @@
 use crate::clock::Clock;
 use basaltgw_config::fleet::Fleet as FleetConfig;
 use basaltgw_config::NodeConfig;
-use basaltgw_control::{decode_purges, decode_table_register, purges::MOST_PURGES, ControlParts, Purges};
+use basaltgw_control::{decode_purges, decode_table_register, purges::MAX_PURGES, ControlParts, Purges};
 use basaltgw_control::{
     BootstrapMember, TableManager, TableManagerConfig, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE,
 };
 use basaltgw_membership::{Membership, Presence, Settings as MembershipSettings};
 use basaltgw_registers::{Registers, Settings as RegisterSettings};
-use basaltgw_storage::{Found, Limits as StoreLimits, Store};
+use basaltgw_storage::{FolderState, Limits as StoreLimits, Store};
 use basaltgw_transport::{
     Hello, Lane, Limits as LinkLimits, Links, PeerConfig, TransportUser, PROTOCOL_VERSION,
 };
@@ -84,7 +84,7 @@
         notifications: thread_rings.notifications,
         owner_wakeup: thread_rings.owner_wakeup,
         published_counts: Arc::clone(&published_counts),
-        link_counts: transport.counts(),
+        link_counts: transport.counters(),
         clock,
     };
     let replication = spawn_replication_thread(control, io)?;
@@ -113,14 +113,14 @@
     fn open(set: &FleetConfig) -> io::Result<Self> {
         let limits = &set.limits;
         let store_limits = StoreLimits {
-            entries: limits.holds as u64 * ENTRIES_PER_REGISTER + MOST_PURGES as u64,
-            bytes: limits.hold_bytes as u64 + EXTRA_STORE_BYTES,
-            entry: limits.frame_bytes,
+            max_entries: limits.holds as u64 * ENTRIES_PER_REGISTER + MAX_PURGES as u64,
+            max_bytes: limits.hold_bytes as u64 + EXTRA_STORE_BYTES,
+            max_entry_bytes: limits.frame_bytes,
         };
         let (store, found) = Store::open(&set.folder, store_limits, random_u128()).map_err(io_error)?;
         let (incarnation, has_previous_data) = match found {
-            Found::Empty(incarnation) => (incarnation, false),
-            Found::Life(incarnation) => (incarnation, true),
+            FolderState::New(incarnation) => (incarnation, false),
+            FolderState::Existing(incarnation) => (incarnation, true),
         };
         let member = Member { router: set.name.clone(), incarnation };
         let folder = if has_previous_data { "with data of an earlier process" } else { "empty" };
@@ -156,7 +156,7 @@
     let limits = &set.limits;
     let longest_repeat =
         config.settings.classes.iter().map(|c| c.deadline.max(c.key_window)).fold(0.0, f64::max);
-    let usual = RegisterSettings::usual();
+    let usual = RegisterSettings::standard();
     RegisterSettings {
         max_open_requests: limits.open_asks,
         max_registers: limits.holds,
@@ -186,7 +186,7 @@
     let register = stored.map(|bytes| decode_table_register(&bytes)).transpose().map_err(unreadable)?;
     let config = TableManagerConfig {
         me: me.clone(),
-        founders,
+        bootstrap_members: founders,
         capacity: set.limits.holds as u64,
         rules: placement_rules(set),
         replace_after: set.limits.replace_after_ms,
@@ -211,7 +211,7 @@
 fn membership(set: &FleetConfig, me: &Member) -> io::Result<Membership> {
     let presence = Presence { member: me.clone(), address: set.listen, domain: set.domain.clone() };
     let listed = set.peers.iter().map(|p| p.name.clone()).collect();
-    let settings = MembershipSettings { listed, ..MembershipSettings::default() };
+    let settings = MembershipSettings { listed_routers: listed, ..MembershipSettings::default() };
     Membership::new(presence, settings, random_u128() as u64).map_err(io_error)
 }
 
--- a/crates/node/src/owner/lease/tests.rs
+++ b/crates/node/src/owner/lease/tests.rs
@@ -12,7 +12,7 @@
 use crate::owner::Owner;
 use crate::Input;
 use basaltgw_registers::{
-    step, Change, Kind, Outcome, Record, RecordKey, RequestNumber, Response, UnavailableReason,
+    transition, Change, Kind, Outcome, Record, RecordKey, RequestNumber, Response, UnavailableReason,
 };
 use proptest::prelude::*;
 use std::collections::VecDeque;
@@ -55,7 +55,7 @@
 
 impl Replicas {
     fn apply(&mut self, change: &Change) -> Response {
-        match step(self.record.as_ref(), change) {
+        match transition(self.record.as_ref(), change) {
             Ok(next) => {
                 self.record = Some(next.clone());
                 Response::Committed(next)
--- a/crates/node/src/owner/scatter_gather/dispatch.rs
+++ b/crates/node/src/owner/scatter_gather/dispatch.rs
@@ -88,7 +88,7 @@
     pub(in crate::owner) fn expire_scatter_gather_purges(&mut self) {
         let now = self.time.platform.unix(self.time.now);
         if let Some(state) = &mut self.scatter_gather {
-            state.purges.settle(now, state.config.purge_convergence_time);
+            state.purges.remove_converged(now, state.config.purge_convergence_time);
         }
     }
 
--- a/crates/overlay/examples/figures.rs
+++ b/crates/overlay/examples/figures.rs
@@ -11,7 +11,7 @@
     let arg = |at: usize, or: usize| std::env::args().nth(at).and_then(|a| a.parse().ok()).unwrap_or(or);
     let (regions, each, control) = (arg(1, 21), arg(2, 204), arg(3, 9));
     let (rate, seconds) = (arg(4, 100), arg(5, 20));
-    let keep = Settings { keep_ms: 30_000.0, ..Settings::default() };
+    let keep = Settings { retention_ms: 30_000.0, ..Settings::default() };
     let mut net = Network::new(listed(regions, each, control), Shape::default(), keep, 1);
     let n = net.nodes.len();
     let settled = net.run_until(60_000.0, |n| n.all_caught_up(5000.0));
@@ -19,7 +19,7 @@
     net.run(10_000.0);
     let bytes = |net: &Network, i: usize| {
         let c = net.nodes[i].as_ref().expect("a running router").counters().clone();
-        (c.bytes_sent, c.bytes_got, c.frames_sent, c.frames_got)
+        (c.bytes_sent, c.bytes_received, c.frames_sent, c.frames_received)
     };
     let mut start: Vec<_> = (0..n).map(|i| bytes(&net, i)).collect();
     let figures = |net: &Network, start: &[(u64, u64, u64, u64)], seconds: f64, what: &str| {
@@ -46,7 +46,9 @@
     figures(&net, &start, 10.0, "at rest");
     start = (0..n).map(|i| bytes(&net, i)).collect();
     let counted = |net: &Network| -> Vec<[u64; 5]> {
-        let five = |c: &basaltgw_overlay::Counters| [c.sent, c.fetches, c.again, c.grafts, c.primary_changes];
+        let five = |c: &basaltgw_overlay::Counters| {
+            [c.sent, c.fetches, c.duplicate_numbers, c.lagging_primaries, c.primary_changes]
+        };
         net.nodes.iter().flatten().map(|o| five(o.counters())).collect()
     };
     let before = counted(&net);
@@ -97,9 +99,9 @@
     let all: Vec<u64> = (0..5).map(|k| grown.iter().map(|g| g[k]).sum()).collect();
     println!("of all {all:?}");
     println!("said {}, told {}, again {}, same {}, fetches {}, gaps {}, gone {}, grafts {}, differed {}, vectors {}, eager refused {}, full {}, waited {}, crossed {}",
-        sum(|c| c.said), sum(|c| c.told), sum(|c| c.again), sum(|c| c.same), sum(|c| c.fetches), sum(|c| c.gaps), sum(|c| c.gone), sum(|c| c.grafts),
-        sum(|c| c.differed), sum(|c| c.vectors), sum(|c| c.eager_refused), sum(|c| c.full_here), sum(|c| c.waited[0]), sum(|c| c.crossed));
-    let most = net.nodes.iter().flatten().map(|o| o.state_sizes().word_bytes).max();
+        sum(|c| c.published), sum(|c| c.delivered), sum(|c| c.duplicate_numbers), sum(|c| c.duplicate_contents), sum(|c| c.fetches), sum(|c| c.gaps), sum(|c| c.unavailable), sum(|c| c.lagging_primaries),
+        sum(|c| c.differing_digests), sum(|c| c.vectors), sum(|c| c.pushes_rejected), sum(|c| c.links_rejected), sum(|c| c.budget_waits[0]), sum(|c| c.received_from_other_regions));
+    let most = net.nodes.iter().flatten().map(|o| o.state_sizes().retained_bytes).max();
     let without =
         net.nodes.iter().flatten().filter(|o| !o.links().any(|link| link.is_parent && link.pushes)).count();
     println!("without words at once from above {without}");
--- a/crates/overlay/src/anti_entropy.rs
+++ b/crates/overlay/src/anti_entropy.rs
@@ -39,15 +39,15 @@
     /// Known streams.
     pub streams: usize,
     /// Retained updates.
-    pub words: usize,
+    pub retained_updates: usize,
     /// Bytes of retained updates with their overhead.
-    pub word_bytes: usize,
+    pub retained_bytes: usize,
     /// Hashes of recently delivered updates.
-    pub told: usize,
+    pub delivered_hashes: usize,
     /// Updates that wait for another router to publish them.
-    pub held: usize,
+    pub pending_updates: usize,
     /// Spans being repaired.
-    pub missing: usize,
+    pub repairs: usize,
 }
 
 impl Overlay {
@@ -67,11 +67,11 @@
             links: self.links.len(),
             candidates: self.groups.iter().map(|group| group.candidates.len()).sum(),
             streams: self.log.len(),
-            words: self.log.retained_count(),
-            word_bytes: self.log.bytes,
-            told: self.deduplication.len(),
-            held: self.deduplication.pending.len(),
-            missing: self.repairs.by_stream.len(),
+            retained_updates: self.log.retained_count(),
+            retained_bytes: self.log.bytes,
+            delivered_hashes: self.deduplication.len(),
+            pending_updates: self.deduplication.pending.len(),
+            repairs: self.repairs.by_stream.len(),
         }
     }
 
@@ -120,7 +120,7 @@
         if !self.links.values().any(|link| link.next_digest_at <= now) {
             return;
         }
-        let recent = self.log.recent(now, self.settings.hot_ms, self.settings.most_hot);
+        let recent = self.log.recent(now, self.settings.recent_ms, self.settings.max_recent);
         let (hash, count) = self.log.hash_without(&recent);
         let age = self.age(now).map(|age| age.min(f64::from(u32::MAX)) as u32);
         for link in self.links.values_mut().filter(|link| link.next_digest_at <= now) {
@@ -134,7 +134,7 @@
             link.next_announcement_at = now + self.settings.announce_ms - self.settings.batch_ms / 2.0;
             link.next_push_at = now;
             link.enqueue(Part::Digest(Digest { recent: recent.clone(), hash, count, age }));
-            if link.neighbor_last.len() > NEIGHBOR_STREAMS_FACTOR * self.settings.most_hot {
+            if link.neighbor_last.len() > NEIGHBOR_STREAMS_FACTOR * self.settings.max_recent {
                 let is_recent = |stream: &StreamId| recent.iter().any(|(other, _)| other == stream);
                 let dirty = &link.dirty;
                 link.neighbor_last.retain(|stream, _| is_recent(stream) || dirty.contains(stream));
@@ -165,7 +165,7 @@
     pub(crate) fn on_digest(&mut self, now: Ms, from: &RouterId, digest: Digest) {
         self.on_neighbor_streams(now, from, &digest.recent, false);
         let (hash, count) = self.log.hash_without(&digest.recent);
-        let max_recent = digest.recent.len().min(self.settings.most_hot);
+        let max_recent = digest.recent.len().min(self.settings.max_recent);
         let Some(link) = self.links.get_mut(from) else { return };
         if (hash, count) == (digest.hash, digest.count) {
             link.differing_digests = 0;
@@ -178,13 +178,13 @@
             }
             return;
         }
-        self.counters.differed += 1;
+        self.counters.differing_digests += 1;
         link.differing_digests = link.differing_digests.saturating_add(1);
         // A closer comparison must not displace requested updates: without budget the next digest starts it.
         if usize::from(link.differing_digests) >= MIN_COMPARED && self.rate_limit.allows_others() {
             link.differing_digests = 0;
             self.counters.vectors += 1;
-            let named = self.log.recent(now, self.settings.hot_ms, self.settings.most_hot);
+            let named = self.log.recent(now, self.settings.recent_ms, self.settings.max_recent);
             let hashes = self.log.buckets_without(&named);
             link.enqueue(Part::Buckets { named, hashes });
         }
@@ -205,7 +205,7 @@
     /// A neighbor's streams in the differing buckets. A stream that is about to be forgotten everywhere isn't learned again.
     pub(crate) fn on_vector(&mut self, now: Ms, from: &RouterId, entries: &[(StreamId, u64, u32)]) {
         let forget_ms = self.settings.forget_ms;
-        let margin_ms = 2.0 * self.settings.keep_ms;
+        let margin_ms = 2.0 * self.settings.retention_ms;
         let is_current = |(stream, _, idle_s): &&(StreamId, u64, u32)| {
             self.log.contains(*stream) || f64::from(*idle_s) * MS_PER_SECOND + margin_ms < forget_ms
         };
--- a/crates/overlay/src/counters.rs
+++ b/crates/overlay/src/counters.rs
@@ -4,45 +4,45 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Updates published here.
-    pub said: u64,
+    pub published: u64,
     /// Of those, updates that another control machine was to publish and did not.
-    pub said_for_others: u64,
+    pub published_for_others: u64,
     /// Of those, updates that a child or another control machine escalated.
-    pub said_for_below: u64,
+    pub published_escalated: u64,
     /// Updates queried at the parent.
-    pub asked: u64,
+    pub queried: u64,
     /// Of those, updates queried again, by the full hash.
-    pub asked_again: u64,
+    pub queried_again: u64,
     /// Updates escalated to the parent.
-    pub given: u64,
+    pub escalated: u64,
     /// Updates that a child queried and that were not known here.
     pub unknown: u64,
     /// Escalated updates rejected without capacity; children escalate them again.
-    pub below_full: u64,
+    pub escalations_rejected: u64,
     /// Pending updates that another router published in time, or that the parent knows.
-    pub spared: u64,
+    pub pending_resolved: u64,
     /// Updates published at once because no more may be pending.
-    pub unheld: u64,
+    pub pending_full: u64,
     /// Updates delivered.
-    pub told: u64,
+    pub delivered: u64,
     /// Updates that arrived under another number before; not delivered again.
-    pub same: u64,
+    pub duplicate_contents: u64,
     /// Updates that arrived under the same number before.
-    pub again: u64,
+    pub duplicate_numbers: u64,
     /// Updates received, of any of these.
-    pub got: u64,
+    pub received: u64,
     /// Updates received from another region.
-    pub crossed: u64,
+    pub received_from_other_regions: u64,
     /// Updates sent.
     pub sent: u64,
     /// Frames sent.
     pub frames_sent: u64,
     /// Frames received.
-    pub frames_got: u64,
+    pub frames_received: u64,
     /// Bytes sent, with the overhead of frames.
     pub bytes_sent: u64,
     /// Bytes received, with the overhead of frames.
-    pub bytes_got: u64,
+    pub bytes_received: u64,
     /// Updates that arrived before earlier ones.
     pub gaps: u64,
     /// Fetches sent.
@@ -50,13 +50,13 @@
     /// Of those, fetches repeated at another neighbor.
     pub fetched_again: u64,
     /// Fetched spans that have expired or converged here.
-    pub gone: u64,
+    pub unavailable: u64,
     /// Spans that had converged before this router started: neither received nor reported as a gap.
-    pub settled: u64,
+    pub converged_spans: u64,
     /// Spans reported as a gap.
-    pub missed: u64,
+    pub reported_gaps: u64,
     /// Ticks in which updates of a kind waited for the budget, by kind.
-    pub waited: [u64; 4],
+    pub budget_waits: [u64; 4],
     /// Updates dropped before the end of the retention.
     pub log_full: u64,
     /// Streams not accepted without capacity.
@@ -64,7 +64,7 @@
     /// Repairs not started without capacity.
     pub missing_full: u64,
     /// Fetch requests and queries of neighbors dropped without capacity.
-    pub asked_full: u64,
+    pub requests_dropped: u64,
     /// Streams forgotten after a long time without an update.
     pub forgotten: u64,
     /// Dials.
@@ -72,31 +72,31 @@
     /// Dials that failed or timed out.
     pub dials_failed: u64,
     /// Links that the neighbor rejected without capacity.
-    pub full_there: u64,
+    pub links_rejected_by_neighbor: u64,
     /// Links rejected here without capacity.
-    pub full_here: u64,
+    pub links_rejected: u64,
     /// Links closed here because the neighbor is not listed, or is this router.
     pub not_listed: u64,
     /// Links closed because they were silent.
-    pub silent: u64,
+    pub silent_links: u64,
     /// Links closed because better ones are established.
-    pub spare: u64,
+    pub surplus_links: u64,
     /// Links lost.
-    pub lost: u64,
+    pub lost_links: u64,
     /// Push requests rejected here.
-    pub eager_refused: u64,
+    pub pushes_rejected: u64,
     /// Changes of the primary parent.
     pub primary_changes: u64,
     /// Of those, changes because it lagged.
-    pub grafts: u64,
+    pub lagging_primaries: u64,
     /// Digests that differed.
-    pub differed: u64,
+    pub differing_digests: u64,
     /// Comparisons of buckets begun.
     pub vectors: u64,
     /// Malformed frames; the link is closed.
-    pub garbled: u64,
+    pub malformed_frames: u64,
     /// Events about a router without such a link.
-    pub stray: u64,
+    pub stray_events: u64,
     /// Updates too long to be published.
-    pub too_long: u64,
+    pub oversized_updates: u64,
 }
--- a/crates/overlay/src/escalation.rs
+++ b/crates/overlay/src/escalation.rs
@@ -29,8 +29,8 @@
         for (router, hashes) in escalations.0 {
             let Some(neighbor_key) = self.links.get(&router).and_then(|link| link.hash_key) else { continue };
             let batch = self.take_escalation_batch(now, neighbor_key, hashes);
-            self.counters.asked += (batch.short.len() + batch.full.len()) as u64;
-            self.counters.given += batch.updates.len() as u64;
+            self.counters.queried += (batch.short.len() + batch.full.len()) as u64;
+            self.counters.escalated += batch.updates.len() as u64;
             if let Some(link) = self.links.get_mut(&router) {
                 for part in batch.into_parts() {
                     link.enqueue(part);
@@ -42,7 +42,7 @@
     /// Collects what fits into one frame, and marks it as sent.
     fn take_escalation_batch(&mut self, now: Ms, neighbor_key: u64, hashes: Vec<u64>) -> EscalationBatch {
         let is_control = self.own_level() == Some(Level::Control);
-        let (retry_ms, hold_ms) = (self.settings.again_ms, self.settings.hold_ms);
+        let (retry_ms, hold_ms) = (self.settings.query_retry_ms, self.settings.publisher_wait_ms);
         let mut batch = EscalationBatch::default();
         for hash in hashes {
             let Some(pending) = self.deduplication.pending.get_mut(&hash) else { continue };
@@ -59,7 +59,7 @@
             } else {
                 batch.short.push(short_hash(query_hash));
             }
-            self.counters.asked_again += u64::from(pending.was_sent_before);
+            self.counters.queried_again += u64::from(pending.was_sent_before);
             (pending.is_sent, pending.was_sent_before) = (true, true);
             pending.due = now + if is_control { 2.0 * hold_ms } else { retry_ms };
         }
@@ -89,21 +89,21 @@
         }
         self.answer_unknown(router, &unknown);
         if let Some(link) = self.links.get_mut(router) {
-            self.counters.asked_full += u64::from(!link.answers.add_known(&known));
+            self.counters.requests_dropped += u64::from(!link.answers.add_known(&known));
         }
     }
 
     fn answer_unknown(&mut self, router: &RouterId, unknown: &[[u8; 4]]) {
         self.counters.unknown += unknown.len() as u64;
         if let Some(link) = self.links.get_mut(router) {
-            self.counters.asked_full += u64::from(!link.answers.add_unknown(unknown));
+            self.counters.requests_dropped += u64::from(!link.answers.add_unknown(unknown));
         }
     }
 
     /// A neighbor does not know queried updates: they are escalated to it.
     pub(crate) fn on_unknown(&mut self, now: Ms, router: &RouterId, hashes: &[[u8; 4]]) {
         let Some(neighbor_key) = self.links.get(router).and_then(|link| link.hash_key) else {
-            self.counters.stray += 1;
+            self.counters.stray_events += 1;
             return;
         };
         let unknown: BTreeSet<[u8; 4]> = hashes.iter().copied().collect();
@@ -122,7 +122,7 @@
     /// A neighbor knows queried updates: they arrive by their streams.
     pub(crate) fn on_known(&mut self, router: &RouterId, hashes: &[[u8; 8]]) {
         let Some(neighbor_key) = self.links.get(router).and_then(|link| link.hash_key) else {
-            self.counters.stray += 1;
+            self.counters.stray_events += 1;
             return;
         };
         let known: BTreeSet<u64> = hashes.iter().map(|hash| u64::from_le_bytes(*hash)).collect();
@@ -131,7 +131,7 @@
             pending.is_sent && known.contains(&keyed_hash(neighbor_key, pending.kind, &pending.update))
         };
         self.deduplication.pending.retain(|_, pending| !is_known(pending));
-        self.counters.spared += (before - self.deduplication.pending.len()) as u64;
+        self.counters.pending_resolved += (before - self.deduplication.pending.len()) as u64;
     }
 
     /// Updates that a child escalates because they are not known here, or another control machine because this one is to publish them.
@@ -146,8 +146,8 @@
         let is_from_peer = self.links.get(router).is_some_and(|link| link.role == Role::Peer);
         for update in updates {
             let hash = self.deduplication.hash(kind, &update);
-            if self.deduplication.pending.len() >= self.settings.most_held && !is_from_peer {
-                self.counters.below_full += 1;
+            if self.deduplication.pending.len() >= self.settings.max_pending && !is_from_peer {
+                self.counters.escalations_rejected += 1;
                 continue;
             }
             if self.deduplication.insert(hash) {
--- a/crates/overlay/src/forwarding.rs
+++ b/crates/overlay/src/forwarding.rs
@@ -44,13 +44,13 @@
         }
         let kind = stream.kind();
         let hash = self.deduplication.hash(kind, &update);
-        self.counters.spared += u64::from(self.deduplication.pending.remove(&hash).is_some());
+        self.counters.pending_resolved += u64::from(self.deduplication.pending.remove(&hash).is_some());
         if self.deduplication.insert(hash) || self.bugs.has(InjectedBug::DeliversDuplicates) {
-            self.counters.told += 1;
+            self.counters.delivered += 1;
             let origin = Origin { router: stream.router(), incarnation: stream.incarnation() };
             actions.push(Action::Deliver(kind, update, origin));
         } else {
-            self.counters.same += 1;
+            self.counters.duplicate_contents += 1;
         }
     }
 
@@ -96,7 +96,7 @@
     /// Drops expired updates, streams and hashes.
     fn expire(&mut self, now: Ms) {
         let settings = &self.settings;
-        self.counters.log_full += self.log.trim(now, settings.keep_ms, settings.most_log_bytes);
+        self.counters.log_full += self.log.trim(now, settings.retention_ms, settings.max_log_bytes);
         let own: Vec<StreamId> = Kind::ALL.map(|kind| self.own_stream(kind)).into();
         let forgotten = self.log.forget(now, settings.forget_ms, |stream| own.contains(&stream));
         self.counters.forgotten += forgotten.len() as u64;
@@ -107,7 +107,7 @@
                 link.dirty.remove(stream);
             }
         }
-        self.deduplication.rotate(now, self.settings.keep_ms);
+        self.deduplication.rotate(now, self.settings.retention_ms);
     }
 
     /// Fills and sends the frames.
@@ -130,7 +130,7 @@
                 has_waited |= !self.push_updates(now, router, kind, used_bytes);
                 has_waited |= !self.answer_fetches(now, router, kind, used_bytes);
             }
-            self.counters.waited[kind as usize] += u64::from(has_waited);
+            self.counters.budget_waits[kind as usize] += u64::from(has_waited);
         }
         for (router, used_bytes) in order.iter().zip(used_bytes) {
             self.send_frame(now, router, used_bytes, actions);
@@ -208,9 +208,9 @@
         used_bytes: &mut usize,
     ) -> bool {
         let stream = request.stream;
-        let (first, age) = self.log.first_within(stream, now, self.settings.settle_ms);
+        let (first, age) = self.log.first_within(stream, now, self.settings.convergence_ms);
         if !self.log.contains(stream) || request.from < first {
-            self.counters.gone += 1;
+            self.counters.unavailable += 1;
             let unavailable = Part::Unavailable { stream, first, age: age as u32 };
             if !self.links.get_mut(router).is_some_and(|link| link.enqueue(unavailable)) {
                 return false;
@@ -235,7 +235,7 @@
     /// Adds updates to the frame for a link as far as frame and budget allow; returns the last number added.
     fn add_updates(&mut self, router: &RouterId, range: UpdateRange, used_bytes: &mut usize) -> u64 {
         let UpdateRange { stream, from, to, priority } = range;
-        let capacity = self.settings.most_frame - RESERVED_FRAME_BYTES;
+        let capacity = self.settings.max_frame_bytes - RESERVED_FRAME_BYTES;
         let first = from.max(self.log.first(stream));
         let link = self.links.get(router);
         let part_count = link.map_or(MAX_UPDATE_PARTS, |link| link.parts.len());
@@ -283,7 +283,7 @@
             link.next_push_at = now + self.settings.peer_batch_ms - self.settings.batch_ms / 2.0;
         }
         let bytes = link.names.encode(parts);
-        let cost = bytes.len() + self.settings.frame_bytes;
+        let cost = bytes.len() + self.settings.frame_overhead_bytes;
         self.rate_limit.consume(cost.saturating_sub(used_bytes));
         self.counters.frames_sent += 1;
         self.counters.bytes_sent += cost as u64;
--- a/crates/overlay/src/link_selection.rs
+++ b/crates/overlay/src/link_selection.rs
@@ -111,8 +111,8 @@
     fn accepts_child(&mut self, now: Ms, router: &RouterId, actions: &mut Vec<Action>) -> bool {
         let children = self.links.values().filter(|link| link.role == Role::Child).count();
         let max_children = match self.own_level() {
-            Some(Level::Control) => self.settings.most_control_children,
-            Some(Level::Relay | Level::Tier) | None => self.settings.most_children,
+            Some(Level::Control) => self.settings.max_control_children,
+            Some(Level::Relay | Level::Tier) | None => self.settings.max_children,
         };
         if children < max_children {
             return true;
@@ -131,7 +131,7 @@
 
     /// Sends a rejection to the neighbor, and closes the link.
     fn reject_link(&mut self, member: &Member, actions: &mut Vec<Action>) {
-        self.counters.full_here += 1;
+        self.counters.links_rejected += 1;
         let mut names = self.links.get(&member.router).map(|link| link.names.clone()).unwrap_or_default();
         let frame = names.encode(vec![Part::LinkRejected]);
         actions.push(Action::Send(member.clone(), Kind::Purge, frame));
@@ -149,11 +149,11 @@
     pub(crate) fn on_link_down(&mut self, now: Ms, member: &Member, actions: &mut Vec<Action>) {
         match self.links.get(&member.router).is_some_and(|link| link.member == *member) {
             true => {
-                self.counters.lost += 1;
+                self.counters.lost_links += 1;
                 self.remove_link(now, &member.router);
                 self.select_links(now, actions);
             }
-            false => self.counters.stray += 1,
+            false => self.counters.stray_events += 1,
         }
     }
 
@@ -171,7 +171,7 @@
     /// Backs off from a router for at least `min_ms`, exponentially in its consecutive failures.
     fn back_off(&mut self, now: Ms, router: &RouterId, min_ms: Ms) {
         let jitter = 1.0 + self.random() * BACKOFF_JITTER;
-        let (initial_ms, max_ms) = (self.settings.backoff_ms, self.settings.most_backoff_ms);
+        let (initial_ms, max_ms) = (self.settings.backoff_ms, self.settings.max_backoff_ms);
         self.update_candidate(router, |candidate| {
             let doublings = candidate.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS) as i32;
             let backoff = (initial_ms * 2f64.powi(doublings)).min(max_ms).max(min_ms);
@@ -207,9 +207,9 @@
 
     /// The neighbor rejects the link.
     pub(crate) fn on_link_rejected(&mut self, now: Ms, router: &RouterId, actions: &mut Vec<Action>) {
-        self.counters.full_there += 1;
+        self.counters.links_rejected_by_neighbor += 1;
         self.close(now, router, actions);
-        self.back_off(now, router, self.settings.refused_ms);
+        self.back_off(now, router, self.settings.link_rejected_backoff_ms);
         self.select_links(now, actions);
     }
 
@@ -219,7 +219,7 @@
         let silent: Vec<RouterId> =
             self.links.values().filter(is_silent).map(|link| link.member.router.clone()).collect();
         for router in silent {
-            self.counters.silent += 1;
+            self.counters.silent_links += 1;
             self.close(now, &router, actions);
         }
     }
@@ -236,7 +236,7 @@
         }
         surplus.extend(self.surplus_unlisted(now));
         for router in surplus {
-            self.counters.spare += 1;
+            self.counters.surplus_links += 1;
             self.close(now, &router, actions);
         }
         self.choose_primary(now);
@@ -346,7 +346,7 @@
             link.pushes = false;
             link.enqueue(Part::PushRequest { enabled: false, known: Vec::new() });
         }
-        let recent = self.log.recent(now, self.settings.hot_ms, self.settings.most_hot);
+        let recent = self.log.recent(now, self.settings.recent_ms, self.settings.max_recent);
         if let Some(link) = primary.as_ref().and_then(|router| self.links.get_mut(router)) {
             link.pushes = true;
             let lacks = |(stream, last): &&(_, u64)| {
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -162,20 +162,20 @@
 
     fn on_frame(&mut self, now: Ms, from: &Member, bytes: &[u8], actions: &mut Vec<Action>) {
         let Some(link) = self.links.get_mut(&from.router).filter(|link| link.member == *from) else {
-            self.counters.stray += 1;
+            self.counters.stray_events += 1;
             return;
         };
         link.last_received_at = now;
-        let cost = bytes.len() + self.settings.frame_bytes;
-        self.counters.frames_got += 1;
-        self.counters.bytes_got += cost as u64;
+        let cost = bytes.len() + self.settings.frame_overhead_bytes;
+        self.counters.frames_received += 1;
+        self.counters.bytes_received += cost as u64;
         self.rate_limit.refill(now);
         self.rate_limit.consume(cost);
-        let parts = link.names.decode(bytes, self.settings.most_frame);
+        let parts = link.names.decode(bytes, self.settings.max_frame_bytes);
         let result =
             parts.and_then(|parts| parts.into_iter().try_for_each(|p| self.on_part(now, from, p, actions)));
         if let Err(error) = result {
-            self.counters.garbled += 1;
+            self.counters.malformed_frames += 1;
             actions.push(Action::Log(format!("frame of {from}: {error}")));
             self.close(now, &from.router, actions);
             self.select_links(now, actions);
@@ -196,7 +196,7 @@
         };
         match part {
             Part::Updates { stream, first, updates } => {
-                let updates = unpack_all(&updates, self.settings.most_word)?;
+                let updates = unpack_all(&updates, self.settings.max_update_bytes)?;
                 self.on_updates(now, router, stream, first, updates, actions);
             }
             Part::Announcement(named) => self.on_neighbor_streams(now, router, &named, false),
@@ -205,7 +205,7 @@
             Part::Vector(entries) => self.on_vector(now, router, &entries),
             Part::Fetch { stream, from, to, is_backfill } => {
                 if !link.add_fetch_request(FetchRequest { stream, from, to, is_backfill }) {
-                    self.counters.asked_full += 1;
+                    self.counters.requests_dropped += 1;
                 }
             }
             Part::Unavailable { stream, first, age } => {
@@ -213,7 +213,7 @@
             }
             Part::PushRequest { enabled, known } => self.on_push_request(now, router, enabled, &known),
             Part::PushRejected => {
-                link.push_rejected_until = now + self.settings.not_eager_ms;
+                link.push_rejected_until = now + self.settings.push_rejected_backoff_ms;
                 self.select_links(now, actions);
             }
             Part::LinkRejected => self.on_link_rejected(now, router, actions),
@@ -223,7 +223,7 @@
             Part::Unknown(hashes) => self.on_unknown(now, router, &hashes),
             Part::Known(hashes) => self.on_known(router, &hashes),
             Part::Escalation { kind, updates } => {
-                let updates = unpack_all(&updates, self.settings.most_word)?;
+                let updates = unpack_all(&updates, self.settings.max_update_bytes)?;
                 self.on_escalation(now, router, kind, updates, actions);
             }
         }
@@ -239,7 +239,7 @@
             return;
         }
         if !is_accepted {
-            self.counters.eager_refused += 1;
+            self.counters.pushes_rejected += 1;
             link.enqueue(Part::PushRejected);
             return;
         }
@@ -257,7 +257,7 @@
             |link: &&Link| link.role == Role::Child && link.pushes && link.member.router != *router;
         let max_pushes = match self.own_level() {
             Some(Level::Control) => self.list.as_ref().map_or(0, |list| list.shape().control_eager),
-            Some(Level::Relay | Level::Tier) | None => self.settings.most_eager,
+            Some(Level::Relay | Level::Tier) | None => self.settings.max_push_children,
         };
         if self.links.values().filter(is_other_push).count() < max_pushes {
             return true;
@@ -282,9 +282,9 @@
 
     /// Publishes an update that no other router knows.
     pub(crate) fn publish_new(&mut self, now: Ms, kind: Kind, update: Vec<u8>, actions: &mut Vec<Action>) {
-        if update.len() > self.settings.most_word {
-            self.counters.too_long += 1;
-            let (found, max) = (update.len(), self.settings.most_word);
+        if update.len() > self.settings.max_update_bytes {
+            self.counters.oversized_updates += 1;
+            let (found, max) = (update.len(), self.settings.max_update_bytes);
             actions.push(Action::Log(format!("update of {found} bytes exceeds {max} bytes, not published")));
             return;
         }
@@ -295,7 +295,7 @@
     }
 
     pub(crate) fn publish(&mut self, now: Ms, kind: Kind, update: &[u8]) {
-        self.counters.said += 1;
+        self.counters.published += 1;
         let stream = self.own_stream(kind);
         let last = self.log.push(now, stream, update);
         self.on_stream_advanced(stream, last - 1, last, None);
--- a/crates/overlay/src/publication.rs
+++ b/crates/overlay/src/publication.rs
@@ -54,9 +54,9 @@
             Publisher::This { delay } => delay,
             Publisher::Other(_) | Publisher::Unreachable => self.publication_delay(now, content_hash),
         };
-        let has_capacity = self.deduplication.pending.len() < self.settings.most_held;
-        if delay <= 0.0 || !has_capacity || update.len() > self.settings.most_word {
-            self.counters.unheld += u64::from(!has_capacity);
+        let has_capacity = self.deduplication.pending.len() < self.settings.max_pending;
+        if delay <= 0.0 || !has_capacity || update.len() > self.settings.max_update_bytes {
+            self.counters.pending_full += u64::from(!has_capacity);
             self.publish_new(now, kind, update, actions);
         } else {
             self.deduplication.pending.insert(hash, PendingUpdate::new(now, now + delay, kind, update));
@@ -113,7 +113,7 @@
         let region = &list.at(index).region;
         let own_relays = list.relays().iter().map(|i| list.at(*i)).filter(|entry| entry.region == *region);
         let earlier = own_relays.filter(|entry| score(&entry.router) > score(&self.me)).count();
-        Publisher::This { delay: earlier as f64 * PARTITION_TURN_HOLDS * self.settings.hold_ms }
+        Publisher::This { delay: earlier as f64 * PARTITION_TURN_HOLDS * self.settings.publisher_wait_ms }
     }
 
     /// The primary parent if it is responsive, or else another responsive parent.
@@ -135,13 +135,13 @@
                 // The second control machine queries the first; the others follow once it had time to.
                 let order = self.control_order(now, content_hash);
                 let rank = order.iter().position(|router| *router == &self.me).unwrap_or(0);
-                settings.hold_ms * rank.clamp(1, 2) as f64
+                settings.publisher_wait_ms * rank.clamp(1, 2) as f64
             }
             Some(Place::Tier { tier, .. }) => {
                 let sooner = tier as f64 * settings.batch_ms / 2.0;
-                (settings.ask_ms - sooner).max(MIN_QUERY_DELAY_BATCHES * settings.batch_ms)
+                (settings.query_delay_ms - sooner).max(MIN_QUERY_DELAY_BATCHES * settings.batch_ms)
             }
-            None => settings.ask_ms,
+            None => settings.query_delay_ms,
         }
     }
 
@@ -207,7 +207,7 @@
             }
             // A control machine that does not answer.
             Publisher::Other(_) if is_control && is_sent && due <= now => {
-                self.counters.said_for_others += 1;
+                self.counters.published_for_others += 1;
                 self.publish_pending(now, hash);
             }
             Publisher::Other(router) => escalations.add(router, hash),
@@ -217,7 +217,7 @@
 
     pub(crate) fn publish_pending(&mut self, now: Ms, hash: u64) {
         if let Some(pending) = self.deduplication.pending.remove(&hash) {
-            self.counters.said_for_below += u64::from(pending.is_escalated);
+            self.counters.published_escalated += u64::from(pending.is_escalated);
             self.publish(now, pending.kind, &pending.update);
         }
     }
--- a/crates/overlay/src/repair.rs
+++ b/crates/overlay/src/repair.rs
@@ -124,7 +124,7 @@
         if self.is_own(stream) {
             return;
         }
-        let max = self.settings.most_missing;
+        let max = self.settings.max_repairs;
         if !self.repairs.add_source(stream, last, from, due, is_backfill, max) {
             self.counters.missing_full += 1;
         }
@@ -179,8 +179,8 @@
             return;
         }
         if let Some(link) = self.primary.as_ref().and_then(|primary| self.links.get_mut(primary)) {
-            link.push_rejected_until = now + self.settings.refused_ms;
-            self.counters.grafts += 1;
+            link.push_rejected_until = now + self.settings.link_rejected_backoff_ms;
+            self.counters.lagging_primaries += 1;
         }
         self.choose_primary(now);
     }
@@ -196,18 +196,19 @@
         actions: &mut Vec<Action>,
     ) {
         let (known_last, last) = (self.log.last(stream), first + updates.len() as u64 - 1);
-        self.counters.got += updates.len() as u64;
+        self.counters.received += updates.len() as u64;
         if self.is_own(stream) {
-            self.counters.again += updates.len() as u64;
+            self.counters.duplicate_numbers += updates.len() as u64;
             return;
         }
-        if !self.log.contains(stream) && self.log.len() >= self.settings.most_streams {
+        if !self.log.contains(stream) && self.log.len() >= self.settings.max_streams {
             self.counters.streams_full += 1;
             return;
         }
         if let Some(link) = self.links.get_mut(from) {
             link.observe_last(stream, last);
-            self.counters.crossed += if link.is_outside { updates.len() as u64 } else { 0 };
+            self.counters.received_from_other_regions +=
+                if link.is_outside { updates.len() as u64 } else { 0 };
         }
         if first > known_last + 1 {
             self.counters.gaps += 1;
@@ -215,12 +216,12 @@
             return;
         }
         let duplicates = (known_last + 1 - first).min(updates.len() as u64);
-        self.counters.again += duplicates;
+        self.counters.duplicate_numbers += duplicates;
         for update in updates.into_iter().skip(duplicates as usize) {
             self.accept(now, stream, update, actions);
         }
-        if self.log.bytes > self.settings.most_log_bytes {
-            let (retention, max_bytes) = (self.settings.keep_ms, self.settings.most_log_bytes);
+        if self.log.bytes > self.settings.max_log_bytes {
+            let (retention, max_bytes) = (self.settings.retention_ms, self.settings.max_log_bytes);
             self.counters.log_full += self.log.trim(now, retention, max_bytes);
         }
         let new_last = self.log.last(stream);
@@ -257,21 +258,21 @@
         let known_last = self.log.last(stream);
         let repair = self.repairs.by_stream.get(&stream).filter(|repair| repair.is_fetching_from(from));
         let Some(last) = repair.map(|repair| repair.last.min(first - 1)) else {
-            self.counters.stray += 1;
+            self.counters.stray_events += 1;
             return;
         };
-        let has_capacity = self.log.contains(stream) || self.log.len() < self.settings.most_streams;
+        let has_capacity = self.log.contains(stream) || self.log.len() < self.settings.max_streams;
         if last <= known_last || !has_capacity {
             self.counters.streams_full += u64::from(!has_capacity);
             return;
         }
         self.log.skip(now, stream, last);
         // Updates that had converged before this router started were not missed.
-        let min_age = age.min(self.settings.keep_ms);
+        let min_age = age.min(self.settings.retention_ms);
         if self.started_at.is_some_and(|started_at| now - started_at < min_age) {
-            self.counters.settled += 1;
+            self.counters.converged_spans += 1;
         } else {
-            self.counters.missed += 1;
+            self.counters.reported_gaps += 1;
             let origin = Origin { router: stream.router(), incarnation: stream.incarnation() };
             let (kind, from) = (stream.kind(), known_last + 1);
             actions.push(Action::GapDetected { origin, kind, from, to: last });
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -11,21 +11,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Largest number of children.
-    pub most_children: usize,
+    pub max_children: usize,
     /// Largest number of children of a control machine: two relays of each region dial it.
-    pub most_control_children: usize,
+    pub max_control_children: usize,
     /// Largest number of children to which updates are pushed; the others receive announcements and fetch.
-    pub most_eager: usize,
+    pub max_push_children: usize,
     /// A dial fails after this time, ms.
     pub dial_ms: Ms,
     /// Backoff after a failed dial or a lost link, doubled with each further failure, ms.
     pub backoff_ms: Ms,
     /// Largest backoff, ms.
-    pub most_backoff_ms: Ms,
+    pub max_backoff_ms: Ms,
     /// Backoff after a rejected link, ms.
-    pub refused_ms: Ms,
+    pub link_rejected_backoff_ms: Ms,
     /// Backoff after a rejected push, ms.
-    pub not_eager_ms: Ms,
+    pub push_rejected_backoff_ms: Ms,
     /// A link that was up for this long counts as no failure, ms.
     pub stable_ms: Ms,
     /// A link without a message for this long is closed, ms; more than two of `compare_ms`.
@@ -43,54 +43,54 @@
     /// Interval of digests on each link, ms.
     pub compare_ms: Ms,
     /// Streams that changed within this time are named in a digest, ms; all others are hashed.
-    pub hot_ms: Ms,
+    pub recent_ms: Ms,
     /// Largest number of streams named in a digest.
-    pub most_hot: usize,
+    pub max_recent: usize,
     /// Largest number of streams in one vector.
     pub page: usize,
     /// Retention of updates, ms.
-    pub keep_ms: Ms,
+    pub retention_ms: Ms,
     /// Updates that arrived longer ago have converged, and are reported as unavailable, ms. See [`CATCH_UP_MS`].
-    pub settle_ms: Ms,
+    pub convergence_ms: Ms,
     /// A stream without an update for this long is forgotten, ms.
     pub forget_ms: Ms,
     /// Largest size of the retained updates, in bytes; beyond it the oldest are dropped.
-    pub most_log_bytes: usize,
+    pub max_log_bytes: usize,
     /// Largest number of known streams.
-    pub most_streams: usize,
+    pub max_streams: usize,
     /// Largest number of streams being repaired.
-    pub most_missing: usize,
+    pub max_repairs: usize,
     /// Largest update, in bytes.
-    pub most_word: usize,
+    pub max_update_bytes: usize,
     /// Largest frame, in bytes.
-    pub most_frame: usize,
+    pub max_frame_bytes: usize,
     /// Control machines wait this long for the publisher of an update that all know, ms; longer than an update takes between them.
-    pub hold_ms: Ms,
+    pub publisher_wait_ms: Ms,
     /// A relay queries its parent for an update that has not arrived after this time, ms; each further tier half a batch sooner.
-    pub ask_ms: Ms,
+    pub query_delay_ms: Ms,
     /// A query without an answer is repeated after this time, ms.
-    pub again_ms: Ms,
+    pub query_retry_ms: Ms,
     /// Largest number of updates that wait for another router to publish them.
-    pub most_held: usize,
+    pub max_pending: usize,
     /// Budget in bytes per second, sent and received together, with the overhead of frames.
     pub budget_bytes_per_s: f64,
     /// Bytes that may be sent at once after a quiet time.
     pub burst_bytes: f64,
     /// Overhead of a frame on the wire, in bytes: headers, record layer, acknowledgement.
-    pub frame_bytes: usize,
+    pub frame_overhead_bytes: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            most_children: 8,
-            most_control_children: 10,
-            most_eager: 3,
+            max_children: 8,
+            max_control_children: 10,
+            max_push_children: 3,
             dial_ms: 3000.0,
             backoff_ms: 1000.0,
-            most_backoff_ms: 60_000.0,
-            refused_ms: 30_000.0,
-            not_eager_ms: 300_000.0,
+            max_backoff_ms: 60_000.0,
+            link_rejected_backoff_ms: 30_000.0,
+            push_rejected_backoff_ms: 300_000.0,
             stable_ms: 10_000.0,
             silent_ms: 4000.0,
             batch_ms: 250.0,
@@ -99,24 +99,24 @@
             late_ms: 1000.0,
             fetch_ms: 1500.0,
             compare_ms: 1000.0,
-            hot_ms: 3000.0,
-            most_hot: 48,
+            recent_ms: 3000.0,
+            max_recent: 48,
             page: 256,
-            keep_ms: 120_000.0,
-            settle_ms: 120_000.0,
+            retention_ms: 120_000.0,
+            convergence_ms: 120_000.0,
             forget_ms: 600_000.0,
-            most_log_bytes: 4 << 20,
-            most_streams: 20_000,
-            most_missing: 1024,
-            most_word: 16 << 10,
-            most_frame: 64 << 10,
-            hold_ms: 750.0,
-            ask_ms: 1500.0,
-            again_ms: 10_000.0,
-            most_held: 16_384,
+            max_log_bytes: 4 << 20,
+            max_streams: 20_000,
+            max_repairs: 1024,
+            max_update_bytes: 16 << 10,
+            max_frame_bytes: 64 << 10,
+            publisher_wait_ms: 750.0,
+            query_delay_ms: 1500.0,
+            query_retry_ms: 10_000.0,
+            max_pending: 16_384,
             budget_bytes_per_s: 20_000.0,
             burst_bytes: 40_000.0,
-            frame_bytes: 100,
+            frame_overhead_bytes: 100,
         }
     }
 }
@@ -130,10 +130,10 @@
         let times = [
             (self.dial_ms, "dial_ms"),
             (self.backoff_ms, "backoff_ms"),
-            (self.most_backoff_ms, "most_backoff_ms"),
-            (self.refused_ms, "refused_ms"),
+            (self.max_backoff_ms, "most_backoff_ms"),
+            (self.link_rejected_backoff_ms, "refused_ms"),
             (self.stable_ms, "stable_ms"),
-            (self.not_eager_ms, "not_eager_ms"),
+            (self.push_rejected_backoff_ms, "not_eager_ms"),
             (self.peer_batch_ms, "peer_batch_ms"),
             (self.silent_ms, "silent_ms"),
             (self.batch_ms, "batch_ms"),
@@ -141,39 +141,43 @@
             (self.late_ms, "late_ms"),
             (self.fetch_ms, "fetch_ms"),
             (self.compare_ms, "compare_ms"),
-            (self.hot_ms, "hot_ms"),
-            (self.keep_ms, "keep_ms"),
-            (self.settle_ms, "settle_ms"),
+            (self.recent_ms, "hot_ms"),
+            (self.retention_ms, "keep_ms"),
+            (self.convergence_ms, "settle_ms"),
             (self.forget_ms, "forget_ms"),
-            (self.hold_ms, "hold_ms"),
-            (self.ask_ms, "ask_ms"),
-            (self.again_ms, "again_ms"),
+            (self.publisher_wait_ms, "hold_ms"),
+            (self.query_delay_ms, "ask_ms"),
+            (self.query_retry_ms, "again_ms"),
         ];
         let bad_time = times.into_iter().find(|(ms, _)| !(*ms > 0.0 && *ms <= MAX_TIME_MS));
         if let Some((_, name)) = bad_time {
             return Err(OverlayError::Setting(name, "more than 0 and at most a day in ms"));
         }
         let checks = [
-            (self.most_eager > 0, "most_eager", "1 or more"),
-            (self.most_children >= self.most_eager, "most_children", "most_eager or more"),
-            (self.most_control_children > 0, "most_control_children", "1 or more"),
-            (self.most_backoff_ms >= self.backoff_ms, "most_backoff_ms", "backoff_ms or more"),
+            (self.max_push_children > 0, "most_eager", "1 or more"),
+            (self.max_children >= self.max_push_children, "most_children", "most_eager or more"),
+            (self.max_control_children > 0, "most_control_children", "1 or more"),
+            (self.max_backoff_ms >= self.backoff_ms, "most_backoff_ms", "backoff_ms or more"),
             (self.silent_ms > 2.0 * self.compare_ms, "silent_ms", "more than two of compare_ms"),
             (self.batch_ms <= self.compare_ms, "batch_ms", "at most compare_ms"),
-            (self.hold_ms > self.peer_batch_ms, "hold_ms", "more than peer_batch_ms"),
-            (self.forget_ms > 2.0 * self.keep_ms, "forget_ms", "more than two of keep_ms"),
-            ((1..=256).contains(&self.most_hot), "most_hot", "1 to 256"),
+            (self.publisher_wait_ms > self.peer_batch_ms, "hold_ms", "more than peer_batch_ms"),
+            (self.forget_ms > 2.0 * self.retention_ms, "forget_ms", "more than two of keep_ms"),
+            ((1..=256).contains(&self.max_recent), "most_hot", "1 to 256"),
             ((1..=512).contains(&self.page), "page", "1 to 512"),
-            (self.most_streams > 0, "most_streams", "1 or more"),
-            (self.most_missing > 0, "most_missing", "1 or more"),
-            ((1..=65_536).contains(&self.most_word), "most_word", "1 to 65,536 bytes"),
-            (self.most_log_bytes >= self.most_word, "most_log_bytes", "most_word or more"),
+            (self.max_streams > 0, "most_streams", "1 or more"),
+            (self.max_repairs > 0, "most_missing", "1 or more"),
+            ((1..=65_536).contains(&self.max_update_bytes), "most_word", "1 to 65,536 bytes"),
+            (self.max_log_bytes >= self.max_update_bytes, "most_log_bytes", "most_word or more"),
             // One frame fits an update, a page and a digest.
-            (self.most_frame >= self.most_word + 40_960, "most_frame", "most_word and 40,960 or more"),
-            (self.most_held > 0, "most_held", "1 or more"),
+            (
+                self.max_frame_bytes >= self.max_update_bytes + 40_960,
+                "most_frame",
+                "most_word and 40,960 or more",
+            ),
+            (self.max_pending > 0, "most_held", "1 or more"),
             (self.budget_bytes_per_s >= 1000.0, "budget_bytes_per_s", "1,000 or more"),
-            (self.burst_bytes >= self.most_word as f64, "burst_bytes", "most_word or more"),
-            (self.frame_bytes <= 1500, "frame_bytes", "at most 1,500"),
+            (self.burst_bytes >= self.max_update_bytes as f64, "burst_bytes", "most_word or more"),
+            (self.frame_overhead_bytes <= 1500, "frame_bytes", "at most 1,500"),
         ];
         let first = checks.into_iter().find(|(fits, _, _)| !fits);
         first.map_or(Ok(()), |(_, name, expected)| Err(OverlayError::Setting(name, expected)))
--- a/crates/overlay/tests/asking.rs
+++ b/crates/overlay/tests/asking.rs
@@ -32,7 +32,7 @@
 }
 
 fn published(net: &Network, i: usize) -> u64 {
-    net.nodes[i].as_ref().map_or(0, |o| o.counters().said)
+    net.nodes[i].as_ref().map_or(0, |o| o.counters().published)
 }
 
 /// Routers of a region without children, by the established links.
@@ -149,7 +149,7 @@
         (0..200).filter(|at| at % 20 == 7).all(|at| n.all_received(&format!("log/{at}"), alone))
     };
     assert!(net.run_until(60_000.0, own), "the updates that it alone knew reach all");
-    let held = |n: &Network| n.nodes[alone].as_ref().map_or(0, |o| o.state_sizes().held);
+    let held = |n: &Network| n.nodes[alone].as_ref().map_or(0, |o| o.state_sizes().pending_updates);
     assert!(net.run_until(2.0 * AGAIN, |n| held(n) == 0), "pending updates: {}", held(&net));
     assert_eq!(published(&net, alone), 0);
     assert!(net.has_no_duplicates() && net.has_no_gaps());
@@ -161,7 +161,7 @@
     for (at, i) in bottom(&net, "g0").into_iter().take(8).enumerate() {
         let update = format!("lost/{at}");
         observe(&mut net, i, &update);
-        let asked = |n: &Network| n.nodes[i].as_ref().is_some_and(|o| o.counters().asked > 0);
+        let asked = |n: &Network| n.nodes[i].as_ref().is_some_and(|o| o.counters().queried > 0);
         assert!(net.run_until(SOON, asked), "no query was sent");
         net.run(at as Ms * 60.0);
         let parent = net.nodes[i].as_ref().and_then(|o| o.links().find(|link| link.is_parent && link.pushes));
--- a/crates/overlay/tests/broken.rs
+++ b/crates/overlay/tests/broken.rs
@@ -108,5 +108,5 @@
     net.event(0, Event::FrameReceived(stranger.clone(), vec![0, 0, 0]));
     net.event(0, Event::LinkDown(stranger));
     assert_eq!(links(&net), before);
-    assert_eq!(net.nodes[0].as_ref().map(|o| o.counters().stray), Some(2));
+    assert_eq!(net.nodes[0].as_ref().map(|o| o.counters().stray_events), Some(2));
 }
--- a/crates/overlay/tests/bytes.rs
+++ b/crates/overlay/tests/bytes.rs
@@ -35,7 +35,7 @@
     let (mut parent, _, first) = linked();
     let all = listed(2, 6, 2);
     let list = Arc::new(RouterList::new(1, Shape::default(), all.clone()).expect("a list"));
-    let settings = Settings { ask_ms: 250.0, ..Settings::default() };
+    let settings = Settings { query_delay_ms: 250.0, ..Settings::default() };
     let mut below = Overlay::new(all[5].router.clone(), settings, 2).expect("settings");
     let (mut out, mut frames) = (Vec::new(), Vec::new());
     let (up, down) = (&all[4].router, &all[5].router);
@@ -58,7 +58,7 @@
             }
         }
     }
-    assert!(below.counters().given == 1 && parent.counters().unknown == 1, "{:?}", below.counters());
+    assert!(below.counters().escalated == 1 && parent.counters().unknown == 1, "{:?}", below.counters());
     (parent, member(down), frames)
 }
 
@@ -70,12 +70,12 @@
         overlay.handle(now, Event::TimersDue, &mut out);
     }
     let (sizes, settings) = (overlay.state_sizes(), Settings::default());
-    assert!(sizes.streams <= settings.most_streams && sizes.missing <= settings.most_missing);
-    assert!(sizes.held <= settings.most_held);
-    assert!(sizes.word_bytes <= settings.most_log_bytes + 2 * settings.most_frame);
+    assert!(sizes.streams <= settings.max_streams && sizes.repairs <= settings.max_repairs);
+    assert!(sizes.pending_updates <= settings.max_pending);
+    assert!(sizes.retained_bytes <= settings.max_log_bytes + 2 * settings.max_frame_bytes);
     for action in out {
         match action {
-            Action::Send(_, _, bytes) => assert!(bytes.len() <= settings.most_frame),
+            Action::Send(_, _, bytes) => assert!(bytes.len() <= settings.max_frame_bytes),
             Action::Close(closed) => assert_eq!(closed, *member),
             Action::Dial(_) | Action::Deliver(..) | Action::GapDetected { .. } | Action::Log(_) => {}
         }
@@ -145,14 +145,14 @@
     }
     let (sizes, settings, counters) =
         (overlay.state_sizes(), Settings::default(), overlay.counters().clone());
-    assert_eq!(counters.garbled, 0, "{:?}", out.iter().find(|a| matches!(a, Action::Log(_))));
+    assert_eq!(counters.malformed_frames, 0, "{:?}", out.iter().find(|a| matches!(a, Action::Log(_))));
     assert!(
-        counters.unknown > 1_000_000 && counters.asked_full > 0 && counters.below_full > 0,
+        counters.unknown > 1_000_000 && counters.requests_dropped > 0 && counters.escalations_rejected > 0,
         "{counters:?}"
     );
-    assert_eq!(sizes.held, settings.most_held);
+    assert_eq!(sizes.pending_updates, settings.max_pending);
     let longest = |a: &Action| if let Action::Send(_, _, bytes) = a { bytes.len() } else { 0 };
-    assert!(out.iter().map(longest).max().is_some_and(|most| most <= settings.most_frame));
+    assert!(out.iter().map(longest).max().is_some_and(|most| most <= settings.max_frame_bytes));
 }
 
 #[test]
@@ -161,7 +161,7 @@
     let mut out = Vec::new();
     overlay.handle(20.0, Event::FrameReceived(member.clone(), vec![0xff; 40]), &mut out);
     assert!(out.contains(&Action::Close(member)), "{out:?}");
-    assert_eq!(overlay.counters().garbled, 1);
+    assert_eq!(overlay.counters().malformed_frames, 1);
 }
 
 #[test]
@@ -170,6 +170,6 @@
     let bad = Settings { late_ms: f64::NAN, ..Settings::default() };
     let found = Overlay::new(me.clone(), bad, 1).expect_err("no time");
     assert_eq!(found.to_string(), "overlay.late_ms: expected more than 0 and at most a day in ms");
-    let bad = Settings { most_frame: 1000, ..Settings::default() };
+    let bad = Settings { max_frame_bytes: 1000, ..Settings::default() };
     assert!(Overlay::new(me, bad, 1).expect_err("no room").to_string().starts_with("overlay.most_frame"));
 }
--- a/crates/overlay/tests/dissemination.rs
+++ b/crates/overlay/tests/dissemination.rs
@@ -43,7 +43,7 @@
 fn bounded(net: &Network) {
     let settings = Settings::default();
     // Children, three links of a relay to parents, and for a moment the extra links after rejected pushes.
-    let most = settings.most_children.max(settings.most_control_children + 8) + 3 + 8;
+    let most = settings.max_children.max(settings.max_control_children + 8) + 3 + 8;
     assert!(net.most_links <= most, "{} links", net.most_links);
 }
 
@@ -71,7 +71,8 @@
         standing.push(ordinary.max().expect("some"));
         let crossed = |n: &Network| -> Vec<u64> {
             let of = |g: usize| n.routers_of_region(&format!("g{g}"));
-            let count = |i: usize| n.nodes[i].as_ref().map_or(0, |o| o.counters().crossed);
+            let count =
+                |i: usize| n.nodes[i].as_ref().map_or(0, |o| o.counters().received_from_other_regions);
             (0..regions).map(|g| of(g).into_iter().map(count).sum()).collect()
         };
         let before = crossed(&net);
@@ -183,7 +184,7 @@
 #[test]
 fn an_update_that_all_routers_know_is_published_by_one() {
     let mut net = fleet(4, 25, 9, 2);
-    let published = |n: &Network| n.nodes.iter().flatten().map(|o| o.counters().said).sum::<u64>();
+    let published = |n: &Network| n.nodes.iter().flatten().map(|o| o.counters().published).sum::<u64>();
     let before = published(&net);
     let n = net.nodes.len();
     for at in 0..30 {
@@ -238,7 +239,7 @@
 
 #[test]
 fn unavailable_updates_are_reported_as_a_gap() {
-    let settings = Settings { keep_ms: 3000.0, ..Settings::default() };
+    let settings = Settings { retention_ms: 3000.0, ..Settings::default() };
     let mut net = Network::new(listed(3, 12, 9), Shape::default(), settings, 6);
     assert!(net.run_until(30_000.0, |n| n.all_caught_up(5000.0)));
     let i = net.nodes.len() - 1;
@@ -272,7 +273,7 @@
     let last = format!("59{}", "x".repeat(400));
     assert!(!net.all_received(&last, 0), "background updates wait");
     let waited: u64 =
-        net.nodes.iter().flatten().map(|o| o.counters().waited[Kind::Background as usize]).sum();
+        net.nodes.iter().flatten().map(|o| o.counters().budget_waits[Kind::Background as usize]).sum();
     assert!(waited > 0, "and that is counted");
     assert!(net.run_until(110_000.0, |n| n.all_received(&last, 0)), "and comes");
     assert!(net.has_no_duplicates());
--- a/crates/overlay/tests/interleavings.rs
+++ b/crates/overlay/tests/interleavings.rs
@@ -61,7 +61,7 @@
     fn init_states(&self) -> Vec<State> {
         let shape = Shape { relays: 1, ..Shape::default() };
         // Queries are sent and answered while choices remain.
-        let settings = Settings { ask_ms: 500.0, ..Settings::default() };
+        let settings = Settings { query_delay_ms: 500.0, ..Settings::default() };
         let mut net = Network::adapted(listed(2, 3, 1), shape, settings, 3, self.adapt);
         assert!(!net.list.is_relay(&net.listed[ALONE].router), "in the lowest tier");
         net.run(8000.0);
--- a/crates/overlay/tests/settled.rs
+++ b/crates/overlay/tests/settled.rs
@@ -11,7 +11,7 @@
 const SECONDS: usize = 20;
 
 fn published(settle_ms: Ms, seed: u64) -> (Network, Vec<String>) {
-    let settings = Settings { settle_ms, ..Settings::default() };
+    let settings = Settings { convergence_ms: settle_ms, ..Settings::default() };
     let mut net = Network::new(listed(2, 20, 3), Shape::default(), settings, seed);
     assert!(net.run_until(30_000.0, |n| n.all_caught_up(5000.0)), "catches up");
     let mut updates = Vec::new();
@@ -32,7 +32,7 @@
     net.run(300.0);
     net.start(i);
     net.run(2_000.0);
-    let bytes = net.nodes[i].as_ref().map_or(0, |o| o.counters().bytes_got + o.counters().bytes_sent);
+    let bytes = net.nodes[i].as_ref().map_or(0, |o| o.counters().bytes_received + o.counters().bytes_sent);
     let late = &updates[updates.len() - 4 * RATE..];
     let has = |n: &Network, w: &String| n.observed[i].deliveries.contains_key(w.as_bytes());
     net.run_until(SETTLES, |n| late.iter().all(|w| has(n, w)));
@@ -49,18 +49,19 @@
         assert!(bytes <= most, "{bytes}");
         assert_eq!(lacks, 0, "updates that had not converged");
         net.run(20_000.0);
-        let counters = net.nodes[i].as_ref().map(|o| (o.counters().settled > 0, o.counters().missed));
+        let counters =
+            net.nodes[i].as_ref().map(|o| (o.counters().converged_spans > 0, o.counters().reported_gaps));
         assert_eq!(counters, Some((true, 0)), "it has missed nothing");
         assert!(net.has_no_gaps() && net.has_no_duplicates());
     }
     // Without convergence the restart exceeds the bound.
-    let (bytes, ..) = restarted(Settings::default().keep_ms, 1);
+    let (bytes, ..) = restarted(Settings::default().retention_ms, 1);
     assert!(bytes > most, "{bytes}");
 }
 
 #[test]
 fn a_partitioned_router_reports_converged_updates_as_a_gap() {
-    let settings = Settings { settle_ms: SETTLES, ..Settings::default() };
+    let settings = Settings { convergence_ms: SETTLES, ..Settings::default() };
     let mut net = Network::new(listed(2, 20, 3), Shape::default(), settings, 5);
     assert!(net.run_until(30_000.0, |n| n.all_caught_up(5000.0)));
     let i = net.nodes.len() - 1;
@@ -83,7 +84,7 @@
 
 #[test]
 fn an_update_known_to_one_router_is_escalated_whatever_its_age() {
-    let settings = Settings { settle_ms: SETTLES, ..Settings::default() };
+    let settings = Settings { convergence_ms: SETTLES, ..Settings::default() };
     let mut net = Network::new(listed(2, 20, 3), Shape::default(), settings, 6);
     assert!(net.run_until(30_000.0, |n| n.all_caught_up(5000.0)));
     let i = net.nodes.len() - 1;
--- a/crates/registers/examples/fleet.rs
+++ b/crates/registers/examples/fleet.rs
@@ -191,7 +191,7 @@
         let sum = |of: fn(&Registers) -> u64| {
             self.net.nodes.iter().filter_map(|n| n.registers.as_ref()).map(of).sum()
         };
-        Writes { batches: sum(|r| r.stores().0), records: sum(|r| r.stores().1) }
+        Writes { batches: sum(|r| r.write_counts().0), records: sum(|r| r.write_counts().1) }
     }
 }
 
--- a/crates/registers/src/counters.rs
+++ b/crates/registers/src/counters.rs
@@ -10,15 +10,15 @@
     /// Requests of the router.
     pub requests: u64,
     /// Responses `Committed`.
-    pub kept: u64,
+    pub committed: u64,
     /// Responses `Conflict`.
-    pub stands: u64,
+    pub conflicts: u64,
     /// Requests that failed, by cause; those of expiry and replica synchronisation too.
-    pub unkept: BTreeMap<UnavailableReason, u64>,
+    pub unavailable: BTreeMap<UnavailableReason, u64>,
     /// Rounds started.
     pub rounds: u64,
     /// Rounds without a prepare phase.
-    pub short: u64,
+    pub one_phase_rounds: u64,
     /// Messages sent to other members.
     pub messages: u64,
     /// Rounds whose messages were retransmitted.
--- a/crates/registers/src/lib.rs
+++ b/crates/registers/src/lib.rs
@@ -57,4 +57,4 @@
 pub use record::{Change, Kind, Outcome, Record, RecordKey};
 pub use registers::Registers;
 pub use settings::{InvalidSetting, Settings};
-pub use transition::{applies_to, step, InvalidTransition};
+pub use transition::{applies_to, transition, InvalidTransition};
--- a/crates/registers/src/model_tests.rs
+++ b/crates/registers/src/model_tests.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 mod api {
-    pub use crate::{step, Change, Record, Response};
+    pub use crate::{transition, Change, Record, Response};
 }
 #[path = "../tests/net/linearizability.rs"]
 mod linearizability;
@@ -104,7 +104,7 @@
 }
 
 fn settings(max_attempts: u32) -> Settings {
-    Settings { max_attempts, ..Settings::usual() }
+    Settings { max_attempts, ..Settings::standard() }
 }
 
 /// Epoch 1: the first group; 2: both groups; 3: the second group, with the next incarnation of replica 2.
--- a/crates/registers/src/proposer/mod.rs
+++ b/crates/registers/src/proposer/mod.rs
@@ -211,7 +211,7 @@
 
     /// Fails a request.
     fn fail(&mut self, request: PendingRequest, reason: UnavailableReason, context: &mut Context<'_>) {
-        *self.counters.unkept.entry(reason).or_default() += 1;
+        *self.counters.unavailable.entry(reason).or_default() += 1;
         let retry_after = backoff::retry_after(reason, self.mean_round, &self.settings, &mut self.jitter);
         let not_executed = request.sent.never_proposed();
         let response = Response::Unavailable { not_executed, reason, retry_after };
--- a/crates/registers/src/proposer/rounds.rs
+++ b/crates/registers/src/proposer/rounds.rs
@@ -16,7 +16,7 @@
 use crate::request::{Origin, PendingRequest, Purpose, SentMessage};
 use crate::round::{Phase, Proposal, Vote};
 use crate::token::Token;
-use crate::transition::step;
+use crate::transition::transition;
 use crate::value::{ChangeStatus, Value};
 use crate::{Action, Record, Response, UnavailableReason};
 use basaltgw_types::{Member, ReplicaSet};
@@ -58,8 +58,8 @@
         request.round.replicas = placement.replicas;
         self.counters.rounds += 1;
         if let Some(prepared) = self.prepared.take(&request.key, placement.epoch) {
-            if let Ok(record) = step(Some(&prepared.value.record), &request.change) {
-                self.counters.short += 1;
+            if let Ok(record) = transition(Some(&prepared.value.record), &request.change) {
+                self.counters.one_phase_rounds += 1;
                 request.round.ballot = Some(prepared.next.clone());
                 let value = Value::after_change(record, Some(&prepared.value), prepared.next);
                 return self.propose(id, request, value, Proposal::Change, context);
@@ -267,7 +267,7 @@
             // The change was made, or may have been, and others followed: neither "committed" nor "not made" is certain.
             return self.fail(request, UnavailableReason::Contended, context);
         }
-        let applied = step(found.as_ref().map(|value| &value.record), &request.change);
+        let applied = transition(found.as_ref().map(|value| &value.record), &request.change);
         match (applied, found, request.round.ballot.clone()) {
             (Ok(record), found, Some(ballot)) => {
                 let value = Value::after_change(record, found.as_ref(), ballot);
--- a/crates/registers/src/registers.rs
+++ b/crates/registers/src/registers.rs
@@ -120,7 +120,7 @@
     }
 
     /// The numbers of batches and of records written so far.
-    pub fn stores(&self) -> (u64, u64) {
+    pub fn write_counts(&self) -> (u64, u64) {
         (self.acceptor.log.batch_count(), self.acceptor.log.record_count())
     }
 
@@ -315,8 +315,8 @@
         match origin {
             Origin::Router(number) => {
                 match &response {
-                    Response::Committed(_) => counters.kept += 1,
-                    Response::Conflict(_) => counters.stands += 1,
+                    Response::Committed(_) => counters.committed += 1,
+                    Response::Conflict(_) => counters.conflicts += 1,
                     Response::Unavailable { .. } => {}
                 }
                 context.act(Action::Respond(number, key, response));
--- a/crates/registers/src/settings.rs
+++ b/crates/registers/src/settings.rs
@@ -63,7 +63,7 @@
 
 impl Settings {
     /// For some hundreds of routers, with rounds of a few milliseconds.
-    pub fn usual() -> Self {
+    pub fn standard() -> Self {
         Self {
             max_open_requests: 4_096,
             max_registers: 200_000,
--- a/crates/registers/src/transition.rs
+++ b/crates/registers/src/transition.rs
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 /// If the change does not apply. [`Change::Read`] never applies, so that a reader gets the present record.
-pub fn step(current: Option<&Record>, change: &Change) -> Result<Record, InvalidTransition> {
+pub fn transition(current: Option<&Record>, change: &Change) -> Result<Record, InvalidTransition> {
     let next = match change {
         Change::Acquire(owner) => {
             next_term(current).map(|term| Record::Leased { owner: owner.clone(), term })
--- a/crates/registers/src/transition/tests.rs
+++ b/crates/registers/src/transition/tests.rs
@@ -68,7 +68,7 @@
 fn each_record_allows_exactly_the_listed_changes() {
     let allowed = |current: Option<&Record>| -> Vec<usize> {
         let all = changes();
-        (0..all.len()).filter(|i| step(current, &all[*i]).is_ok()).collect()
+        (0..all.len()).filter(|i| transition(current, &all[*i]).is_ok()).collect()
     };
     assert_eq!(allowed(None), [0, 1, 8, 9, 10, 12, 13, 14, 15, 16]);
     let rows: [&[usize]; 13] = [
@@ -106,7 +106,7 @@
     };
     for record in records() {
         for change in changes() {
-            if let Ok(next) = step(Some(&record), &change) {
+            if let Ok(next) = transition(Some(&record), &change) {
                 let stored_anew = record == Record::Tombstone && matches!(next, Record::Purged { .. });
                 assert!(stored_anew || progress(&next) > progress(&record), "{record:?} {change:?} {next:?}");
             }
--- a/crates/registers/tests/net/linearizability.rs
+++ b/crates/registers/tests/net/linearizability.rs
@@ -1,6 +1,6 @@
 //! Whether the responses to the requests for one record are linearizable (by stateright's tester).
 
-use super::api::{step, Change, Record, Response};
+use super::api::{transition, Change, Record, Response};
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
 /// The sequential specification: a record that one requester at a time uses.
@@ -12,7 +12,7 @@
     type Ret = Result<Record, Option<Record>>;
 
     fn invoke(&mut self, change: &Change) -> Self::Ret {
-        match step(self.0.as_ref(), change) {
+        match transition(self.0.as_ref(), change) {
             Ok(next) => {
                 self.0 = Some(next.clone());
                 Ok(next)
--- a/crates/registers/tests/net/mod.rs
+++ b/crates/registers/tests/net/mod.rs
@@ -5,7 +5,7 @@
 
 /// What the checker imports; unit tests of the crate provide it under the same name.
 mod api {
-    pub use basaltgw_registers::{step, Change, Record, Response};
+    pub use basaltgw_registers::{transition, Change, Record, Response};
 }
 
 use basaltgw_registers::{
@@ -155,7 +155,7 @@
             now: 0.0,
             nodes: members.into_iter().map(fresh).collect(),
             faults: Faults::none(),
-            settings: Settings { retransmit_interval_ms: 20.0, sync_pause_ms: 1.0, ..Settings::usual() },
+            settings: Settings { retransmit_interval_ms: 20.0, sync_pause_ms: 1.0, ..Settings::standard() },
             map,
             responses: Vec::new(),
             synced: Vec::new(),
--- a/crates/registers/tests/requests.rs
+++ b/crates/registers/tests/requests.rs
@@ -208,5 +208,5 @@
     net.run(10.0);
     // A message to each of the two others, and its reply.
     assert_eq!(net.messages - before, 4);
-    assert_eq!(net.nodes[0].registers.as_ref().map(|r| r.counters().short), Some(1));
+    assert_eq!(net.nodes[0].registers.as_ref().map(|r| r.counters().one_phase_rounds), Some(1));
 }
--- a/crates/registers/tests/untrusted_input.rs
+++ b/crates/registers/tests/untrusted_input.rs
@@ -32,7 +32,7 @@
 
 /// A router with a shard map and an open request, and the messages of the request.
 fn requesting() -> (Registers, Vec<(Member, Vec<u8>)>) {
-    let mut registers = open(0, Settings::usual());
+    let mut registers = open(0, Settings::standard());
     let mut actions = Vec::new();
     registers.handle(0.0, shard_map(1), &mut actions);
     registers.handle(0.0, Event::BatchStored(1, true), &mut actions);
@@ -91,7 +91,7 @@
 #[test]
 fn records_of_another_member_another_version_or_truncated_are_rejected_with_their_error() {
     let open = |me: &Member, records: Vec<(Vec<u8>, Vec<u8>)>| {
-        Registers::new(me.clone(), Settings::usual(), records, 1).map(|_| ())
+        Registers::new(me.clone(), Settings::standard(), records, 1).map(|_| ())
     };
     let me = members()[0].clone();
     assert_eq!(records().len(), 2);
@@ -113,12 +113,12 @@
 
 #[test]
 fn a_setting_out_of_range_is_named_in_the_error() {
-    assert_eq!(Settings::usual().check(), Ok(()));
+    assert_eq!(Settings::standard().check(), Ok(()));
     let invalid = [
-        (Settings { max_attempts: 0, ..Settings::usual() }, "most_tries"),
-        (Settings { retransmit_interval_ms: f64::NAN, ..Settings::usual() }, "again_ms"),
-        (Settings { tombstone_retention_ms: -1.0, ..Settings::usual() }, "late_ms"),
-        (Settings { max_retry_after_ms: 1.0, ..Settings::usual() }, "stay_away_most_ms"),
+        (Settings { max_attempts: 0, ..Settings::standard() }, "most_tries"),
+        (Settings { retransmit_interval_ms: f64::NAN, ..Settings::standard() }, "again_ms"),
+        (Settings { tombstone_retention_ms: -1.0, ..Settings::standard() }, "late_ms"),
+        (Settings { max_retry_after_ms: 1.0, ..Settings::standard() }, "stay_away_most_ms"),
     ];
     for (settings, field) in invalid {
         assert!(Registers::new(members()[0].clone(), settings, NO_RECORDS, 1)
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_request_whose_messages_were_not_written_fails_immediately_and_is_not_executed() {
-    let mut registers = open(0, Settings::usual());
+    let mut registers = open(0, Settings::standard());
     let mut actions = Vec::new();
     registers.handle(0.0, shard_map(1), &mut actions);
     registers.handle(0.0, acquire(), &mut actions);
@@ -221,7 +221,7 @@
 #[test]
 fn a_removed_register_still_rejects_ballots_below_its_promise() {
     let (_, sent) = requesting();
-    let settings = Settings { tombstone_retention_ms: 10.0, ..Settings::usual() };
+    let settings = Settings { tombstone_retention_ms: 10.0, ..Settings::standard() };
     let mut replica = open(1, settings);
     let mut actions = Vec::new();
     replica.handle(0.0, shard_map(1), &mut actions);
@@ -241,7 +241,7 @@
 fn two_runs_never_use_the_same_ballot() {
     let first_message = |records: Vec<(Vec<u8>, Vec<u8>)>| {
         let mut registers =
-            Registers::new(members()[0].clone(), Settings::usual(), records, 1).expect("own records");
+            Registers::new(members()[0].clone(), Settings::standard(), records, 1).expect("own records");
         let mut actions = Vec::new();
         registers.handle(0.0, shard_map(1), &mut actions);
         registers.handle(0.0, Event::BatchStored(1, true), &mut actions);
--- a/crates/storage/src/commit_summary.rs
+++ b/crates/storage/src/commit_summary.rs
@@ -85,12 +85,12 @@
     /// # Errors
     /// [`StorageError::LimitExceeded`] names the first one that is exceeded.
     pub fn check_limits(&self, limits: &Limits) -> Result<(), StorageError> {
-        if self.entries > limits.entries {
-            let (wanted, max) = (self.entries, limits.entries);
+        if self.entries > limits.max_entries {
+            let (wanted, max) = (self.entries, limits.max_entries);
             return Err(StorageError::LimitExceeded { limit: "entries of a store", wanted, max });
         }
-        if self.bytes > limits.bytes {
-            let (wanted, max) = (self.bytes, limits.bytes);
+        if self.bytes > limits.max_bytes {
+            let (wanted, max) = (self.bytes, limits.max_bytes);
             return Err(StorageError::LimitExceeded { limit: "bytes of a store", wanted, max });
         }
         Ok(())
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -38,11 +38,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Entries in all spaces.
-    pub entries: u64,
+    pub max_entries: u64,
     /// Bytes of keys and values in all spaces.
-    pub bytes: u64,
+    pub max_bytes: u64,
     /// Bytes of the longest key and value together.
-    pub entry: usize,
+    pub max_entry_bytes: usize,
 }
 
 /// A change of a batch.
@@ -77,11 +77,11 @@
 
 /// What a folder contained when it was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum FolderState {
     /// Nothing: a new store was created under this incarnation.
-    Empty(Incarnation),
+    New(Incarnation),
     /// A store of this incarnation.
-    Life(Incarnation),
+    Existing(Incarnation),
 }
 
 /// Keys and their values.
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -6,7 +6,7 @@
     current, database_path, lock, names, number_in, superblock_path, sync_folder, FolderLock,
 };
 use crate::superblock::{CommitMark, Superblock};
-use crate::{snapshot, Found, Limits, Pairs, Space, StorageError, Write};
+use crate::{snapshot, FolderState, Limits, Pairs, Space, StorageError, Write};
 use basaltgw_types::Incarnation;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -47,7 +47,11 @@
     ///
     /// # Errors
     /// [`StorageError`] tells what was found. Nothing is repaired, and no older version is used instead: see [`Store::quarantine`].
-    pub fn open(folder: &Path, limits: Limits, random_bits: u128) -> Result<(Self, Found), StorageError> {
+    pub fn open(
+        folder: &Path,
+        limits: Limits,
+        random_bits: u128,
+    ) -> Result<(Self, FolderState), StorageError> {
         std::fs::create_dir_all(folder).map_err(|e| StorageError::io(folder, &e))?;
         let lock = lock(folder)?;
         let names = names(folder)?;
@@ -64,7 +68,7 @@
         let incarnation = superblock.incarnation();
         let state = RefCell::new(DatabaseState::Writable(database));
         let store = Self { state, superblock, summary, limits, folder: folder.into(), _lock: lock };
-        Ok((store, if is_new { Found::Empty(incarnation) } else { Found::Life(incarnation) }))
+        Ok((store, if is_new { FolderState::New(incarnation) } else { FolderState::Existing(incarnation) }))
     }
 
     /// The incarnation of the store.
@@ -199,8 +203,8 @@
     if key_bytes > MAX_KEY_BYTES {
         return exceeded("bytes of a key", key_bytes, MAX_KEY_BYTES);
     }
-    if entry_bytes > limits.entry {
-        return exceeded("bytes of an entry", entry_bytes, limits.entry);
+    if entry_bytes > limits.max_entry_bytes {
+        return exceeded("bytes of an entry", entry_bytes, limits.max_entry_bytes);
     }
     Ok(())
 }
--- a/crates/storage/tests/bytes.rs
+++ b/crates/storage/tests/bytes.rs
@@ -1,10 +1,10 @@
 //! The names and bytes of a store's files, compared with those written down here.
 
-use basaltgw_storage::{Found, Limits, Space, Store, Write};
+use basaltgw_storage::{FolderState, Limits, Space, Store, Write};
 use redb::{ReadableDatabase, ReadableTable, TableDefinition};
 use std::fs;
 
-const LIMITS: Limits = Limits { entries: 1000, bytes: 1 << 20, entry: 4096 };
+const LIMITS: Limits = Limits { max_entries: 1000, max_bytes: 1 << 20, max_entry_bytes: 4096 };
 const BLOCK: usize = 4096;
 
 fn hex(bytes: &[u8]) -> String {
@@ -21,7 +21,7 @@
     let folder = tempfile::tempdir().unwrap();
     let incarnation = 0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10;
     let (mut store, found) = Store::open(folder.path(), LIMITS, incarnation).unwrap();
-    assert!(matches!(found, Found::Empty(_)));
+    assert!(matches!(found, FolderState::New(_)));
     let put = |space, key: &[u8], value: &[u8]| Write::Put(Space(space), key.to_vec(), value.to_vec());
     store.commit(&[put(1, b"key", b"value"), put(2, b"", b"other")]).unwrap();
     store.commit(&[put(3, b"k3", b""), Write::Remove(Space(2), Vec::new())]).unwrap();
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-const LIMITS: Limits = Limits { entries: 100_000, bytes: 64 << 20, entry: 1 << 20 };
+const LIMITS: Limits = Limits { max_entries: 100_000, max_bytes: 64 << 20, max_entry_bytes: 1 << 20 };
 const FOLDER: &str = "STORAGE_TEST_FOLDER";
 /// Entries of each batch.
 const BATCH_ENTRIES: u64 = 20;
@@ -123,7 +123,7 @@
             (any::<bool>(), proptest::collection::vec((any::<bool>(), 0..3u8, 0..6u8, 0..200usize), 0..6)), 1..12),
     ) {
         let folder = tempfile::tempdir().unwrap();
-        let limits = Limits { entries: 12, bytes: 1200, entry: 150 };
+        let limits = Limits { max_entries: 12, max_bytes: 1200, max_entry_bytes: 150 };
         let (mut store, _) = Store::open(folder.path(), limits, 1).unwrap();
         let mut model: BTreeMap<(u8, Vec<u8>), Vec<u8>> = BTreeMap::new();
         for (reopen, batch) in steps {
@@ -132,7 +132,7 @@
             let mut long = false;
             for (put, space, key, length) in batch {
                 let (key, value) = (vec![key; usize::from(key)], vec![key; length]);
-                long |= put && key.len() + length > limits.entry;
+                long |= put && key.len() + length > limits.max_entry_bytes;
                 match put {
                     true => next.insert((space, key.clone()), value.clone()),
                     false => next.remove(&(space, key.clone())),
--- a/crates/storage/tests/damaged_files.rs
+++ b/crates/storage/tests/damaged_files.rs
@@ -1,12 +1,12 @@
 //! Real files are damaged in every way: a store that opens has everything that was acknowledged.
 
-use basaltgw_storage::{read_snapshot, Found, Limits, Pairs, Space, StorageError, Store, Write};
+use basaltgw_storage::{read_snapshot, FolderState, Limits, Pairs, Space, StorageError, Store, Write};
 use basaltgw_types::Incarnation;
 use redb::ReadableTable;
 use std::fs;
 use std::path::Path;
 
-const LIMITS: Limits = Limits { entries: 1000, bytes: 1 << 20, entry: 4096 };
+const LIMITS: Limits = Limits { max_entries: 1000, max_bytes: 1 << 20, max_entry_bytes: 4096 };
 const SPACE: Space = Space(3);
 
 fn put(n: u64, value: &[u8]) -> Write {
@@ -16,7 +16,7 @@
 /// Creates a store with some commits, and closes it; returns its entries.
 fn create_store(folder: &Path) -> Pairs {
     let (mut store, found) = Store::open(folder, LIMITS, 7).unwrap();
-    assert_eq!(found, Found::Empty(Incarnation(7)));
+    assert_eq!(found, FolderState::New(Incarnation(7)));
     for round in 0..8 {
         let batch: Vec<Write> = (0..40).map(|n| put(n * 8 + round, &[round as u8; 300])).collect();
         store.commit(&batch).unwrap();
@@ -40,7 +40,7 @@
 
 fn open(folder: &Path) -> Result<Pairs, StorageError> {
     let (store, found) = Store::open(folder, LIMITS, 99)?;
-    assert_eq!(found, Found::Life(Incarnation(7)));
+    assert_eq!(found, FolderState::Existing(Incarnation(7)));
     store.read(SPACE)
 }
 
@@ -58,7 +58,7 @@
     fs::create_dir(folder.path().join("new")).unwrap();
     fs::write(folder.path().join("new/data"), "half").unwrap();
     let (store, found) = Store::open(folder.path(), LIMITS, 5).unwrap();
-    assert_eq!((found, store.size()), (Found::Empty(Incarnation(5)), (0, 0)));
+    assert_eq!((found, store.size()), (FolderState::New(Incarnation(5)), (0, 0)));
 }
 
 #[test]
@@ -240,7 +240,7 @@
 #[test]
 fn a_batch_over_a_limit_writes_nothing() {
     let folder = tempfile::tempdir().unwrap();
-    let limits = Limits { entries: 2, bytes: 40, entry: 30 };
+    let limits = Limits { max_entries: 2, max_bytes: 40, max_entry_bytes: 30 };
     let (mut store, _) = Store::open(folder.path(), limits, 1).unwrap();
     store.commit(&[put(1, b"a"), put(2, b"b")]).unwrap();
     for over in [vec![put(3, b"c")], vec![put(1, &[0; 23])], vec![put(1, &[0; 20]), put(2, &[0; 20])]] {
@@ -267,7 +267,7 @@
     assert!(matches!(open(folder.path()), Err(StorageError::Truncated { .. })));
     let quarantined = Store::quarantine(folder.path()).unwrap().unwrap();
     let (store, found) = Store::open(folder.path(), LIMITS, 5).unwrap();
-    assert_eq!((found, store.size()), (Found::Empty(Incarnation(5)), (0, 0)));
+    assert_eq!((found, store.size()), (FolderState::New(Incarnation(5)), (0, 0)));
     let snapshots: Vec<_> = fs::read_dir(&quarantined).unwrap().map(|e| e.unwrap().path()).collect();
     let mut snapshots: Vec<_> =
         snapshots.iter().filter(|p| p.to_string_lossy().contains("generation")).collect();
--- a/crates/transport/src/byte_tests.rs
+++ b/crates/transport/src/byte_tests.rs
@@ -47,7 +47,7 @@
         (Kind::Lane(Lane::Table), b"ab", "000000033fb9f49e126162"),
         (Kind::Lane(Lane::ScatterGather), b"ab", "000000033e7b9ea9136162"),
     ];
-    let mut codec = Codec { most: 100 };
+    let mut codec = Codec { max_body_bytes: 100 };
     for (kind, body, expected) in cases {
         let mut bytes = BytesMut::new();
         codec.encode((kind, body), &mut bytes).expect("a short body");
--- a/crates/transport/src/codec.rs
+++ b/crates/transport/src/codec.rs
@@ -97,7 +97,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
     /// The longest body of a user's frame, in bytes. 0 during the handshake, so that only control frames are read.
-    pub most: usize,
+    pub max_body_bytes: usize,
 }
 
 impl Encoder for Codec {
@@ -105,7 +105,7 @@
     type Error = BadFrame;
 
     fn encode(&mut self, (kind, body): Self::Item<'_>, to: &mut BytesMut) -> Result<(), BadFrame> {
-        let most = kind.max_body_bytes(self.most);
+        let most = kind.max_body_bytes(self.max_body_bytes);
         let length = u32::try_from(body.len() + 1).ok().filter(|_| body.len() <= most);
         let length = length.ok_or(BadFrame::Length { found: body.len() + 1, most: most + 1 })?;
         to.reserve(HEADER_BYTES + 1 + body.len());
@@ -127,7 +127,7 @@
         // The longest length follows from the kind, and is checked before memory is reserved.
         let Some(number) = from.get(HEADER_BYTES).copied() else { return Ok(None) };
         let kind = Kind::from_number(number).ok_or(BadFrame::Kind(number))?;
-        let most = kind.max_body_bytes(self.most) + 1;
+        let most = kind.max_body_bytes(self.max_body_bytes) + 1;
         if found == 0 || found > most {
             return Err(BadFrame::Length { found, most });
         }
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -10,7 +10,8 @@
 use crate::frame_stream::{FrameStream, TimedReader};
 use crate::handshake::{handshake, EstablishedLink, HandshakeError};
 use crate::limits::{
-    FRAME_TIMEOUT, GOOD, HELLO, MAX_CONTROL_FRAMES_PER_SECOND, MAX_READ_BYTES_PER_SECOND, WRITE_TIMEOUT,
+    FRAME_TIMEOUT, HANDSHAKE_TIMEOUT, MAX_CONTROL_FRAMES_PER_SECOND, MAX_READ_BYTES_PER_SECOND,
+    STABLE_LINK_AGE, WRITE_TIMEOUT,
 };
 use crate::{Lane, LinkError};
 use async_io::{Async, Timer};
@@ -53,9 +54,9 @@
     let stream = Rc::new(stream);
     let last_received = Rc::new(Cell::new(Instant::now()));
     let reader = TimedReader::new(stream.clone(), last_received.clone());
-    let mut frames = FramedRead::new(reader, Codec { most: 0 });
+    let mut frames = FramedRead::new(reader, Codec { max_body_bytes: 0 });
     let timeout = async {
-        Timer::after(HELLO).await;
+        Timer::after(HANDSHAKE_TIMEOUT).await;
         Err(HandshakeError::TimedOut)
     };
     let established = future::or(handshake(manager, &stream, &mut frames, dialled), timeout).await;
@@ -121,7 +122,7 @@
     let error = Cell::new(LinkError::ConnectionLost);
     let guard = LinkGuard { manager: manager.clone(), link: link.clone(), error };
     let established_at = Instant::now();
-    frames.decoder_mut().most = manager.limits.max_frame_bytes;
+    frames.decoder_mut().max_body_bytes = manager.limits.max_frame_bytes;
     last_received.set(established_at);
     let replaced = async {
         let listener = link.went_down.listen();
@@ -135,7 +136,7 @@
     let error = future::or(replaced, future::or(reading, writing)).await;
     guard.error.set(if link.is_closing.get() { LinkError::Idle } else { error });
     drop(guard);
-    match established_at.elapsed() >= GOOD {
+    match established_at.elapsed() >= STABLE_LINK_AGE {
         true => ConnectionEnd::Stable,
         false => ConnectionEnd::ShortLived,
     }
@@ -272,7 +273,7 @@
     stream: &Async<TcpStream>,
     mut bytes: BytesMut,
 ) -> LinkError {
-    let mut codec = Codec { most: manager.limits.max_frame_bytes };
+    let mut codec = Codec { max_body_bytes: manager.limits.max_frame_bytes };
     loop {
         if let Err(error) = write_bytes(manager, stream, &bytes).await {
             return error;
@@ -357,7 +358,7 @@
 /// Closes the writing side. What the peer has written is still read; the peer closes when it reads the close frame, within a timeout.
 async fn half_close(stream: &Async<TcpStream>) -> LinkError {
     if stream.get_ref().shutdown(Shutdown::Write).is_ok() {
-        Timer::after(HELLO).await;
+        Timer::after(HANDSHAKE_TIMEOUT).await;
     }
     LinkError::Idle
 }
--- a/crates/transport/src/connection_manager.rs
+++ b/crates/transport/src/connection_manager.rs
@@ -1,6 +1,6 @@
 //! The state that the tasks of the transport's thread share: the listed peers, the links that are up, the users' endpoints.
 
-use crate::counters::{increment, Counts};
+use crate::counters::{increment, Counters};
 use crate::dialling::Dials;
 use crate::limits::MAX_LOGGED_REJECTIONS;
 use crate::priority_queues::{PriorityQueues, QueuedFrame, UserIndex};
@@ -84,7 +84,7 @@
     pub dials: Dials,
     pub links: RefCell<BTreeMap<RouterId, Rc<Link>>>,
     pub endpoints: [RefCell<UserEndpoint>; 2],
-    pub counts: Arc<Counts>,
+    pub counts: Arc<Counters>,
     pub rng: RefCell<fastrand::Rng>,
     /// Accepted connections without a complete handshake.
     pub in_handshake: Cell<usize>,
@@ -99,7 +99,7 @@
 }
 
 impl ConnectionManager {
-    pub fn new(config: ManagerConfig, endpoints: [UserEndpoint; 2], counts: Arc<Counts>) -> Self {
+    pub fn new(config: ManagerConfig, endpoints: [UserEndpoint; 2], counts: Arc<Counters>) -> Self {
         let ManagerConfig { me, listed, limits, settings } = config;
         Self {
             rng: RefCell::new(fastrand::Rng::with_seed(me.session_id)),
--- a/crates/transport/src/counters.rs
+++ b/crates/transport/src/counters.rs
@@ -7,11 +7,11 @@
     ($($(#[$doc:meta])* $name:ident,)*) => {
         /// Counters of the links, printed as `name=value` pairs. A counter's printed name is that of its field.
         #[derive(Debug, Default)]
-        pub struct Counts {
+        pub struct Counters {
             $($(#[$doc])* pub $name: AtomicU64,)*
         }
 
-        impl Counts {
+        impl Counters {
             /// All names and values, in this order.
             pub fn all(&self) -> Vec<(&'static str, u64)> {
                 vec![$((stringify!($name), self.$name.load(Relaxed)),)*]
@@ -85,7 +85,7 @@
     counter.fetch_add(amount as u64, Relaxed);
 }
 
-impl fmt::Display for Counts {
+impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, (name, value)) in self.all().into_iter().enumerate() {
             write!(f, "{}{name}={value}", if index > 0 { " " } else { "" })?;
--- a/crates/transport/src/handshake.rs
+++ b/crates/transport/src/handshake.rs
@@ -97,7 +97,7 @@
         let mut bytes = BytesMut::new();
         for kind in kinds {
             let body = if *kind == Kind::Hello { &hello[..] } else { &[] };
-            let encoded = Codec { most: 0 }.encode((*kind, body), &mut bytes);
+            let encoded = Codec { max_body_bytes: 0 }.encode((*kind, body), &mut bytes);
             encoded.map_err(|e| failed(e.to_string()))?;
         }
         Ok(bytes)
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -22,7 +22,7 @@
 mod thread;
 mod user_endpoint;
 
-pub use counters::Counts;
+pub use counters::Counters;
 pub use port::{CommandError, Links, Port, TransportEnded, TransportHandle, TransportUser};
 pub use settings::{DialPolicy, Settings};
 pub use thread::start;
--- a/crates/transport/src/limits.rs
+++ b/crates/transport/src/limits.rs
@@ -3,29 +3,29 @@
 use std::time::Duration;
 
 /// The timeout of a connect: on one site a response takes milliseconds, and a machine that has vanished never responds.
-pub const CONNECT: Duration = Duration::from_millis(1000);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The timeout of a handshake, so that a silent connection does not occupy a slot.
-pub const HELLO: Duration = Duration::from_millis(1000);
+pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The interval of keepalive frames on a link without other frames; four may be lost or late before [`SILENT`].
-pub const KEEPALIVE: Duration = Duration::from_millis(250);
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(250);
 /// The time without a byte after which a link is considered down: its shards wait for a peer that has vanished.
-pub const SILENT: Duration = Duration::from_millis(1000);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The time in which a frame must be complete, so that a peer that sends single bytes is considered silent.
 pub const FRAME_TIMEOUT: Duration = Duration::from_millis(5000);
 /// The least time without progress after which a write fails; longer than [`SILENT`], for a peer that only pauses reading.
 pub const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// The first backoff between two dials; doubled up to [`DIAL_MOST`], with jitter from half to the whole.
-pub const DIAL_FIRST: Duration = Duration::from_millis(50);
+pub const MIN_DIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest backoff between two dials: a router that returns is linked within a second.
-pub const DIAL_MOST: Duration = Duration::from_millis(1000);
+pub const MAX_DIAL_BACKOFF: Duration = Duration::from_millis(1000);
 /// The age of a link after which the dial backoff is reset.
-pub const GOOD: Duration = Duration::from_millis(1000);
+pub const STABLE_LINK_AGE: Duration = Duration::from_millis(1000);
 /// The time in which queued frames are written at shutdown.
 pub const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 /// The longest body of the transport's own frames: three names of 64 bytes, a hash and numbers fit several times.
 pub const MAX_CONTROL_FRAME_BYTES: usize = 1024;
 /// Accepted connections without a complete handshake; further ones are closed at once. A fleet has at most as many routers that dial.
-pub const UNKNOWN: usize = 64;
+pub const MAX_CONNECTIONS_IN_HANDSHAKE: usize = 64;
 /// Bytes read from one link in a second: four times what a line of 100 Mbit/s brings.
 pub const MAX_READ_BYTES_PER_SECOND: usize = 48 << 20;
 /// Control frames from one link in a second; a correct peer sends four, and one for each table.
@@ -37,7 +37,7 @@
 /// Commands executed before other tasks run.
 pub const COMMAND_BATCH: usize = 64;
 /// Frames of each lane that are written in a turn while all lanes have some, in the order of [`crate::Lane`].
-pub const TURN: [u32; 4] = [8, 4, 2, 1];
+pub const LANE_QUOTAS: [u32; 4] = [8, 4, 2, 1];
 /// The pause after a failed accept, mostly for lack of descriptors, which are freed when something is closed.
 pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Reasons of rejected connections that are logged; each is logged once.
--- a/crates/transport/src/port.rs
+++ b/crates/transport/src/port.rs
@@ -1,6 +1,6 @@
 //! The rings between the transport's thread and its two users, as the users see them.
 
-use crate::counters::Counts;
+use crate::counters::Counters;
 use crate::{Lane, Limits, LinkCommand, LinkEvent};
 use async_channel::Sender;
 use rtrb::{Consumer, Producer, PushError};
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct TransportHandle {
     pub(crate) thread: JoinHandle<()>,
-    pub(crate) counts: Arc<Counts>,
+    pub(crate) counters: Arc<Counters>,
     pub(crate) address: SocketAddr,
 }
 
@@ -66,7 +66,7 @@
 
 impl TransportHandle {
     /// True if the thread has ended, for whatever reason.
-    pub fn ended(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.thread.is_finished()
     }
 
@@ -79,8 +79,8 @@
     }
 
     /// The counters.
-    pub fn counts(&self) -> Arc<Counts> {
-        self.counts.clone()
+    pub fn counters(&self) -> Arc<Counters> {
+        self.counters.clone()
     }
 
     /// The address on which links are accepted.
@@ -148,7 +148,7 @@
     /// # Errors
     /// [`CommandError`] with the command, at once.
     pub fn send(&mut self, command: LinkCommand) -> Result<(), CommandError> {
-        if self.ended() {
+        if self.has_ended() {
             return Err(CommandError::Ended(command));
         }
         let Limits { max_frame_bytes, max_queued_bytes, .. } = self.limits;
@@ -169,7 +169,7 @@
     }
 
     /// True if the transport's thread has ended: [`Port::next`] returns only what is already queued.
-    pub fn ended(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.events.is_abandoned()
     }
 }
--- a/crates/transport/src/priority_queues.rs
+++ b/crates/transport/src/priority_queues.rs
@@ -1,6 +1,6 @@
 //! The send queues of a link: one for each lane, bounded by itself, written by weighted round-robin.
 
-use crate::limits::TURN;
+use crate::limits::LANE_QUOTAS;
 use crate::{Lane, Limits};
 use std::collections::VecDeque;
 
@@ -72,7 +72,7 @@
     /// The next frame: of the first lane that has frames and quota left. The quotas are renewed once no lane has both.
     pub fn pop(&mut self) -> Option<QueuedFrame> {
         if !self.queues.iter().any(Queue::is_ready) {
-            for (queue, quota) in self.queues.iter_mut().zip(TURN) {
+            for (queue, quota) in self.queues.iter_mut().zip(LANE_QUOTAS) {
                 queue.quota = quota;
             }
         }
--- a/crates/transport/src/priority_queues/tests.rs
+++ b/crates/transport/src/priority_queues/tests.rs
@@ -16,7 +16,7 @@
     let order: Vec<QueuedFrame> = std::iter::from_fn(|| queues.pop()).collect();
     assert_eq!(order.len(), 120);
     let turn: Vec<Lane> = order.iter().take(15).map(|f| f.lane).collect();
-    let expected = LANES.iter().zip(TURN).flat_map(|(l, n)| vec![*l; n as usize]);
+    let expected = LANES.iter().zip(LANE_QUOTAS).flat_map(|(l, n)| vec![*l; n as usize]);
     assert_eq!(turn, expected.collect::<Vec<_>>());
     for lane in LANES {
         let numbers: Vec<u64> = order.iter().filter(|f| f.lane == lane).map(|f| f.number).collect();
--- a/crates/transport/src/settings.rs
+++ b/crates/transport/src/settings.rs
@@ -1,6 +1,6 @@
 //! Which routers are dialled, and when a link is considered down.
 
-use crate::limits::{KEEPALIVE, SILENT};
+use crate::limits::{KEEPALIVE_INTERVAL, PEER_TIMEOUT};
 use std::time::Duration;
 
 /// Keepalives in a peer timeout at the least: two may be lost or late.
@@ -31,7 +31,11 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { dial_policy: DialPolicy::All, keepalive_interval: KEEPALIVE, peer_timeout: SILENT }
+        Self {
+            dial_policy: DialPolicy::All,
+            keepalive_interval: KEEPALIVE_INTERVAL,
+            peer_timeout: PEER_TIMEOUT,
+        }
     }
 }
 
--- a/crates/transport/src/thread.rs
+++ b/crates/transport/src/thread.rs
@@ -2,10 +2,10 @@
 
 use crate::connection::{run_connection, ConnectionEnd};
 use crate::connection_manager::{ConnectionManager, ManagerConfig, SessionHello};
-use crate::counters::{increment, Counts};
+use crate::counters::{increment, Counters};
 use crate::limits::{
-    ACCEPT_RETRY_DELAY, COMMAND_BATCH, CONNECT, DIAL_FIRST, DIAL_MOST, MAX_CLOSED_HANDSHAKES,
-    SHUTDOWN_TIMEOUT, UNKNOWN,
+    ACCEPT_RETRY_DELAY, COMMAND_BATCH, CONNECT_TIMEOUT, MAX_CLOSED_HANDSHAKES, MAX_CONNECTIONS_IN_HANDSHAKE,
+    MAX_DIAL_BACKOFF, MIN_DIAL_BACKOFF, SHUTDOWN_TIMEOUT,
 };
 use crate::port::{Links, TransportHandle, TransportUser};
 use crate::priority_queues::{UserIndex, LANES};
@@ -52,7 +52,7 @@
     let listener = TcpListener::bind(listen)?;
     let address = listener.local_addr()?;
     let listener = Async::new(listener)?;
-    let counts = Arc::new(Counts::default());
+    let counts = Arc::new(Counters::default());
     let [first, second] = users.map(|user| create_port(user, &limits));
     let PortPair { port: first_port, endpoint: first_endpoint } = first;
     let PortPair { port: second_port, endpoint: second_endpoint } = second;
@@ -63,7 +63,7 @@
         run(listener, ConnectionManager::new(config, [first_endpoint, second_endpoint], thread_counts));
     };
     let thread = std::thread::Builder::new().name("peers".into()).spawn(run_thread)?;
-    let handle = TransportHandle { thread, counts, address };
+    let handle = TransportHandle { thread, counters: counts, address };
     Ok(Links { ports: (first_port, second_port), handle })
 }
 
@@ -153,7 +153,7 @@
 /// Starts the task of an accepted connection, unless too many are in their handshake.
 fn on_accepted(stream: Async<TcpStream>, tasks: &LocalExecutor<'_>, manager: &Rc<ConnectionManager>) {
     increment(&manager.counts.peer_accepted);
-    if manager.in_handshake.get() >= UNKNOWN {
+    if manager.in_handshake.get() >= MAX_CONNECTIONS_IN_HANDSHAKE {
         increment(&manager.counts.peer_no_place);
         return;
     }
@@ -247,7 +247,7 @@
 /// Dials a router with backoff while it is wanted and has no link.
 async fn dial_while_wanted(manager: Rc<ConnectionManager>, name: RouterId) {
     let Some(address) = manager.listed.get(&name).map(|l| l.address) else { return };
-    let (mut backoff, mut closed_handshakes) = (DIAL_FIRST, 0);
+    let (mut backoff, mut closed_handshakes) = (MIN_DIAL_BACKOFF, 0);
     while !manager.is_shutting_down.get() {
         let listener = manager.changed.listen();
         if manager.end_dial_task_if_unwanted(&name) {
@@ -268,11 +268,11 @@
             manager.on_dial_failed(&name);
         }
         if end == ConnectionEnd::Stable {
-            backoff = DIAL_FIRST;
+            backoff = MIN_DIAL_BACKOFF;
         }
         let jitter = 0.5 + 0.5 * manager.rng.borrow_mut().f64();
         Timer::after(backoff.mul_f64(jitter)).await;
-        backoff = (backoff * 2).min(DIAL_MOST);
+        backoff = (backoff * 2).min(MAX_DIAL_BACKOFF);
     }
 }
 
@@ -288,7 +288,7 @@
     }
     increment(&manager.counts.peer_dialled);
     let timeout = async {
-        Timer::after(CONNECT).await;
+        Timer::after(CONNECT_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
     };
     match future::or(Async::<TcpStream>::connect(address), timeout).await {
--- a/crates/transport/tests/codec.rs
+++ b/crates/transport/tests/codec.rs
@@ -34,7 +34,8 @@
 
 /// Decodes bytes that arrive in pieces; the flag is false if an error ended it.
 fn read(bytes: &[u8], piece: usize) -> (Vec<Frame>, bool) {
-    let (mut codec, mut buffer, mut frames) = (Codec { most: MAX_BODY_BYTES }, BytesMut::new(), vec![]);
+    let (mut codec, mut buffer, mut frames) =
+        (Codec { max_body_bytes: MAX_BODY_BYTES }, BytesMut::new(), vec![]);
     for piece in bytes.chunks(piece) {
         buffer.extend_from_slice(piece);
         loop {
@@ -53,7 +54,7 @@
 fn written(frames: &[Frame]) -> BytesMut {
     let mut bytes = BytesMut::new();
     for frame in frames {
-        Codec { most: MAX_BODY_BYTES }.encode((frame.kind, &frame.body), &mut bytes).unwrap();
+        Codec { max_body_bytes: MAX_BODY_BYTES }.encode((frame.kind, &frame.body), &mut bytes).unwrap();
     }
     bytes
 }
@@ -93,14 +94,16 @@
         [(Kind::Alive, 1), (Kind::Hello, 1025), (Kind::Lane(Lane::Registers), MAX_BODY_BYTES + 1)]
     {
         let body = vec![0; length];
-        assert!(Codec { most: MAX_BODY_BYTES }.encode((kind, &body), &mut BytesMut::new()).is_err());
+        assert!(Codec { max_body_bytes: MAX_BODY_BYTES }
+            .encode((kind, &body), &mut BytesMut::new())
+            .is_err());
         // It is not decoded or buffered either, if a peer sends it.
         let mut bytes = BytesMut::new();
-        Codec { most: 100 * MAX_BODY_BYTES }
+        Codec { max_body_bytes: 100 * MAX_BODY_BYTES }
             .encode((Kind::Lane(Lane::Registers), &body), &mut bytes)
             .unwrap();
         bytes[8] = [0, 1, 17][[1, 1025, MAX_BODY_BYTES + 1].iter().position(|l| *l == length).unwrap()];
         bytes.truncate(9);
-        assert!(Codec { most: MAX_BODY_BYTES }.decode(&mut bytes).is_err(), "{kind:?}");
+        assert!(Codec { max_body_bytes: MAX_BODY_BYTES }.decode(&mut bytes).is_err(), "{kind:?}");
     }
 }
--- a/crates/transport/tests/on_loopback/common.rs
+++ b/crates/transport/tests/on_loopback/common.rs
@@ -91,7 +91,7 @@
     }
 
     pub fn count(&self, name: &str) -> u64 {
-        self.handle.counts().all().into_iter().find(|(n, _)| *n == name).unwrap().1
+        self.handle.counters().all().into_iter().find(|(n, _)| *n == name).unwrap().1
     }
 }
 
@@ -186,7 +186,9 @@
     /// The next frame; `None` if the connection is closed.
     pub fn read(&mut self) -> Option<Frame> {
         loop {
-            if let Some(frame) = (Codec { most: LIMITS.max_frame_bytes }).decode(&mut self.buffer).unwrap() {
+            if let Some(frame) =
+                (Codec { max_body_bytes: LIMITS.max_frame_bytes }).decode(&mut self.buffer).unwrap()
+            {
                 return Some(frame);
             }
             let mut some = [0; 4096];
@@ -209,6 +211,6 @@
 
 pub fn bytes(kind: Kind, body: &[u8]) -> BytesMut {
     let mut bytes = BytesMut::new();
-    Codec { most: LIMITS.max_frame_bytes }.encode((kind, body), &mut bytes).unwrap();
+    Codec { max_body_bytes: LIMITS.max_frame_bytes }.encode((kind, body), &mut bytes).unwrap();
     bytes
 }
--- a/crates/transport/tests/on_loopback/links.rs
+++ b/crates/transport/tests/on_loopback/links.rs
@@ -101,9 +101,9 @@
         assert_eq!(receive(&mut a.copies, &b.me), (Lane::Registers, vec![number; 1000]));
     }
     down(&mut a.copies, &b.me);
-    wait("the end", || b.handle.ended().then_some(()));
+    wait("the end", || b.handle.has_ended().then_some(()));
     assert!(
-        b.owner.ended()
+        b.owner.has_ended()
             && matches!(b.owner.send(LinkCommand::Shutdown), Err(CommandError::Ended(LinkCommand::Shutdown)))
     );
     assert_eq!(b.handle.join(), Ok(()));
@@ -131,6 +131,6 @@
             .unwrap();
     let (mut one, two, handle) = links.split();
     send(&mut one, 1, &member("b", 1), Lane::Registers, b"");
-    wait("the end", || two.ended().then_some(()));
+    wait("the end", || two.has_ended().then_some(()));
     assert_eq!(handle.join().unwrap_err().0, "woken");
 }
