--- a/crates/node/src/connection/state.rs
+++ b/crates/node/src/connection/state.rs
@@ -60,25 +60,26 @@
         use ConnectionEvent as E;
         use ConnectionPhase::{Closed, Closing, HalfClosed, Open};
         match (self, event) {
-            (Open { queued: on_way, close_requested: asked }, E::Enqueued) => {
-                Open { queued: on_way.saturating_add(1), close_requested: asked }
+            (Open { queued, close_requested }, E::Enqueued) => {
+                Open { queued: queued.saturating_add(1), close_requested }
             }
             // A message that crossed the close request is answered, and the request lapses.
-            (Open { queued: on_way, .. }, E::Dequeued) => {
-                Open { queued: on_way.saturating_sub(1), close_requested: None }
+            (Open { queued, .. }, E::Dequeued) => {
+                Open { queued: queued.saturating_sub(1), close_requested: None }
             }
-            (Open { queued: on_way, close_requested: asked }, E::CloseRequested(why)) => {
-                Open { queued: on_way, close_requested: asked.or(Some(why)) }
+            (Open { queued, close_requested }, E::CloseRequested(why)) => {
+                Open { queued, close_requested: close_requested.or(Some(why)) }
             }
-            (Open { queued: on_way, close_requested: asked }, E::AtRest) => {
-                let may = may_close(&CloseState { wanted: asked.is_some(), queued_messages: on_way });
+            (Open { queued, close_requested }, E::AtRest) => {
+                let may =
+                    may_close(&CloseState { wanted: close_requested.is_some(), queued_messages: queued });
                 if may.is_ok() || broken(Break::CloseOverRequest) {
                     Closing
                 } else {
-                    Open { queued: on_way, close_requested: None }
+                    Open { queued, close_requested: None }
                 }
             }
-            (Open { queued: on_way, .. }, E::MidMessage) => Open { queued: on_way, close_requested: None },
+            (Open { queued, .. }, E::MidMessage) => Open { queued, close_requested: None },
             (Open { .. }, E::ReadStopped | E::Dropped) => Closing,
             // The owner dropped the outbox without an event: no one is left to queue messages for.
             (Open { .. } | Closing, E::WriteShutdown) => HalfClosed,
@@ -182,7 +183,7 @@
     /// Why the owner wants it closed, while that request is undecided.
     pub fn close_reason(&self) -> Option<IdleReason> {
         match self.phase() {
-            ConnectionPhase::Open { close_requested: asked, .. } => asked,
+            ConnectionPhase::Open { close_requested, .. } => close_requested,
             ConnectionPhase::Closing | ConnectionPhase::HalfClosed | ConnectionPhase::Closed => None,
         }
     }
@@ -199,12 +200,12 @@
     /// Decides a close request when the reader finds the socket empty; `partial_for` is the age of a partial message. Returns why the
     /// reader stops, or `None` if it goes on.
     pub fn decide_close(&self, partial_for: Option<Duration>) -> Option<CloseReason> {
-        let asked = self.close_reason();
+        let requested = self.close_reason();
         // Shutdown waits for a partial message for a bounded time only.
         let mid_message = partial_for
-            .is_some_and(|age| asked != Some(IdleReason::Shutdown) || age < PARTIAL_MESSAGE_AT_SHUTDOWN);
+            .is_some_and(|age| requested != Some(IdleReason::Shutdown) || age < PARTIAL_MESSAGE_AT_SHUTDOWN);
         let event = if mid_message { ConnectionEvent::MidMessage } else { ConnectionEvent::AtRest };
-        (!self.apply(event).reads()).then_some(asked.map_or(CloseReason::Dropped, CloseReason::IdleClose))
+        (!self.apply(event).reads()).then_some(requested.map_or(CloseReason::Dropped, CloseReason::IdleClose))
     }
 
     /// Notes a decoded message that the reader is about to queue; false if the connection no longer takes any.
--- a/crates/node/src/outbox/fetch_terms.rs
+++ b/crates/node/src/outbox/fetch_terms.rs
@@ -71,10 +71,10 @@
 
 impl SendConditions {
     /// Conditions of time and client only, without invariant checks.
-    pub fn unwatched(begin_by: Option<Instant>, wanted: Option<RequestLiveness>) -> Self {
+    pub fn unwatched(begin_by: Option<Instant>, liveness: Option<RequestLiveness>) -> Self {
         Self {
             begin_by,
-            liveness: wanted,
+            liveness,
             times: None,
             drained: Rc::default(),
             drain_grace: Duration::ZERO,
@@ -104,7 +104,7 @@
                 .drained
                 .get()
                 .and_then(|since| now.saturating_duration_since(since).checked_sub(self.drain_grace)),
-            timeout_ms: timeout_ms,
+            timeout_ms,
             client_time_left_ms: millis(time.client_deadline.saturating_duration_since(now)),
         };
         let (request, attempt) = self.ids;
--- a/crates/node/src/outbox/mod.rs
+++ b/crates/node/src/outbox/mod.rs
@@ -136,7 +136,7 @@
         Rc::new(OutgoingMessage { delivery_state: Cell::new(DeliveryState::Queued), fetch, bytes })
     }
 
-    /// Queues a message that was made with `hold`.
+    /// Queues a message that was made with `make_held`.
     pub fn release(&self, message: &Rc<OutgoingMessage>) {
         if self.queue.try_send(Rc::clone(message)).is_err() {
             // The connection is closed; nothing of this will be written.
--- a/crates/node/tests/connection_state.rs
+++ b/crates/node/tests/connection_state.rs
@@ -108,8 +108,8 @@
             }
             let after = connection.phase();
             prop_assert!(rank(after) >= rank(before), "{before:?} {step:?} {after:?}");
-            if let ConnectionPhase::Open { queued: on_way, close_requested: close_requested } = after {
-                prop_assert_eq!((on_way, close_requested), (queued, asked));
+            if let ConnectionPhase::Open { queued: in_queue, close_requested } = after {
+                prop_assert_eq!((in_queue, close_requested), (queued, asked));
             }
             let half_closed = rank(after) >= 2 && rank(before) < 2;
             prop_assert!(!half_closed || matches!(step, Step::WriterShutsDown | Step::Closed));
