--- a/crates/control/tests/control/network/overlay.rs
+++ b/crates/control/tests/control/network/overlay.rs
@@ -26,7 +26,7 @@
     let list = || RouterList::new(1, Shape::default(), (0..count).map(entry).collect()).expect("a list");
     let times = OverlaySettings {
         batch_interval: BATCH_MS,
-        retention: retention,
+        retention,
         purge_convergence_time: retention / 2.0,
         budget_bytes_per_s: 20_000.0,
     };
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -49,7 +49,7 @@
     /// If it is longer or malformed, has bytes left over, or an identity in it is invalid.
     pub fn decode(bytes: &[u8], max_bytes: usize) -> Result<Self, MembershipError> {
         if bytes.len() > max_bytes {
-            return Err(MembershipError::TooLong { max_bytes: max_bytes, found_bytes: bytes.len() });
+            return Err(MembershipError::TooLong { max_bytes, found_bytes: bytes.len() });
         }
         let (message, rest): (Self, _) = postcard::take_from_bytes(bytes)
             .map_err(|e| malformed(format!("expected a hello or a SWIM message: {e}")))?;
--- a/crates/node/src/fleet/overlay.rs
+++ b/crates/node/src/fleet/overlay.rs
@@ -23,7 +23,7 @@
     let times = OverlaySettings {
         batch_interval: overlay.batch_ms,
         retention: overlay.keep(purge_convergence_time)?,
-        purge_convergence_time: purge_convergence_time,
+        purge_convergence_time,
         budget_bytes_per_s: overlay.budget_bytes_per_s,
     };
     let entry = |router: &RouterId, s: &Standing| RouterEntry {
