--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -137,7 +137,7 @@
     /// Moves a damaged store to `damaged-N`, so that a new one can be created under another incarnation. To be requested by an operator.
     ///
     /// # Errors
-    /// [`StorageError::Locked`] if the store is open, [`StorageError::LimitExceeded`] if [`MAX_QUARANTINED`] are there,
+    /// [`StorageError::Locked`] if the store is open, [`StorageError::LimitExceeded`] if 16 quarantined stores are there,
     /// [`StorageError::Io`].
     pub fn quarantine(folder: &Path) -> Result<Option<PathBuf>, StorageError> {
         let _lock = lock(folder)?;
