--- a/crates/transport/src/connection_manager.rs
+++ b/crates/transport/src/connection_manager.rs
@@ -1,7 +1,7 @@
 //! The state that the tasks of the transport's thread share: the listed peers, the links that are up, the users' endpoints.
 
 use crate::counters::{increment, Counters};
-use crate::dialling::Dials;
+use crate::dials::Dials;
 use crate::limits::MAX_LOGGED_REJECTIONS;
 use crate::priority_queues::{PriorityQueues, QueuedFrame, UserIndex};
 use crate::user_endpoint::UserEndpoint;
--- a/crates/transport/src/dialling.rs
+++ b/crates/transport/src/dialling.rs
@@ -9,25 +9,8 @@
 use crate::priority_queues::UserIndex;
 use crate::{DialPolicy, LinkEvent};
 use basaltgw_types::RouterId;
-use event_listener::Event;
-use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// The dials of on-demand links.
-#[derive(Default)]
-pub struct Dials {
-    /// Which of the users want a router.
-    wanted_by: RefCell<BTreeMap<RouterId, [bool; 2]>>,
-    /// Routers that have a dial task, or will have one.
-    with_task: RefCell<BTreeSet<RouterId>>,
-    /// Routers whose dial task is to be started.
-    to_start: RefCell<VecDeque<RouterId>>,
-    /// Dials in progress.
-    active: Cell<usize>,
-    slot_freed: Event,
-}
-
 /// A slot among the concurrent dials; freed when dropped.
 pub struct DialSlot(Rc<ConnectionManager>);
 
--- /dev/null
+++ b/crates/transport/src/dials.rs
@@ -0,0 +1,20 @@
+//! The state of on-demand dials; `dialling` decides by it.
+
+use basaltgw_types::RouterId;
+use event_listener::Event;
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// The dials of on-demand links.
+#[derive(Default)]
+pub struct Dials {
+    /// Which of the users want a router.
+    pub wanted_by: RefCell<BTreeMap<RouterId, [bool; 2]>>,
+    /// Routers that have a dial task, or will have one.
+    pub with_task: RefCell<BTreeSet<RouterId>>,
+    /// Routers whose dial task is to be started.
+    pub to_start: RefCell<VecDeque<RouterId>>,
+    /// Dials in progress.
+    pub active: Cell<usize>,
+    pub slot_freed: Event,
+}
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -13,6 +13,7 @@
 mod connection_manager;
 mod counters;
 mod dialling;
+mod dials;
 mod frame_stream;
 mod handshake;
 pub mod limits;
