--- a/crates/scatter_gather/src/broken.rs
+++ b/crates/scatter_gather/src/broken.rs
@@ -15,19 +15,19 @@
 
 /// What is broken of one router's gathers: nothing.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Faults {
+pub(crate) struct InjectedDefect {
     #[cfg(feature = "broken")]
     pub broken: Option<Broken>,
 }
 
-impl Faults {
+impl InjectedDefect {
     #[cfg(feature = "broken")]
-    pub fn has(self, broken: Broken) -> bool {
+    pub fn is(self, broken: Broken) -> bool {
         self.broken == Some(broken)
     }
 
     #[cfg(not(feature = "broken"))]
-    pub fn has(self, _: Broken) -> bool {
+    pub fn is(self, _: Broken) -> bool {
         false
     }
 }
--- a/crates/scatter_gather/src/engine/mod.rs
+++ b/crates/scatter_gather/src/engine/mod.rs
@@ -1,52 +1,52 @@
 //! The decisions: events in, actions out.
 
-mod answering;
-mod asking;
+mod completion;
+mod dispatch;
 
 use crate::api::{Action, Ask, AttemptNo, Came, Decide, Ended, Event, GatherNo, How, Purge, Site, Verdict};
-use crate::broken::{Broken, Faults};
+use crate::broken::{Broken, InjectedDefect};
 use crate::counters::Counters;
-use crate::open::{fault, Bytes, Open};
+use crate::pending_request::{find_request_error, PendingRequest, ReceivedPart};
 use crate::settings::{BadSetting, Settings, MOST_MS};
-use crate::sites::{Change, Sign, Sites};
+use crate::site_table::{AttemptSignal, SiteChange, SiteTable};
 use basaltgw_types::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// Weight of a new measurement of putting an answer together.
-const MERGE: f64 = 0.125;
+const MERGE_TIME_GAIN: f64 = 0.125;
 
 /// A probe that is out.
 #[derive(Clone, Debug)]
-struct Probe {
+struct ActiveProbe {
     site: Site,
-    asked: Ms,
+    sent_at: Ms,
     /// Until then its answer is in time.
-    aim_at: Ms,
-    ends: u64,
+    objective_at: Ms,
+    expires: u64,
 }
 
 /// The gathers of one router.
 #[derive(Clone, Debug)]
 pub struct Gathers {
-    set: Arc<Settings>,
-    sites: Sites,
-    open: BTreeMap<GatherNo, Open>,
-    wakes: BTreeSet<(u64, GatherNo)>,
-    probes: BTreeMap<(GatherNo, AttemptNo), Probe>,
-    ends: BTreeSet<(u64, GatherNo, AttemptNo)>,
+    settings: Arc<Settings>,
+    sites: SiteTable,
+    pending: BTreeMap<GatherNo, PendingRequest>,
+    evaluation_timers: BTreeSet<(u64, GatherNo)>,
+    probes: BTreeMap<(GatherNo, AttemptNo), ActiveProbe>,
+    probe_timers: BTreeSet<(u64, GatherNo, AttemptNo)>,
     /// Second copies that may be made.
-    seconds: f64,
+    hedge_tokens: f64,
     /// Measured time to put an answer together.
-    merge: Ms,
+    merge_time: Ms,
     now: Ms,
     timer: Option<Ms>,
     counters: Counters,
-    faults: Faults,
+    injected_defect: InjectedDefect,
 }
 
 /// Times in the order of their bits, which is their own from 0 up.
-fn bits(at: Ms) -> u64 {
+fn timer_key(at: Ms) -> u64 {
     at.max(0.0).to_bits()
 }
 
@@ -59,18 +59,18 @@
         set.check()?;
         let set = Arc::new(set);
         Ok(Self {
-            sites: Sites::new(Arc::clone(&set), seed),
-            set,
-            open: BTreeMap::new(),
-            wakes: BTreeSet::new(),
+            sites: SiteTable::new(Arc::clone(&set), seed),
+            settings: set,
+            pending: BTreeMap::new(),
+            evaluation_timers: BTreeSet::new(),
             probes: BTreeMap::new(),
-            ends: BTreeSet::new(),
-            seconds: 0.0,
-            merge: 0.0,
+            probe_timers: BTreeSet::new(),
+            hedge_tokens: 0.0,
+            merge_time: 0.0,
             now: 0.0,
             timer: None,
             counters: Counters::default(),
-            faults: Faults::default(),
+            injected_defect: InjectedDefect::default(),
         })
     }
 
@@ -78,13 +78,13 @@
     #[cfg(feature = "broken")]
     #[must_use]
     pub fn broken(mut self, broken: Broken) -> Self {
-        self.faults.broken = Some(broken);
+        self.injected_defect.broken = Some(broken);
         self
     }
 
     /// Gathers that are open.
     pub fn open(&self) -> usize {
-        self.open.len()
+        self.pending.len()
     }
 
     /// Sites that are measured, and probes of them that are out.
@@ -92,61 +92,65 @@
         (self.sites.len(), self.probes.len())
     }
 
-    fn ask(&mut self, ask: Ask, acts: &mut Vec<Action>) {
+    fn on_request(&mut self, ask: Ask, acts: &mut Vec<Action>) {
         self.counters.asked += 1;
         let (no, now) = (ask.no, self.now);
-        if self.open.contains_key(&no) {
+        if self.pending.contains_key(&no) {
             self.counters.same_number += 1;
             return;
         }
-        if let Some(fault) = fault(&ask, &self.set) {
+        if let Some(fault) = find_request_error(&ask, &self.settings) {
             self.counters.unfit += 1;
             return acts.push(Action::Answer(no, Verdict::Unfit(fault)));
         }
-        if self.open.len() >= self.set.open {
+        if self.pending.len() >= self.settings.open {
             self.counters.refused_full += 1;
-            let come_back = self.spread(self.set.usual);
+            let come_back = self.jittered_retry_after(self.settings.usual);
             return acts.push(Action::Answer(no, Verdict::Refused { come_back }));
         }
-        let open = Open::new(now, ask, self.merge + self.set.slack, &self.set);
+        let open = PendingRequest::new(now, ask, self.merge_time + self.settings.slack, &self.settings);
         let parts = open.parts.len();
-        self.wakes.insert((bits(now), no));
-        self.open.insert(no, open);
-        (0..parts).for_each(|part| self.first(no, part, acts));
-        self.look(no, acts);
+        self.evaluation_timers.insert((timer_key(now), no));
+        self.pending.insert(no, open);
+        (0..parts).for_each(|part| self.send_first(no, part, acts));
+        self.evaluate(no, acts);
     }
 
-    fn came(&mut self, c: Came, acts: &mut Vec<Action>) {
+    fn on_response(&mut self, c: Came, acts: &mut Vec<Action>) {
         let now = self.now;
-        let probe = self.unprobe(c.no, c.attempt);
-        let attempt = self.open.get(&c.no).and_then(|o| Some((o.aim_at, o.attempts.get(&c.attempt)?)));
-        let out = attempt.filter(|(_, a)| a.bytes.is_none());
-        let known = out.map(|(aim, a)| (a.site.clone(), a.asked, aim));
-        let Some((site, asked, aim)) = known.or(probe.as_ref().map(|p| (p.site.clone(), p.asked, p.aim_at)))
+        let probe = self.remove_probe(c.no, c.attempt);
+        let attempt =
+            self.pending.get(&c.no).and_then(|o| Some((o.objective_at, o.attempts.get(&c.attempt)?)));
+        let out = attempt.filter(|(_, a)| a.received.is_none());
+        let known = out.map(|(aim, a)| (a.site.clone(), a.sent_at, aim));
+        let Some((site, asked, aim)) =
+            known.or(probe.as_ref().map(|p| (p.site.clone(), p.sent_at, p.objective_at)))
         else {
             self.counters.stray += 1;
             return;
         };
         let took = if c.took.is_finite() { c.took } else { 0.0 };
-        let sign = Sign::Answered { latency: now - asked, took, in_time: now <= aim };
-        self.sign(&site, sign, probe.is_some(), acts);
+        let sign = AttemptSignal::Answered { latency: now - asked, took, in_time: now <= aim };
+        self.record_signal(&site, sign, probe.is_some(), acts);
         let (heeds, versions) =
-            (!self.faults.has(Broken::AcrossPurge), !self.faults.has(Broken::TwoVersions));
-        let whole = c.whole || self.faults.has(Broken::PartAsWhole);
-        let Some(open) = self.open.get_mut(&c.no) else {
+            (!self.injected_defect.is(Broken::AcrossPurge), !self.injected_defect.is(Broken::TwoVersions));
+        let whole = c.whole || self.injected_defect.is(Broken::PartAsWhole);
+        let Some(open) = self.pending.get_mut(&c.no) else {
             return acts.push(Action::Drop(c.no, c.attempt));
         };
         let mut void: Vec<AttemptNo> = Vec::new();
         if heeds {
-            c.purges.iter().for_each(|p| void.extend(open.purge(p)));
+            c.purges.iter().for_each(|p| void.extend(open.apply_purge(p)));
         }
         self.counters.voided += void.len() as u64;
         acts.extend(void.into_iter().map(|a| Action::Drop(c.no, a)));
         let Some(a) = open.attempts.get_mut(&c.attempt) else { return };
-        let part = &open.parts[a.part];
+        let part = &open.parts[a.part_index];
         let cause = match () {
             () if !whole => Some(&mut self.counters.in_part),
-            () if heeds && part.floor > 0 && c.born <= part.floor => Some(&mut self.counters.voided),
+            () if heeds && part.purge_floor > 0 && c.born <= part.purge_floor => {
+                Some(&mut self.counters.voided)
+            }
             () if part.spec.version.as_ref().is_some_and(|v| *v != c.version) => {
                 Some(&mut self.counters.other_version)
             }
@@ -160,39 +164,39 @@
             }
             None => {
                 let version = if versions { c.version } else { Arc::from("") };
-                a.bytes = Some(Bytes { version, born: c.born });
-                let part = a.part;
-                self.enough(c.no, part, acts);
+                a.received = Some(ReceivedPart { version, origin_time: c.born });
+                let part = a.part_index;
+                self.cancel_redundant_attempts(c.no, part, acts);
             }
         }
-        self.look(c.no, acts);
+        self.evaluate(c.no, acts);
     }
 
     /// A part that is had in the version of the others is waited for no more.
-    fn enough(&mut self, no: GatherNo, part: usize, acts: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&no) else { return };
-        if open.in_versions(&open.newest()).of[part].is_some() {
-            let out: Vec<AttemptNo> = open.out(part).map(|(no, _)| *no).collect();
-            out.into_iter().for_each(|a| self.give_up(no, a, acts));
+    fn cancel_redundant_attempts(&mut self, no: GatherNo, part: usize, acts: &mut Vec<Action>) {
+        let Some(open) = self.pending.get(&no) else { return };
+        if open.select_versions(&open.newest_versions()).attempt_by_part[part].is_some() {
+            let out: Vec<AttemptNo> = open.in_flight(part).map(|(no, _)| *no).collect();
+            out.into_iter().for_each(|a| self.cancel_attempt(no, a, acts));
         }
     }
 
-    fn give_up(&mut self, no: GatherNo, attempt: AttemptNo, acts: &mut Vec<Action>) {
+    fn cancel_attempt(&mut self, no: GatherNo, attempt: AttemptNo, acts: &mut Vec<Action>) {
         let now = self.now;
-        if let Some(a) = self.open.get_mut(&no).and_then(|o| o.attempts.remove(&attempt)) {
+        if let Some(a) = self.pending.get_mut(&no).and_then(|o| o.attempts.remove(&attempt)) {
             self.counters.given_up += 1;
             acts.push(Action::Drop(no, attempt));
-            self.sign(&a.site, Sign::Silent(now - a.asked), false, acts);
+            self.record_signal(&a.site, AttemptSignal::Silent(now - a.sent_at), false, acts);
         }
     }
 
-    fn ended(&mut self, e: Ended, acts: &mut Vec<Action>) {
-        let probe = self.unprobe(e.no, e.attempt);
-        let open = self.open.get_mut(&e.no);
-        let out = open.filter(|o| o.attempts.get(&e.attempt).is_some_and(|a| a.bytes.is_none()));
+    fn on_attempt_ended(&mut self, e: Ended, acts: &mut Vec<Action>) {
+        let probe = self.remove_probe(e.no, e.attempt);
+        let open = self.pending.get_mut(&e.no);
+        let out = open.filter(|o| o.attempts.get(&e.attempt).is_some_and(|a| a.received.is_none()));
         let site = match (out, &probe) {
             (Some(open), _) => {
-                open.failed |= probe.is_none() && !matches!(e.how, How::Refused(_));
+                open.attempt_failed |= probe.is_none() && !matches!(e.how, How::Refused(_));
                 open.attempts.remove(&e.attempt).map(|a| a.site)
             }
             (None, Some(probe)) => Some(probe.site.clone()),
@@ -203,73 +207,78 @@
             return;
         };
         let sign = match e.how {
-            How::Refused(back) => Sign::Away(if back.is_finite() { back } else { self.set.usual }),
-            How::Failed => Sign::Failed,
-            How::Unreached => Sign::Unreached,
+            How::Refused(back) => {
+                AttemptSignal::Rejected(if back.is_finite() { back } else { self.settings.usual })
+            }
+            How::Failed => AttemptSignal::Failed,
+            How::Unreached => AttemptSignal::Unreachable,
         };
-        self.sign(&site, sign, probe.is_some(), acts);
-        self.look(e.no, acts);
+        self.record_signal(&site, sign, probe.is_some(), acts);
+        self.evaluate(e.no, acts);
     }
 
-    fn unprobe(&mut self, no: GatherNo, attempt: AttemptNo) -> Option<Probe> {
+    fn remove_probe(&mut self, no: GatherNo, attempt: AttemptNo) -> Option<ActiveProbe> {
         let probe = self.probes.remove(&(no, attempt))?;
-        self.ends.remove(&(probe.ends, no, attempt));
+        self.probe_timers.remove(&(probe.expires, no, attempt));
         Some(probe)
     }
 
     /// An attempt turned out; others are told if that is news, and gathers that wait for the site look again.
-    fn sign(&mut self, site: &Site, sign: Sign, probe: bool, acts: &mut Vec<Action>) {
-        let change = self.sites.sign(self.now, site, sign, probe);
-        if change != Change::None {
-            if let Some(evidence) = self.sites.tell(self.now, site) {
+    fn record_signal(&mut self, site: &Site, sign: AttemptSignal, probe: bool, acts: &mut Vec<Action>) {
+        let change = self.sites.record(self.now, site, sign, probe);
+        if change != SiteChange::None {
+            if let Some(evidence) = self.sites.take_observation(self.now, site) {
                 self.counters.told += 1;
                 acts.push(Action::Tell(evidence));
             }
         }
-        if change == Change::Turned {
-            let waits = |o: &Open| o.attempts.values().any(|a| a.bytes.is_none() && a.site == *site);
-            let all: Vec<GatherNo> = self.open.iter().filter(|(_, o)| waits(o)).map(|(no, _)| *no).collect();
-            all.into_iter().for_each(|no| self.wake(no, self.now));
+        if change == SiteChange::InclusionChanged {
+            let waits =
+                |o: &PendingRequest| o.attempts.values().any(|a| a.received.is_none() && a.site == *site);
+            let all: Vec<GatherNo> =
+                self.pending.iter().filter(|(_, o)| waits(o)).map(|(no, _)| *no).collect();
+            all.into_iter().for_each(|no| self.schedule_evaluation(no, self.now));
         }
     }
 
-    fn purged(&mut self, purge: Purge, acts: &mut Vec<Action>) {
-        if self.faults.has(Broken::AcrossPurge) {
+    fn on_purge(&mut self, purge: Purge, acts: &mut Vec<Action>) {
+        if self.injected_defect.is(Broken::AcrossPurge) {
             return;
         }
         let mut again = Vec::new();
-        for (no, open) in &mut self.open {
-            let void = open.purge(&purge);
+        for (no, open) in &mut self.pending {
+            let void = open.apply_purge(&purge);
             self.counters.voided += void.len() as u64;
             again.extend((!void.is_empty()).then_some(*no));
             acts.extend(void.into_iter().map(|a| Action::Drop(*no, a)));
         }
-        again.into_iter().for_each(|no| self.look(no, acts));
+        again.into_iter().for_each(|no| self.evaluate(no, acts));
     }
 
-    fn wake(&mut self, no: GatherNo, at: Ms) {
-        if let Some(open) = self.open.get_mut(&no) {
-            self.wakes.remove(&(bits(open.wake), no));
-            open.wake = at;
-            self.wakes.insert((bits(at), no));
+    fn schedule_evaluation(&mut self, no: GatherNo, at: Ms) {
+        if let Some(open) = self.pending.get_mut(&no) {
+            self.evaluation_timers.remove(&(timer_key(open.next_evaluation), no));
+            open.next_evaluation = at;
+            self.evaluation_timers.insert((timer_key(at), no));
         }
     }
 
     /// What came due.
-    fn due(&mut self, acts: &mut Vec<Action>) {
-        let now = bits(self.now);
-        while let Some((at, no, attempt)) = self.ends.first().copied().filter(|e| e.0 <= now) {
-            self.ends.remove(&(at, no, attempt));
+    fn run_timers(&mut self, acts: &mut Vec<Action>) {
+        let now = timer_key(self.now);
+        while let Some((at, no, attempt)) = self.probe_timers.first().copied().filter(|e| e.0 <= now) {
+            self.probe_timers.remove(&(at, no, attempt));
             if let Some(probe) = self.probes.remove(&(no, attempt)) {
                 self.counters.given_up += 1;
-                self.open.get_mut(&no).into_iter().for_each(|o| drop(o.attempts.remove(&attempt)));
+                self.pending.get_mut(&no).into_iter().for_each(|o| drop(o.attempts.remove(&attempt)));
                 acts.push(Action::Drop(no, attempt));
-                self.sign(&probe.site, Sign::Silent(self.now - probe.asked), true, acts);
+                self.record_signal(&probe.site, AttemptSignal::Silent(self.now - probe.sent_at), true, acts);
             }
         }
         // Each is looked at once: a look sets the next later, or ends the gather.
-        let due: Vec<GatherNo> = self.wakes.iter().take_while(|w| w.0 <= now).map(|w| w.1).collect();
-        due.into_iter().for_each(|no| self.look(no, acts));
+        let due: Vec<GatherNo> =
+            self.evaluation_timers.iter().take_while(|w| w.0 <= now).map(|w| w.1).collect();
+        due.into_iter().for_each(|no| self.evaluate(no, acts));
     }
 }
 
@@ -279,32 +288,33 @@
             self.now = now;
         }
         match event {
-            Event::Ask(ask) => self.ask(ask, acts),
-            Event::Came(came) => self.came(came, acts),
-            Event::Ended(ended) => self.ended(ended, acts),
-            Event::Purged(purge) => self.purged(purge, acts),
-            Event::Heard(from, evidence) => match self.sites.hear(self.now, from, &evidence) {
+            Event::Ask(ask) => self.on_request(ask, acts),
+            Event::Came(came) => self.on_response(came, acts),
+            Event::Ended(ended) => self.on_attempt_ended(ended, acts),
+            Event::Purged(purge) => self.on_purge(purge, acts),
+            Event::Heard(from, evidence) => match self.sites.observe_peer(self.now, from, &evidence) {
                 true => self.counters.heard += 1,
                 false => self.counters.unheard += 1,
             },
             Event::Fleet(routers) => self.sites.routers = routers.max(1),
             Event::Merged(took) if (0.0..MOST_MS).contains(&took) => {
-                self.merge += MERGE * (took - self.merge)
+                self.merge_time += MERGE_TIME_GAIN * (took - self.merge_time)
             }
             Event::Merged(_) => self.counters.stray += 1,
-            Event::Left(no) => match self.open.contains_key(&no) {
+            Event::Left(no) => match self.pending.contains_key(&no) {
                 true => {
                     self.counters.left += 1;
-                    self.close(no, &BTreeSet::new(), acts);
+                    self.remove_request(no, &BTreeSet::new(), acts);
                 }
                 false => self.counters.stray += 1,
             },
             Event::Timer => self.timer = None,
         }
-        self.due(acts);
+        self.run_timers(acts);
         self.counters.sites_forgotten = self.sites.forgotten;
-        let ends = self.ends.first().map(|e| e.0);
-        let next = ends.into_iter().chain(self.wakes.first().map(|w| w.0)).min().map(f64::from_bits);
+        let ends = self.probe_timers.first().map(|e| e.0);
+        let next =
+            ends.into_iter().chain(self.evaluation_timers.first().map(|w| w.0)).min().map(f64::from_bits);
         if next.is_some() && next != self.timer {
             self.timer = next;
             acts.extend(next.map(Action::Timer));
--- /dev/null
+++ b/crates/scatter_gather/src/latency_histogram.rs
@@ -0,0 +1,134 @@
+//! A site's latencies: a histogram in steps of a fixed ratio, in which old answers fade. Its size never changes.
+//!
+//! Sketches of the libraries (HDR histogram, t-digest) keep all that they were given; what is needed here is the last few dozen answers, and room for
+//! answers that were given up on, which are known only to take longer.
+
+use basaltgw_types::Ms;
+use std::fmt;
+
+/// Steps: 0.25 ms times 1.25 to the 72nd is some 40 minutes.
+const BUCKETS: usize = 72;
+/// The upper end of the first step, in milliseconds: less is a memory's answer.
+const FIRST_BUCKET_MS: Ms = 0.25;
+/// Ratio of a step's ends: a quarter is about the spread of a quiet link.
+const BUCKET_RATIO: f64 = 1.25;
+/// Of the weight that there is, this is left at each answer: the last 50 make up two thirds.
+const DECAY_PER_SAMPLE: f64 = 0.98;
+/// This share of answers is taken to come later than nearly all that were seen: a few dozen tell nothing of one in a hundred.
+const TAIL_PROBABILITY: f64 = 0.03;
+/// From this quantile on, to so many times its latency, evenly in the logarithm.
+const TAIL_QUANTILE_AND_SPAN: (f64, f64) = (0.9, 8.0);
+/// Weight of the first guess, in answers: a few real ones outweigh it.
+const PRIOR_WEIGHT: f64 = 3.0;
+
+/// A decayed histogram of latencies.
+#[derive(Clone, PartialEq)]
+pub(crate) struct LatencyHistogram {
+    /// Weight by step.
+    weights: [f32; BUCKETS],
+    /// Weight of each step and all below, since it is read far more often than changed.
+    cumulative_weights: [f32; BUCKETS],
+    /// Where the tail begins, among the steps.
+    tail_start: f64,
+}
+
+/// The steps that have weight, by number.
+impl fmt::Debug for LatencyHistogram {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_map().entries(self.weights.iter().enumerate().filter(|s| *s.1 > 0.0)).finish()
+    }
+}
+
+/// Where a latency is among the steps, the first ending at 0.
+fn log_position(t: Ms) -> f64 {
+    (t / FIRST_BUCKET_MS).ln() / BUCKET_RATIO.ln()
+}
+
+fn bucket_index(t: Ms) -> usize {
+    (log_position(t).ceil().max(0.0) as usize).min(BUCKETS - 1)
+}
+
+fn bucket_upper_bound(step: usize) -> Ms {
+    FIRST_BUCKET_MS * BUCKET_RATIO.powi(step as i32)
+}
+
+impl LatencyHistogram {
+    /// Before anything was measured: around `usual`, wide.
+    pub fn prior(usual: Ms) -> Self {
+        let mut new = Self { weights: [0.0; BUCKETS], cumulative_weights: [0.0; BUCKETS], tail_start: 0.0 };
+        for (by, weight) in [(0.5, 1.0), (1.0, 2.0), (2.0, 2.0), (4.0, 1.0)] {
+            new.add_weight(usual * by, weight * PRIOR_WEIGHT / 6.0);
+        }
+        new
+    }
+
+    fn add_weight(&mut self, t: Ms, weight: f64) {
+        self.weights[bucket_index(t)] += weight as f32;
+        self.update_cumulative();
+    }
+
+    fn update_cumulative(&mut self) {
+        let mut sum = 0.0;
+        for (s, below) in self.weights.iter().zip(&mut self.cumulative_weights) {
+            sum += s;
+            *below = sum;
+        }
+        self.tail_start = self.quantile_bucket(TAIL_QUANTILE_AND_SPAN.0) as f64;
+    }
+
+    fn total(&self) -> f64 {
+        f64::from(self.cumulative_weights[BUCKETS - 1])
+    }
+
+    fn decay(&mut self) {
+        self.weights.iter_mut().for_each(|s| *s *= DECAY_PER_SAMPLE as f32);
+    }
+
+    /// An answer came after `t`, and counts as `weight` of them.
+    pub fn record(&mut self, t: Ms, weight: f64) {
+        (0..weight.ceil() as usize).for_each(|_| self.decay());
+        self.add_weight(t, weight);
+    }
+
+    /// An answer would have come, but was given up on after `t`: it is spread over the latencies above, as they are; if there are none, it is put a
+    /// step above.
+    pub fn record_timeout(&mut self, t: Ms, weight: f64) {
+        self.decay();
+        let from = bucket_index(t) + 1;
+        let above = self.weights.iter().skip(from).map(|s| f64::from(*s)).sum::<f64>();
+        if above <= weight * 0.5 {
+            return self.add_weight(bucket_upper_bound(from), weight);
+        }
+        let by = 1.0 + weight / above;
+        self.weights.iter_mut().skip(from).for_each(|s| *s = (f64::from(*s) * by) as f32);
+        self.update_cumulative();
+    }
+
+    /// The probability that an answer takes at most `t`; 0 to 1.
+    pub fn probability_within(&self, t: Ms) -> f64 {
+        if t <= 0.0 || self.total() <= 0.0 {
+            return 0.0;
+        }
+        let place = log_position(t);
+        let last = (place.ceil().max(0.0) as usize).min(BUCKETS - 1);
+        let below = if last == 0 { 0.0 } else { f64::from(self.cumulative_weights[last - 1]) };
+        let into = (place - last as f64 + 1.0).clamp(0.0, 1.0);
+        let seen = ((below + into * f64::from(self.weights[last])) / self.total()).clamp(0.0, 1.0);
+        let tail =
+            ((place - self.tail_start) * BUCKET_RATIO.ln() / TAIL_QUANTILE_AND_SPAN.1.ln()).clamp(0.0, 1.0);
+        (1.0 - TAIL_PROBABILITY) * seen + TAIL_PROBABILITY * tail
+    }
+
+    fn quantile_bucket(&self, share: f64) -> usize {
+        let want = (share * self.total()) as f32;
+        self.cumulative_weights.iter().position(|s| *s >= want).unwrap_or(BUCKETS - 1)
+    }
+
+    /// The latency that this share of answers keeps, in milliseconds.
+    pub fn quantile(&self, share: f64) -> Ms {
+        bucket_upper_bound(self.quantile_bucket(share))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/scatter_gather/src/lib.rs
+++ b/crates/scatter_gather/src/lib.rs
@@ -18,13 +18,13 @@
 mod broken;
 mod counters;
 mod engine;
-mod latency;
-mod open;
+mod latency_histogram;
+mod pending_request;
 mod settings;
 pub mod sim;
-mod site;
-mod sites;
-mod weigh;
+mod site_state;
+mod site_table;
+mod wait_decision;
 
 pub use api::{
     Action, Ask, AttemptNo, Came, Copy, Decide, Effect, Ended, Event, Evidence, GatherNo, How, Missing,
--- a/crates/scatter_gather/src/sim/load.rs
+++ b/crates/scatter_gather/src/sim/load.rs
@@ -11,7 +11,7 @@
 /// See [`AIM`].
 pub const DEADLINE: Ms = 1_000.0;
 /// Share of the worth in between.
-pub const LATE: f64 = 0.2;
+pub const LATE_VALUE: f64 = 0.2;
 /// One in so many requests takes all parts or none, and one in so many others needs its first.
 const ALL: f64 = 0.1;
 /// See [`ALL`].
@@ -80,7 +80,7 @@
     let needed = if (ALL..ALL + NEEDS).contains(&kind) { vec![PartNo(0)] } else { vec![] };
     let policy =
         Policy { needed, least_count: 0.5, least_worth: 0.4, wait: DEADLINE, missing, second_copies: true };
-    let times = Times { aim: AIM, deadline: DEADLINE, late_worth: LATE };
+    let times = Times { aim: AIM, deadline: DEADLINE, late_worth: LATE_VALUE };
     let no = GatherNo(nth as u64);
     Ask { no, policy: policy.into(), effect: Effect::Safe, parts, times, purges: vec![] }
 }
--- a/crates/scatter_gather/src/sim/world.rs
+++ b/crates/scatter_gather/src/sim/world.rs
@@ -1,6 +1,6 @@
 //! Sites, links, and routers round the decisions, in simulated time.
 
-use super::load::{arrivals, ask, site, Draws, AIM, DEADLINE, LATE};
+use super::load::{arrivals, ask, site, Draws, AIM, DEADLINE, LATE_VALUE};
 use super::{Figures, Setup, Trouble, Way};
 use crate::api::{
     Action, AttemptNo, Came, Copy, Decide, Ended, Event, Evidence, GatherNo, How, PartNo, Verdict,
@@ -23,9 +23,9 @@
 /// How long those are told to stay away, in milliseconds.
 const AWAY: Ms = 200.0;
 /// One way between a router and a site, in milliseconds.
-const TRAVEL: (Ms, Ms) = (0.5, 6.0);
+const NETWORK_DELAY_RANGE_MS: (Ms, Ms) = (0.5, 6.0);
 /// Putting an answer together, in milliseconds.
-const MERGE: Ms = 0.5;
+const MERGE_TIME_MS: Ms = 0.5;
 /// A word passes to so many routers, after a time of this in milliseconds.
 const FAN_OUT: usize = 8;
 /// See [`FAN_OUT`].
@@ -177,7 +177,7 @@
     /// The way between a router and a site.
     fn travel(&self, r: usize, s: usize) -> Ms {
         let draw = Draws::new(self.setup.seed, 5, (r * self.setup.sites + s) as u64).next();
-        TRAVEL.0 + (TRAVEL.1 - TRAVEL.0) * draw
+        NETWORK_DELAY_RANGE_MS.0 + (NETWORK_DELAY_RANGE_MS.1 - NETWORK_DELAY_RANGE_MS.0) * draw
     }
 
     fn step(&mut self, happens: Happens) {
@@ -310,7 +310,7 @@
 
     fn answered(&mut self, r: usize, no: GatherNo, verdict: Verdict) {
         let Some((asked, of)) = self.routers[r].open.remove(&no) else { return };
-        let took = self.now - asked + MERGE;
+        let took = self.now - asked + MERGE_TIME_MS;
         self.times.push(took);
         let used = match verdict {
             Verdict::Whole { used } => {
@@ -332,7 +332,7 @@
         };
         let value = match took {
             t if t <= AIM => 1.0,
-            t if t <= DEADLINE => LATE,
+            t if t <= DEADLINE => LATE_VALUE,
             _ => 0.0,
         };
         let got = value * used.iter().filter_map(|u| of.get(&u.part)).sum::<f64>();
