--- a/crates/scatter_gather/src/pending_request.rs
+++ b/crates/scatter_gather/src/pending_request.rs
@@ -290,6 +290,11 @@
             .filter(move |(_, a)| a.part_index == part && a.received.is_none() && a.kind != Copy::Probe)
     }
 
+    /// Whether an attempt at this site is in flight, probes included.
+    pub fn waits_for(&self, site: &Site) -> bool {
+        self.attempts.values().any(|attempt| attempt.received.is_none() && attempt.site == *site)
+    }
+
     /// What an answer at that time is worth, of 1.
     pub fn value_at(&self, at: Ms, haste: f64) -> f64 {
         let share = |from: Ms, to: Ms| ((at - from) / (to - from).max(1.0)).clamp(0.0, 1.0);
--- a/crates/scatter_gather/src/site_state.rs
+++ b/crates/scatter_gather/src/site_state.rs
@@ -62,6 +62,15 @@
     Rejected(Ms),
 }
 
+/// Which kind of attempt a signal comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum SignalSource {
+    /// A first, repeated or hedged sub-request.
+    Request,
+    /// A probe of an excluded or slow site.
+    Probe,
+}
+
 /// What an attempt's end changed for its site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SiteChange {
@@ -172,11 +181,12 @@
         &mut self,
         now: Ms,
         sign: AttemptSignal,
-        probe: bool,
+        source: SignalSource,
         draws: (f64, f64),
         set: &Settings,
         routers: usize,
     ) -> SiteChange {
+        let probe = source == SignalSource::Probe;
         let before = self.traffic_share(now);
         if probe {
             self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
--- a/crates/scatter_gather/src/site_table.rs
+++ b/crates/scatter_gather/src/site_table.rs
@@ -7,7 +7,7 @@
 use crate::latency_histogram::LatencyHistogram;
 use crate::settings::{Settings, MOST_MS};
 use crate::site_state::{fleet_probe_interval, SiteState, NETWORK_DELAY_DEVIATIONS, PROBE_BACKOFF_FACTOR};
-pub(crate) use crate::site_state::{Admission, AttemptSignal, SiteChange};
+pub(crate) use crate::site_state::{Admission, AttemptSignal, SignalSource, SiteChange};
 use basaltgw_structures::hash::{mix, unit};
 use basaltgw_types::{Ms, RouterId};
 use std::collections::BTreeMap;
@@ -89,10 +89,10 @@
     }
 
     /// An attempt has turned out.
-    pub fn record(&mut self, now: Ms, site: &Site, sign: AttemptSignal, probe: bool) -> SiteChange {
+    pub fn record(&mut self, now: Ms, site: &Site, sign: AttemptSignal, source: SignalSource) -> SiteChange {
         let draws = (self.random(), self.random());
         let (set, routers) = (Arc::clone(&self.settings), self.routers);
-        self.entry(now, site).record(now, sign, probe, draws, &set, routers)
+        self.entry(now, site).record(now, sign, source, draws, &set, routers)
     }
 
     /// Another router's word. False if it is not taken.
--- a/crates/scatter_gather/src/wait_decision.rs
+++ b/crates/scatter_gather/src/wait_decision.rs
@@ -30,6 +30,15 @@
     elapsed_fraction: f64,
 }
 
+/// A part and the site at which a hedged sub-request for it is worth most.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct HedgeTarget {
+    /// Index of the part in the request.
+    pub part: usize,
+    /// Index of the site among the part's sites.
+    pub site: usize,
+}
+
 /// What came of weighing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Evaluation {
@@ -174,7 +183,7 @@
 
     /// The part for which a second copy at one of its other sites brings most by `at`: its place and the site's. With it, waiting must be worth more than
     /// answering now is.
-    pub fn best_hedge(&self, at: Ms, now: f64) -> Option<(usize, usize)> {
+    pub fn best_hedge(&self, at: Ms, now: f64) -> Option<HedgeTarget> {
         let value = self.request.value_at(at, self.settings.haste);
         let gain = |h: &MissingPart, site: usize| {
             let site = self.request.parts[h.part_index].sites().nth(site);
@@ -198,7 +207,7 @@
         let good = gains.filter(|g| g.2 > self.settings.second_price);
         let best = good.max_by(|a, b| (a.2 * a.3).total_cmp(&(b.2 * b.3)));
         best.filter(|(_, _, gain, worth)| self.expected_value(at) + gain * worth > now)
-            .map(|(part, site, ..)| (part, site))
+            .map(|(part, site, ..)| HedgeTarget { part, site })
     }
 }
 
