--- a/crates/scatter_gather/src/wait_decision.rs
+++ b/crates/scatter_gather/src/wait_decision.rs
@@ -1,4 +1,9 @@
-//! Waiting against answering: what an answer at each later time is likely to be worth.
+//! Decides whether waiting is worth more than answering: the expected value of an answer at each later time.
+//!
+//! Inputs: each missing part's attempts, the failure probability and latency histogram of their sites, the priority
+//! weights, and the value of an answer over time ([`PendingRequest::value_at`]). Times are in milliseconds; values are
+//! in units of priority weight. The expected value at a time is the weight expected to have arrived by then, times the
+//! probability that the policy allows an answer, times the value of an answer at that time.
 
 use crate::api::Site;
 use crate::pending_request::{PendingRequest, Selection};
@@ -7,26 +12,27 @@
 use crate::site_table::SiteTable;
 use basaltgw_types::Ms;
 
-/// Times that are looked at, as shares of the time to the aim, and to the limit.
+/// Times at which the expected value is evaluated, as fractions of the time to the latency objective and to the limit.
 const EVALUATED_FRACTIONS: [f64; 7] = [0.03125, 0.0625, 0.125, 0.25, 0.5, 0.75, 1.0];
+/// Tolerance for rounding in sums and quotients of weights and probabilities.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// How a missing part may come.
+/// A part that is not in the newest version's selection, and the attempts that may bring it.
 struct MissingPart<'a> {
     weight: f64,
     required: bool,
-    /// Place of the part.
+    /// Index of the part in the request.
     part_index: usize,
-    /// Attempts that are out.
+    /// Attempts in flight, and the retry that is scheduled.
     attempts: Vec<PendingAttempt<'a>>,
 }
 
-/// An attempt that is out, or might be.
+/// An attempt in flight, or one that may be sent.
 struct PendingAttempt<'a> {
     sent_at: Ms,
     site: &'a SiteState,
-    /// How likely the site is lost.
     failure_probability: f64,
-    /// Share of the site's answers that would have come by now.
+    /// The fraction of the site's answers that arrive within the time already elapsed.
     elapsed_fraction: f64,
 }
 
@@ -39,36 +45,53 @@
     pub site: usize,
 }
 
-/// What came of weighing.
+/// A possible hedged sub-request.
+struct HedgeCandidate {
+    target: HedgeTarget,
+    /// By how much it raises the part's arrival probability, times the value of an answer.
+    gain: f64,
+    /// The part's priority weight.
+    weight: f64,
+}
+
+impl HedgeCandidate {
+    fn weighted_gain(&self) -> f64 {
+        self.gain * self.weight
+    }
+}
+
+/// The value of an answer now, and of the best later one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Evaluation {
-    /// The worth of answering now, and the most that is to be had later.
+    /// Value of answering, or rejecting, now.
     pub value_now: f64,
-    /// See `now`.
+    /// Highest expected value at a later time.
     pub value_later: f64,
-    /// When that is.
+    /// The time of `value_later`; now if there is none.
     pub best_time: Ms,
 }
 
-/// The forecast of what is out, as of now.
+/// The forecast of a request's missing parts, as of now.
 pub(crate) struct ArrivalForecast<'a> {
     request: &'a PendingRequest,
     sites: &'a SiteTable,
     now: Ms,
     missing_parts: Vec<MissingPart<'a>>,
-    /// Worth and count that have come in the versions that further parts will be of.
+    /// The parts received in the newest versions, which is what further parts will have.
     newest_selection: Selection,
+    /// The parts that an answer now would have.
     best_selection: Selection,
     settings: &'a Settings,
 }
 
 impl<'a> ArrivalForecast<'a> {
+    /// Collects the missing parts of `request` and the attempts that may bring them.
     pub fn new(
         request: &'a PendingRequest,
         sites: &'a SiteTable,
-        set: &'a Settings,
+        settings: &'a Settings,
         now: Ms,
-        has: &Selection,
+        best_selection: &Selection,
     ) -> Self {
         let newest_selection = request.select_versions(&request.newest_versions());
         let mut forecast = Self {
@@ -77,159 +100,172 @@
             now,
             missing_parts: Vec::new(),
             newest_selection,
-            best_selection: has.clone(),
-            settings: set,
+            best_selection: best_selection.clone(),
+            settings,
         };
-        let missing =
-            (0..request.parts.len()).filter(|i| forecast.newest_selection.attempt_by_part[*i].is_none());
-        forecast.missing_parts = missing.map(|i| forecast.missing_part(i)).collect();
+        let received = &forecast.newest_selection.attempt_by_part;
+        let missing = (0..request.parts.len()).filter(|part| received[*part].is_none());
+        forecast.missing_parts = missing.map(|part| forecast.missing_part(part)).collect();
         forecast
     }
 
-    fn missing_part(&self, part: usize) -> MissingPart<'a> {
-        let p = &self.request.parts[part];
-        let out = self
+    fn missing_part(&self, part_index: usize) -> MissingPart<'a> {
+        let part = &self.request.parts[part_index];
+        let in_flight = self
             .request
-            .in_flight_with_probes(part)
-            .filter_map(|(_, a)| self.pending_attempt(&a.site, a.sent_at));
-        let again = p.retry_at.and_then(|at| self.pending_attempt(&p.spec.site, at));
+            .in_flight_with_probes(part_index)
+            .filter_map(|(_, attempt)| self.pending_attempt(&attempt.site, attempt.sent_at));
+        let retry = part.retry_at.and_then(|at| self.pending_attempt(&part.spec.site, at));
         MissingPart {
-            weight: p.spec.worth,
-            required: p.required,
-            part_index: part,
-            attempts: out.chain(again).collect(),
+            weight: part.spec.worth,
+            required: part.required,
+            part_index,
+            attempts: in_flight.chain(retry).collect(),
         }
     }
 
-    fn pending_attempt(&self, site: &Site, asked: Ms) -> Option<PendingAttempt<'a>> {
+    fn pending_attempt(&self, site: &Site, sent_at: Ms) -> Option<PendingAttempt<'a>> {
         let site = self.sites.get(site)?;
-        let (lost, before) = (
-            site.failure_probability(self.now, self.settings),
-            site.latency.probability_within(self.now - asked),
-        );
-        Some(PendingAttempt { sent_at: asked, site, failure_probability: lost, elapsed_fraction: before })
+        let failure_probability = site.failure_probability(self.now, self.settings);
+        let elapsed_fraction = site.latency.probability_within(self.now - sent_at);
+        Some(PendingAttempt { sent_at, site, failure_probability, elapsed_fraction })
     }
 
-    /// The probability that an attempt answers by `at`, as it has not yet.
-    fn arrival_probability(out: &PendingAttempt, at: Ms) -> f64 {
-        let until = out.site.latency.probability_within(at - out.sent_at);
-        let still = (1.0 - out.failure_probability) * (1.0 - out.elapsed_fraction) + out.failure_probability;
-        ((1.0 - out.failure_probability) * (until - out.elapsed_fraction) / still.max(1e-9)).clamp(0.0, 1.0)
+    /// The probability that an attempt answers by `at`, given that it has not answered yet.
+    fn arrival_probability(attempt: &PendingAttempt, at: Ms) -> f64 {
+        let (failure, elapsed) = (attempt.failure_probability, attempt.elapsed_fraction);
+        let until = attempt.site.latency.probability_within(at - attempt.sent_at);
+        let unanswered = (1.0 - failure) * (1.0 - elapsed) + failure;
+        ((1.0 - failure) * (until - elapsed) / unanswered.max(ROUNDING_TOLERANCE)).clamp(0.0, 1.0)
     }
 
-    /// The probability that a part comes by `at`.
-    fn part_probability(hope: &MissingPart, at: Ms) -> f64 {
-        1.0 - hope.attempts.iter().map(|out| 1.0 - Self::arrival_probability(out, at)).product::<f64>()
+    /// The probability that a part arrives by `at`.
+    fn part_probability(part: &MissingPart, at: Ms) -> f64 {
+        let none = part.attempts.iter().map(|attempt| 1.0 - Self::arrival_probability(attempt, at));
+        1.0 - none.product::<f64>()
     }
 
-    /// What an answer at `at` is likely to be worth.
+    /// The expected value of an answer at `at`.
     fn expected_value(&self, at: Ms) -> f64 {
-        let p: Vec<f64> = self.missing_parts.iter().map(|h| Self::part_probability(h, at)).collect();
-        let more: f64 = self.missing_parts.iter().zip(&p).map(|(h, p)| h.weight * p).sum();
+        let probabilities: Vec<f64> =
+            self.missing_parts.iter().map(|part| Self::part_probability(part, at)).collect();
+        let expected = self.missing_parts.iter().zip(&probabilities).map(|(part, p)| part.weight * p);
+        let arriving: f64 = expected.sum();
         let value = self.request.value_at(at, self.settings.haste);
-        let grown = (self.newest_selection.weight + more) * self.policy_probability(&p) * value;
-        let stands = if self.request.policy_allows(&self.best_selection) {
+        let with_newest =
+            (self.newest_selection.weight + arriving) * self.policy_probability(&probabilities) * value;
+        let with_present = if self.request.policy_allows(&self.best_selection) {
             self.best_selection.weight * value
         } else {
             0.0
         };
-        grown.max(stands)
+        with_newest.max(with_present)
     }
 
-    /// The probability that the policy then allows an answer: all needed ones, and enough of the others.
-    fn policy_probability(&self, p: &[f64]) -> f64 {
+    /// The probability that the policy allows an answer once the missing parts arrive with these probabilities: all
+    /// required parts, and as many of the others as the minimum shares need.
+    fn policy_probability(&self, probabilities: &[f64]) -> f64 {
         if self.request.policy_allows(&self.newest_selection) {
             return 1.0;
         }
-        let all: f64 = self.missing_parts.iter().zip(p).filter(|(h, _)| h.required).map(|(_, p)| p).product();
-        let (count, worth) = self.request.shortfall(&self.newest_selection);
-        let left =
-            self.missing_parts.iter().map(|h| h.weight).sum::<f64>() / self.missing_parts.len().max(1) as f64;
-        // Worth is counted in parts of the mean worth of those that are missing.
-        let short = count.max((worth / left.max(f64::MIN_POSITIVE) - 1e-9).ceil().max(0.0) as usize);
-        // Of the others there must be so many.
-        let needed = self.missing_parts.iter().filter(|h| h.required).count();
-        let others: Vec<f64> =
-            self.missing_parts.iter().zip(p).filter(|(h, _)| !h.required).map(|(_, p)| *p).collect();
-        all * probability_of_at_least(short.saturating_sub(needed), &others)
-    }
-
-    /// The time at which an answer is worth most, among now and what is looked at.
+        let parts = || self.missing_parts.iter().zip(probabilities);
+        let all_required: f64 = parts().filter(|(part, _)| part.required).map(|(_, p)| p).product();
+        let optional: Vec<f64> = parts().filter(|(part, _)| !part.required).map(|(_, p)| *p).collect();
+        let required = self.missing_parts.len() - optional.len();
+        all_required * probability_of_at_least(self.parts_short().saturating_sub(required), &optional)
+    }
+
+    /// How many of the missing parts the policy's minimum shares need. Lacking weight is converted into parts of the
+    /// mean weight of the missing ones.
+    fn parts_short(&self) -> usize {
+        let (count, weight) = self.request.shortfall(&self.newest_selection);
+        let mean_weight = self.missing_parts.iter().map(|part| part.weight).sum::<f64>()
+            / self.missing_parts.len().max(1) as f64;
+        let by_weight = weight / mean_weight.max(f64::MIN_POSITIVE) - ROUNDING_TOLERANCE;
+        count.max(by_weight.ceil().max(0.0) as usize)
+    }
+
+    /// The value of ending the request now: that of the present answer, or of a rejection, which leaves the client
+    /// the remaining time for a retry.
+    fn value_now(&self) -> f64 {
+        let request = self.request;
+        if request.policy_allows(&self.best_selection) {
+            return self.best_selection.weight * request.value_at(self.now, self.settings.haste);
+        }
+        let total_time = (request.deadline_at - request.started_at).max(1.0);
+        let time_left_share = (request.deadline_at - self.now) / total_time;
+        self.settings.turn_away * request.total_weight * time_left_share
+    }
+
+    /// Compares ending the request now with the best of the evaluated later times.
     pub fn evaluate(&self) -> Evaluation {
-        let open = self.request;
-        let now = match open.policy_allows(&self.best_selection) {
-            true => self.best_selection.weight * open.value_at(self.now, self.settings.haste),
-            // Turned away it has all its time for another try, and the less the longer it waited.
-            false => {
-                self.settings.turn_away
-                    * open.total_weight
-                    * ((open.deadline_at - self.now) / (open.deadline_at - open.started_at).max(1.0))
-            }
-        };
-        let limit = open.wait_limit();
-        let aim = open.objective_at.min(limit);
-        let mut best = Evaluation { value_now: now, value_later: 0.0, best_time: self.now };
-        let ends = if aim < limit { [aim, limit] } else { [limit, limit] };
-        for end in ends.into_iter().filter(|e| *e > self.now) {
-            for at in EVALUATED_FRACTIONS.iter().map(|share| self.now + share * (end - self.now)) {
-                let worth = self.expected_value(at);
-                if worth > best.value_later {
-                    best = Evaluation { value_later: worth, best_time: at, ..best };
+        let limit = self.request.wait_limit();
+        let objective = self.request.objective_at.min(limit);
+        let mut best = Evaluation { value_now: self.value_now(), value_later: 0.0, best_time: self.now };
+        let ends = if objective < limit { [objective, limit] } else { [limit, limit] };
+        for end in ends.into_iter().filter(|end| *end > self.now) {
+            for at in EVALUATED_FRACTIONS.iter().map(|fraction| self.now + fraction * (end - self.now)) {
+                let value = self.expected_value(at);
+                if value > best.value_later {
+                    best = Evaluation { value_later: value, best_time: at, ..best };
                 }
             }
         }
         best
     }
 
-    /// The part for which a second copy at one of its other sites brings most by `at`: its place and the site's. With it, waiting must be worth more than
-    /// answering now is.
-    pub fn best_hedge(&self, at: Ms, now: f64) -> Option<HedgeTarget> {
+    /// The hedged sub-request with the highest weighted gain by `at`, if its gain is above the price and waiting with
+    /// it is worth more than `value_now`.
+    pub fn best_hedge(&self, at: Ms, value_now: f64) -> Option<HedgeTarget> {
+        let candidates = self.missing_parts.iter().flat_map(|part| self.hedge_candidates(part, at));
+        let worthwhile = candidates.filter(|candidate| candidate.gain > self.settings.second_price);
+        let best = worthwhile.max_by(|a, b| a.weighted_gain().total_cmp(&b.weighted_gain()))?;
+        (self.expected_value(at) + best.weighted_gain() > value_now).then_some(best.target)
+    }
+
+    /// Hedged sub-requests for a part: at sites without an attempt, while an attempt is in flight and attempts are
+    /// left.
+    fn hedge_candidates(&self, missing: &MissingPart, at: Ms) -> Vec<HedgeCandidate> {
+        let part = &self.request.parts[missing.part_index];
+        let attempts: usize = part.attempts_by_site.iter().sum();
+        if missing.attempts.is_empty() || attempts >= self.settings.tries {
+            return Vec::new();
+        }
         let value = self.request.value_at(at, self.settings.haste);
-        let gain = |h: &MissingPart, site: usize| {
-            let site = self.request.parts[h.part_index].sites().nth(site);
-            let comes = site
-                .and_then(|s| self.pending_attempt(s, self.now))
-                .map_or(0.0, |o| Self::arrival_probability(&o, at));
-            (1.0 - Self::part_probability(h, at)) * comes * value
-        };
-        let free = |h: &MissingPart, site: &usize| {
-            let part = &self.request.parts[h.part_index];
-            part.attempts_by_site[*site] == 0
-                && !h.attempts.is_empty()
-                && part.attempts_by_site.iter().sum::<usize>() < self.settings.tries
+        let candidate = |(index, site): (usize, &Site)| {
+            let arrival = self
+                .pending_attempt(site, self.now)
+                .map_or(0.0, |attempt| Self::arrival_probability(&attempt, at));
+            HedgeCandidate {
+                target: HedgeTarget { part: missing.part_index, site: index },
+                gain: (1.0 - Self::part_probability(missing, at)) * arrival * value,
+                weight: missing.weight,
+            }
         };
-        let all = self.missing_parts.iter().flat_map(|h| {
-            let sites =
-                (0..self.request.parts[h.part_index].attempts_by_site.len()).filter(move |s| free(h, s));
-            sites.map(move |s| (h, s))
-        });
-        let gains = all.map(|(h, s)| (h.part_index, s, gain(h, s), h.weight));
-        let good = gains.filter(|g| g.2 > self.settings.second_price);
-        let best = good.max_by(|a, b| (a.2 * a.3).total_cmp(&(b.2 * b.3)));
-        best.filter(|(_, _, gain, worth)| self.expected_value(at) + gain * worth > now)
-            .map(|(part, site, ..)| HedgeTarget { part, site })
+        let sites = part.sites().enumerate();
+        sites.filter(|(index, _)| part.attempts_by_site[*index] == 0).map(candidate).collect()
     }
 }
 
-/// The probability that at least `k` of independent events happen.
-fn probability_of_at_least(k: usize, p: &[f64]) -> f64 {
+/// The probability that at least `k` of independent events with these probabilities happen.
+fn probability_of_at_least(k: usize, probabilities: &[f64]) -> f64 {
     if k == 0 {
         return 1.0;
     }
-    if k > p.len() {
+    if k > probabilities.len() {
         return 0.0;
     }
-    // By number that happened, `k` standing for all from there on.
-    let mut of = vec![0.0; k + 1];
-    of[0] = 1.0;
-    for p in p {
-        of[k] += of[k - 1] * p;
+    // distribution[i]: the probability that i events have happened; the last entry stands for k or more.
+    let mut distribution = vec![0.0; k + 1];
+    distribution[0] = 1.0;
+    for p in probabilities {
+        distribution[k] += distribution[k - 1] * p;
         for i in (1..k).rev() {
-            of[i] = of[i] * (1.0 - p) + of[i - 1] * p;
+            distribution[i] = distribution[i] * (1.0 - p) + distribution[i - 1] * p;
         }
-        of[0] *= 1.0 - p;
+        distribution[0] *= 1.0 - p;
     }
-    of[k]
+    distribution[k]
 }
 
 #[cfg(test)]
