--- a/crates/scatter_gather/src/site_table.rs
+++ b/crates/scatter_gather/src/site_table.rs
@@ -1,19 +1,18 @@
-//! What is known of each site: latencies, whether it seems lost, which share of its parts it gets, and when it is probed.
+//! The sites that a router measures: a bounded table of [`SiteState`] with the router's own random sequence.
 //!
-//! A site is in one of two conditions that nobody sees: it answers, or it does not. Each attempt moves the probability by Bayes' rule; it fades to how
-//! the site usually is. Other routers' words move it too, but not over the bound at which a site that answers here would be left out.
+//! Decides which sites are stored, which observations of other routers are accepted, and what is published to them.
 
 use crate::api::{Evidence, Site};
 use crate::latency_histogram::LatencyHistogram;
 use crate::settings::{Settings, MOST_MS};
-use crate::site_state::{fleet_probe_interval, SiteState, NETWORK_DELAY_DEVIATIONS, PROBE_BACKOFF_FACTOR};
+use crate::site_state::{fleet_probe_interval, DecisionContext, Draws, SiteState};
 pub(crate) use crate::site_state::{Admission, AttemptSignal, SignalSource, SiteChange};
 use basaltgw_structures::hash::{mix, unit};
 use basaltgw_types::{Ms, RouterId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// All sites of a router.
+/// The sites that a router measures.
 #[derive(Clone, Debug)]
 pub(crate) struct SiteTable {
     settings: Arc<Settings>,
@@ -31,145 +30,154 @@
         Self { settings: set, sites: BTreeMap::new(), seed, random_draws: 0, routers: 1, forgotten: 0 }
     }
 
-    /// A number of 0 to 1, the next of this router's own row.
+    /// The next number of this router's random sequence, from 0 to 1.
     pub fn random(&mut self) -> f64 {
         self.random_draws += 1;
         unit(mix(self.seed, self.random_draws))
     }
 
+    /// Two draws, in the order of the fields.
+    fn draws(&mut self) -> Draws {
+        let share = self.random();
+        Draws { share, probe: self.random() }
+    }
+
+    /// The number of stored sites.
     pub fn len(&self) -> usize {
         self.sites.len()
     }
 
+    /// A site's state, if it is stored.
     pub fn get(&self, site: &Site) -> Option<&SiteState> {
         self.sites.get(site)
     }
 
-    /// A site's state; one that is new takes the place of the one unused for longest if there is no room.
+    /// A site's state; a new site evicts the least recently used one if the table is full.
     pub fn entry(&mut self, now: Ms, site: &Site) -> &mut SiteState {
         if !self.sites.contains_key(site) && self.sites.len() >= self.settings.sites {
-            let oldest = self
-                .sites
-                .iter()
-                .min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used))
-                .map(|(s, _)| s.clone());
-            oldest.into_iter().for_each(|s| {
-                self.sites.remove(&s);
-                self.forgotten += 1;
-            });
+            self.evict_least_recently_used();
         }
-        let set = &self.settings;
-        let state = self.sites.entry(site.clone()).or_insert_with(|| SiteState::new(now, set));
+        let settings = &self.settings;
+        let state = self.sites.entry(site.clone()).or_insert_with(|| SiteState::new(now, settings));
         state.last_used = now;
         state
     }
 
-    /// Whether a site is asked for a part whose answer is to come within `left`.
-    pub fn admit(&mut self, now: Ms, site: &Site, left: Ms) -> Admission {
-        let draws = (self.random(), self.random());
-        let (set, routers) = (Arc::clone(&self.settings), self.routers);
-        self.entry(now, site).admit(now, left, draws, &set, routers)
+    fn evict_least_recently_used(&mut self) {
+        let oldest = self.sites.iter().min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used));
+        if let Some(site) = oldest.map(|(site, _)| site.clone()) {
+            self.sites.remove(&site);
+            self.forgotten += 1;
+        }
+    }
+
+    /// Decides whether a sub-request with `time_left` for its answer may be sent to a site.
+    pub fn admit(&mut self, now: Ms, site: &Site, time_left: Ms) -> Admission {
+        let draws = self.draws();
+        let (settings, routers) = (Arc::clone(&self.settings), self.routers);
+        let context = DecisionContext { now, draws, settings: &settings, routers };
+        self.entry(now, site).admit(time_left, &context)
     }
 
-    /// True if a site that is passed over may be probed.
+    /// Whether a site that is passed over may be probed.
     pub fn probe_is_due(&mut self, now: Ms, site: &Site) -> bool {
-        let state = self.entry(now, site);
-        state.probe_is_due(now)
+        self.entry(now, site).probe_is_due(now)
     }
 
-    /// A probe goes out: the next is a while off.
+    /// Records a probe that is sent.
     pub fn probe_sent(&mut self, now: Ms, site: &Site) {
         let jitter = self.random();
-        let (gap, most) = (fleet_probe_interval(&self.settings, self.routers), self.settings.probe_most);
-        let state = self.entry(now, site);
-        state.probes_in_flight += 1;
-        state.next_probe = now + state.probe_backoff.max(gap) * (0.5 + jitter);
-        // Until one is answered.
-        state.probe_backoff = (state.probe_backoff * PROBE_BACKOFF_FACTOR).min(most);
-    }
-
-    /// An attempt has turned out.
-    pub fn record(&mut self, now: Ms, site: &Site, sign: AttemptSignal, source: SignalSource) -> SiteChange {
-        let draws = (self.random(), self.random());
-        let (set, routers) = (Arc::clone(&self.settings), self.routers);
-        self.entry(now, site).record(now, sign, source, draws, &set, routers)
-    }
-
-    /// Another router's word. False if it is not taken.
-    pub fn observe_peer(&mut self, now: Ms, from: RouterId, word: &Evidence) -> bool {
-        let set = Arc::clone(&self.settings);
-        // Others' words make no site known here beyond half of the room, and push none out.
-        let new = !self.sites.contains_key(&word.site);
-        let known = !new || self.sites.len() < set.sites / 2;
-        if !known || (word.missed, word.answered) == (0, 0) || !(0.0..set.hearsay).contains(&word.age) {
+        let (settings, routers) = (Arc::clone(&self.settings), self.routers);
+        self.entry(now, site).probes.sent(now, &settings, routers, jitter);
+    }
+
+    /// Records how an attempt turned out.
+    pub fn record(
+        &mut self,
+        now: Ms,
+        site: &Site,
+        signal: AttemptSignal,
+        source: SignalSource,
+    ) -> SiteChange {
+        let draws = self.draws();
+        let (settings, routers) = (Arc::clone(&self.settings), self.routers);
+        let context = DecisionContext { now, draws, settings: &settings, routers };
+        self.entry(now, site).record(signal, source, &context)
+    }
+
+    /// Records another router's observation. Returns false if it is not accepted: it is empty, too old or outdated, or
+    /// its site is unknown and half of the table is used.
+    pub fn observe_peer(&mut self, now: Ms, from: RouterId, evidence: &Evidence) -> bool {
+        let settings = Arc::clone(&self.settings);
+        let is_new = !self.sites.contains_key(&evidence.site);
+        let fits = !is_new || self.sites.len() < settings.sites / 2;
+        let is_empty = evidence.missed == 0 && evidence.answered == 0;
+        if !fits || is_empty || !(0.0..settings.hearsay).contains(&evidence.age) {
             return false;
         }
         let jitter = self.random();
-        let gap = fleet_probe_interval(&set, self.routers);
-        let state = self.sites.entry(word.site.clone()).or_insert_with(|| SiteState::new(now, &set));
-        if new {
+        let interval = fleet_probe_interval(&settings, self.routers);
+        let state = self.sites.entry(evidence.site.clone()).or_insert_with(|| SiteState::new(now, &settings));
+        if is_new {
             state.last_used = 0.0;
-            if (set.tick..MOST_MS).contains(&word.latency) {
-                state.latency = LatencyHistogram::prior(word.latency);
+            if (settings.tick..MOST_MS).contains(&evidence.latency) {
+                state.latency = LatencyHistogram::prior(evidence.latency);
             }
         }
-        if !state.observe_peer(now, from, word, &set) {
+        if !state.failure.observe_peer(now, from, evidence, &settings) {
             return false;
         }
-        // It seems to be back: each router looks for itself, and not all in the same moment.
-        if word.answered > word.missed && state.share_at_ramp_start <= 0.0 {
-            state.next_probe = state.next_probe.min(now + gap * 2.0 * jitter);
+        // The site may have recovered: each router probes it itself, spread over two intervals.
+        if evidence.answered > evidence.missed && state.ramp.is_excluded() {
+            state.probes.advance_to(now + interval * 2.0 * jitter);
         }
         true
     }
 
-    /// What others are told of a site, unless they were told just now.
+    /// The observation of a site to publish, unless one was published too recently. It resets the counts.
     pub fn take_observation(&mut self, now: Ms, site: &Site) -> Option<Evidence> {
-        let every = self.settings.tell_every;
+        let interval = self.settings.tell_every;
         let state = self.sites.get_mut(site)?;
-        if state.last_published.is_some_and(|t| now - t < every)
-            || state.missed.saturating_add(state.answered) == 0
-        {
+        let too_early = state.last_published.is_some_and(|at| now - at < interval);
+        if too_early || state.missed.saturating_add(state.answered) == 0 {
             return None;
         }
         state.last_published = Some(now);
-        // What is told leans to how the site stands now.
-        let (missed, answered) = match state.traffic_share(now) <= 0.0 {
-            true => (state.missed.max(1), 0),
-            false => (0, state.answered.max(1)),
-        };
+        // Only the counts that agree with the site's present state are published.
+        let (missed, answered) =
+            if state.ramp.share(now) <= 0.0 { (state.missed.max(1), 0) } else { (0, state.answered.max(1)) };
         (state.missed, state.answered) = (0, 0);
         let latency = if answered > 0 { state.latency.quantile(0.5) } else { 0.0 };
         Some(Evidence { site: site.clone(), missed, answered, latency, age: 0.0 })
     }
 
-    /// The probability that a site answers within `left` if it is asked now.
-    pub fn success_probability(&self, now: Ms, site: &Site, left: Ms) -> f64 {
-        self.sites.get(site).map_or(0.0, |s| {
-            (1.0 - s.failure_probability(now, &self.settings)) * s.latency.probability_within(left)
+    /// The probability that a site answers within `time_left` if a sub-request is sent now.
+    pub fn success_probability(&self, now: Ms, site: &Site, time_left: Ms) -> f64 {
+        self.sites.get(site).map_or(0.0, |state| {
+            (1.0 - state.failure_probability(now, &self.settings))
+                * state.latency.probability_within(time_left)
         })
     }
 
-    /// Its measured travel, there and back, with room for what it varies, in milliseconds.
+    /// A site's network round trip with an allowance for its variation, in milliseconds.
     pub fn network_delay(&self, site: &Site) -> Ms {
-        self.sites
-            .get(site)
-            .map_or(0.0, |s| s.network_delay + NETWORK_DELAY_DEVIATIONS * s.network_delay_deviation)
+        self.sites.get(site).map_or(0.0, |state| state.network_delay.estimate())
     }
 
-    /// Until when it turns requests away, if it does.
+    /// The end of a site's `Retry-After`, if it is in the future.
     pub fn retry_after_until(&self, now: Ms, site: &Site) -> Option<Ms> {
-        self.sites.get(site).map(|s| s.retry_after_until).filter(|a| *a > now)
+        self.sites.get(site).map(|state| state.retry_after_until).filter(|at| *at > now)
     }
 
-    /// In what time a part is likely to be had of a site.
+    /// The time in milliseconds after which a site is expected to deliver a part.
     pub fn expected_recovery(&self, now: Ms, site: &Site) -> Ms {
-        let Some(s) = self.sites.get(site) else { return self.settings.usual };
-        let usual = s.latency.quantile(0.9);
-        let until = match s.share_at_ramp_start <= 0.0 {
-            true => (s.next_probe - now).max(0.0) + self.settings.portion_step,
-            false => 0.0,
+        let Some(state) = self.sites.get(site) else { return self.settings.usual };
+        let answer_time = state.latency.quantile(0.9);
+        let until_included = if state.ramp.is_excluded() {
+            state.probes.time_left(now) + self.settings.portion_step
+        } else {
+            0.0
         };
-        until.max(s.retry_after_until - now).max(0.0) + usual
+        until_included.max(state.retry_after_until - now).max(0.0) + answer_time
     }
 }
