--- a/crates/scatter_gather/src/baselines.rs
+++ b/crates/scatter_gather/src/baselines.rs
@@ -5,7 +5,8 @@
     Action, Ask, AttemptNo, Came, Copy, Decide, Ended, Event, GatherNo, Missing, Purge, Times, Verdict,
 };
 use crate::counters::Counters;
-use crate::pending_request::{find_request_error, Attempt, PendingRequest, ReceivedPart};
+use crate::pending_request::{Attempt, PendingRequest, ReceivedPart};
+use crate::request_validation::find_request_error;
 use crate::settings::{BadSetting, Settings};
 use basaltgw_types::Ms;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/scatter_gather/src/engine/events.rs
+++ b/crates/scatter_gather/src/engine/events.rs
@@ -4,7 +4,8 @@
 use super::{timer_key, ActiveProbe, Gathers};
 use crate::api::{Action, Ask, AttemptNo, Came, Ended, Evidence, GatherNo, How, Purge, Site, Verdict};
 use crate::broken::Broken;
-use crate::pending_request::{find_request_error, PendingRequest, ReceivedPart};
+use crate::pending_request::{PendingRequest, ReceivedPart};
+use crate::request_validation::find_request_error;
 use crate::settings::MOST_MS;
 use crate::site_table::{AttemptSignal, SignalSource, SiteChange};
 use basaltgw_types::{Ms, RouterId};
--- a/crates/scatter_gather/src/latency_histogram.rs
+++ b/crates/scatter_gather/src/latency_histogram.rs
@@ -1,45 +1,45 @@
-//! A site's latencies: a histogram in steps of a fixed ratio, in which old answers fade. Its size never changes.
+//! A decayed histogram of a site's latencies, with buckets of a fixed ratio and a bounded size.
 //!
-//! Sketches of the libraries (HDR histogram, t-digest) keep all that they were given; what is needed here is the last few dozen answers, and room for
-//! answers that were given up on, which are known only to take longer.
+//! Sketches such as HDR histogram and t-digest weigh all samples alike; here old samples decay, and an attempt that was
+//! cancelled counts as a sample known only to be longer (a censored one).
 
 use basaltgw_types::Ms;
 use std::fmt;
 
-/// Steps: 0.25 ms times 1.25 to the 72nd is some 40 minutes.
+/// Number of buckets: 0.25 ms times 1.25 to the 72nd is about 40 minutes.
 const BUCKETS: usize = 72;
-/// The upper end of the first step, in milliseconds: less is a memory's answer.
+/// Upper bound of the first bucket, in milliseconds.
 const FIRST_BUCKET_MS: Ms = 0.25;
-/// Ratio of a step's ends: a quarter is about the spread of a quiet link.
+/// Ratio of a bucket's bounds, about the jitter of an idle link.
 const BUCKET_RATIO: f64 = 1.25;
-/// Of the weight that there is, this is left at each answer: the last 50 make up two thirds.
+/// Factor applied to all weights at each sample: the last 50 samples have about two thirds of the weight.
 const DECAY_PER_SAMPLE: f64 = 0.98;
-/// This share of answers is taken to come later than nearly all that were seen: a few dozen tell nothing of one in a hundred.
+/// Probability mass of the assumed tail: a few dozen samples don't show the 99th percentile.
 const TAIL_PROBABILITY: f64 = 0.03;
-/// From this quantile on, to so many times its latency, evenly in the logarithm.
+/// The quantile at which the assumed tail starts, and the factor up to which it extends, uniform in the logarithm.
 const TAIL_QUANTILE_AND_SPAN: (f64, f64) = (0.9, 8.0);
-/// Weight of the first guess, in answers: a few real ones outweigh it.
+/// Weight of the prior, in samples.
 const PRIOR_WEIGHT: f64 = 3.0;
 
 /// A decayed histogram of latencies.
 #[derive(Clone, PartialEq)]
 pub(crate) struct LatencyHistogram {
-    /// Weight by step.
+    /// Weight of each bucket.
     weights: [f32; BUCKETS],
-    /// Weight of each step and all below, since it is read far more often than changed.
+    /// Cumulative weights; they are read far more often than changed.
     cumulative_weights: [f32; BUCKETS],
-    /// Where the tail begins, among the steps.
+    /// The bucket at which the assumed tail starts.
     tail_start: f64,
 }
 
-/// The steps that have weight, by number.
+/// Lists the buckets that have weight.
 impl fmt::Debug for LatencyHistogram {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_map().entries(self.weights.iter().enumerate().filter(|s| *s.1 > 0.0)).finish()
     }
 }
 
-/// Where a latency is among the steps, the first ending at 0.
+/// A latency's position in buckets; the first bucket ends at 0.
 fn log_position(t: Ms) -> f64 {
     (t / FIRST_BUCKET_MS).ln() / BUCKET_RATIO.ln()
 }
@@ -53,7 +53,7 @@
 }
 
 impl LatencyHistogram {
-    /// Before anything was measured: around `usual`, wide.
+    /// The wide prior around `usual`, in milliseconds, before any sample.
     pub fn prior(usual: Ms) -> Self {
         let mut new = Self { weights: [0.0; BUCKETS], cumulative_weights: [0.0; BUCKETS], tail_start: 0.0 };
         for (by, weight) in [(0.5, 1.0), (1.0, 2.0), (2.0, 2.0), (4.0, 1.0)] {
@@ -84,14 +84,14 @@
         self.weights.iter_mut().for_each(|s| *s *= DECAY_PER_SAMPLE as f32);
     }
 
-    /// An answer came after `t`, and counts as `weight` of them.
+    /// Records an answer after `t` milliseconds that counts as `weight` samples.
     pub fn record(&mut self, t: Ms, weight: f64) {
         (0..weight.ceil() as usize).for_each(|_| self.decay());
         self.add_weight(t, weight);
     }
 
-    /// An answer would have come, but was given up on after `t`: it is spread over the latencies above, as they are; if there are none, it is put a
-    /// step above.
+    /// Records an attempt that was cancelled after `t` milliseconds: its weight is distributed over the buckets above
+    /// in proportion to theirs, or goes to the next bucket if those are nearly empty.
     pub fn record_timeout(&mut self, t: Ms, weight: f64) {
         self.decay();
         let from = bucket_index(t) + 1;
@@ -124,7 +124,7 @@
         self.cumulative_weights.iter().position(|s| *s >= want).unwrap_or(BUCKETS - 1)
     }
 
-    /// The latency that this share of answers keeps, in milliseconds.
+    /// The latency in milliseconds that this share of answers does not exceed.
     pub fn quantile(&self, share: f64) -> Ms {
         bucket_upper_bound(self.quantile_bucket(share))
     }
--- a/crates/scatter_gather/src/lib.rs
+++ b/crates/scatter_gather/src/lib.rs
@@ -20,6 +20,7 @@
 mod engine;
 mod latency_histogram;
 mod pending_request;
+mod request_validation;
 mod settings;
 pub mod sim;
 mod site_state;
--- a/crates/scatter_gather/src/pending_request.rs
+++ b/crates/scatter_gather/src/pending_request.rs
@@ -1,56 +1,77 @@
-//! One open gather: what was asked, what has come, and which of it could be answered.
+//! A pending scatter-gather request: its parts, its attempts, and which of the received parts an answer may combine.
+//!
+//! An answer has one version of each object and nothing from before a purge. Times are in milliseconds of the caller's
+//! clock; `origin_time` and purge times are in Unix milliseconds of the origin.
 
-use crate::api::{Ask, AttemptNo, Copy, Missing, PartNo, PartSpec, Policy, Purge, Site, Unfit, Used};
-use crate::settings::{Settings, MOST_MS};
+use crate::api::{Ask, AttemptNo, Copy, Missing, PartNo, PartSpec, Policy, Purge, Site, Used};
+use crate::settings::Settings;
 use basaltgw_types::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Shares are compared with this much room for sums in floating point.
+/// Tolerance for rounding where shares are compared.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// Bytes that came.
+/// A part that was received.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ReceivedPart {
     pub version: Arc<str>,
     pub origin_time: u64,
 }
 
-/// An attempt that is out, or whose bytes are kept.
+/// An attempt in flight, or one whose part is received and buffered by the caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
-    /// The part's place.
+    /// Index of the part in the request.
     pub part_index: usize,
     pub site: Site,
     pub sent_at: Ms,
     pub kind: Copy,
-    /// `None` while it is out.
+    /// `None` while the attempt is in flight.
     pub received: Option<ReceivedPart>,
 }
 
+/// One part of a pending request.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingPart {
     pub spec: PartSpec,
-    /// What was born up to then is from before a purge.
+    /// Copies with an origin time up to this one are purged.
     pub purge_floor: u64,
-    /// How often each of its sites was asked, the preferred one first.
+    /// Attempts at each site, probes excluded; the preferred site is first.
     pub attempts_by_site: Vec<usize>,
-    /// Its sites are all away; then one is back.
+    /// When the first of its sites accepts attempts again, while all reject them.
     pub retry_at: Option<Ms>,
     pub required: bool,
-    /// Left out, or not to be asked for any more.
+    /// No further attempt is made.
     pub abandoned: bool,
 }
 
-/// What could be answered: an attempt for each part, or none.
+/// Received parts that may be combined in one answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Selection {
+    /// The attempt that each part is taken from, if any.
     pub attempt_by_part: Vec<Option<AttemptNo>>,
+    /// Number of selected parts.
     pub count: usize,
+    /// Sum of their priority weights.
     pub weight: f64,
 }
 
-/// What has come of one version of an object.
+/// What a selection lacks for the minimum shares of the policy.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct Shortfall {
+    pub count: usize,
+    /// Priority weight.
+    pub weight: f64,
+}
+
+impl Shortfall {
+    fn is_none(self) -> bool {
+        self.count == 0 && self.weight == 0.0
+    }
+}
+
+/// The received parts of one version of an object.
 #[derive(Default)]
 struct VersionCandidate {
     parts: BTreeSet<usize>,
@@ -58,6 +79,7 @@
     origin_time: u64,
 }
 
+/// A request that is not answered yet.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
     pub policy: Arc<Policy>,
@@ -65,102 +87,59 @@
     pub attempts: BTreeMap<AttemptNo, Attempt>,
     next_attempt: u32,
     pub started_at: Ms,
-    /// An answer that is decided by then earns the full worth, or anything.
+    /// An answer that is decided by then meets the latency objective.
     pub objective_at: Ms,
+    /// An answer that is decided later is worth nothing.
     pub deadline_at: Ms,
+    /// Value of an answer between objective and deadline, 0 to 1.
     pub late_value: f64,
+    /// Sum of all parts' priority weights.
     pub total_weight: f64,
-    /// Since when it could be answered in part.
+    /// Since when the policy allows a partial answer.
     pub answerable_since: Option<Ms>,
     pub next_evaluation: Ms,
-    /// An attempt failed, in contrast to all being left out or turned away.
+    /// An attempt failed, as opposed to being rejected or not sent.
     pub attempt_failed: bool,
-    /// A second copy was worth it and not made.
+    /// A hedged sub-request was worthwhile but over the hedging budget.
     pub hedge_suppressed: bool,
 }
 
-/// What is wrong with a request, if anything.
-pub(crate) fn find_request_error(ask: &Ask, set: &Settings) -> Option<Unfit> {
-    if ask.effect != crate::api::Effect::Safe {
-        return Some(Unfit::Effect(ask.effect));
-    }
-    if ask.parts.is_empty() || ask.parts.len() > set.parts {
-        return Some(Unfit::Parts { found: ask.parts.len(), most: set.parts });
-    }
-    let mut seen = BTreeSet::new();
-    if let Some(twice) = ask.parts.iter().find(|p| !seen.insert(p.part)) {
-        return Some(Unfit::Twice(twice.part));
-    }
-    if let Some(other) = ask.policy.needed.iter().find(|p| !seen.contains(p)) {
-        return Some(Unfit::Unknown(*other));
-    }
-    let share = |s: f64| (0.0..=1.0).contains(&s);
-    let span = |t: Ms| (0.0..=MOST_MS).contains(&t);
-    let (t, p) = (&ask.times, &ask.policy);
-    let mut checks = vec![
-        ("aim", t.aim, span(t.aim) && t.aim <= t.deadline, "0 to the deadline, in ms"),
-        ("deadline", t.deadline, span(t.deadline), "0 to 3,600,000 ms"),
-        ("late_worth", t.late_worth, share(t.late_worth), "0 to 1"),
-        ("least_count", p.least_count, share(p.least_count), "0 to 1"),
-        ("least_worth", p.least_worth, share(p.least_worth), "0 to 1"),
-        ("wait", p.wait, span(p.wait), "0 to 3,600,000 ms"),
-    ];
-    let worth = |w: f64| w.is_finite() && w > 0.0 && w <= 1e9;
-    checks.extend(ask.parts.iter().map(|p| ("worth", p.worth, worth(p.worth), "above 0, at most 1e9")));
-    let bad = checks.into_iter().find(|c| !c.2);
-    bad.map(|(field, found, _, expected)| Unfit::Field { field, expected, found })
-}
-
 impl PendingRequest {
-    pub fn new(now: Ms, ask: Ask, kept_back: Ms, set: &Settings) -> Self {
+    /// Starts a request. `reserved` is subtracted from its times for assembling and sending the answer.
+    pub fn new(now: Ms, ask: Ask, reserved: Ms, settings: &Settings) -> Self {
         let policy = ask.policy;
-        let part = |mut spec: PartSpec| {
-            // More than can be tried is of no use, and a site twice neither.
-            let mut seen = BTreeSet::from([spec.site.clone()]);
-            spec.alternates.retain(|s| seen.insert(s.clone()));
-            spec.alternates.truncate(set.tries.saturating_sub(1));
-            let needed = policy.missing == Missing::Refused || policy.needed.contains(&spec.part);
-            let tried = vec![0; spec.alternates.len() + 1];
-            PendingPart {
-                spec,
-                purge_floor: 0,
-                attempts_by_site: tried,
-                retry_at: None,
-                required: needed,
-                abandoned: false,
-            }
-        };
-        let parts: Vec<PendingPart> = ask.parts.into_iter().map(part).collect();
-        let worth = parts.iter().map(|p| p.spec.worth).sum();
-        let end_at = now + (ask.times.deadline - kept_back).max(0.0);
-        let aim_at = (now + (ask.times.aim - kept_back).max(0.0)).min(end_at);
-        let (late_worth, attempts) = (ask.times.late_worth, BTreeMap::new());
-        let (could, wake, failed, next, asked) = (None, now, false, 0, now);
-        let mut new = Self {
+        let parts: Vec<PendingPart> =
+            ask.parts.into_iter().map(|spec| PendingPart::new(spec, &policy, settings)).collect();
+        let total_weight = parts.iter().map(|part| part.spec.worth).sum();
+        let deadline_at = now + (ask.times.deadline - reserved).max(0.0);
+        let objective_at = (now + (ask.times.aim - reserved).max(0.0)).min(deadline_at);
+        let mut request = Self {
             policy,
             parts,
-            attempts,
-            next_attempt: next,
-            started_at: asked,
-            objective_at: aim_at,
-            deadline_at: end_at,
-            late_value: late_worth,
-            total_weight: worth,
-            answerable_since: could,
-            next_evaluation: wake,
-            attempt_failed: failed,
+            attempts: BTreeMap::new(),
+            next_attempt: 0,
+            started_at: now,
+            objective_at,
+            deadline_at,
+            late_value: ask.times.late_worth,
+            total_weight,
+            answerable_since: None,
+            next_evaluation: now,
+            attempt_failed: false,
             hedge_suppressed: false,
         };
-        ask.purges.iter().for_each(|p| new.raise_purge_floors(p));
-        new
+        for purge in &ask.purges {
+            request.raise_purge_floors(purge);
+        }
+        request
     }
 
-    /// Until when waiting may go on.
+    /// The time at which waiting ends: the deadline, or the end of the policy's wait for further parts.
     pub fn wait_limit(&self) -> Ms {
         self.answerable_since.map_or(self.deadline_at, |c| self.deadline_at.min(c + self.policy.wait))
     }
 
-    /// Time left to the aim; once that is over, to the end.
+    /// The time left to the latency objective; after it, to the deadline.
     pub fn time_left(&self, now: Ms) -> Ms {
         if now < self.objective_at {
             self.objective_at - now
@@ -169,12 +148,13 @@
         }
     }
 
+    /// Assigns the next attempt number.
     pub fn next_attempt_number(&mut self) -> AttemptNo {
         self.next_attempt += 1;
         AttemptNo(self.next_attempt - 1)
     }
 
-    /// Takes a purge in; the attempts whose bytes are from before it.
+    /// Applies a purge. Returns the attempts whose parts are older; they are removed.
     pub fn apply_purge(&mut self, purge: &Purge) -> Vec<AttemptNo> {
         self.raise_purge_floors(purge);
         let old = |a: &Attempt| {
@@ -192,7 +172,7 @@
         self.parts.iter_mut().filter(concerns).for_each(|p| p.purge_floor = p.purge_floor.max(purge.time));
     }
 
-    /// Of each object the version that was given out last, which is what further parts will be of.
+    /// The newest received version of each object, which further parts are expected to have.
     pub fn newest_versions(&self) -> BTreeMap<u64, Arc<str>> {
         let mut newest: BTreeMap<u64, (u64, &Arc<str>)> = BTreeMap::new();
         for (object, b) in self
@@ -206,22 +186,23 @@
         newest.into_iter().map(|(o, (_, v))| (o, v.clone())).collect()
     }
 
-    /// Parts that have come in these versions of their objects.
+    /// The received parts that have these versions of their objects.
     pub fn select_versions(&self, versions: &BTreeMap<u64, Arc<str>>) -> Selection {
-        let mut choice = Selection { attempt_by_part: vec![None; self.parts.len()], ..Selection::default() };
+        let mut selection =
+            Selection { attempt_by_part: vec![None; self.parts.len()], ..Selection::default() };
         for (no, a) in &self.attempts {
             let spec = &self.parts[a.part_index].spec;
             let fits = a.received.as_ref().is_some_and(|b| versions.get(&spec.object) == Some(&b.version));
-            if fits && choice.attempt_by_part[a.part_index].is_none() {
-                choice.attempt_by_part[a.part_index] = Some(*no);
-                choice.count += 1;
-                choice.weight += spec.worth;
+            if fits && selection.attempt_by_part[a.part_index].is_none() {
+                selection.attempt_by_part[a.part_index] = Some(*no);
+                selection.count += 1;
+                selection.weight += spec.worth;
             }
         }
-        choice
+        selection
     }
 
-    /// What is worth most of what has come: of each object one version; of two that are worth the same, the one given out last.
+    /// The selection of the highest weight: one version of each object, and the newer of two of equal weight.
     pub fn best_selection(&self) -> Selection {
         let mut all: BTreeMap<(u64, &Arc<str>), VersionCandidate> = BTreeMap::new();
         for a in self.attempts.values() {
@@ -230,7 +211,7 @@
             let of = all.entry((part.spec.object, &b.version)).or_default();
             of.origin_time = of.origin_time.max(b.origin_time);
             if of.parts.insert(a.part_index) {
-                // A needed part outweighs all others.
+                // A required part outweighs all others together.
                 of.weight += if part.required { self.total_weight * 2.0 } else { part.spec.worth };
             }
         }
@@ -245,45 +226,48 @@
         self.select_versions(&versions)
     }
 
-    pub fn is_complete(&self, choice: &Selection) -> bool {
-        choice.count == self.parts.len()
+    /// Whether the selection has all parts.
+    pub fn is_complete(&self, selection: &Selection) -> bool {
+        selection.count == self.parts.len()
     }
 
-    /// True if the policy allows an answer with these parts.
-    pub fn policy_allows(&self, choice: &Selection) -> bool {
+    /// Whether the policy allows an answer with these parts.
+    pub fn policy_allows(&self, selection: &Selection) -> bool {
         let needed =
-            self.parts.iter().zip(&choice.attempt_by_part).all(|(p, of)| !p.required || of.is_some());
-        choice.count > 0 && needed && self.shortfall(choice) == (0, 0.0)
+            self.parts.iter().zip(&selection.attempt_by_part).all(|(p, of)| !p.required || of.is_some());
+        selection.count > 0 && needed && self.shortfall(selection).is_none()
     }
 
-    /// How many parts, and how much worth, are lacking for the least shares.
-    pub fn shortfall(&self, choice: &Selection) -> (usize, f64) {
+    /// What the selection lacks for the minimum shares of the policy.
+    pub fn shortfall(&self, selection: &Selection) -> Shortfall {
         let count =
             (self.policy.least_count * self.parts.len() as f64 - SHARE_TOLERANCE).ceil().max(1.0) as usize;
-        let worth = self.policy.least_worth * self.total_weight * (1.0 - SHARE_TOLERANCE) - choice.weight;
-        (count.saturating_sub(choice.count), worth.max(0.0))
+        let weight = self.policy.least_worth * self.total_weight * (1.0 - SHARE_TOLERANCE) - selection.weight;
+        Shortfall { count: count.saturating_sub(selection.count), weight: weight.max(0.0) }
     }
 
-    pub fn used_parts(&self, choice: &Selection) -> Vec<Used> {
+    /// The selected parts, in the order of the request.
+    pub fn used_parts(&self, selection: &Selection) -> Vec<Used> {
         let used = |(part, no): (&PendingPart, &Option<AttemptNo>)| {
             let attempt = (*no)?;
             let version = self.attempts.get(&attempt)?.received.as_ref()?.version.clone();
             Some(Used { part: part.spec.part, attempt, version })
         };
-        self.parts.iter().zip(&choice.attempt_by_part).filter_map(used).collect()
+        self.parts.iter().zip(&selection.attempt_by_part).filter_map(used).collect()
     }
 
-    pub fn missing_parts(&self, choice: &Selection) -> Vec<PartNo> {
+    /// The parts that are not selected, in the order of the request.
+    pub fn missing_parts(&self, selection: &Selection) -> Vec<PartNo> {
         let lacks = |(p, of): (&PendingPart, &Option<AttemptNo>)| of.is_none().then_some(p.spec.part);
-        self.parts.iter().zip(&choice.attempt_by_part).filter_map(lacks).collect()
+        self.parts.iter().zip(&selection.attempt_by_part).filter_map(lacks).collect()
     }
 
-    /// A part's attempts that are out, probes too: little is hoped of those.
+    /// A part's attempts in flight, probes included.
     pub fn in_flight_with_probes(&self, part: usize) -> impl Iterator<Item = (&AttemptNo, &Attempt)> {
         self.attempts.iter().filter(move |(_, a)| a.part_index == part && a.received.is_none())
     }
 
-    /// A part's attempts that are out, probes not counted.
+    /// A part's attempts in flight, probes excluded.
     pub fn in_flight(&self, part: usize) -> impl Iterator<Item = (&AttemptNo, &Attempt)> {
         self.attempts
             .iter()
@@ -295,7 +279,7 @@
         self.attempts.values().any(|attempt| attempt.received.is_none() && attempt.site == *site)
     }
 
-    /// What an answer at that time is worth, of 1.
+    /// The value of an answer at a time, 0 to 1. `haste` is the share that is lost by a wait up to the objective.
     pub fn value_at(&self, at: Ms, haste: f64) -> f64 {
         let share = |from: Ms, to: Ms| ((at - from) / (to - from).max(1.0)).clamp(0.0, 1.0);
         match at {
@@ -309,7 +293,17 @@
 }
 
 impl PendingPart {
-    /// Its sites, the preferred one first.
+    fn new(mut spec: PartSpec, policy: &Policy, settings: &Settings) -> Self {
+        // Each site once, and no more than can be tried.
+        let mut seen = BTreeSet::from([spec.site.clone()]);
+        spec.alternates.retain(|site| seen.insert(site.clone()));
+        spec.alternates.truncate(settings.tries.saturating_sub(1));
+        let required = policy.missing == Missing::Refused || policy.needed.contains(&spec.part);
+        let attempts_by_site = vec![0; spec.alternates.len() + 1];
+        Self { spec, purge_floor: 0, attempts_by_site, retry_at: None, required, abandoned: false }
+    }
+
+    /// The sites that have the part; the preferred one is first.
     pub fn sites(&self) -> impl Iterator<Item = &Site> {
         std::iter::once(&self.spec.site).chain(&self.spec.alternates)
     }
--- a/crates/scatter_gather/src/wait_decision.rs
+++ b/crates/scatter_gather/src/wait_decision.rs
@@ -6,7 +6,7 @@
 //! probability that the policy allows an answer, times the value of an answer at that time.
 
 use crate::api::Site;
-use crate::pending_request::{PendingRequest, Selection};
+use crate::pending_request::{PendingRequest, Selection, Shortfall};
 use crate::settings::Settings;
 use crate::site_state::SiteState;
 use crate::site_table::SiteTable;
@@ -178,7 +178,7 @@
     /// How many of the missing parts the policy's minimum shares need. Lacking weight is converted into parts of the
     /// mean weight of the missing ones.
     fn parts_short(&self) -> usize {
-        let (count, weight) = self.request.shortfall(&self.newest_selection);
+        let Shortfall { count, weight } = self.request.shortfall(&self.newest_selection);
         let mean_weight = self.missing_parts.iter().map(|part| part.weight).sum::<f64>()
             / self.missing_parts.len().max(1) as f64;
         let by_weight = weight / mean_weight.max(f64::MIN_POSITIVE) - ROUNDING_TOLERANCE;
