--- a/crates/scatter_gather/src/api.rs
+++ b/crates/scatter_gather/src/api.rs
@@ -1,73 +1,73 @@
-//! The whole interface: ids, policies, events, actions, verdicts.
+//! The interface: ids, policies, events, actions, verdicts.
 
 use crate::counters::Counters;
 use basaltgw_types::{Ms, RouterId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A gather, numbered by the caller, who uses no number twice.
+/// Id of a request, assigned by the caller and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GatherNo(pub u64);
 
-/// A part within its gather, numbered by the caller; each once.
+/// Id of a part within its request, assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PartNo(pub u32);
 
-/// The number of an attempt within its gather, in the order of the [`Action::Fetch`]es.
+/// Id of an attempt within its request, in the order of the [`Action::Fetch`]es.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub u32);
 
-/// Where a part is: a zone's caches, or a router that answers for them.
+/// The location of a part: a zone's caches, or a router in front of them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Site(pub Arc<str>);
 
-/// What may be answered in part, for a class; compiled from the rules (`crates/placement`).
+/// When a class of requests may be answered in part; compiled from the rules (`crates/placement`).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Policy {
-    /// Parts without which there is no answer.
+    /// Required parts: there is no answer without them.
     pub needed: Vec<PartNo>,
-    /// Least share of the parts, 0 to 1.
+    /// Minimum share of the parts, 0 to 1.
     pub least_count: f64,
-    /// Least share of their worth, 0 to 1.
+    /// Minimum share of the total priority weight, 0 to 1.
     pub least_worth: f64,
-    /// The longest that a gather waits for parts once an answer could be given, in milliseconds.
+    /// The longest wait for further parts once the policy allows an answer, in milliseconds.
     pub wait: Ms,
-    /// What a missing part does.
+    /// How missing parts are handled.
     pub missing: Missing,
-    /// Parts may be asked for at a second site while the first is out.
+    /// Whether hedged sub-requests may be sent.
     pub second_copies: bool,
 }
 
-/// What a missing part does.
+/// How missing parts are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Missing {
-    /// The answer names it and says when to come back: a debt.
+    /// The answer names them with a `Retry-After`: a continuation.
     Owed,
-    /// The answer names it, and that it will not come.
+    /// The answer names them, without a continuation.
     Dropped,
-    /// There is no answer without it.
+    /// There is no answer without them.
     Refused,
 }
 
-/// What a repeat of a request may do.
+/// Whether a request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May be repeated and refused freely; the only one that may be a gather.
+    /// Idempotent; the only kind that may be split and answered in part.
     Safe,
-    /// Repeats are dropped within a group of servers for a time.
+    /// With an idempotency key: a group of servers drops duplicates for a time.
     Keyed,
-    /// Must never run twice.
+    /// Not idempotent.
     Unsafe,
 }
 
-/// Times left, as spans from the moment they are told: they shrink from tier to tier, and no clock is compared with another.
+/// The time budget of a request, relative to its arrival: no clocks of different hosts are compared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Times {
-    /// An answer within this earns the full worth, in milliseconds.
+    /// Latency objective in milliseconds: an answer within it has the full value.
     pub aim: Ms,
-    /// An answer after this earns nothing, in milliseconds.
+    /// Deadline in milliseconds: a later answer is worth nothing.
     pub deadline: Ms,
-    /// The share of the worth that an answer between the two earns, 0 to 1.
+    /// Value of an answer between the two, 0 to 1.
     pub late_worth: f64,
 }
 
@@ -78,47 +78,47 @@
     pub group: u64,
     /// The object; `None` for all of the group.
     pub object: Option<u64>,
-    /// When it happened, in Unix milliseconds of the archive, whose stamp is also in [`Came::born`]: no router's clock is in it.
+    /// Its time in Unix milliseconds of the origin, whose clock is also the one of [`Came::born`].
     pub time: u64,
 }
 
-/// A part that is asked for.
+/// A requested part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartSpec {
-    /// Its number.
+    /// Its id.
     pub part: PartNo,
-    /// The object that it is a part of. Of one object, all parts of an answer are of one version.
+    /// The object that it is a part of. All parts of one object in an answer have one version.
     pub object: u64,
     /// The object's group, for purges.
     pub group: u64,
-    /// The site that is asked first.
+    /// The preferred site.
     pub site: Site,
-    /// Sites that have it too, the preferred first.
+    /// Other sites that have it, in order of preference.
     pub alternates: Vec<Site>,
-    /// What it is worth, in relation to the other parts; above 0.
+    /// Priority weight relative to the other parts; above 0.
     pub worth: f64,
-    /// Only this version counts: that of what was answered before, where a debt is asked for.
+    /// The only usable version: for a continuation, the one answered before.
     pub version: Option<Arc<str>>,
 }
 
-/// A request for several parts.
+/// A scatter-gather request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
-    /// Its number.
+    /// Its id.
     pub no: GatherNo,
-    /// What may be answered in part.
+    /// When it may be answered in part.
     pub policy: Arc<Policy>,
-    /// What a repeat of it may do.
+    /// Whether it may be retried.
     pub effect: Effect,
     /// Its parts.
     pub parts: Vec<PartSpec>,
-    /// Times left.
+    /// Its time budget.
     pub times: Times,
-    /// Purges that concern its objects and have not settled.
+    /// Purges of its objects that have not converged yet.
     pub purges: Vec<Purge>,
 }
 
-/// Bytes of a part have come, wholly readable; they stay with the caller.
+/// A response with a part; the caller buffers the data.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Came {
     /// Of which gather.
@@ -127,30 +127,30 @@
     pub attempt: AttemptNo,
     /// Which version they are of.
     pub version: Arc<str>,
-    /// When the archive gave that copy out, in Unix milliseconds of the archive.
+    /// When the origin served that copy, in Unix milliseconds of the origin.
     pub born: u64,
-    /// False if the lower tier says that it is not all of the part.
+    /// False if the lower tier marks it as partial.
     pub whole: bool,
-    /// Bytes.
+    /// Size in bytes.
     pub len: u64,
-    /// How long the site took by its own count, in milliseconds; the rest of the latency is travel.
+    /// The site's own processing time, in milliseconds; the rest of the latency is network delay.
     pub took: Ms,
-    /// Purges that the site knows of and that concern the part's object.
+    /// Purges of the part's object that the site has received.
     pub purges: Vec<Purge>,
 }
 
-/// How an attempt ended without bytes.
+/// How an attempt ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum How {
-    /// Turned away, never run, with a time to come back in milliseconds.
+    /// Rejected and not executed, with a `Retry-After` in milliseconds.
     Refused(Ms),
-    /// It ran, or may have, and failed; the site gave a sign of life.
+    /// Failed, possibly executed; the site is reachable.
     Failed,
-    /// The site could not be reached, or the link broke with it out.
+    /// The site could not be reached, or the connection was lost.
     Unreached,
 }
 
-/// An attempt has ended without bytes.
+/// An attempt has ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ended {
     /// Of which gather.
@@ -161,75 +161,75 @@
     pub how: How,
 }
 
-/// What is heard of a site, for others to weigh: the same values as the roster carries.
+/// Observations of a site, as membership gossips them between routers; advisory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Evidence {
     /// Which site.
     pub site: Site,
-    /// Attempts that had no answer, of late.
+    /// Recent attempts without an answer in time.
     pub missed: u32,
-    /// Attempts that had one, of late.
+    /// Recent attempts with an answer.
     pub answered: u32,
     /// The median latency of those, in milliseconds; 0 if there were none.
     pub latency: Ms,
-    /// How old it is, in milliseconds.
+    /// Its age in milliseconds.
     pub age: Ms,
 }
 
-/// What the decisions are told.
+/// Input of the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A request for several parts.
+    /// A request has arrived.
     Ask(Ask),
-    /// Bytes of a part.
+    /// A response with a part.
     Came(Came),
-    /// An attempt without.
+    /// An attempt has ended without a response.
     Ended(Ended),
-    /// A purge was heard.
+    /// A purge was received.
     Purged(Purge),
-    /// Another router's word on a site: advisory only.
+    /// Another router's observation of a site: advisory only.
     Heard(RouterId, Evidence),
-    /// Routers in the fleet, this one included: how often each may probe a site that seems lost follows from it.
+    /// Number of routers in the fleet, this one included; it bounds the rate of probes.
     Fleet(usize),
-    /// It took this long to put an answer together and send it, in milliseconds.
+    /// Measured time to assemble and send an answer, in milliseconds.
     Merged(Ms),
-    /// The client has left, or took its request back.
+    /// The client has disconnected or cancelled its request.
     Left(GatherNo),
     /// The time named by [`Action::Timer`] has come.
     Timer,
 }
 
-/// Why an attempt is made.
+/// The kind of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Copy {
     /// The part's first.
     First,
-    /// An earlier one ended, or what it brought is of no use.
+    /// A retry: an earlier one ended, or its response is unusable.
     Again,
-    /// An earlier one is out.
+    /// A hedge: an earlier one is in flight.
     Second,
-    /// The site seems lost or too slow: next to nothing is hoped of this, and it stays out after the answer.
+    /// A probe of an excluded or slow site; it stays in flight after the answer.
     Probe,
 }
 
-/// Which bytes go into an answer.
+/// A part that an answer has.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Used {
     /// Which part.
     pub part: PartNo,
-    /// The attempt that brought them.
+    /// The attempt that it is taken from.
     pub attempt: AttemptNo,
-    /// Their version.
+    /// Its version.
     pub version: Arc<str>,
 }
 
-/// Why a request can't be a gather; nothing was asked for it.
+/// Why a request is invalid; no sub-request was sent for it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Unfit {
-    /// It may not run twice, so it is neither split nor answered in part.
+    /// It is not idempotent.
     #[error("gather: expected a request without effect, found a {0:?} one")]
     Effect(Effect),
-    /// Too few or too many.
+    /// Too few or too many parts.
     #[error("gather.parts: expected 1 to {most}, found {found}")]
     Parts {
         /// As it came.
@@ -237,10 +237,10 @@
         /// By the settings.
         most: usize,
     },
-    /// Twice in one request.
+    /// A part is listed twice.
     #[error("gather.parts: expected each number once, found {} twice", .0 .0)]
     Twice(PartNo),
-    /// Needed, and not asked for.
+    /// A required part is not requested.
     #[error("gather.needed: expected a part that is asked for, found {}", .0 .0)]
     Unknown(PartNo),
     /// A number out of range.
@@ -255,40 +255,40 @@
     },
 }
 
-/// How a gather ended: one for each that was asked.
+/// How a request ended: one for each request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Answer with all parts.
+    /// A complete answer.
     Whole {
         /// In the order of the request.
         used: Vec<Used>,
     },
-    /// Answer in part; it must never be taken or kept for the whole.
+    /// A partial answer; it must never be cached or used as a complete one.
     Part {
         /// In the order of the request; never empty.
         used: Vec<Used>,
         /// In the order of the request; never empty.
         missing: Vec<PartNo>,
-        /// They are a debt, for the caller to hold; else they will not come.
+        /// Whether the caller stores a continuation for the missing parts.
         owed: bool,
-        /// When they may be had, in milliseconds from now.
+        /// `Retry-After` for the missing parts, in milliseconds.
         come_back: Ms,
     },
-    /// Turned away before its time was over.
+    /// Rejected before the deadline.
     Refused {
-        /// When to come back, in milliseconds from now.
+        /// `Retry-After` in milliseconds.
         come_back: Ms,
     },
-    /// Its time was over, or each part that was asked for failed, and the policy allows no answer with what there is.
+    /// The deadline has passed, or all attempts failed, and the policy allows no answer with the received parts.
     Failed,
-    /// It can't be a gather; nothing was asked for it.
+    /// Invalid; no sub-request was sent.
     Unfit(Unfit),
 }
 
-/// What is to be done.
+/// Output of the engine, for the caller to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask a site for a part.
+    /// Send a sub-request to a site.
     Fetch {
         /// For which gather.
         no: GatherNo,
@@ -300,28 +300,28 @@
         site: Site,
         /// Why.
         copy: Copy,
-        /// Times left for the site: shorter than the gather's own by measured travel and the time to put the answer together.
+        /// The site's time budget: the request's own, less network delay and the time to assemble the answer.
         times: Times,
-        /// Only this version is of use, if one is named.
+        /// The only usable version, if one is given.
         version: Option<Arc<str>>,
-        /// Only what the archive gave out after this is of use, in Unix milliseconds of the archive; 0 for anything.
+        /// Only copies that the origin served after this are usable, in Unix milliseconds of the origin; 0 for any.
         after: u64,
     },
-    /// Give an attempt up at once: call it off if it is out, free its bytes if they came. Each attempt is either used in the answer, ended, or
-    /// dropped, and that once.
+    /// Drop an attempt: cancel it if it is in flight, free its data if it was received. Each attempt is used in the
+    /// answer, ended or dropped exactly once.
     Drop(GatherNo, AttemptNo),
-    /// Answer the client; the gather has ended.
+    /// Answer the client; the request has ended.
     Answer(GatherNo, Verdict),
-    /// Pass this on to other routers, by the roster.
+    /// Publish an observation to other routers through membership.
     Tell(Evidence),
-    /// Tell [`Event::Timer`] at this time of the caller's clock; replaces the time named before.
+    /// Send [`Event::Timer`] at this time of the caller's clock; replaces the previous timer.
     Timer(Ms),
 }
 
-/// A way to decide on gathers.
+/// A strategy for scatter-gather requests.
 pub trait Decide {
-    /// Takes an event; what is to be done is added to `acts`, in order. `now` is the caller's clock in milliseconds.
+    /// Handles an event and appends actions to `acts`, in order. `now` is the caller's clock in milliseconds.
     fn handle(&mut self, now: Ms, event: Event, acts: &mut Vec<Action>);
-    /// What it counted.
+    /// Counters since the start.
     fn counters(&self) -> &Counters;
 }
--- a/crates/scatter_gather/src/broken.rs
+++ b/crates/scatter_gather/src/broken.rs
@@ -1,19 +1,19 @@
-//! Decisions broken on purpose, so that the checks are seen to catch them. Without the feature `broken` none can be chosen.
+//! Injected defects, for tests that must detect them. They can be selected only with the feature `broken`.
 
-/// What is broken.
+/// A defect that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Broken {
-    /// A lower tier's part counts as whole, and an answer in part is given as the whole.
+    /// Partial responses count as complete parts, and partial answers as complete ones.
     PartAsWhole,
-    /// Purges are not heeded.
+    /// Purges are ignored.
     AcrossPurge,
     /// Versions are not compared.
     TwoVersions,
-    /// A gather stays open after its answer.
+    /// A request stays pending after its answer.
     TwoAnswers,
 }
 
-/// What is broken of one router's gathers: nothing.
+/// The defect injected into one engine, if any.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct InjectedDefect {
     #[cfg(feature = "broken")]
--- a/crates/scatter_gather/src/counters.rs
+++ b/crates/scatter_gather/src/counters.rs
@@ -1,66 +1,66 @@
-//! What is counted, by cause.
+//! Counters by cause; their names are keys in reports.
 
 use serde::Serialize;
 
-/// Counters of one router's gathers since its start; each only grows.
+/// Monotonic counters of one router's scatter-gather requests since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
-    /// Gathers that were asked.
+    /// Requests received.
     pub asked: u64,
-    /// Answered with all parts.
+    /// Complete answers.
     pub whole: u64,
-    /// Answered in part.
+    /// Partial answers.
     pub part: u64,
-    /// Parts named missing in those.
+    /// Missing parts in partial answers.
     pub missing: u64,
-    /// Answers in part that owe what is missing.
+    /// Partial answers with a continuation for the missing parts.
     pub owed: u64,
-    /// Turned away: the policy can't be met, or hardly.
+    /// Rejected: the policy is unlikely to be met in time.
     pub refused_hopeless: u64,
-    /// Turned away: as many gathers as may be are open.
+    /// Rejected: the limit of pending requests is reached.
     pub refused_full: u64,
-    /// Failed: time over.
+    /// Failed: the deadline has passed.
     pub failed_late: u64,
-    /// Failed: each part failed.
+    /// Failed: all attempts have failed.
     pub failed_parts: u64,
-    /// Could not be a gather.
+    /// Invalid as scatter-gather requests.
     pub unfit: u64,
-    /// A number that was open already; not heeded.
+    /// Ignored: the request number is pending already.
     pub same_number: u64,
-    /// Clients that left before the answer.
+    /// Clients that disconnected before the answer.
     pub left: u64,
     /// First attempts.
     pub first: u64,
-    /// Attempts after one that ended or brought nothing of use.
+    /// Retries.
     pub again: u64,
-    /// Attempts while another of the same part was out.
+    /// Hedged attempts.
     pub second: u64,
-    /// Second attempts that were worth it and not made: as many as may be were.
+    /// Requests whose worthwhile hedged attempt was over the hedging budget.
     pub second_spared: u64,
-    /// Probes of sites that seem lost.
+    /// Probes of excluded or slow sites.
     pub probes: u64,
-    /// First attempts at another site than the preferred one, which seemed lost or too slow.
+    /// First attempts at an alternate, since the preferred site was excluded or too slow.
     pub elsewhere: u64,
-    /// Parts that were left out from the start: their sites seemed lost or too slow.
+    /// Parts without a first attempt, since all their sites were excluded or too slow.
     pub left_out: u64,
-    /// Parts that were not asked for, since no time would have been left for the site.
+    /// Attempts not sent, since no time would have been left for the site.
     pub no_time: u64,
-    /// Bytes from before a purge, not used.
+    /// Responses older than a purge, not used.
     pub voided: u64,
-    /// Bytes of another version than the answer's, not used.
+    /// Responses of another version than the requested one, not used.
     pub other_version: u64,
-    /// Bytes that the lower tier called a part, not used.
+    /// Responses that the lower tier marked as partial, not used.
     pub in_part: u64,
-    /// Attempts given up before they ended.
+    /// Attempts cancelled before they ended.
     pub given_up: u64,
-    /// Words on an attempt that is not out: late, twice, or never made; not heeded.
+    /// Ignored events of attempts that are not in flight: late, duplicate or unknown.
     pub stray: u64,
-    /// Other routers' words that were taken.
+    /// Observations of other routers that were accepted.
     pub heard: u64,
-    /// Other routers' words that were not: too old, out of range, or no room.
+    /// Observations of other routers that were not accepted: too old, out of range, or over the limit of sites.
     pub unheard: u64,
-    /// Words passed on to other routers.
+    /// Observations published to other routers.
     pub told: u64,
-    /// Sites forgotten, since others needed the room.
+    /// Sites evicted from the full table.
     pub sites_forgotten: u64,
 }
--- a/crates/scatter_gather/src/lib.rs
+++ b/crates/scatter_gather/src/lib.rs
@@ -1,15 +1,17 @@
-//! One request for several parts whose sites differ: when it is answered, and with which parts. Decided without I/O or clock.
+//! Decisions on scatter-gather requests: when a request for parts at several sites is answered, and with which parts.
+//! The package does no I/O and reads no clock.
 //!
-//! Sites' latencies are measured; a part is waited for, asked again elsewhere (where second copies are allowed), left out from the start, or
-//! left missing, by the policy of its class: which parts are needed, the least share by count and by worth, how long waiting may go on. It
-//! answers as soon as waiting is worth less than answering. Never: an unsafe request in part; parts from both sides of a purge; two versions
-//! of one object; a lower tier's part counted as whole.
+//! The engine measures each site's latency and failure probability. By the policy of the request's class (required
+//! parts, minimum shares by count and by priority weight, longest wait), it waits for a part, retries it, sends a hedged
+//! sub-request, or answers without it. It answers once waiting is expected to be worth less than answering.
+//! Invariants: only idempotent requests are answered in part; an answer has one version of each object and nothing older
+//! than a purge; a partial response of a lower tier never counts as complete.
 //!
-//! - [`Gathers`]: the decisions; [`Event`] in, [`Action`] out, one [`Verdict`] for each gather;
-//! - [`baselines`]: three plainer ways behind the same trait [`Decide`]; [`sim`]: all four in simulated time, from a seed;
-//! - [`Settings`]: bounds and prices, with units; [`Counters`]: all that was left out, refused, voided, by cause;
+//! - [`Gathers`]: the engine; [`Event`] in, [`Action`] out, one [`Verdict`] for each request;
+//! - [`baselines`]: three simpler strategies behind the same trait [`Decide`]; [`sim`]: all four in simulated time;
+//! - [`Settings`]: bounds and prices, with units; [`Counters`]: outcomes by cause.
 //!
-//! `docs/scatter-gather.md` has the reasons, what is promised and what is not.
+//! `docs/scatter-gather.md` describes the reasons and the guarantees.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/scatter_gather/tests/decisions.rs
+++ b/crates/scatter_gather/tests/decisions.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn what_has_an_effect_or_is_half_right_is_no_gather() {
+fn non_idempotent_or_invalid_request_is_not_admitted() {
     let mut play = Play::new();
     for effect in [Effect::Keyed, Effect::Unsafe] {
         let acts = play.tell(Event::Ask(Ask { effect, ..ask(1, &["a", "b"]) }));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_silent_site_is_waited_for_less_and_less_and_then_left_out() {
+fn silent_site_is_awaited_for_shorter_times_and_then_excluded() {
     let mut play = Play::new();
     play.answers(&["a", "b"], 60);
     let mut waits = vec![];
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn others_words_alone_never_leave_out_a_site_that_answers_here() {
+fn peer_evidence_alone_does_not_exclude_a_site_that_answers_locally() {
     let mut play = Play::new();
     play.answers(&["a", "b"], 60);
     let asks = |p: &mut Play| p.ask(&["a", "b"]).1.iter().filter(|f| f.2 == Copy::First).count();
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn waiting_ends_so_long_after_an_answer_could_be_given() {
+fn request_is_answered_within_the_policy_wait_after_it_is_answerable() {
     let mut play = Play::new();
     play.answers(&["a", "b"], 60);
     let mut short = ask(1_000, &["a", "b"]);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn the_loser_of_two_copies_is_given_up_at_once() {
+fn losing_attempt_of_a_hedged_pair_is_cancelled_immediately() {
     let mut play = Play::new();
     play.answers(&["a", "b", "c"], 60);
     let mut two = ask(1_000, &["a", "c"]);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn times_left_shrink_by_measured_travel_and_merging() {
+fn time_budget_of_a_sub_request_excludes_network_delay_and_assembly() {
     let mut play = Play::new();
     play.answers(&["a"], 100);
     (0..100).for_each(|_| drop(play.tell(Event::Merged(10.0))));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_debt_takes_only_the_version_that_was_answered_and_nothing_from_before_a_purge() {
+fn continuation_accepts_only_the_answered_version_and_nothing_older_than_a_purge() {
     let mut play = Play::new();
     let mut debt = ask(1, &["a"]);
     debt.parts[0].version = Some("w".into());
--- a/crates/scatter_gather/tests/interleavings.rs
+++ b/crates/scatter_gather/tests/interleavings.rs
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn no_interleaving_mixes_or_answers_twice() {
+fn no_interleaving_mixes_versions_or_answers_twice() {
     for objects in [1, 2] {
         let checker = Strip { objects, broken: None }.checker().threads(2).spawn_bfs().join();
         checker.assert_properties();
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn each_broken_decision_is_found() {
+fn each_injected_defect_violates_a_property() {
     let broken = [
         (1, Broken::PartAsWhole),
         (2, Broken::AcrossPurge),
--- a/crates/scatter_gather/tests/sequences.rs
+++ b/crates/scatter_gather/tests/sequences.rs
@@ -260,14 +260,14 @@
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
     #[test]
-    fn one_answer_in_time_and_nothing_mixed(ops in prop::collection::vec(op(), 1..80), seed in any::<u64>()) {
+    fn random_sequence_yields_one_answer_in_time_without_mixed_versions(ops in prop::collection::vec(op(), 1..80), seed in any::<u64>()) {
         play(ops, seed, None);
     }
 }
 
 /// Each of the decisions broken on purpose is noticed.
 #[test]
-fn broken_decisions_are_noticed() {
+fn injected_defects_are_detected_on_random_sequences() {
     for broken in [Broken::PartAsWhole, Broken::AcrossPurge, Broken::TwoVersions, Broken::TwoAnswers] {
         let config =
             ProptestConfig { max_shrink_iters: 0, failure_persistence: None, ..ProptestConfig::default() };
--- a/crates/scatter_gather/tests/sites.rs
+++ b/crates/scatter_gather/tests/sites.rs
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn better_than_each_baseline_at_30_routers() {
+fn engine_outperforms_each_baseline_at_30_routers() {
     holds(30, 6_000.0, 1..11);
 }
 
 #[test]
-fn better_than_each_baseline_at_300_routers() {
+fn engine_outperforms_each_baseline_at_300_routers() {
     holds(300, 4_000.0, 101..102);
 }
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn others_words_spare_waits_for_a_lost_site() {
+fn peer_evidence_reduces_waits_for_a_failed_site() {
     for seed in 1..3 {
         let with = setup(100, 8_000.0, Trouble::Lost, seed);
         let without = Setup { gossip: false, ..with.clone() };
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_site_that_returns_is_met_by_portions() {
+fn recovered_site_receives_a_ramped_share_of_parts() {
     for seed in 1..3 {
         let setup = setup(200, 8_000.0, Trouble::Lost, seed);
         let f = ours(&setup);
