--- a/crates/scatter_gather/src/settings.rs
+++ b/crates/scatter_gather/src/settings.rs
@@ -1,76 +1,76 @@
-//! What may be set, with units.
+//! Settings with units, ranges and defaults; the field names are keys of the configuration.
 
 use basaltgw_types::Ms;
 use serde::{Deserialize, Serialize};
 
-/// Bounds and prices.
+/// Bounds and prices of the decisions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Gathers open at once.
+    /// Maximum number of pending requests.
     pub open: usize,
-    /// Parts of a gather.
+    /// Maximum number of parts of a request.
     pub parts: usize,
-    /// Sites that are measured; beyond them the one unused for longest is forgotten.
+    /// Maximum number of measured sites; the least recently used one is evicted.
     pub sites: usize,
-    /// Attempts for a part, probes not counted.
+    /// Maximum number of attempts for a part, probes excluded.
     pub tries: usize,
-    /// What a site is taken to need before it was measured, in milliseconds.
+    /// Assumed latency of a site that is not measured yet, in milliseconds.
     pub usual: Ms,
-    /// Time kept back from every deadline for the caller's own delays, in milliseconds.
+    /// Time reserved from every deadline for the caller's own delays, in milliseconds.
     pub slack: Ms,
-    /// The least time between two looks at a gather that nothing happened to, in milliseconds.
+    /// Minimum time between two evaluations of a request without events, in milliseconds.
     pub tick: Ms,
-    /// The share of its worth that an answer loses by a wait as long as the aim, although the class pays the same: so that nobody waits for
-    /// next to nothing. 0 to 1.
+    /// Share of its value that an answer loses by a wait up to the latency objective, so that no request waits for a
+    /// negligible gain. 0 to 1.
     pub haste: f64,
-    /// What turning a client away at once is worth, as a share of the gather's worth: it comes back in time. 0 to 1.
+    /// Value of an immediate rejection, as a share of the request's total weight: the client can retry in time. 0 to 1.
     pub turn_away: f64,
-    /// Second copies, as a share of first attempts. 0 to 1.
+    /// Hedging budget, as a share of first attempts. 0 to 1.
     pub second_share: f64,
-    /// What a second copy must bring, as a share of its part's worth. 0 to 1.
+    /// Minimum gain of a hedged sub-request, as a share of its part's weight. 0 to 1.
     pub second_price: f64,
-    /// A site that is lost with a higher probability than this is left out. 0 to 1, both excluded.
+    /// Failure probability above which a site is excluded. Between 0 and 1, both excluded.
     pub leave_out: f64,
-    /// A site is asked first only if its answer comes within the aim with at least this probability. 0 to 1.
+    /// Minimum probability of an answer within the latency objective for a first attempt. 0 to 1.
     pub least_hope: f64,
-    /// In what time what is known of a lost or found site fades to how it usually is, in milliseconds.
+    /// Time constant at which a site's failure probability decays to its base rate, in milliseconds.
     pub fade: Ms,
-    /// A site that answered here within this time is not left out on others' word alone, in milliseconds.
+    /// A site that answered here within this time is not excluded by peer evidence alone, in milliseconds.
     pub seen: Ms,
-    /// Time between two probes of a site that seems lost, at first, in milliseconds; each makes it twice as long, until one is answered.
+    /// Initial interval between probes of an excluded site, in milliseconds; it doubles until a probe is answered.
     pub probe_every: Ms,
-    /// The longest time between two, in milliseconds.
+    /// Maximum interval between probes, in milliseconds.
     pub probe_most: Ms,
-    /// How long a probe is waited for, in milliseconds.
+    /// Timeout of a probe, in milliseconds.
     pub probe_wait: Ms,
-    /// Time between two probes of a site by all routers of the fleet together, in milliseconds.
+    /// Minimum interval between probes of a site by the whole fleet, in milliseconds.
     pub probe_fleet: Ms,
-    /// The share of its parts that a site gets once it answers again. Above 0, at most 1.
+    /// Initial share of its parts that a recovered site receives. Above 0, at most 1.
     pub portion: f64,
-    /// The least time until that share about doubles, in milliseconds; drawn anew for each step, up to twice as long.
+    /// Minimum time until that share doubles, in milliseconds; each step is lengthened at random, up to twice this.
     pub portion_step: Ms,
-    /// Words on a site older than this are not heeded, in milliseconds.
+    /// Maximum age of peer evidence, in milliseconds.
     pub hearsay: Ms,
-    /// The least time between two words on a site to others, in milliseconds.
+    /// Minimum interval between publications of evidence on a site, in milliseconds.
     pub tell_every: Ms,
-    /// The longest time to come back that is named, in milliseconds.
+    /// Maximum `Retry-After`, in milliseconds.
     pub come_back_most: Ms,
 }
 
-/// A setting that can't be used.
+/// A setting that is out of its range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("gather.{field}: expected {expected}, found {found}")]
 pub struct BadSetting {
-    /// Which.
+    /// Name of the field.
     pub field: &'static str,
-    /// What it may be.
+    /// Its range.
     pub expected: &'static str,
-    /// As it came.
+    /// The value found.
     pub found: f64,
 }
 
-/// The longest time that may be set or asked, in milliseconds: an hour; beyond it nobody waits.
+/// The longest time in settings and requests, in milliseconds: one hour.
 pub(crate) const MOST_MS: Ms = 3_600_000.0;
 
 impl Default for Settings {
@@ -105,10 +105,10 @@
 }
 
 impl Settings {
-    /// Checks them once, where they are read.
+    /// Checks that all settings are in their ranges.
     ///
     /// # Errors
-    /// For the first that is out of its range, with its name and range.
+    /// [`BadSetting`] for the first one that is not.
     pub fn check(&self) -> Result<(), BadSetting> {
         let count = |n: usize, most: usize| (n as f64, (1..=most).contains(&n));
         let span = |t: Ms| (t, (0.0..=MOST_MS).contains(&t));
