--- a/crates/scatter_gather/src/sim/load.rs
+++ b/crates/scatter_gather/src/sim/load.rs
@@ -7,17 +7,17 @@
 use std::sync::Arc;
 
 /// Full worth until then, and none after the deadline, in milliseconds.
-pub const AIM: Ms = 250.0;
-/// See [`AIM`].
-pub const DEADLINE: Ms = 1_000.0;
+pub const LATENCY_OBJECTIVE_MS: Ms = 250.0;
+/// See [`LATENCY_OBJECTIVE_MS`].
+pub const DEADLINE_MS: Ms = 1_000.0;
 /// Share of the worth in between.
 pub const LATE_VALUE: f64 = 0.2;
 /// One in so many requests takes all parts or none, and one in so many others needs its first.
-const ALL: f64 = 0.1;
-/// See [`ALL`].
-const NEEDS: f64 = 0.2;
+const ALL_OR_NOTHING_SHARE: f64 = 0.1;
+/// See [`ALL_OR_NOTHING_SHARE`].
+const REQUIRED_PART_SHARE: f64 = 0.2;
 /// Parts that further sites have too.
-const ELSEWHERE: f64 = 0.7;
+const ALTERNATES_SHARE: f64 = 0.7;
 
 /// A row of draws of its own for each user of a seed.
 #[derive(Clone, Debug)]
@@ -62,13 +62,13 @@
 }
 
 /// A gather: 3 to 8 parts, each at a site of its own or nearly so.
-pub fn ask(setup: &Setup, router: usize, nth: usize) -> Ask {
+pub fn generate_request(setup: &Setup, router: usize, nth: usize) -> Ask {
     let mut draws = Draws::new(setup.seed, 2 + router as u64, nth as u64);
     let count = 3 + draws.below(6);
     let parts: Vec<PartSpec> = (0..count)
         .map(|i| {
             let first = draws.below(setup.sites);
-            let others = if draws.next() < ELSEWHERE { 1 + draws.below(2) } else { 0 };
+            let others = if draws.next() < ALTERNATES_SHARE { 1 + draws.below(2) } else { 0 };
             let alternates = (1..=others).map(|k| site((first + k * 3) % setup.sites)).collect();
             let (part, object) = (PartNo(i as u32), (nth * 8 + i) as u64);
             let worth = 1.0 + 2.0 * draws.next();
@@ -76,11 +76,21 @@
         })
         .collect();
     let kind = draws.next();
-    let missing = if kind < ALL { Missing::Refused } else { Missing::Owed };
-    let needed = if (ALL..ALL + NEEDS).contains(&kind) { vec![PartNo(0)] } else { vec![] };
-    let policy =
-        Policy { needed, least_count: 0.5, least_worth: 0.4, wait: DEADLINE, missing, second_copies: true };
-    let times = Times { aim: AIM, deadline: DEADLINE, late_worth: LATE_VALUE };
+    let missing = if kind < ALL_OR_NOTHING_SHARE { Missing::Refused } else { Missing::Owed };
+    let needed = if (ALL_OR_NOTHING_SHARE..ALL_OR_NOTHING_SHARE + REQUIRED_PART_SHARE).contains(&kind) {
+        vec![PartNo(0)]
+    } else {
+        vec![]
+    };
+    let policy = Policy {
+        needed,
+        least_count: 0.5,
+        least_worth: 0.4,
+        wait: DEADLINE_MS,
+        missing,
+        second_copies: true,
+    };
+    let times = Times { aim: LATENCY_OBJECTIVE_MS, deadline: DEADLINE_MS, late_worth: LATE_VALUE };
     let no = GatherNo(nth as u64);
     Ask { no, policy: policy.into(), effect: Effect::Safe, parts, times, purges: vec![] }
 }
