--- a/crates/scatter_gather/src/sim/mod.rs
+++ b/crates/scatter_gather/src/sim/mod.rs
@@ -1,7 +1,7 @@
-//! Gathers in simulated time, from a seed: routers that ask sites for parts while one site is in trouble, decided by [`Gathers`](crate::Gathers) and by the
-//! three baselines, each with the same requests and the same luck.
+//! Scatter-gather requests in simulated time: routers send sub-requests to sites while one site has a fault, once with the
+//! engine ([`Gathers`](crate::Gathers)) and once with each baseline, with the same requests and random draws.
 //!
-//! Times in milliseconds. The same seed and setup give the same figures to the last bit.
+//! Times are in milliseconds. The same setup and seed give the same results to the last bit.
 
 mod load;
 mod world;
@@ -14,43 +14,43 @@
 use serde::Serialize;
 pub use world::run;
 
-/// What befalls one of the sites in the middle half of a run.
+/// The fault of one site in the middle half of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Trouble {
-    /// Nothing.
+    /// No fault.
     Calm,
-    /// It takes ten times as long.
+    /// Its processing takes ten times as long.
     Slow,
-    /// It says nothing any more.
+    /// It does not answer.
     Lost,
-    /// It says nothing, and answers again, in turns of 0.3 to 1.5 s.
+    /// It alternates between silence and answers, every 0.3 to 1.5 s.
     Flapping,
-    /// It has just started: a tenth of its places and three times the time for each answer, both better with time.
+    /// It is warming up: a tenth of its capacity and three times the processing time, both improving with time.
     Cold,
 }
 
 impl Trouble {
-    /// All of them, the calm day first.
+    /// All faults; the run without one is first.
     pub const ALL: [Self; 5] = [Self::Calm, Self::Slow, Self::Lost, Self::Flapping, Self::Cold];
 }
 
-/// How gathers are decided.
+/// The strategy that decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Way {
-    /// By [`Gathers`].
+    /// [`Gathers`].
     Weighed,
     /// [`When::AllOrNothing`].
     AllOrNothing,
-    /// [`When::FixedTimeout`] at the whole aim: the best that a fixed time can do for what is worth its full worth until then.
+    /// [`When::FixedTimeout`] at the latency objective, the best fixed timeout for an answer of full value until then.
     FixedTimeout,
     /// [`When::FirstOfEachSite`].
     FirstOfEachSite,
 }
 
 impl Way {
-    /// All of them, the decisions first.
+    /// All strategies; the engine is first.
     pub const ALL: [Self; 4] = [Self::Weighed, Self::AllOrNothing, Self::FixedTimeout, Self::FirstOfEachSite];
 
     fn make(self, set: &Settings, seed: u64) -> Result<Box<dyn Decide>, BadSetting> {
@@ -64,94 +64,94 @@
     }
 }
 
-/// A run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The decisions' settings.
+    /// Settings of the strategies.
     pub settings: Settings,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Sites.
+    /// Number of sites.
     pub sites: usize,
-    /// Gathers by each router in a second.
+    /// Requests per router and second.
     pub rate: f64,
-    /// Its length; trouble is in its middle half.
+    /// Length in milliseconds; the fault is in the middle half.
     pub length: Ms,
-    /// What happens.
+    /// The injected fault.
     pub trouble: Trouble,
-    /// Words pass between routers.
+    /// Whether routers publish observations to each other.
     pub gossip: bool,
-    /// From which all is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
 impl Setup {
-    /// A run of usual size: ten sites, four gathers a second by each router.
+    /// The default run: ten sites, four requests per router and second.
     pub fn new(routers: usize, trouble: Trouble, seed: u64) -> Self {
         let settings = Settings { sites: 64, ..Settings::default() };
         Self { settings, routers, sites: 10, rate: 4.0, length: 16_000.0, trouble, gossip: true, seed }
     }
 
-    /// From when to when the trouble is.
+    /// Start and end of the fault, in milliseconds.
     pub fn span(&self) -> (Ms, Ms) {
         (self.length * 0.25, self.length * 0.75)
     }
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
-    /// Gathers asked.
+    /// Requests.
     pub asked: u64,
-    /// Worth in time over worth asked, 0 to 1.
+    /// Priority weight answered in time over weight requested, 0 to 1.
     pub worth: f64,
-    /// The same of gathers that were asked amid the trouble.
+    /// The same for requests during the fault.
     pub worth_amid: f64,
-    /// Answered with all parts.
+    /// Complete answers.
     pub whole: u64,
-    /// Answered in part.
+    /// Partial answers.
     pub part: u64,
-    /// Turned away.
+    /// Rejected requests.
     pub refused: u64,
-    /// Failed.
+    /// Failed requests.
     pub failed: u64,
     /// Mean time to the answer, in milliseconds.
     pub mean: Ms,
     /// Its 99th percentile, in milliseconds.
     pub p99: Ms,
-    /// Attempts over parts asked.
+    /// Attempts over requested parts.
     pub load: f64,
-    /// Second copies over first attempts.
+    /// Hedged over first attempts.
     pub seconds: f64,
     /// Probes.
     pub probes: u64,
-    /// Asks that the site in trouble had in the second after the trouble's end, over its usual number before the trouble.
+    /// Arrivals at the faulty site in the second after the fault, over its mean before the fault.
     pub met: f64,
-    /// The most asks that it had in any 200 ms of the 3 s after it, over that.
+    /// Its peak of arrivals in 200 ms within 3 s after the fault, over that mean.
     pub met_most: f64,
-    /// Routers' own waits for the site in trouble: attempts there that were given up or missed the aim, probes not counted, by router.
+    /// Attempts per router at the faulty site that were cancelled or missed the latency objective, probes excluded.
     pub waits: f64,
 }
 
-/// A line of the table.
+/// One row of the table.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Line {
     /// Routers.
     pub routers: usize,
-    /// What happened.
+    /// The injected fault.
     pub trouble: Trouble,
-    /// From which all was drawn.
+    /// Seed of the run.
     pub seed: u64,
-    /// Who decided.
+    /// The strategy.
     pub way: Way,
-    /// What came of it.
+    /// Its results.
     pub figures: Figures,
 }
 
-/// The four ways side by side.
+/// Runs the four strategies on the same setup.
 ///
 /// # Errors
-/// If a setting is out of its range.
+/// [`BadSetting`] for the first setting that is out of its range.
 pub fn beside(setup: &Setup) -> Result<Vec<Line>, BadSetting> {
     let line = |way| {
         let figures = run(setup, way)?;
@@ -160,10 +160,10 @@
     Way::ALL.into_iter().map(line).collect()
 }
 
-/// The head of the table, in the order of [`row`].
+/// The CSV header, in the order of [`row`].
 pub const HEAD: &str = "routers,trouble,seed,way,asked,worth,worth_amid,whole,part,refused,failed,mean_ms,p99_ms,load,seconds,probes,met,met_most,waits";
 
-/// A line as CSV.
+/// A row as CSV.
 pub fn row(l: &Line) -> String {
     let (f, name) = (&l.figures, |text: String| text.to_lowercase());
     format!(
@@ -190,8 +190,8 @@
     )
 }
 
-/// What must hold of the four ways under one trouble, and does not: better than each baseline; on a calm day not below all-or-nothing by more than
-/// 0.01; and some answers in part wherever there was trouble.
+/// Violations of the expected results: the engine answers more weight than each baseline, without a fault at most 0.01
+/// less than all-or-nothing; with a fault there are some partial answers.
 pub fn faults(lines: &[Line]) -> Vec<String> {
     let Some(ours) = lines.iter().find(|l| l.way == Way::Weighed) else {
         return vec!["no run of ours".into()];
@@ -210,7 +210,7 @@
         )
     };
     let mut faults: Vec<String> = others.filter(worse).map(say).collect();
-    // A run in which nothing was provoked shows nothing.
+    // Without partial answers the run does not exercise the decisions.
     if ours.trouble != Trouble::Calm && ours.figures.part == 0 {
         faults.push(format!(
             "{:?} at {} routers, seed {}: no answer in part",
