--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -49,7 +49,7 @@
     assert_eq!(s.classes[0].idempotency, Idempotency::Idempotent);
     assert_eq!((s.classes[1].idempotency, s.classes[1].uncacheable), (Idempotency::NonIdempotent, true));
     assert_eq!((s.classes[1].fresh_for, s.classes[1].latency_objective_stretch), (8000.0, 0.0));
-    assert_eq!((s.edge_slow_start.share, s.edge_slow_start.window), (0.24, 1500.0));
+    assert_eq!((s.edge_slow_start.initial_share, s.edge_slow_start.overload_window), (0.24, 1500.0));
     assert_eq!((s.peer_fill, s.direct_to_parents, s.fill_joining), (PeerFill::Any, true, false));
     assert!(!s.must_watch_endpoints && !s.dynamic_weights);
     let (_, bare) = settings(&json!({})).expect("an empty object");
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -252,7 +252,7 @@
     /// The slow-start settings of parents, which topology changes use.
     pub fn cold(&self) -> basaltgw_hierarchy::Cold {
         let rule = self.settings.parent_slow_start;
-        basaltgw_hierarchy::Cold { share: rule.share, span: rule.span }
+        basaltgw_hierarchy::Cold { share: rule.initial_share, span: rule.ramp_duration }
     }
 
     /// Reads the configuration again for a router that runs with this one.
--- a/crates/control/src/control/background.rs
+++ b/crates/control/src/control/background.rs
@@ -1,7 +1,7 @@
 //! Background changes: register changes that are retried until they take effect, conflict with the record, or are abandoned.
 //!
 //! Inputs: register responses, time in milliseconds. An unavailable change is retried after [`RETRY_DELAY_MS`] and abandoned after
-//! [`RETRY_LIMIT_MS`], or at once if [`MAX_BACKGROUND_CHANGES`] are pending. The lease of an abandoned change is no longer held here, so the
+//! [`ABANDON_AFTER_MS`], or at once if [`MAX_BACKGROUND_CHANGES`] are pending. The lease of an abandoned change is no longer held here, so the
 //! next router that asks for it finds the outcome unknown.
 
 use super::requests::Requester;
@@ -14,7 +14,8 @@
 /// Time limit of an attempt, and delay before the next one.
 const RETRY_DELAY_MS: Ms = 250.0;
 /// Longer than the replacement of a router that lost its data takes.
-const RETRY_LIMIT_MS: Ms = 60_000.0;
+const ABANDON_AFTER_MS: Ms = 60_000.0;
+/// Bounds the memory of pending changes.
 const MAX_BACKGROUND_CHANGES: usize = 65_536;
 
 /// Number of a background change.
@@ -76,7 +77,7 @@
 impl Control {
     /// Starts a background change.
     pub(super) fn start_background_change(&mut self, now: Ms, key: RecordKey, operation: Operation) {
-        let change = BackgroundChange { key, operation, abandon_at: now + RETRY_LIMIT_MS };
+        let change = BackgroundChange { key, operation, abandon_at: now + ABANDON_AFTER_MS };
         if self.background.len() >= MAX_BACKGROUND_CHANGES {
             return self.abandon(&change);
         }
--- a/crates/control/src/control/overlay_parts.rs
+++ b/crates/control/src/control/overlay_parts.rs
@@ -1,6 +1,6 @@
 //! Construction of the overlay from the settings of the control plane.
 //!
-//! Operators set the batch interval, retention, convergence time and budget ([`OverlayTimes`]); the other times of the overlay are multiples
+//! Operators set the batch interval, retention, convergence time and budget ([`OverlaySettings`]); the other times of the overlay are multiples
 //! of the batch interval.
 
 use super::dissemination::MAX_UPDATE_LAG_MS;
@@ -14,13 +14,13 @@
 /// Streams without updates are remembered for this multiple of the retention, so that a router that returns finds its gap.
 const STREAM_RETENTION_FACTOR: f64 = 5.0;
 /// Paths of an announced update may differ by this many batches.
-const LATE_BATCHES: f64 = 3.0;
-/// Batches between messages of two control machines.
-const PEER_BATCHES: f64 = 2.0;
-/// One batch more than [`PEER_BATCHES`]: a router waits this long for others to publish what all of them know.
-const HOLD_BATCHES: f64 = 3.0;
+const LATE_THRESPUBLISHER_WAIT_BATCHES: f64 = 3.0;
+/// Batch interval between two control machines, as a multiple of the router's.
+const PEER_BATCH_FACTOR: f64 = 2.0;
+/// One batch more than [`PEER_BATCH_FACTOR`]: a router waits this long for others to publish what all of them know.
+const PUBLISHER_WAIT_BATCHES: f64 = 3.0;
 /// A locally known update that nobody published within this many batches is requested from the parent.
-const ASK_BATCHES: f64 = 6.0;
+const QUERY_DELAY_BATCHES: f64 = 6.0;
 /// Backoff of overlay dials in a full mesh, where a dial only looks for an existing link.
 const MESH_BACKOFF: Backoff = Backoff { initial_ms: 100.0, max_ms: 250.0 };
 /// Backoff of overlay dials that open a connection.
@@ -91,12 +91,12 @@
     let defaults = overlay::Settings::default();
     overlay::Settings {
         batch_ms: times.batch_interval,
-        peer_batch_ms: PEER_BATCHES * times.batch_interval,
-        publisher_wait_ms: HOLD_BATCHES * times.batch_interval,
-        query_delay_ms: ASK_BATCHES * times.batch_interval,
+        peer_batch_ms: PEER_BATCH_FACTOR * times.batch_interval,
+        publisher_wait_ms: PUBLISHER_WAIT_BATCHES * times.batch_interval,
+        query_delay_ms: QUERY_DELAY_BATCHES * times.batch_interval,
         // A router that lags less than this counts as caught up, so it must still receive every update.
         convergence_ms: (times.purge_convergence_time + overlay::CATCH_UP_MS).max(MAX_UPDATE_LAG_MS),
-        late_ms: defaults.late_ms.max(LATE_BATCHES * times.batch_interval),
+        late_ms: defaults.late_ms.max(LATE_THRESPUBLISHER_WAIT_BATCHES * times.batch_interval),
         backoff_ms: backoff.initial_ms,
         max_backoff_ms: backoff.max_ms,
         retention_ms: times.retention,
--- a/crates/experiments/src/capacity/data/cold.rs
+++ b/crates/experiments/src/capacity/data/cold.rs
@@ -45,7 +45,7 @@
 /// Requests that all routers may send a cold parent of no age in a window.
 fn allowed(set: &Settings) -> f64 {
     let rule = set.parent_slow_start;
-    rule.multiple * rule.share * SIZE * rule.window / WORK
+    rule.overload_factor * rule.initial_share * SIZE * rule.overload_window / WORK
 }
 
 /// With chance: what is beyond is the routers' doing.
@@ -67,7 +67,7 @@
     fn new(routers: usize, set: &Settings, seed: u64) -> Self {
         let started = 1000.0 + WARM;
         let make = |k: usize| Router::new(set.clone(), mix(seed, k as u64));
-        let all = DEMAND * PARENTS as f64 * allowed(set) / set.parent_slow_start.window;
+        let all = DEMAND * PARENTS as f64 * allowed(set) / set.parent_slow_start.overload_window;
         let mut play = Self {
             routers: (0..routers).map(make).collect(),
             due: BTreeMap::new(),
@@ -171,12 +171,13 @@
     for routers in &sizes.routers {
         let set = settings(*routers, routers.div_ceil(expected.zones), 1);
         let reached = Play::new(*routers, &set, seed).run();
-        let (window, may) = (set.parent_slow_start.window, allowed(&set));
+        let (window, may) = (set.parent_slow_start.overload_window, allowed(&set));
         let first = reached.iter().filter(|at| **at < 1500.0 + window).count() as f64;
         // Every window that ends with an arrival, against what a parent of that age may get.
         let share = |age: Ms| {
             let rule = set.parent_slow_start;
-            (rule.share + (1.0 - rule.share) * (age / rule.span).clamp(0.0, 1.0)) / rule.share
+            (rule.initial_share + (1.0 - rule.initial_share) * (age / rule.ramp_duration).clamp(0.0, 1.0))
+                / rule.initial_share
         };
         let mut most = 0f64;
         let mut from = 0;
--- a/crates/node/src/owner/client_inputs.rs
+++ b/crates/node/src/owner/client_inputs.rs
@@ -59,8 +59,8 @@
         let Some(client) = self.clients.connected.remove(&id) else { return };
         let open = client.open;
         if let Some(reason) = client.close_reason {
-            let presence = client.connection.liveness();
-            let unanswered = open.keys().filter(|tag| presence.not_cancelled(**tag)).count();
+            let liveness = client.connection.liveness();
+            let unanswered = open.keys().filter(|tag| liveness.not_cancelled(**tag)).count();
             let ids = format_args!("client {}, closed for {reason:?}, requests {:?}", id.0, open.keys());
             self.monitors.invariants.check_close(unanswered, ids);
         }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Fails a request that can't be decoded; a client that sends many of them is closed.
+    /// Fails a request that is malformed, of an unknown class, or under an id that is open already; a client that sends many of them is closed.
     pub(super) fn on_undecodable_request(&mut self, id: ClientId, tag: Tag) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
         self.counters.clients.unreadable.increment();
--- a/crates/node/src/owner/clients.rs
+++ b/crates/node/src/owner/clients.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Counts a cancellation; true if there were too many in a short time without a response between them.
+    /// Counts a cancellation; true if there were too many since the last response, or since the window began.
     pub(super) fn has_too_many_cancellations(&mut self, now: Ms) -> bool {
         let misuse = &mut self.misuse;
         if now - misuse.counted_since > CANCELLATION_WINDOW_MS {
--- a/crates/node/src/owner/lease/mod.rs
+++ b/crates/node/src/owner/lease/mod.rs
@@ -3,8 +3,9 @@
 //!
 //! `acquire` leases a request or learns that another router has; `outcome` stores how it ended, or releases the lease of a request that was
 //! not executed. The inputs are the responses of the replication thread, the results of attempts, and times in milliseconds. A request moves
-//! through the states of [`Lease`]: `Acquiring` -> `Held` -> `Completing` -> `Released`; from `Acquiring` to `HeldElsewhere` and back with each
-//! poll; and from every state but `NotRequired` to `Released` at once when it is answered without waiting.
+//! through the states of [`Lease`]: `Acquiring` -> `Held`, or `Acquiring` -> `HeldElsewhere`, which is kept while the lease is polled and ends in
+//! `Held` or `Released`; `Held` -> `Completing` -> `Released`, or `Held` -> `Released` if the response need not wait. A request that is answered
+//! while it waits for its lease is removed in that state; a lease that is granted later is released.
 
 mod acquire;
 mod outcome;
@@ -96,7 +97,7 @@
 
 /// The record of a request, by the client's id of it.
 fn execution_key(id: &WireId) -> RecordKey {
-    // An id has 16 hex digits; one that has not belongs to no request.
+    // The client side admits ids of 16 hex digits only; others would share one record.
     let name = u128::from(u64::from_str_radix(&id.0, 16).unwrap_or(u64::MAX));
     RecordKey { kind: Kind::Execution, name }
 }
--- a/crates/node/src/owner/lease/outcome.rs
+++ b/crates/node/src/owner/lease/outcome.rs
@@ -109,7 +109,7 @@
         }
         let unsent = self.requests.leased_unsent();
         log::warn!(
-            "process paused for {gap:.0} ms: releasing the leases of {} unsent requests",
+            "no batch for {gap:.0} ms, the process may have been paused: releasing the leases of {} unsent requests",
             unsent.len()
         );
         for number in unsent {
--- a/crates/node/src/owner/state.rs
+++ b/crates/node/src/owner/state.rs
@@ -64,7 +64,8 @@
         Self { now, clock, platform: PlatformTime::new(now, wall_now()) }
     }
 
-    /// Observes a Unix time that the platform gave for something past; by how much earlier observations lie further in the past, if any.
+    /// Observes a Unix time that the platform gave for a past event. Returns the correction in milliseconds if earlier estimates of platform
+    /// times were too recent.
     pub(super) fn observe(&mut self, unix: Ms) -> Option<Ms> {
         self.platform.observe(self.now, unix)
     }
@@ -74,7 +75,7 @@
         self.platform.observe_purge(self.now, unix)
     }
 
-    /// The current time as Unix time of the platform, a late one in doubt.
+    /// An upper bound of the current Unix time of the platform, in milliseconds.
     pub(super) fn unix_at_most(&self) -> Ms {
         self.platform.unix_at_most(self.now)
     }
--- a/crates/node/src/permissions.rs
+++ b/crates/node/src/permissions.rs
@@ -37,7 +37,7 @@
     /// The request has its response.
     Answered,
     /// The client's deadline has passed.
-    DeadlineOver,
+    DeadlinePassed,
     /// The settings allow no further attempt.
     AttemptsUsed,
     /// The server is not on the endpoint list.
@@ -47,12 +47,12 @@
 /// Whether an attempt may start.
 ///
 /// # Errors
-/// [`BeginRefusal`] with the reason against it.
+/// [`StartRefusal`] with the reason against it.
 pub fn may_start(state: &StartState) -> Result<(), StartRefusal> {
     match state {
         StartState { client_waits: false, .. } => Err(StartRefusal::ClientLeft),
         StartState { answered: true, .. } => Err(StartRefusal::Answered),
-        StartState { time_left, .. } if *time_left <= 0.0 => Err(StartRefusal::DeadlineOver),
+        StartState { time_left, .. } if *time_left <= 0.0 => Err(StartRefusal::DeadlinePassed),
         StartState { attempts, max_attempts, .. } if attempts >= max_attempts => {
             Err(StartRefusal::AttemptsUsed)
         }
@@ -111,14 +111,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptRefusal {
     /// The attempt may not start.
-    Begin(StartRefusal),
+    Start(StartRefusal),
     /// The request may not run again.
     Retry(RetryRefusal),
 }
 
 impl From<StartRefusal> for AttemptRefusal {
     fn from(refusal: StartRefusal) -> Self {
-        Self::Begin(refusal)
+        Self::Start(refusal)
     }
 }
 
@@ -145,11 +145,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendRefusal {
     /// The owner has withdrawn it.
-    TakenBack,
+    Withdrawn,
     /// The time by which it had to start has passed.
-    WindowOver,
+    StartWindowPassed,
     /// The attempt's deadline has passed.
-    DeadlineOver,
+    DeadlinePassed,
     /// The client has disconnected or cancelled the request.
     ClientLeft,
 }
@@ -160,10 +160,10 @@
 /// [`SendRefusal`] with the reason against it.
 pub fn may_send(state: &SendState) -> Result<(), SendRefusal> {
     match state {
-        SendState { withdrawn: true, .. } => Err(SendRefusal::TakenBack),
+        SendState { withdrawn: true, .. } => Err(SendRefusal::Withdrawn),
         SendState { client_waits: false, .. } => Err(SendRefusal::ClientLeft),
-        SendState { start_window_passed: true, .. } => Err(SendRefusal::WindowOver),
-        SendState { deadline_passed: true, .. } => Err(SendRefusal::DeadlineOver),
+        SendState { start_window_passed: true, .. } => Err(SendRefusal::StartWindowPassed),
+        SendState { deadline_passed: true, .. } => Err(SendRefusal::DeadlinePassed),
         SendState { .. } => Ok(()),
     }
 }
@@ -180,10 +180,10 @@
 /// Why a connection is not closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseRefusal {
-    /// The owner no longer wants it closed: a message crossed the wish.
+    /// The owner no longer wants it closed: the client sent a message after it was asked for.
     NotWanted,
     /// A message is queued for the owner.
-    MessageOnWay,
+    MessageQueued,
 }
 
 /// Whether an idle connection may be closed.
@@ -192,7 +192,7 @@
 /// [`CloseRefusal`] with the reason against it.
 pub fn may_close(state: &CloseState) -> Result<(), CloseRefusal> {
     match state {
-        CloseState { queued_messages: 1.., .. } => Err(CloseRefusal::MessageOnWay),
+        CloseState { queued_messages: 1.., .. } => Err(CloseRefusal::MessageQueued),
         CloseState { wanted: false, .. } => Err(CloseRefusal::NotWanted),
         CloseState { .. } => Ok(()),
     }
@@ -223,7 +223,7 @@
 /// Whether a process that was asked to shut down may exit.
 ///
 /// # Errors
-/// [`EndRefusal`] with the reason against it.
+/// [`ExitRefusal`] with the reason against it.
 pub fn may_exit(state: &ExitState) -> Result<(), ExitRefusal> {
     match state {
         ExitState { accepts: true, .. } => Err(ExitRefusal::Accepting),
@@ -238,7 +238,7 @@
         f.write_str(match self {
             Self::ClientLeft => "the client has disconnected or cancelled",
             Self::Answered => "the request has its response",
-            Self::DeadlineOver => "the client's deadline has passed",
+            Self::DeadlinePassed => "the client's deadline has passed",
             Self::AttemptsUsed => "the settings allow no further attempt",
             Self::NotListed => "the server is not on the endpoint list",
         })
@@ -248,7 +248,7 @@
 impl fmt::Display for AttemptRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Begin(refusal) => refusal.fmt(f),
+            Self::Start(refusal) => refusal.fmt(f),
             Self::Retry(refusal) => refusal.fmt(f),
         }
     }
@@ -257,9 +257,9 @@
 impl fmt::Display for SendRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::TakenBack => "the owner has withdrawn it",
-            Self::WindowOver => "the time by which it had to start has passed",
-            Self::DeadlineOver => "the attempt's deadline has passed",
+            Self::Withdrawn => "the owner has withdrawn it",
+            Self::StartWindowPassed => "the time by which it had to start has passed",
+            Self::DeadlinePassed => "the attempt's deadline has passed",
             Self::ClientLeft => "the client has disconnected or cancelled",
         })
     }
@@ -268,8 +268,8 @@
 impl fmt::Display for CloseRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::NotWanted => "a message has crossed the wish to close it",
-            Self::MessageOnWay => "a message is queued for the owner",
+            Self::NotWanted => "the client sent a message after the close was requested",
+            Self::MessageQueued => "a message is queued for the owner",
         })
     }
 }
--- a/crates/node/src/permissions/tests.rs
+++ b/crates/node/src/permissions/tests.rs
@@ -18,7 +18,7 @@
     let refusals = [
         (StartState { client_waits: false, ..BEGIN }, StartRefusal::ClientLeft),
         (StartState { answered: true, ..BEGIN }, StartRefusal::Answered),
-        (StartState { time_left: 0.0, ..BEGIN }, StartRefusal::DeadlineOver),
+        (StartState { time_left: 0.0, ..BEGIN }, StartRefusal::DeadlinePassed),
         (StartState { attempts: 1, ..BEGIN }, StartRefusal::AttemptsUsed),
         (StartState { listed: false, ..BEGIN }, StartRefusal::NotListed),
     ];
@@ -65,9 +65,9 @@
     };
     assert_eq!(may_send(&sends), Ok(()));
     let refusals = [
-        (SendState { withdrawn: true, ..sends }, SendRefusal::TakenBack),
-        (SendState { start_window_passed: true, ..sends }, SendRefusal::WindowOver),
-        (SendState { deadline_passed: true, ..sends }, SendRefusal::DeadlineOver),
+        (SendState { withdrawn: true, ..sends }, SendRefusal::Withdrawn),
+        (SendState { start_window_passed: true, ..sends }, SendRefusal::StartWindowPassed),
+        (SendState { deadline_passed: true, ..sends }, SendRefusal::DeadlinePassed),
         (SendState { client_waits: false, ..sends }, SendRefusal::ClientLeft),
     ];
     for (state, refusal) in refusals {
@@ -78,7 +78,7 @@
 #[test]
 fn connection_closes_and_process_ends_only_with_nothing_pending() {
     assert_eq!(may_close(&CloseState { wanted: true, queued_messages: 0 }), Ok(()));
-    assert_eq!(may_close(&CloseState { wanted: true, queued_messages: 1 }), Err(CloseRefusal::MessageOnWay));
+    assert_eq!(may_close(&CloseState { wanted: true, queued_messages: 1 }), Err(CloseRefusal::MessageQueued));
     assert_eq!(may_close(&CloseState { wanted: false, queued_messages: 0 }), Err(CloseRefusal::NotWanted));
     let ends = ExitState { accepts: false, connections_open: false, quiet: true };
     assert_eq!(may_exit(&ends), Ok(()));
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -18,7 +18,8 @@
     pub settings: OwnSettings,
 }
 
-/// Reads the configuration and the project's own file again and applies them; false if either is rejected, and nothing changes.
+/// Reads the configuration and the project's own file again and applies what a running router can change; the rest is logged and skipped.
+/// False if either file is invalid, in which case nothing is applied, or if the process is ending.
 pub(crate) async fn reload(
     running: &NodeConfig,
     own: &mut Own,
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -8,24 +8,24 @@
 /// for [`SHUTDOWN_QUIET_MS`] after that.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GracefulShutdown {
-    has_begun: Option<Ms>,
+    begun_at: Option<Ms>,
     quiet_since: Option<Ms>,
 }
 
 impl GracefulShutdown {
     /// Begins the shutdown.
     pub fn begin(&mut self, now: Ms) {
-        self.has_begun.get_or_insert(now);
+        self.begun_at.get_or_insert(now);
     }
 
     /// Whether the shutdown has begun.
     pub fn has_begun(&self) -> bool {
-        self.has_begun.is_some()
+        self.begun_at.is_some()
     }
 
     /// Whether new clients are accepted.
     pub fn accepts(&self, now: Ms) -> bool {
-        self.has_begun.is_none_or(|t| now < t + SHUTDOWN_ACCEPT_MS)
+        self.begun_at.is_none_or(|t| now < t + SHUTDOWN_ACCEPT_MS)
     }
 
     /// Whether the process may end; `open` while a client's connection is open or may come from the backlog.
--- a/crates/node/src/slow_start_watch.rs
+++ b/crates/node/src/slow_start_watch.rs
@@ -102,12 +102,13 @@
     /// Requests of mean cost that all routers may send in a window, at this age of the process.
     fn allowed(&self, age: Ms, mean_cost: Ms) -> f64 {
         let policy = &self.policy;
-        let share = policy.share + (1.0 - policy.share) * (age / policy.span).clamp(0.0, 1.0);
-        policy.multiple * share * self.weight * policy.window / mean_cost
+        let share = policy.initial_share
+            + (1.0 - policy.initial_share) * (age / policy.ramp_duration).clamp(0.0, 1.0);
+        policy.overload_factor * share * self.weight * policy.overload_window / mean_cost
     }
 
     fn drop_before_window(&mut self, now: Instant) {
-        let window = duration(self.policy.window);
+        let window = duration(self.policy.overload_window);
         while self.sent.front().is_some_and(|sent| now.saturating_duration_since(sent.at) > window) {
             self.sent.pop_front();
         }
@@ -132,9 +133,9 @@
     pub fn observe_endpoint(&self, now: Instant, endpoint: &Endpoint, age: Option<Ms>) -> ListedStart {
         let mut warming_up = self.warming_up.borrow_mut();
         let policy = self.policies.iter().find(|(role, _)| *role == endpoint.role).map(|(_, policy)| *policy);
-        let slow_start = age
-            .zip(policy)
-            .filter(|(age, policy)| *age < policy.span && policy.multiple * policy.window > 0.0);
+        let slow_start = age.zip(policy).filter(|(age, policy)| {
+            *age < policy.ramp_duration && policy.overload_factor * policy.overload_window > 0.0
+        });
         let (Some((age, policy)), EndpointState::Up | EndpointState::Draining) = (slow_start, endpoint.state)
         else {
             warming_up.remove(&endpoint.id);
@@ -199,7 +200,7 @@
         let mut warming_up = self.warming_up.borrow_mut();
         let process = warming_up.get_mut(server)?;
         let age = now.saturating_duration_since(process.started).as_secs_f64() * 1000.0;
-        if age >= process.policy.span {
+        if age >= process.policy.ramp_duration {
             warming_up.remove(server);
             return None;
         }
--- a/crates/node/src/slow_start_watch/tests.rs
+++ b/crates/node/src/slow_start_watch/tests.rs
@@ -7,7 +7,12 @@
 const WINDOW_MS: Ms = 1_000.0;
 
 fn watch() -> SlowStartWatch {
-    let policy = SlowStartPolicy { share: 0.5, span: 10_000.0, multiple: 2.0, window: WINDOW_MS };
+    let policy = SlowStartPolicy {
+        initial_share: 0.5,
+        ramp_duration: 10_000.0,
+        overload_factor: 2.0,
+        overload_window: WINDOW_MS,
+    };
     let watch = SlowStartWatch {
         policies: [(Role::Edge, policy), (Role::Parent, policy)],
         uses_weights: true,
--- a/crates/registers/src/api.rs
+++ b/crates/registers/src/api.rs
@@ -39,11 +39,11 @@
     Contended,
     /// A limit is reached, here or at a replica.
     ResourceExhausted,
-    /// The local disk rejects writes.
+    /// A disk rejects writes: this router's, or a replica's, which the counter of replicas' rejections tells.
     StorageFailed,
-    /// The shard map of this router is outdated.
+    /// This router and a replica use different shard maps; either may be outdated.
     StalePlacement,
-    /// This incarnation may not vote yet.
+    /// This incarnation may not vote yet. Not produced at present; kept for its counter.
     NotCaughtUp,
     /// The change does not apply to records of that kind.
     InvalidTransition,
--- a/crates/registers/src/backoff.rs
+++ b/crates/registers/src/backoff.rs
@@ -1,6 +1,6 @@
 //! Whether a failed round is retried, the backoff before the next one, and the Retry-After of a request that failed.
 //!
-//! Inputs: the replicas' rejections, the number of attempts, the mean duration of a round, and the settings; all spans in milliseconds. Both
+//! Inputs: the replicas' rejections, the number of attempts, the mean duration of a request, and the settings; all spans in milliseconds. Both
 //! delays have jitter, so that proposers that met once do not meet again.
 
 use crate::message::RejectReason;
@@ -79,7 +79,7 @@
 /// The Retry-After of a failed request, within the bounds of the settings.
 pub(crate) fn retry_after(
     reason: UnavailableReason,
-    mean_round: Ms,
+    mean_request_ms: Ms,
     settings: &Settings,
     jitter: &mut Jitter,
 ) -> Ms {
@@ -95,5 +95,5 @@
         | UnavailableReason::InvalidTransition => FAULT_RETRY_ROUNDS,
     };
     let (least, most) = (settings.min_retry_after_ms, settings.max_retry_after_ms);
-    (mean_round.max(least) * rounds * jitter.factor()).clamp(least, most)
+    (mean_request_ms.max(least) * rounds * jitter.factor()).clamp(least, most)
 }
--- a/crates/registers/src/counters.rs
+++ b/crates/registers/src/counters.rs
@@ -21,11 +21,11 @@
     pub one_phase_rounds: u64,
     /// Messages sent to other members.
     pub messages: u64,
-    /// Rounds whose messages were retransmitted.
+    /// Retransmissions: one each time that the messages of a round are sent again.
     pub retransmissions: u64,
     /// Messages that the link did not write.
     pub send_failures: u64,
-    /// Votes for rounds that were over.
+    /// Replies that do not belong to a request's present phase, ballot or replicas.
     pub late_votes: u64,
     /// Rejections received: a later ballot was promised.
     pub ballot_rejections: u64,
--- a/crates/registers/src/proposer/mod.rs
+++ b/crates/registers/src/proposer/mod.rs
@@ -73,7 +73,7 @@
     prepared: PreparedCache,
     jitter: Jitter,
     /// The mean duration of a successful request, in milliseconds.
-    mean_round: Ms,
+    mean_request_ms: Ms,
 }
 
 impl Proposer {
@@ -85,7 +85,7 @@
             local_requests: VecDeque::new(),
             ballots: BallotGenerator::new(me.clone(), run),
             me,
-            mean_round: settings.retransmit_interval_ms,
+            mean_request_ms: settings.retransmit_interval_ms,
             settings,
             topology: Topology::default(),
             run_state: RunState::Starting,
@@ -212,7 +212,8 @@
     /// Fails a request.
     fn fail(&mut self, request: PendingRequest, reason: UnavailableReason, context: &mut Context<'_>) {
         *self.counters.unavailable.entry(reason).or_default() += 1;
-        let retry_after = backoff::retry_after(reason, self.mean_round, &self.settings, &mut self.jitter);
+        let retry_after =
+            backoff::retry_after(reason, self.mean_request_ms, &self.settings, &mut self.jitter);
         let not_executed = request.sent.never_proposed();
         let response = Response::Unavailable { not_executed, reason, retry_after };
         Self::complete(request, response, context);
--- a/crates/registers/src/proposer/rounds.rs
+++ b/crates/registers/src/proposer/rounds.rs
@@ -24,8 +24,8 @@
 /// The parts of an accept message beside its record's payload, at most.
 const ACCEPT_OVERHEAD_BYTES: usize = 1_024;
 
-/// The weight of a request's duration in the mean.
-const MEAN_ROUND_WEIGHT: f64 = 16.0;
+/// Reciprocal of the weight of a request's duration in the moving average.
+const MEAN_SMOOTHING_DIVISOR: f64 = 16.0;
 
 /// Whether the messages of a phase are sent for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -295,7 +295,8 @@
         next: Option<Ballot>,
         context: &mut Context<'_>,
     ) {
-        self.mean_round += (context.now - request.started_at - self.mean_round) / MEAN_ROUND_WEIGHT;
+        self.mean_request_ms +=
+            (context.now - request.started_at - self.mean_request_ms) / MEAN_SMOOTHING_DIVISOR;
         if let Some(next) = next {
             let prepared = Prepared { epoch: request.round.epoch, next, value: value.clone() };
             self.prepared.insert(request.key, prepared, self.settings.max_prepared);
--- a/crates/registers/src/settings.rs
+++ b/crates/registers/src/settings.rs
@@ -19,7 +19,7 @@
     pub max_prepared: usize,
     /// The interval after which messages without a reply are sent again.
     pub retransmit_interval_ms: f64,
-    /// The least backoff after contention; doubled with each attempt, with jitter from half to the whole.
+    /// Base of the exponential backoff after contention; the first one is retried at once. Jitter takes half to the whole.
     pub min_backoff_ms: f64,
     /// Rounds for one request.
     pub max_attempts: u32,
@@ -51,7 +51,7 @@
 
 /// A setting that is out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("fleet.holds.{field}: expected {expected}, found {found}")]
+#[error("register setting {field}: expected {expected}, found {found}")]
 pub struct InvalidSetting {
     /// The setting's name.
     pub field: &'static str,
@@ -93,41 +93,41 @@
     /// Checks the ranges.
     ///
     /// # Errors
-    /// The first setting that is out of range. Its name in the message is that of its key, not of its field.
+    /// The first setting that is out of range.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         let counts = [
-            ("most_asks", self.max_open_requests),
-            ("most_registers", self.max_registers),
-            ("most_bytes", self.max_bytes),
-            ("most_message_bytes", self.max_message_bytes),
-            ("most_waiting", self.max_pending_replies),
-            ("most_tries", self.max_attempts as usize),
-            ("sweep_portion", self.expiry_batch),
-            ("fill_portion", self.sync_batch),
+            ("max_open_requests", self.max_open_requests),
+            ("max_registers", self.max_registers),
+            ("max_bytes", self.max_bytes),
+            ("max_message_bytes", self.max_message_bytes),
+            ("max_pending_replies", self.max_pending_replies),
+            ("max_attempts", self.max_attempts as usize),
+            ("expiry_batch", self.expiry_batch),
+            ("sync_batch", self.sync_batch),
         ];
         if let Some((field, found)) = counts.into_iter().find(|c| c.1 == 0) {
             return Err(InvalidSetting { field, expected: "at least 1", found: found as f64 });
         }
         let spans = [
-            ("again_ms", self.retransmit_interval_ms),
-            ("back_off_ms", self.min_backoff_ms),
-            ("stay_away_least_ms", self.min_retry_after_ms),
-            ("effect_keep_ms", self.execution_retention_ms),
-            ("purge_keep_ms", self.purge_retention_ms),
-            ("ticket_keep_ms", self.ticket_retention_ms),
-            ("debt_keep_ms", self.continuation_retention_ms),
-            ("late_ms", self.tombstone_retention_ms),
-            ("stagger_ms", self.expiry_stagger_ms),
-            ("sweep_ms", self.expiry_interval_ms),
-            ("fill_pause_ms", self.sync_pause_ms),
+            ("retransmit_interval_ms", self.retransmit_interval_ms),
+            ("min_backoff_ms", self.min_backoff_ms),
+            ("min_retry_after_ms", self.min_retry_after_ms),
+            ("execution_retention_ms", self.execution_retention_ms),
+            ("purge_retention_ms", self.purge_retention_ms),
+            ("ticket_retention_ms", self.ticket_retention_ms),
+            ("continuation_retention_ms", self.continuation_retention_ms),
+            ("tombstone_retention_ms", self.tombstone_retention_ms),
+            ("expiry_stagger_ms", self.expiry_stagger_ms),
+            ("expiry_interval_ms", self.expiry_interval_ms),
+            ("sync_pause_ms", self.sync_pause_ms),
         ];
         if let Some((field, found)) = spans.into_iter().find(|s| !(s.1.is_finite() && s.1 > 0.0)) {
             return Err(InvalidSetting { field, expected: "a finite number of milliseconds above 0", found });
         }
         let (least, most) = (self.min_retry_after_ms, self.max_retry_after_ms);
         if !(most.is_finite() && most >= least) {
-            let expected = "a finite number of milliseconds, no less than stay_away_least_ms";
-            return Err(InvalidSetting { field: "stay_away_most_ms", expected, found: most });
+            let expected = "a finite number of milliseconds, no less than min_retry_after_ms";
+            return Err(InvalidSetting { field: "max_retry_after_ms", expected, found: most });
         }
         Ok(())
     }
--- a/crates/registers/tests/untrusted_input.rs
+++ b/crates/registers/tests/untrusted_input.rs
@@ -118,7 +118,7 @@
         (Settings { max_attempts: 0, ..Settings::standard() }, "most_tries"),
         (Settings { retransmit_interval_ms: f64::NAN, ..Settings::standard() }, "again_ms"),
         (Settings { tombstone_retention_ms: -1.0, ..Settings::standard() }, "late_ms"),
-        (Settings { max_retry_after_ms: 1.0, ..Settings::standard() }, "stay_away_most_ms"),
+        (Settings { max_retry_after_ms: 1.0, ..Settings::standard() }, "max_retry_after_ms"),
     ];
     for (settings, field) in invalid {
         assert!(Registers::new(members()[0].clone(), settings, NO_RECORDS, 1)
--- a/crates/simulator/src/sim/setup.rs
+++ b/crates/simulator/src/sim/setup.rs
@@ -91,10 +91,10 @@
 /// The settings that routers of a zone are started with.
 pub fn settings(fleet: &FleetSpec, load: &LoadSpec, zone: usize) -> Settings {
     let cold = |c: &crate::spec::ColdSpec| SlowStartPolicy {
-        share: c.share,
-        span: c.span_ms,
-        multiple: c.multiple,
-        window: c.window_ms,
+        initial_share: c.share,
+        ramp_duration: c.span_ms,
+        overload_factor: c.multiple,
+        overload_window: c.window_ms,
     };
     let class = |c: &crate::spec::ClassSpec| Class {
         name: c.name.clone(),
--- a/src/api.rs
+++ b/src/api.rs
@@ -69,7 +69,7 @@
     pub zone: ZoneId,
     /// Its role.
     pub role: Role,
-    /// Its cell, within which repeated idempotency keys may be recognised.
+    /// Its cell, within which repeated idempotency keys may be recognised. No decision depends on it at present.
     pub cell: u64,
     /// Its state.
     pub state: EndpointState,
@@ -199,7 +199,7 @@
     pub fill_report: FillReport,
     /// Milliseconds until the source's first byte or the fill's failure; 0 if not reported.
     pub source_wait: Ms,
-    /// The server's load report.
+    /// The server's load report. No decision depends on it at present.
     pub load: LoadReport,
     /// Whether the response contains the complete object; false if it only confirms the client's copy.
     pub body_complete: bool,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -47,7 +47,7 @@
     pub late_weight_share: f64,
     /// Freshness lifetime of a copy; 0 for no limit.
     pub fresh_for: Ms,
-    /// How long after that a stale copy may be served.
+    /// How long after that a stale copy may be served. Without a freshness lifetime, the age limit of lookups.
     pub stale_for: Ms,
     /// Whether its requests are executed at the origin and their responses never cached.
     pub uncacheable: bool,
@@ -57,13 +57,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartPolicy {
     /// Share of its capacity that a server has when it starts, 0 to 1.
-    pub share: f64,
+    pub initial_share: f64,
     /// Time until it is warm.
-    pub span: Ms,
+    pub ramp_duration: Ms,
     /// Multiple of its present capacity that overloads it.
-    pub multiple: f64,
-    /// Time over which that is measured.
-    pub window: Ms,
+    pub overload_factor: f64,
+    /// Time over which the cost that arrives is compared with that multiple.
+    pub overload_window: Ms,
 }
 
 /// Which other edge caches may be the source of a fill.
@@ -86,7 +86,7 @@
     pub zone_routers: usize,
     /// Number of routers in all zones.
     pub routers: usize,
-    /// The parent group of each zone, in the order of zone ids.
+    /// The parent group of each zone, in the order of zone ids. No decision depends on it at present.
     pub zone_parent_group: Vec<ZoneId>,
     /// Request classes.
     pub classes: Vec<Class>,
@@ -100,7 +100,7 @@
     pub purge_grace: Ms,
     /// Time after which no copy from before a purge exists.
     pub purge_convergence_time: Ms,
-    /// Whether a request may have two attempts in flight.
+    /// Whether a request may have two attempts in flight. The router never hedges, whatever this allows.
     pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
@@ -114,7 +114,7 @@
     pub direct_to_parents: bool,
     /// Whether a request may join a fill in progress.
     pub fill_joining: bool,
-    /// Which other edge caches may be the source of a fill.
+    /// Which other edge caches may be the source of a fill. The router names none, whatever this allows.
     pub peer_fill: PeerFill,
     /// Highest rate of one response in KB per second; 0 if unknown.
     pub response_rate_kb_per_s: f64,
--- a/src/averages.rs
+++ b/src/averages.rs
@@ -1,5 +1,8 @@
 //! Running statistics: an exponentially decaying rate and a moving average.
 
+/// Weight of a new sample in averages of latencies, sending times and shares, 0 to 1.
+pub const SAMPLE_WEIGHT: f64 = 0.05;
+
 /// A rate that decays exponentially, corrected for a history shorter than the time constant.
 ///
 /// Times are in milliseconds and must not decrease between calls.
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -92,7 +92,7 @@
         } else if pending.answered || pending.in_flight().next().is_some() {
             self.remove_if_finished(index);
         } else if matches!(outcome.fill_report, FillReport::OriginFailed | FillReport::SourceRejected) {
-            // Any other source would depend on the same origin.
+            // Any other source would ask the same origin.
             self.reject_or_fail(index, actions);
         } else {
             self.dispatch(index, actions);
--- a/src/routing/concurrency_limit.rs
+++ b/src/routing/concurrency_limit.rs
@@ -1,10 +1,11 @@
 //! How many requests a cache, a source and the zone's link take at once.
 //!
-//! A limit follows additive increase, multiplicative decrease. Inputs: requests in flight (expected fills for
-//! a source and the link), their mean over a time window, and the latency ratio of responses: the time that a
-//! response took over the sending time of its object, as a logarithm. There is no limit until responses first
-//! show congestion. Where a router has few requests in flight itself, its peers are assumed to have as many,
-//! and the limit applies to the mean number in flight, which may be below one. `feedback` feeds outcomes in.
+//! A limit follows additive increase, multiplicative decrease. Inputs: requests in flight (expected fills
+//! for a source and the link), their mean over a time window, and the latency ratio of responses: the time
+//! that a response took over the sending time of its object, as a logarithm. There is no limit until the
+//! first congestion: high latency, a rejection or a timeout. Where a router has few requests in flight
+//! itself, its peers are assumed to have as many, and the limit applies to the mean number in flight, which
+//! may be below one. `feedback` feeds outcomes in.
 
 use super::endpoints::ServerIndex;
 use super::request::Attempt;
@@ -30,7 +31,8 @@
 const MIN_RESPONSES: u32 = 3;
 /// Time within which the mean latency ratio follows even a few responses.
 const SPARSE_WINDOW_MS: Ms = 1500.0;
-/// Exponent of the latency threshold where responses are so few that the mean would take longer than that.
+/// Exponent of the latency threshold where responses are so few that the mean needs longer than
+/// `SPARSE_WINDOW_MS`: a lower threshold finds congestion with fewer responses.
 const SPARSE_THRESHOLD_EXPONENT: f64 = 0.75;
 /// Least limit on the mean number in flight.
 const MIN_MEAN_LIMIT: f64 = 0.1;
@@ -126,7 +128,9 @@
         }
     }
 
-    /// Decreases the limit to a share of what is in flight, at most once in each interval.
+    /// Sets the limit to `factor` times the smaller of itself and the requests in flight, but not below the
+    /// least limit; at most once in each interval, and only if the limit is used and the routers that send
+    /// there can be the cause.
     pub fn decrease(&mut self, now: Ms, in_flight: f64, factor: f64) {
         self.responses_since_decrease += 1;
         let mean = self.mean_in_flight.rate(now);
@@ -172,9 +176,9 @@
         self.zone_link.permits(self.now, self.expected_link_fills(), headroom_factor)
     }
 
-    /// Whether the origin takes a fill. One whose limit is below one gets one fill at a time, because
-    /// it reports nothing about a fill in progress.
-    pub(super) fn origin_takes_turn(&self, origin: ServerIndex) -> bool {
+    /// Whether the origin admits a fill. While its limit is below one, it gets one fill at a time, because it
+    /// reports nothing about a fill in progress.
+    pub(super) fn origin_admits_fill(&self, origin: ServerIndex) -> bool {
         let busy = || self.requests.iter().any(|pending| pending.may_fill_from_origin());
         self.endpoints[origin].limit.is_at_least_one() || !busy()
     }
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -1,9 +1,9 @@
 //! The endpoint list: which servers exist, which of them are up, and their rendezvous order.
 //!
-//! Inputs: the endpoint list with its weights, and the weight penalties of `weight_penalty`. Only edge caches
-//! of the router's own zone count as up. A removed server keeps its state while attempts or recent sends
-//! refer to it, so that a server that reappears is recognised; after that its index is reused, which bounds
-//! memory by the list's length.
+//! Inputs: the endpoint list with its weights, and the weight penalties of `weight_penalty`. Edge caches
+//! count as up in the router's own zone only, parents and the origin in every zone. A removed server keeps
+//! its state while attempts or recent sends refer to it, so that a server that reappears is recognised;
+//! after that its index is reused, which bounds memory by the list's length.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::fill_sources::FillSources;
@@ -38,7 +38,7 @@
     pub warmup: Warmup,
     pub limit: ConcurrencyLimit,
     pub penalty: WeightPenalty,
-    /// Attempts in flight, at a source too.
+    /// Attempts in flight that name it as their server or as their fill source.
     pub in_flight: usize,
     /// Sending time, in milliseconds, of the attempts in flight that were sent to the server itself.
     pub in_flight_cost: Ms,
@@ -221,7 +221,7 @@
     pub fn begin_attempt(&mut self, route: &Route, cost: Ms, now: Ms) {
         let server = &mut self[route.server];
         if server.in_flight == 0 {
-            server.outlier.last_response = now;
+            server.outlier.silent_since = now;
         }
         server.in_flight_cost += cost;
         for index in route.servers() {
--- a/src/routing/feedback.rs
+++ b/src/routing/feedback.rs
@@ -7,11 +7,10 @@
 
 use super::concurrency_limit::{CONGESTION_FACTOR, TIMEOUT_FACTOR};
 use super::endpoints::ServerIndex;
-use super::ranking::AVERAGE_SHARE;
 use super::request::FinishedAttempt;
 use super::Router;
 use crate::api::*;
-use crate::averages::sorted;
+use crate::averages::{sorted, SAMPLE_WEIGHT};
 
 /// Mean latency ratio above which a cache counts as congested.
 const CACHE_RATIO_THRESHOLD: f64 = 3.0;
@@ -22,8 +21,8 @@
 const HIT_OBJECTIVE_SHARE: f64 = 0.5;
 
 impl Router {
-    /// Updates the limits of the servers and the link that an attempt used. `in_flight` is the number of
-    /// attempts at its server, including itself.
+    /// Updates the limits of the servers and the link that an attempt used, the weight penalties, and its
+    /// class's share of fills. `in_flight` is the number of attempts at its server, including itself.
     pub(super) fn record_feedback(&mut self, attempt: &FinishedAttempt, in_flight: f64, outcome: &Outcome) {
         self.record_durations(attempt, outcome);
         if let Some(source) = attempt.route.source {
@@ -31,6 +30,7 @@
         }
         self.adjust_penalties(attempt, outcome);
         let is_edge = self.endpoints.is_edge(attempt.route.server);
+        // A request that is executed at the origin measures its execution, not the link.
         if !is_edge && self.requests[attempt.request].rank == Rank::None {
             return;
         }
@@ -91,7 +91,7 @@
     /// it.
     fn delayed_by_origin(&self, source: ServerIndex, outcome: &Outcome) -> bool {
         outcome.fill_report == FillReport::SourceFailed
-            && self.endpoints[source].outlier.last_response > self.now - outcome.latency
+            && self.endpoints[source].outlier.silent_since > self.now - outcome.latency
     }
 
     /// Whether a fill from a source was passed on to the origin.
@@ -120,7 +120,7 @@
             _ => {}
         }
         if reached_origin || outcome.fill_report == FillReport::FilledBySource {
-            self.statistics.origin_fill_share.add(f64::from(u8::from(reached_origin)), AVERAGE_SHARE);
+            self.statistics.origin_fill_share.add(f64::from(u8::from(reached_origin)), SAMPLE_WEIGHT);
         }
     }
 
@@ -130,7 +130,7 @@
         // A router that starts under overload has seen no response of an idle cache; there the objective
         // shows it.
         let hit_latency_log = &mut self.statistics.class_mut(attempt.class).hit_latency_log;
-        hit_latency_log.add(outcome.latency.max(1.0).ln(), AVERAGE_SHARE);
+        hit_latency_log.add(outcome.latency.max(1.0).ln(), SAMPLE_WEIGHT);
         let objective = HIT_OBJECTIVE_SHARE * self.settings.classes[attempt.class.0].latency_objective;
         let mean_log = hit_latency_log.get().filter(|_| objective > 0.0);
         let objective_ratio_log = mean_log.map(|mean_log| mean_log - objective.ln());
--- a/src/routing/load_shedding.rs
+++ b/src/routing/load_shedding.rs
@@ -9,8 +9,7 @@
 use super::{Router, SWEEP_MS};
 use crate::api::*;
 
-/// Least time before the client's deadline by which the final answer is out, in milliseconds: at least two
-/// ticks, and a sweep that a tick delays. A request with less time left is rejected at once.
+/// Least answer margin, in milliseconds.
 pub const ANSWER_MARGIN_MS: Ms = 25.0;
 /// Attempts for one request; the settings' limit applies as well.
 const MAX_ATTEMPTS: usize = 5;
@@ -19,7 +18,9 @@
 const RETRY_AFTER_OBJECTIVE_SHARE: f64 = 0.25;
 
 impl Router {
-    /// Milliseconds before the client's deadline by which the final answer is out.
+    /// The answer margin: milliseconds before the client's deadline by which the final answer is out. The
+    /// largest of `ANSWER_MARGIN_MS`, two ticks, and a sweep that a tick delays. A request with less time
+    /// left is rejected at once.
     pub(super) fn answer_margin(&self) -> Ms {
         ANSWER_MARGIN_MS.max(2.0 * self.settings.tick).max(SWEEP_MS + self.settings.tick)
     }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,4 +1,5 @@
-//! Every decision of basaltgw. The interface (settings, events, actions, ids) is `src/api.rs`.
+//! The routing decisions: cache, fill source, rank, retry, rejection. The interface (settings, events,
+//! actions, ids) is `src/api.rs`.
 //!
 //! The ordinary path is the mechanism of docs/design.md, from D3N: an edge cache by rendezvous hash of the
 //! object, a parent by hash over all listed parents, all copies cached, ranked by two shadow lists and a
@@ -31,7 +32,7 @@
 
 pub use freshness::PurgeTarget;
 pub use load_shedding::ANSWER_MARGIN_MS;
-pub use ranking::{best_split, AVERAGE_SHARE, PERIOD_MS, SHADOW_ENTRIES, SPLIT_STEP};
+pub use ranking::{best_split, PERIOD_MS, SHADOW_ENTRIES, SPLIT_STEP};
 
 use crate::api::*;
 use concurrency_limit::ConcurrencyLimit;
@@ -48,7 +49,7 @@
 pub const SWEEP_MS: Ms = 20.0;
 /// Token of the timer that triggers sweeps.
 const SWEEP_TOKEN: u64 = 1;
-/// Log lines that a router writes in all.
+/// Log lines in the lifetime of a router, so that no fault fills the log; further lines are dropped.
 const MAX_LOG_LINES: usize = 120;
 
 /// What is done to a pending request.
@@ -57,7 +58,7 @@
 /// One router: decides for its own requests, by its own events only.
 pub struct Router {
     settings: Settings,
-    /// Sets the turns at warming servers apart from other routers'.
+    /// Sets the slow-start offsets apart from other routers'.
     seed: u64,
     /// Time of the current event.
     now: Ms,
@@ -164,7 +165,8 @@
         self.dispatch(index, actions);
     }
 
-    /// Does what depends on time.
+    /// Runs every `SWEEP_MS`: answers expired requests, decays penalties, ejects silent servers; and every
+    /// `PERIOD_MS` adapts the split and expires purges and sends.
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         if self.now >= self.next_period {
             self.next_period = self.now + PERIOD_MS;
@@ -182,7 +184,8 @@
     /// Removes purges and sends that are too old to matter.
     fn expire_state(&mut self) {
         self.purges.expire(self.now - self.purge_lifetime());
-        let longest_warmup = self.settings.edge_slow_start.span.max(self.settings.parent_slow_start.span);
+        let longest_warmup =
+            self.settings.edge_slow_start.ramp_duration.max(self.settings.parent_slow_start.ramp_duration);
         let before = self.now - longest_warmup;
         self.endpoints.iter_mut().for_each(|server| server.ledger.expire(before));
     }
--- a/src/routing/outlier_ejection.rs
+++ b/src/routing/outlier_ejection.rs
@@ -69,8 +69,9 @@
     unreachable: bool,
     /// Decayed share of refused connections.
     refused_share: f64,
-    /// When it last responded in any way, or when its first attempt in flight was sent.
-    pub last_response: Ms,
+    /// When its present silence began: its last response, or, if nothing was in flight, the next attempt sent
+    /// to it directly. A fill from it as a source does not set this.
+    pub silent_since: Ms,
     /// Evidence of silence since then; at 1 it is silent.
     silence_evidence: f64,
 }
@@ -83,7 +84,7 @@
             consecutive_ejections: 0,
             unreachable: false,
             refused_share: 0.0,
-            last_response: now,
+            silent_since: now,
             silence_evidence: 0.0,
         }
     }
@@ -105,7 +106,7 @@
     }
 
     fn record_response(&mut self, now: Ms) {
-        (self.last_response, self.silence_evidence) = (now, 0.0);
+        (self.silent_since, self.silence_evidence) = (now, 0.0);
     }
 
     fn update_refused_share(&mut self, signal: HealthSignal) {
@@ -199,7 +200,7 @@
         let no_response = [AttemptResult::TimedOut, AttemptResult::Cancelled, AttemptResult::NotSent];
         if !no_response.contains(&outcome.result) {
             let server = &mut self.endpoints[route.server];
-            let silence = now - server.outlier.last_response;
+            let silence = now - server.outlier.silent_since;
             let many_in_flight = server.in_flight >= RESTART_MIN_IN_FLIGHT;
             if silence > RESTART_SILENCE_MS && many_in_flight && server.entry.role == Role::Edge {
                 // It may have restarted with an empty cache before the list shows it.
@@ -279,7 +280,7 @@
         for OverdueAttempt { request, number } in self.overdue_attempts() {
             let Some(silence) = self.record_overdue(&request, number) else { continue };
             self.endpoints[silence.server].outlier.silence_evidence += silence.evidence;
-            if self.is_silent(silence.server) {
+            if self.may_eject_as_silent(silence.server) {
                 self.eject(silence.server, true, "silent", actions);
                 self.cancel_attempts_on(silence.server, actions);
             }
@@ -308,20 +309,21 @@
         let attempt = &mut self.requests.get_mut(request)?.attempts[number.0];
         attempt.times_overdue += 1;
         let Route { server, source, .. } = attempt.route;
-        let is_silent = |server: &ServerIndex| endpoints[*server].outlier.last_response <= attempt.sent_at;
-        let silence = if is_silent(&server) {
+        let is_unresponsive =
+            |server: &ServerIndex| endpoints[*server].outlier.silent_since <= attempt.sent_at;
+        let silence = if is_unresponsive(&server) {
             Some(Silence { server, evidence: OVERDUE_EVIDENCE })
         } else {
-            let source = source.filter(is_silent);
+            let source = source.filter(is_unresponsive);
             source.map(|server| Silence { server, evidence: attempt.fill_probability })
         };
         attempt.excluded = silence.as_ref().map(|silence| silence.server);
         silence
     }
 
-    /// Whether there is enough evidence to eject a server. The last healthy parent or origin is never
-    /// ejected.
-    fn is_silent(&self, index: ServerIndex) -> bool {
+    /// Whether there is enough evidence of silence to eject a server. The last healthy parent or origin is
+    /// not ejected for silence; refused connections and failed probes eject it all the same.
+    fn may_eject_as_silent(&self, index: ServerIndex) -> bool {
         let server = &self.endpoints[index];
         let role = server.entry.role;
         let replaces =
@@ -333,7 +335,7 @@
             Health::Probing { .. } => true,
             Health::Ejected { .. } => false,
         };
-        proven && !is_last && self.now - outlier.last_response >= MIN_SILENCE_MS
+        proven && !is_last && self.now - outlier.silent_since >= MIN_SILENCE_MS
     }
 
     /// Cancels the attempts that wait for a server; their requests' next attempts exclude it. Requests that
--- a/src/routing/ranking.rs
+++ b/src/routing/ranking.rs
@@ -11,7 +11,7 @@
 use super::statistics::is_filled;
 use super::Router;
 use crate::api::*;
-use crate::averages::MovingAverage;
+use crate::averages::{MovingAverage, SAMPLE_WEIGHT};
 
 /// St, the entries of each shadow list.
 pub const SHADOW_ENTRIES: usize = 4096;
@@ -19,8 +19,6 @@
 pub const SPLIT_STEP: f64 = 0.05;
 /// Time between two adaptations of the split, in milliseconds.
 pub const PERIOD_MS: Ms = 5000.0;
-/// Weight of a new sample in averages of latencies, sending times and shares.
-pub const AVERAGE_SHARE: f64 = 0.05;
 
 /// The position within `step` of `split` that minimizes MR1(s) * L1 + MR2(St - s) * L2; the nearest of
 /// equals.
@@ -82,7 +80,7 @@
         if outcome.source_wait > 0.0 {
             let from_origin = outcome.fill_report == FillReport::FilledByOrigin;
             let latency = if from_origin { &mut self.origin_latency } else { &mut self.source_latency };
-            latency.add(outcome.source_wait, AVERAGE_SHARE);
+            latency.add(outcome.source_wait, SAMPLE_WEIGHT);
         }
     }
 
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -10,7 +10,8 @@
 use indexmap::IndexMap;
 use std::ops::{Index, IndexMut};
 
-/// An attempt in flight first counts as slow at twice this latency ratio, which is a logarithm.
+/// Latency ratio that an attempt starts with as last reported, as a natural logarithm: it is first reported
+/// as slow when its ratio exceeds e times the factor between two reports.
 const INITIAL_LATENCY_RATIO_LOG: f64 = 1.0;
 
 /// Where an attempt goes.
@@ -114,11 +115,11 @@
     FillInProgress,
 }
 
-/// A request that is not complete yet.
+/// A request without a final answer, or with attempts still in flight.
 pub(super) struct PendingRequest {
     pub request: Request,
     pub class: ClassId,
-    /// The time by which it has its final answer.
+    /// The time by which it has its final answer: the client's deadline less the answer margin.
     pub deadline: Ms,
     pub rank: Rank,
     pub attempts: Vec<Attempt>,
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a request may run again: the one rule that decides on retries, hedged requests and rejections.
+//! Whether a request may run again: the one rule that decides on retries and rejections.
 //!
 //! A rejection invites the client to send its request again, so it falls under the same rule as a retry. The
 //! inputs are the idempotency that the class's settings state, and the time at which the first attempt was
--- a/src/routing/selection.rs
+++ b/src/routing/selection.rs
@@ -12,8 +12,8 @@
 use crate::api::*;
 use crate::hash::mix;
 
-/// A home with more than this multiple of its zone's mean cost in flight, and one request more, spreads
-/// parts.
+/// A home is overloaded above this multiple of the candidates' mean load. Load is sending time in flight, in
+/// milliseconds, per unit of weight; each candidate is counted with one more mean request.
 const MAX_RELATIVE_LOAD: f64 = 1.25;
 
 impl Router {
@@ -41,7 +41,8 @@
         let source = self.select_source(index, edge);
         let may_fill =
             source.is_some_and(|s| self.permits_fill(s, headroom)) && self.link_permits_fill(headroom);
-        let origin_ready = origin.is_none_or(|o| self.permits_fill(o, headroom) && self.origin_takes_turn(o));
+        let origin_ready =
+            origin.is_none_or(|o| self.permits_fill(o, headroom) && self.origin_admits_fill(o));
         let Some(server) = edge else {
             // Without a warm cache in the zone, a parent answers itself, with the origin behind it.
             let parent = source.filter(|_| may_fill && self.settings.direct_to_parents)?;
--- a/src/routing/slow_start/mod.rs
+++ b/src/routing/slow_start/mod.rs
@@ -90,7 +90,8 @@
     fn warmup_age(&self, server: &Server) -> Option<Ms> {
         let policy = self.settings.slow_start(server.entry.role);
         // Without a multiple or a window nothing overloads a warming server.
-        let span = if policy.multiple * policy.window > 0.0 { policy.span } else { 0.0 };
+        let span =
+            if policy.overload_factor * policy.overload_window > 0.0 { policy.ramp_duration } else { 0.0 };
         server.warmup.started.map(|at| self.now - at).filter(|age| *age < span)
     }
 
@@ -106,9 +107,11 @@
         // Listed weights are in responses at full rate.
         let approximate = self.settings.approximate_weights;
         let budget_share = if approximate { APPROXIMATE_BUDGET_SHARE } else { BUDGET_SHARE };
-        let ramp = ((age - policy.window) / policy.span).clamp(0.0, 1.0);
-        let share = policy.share + (1.0 - policy.share) * ramp;
-        let total_rate = policy.multiple * share * budget_share * server.entry.weight;
+        // Capacity at the start of the window, since sends within it must fit what the server could take
+        // then. At the end of the ramp the limit ends altogether.
+        let ramp = ((age - policy.overload_window) / policy.ramp_duration).clamp(0.0, 1.0);
+        let share = policy.initial_share + (1.0 - policy.initial_share) * ramp;
+        let total_rate = policy.overload_factor * share * budget_share * server.entry.weight;
         Some(Allowance { rate: total_rate / server.limit.senders(), total_rate, age })
     }
 
@@ -116,7 +119,7 @@
     pub(super) fn has_slow_start_capacity(&self, index: ServerIndex, cost: Ms) -> bool {
         let server = &self.endpoints[index];
         let Some(allowance) = self.allowance(server) else { return true };
-        let window = self.settings.slow_start(server.entry.role).window;
+        let window = self.settings.slow_start(server.entry.role).overload_window;
         let rate = allowance.rate;
         let budget = rate * window;
         // Before any response no cost is known, and an objective may be far less: one request per window.
@@ -124,32 +127,35 @@
         let cost = if highest_cost > 0.0 { cost } else { cost.max(budget) };
         let process_start = server.warmup.listed_start.unwrap_or(f64::NEG_INFINITY);
         let cost_within = |span: Ms| server.ledger.cost_since((self.now - span).max(process_start)) + cost;
-        // With many routers one request may cost more than a router's share of a window. Each router then
-        // takes turns, in a time in which its share covers the request and at a moment of its own.
-        let turn = window.max(highest_cost.max(cost) / rate);
+        // With many routers one request may cost more than a router's share of a window. Its share then
+        // accumulates over an interval that covers the request; the routers' first intervals start at offsets
+        // that are spread by their seeds.
+        let interval = window.max(highest_cost.max(cost) / rate);
         let fits = if cost <= budget {
             cost_within(window) <= budget
         } else {
             let fits_all_routers = MIN_REQUESTS_PER_WINDOW * cost <= allowance.total_rate * window;
-            self.is_own_turn(server, allowance.age, turn) && fits_all_routers
+            self.offset_has_passed(server, allowance.age, interval) && fits_all_routers
         };
-        self.is_sole_sender(server, window) && cost_within(turn) <= rate * turn && fits
+        self.previous_process_sends_expired(server, window)
+            && cost_within(interval) <= rate * interval
+            && fits
     }
 
     /// Whether sends of this router's former process can no longer arrive within the window: the server
     /// started after this process did, or a window has passed since.
-    fn is_sole_sender(&self, server: &Server, window: Ms) -> bool {
+    fn previous_process_sends_expired(&self, server: &Server, window: Ms) -> bool {
         let first_event_at = self.first_event_at.unwrap_or(self.now);
         server.warmup.listed_start.is_some_and(|start| start >= first_event_at)
             || self.now - first_event_at >= window
     }
 
-    /// Whether this router's moment within its first turn at a server has passed. The moments of all routers
-    /// are spread by their seeds.
-    fn is_own_turn(&self, server: &Server, age: Ms, turn: Ms) -> bool {
+    /// Whether this router's offset within its first interval at a server has passed. The offsets of all
+    /// routers are spread by their seeds.
+    fn offset_has_passed(&self, server: &Server, age: Ms, interval: Ms) -> bool {
         let first_event_at = self.first_event_at.unwrap_or(self.now);
         let observed = (self.now - first_event_at).min(age);
-        observed >= turn * unit(mix(self.seed, server.hash))
+        observed >= interval * unit(mix(self.seed, server.hash))
     }
 
     /// Books an attempt in the ledgers of its server and its source.
@@ -182,7 +188,7 @@
 
     /// Records what the end of an attempt proves about arrivals.
     pub(super) fn record_arrival(&mut self, attempt: &FinishedAttempt, outcome: &Outcome) {
-        let tolerance = |role: Role| ARRIVAL_TOLERANCE_SHARE * self.settings.slow_start(role).window;
+        let tolerance = |role: Role| ARRIVAL_TOLERANCE_SHARE * self.settings.slow_start(role).overload_window;
         let (edge_tolerance, parent_tolerance) = (tolerance(Role::Edge), tolerance(Role::Parent));
         let (now, key) = (self.now, attempt.send_key);
         let is_edge = self.endpoints.is_edge(attempt.route.server);
--- a/src/routing/statistics.rs
+++ b/src/routing/statistics.rs
@@ -4,10 +4,10 @@
 //! Inputs: outcomes of attempts, times in milliseconds. A sending time is what a response takes from an idle
 //! cache; the delay is what a response took beyond it. Nothing is decided here.
 
-use super::ranking::{AVERAGE_SHARE, SHADOW_ENTRIES};
+use super::ranking::SHADOW_ENTRIES;
 use super::slow_start::CostEstimate;
 use crate::api::*;
-use crate::averages::MovingAverage;
+use crate::averages::{MovingAverage, SAMPLE_WEIGHT};
 use indexmap::IndexMap;
 
 /// Responses of an object from which on its sending time is used.
@@ -31,8 +31,8 @@
 
 impl ClassStatistics {
     fn record_delay(&mut self, delay: Ms) {
-        self.delay_deviation.add((delay - self.delay.get().unwrap_or(0.0)).abs(), AVERAGE_SHARE);
-        self.delay.add(delay, AVERAGE_SHARE);
+        self.delay_deviation.add((delay - self.delay.get().unwrap_or(0.0)).abs(), SAMPLE_WEIGHT);
+        self.delay.add(delay, SAMPLE_WEIGHT);
     }
 
     fn mean_sending_time(&self) -> Ms {
@@ -139,7 +139,7 @@
             let from_copy = outcome.fill_report == FillReport::Hit || is_filled(outcome);
             if let Some(object) = self.objects.get_mut(&request.object).filter(|_| from_copy) {
                 object.record((outcome.latency - outcome.source_wait).max(1.0));
-                self.classes[class.0].sending_time.add(object.shortest, AVERAGE_SHARE);
+                self.classes[class.0].sending_time.add(object.shortest, SAMPLE_WEIGHT);
             }
         }
         // Every attempt that has reached a server costs as much as its object, served or not.
@@ -157,7 +157,7 @@
             _ => return,
         };
         if outcome.result == AttemptResult::Served {
-            self.classes[class.0].fill_share.add(share, AVERAGE_SHARE);
+            self.classes[class.0].fill_share.add(share, SAMPLE_WEIGHT);
         }
     }
 
--- a/tests/settings/generators.rs
+++ b/tests/settings/generators.rs
@@ -45,8 +45,14 @@
 pub fn slow_start_policy() -> impl Strategy<Value = SlowStartPolicy> {
     let shares = select(vec![0.0, 0.1, 1.0]);
     let (spans, windows) = (select(vec![0.0, 300.0, 17_000.0]), select(vec![0.0, 100.0, 1500.0]));
-    (shares, spans, select(vec![0.0, 2.0, 4.0]), windows)
-        .prop_map(|(share, span, multiple, window)| SlowStartPolicy { share, span, multiple, window })
+    (shares, spans, select(vec![0.0, 2.0, 4.0]), windows).prop_map(|(share, span, multiple, window)| {
+        SlowStartPolicy {
+            initial_share: share,
+            ramp_duration: span,
+            overload_factor: multiple,
+            overload_window: window,
+        }
+    })
 }
 
 pub fn any_settings() -> impl Strategy<Value = Settings> {
--- a/tests/settings/main.rs
+++ b/tests/settings/main.rs
@@ -126,7 +126,11 @@
 fn restarted_servers_serve_without_a_slow_start_policy() {
     for (multiple, window) in [(0.0, 1000.0), (2.0, 0.0), (0.0, 0.0)] {
         let mut settings = settings();
-        settings.edge_slow_start = SlowStartPolicy { multiple, window, ..settings.edge_slow_start };
+        settings.edge_slow_start = SlowStartPolicy {
+            overload_factor: multiple,
+            overload_window: window,
+            ..settings.edge_slow_start
+        };
         let mut driver = common::Driver::new(settings, vec![endpoint("parent-0", Role::Parent)]);
         driver.restart("edge-0", Role::Edge);
         for n in 0..20 {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -14,8 +14,12 @@
 /// Duration of a response without a body.
 const UNCHANGED_MS: Ms = 5.0;
 const OBJECTS: u64 = 300;
-const POLICY: SlowStartPolicy =
-    SlowStartPolicy { share: 0.24, span: 18_000.0, multiple: 2.5, window: 1_500.0 };
+const POLICY: SlowStartPolicy = SlowStartPolicy {
+    initial_share: 0.24,
+    ramp_duration: 18_000.0,
+    overload_factor: 2.5,
+    overload_window: 1_500.0,
+};
 /// The listed weight of each cache, in responses at full rate.
 const SIZE: f64 = 4.0;
 const NAME: &str = "edge-0";
@@ -158,9 +162,9 @@
 
     /// What slow start allows the process at its age, in requests of mean sending time, with an allowance for chance.
     fn bound(&self) -> f64 {
-        let age = ((self.driver.now - self.started) / POLICY.span).clamp(0.0, 1.0);
-        let share = POLICY.share + (1.0 - POLICY.share) * age;
-        let allowed = POLICY.multiple * share * SIZE * POLICY.window / SENDING_TIME;
+        let age = ((self.driver.now - self.started) / POLICY.ramp_duration).clamp(0.0, 1.0);
+        let share = POLICY.initial_share + (1.0 - POLICY.initial_share) * age;
+        let allowed = POLICY.overload_factor * share * SIZE * POLICY.overload_window / SENDING_TIME;
         if allowed < 30.0 {
             allowed + 3.0 * allowed.sqrt() + 3.0
         } else {
@@ -341,11 +345,12 @@
     /// An attempt reaches the restarted cache. Those that do before the list shows the start don't count.
     fn arrive(&mut self) {
         let now = self.driver.now;
-        if self.listed_at.is_none() || now - self.started > POLICY.span {
+        if self.listed_at.is_none() || now - self.started > POLICY.ramp_duration {
             return;
         }
         self.arrived.push(now);
-        let in_window = self.arrived.iter().rev().take_while(|at| **at > now - POLICY.window).count();
+        let in_window =
+            self.arrived.iter().rev().take_while(|at| **at > now - POLICY.overload_window).count();
         self.highest = self.highest.max(in_window as f64 / self.bound());
     }
 }
--- a/tests/slow_start_fleet/run.rs
+++ b/tests/slow_start_fleet/run.rs
@@ -54,17 +54,26 @@
     let mut settings = settings();
     (settings.zone_routers, settings.routers, settings.approximate_weights) =
         (case.routers, case.routers, false);
-    settings.edge_slow_start = SlowStartPolicy { share: 0.24, span: 17_000.0, multiple: 4.0, window: 1500.0 };
-    settings.parent_slow_start =
-        SlowStartPolicy { share: 0.062, span: 21_000.0, multiple: 2.0, window: 1500.0 };
+    settings.edge_slow_start = SlowStartPolicy {
+        initial_share: 0.24,
+        ramp_duration: 17_000.0,
+        overload_factor: 4.0,
+        overload_window: 1500.0,
+    };
+    settings.parent_slow_start = SlowStartPolicy {
+        initial_share: 0.062,
+        ramp_duration: 21_000.0,
+        overload_factor: 2.0,
+        overload_window: 1500.0,
+    };
     settings
 }
 
 /// Requests per window that slow start allows a server of an age.
 pub fn allowed(settings: &Settings, case: &Case, age: Ms) -> f64 {
     let rule = settings.slow_start(case.role);
-    let share = rule.share + (1.0 - rule.share) * (age / rule.span).clamp(0.0, 1.0);
-    rule.multiple * share * case.size * rule.window / case.sending_time
+    let share = rule.initial_share + (1.0 - rule.initial_share) * (age / rule.ramp_duration).clamp(0.0, 1.0);
+    rule.overload_factor * share * case.size * rule.overload_window / case.sending_time
 }
 
 /// The same with an allowance for chance.
@@ -147,7 +156,7 @@
     fn gap(&mut self, k: usize) -> Ms {
         let servers = self.fleet.iter().filter(|e| e.role == self.case.role).count() as f64;
         let all = self.case.demand * servers * allowed(&self.settings, &self.case, 0.0)
-            / self.settings.slow_start(self.case.role).window;
+            / self.settings.slow_start(self.case.role).overload_window;
         let parts = self.case.first + self.case.routers as f64 - 1.0;
         let own = all * if k == 0 { self.case.first } else { 1.0 } / parts;
         -self.random().ln() / own
@@ -207,7 +216,10 @@
         }
         if let Some((from, to)) = self.case.restart {
             let windows = from + (to - from) * self.random();
-            self.schedule(started + windows * self.settings.slow_start(self.case.role).window, Due::Restart);
+            self.schedule(
+                started + windows * self.settings.slow_start(self.case.role).overload_window,
+                Due::Restart,
+            );
         }
         while let Some(((at, _), due)) = self.due.pop_first() {
             self.now = at as f64 / 1000.0;
@@ -253,7 +265,7 @@
 
     /// Compares every window that ends with an arrival; of several servers the highest and the least used count.
     fn figures(mut self, started: Ms) -> Figures {
-        let window = self.settings.slow_start(self.case.role).window;
+        let window = self.settings.slow_start(self.case.role).overload_window;
         let (mut most, mut used) = (0f64, f64::INFINITY);
         for all in &mut self.reached {
             all.retain(|at| *at >= started);
