--- a/crates/registers/tests/net/mod.rs
+++ b/crates/registers/tests/net/mod.rs
@@ -2,19 +2,20 @@
 #![allow(dead_code)] // Each test uses another part.
 
 pub mod linearizability;
+mod members;
 
 /// What the checker imports; unit tests of the crate provide it under the same name.
 mod api {
     pub use basaltgw_registers::{transition, Change, Record, Response};
 }
 
+use members::index;
+pub use members::{execution, joint, map, member, mix};
+
 use basaltgw_registers::{
-    Action, Change, DiskWrite, Event, InjectedBug, Kind, RecordKey, Registers, RequestNumber, Response,
-    Settings,
-};
-use basaltgw_types::{
-    Incarnation, Member, QuorumGroup, ReplicaSet, RouterId, Shard, ShardMap, TableHash, TableVersion,
+    Action, Change, DiskWrite, Event, InjectedBug, RecordKey, Registers, RequestNumber, Response, Settings,
 };
+use basaltgw_types::{Member, Shard, ShardMap};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::sync::Arc;
@@ -97,48 +98,6 @@
     last_request: u64,
 }
 
-pub fn mix(a: u64, b: u64) -> u64 {
-    basaltgw_structures::hash::mix(a, b)
-}
-
-pub fn member(router: usize, incarnation: u128) -> Member {
-    Member { router: RouterId(Arc::from(format!("r{router}"))), incarnation: Incarnation(incarnation << 96) }
-}
-
-/// The router's index, from its name.
-fn index(member: &Member) -> Option<usize> {
-    member.router.0.strip_prefix('r')?.parse().ok()
-}
-
-pub fn execution(name: u128) -> RecordKey {
-    RecordKey { kind: Kind::Execution, name }
-}
-
-/// A map in which shard `s` has `replicas` replicas: the members from index `s` on.
-pub fn map(epoch: u64, shards: usize, replicas: usize, members: &[Member]) -> ShardMap {
-    let group = |s: usize| (0..replicas).map(|i| members[(s + i) % members.len()].clone()).collect();
-    let replica_set = |s: usize| ReplicaSet { groups: vec![QuorumGroup::majority(group(s))] };
-    ShardMap {
-        epoch,
-        version: TableVersion(epoch),
-        hash: TableHash([0; 32]),
-        shards: (0..shards).map(replica_set).collect(),
-        root: replica_set(0),
-    }
-}
-
-/// The joint map with the groups of both maps, then the new map alone.
-pub fn joint(old: &ShardMap, new: &ShardMap) -> [ShardMap; 2] {
-    let both = |a: &ReplicaSet, b: &ReplicaSet| match a == b {
-        true => a.clone(),
-        false => ReplicaSet { groups: vec![a.groups[0].clone(), b.groups[0].clone()] },
-    };
-    let shards = old.shards.iter().zip(&new.shards).map(|(a, b)| both(a, b)).collect();
-    let root = both(&old.root, &new.root);
-    let first = ShardMap { epoch: old.epoch + 1, shards, root, ..old.clone() };
-    [first, ShardMap { epoch: old.epoch + 2, ..new.clone() }]
-}
-
 impl Net {
     pub fn new(routers: usize, shards: usize, replicas: usize, seed: u64) -> Self {
         let members: Vec<Member> = (0..routers).map(|r| member(r, 1 + r as u128)).collect();
