--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -191,7 +191,7 @@
 pub(crate) fn fleet(document: &Document, of: FleetFile) -> Result<Fleet, BadFile> {
     let at = |key: &str| format!("/fleet/{key}");
     let name = |key: &str, text: &str| {
-        basaltgw_types::name(text).map_err(|e| document.fault(&at(key), e.to_string()))
+        basaltgw_types::parse_name(text).map_err(|e| document.fault(&at(key), e.to_string()))
     };
     let address = |key: &str, text: &str| {
         let found = text.parse::<SocketAddr>().ok();
--- a/crates/config/src/overlay.rs
+++ b/crates/config/src/overlay.rs
@@ -114,9 +114,8 @@
     domain: &Domain,
 ) -> Result<Standing, BadFile> {
     let name = |key: &str, text: Option<String>, usual: &Arc<str>| match text {
-        Some(text) => {
-            basaltgw_types::name(&text).map_err(|e| document.fault(&format!("{at}/{key}"), e.to_string()))
-        }
+        Some(text) => basaltgw_types::parse_name(&text)
+            .map_err(|e| document.fault(&format!("{at}/{key}"), e.to_string())),
         None => Ok(Arc::clone(usual)),
     };
     Ok(Standing {
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -6,7 +6,7 @@
 use crate::typed::{plain, typed, Whole};
 use crate::value::BadInput;
 use basaltgw::api::{GroupId, Ms, ObjectId, ServerId};
-use basaltgw::hash::address;
+use basaltgw::hash::fnv1a;
 use basaltgw::routing::snapshot::{PurgeSnapshot, SendingTimeSnapshot, ServerSnapshot, Snapshot};
 use basaltgw::routing::PurgeTarget;
 use garde::Validate;
@@ -51,7 +51,7 @@
     let purges: Vec<Value> = snapshot.purges.iter().map(purge).collect();
     let rest =
         json!({"written_ms": now, "servers": servers, "sending": sending, "purges": purges}).to_string();
-    format!("{FORMAT} {VERSION} {:016x}\n{rest}\n", address(&rest))
+    format!("{FORMAT} {VERSION} {:016x}\n{rest}\n", fnv1a(&rest))
 }
 
 /// Parses a snapshot; `now` and the result's times are Unix times in milliseconds.
@@ -63,7 +63,7 @@
     let (head, rest) = file.split_once('\n').ok_or_else(|| bad("cut off in its first line"))?;
     let rest = rest.strip_suffix('\n').ok_or_else(|| bad("cut off"))?;
     match head.split(' ').collect::<Vec<_>>()[..] {
-        [FORMAT, VERSION, sum] if sum == format!("{:016x}", address(rest)) => {}
+        [FORMAT, VERSION, sum] if sum == format!("{:016x}", fnv1a(rest)) => {}
         [FORMAT, VERSION, _] => return Err(bad("altered or cut off")),
         [FORMAT, other, _] => return Err(bad(&format!("of version {other}, not {VERSION}"))),
         _ => return Err(bad("not such a file")),
--- a/crates/config/src/snapshot/tests.rs
+++ b/crates/config/src/snapshot/tests.rs
@@ -51,7 +51,7 @@
     assert!(fault(&whole, 15_001.0).contains("written 5001 ms ago, at most 5000"));
     assert!(fault(&whole, 9_999.0).contains("written -1 ms ago"));
     assert!(fault(&whole.replacen(" 1 ", " 2 ", 1), 10_000.0).contains("of version 2, not 1"));
-    let signed = |rest: &str| format!("{FORMAT} {VERSION} {:016x}\n{rest}\n", address(rest));
+    let signed = |rest: &str| format!("{FORMAT} {VERSION} {:016x}\n{rest}\n", fnv1a(rest));
     for (rest, field) in [
         (
             r#"{"written_ms": 9000, "servers": [{"id": "a", "cut": 0.5, "out": false}]}"#,
--- a/crates/config/tests/bytes.rs
+++ b/crates/config/tests/bytes.rs
@@ -1,7 +1,7 @@
 //! The text of the file that one process leaves to the next, compared with what is written down here, and the hashes that go into it.
 
 use basaltgw::api::{GroupId, ObjectId, ServerId};
-use basaltgw::hash::{address, mix};
+use basaltgw::hash::{fnv1a, mix};
 use basaltgw::routing::snapshot::{PurgeSnapshot, SendingTimeSnapshot, ServerSnapshot, Snapshot};
 use basaltgw::routing::PurgeTarget;
 use basaltgw_config::snapshot::{read, write};
@@ -42,6 +42,6 @@
 
 #[test]
 fn hashes_that_routers_share_are_the_ones_written_down() {
-    assert_eq!(format!("{:016x}", address("127.0.0.1:7000")), "91dfcee94b15723b");
+    assert_eq!(format!("{:016x}", fnv1a("127.0.0.1:7000")), "91dfcee94b15723b");
     assert_eq!(format!("{:016x}", mix(1, 2)), "beeb8da1658eec67");
 }
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -3,7 +3,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use basaltgw_resp::{encode, Bounds, Decoder};
+use basaltgw_resp::{encode, Decoder, MessageLimits};
 use basaltgw_simulator::fleet::NodeIx;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::cell::{Cell, RefCell};
@@ -50,7 +50,7 @@
     },
 }
 
-const BOUNDS: Bounds = Bounds { words: 8, bytes: 300_000 };
+const BOUNDS: MessageLimits = MessageLimits { max_elements: 8, max_bytes: 300_000 };
 /// How often a task looks whether its node still runs.
 const LOOK: Duration = Duration::from_millis(10);
 /// Messages that wait to be written on a connection.
@@ -140,7 +140,7 @@
         let mut socket = &socket;
         while let Ok(n @ 1..) = socket.read(&mut piece).await {
             decoder.feed(&piece[..n]);
-            while let Ok(Some(words)) = decoder.message() {
+            while let Ok(Some(words)) = decoder.next_message() {
                 if words.first().is_some_and(|w| w == b"alive") {
                     if let Some(id) = words.get(1).filter(|_| status.talks.get()) {
                         let _ = out.send(encode(&[id, b"yes"])).await;
@@ -182,7 +182,7 @@
             let mut socket = &socket;
             while let Ok(n @ 1..) = socket.read(&mut piece).await {
                 decoder.feed(&piece[..n]);
-                while let Ok(Some(words)) = decoder.message() {
+                while let Ok(Some(words)) = decoder.next_message() {
                     if net.queue.send(Input::Answer { router, conn, words }).await.is_err() {
                         return;
                     }
--- a/crates/emulator/src/rig/caller.rs
+++ b/crates/emulator/src/rig/caller.rs
@@ -128,7 +128,7 @@
     let mut room = [0; 16 * 1024];
     while let Ok(n @ 1..) = socket.read(&mut room) {
         decoder.feed(&room[..n]);
-        while let Ok(Some(words)) = decoder.message() {
+        while let Ok(Some(words)) = decoder.next_message() {
             let text = |i: usize| words.get(i).and_then(|w| std::str::from_utf8(w).ok()).unwrap_or("");
             let Ok(tag) = text(0).parse::<u64>() else { continue };
             if tag == PING {
@@ -144,7 +144,7 @@
                 "200" => Final::Served(words.get(3).cloned().unwrap_or_default()),
                 "503" => {
                     let fields = words.get(2).map(Vec::as_slice).unwrap_or_default();
-                    let wait = Fields::read(fields).and_then(|f| f.decimal("w"));
+                    let wait = Fields::parse(fields).and_then(|f| f.decimal("w"));
                     Final::Refused(wait.map(|w| w as u64))
                 }
                 other => Final::Failed(other.to_string()),
--- a/crates/emulator/src/standin/cache.rs
+++ b/crates/emulator/src/standin/cache.rs
@@ -163,7 +163,7 @@
         };
         decoder.feed(&piece[..n]);
         // A router writes well-formed messages; a relay before it may break them, which ends the connection.
-        while let Some(words) = match decoder.message() {
+        while let Some(words) = match decoder.next_message() {
             Ok(words) => words,
             Err(_) => return,
         } {
--- a/crates/emulator/src/standin/client.rs
+++ b/crates/emulator/src/standin/client.rs
@@ -22,7 +22,7 @@
 impl Got {
     /// A field by name.
     pub fn field(&self, name: &str) -> Option<String> {
-        Fields::read(self.fields.as_bytes()).expect("fields").get(name).map(str::to_string)
+        Fields::parse(self.fields.as_bytes()).expect("fields").get(name).map(str::to_string)
     }
 }
 
@@ -107,7 +107,7 @@
     /// The next answer; `None` once the connection is over.
     fn next(&mut self) -> Option<Got> {
         loop {
-            if let Some(words) = self.decoder.message().expect("an answer that can be read") {
+            if let Some(words) = self.decoder.next_message().expect("an answer that can be read") {
                 let word = |i: usize| words.get(i).cloned().unwrap_or_default();
                 let text = |i: usize| String::from_utf8(word(i)).expect("text");
                 let tag = text(0).parse().expect("a tag");
--- a/crates/emulator/src/standin/mod.rs
+++ b/crates/emulator/src/standin/mod.rs
@@ -10,14 +10,14 @@
 pub use client::{Client, Got};
 pub use config::{configuration, three, with_second, Listed, EDGE, EDGE_2, ORIGIN, PARENT};
 
-use basaltgw_resp::Bounds;
+use basaltgw_resp::MessageLimits;
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Longer than anything takes on a machine that is merely busy.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 /// What a stand-in reads at most in one message.
-pub(crate) const WIDE: Bounds = Bounds { words: 8, bytes: 300_000 };
+pub(crate) const WIDE: MessageLimits = MessageLimits { max_elements: 8, max_bytes: 300_000 };
 /// How often a condition is looked at.
 const LOOK: Duration = Duration::from_millis(5);
 
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -120,7 +120,7 @@
         client.tag += 1;
         let (conn, tag) = (client.conn, client.tag);
         client.open.insert(tag, no);
-        let mut fields = FieldList::default();
+        let mut fields = FieldEncoder::default();
         fields.add("i", hex(no));
         fields.add("d", (due - now).max(1.0) as u64);
         fields.add("o", hex(what.object));
@@ -129,7 +129,7 @@
         fields.add("m", format!("{:.2}", what.kb));
         let body: &[u8] = if unsafe_ { b"a loan" } else { b"" };
         let words =
-            [&b"DO"[..], tag.to_string().as_bytes(), class.name.as_bytes(), fields.text().as_bytes(), body]
+            [&b"DO"[..], tag.to_string().as_bytes(), class.name.as_bytes(), fields.as_str().as_bytes(), body]
                 .map(<[u8]>::to_vec);
         let words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
         let _ = client.out.try_send(encode(&words));
@@ -203,7 +203,7 @@
             Final::Refused => self.out.refused += 1,
             Final::Failed => self.out.failed += 1,
         }
-        let stay = Fields::read(words.get(2).map_or(&[][..], Vec::as_slice))
+        let stay = Fields::parse(words.get(2).map_or(&[][..], Vec::as_slice))
             .and_then(|f| f.decimal("w"))
             .unwrap_or(0.0);
         let again = now + self.setup.load.backoff_ms.max(stay);
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -14,7 +14,7 @@
 use async_io::Timer;
 use basaltgw::api::{AttemptResult, EndpointState, FillReport, Rank};
 use basaltgw_hierarchy::{FillKey, NodeId, Plan, PlanSpec};
-use basaltgw_resp::{encode, FieldList, Fields};
+use basaltgw_resp::{encode, FieldEncoder, Fields};
 use basaltgw_simulator::arrivals::{object as object_of, Arrival, Arrivals};
 use basaltgw_simulator::checker::{Checker, Final, Ran, Rule, Seen};
 use basaltgw_simulator::fleet::{nodes, Ask, AskId, Counts, Fleet, NodeInfo, NodeIx, Reply, Told, Trouble};
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -18,7 +18,7 @@
             }
             return;
         }
-        let fields = words.get(2).and_then(|w| Fields::read(w));
+        let fields = words.get(2).and_then(|w| Fields::parse(w));
         let request = u64::from_str_radix(&wire, 16).ok();
         if let Some(no) = request.filter(|_| text(0) == "fetch") {
             self.fetched(now, no, fields.as_ref().and_then(|f| f.decimal("w")));
@@ -104,7 +104,7 @@
             // The connection ends with its node; it says nothing more.
             AttemptResult::ConnectionLost | AttemptResult::NoConnection => return,
         };
-        let mut fields = FieldList::default();
+        let mut fields = FieldEncoder::default();
         if reply.end == AttemptResult::Served {
             fields.add("ver", hex(reply.born.to_bits()));
             fields.add("born", (self.unix + reply.born).max(0.0) as u64);
@@ -115,7 +115,7 @@
             Some(key) => body(key),
             None => Vec::new(),
         };
-        let message = encode(&[w.wire.as_bytes(), word, fields.text().as_bytes(), &bytes]);
+        let message = encode(&[w.wire.as_bytes(), word, fields.as_str().as_bytes(), &bytes]);
         self.send_answer(now, &w.out, message);
     }
 
--- a/crates/experiments/src/capacity/data/cold.rs
+++ b/crates/experiments/src/capacity/data/cold.rs
@@ -4,7 +4,7 @@
 use super::{Expected, Sizes};
 use crate::capacity::row::{Kind, Row};
 use basaltgw::api::*;
-use basaltgw::hash::{mix, unit};
+use basaltgw::hash::{mix, unit_interval};
 use basaltgw::routing::Router;
 use basaltgw_simulator::{draw, rng, Rng};
 use std::collections::BTreeMap;
@@ -88,7 +88,7 @@
     }
 
     fn next_gap(&mut self) -> Ms {
-        -self.gap * unit((draw(&mut self.rng) * u64::MAX as f64) as u64).ln()
+        -self.gap * unit_interval((draw(&mut self.rng) * u64::MAX as f64) as u64).ln()
     }
 
     fn at(&mut self, at: Ms, due: Due) {
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -348,7 +348,7 @@
 
 /// What a run of an experiment's text was made from.
 fn origin(seed: u64, text: &str) -> Origin {
-    let file = format!("{:016x}", basaltgw::hash::address(text));
+    let file = format!("{:016x}", basaltgw::hash::fnv1a(text));
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     Origin { seed, commit: commit(), cores, file }
 }
--- a/crates/experiments/src/partial/seen.rs
+++ b/crates/experiments/src/partial/seen.rs
@@ -1,7 +1,7 @@
 //! What clients of gathers ask and see, and whether it is what was promised.
 
 use basaltgw_emulator::rig::archive::made;
-use basaltgw_resp::{encode, whole, Bounds, Decoder, Fields};
+use basaltgw_resp::{encode, parse_integer, Decoder, Fields, MessageLimits};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 /// Branches in the order of their routers; branch n has part n.
 const BRANCHES: [&str; 3] = ["north", "south", "east"];
 /// Answers' bounds: words and bytes.
-const ANSWER: Bounds = Bounds { words: 8, bytes: 300_000 };
+const ANSWER: MessageLimits = MessageLimits { max_elements: 8, max_bytes: 300_000 };
 /// Past the time that a client waits: the users' 50 ms, and what a busy machine adds.
 const SLACK_MS: u64 = 50 + 450;
 /// What an answer owed: under which name, which parts, of which version.
@@ -44,18 +44,18 @@
 }
 
 fn numbers(text: &str) -> Option<BTreeSet<u64>> {
-    text.split('+').map(whole).collect()
+    text.split('+').map(parse_integer).collect()
 }
 
 impl One {
     /// Whether an answer `200` or `206` is what it says and what was asked for.
     fn right(&self, word: &str, fields: &str, body: &[u8]) -> Result<Given, String> {
-        let read = Fields::read(fields.as_bytes()).ok_or("fields that can't be read")?;
+        let read = Fields::parse(fields.as_bytes()).ok_or("fields that can't be read")?;
         let (mut left, mut versions, mut given) = (body, BTreeSet::new(), Vec::new());
         for pair in read.get("parts").ok_or("no parts")?.split('+') {
             let (part, length) = pair.split_once(':').ok_or("a part without its length")?;
-            let part = whole(part).ok_or("a part that is no number")?;
-            let length = whole(length).and_then(|n| usize::try_from(n).ok()).ok_or("a length")?;
+            let part = parse_integer(part).ok_or("a part that is no number")?;
+            let length = parse_integer(length).and_then(|n| usize::try_from(n).ok()).ok_or("a length")?;
             let (bytes, rest) = left.split_at_checked(length).ok_or("fewer bytes than said")?;
             left = rest;
             if !bytes.starts_with(format!("{:016x}/{part}@", self.object).as_bytes()) {
@@ -95,7 +95,7 @@
     pub fn owed(&self) -> Option<Debt> {
         let (word, fields, body) = self.answer().filter(|a| a.0 == "206")?;
         let given = self.right(word, fields, body).ok()?;
-        let name = Fields::read(fields.as_bytes())?.get("debt")?.to_string();
+        let name = Fields::parse(fields.as_bytes())?.get("debt")?.to_string();
         Some(Debt { name, missing: given.missing, made: given.made })
     }
 }
@@ -174,10 +174,10 @@
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return true,
             Err(_) => return false,
         }
-        while let Ok(Some(words)) = decoder.message() {
+        while let Ok(Some(words)) = decoder.next_message() {
             let word =
                 |i: usize| words.get(i).map(|w| String::from_utf8_lossy(w).into_owned()).unwrap_or_default();
-            let Some(at) = whole(&word(0)).and_then(|tag| self.tags.get(&tag)) else { continue };
+            let Some(at) = parse_integer(&word(0)).and_then(|tag| self.tags.get(&tag)) else { continue };
             let body = words.get(3).cloned().unwrap_or_default();
             let now = self.seen.now();
             self.seen.all()[*at].ends.push((now, word(1), word(2), body));
--- a/crates/hierarchy/src/plan.rs
+++ b/crates/hierarchy/src/plan.rs
@@ -1,7 +1,7 @@
 //! A version of the tree, and the checks that it passes before it acts.
 
-use basaltgw_structures::hash::{address, mix};
-use basaltgw_structures::order::Order;
+use basaltgw_structures::hash::{fnv1a, mix};
+use basaltgw_structures::rendezvous::RendezvousOrder;
 use basaltgw_structures::Candidates;
 use std::collections::HashMap;
 use std::fmt;
@@ -242,7 +242,7 @@
             }
             sources.push(of);
         }
-        let one = |i: &Ix| (*i, address(&nodes[*i].id.0), nodes[*i].weight);
+        let one = |i: &Ix| (*i, fnv1a(&nodes[*i].id.0), nodes[*i].weight);
         let order =
             sources.iter().map(|of| Candidates::new(of.iter().filter(|i| **i != archive).map(one))).collect();
         let homes: Vec<Ix> = (0..nodes.len()).filter(|i| nodes[*i].tier == Tier(1)).collect();
@@ -382,7 +382,7 @@
 
     /// The nodes of tier 1 in the order in which they are an object's home.
     pub fn homes(&self, object: u64) -> impl Iterator<Item = &NodeId> + '_ {
-        let order: Order<'_> = self.homes.order(key(object));
+        let order: RendezvousOrder<'_> = self.homes.order(key(object));
         order.map(|i| &self.nodes[i].id)
     }
 
--- a/crates/hierarchy/src/reshape/mod.rs
+++ b/crates/hierarchy/src/reshape/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::plan::{NodeId, Plan, Version};
 use crate::{Ms, Settings};
-use basaltgw_structures::hash::{address, within_share};
+use basaltgw_structures::hash::{fnv1a, within_share};
 use indexmap::IndexMap;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -198,7 +198,7 @@
             // What a leaver gave up and another now gave.
             let first = plan.sources(asker, object).next();
             let given_up = |m: &&mut Moving| {
-                first == Some(&m.node) && !within_share(object, address(&m.node.0), SHARES[m.step])
+                first == Some(&m.node) && !within_share(object, fnv1a(&m.node.0), SHARES[m.step])
             };
             if let Some(m) = c.go.iter_mut().find(given_up).filter(|m| m.node != *source) {
                 match how {
--- a/crates/hierarchy/src/reshape/tests.rs
+++ b/crates/hierarchy/src/reshape/tests.rs
@@ -70,11 +70,11 @@
         for object in objects {
             let of = self.table.of.get(&NodeId::new("e1")).expect("an asker").clone();
             let mut open: Vec<&Share> =
-                of.iter().filter(|s| within_share(object, address(&s.id.0), s.share)).collect();
+                of.iter().filter(|s| within_share(object, fnv1a(&s.id.0), s.share)).collect();
             let score = |s: &Share| {
-                basaltgw_structures::hash::rendezvous(
+                basaltgw_structures::hash::rendezvous_score(
                     basaltgw_structures::hash::mix(object, 0),
-                    address(&s.id.0),
+                    fnv1a(&s.id.0),
                     s.weight,
                 )
             };
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -4,7 +4,7 @@
 //! neither does, the higher generation decides, then the incarnation, then the rest: exactly one of two different identities is current.
 
 use crate::Presence;
-use basaltgw_types::{name, Incarnation, Member, RouterId};
+use basaltgw_types::{parse_name, Incarnation, Member, RouterId};
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -77,7 +77,7 @@
     /// True if the names are valid and the bounds are kept.
     pub fn is_valid(&self) -> bool {
         let Presence { member, domain, .. } = &self.presence;
-        [&member.router.0, &domain.branch, &domain.machine].iter().all(|n| name(n).is_ok())
+        [&member.router.0, &domain.branch, &domain.machine].iter().all(|n| parse_name(n).is_ok())
             && self.replaced.len() <= MAX_REPLACED
             && self.generation <= MAX_GENERATION
             && !self.replaced.contains(&member.incarnation)
--- a/crates/node/src/caches/wire.rs
+++ b/crates/node/src/caches/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::message::WireId;
 use crate::outbox::{BufferMeter, BufferedBytes};
-use crate::resp::{decimal, encode, Bounds, Decoder, FieldList, Fields};
+use crate::resp::{encode, parse_decimal, Decoder, FieldEncoder, Fields, MessageLimits};
 use basaltgw::api::{AttemptResult, FillReport, LoadReport, Ms, Rank, ServerId};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -45,12 +45,12 @@
         let id = WireId(Arc::from(std::str::from_utf8(&id).ok()?));
         let word = words.next()?;
         let fields = words.next().unwrap_or_default();
-        let fields = Fields::read(&fields)?;
+        let fields = Fields::parse(&fields)?;
         let body = words.next();
         let copy = match (fields.get("ver"), fields.get("born")) {
             (None, None) => None,
             (Some(tag), Some(born)) if !tag.is_empty() => {
-                Some(CopyTag { version: Arc::from(tag), origin_time_ms: decimal(born)? as u64 })
+                Some(CopyTag { version: Arc::from(tag), origin_time_ms: parse_decimal(born)? as u64 })
             }
             (_, _) => return None,
         };
@@ -67,7 +67,7 @@
             _ => Some(AttemptResult::Error),
         };
         let waited = match fields.get("waited") {
-            Some(waited) => decimal(waited)?,
+            Some(waited) => parse_decimal(waited)?,
             None => 0.0,
         };
         Some(Self {
@@ -153,7 +153,7 @@
 impl AttemptRequest<'_> {
     /// Encodes it.
     pub fn encode(&self) -> Vec<u8> {
-        let mut fields = FieldList::default();
+        let mut fields = FieldEncoder::default();
         fields.add("c", self.class);
         fields.add("k", self.object);
         fields.add("p", self.part);
@@ -182,7 +182,7 @@
         if let Some(key) = self.key {
             fields.add("i", key);
         }
-        encode(&[b"fetch", self.id.0.as_bytes(), fields.text().as_bytes(), self.body])
+        encode(&[b"fetch", self.id.0.as_bytes(), fields.as_str().as_bytes(), self.body])
     }
 }
 
@@ -193,9 +193,9 @@
 
 /// Encodes an attempt anew with another time-out; `None` if the bytes are no attempt.
 pub fn with_timeout(fetch: &[u8], wait: Ms) -> Option<Vec<u8>> {
-    let mut decoder = Decoder::new(Bounds { words: 4, bytes: fetch.len() });
+    let mut decoder = Decoder::new(MessageLimits { max_elements: 4, max_bytes: fetch.len() });
     decoder.feed(fetch);
-    let words = decoder.message().ok()??;
+    let words = decoder.next_message().ok()??;
     let fields = std::str::from_utf8(words.get(2)?).ok()?;
     let wait = encoded_wait(wait);
     let replaced = fields.split(',').map(|field| match field.split_once('=') {
--- a/crates/node/src/clients/message.rs
+++ b/crates/node/src/clients/message.rs
@@ -3,7 +3,7 @@
 //! A request is valid only if every field is as the protocol defines it; nothing is guessed.
 
 use crate::limits::{COPY_TAG_MAX_BYTES, MAX_BODY_BYTES, MAX_DEADLINE_MS, MAX_GROUP, MAX_PART, MAX_SIZE_KB};
-use crate::resp::{decimal, whole, Fields};
+use crate::resp::{parse_decimal, parse_integer, Fields};
 use basaltgw::api::{GroupId, Ms, ObjectId, Part};
 use std::sync::Arc;
 
@@ -93,7 +93,7 @@
 /// A number of 1 or more without leading zeros, since the answer repeats it.
 fn tag(word: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(word).ok().filter(|t| !t.starts_with('0'))?;
-    whole(text)
+    parse_integer(text)
 }
 
 /// 16 hex digits.
@@ -111,7 +111,7 @@
 fn request(mut words: impl Iterator<Item = Vec<u8>>) -> Option<RequestMessage> {
     let class = String::from_utf8(words.next()?).ok()?;
     let fields = words.next()?;
-    let fields = Fields::read(&fields)?;
+    let fields = Fields::parse(&fields)?;
     let body = words.next().unwrap_or_default();
     if words.next().is_some() || body.len() > MAX_BODY_BYTES {
         return None;
@@ -119,7 +119,7 @@
     let (id, object_text) = (fields.get("i")?, fields.get("o")?);
     hex(id)?;
     let size_kb = match fields.get("m") {
-        Some(size) => decimal(size).filter(|m| *m > 0.0 && *m <= MAX_SIZE_KB)?,
+        Some(size) => parse_decimal(size).filter(|m| *m > 0.0 && *m <= MAX_SIZE_KB)?,
         None => 0.0,
     };
     let (got, key) = (fields.get("got"), fields.get("k"));
@@ -131,8 +131,8 @@
         class,
         object: ObjectId(hex(object_text)?),
         object_text: object_text.to_string(),
-        part: Part(fields.whole("nth", MAX_PART)?),
-        group: GroupId(fields.whole("batch", MAX_GROUP)?),
+        part: Part(fields.integer("nth", MAX_PART)?),
+        group: GroupId(fields.integer("batch", MAX_GROUP)?),
         size_kb,
         deadline_ms: fields.decimal("d").filter(|d| *d <= MAX_DEADLINE_MS)?,
         copy_tag: got.map(str::to_string),
--- a/crates/node/src/clients/parts.rs
+++ b/crates/node/src/clients/parts.rs
@@ -2,7 +2,7 @@
 
 use super::Tag;
 use crate::limits::MAX_PART;
-use crate::resp::{encode, whole, FieldList};
+use crate::resp::{encode, parse_integer, FieldEncoder};
 use basaltgw::api::Ms;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
     let mut parts = Vec::new();
     for item in text.split('+') {
         let (number, site) = match item.split_once('@') {
-            Some((number, site)) => (number, Some(basaltgw_types::name(site).ok()?)),
+            Some((number, site)) => (number, Some(basaltgw_types::parse_name(site).ok()?)),
             None => (item, None),
         };
-        let number = whole(number).filter(|n| *n <= MAX_PART).and_then(|n| u32::try_from(n).ok())?;
+        let number = parse_integer(number).filter(|n| *n <= MAX_PART).and_then(|n| u32::try_from(n).ok())?;
         if parts.len() >= MOST_PARTS || !seen.insert(number) {
             return None;
         }
@@ -57,7 +57,7 @@
 
 /// Encodes an answer. A partial one has its own status, `206`, so that no client takes it for complete.
 pub fn encode_parts_answer(tag: Tag, answer: &PartsAnswer) -> Vec<u8> {
-    let mut fields = FieldList::default();
+    let mut fields = FieldEncoder::default();
     fields.add("parts", joined(answer.parts.iter().map(|(part, len)| format!("{part}:{len}"))));
     let word: &[u8] = if answer.missing.is_empty() { b"200" } else { b"206" };
     if !answer.missing.is_empty() {
@@ -69,7 +69,7 @@
     if let Some(debt) = answer.continuation {
         fields.add("debt", format!("{debt:032x}"));
     }
-    encode(&[tag.0.to_string().as_bytes(), word, fields.text().as_bytes(), &answer.body])
+    encode(&[tag.0.to_string().as_bytes(), word, fields.as_str().as_bytes(), &answer.body])
 }
 
 #[cfg(test)]
--- a/crates/node/src/clients/response.rs
+++ b/crates/node/src/clients/response.rs
@@ -1,7 +1,7 @@
 //! Encodes answers to clients.
 
 use super::message::Tag;
-use crate::resp::{encode, FieldList};
+use crate::resp::{encode, FieldEncoder};
 use basaltgw::api::Ms;
 
 /// An answer to a request.
@@ -20,7 +20,7 @@
 /// Encodes an answer.
 pub fn encode_answer(tag: Tag, reply: Reply<'_>) -> Vec<u8> {
     let tag = tag.0.to_string();
-    let mut fields = FieldList::default();
+    let mut fields = FieldEncoder::default();
     let (word, body): (&[u8], &[u8]) = match reply {
         Reply::Served(body) => (b"200", body),
         Reply::NotModified => {
@@ -35,7 +35,7 @@
         }
         Reply::Failed => (b"500", b""),
     };
-    encode(&[tag.as_bytes(), word, fields.text().as_bytes(), body])
+    encode(&[tag.as_bytes(), word, fields.as_str().as_bytes(), body])
 }
 
 /// Encodes the answer to `PING`.
--- a/crates/node/src/connection/close_reason.rs
+++ b/crates/node/src/connection/close_reason.rs
@@ -1,6 +1,6 @@
 //! Why a connection is closed or no longer read.
 
-use crate::resp::Malformed;
+use crate::resp::DecodeError;
 
 /// Why the owner closes a client's connection on which no request is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// The peer closed it, or it failed.
     PeerClosed,
     /// The peer sent bytes that can't be decoded.
-    Malformed(Malformed),
+    Malformed(DecodeError),
     /// No complete message came within the time for the first one.
     NoFirstMessage,
     /// A message was begun and not completed in time.
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -8,7 +8,7 @@
 use crate::limits::{ReadLimits, READ_AHEAD_BYTES, READ_AHEAD_MESSAGES, READ_BYTES, RETRY_INTERVAL};
 use crate::messages::{Input, Shared};
 use crate::outbox::BufferReservation;
-use crate::resp::{Decoder, Malformed};
+use crate::resp::{DecodeError, Decoder};
 use crate::socket;
 use async_channel::TrySendError;
 use async_io::{Async, Timer};
@@ -226,7 +226,7 @@
     fn decode_chunk(&mut self, bytes: usize) {
         self.decoder.feed(self.chunk.get(..bytes).unwrap_or_default());
         let read_at = self.receive_time();
-        let mut next = self.decoder.message();
+        let mut next = self.decoder.next_message();
         while self.failure.is_none() {
             let words = match next {
                 Ok(Some(words)) => words,
@@ -236,7 +236,7 @@
                     break;
                 }
             };
-            next = self.decoder.message();
+            next = self.decoder.next_message();
             (self.message_started, self.first_message_due) = (None, None);
             self.pending_bytes += words.iter().map(Vec::len).sum::<usize>();
             match (self.decode)(DecodedMessage { words, read_at, boundary_uncertain: next.is_err() }) {
@@ -244,11 +244,11 @@
                     self.pending.push_back(input)
                 }
                 Some(_) => self.failure = Some(CloseReason::Dropped),
-                None => self.failure = Some(CloseReason::Malformed(Malformed::SENSELESS)),
+                None => self.failure = Some(CloseReason::Malformed(DecodeError::UNKNOWN_MESSAGE)),
             }
         }
-        self.buffered.set(self.decoder.held());
-        if self.decoder.mid_message() {
+        self.buffered.set(self.decoder.buffered_bytes());
+        if self.decoder.has_partial_message() {
             self.message_started.get_or_insert_with(Instant::now);
         }
     }
@@ -297,7 +297,7 @@
     /// Waits for one retry interval while reading is paused. The close of a watched peer ends the wait, and a bounded amount is read ahead.
     async fn wait_paused(&mut self, why: PauseReason) -> Result<(), CloseReason> {
         let since = Instant::now();
-        let read_ahead = READ_AHEAD_BYTES.saturating_sub(self.pending_bytes + self.decoder.held());
+        let read_ahead = READ_AHEAD_BYTES.saturating_sub(self.pending_bytes + self.decoder.buffered_bytes());
         let reads_ahead = self.limits.watched
             && self.failure.is_none()
             && self.pending.len() < READ_AHEAD_MESSAGES
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,6 +1,6 @@
 //! The limits of the transport: sizes, counts and time-outs. None decides where, whether or how often a request is sent.
 
-use crate::resp::Bounds;
+use crate::resp::MessageLimits;
 use basaltgw::api::Ms;
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReadLimits {
     /// The size of a message.
-    pub bounds: Bounds,
+    pub bounds: MessageLimits,
     /// The first message is complete within this after the connection is accepted; `None`: it may begin at any time.
     pub first_message: Option<Duration>,
     /// A message is complete within this after its first byte.
@@ -22,7 +22,7 @@
 
 /// Messages of clients: a write carries up to [`MAX_BODY_BYTES`].
 pub const CLIENT_READ_LIMITS: ReadLimits = ReadLimits {
-    bounds: Bounds { words: 6, bytes: 56 * 1024 },
+    bounds: MessageLimits { max_elements: 6, max_bytes: 56 * 1024 },
     first_message: Some(Duration::from_millis(2000)),
     message: Duration::from_millis(2000),
     gap: Duration::from_millis(2000),
@@ -31,7 +31,7 @@
 /// Answers of servers: an object has up to 240,000 bytes. Attempts have their own time-outs; these bound what a connection that stops in
 /// the middle of an answer costs the other attempts on it.
 pub const SERVER_READ_LIMITS: ReadLimits = ReadLimits {
-    bounds: Bounds { words: 6, bytes: 256 * 1024 },
+    bounds: MessageLimits { max_elements: 6, max_bytes: 256 * 1024 },
     first_message: None,
     message: Duration::from_millis(5000),
     gap: Duration::from_millis(250),
--- a/crates/node/tests/codec.rs
+++ b/crates/node/tests/codec.rs
@@ -7,12 +7,12 @@
 use basaltgw_node::caches::ServerAnswer;
 use basaltgw_node::changelog::{self, Follower, Frame};
 use basaltgw_node::clients::{ClientMessage, Tag};
-use basaltgw_node::resp::{encode, Bounds, Decoder, Fields};
+use basaltgw_node::resp::{encode, Decoder, Fields, MessageLimits};
 use common::frame;
 use proptest::prelude::*;
 use serde_json::json;
 
-const BOUNDS: Bounds = Bounds { words: 4, bytes: 300 };
+const BOUNDS: MessageLimits = MessageLimits { max_elements: 4, max_bytes: 300 };
 
 fn names() -> Names {
     let v = json!({"areas": ["hub", "edge"], "kinds": ["box", "parent", "origin"],
@@ -24,7 +24,7 @@
     let (mut decoder, mut messages) = (Decoder::new(BOUNDS), Vec::new());
     for piece in pieces {
         decoder.feed(piece);
-        while let Some(message) = decoder.message().map_err(|e| e.to_string())? {
+        while let Some(message) = decoder.next_message().map_err(|e| e.to_string())? {
             messages.push(message);
         }
     }
@@ -139,7 +139,7 @@
     {
         assert_eq!(ClientMessage::decode(words(untagged)), None);
     }
-    let none = Fields::read(b"-").expect("no fields");
+    let none = Fields::parse(b"-").expect("no fields");
     assert_eq!(none.get("w"), None);
 }
 
@@ -337,7 +337,7 @@
             let _ = ServerAnswer::read(words, &[]);
         }
         let _ = frames(&[&bytes]);
-        let _ = Fields::read(&bytes);
+        let _ = Fields::parse(&bytes);
     }
 
     #[test]
--- a/crates/node/tests/reader.rs
+++ b/crates/node/tests/reader.rs
@@ -134,7 +134,7 @@
         let mut expected = Vec::new();
         let mut malformed = false;
         loop {
-            match decoder.message() {
+            match decoder.next_message() {
                 Ok(Some(words)) => match ClientMessage::decode(words) {
                     Some(message) => expected.push(message),
                     None => { malformed = true; break }
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -12,7 +12,7 @@
 use crate::router_list::RouterList;
 use crate::update_log::{StreamId, UpdateLog};
 use crate::{Action, Counters, Event, Kind, Origin, OverlayError, Settings};
-use basaltgw_structures::hash::{mix, unit};
+use basaltgw_structures::hash::{mix, unit_interval};
 use basaltgw_types::{Member, Ms, RouterId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -114,7 +114,7 @@
     /// A random number between 0 and 1.
     pub(crate) fn random(&mut self) -> f64 {
         self.seed = mix(self.seed, 0x6f76);
-        unit(self.seed)
+        unit_interval(self.seed)
     }
 
     /// When [`Event::TimersDue`] is next due.
--- a/crates/overlay/src/publication.rs
+++ b/crates/overlay/src/publication.rs
@@ -11,7 +11,7 @@
 use crate::overlay::{EscalationParent, Overlay};
 use crate::router_list::Place;
 use crate::{Action, Kind};
-use basaltgw_structures::hash::{address, mix};
+use basaltgw_structures::hash::{fnv1a, mix};
 use basaltgw_types::{Ms, RouterId};
 use std::cmp::Reverse;
 
@@ -87,7 +87,7 @@
         let is_candidate = |link: &&Link| link.role == Role::Peer && self.is_responsive(now, link);
         let others = self.links.values().filter(is_candidate).map(|link| &link.member.router);
         let mut order: Vec<&RouterId> = others.chain([&self.me]).collect();
-        order.sort_by_key(|router| Reverse(mix(content_hash, address(&router.0))));
+        order.sort_by_key(|router| Reverse(mix(content_hash, fnv1a(&router.0))));
         order
     }
 
@@ -109,7 +109,7 @@
             return Publisher::This { delay: 0.0 };
         }
         // The region is partitioned: its relays take turns.
-        let score = |router: &RouterId| mix(content_hash, address(&router.0));
+        let score = |router: &RouterId| mix(content_hash, fnv1a(&router.0));
         let region = &list.at(index).region;
         let own_relays = list.relays().iter().map(|i| list.at(*i)).filter(|entry| entry.region == *region);
         let earlier = own_relays.filter(|entry| score(&entry.router) > score(&self.me)).count();
--- a/crates/overlay/src/router_list.rs
+++ b/crates/overlay/src/router_list.rs
@@ -1,7 +1,7 @@
 //! Router list: the agreed routers of the fleet and their places in the dissemination tree, indexed once.
 
 use crate::OverlayError;
-use basaltgw_structures::hash::{address, mix};
+use basaltgw_structures::hash::{fnv1a, mix};
 use basaltgw_types::RouterId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -84,7 +84,7 @@
 
 /// Short form of a router's name, used in streams.
 pub(crate) fn short_name(router: &RouterId) -> u32 {
-    (mix(address(&router.0), 0x7368) >> (64 - SHORT_NAME_BITS)) as u32
+    (mix(fnv1a(&router.0), 0x7368) >> (64 - SHORT_NAME_BITS)) as u32
 }
 
 impl RouterList {
@@ -103,7 +103,7 @@
         if let Some(pair) = all.windows(2).find(|pair| pair[0].router == pair[1].router) {
             return Err(OverlayError::DuplicateRouter(pair[0].router.clone()));
         }
-        let hashes: Vec<u64> = all.iter().map(|entry| address(&entry.router.0)).collect();
+        let hashes: Vec<u64> = all.iter().map(|entry| fnv1a(&entry.router.0)).collect();
         let control = (0..all.len()).filter(|i| all[*i].control).collect();
         let regions = rank_regions(&all, &hashes, shape);
         let mut places = vec![Place::Control; all.len()];
@@ -229,7 +229,7 @@
         by_region.entry(entry.region.clone()).or_default().push(i);
     }
     let rank = |(name, mut routers): (Arc<str>, Vec<usize>)| {
-        let key = address(&name);
+        let key = fnv1a(&name);
         routers.sort_by_key(|i| (std::cmp::Reverse(mix(key, hashes[*i])), *i));
         relays_first(all, routers, shape.relays)
     };
--- a/crates/overlay/src/topology.rs
+++ b/crates/overlay/src/topology.rs
@@ -5,7 +5,7 @@
 //! and the tiers of each region below its relays.
 
 use crate::router_list::{failure_domain, Place, RouterList};
-use basaltgw_structures::hash::{address, mix};
+use basaltgw_structures::hash::{fnv1a, mix};
 use basaltgw_types::RouterId;
 use std::cmp::Reverse;
 
@@ -59,7 +59,7 @@
 fn relay_candidates(list: &RouterList, index: usize) -> Vec<Candidates> {
     let region = &list.at(index).region;
     // Each relay of a region tries another control machine first.
-    let mut control = by_rendezvous(list, address(region), list.control());
+    let mut control = by_rendezvous(list, fnv1a(region), list.control());
     let offset = rank(list, index) % control.len().max(1);
     control.rotate_left(offset);
     let is_other_region = |i: &usize| list.at(*i).region != *region;
--- a/crates/overlay/tests/net/mod.rs
+++ b/crates/overlay/tests/net/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use basaltgw_overlay::{Action, Event, Kind, Overlay, RouterEntry, RouterList, Settings, Shape, Side};
-use basaltgw_structures::hash::{mix, unit};
+use basaltgw_structures::hash::{mix, unit_interval};
 use basaltgw_types::{Incarnation, Member, RouterId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -131,7 +131,7 @@
 
     pub fn random(&mut self) -> f64 {
         self.seed = mix(self.seed, 1);
-        unit(self.seed)
+        unit_interval(self.seed)
     }
 
     /// Starts or restarts a router without state.
@@ -205,7 +205,7 @@
 
     fn delay(&self, a: usize, b: usize) -> Ms {
         let far = self.listed[a].region != self.listed[b].region;
-        let part = unit(mix(a.min(b) as u64, a.max(b) as u64));
+        let part = unit_interval(mix(a.min(b) as u64, a.max(b) as u64));
         if far {
             20.0 + 60.0 * part
         } else {
--- a/crates/placement/benches/table.rs
+++ b/crates/placement/benches/table.rs
@@ -1,7 +1,7 @@
 //! Look-up of a shard's keepers: the table beside plain rendezvous over all routers and a sorted list.
 
 use basaltgw_placement::{compile, Inventory, RouterEntry, Table};
-use basaltgw_structures::hash::{address, rendezvous};
+use basaltgw_structures::hash::{fnv1a, rendezvous_score};
 use basaltgw_types::{Domain, Incarnation, Member, RouterId, Shard};
 use divan::{black_box, Bencher};
 use std::sync::Arc;
@@ -39,12 +39,12 @@
 
 #[divan::bench(args = SIZES)]
 fn look_up_rendezvous(bencher: Bencher<'_, '_>, n: usize) {
-    let hashes: Vec<u64> = fleet(n).routers.iter().map(|r| address(&r.member.router.0)).collect();
+    let hashes: Vec<u64> = fleet(n).routers.iter().map(|r| fnv1a(&r.member.router.0)).collect();
     let mut shard = 0;
     bencher.bench_local(|| {
         shard = (shard + 1) % u64::from(SHARDS);
         let mut scores: Vec<(f64, usize)> =
-            hashes.iter().enumerate().map(|(i, h)| (rendezvous(shard, *h, 1.0), i)).collect();
+            hashes.iter().enumerate().map(|(i, h)| (rendezvous_score(shard, *h, 1.0), i)).collect();
         scores.select_nth_unstable_by(2, |a, b| b.0.total_cmp(&a.0));
         black_box(scores.first().copied())
     });
--- a/crates/placement/examples/measure.rs
+++ b/crates/placement/examples/measure.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p basaltgw-placement --example measure -- SEED`
 
 use basaltgw_placement::{compile, Inventory, RouterEntry, Table};
-use basaltgw_structures::hash::{address, mix};
+use basaltgw_structures::hash::{fnv1a, mix};
 use basaltgw_types::{Domain, Incarnation, Member, RouterId, Shard};
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -99,7 +99,7 @@
     fn best(&self, shard: usize) -> Vec<usize> {
         let mut best: Vec<(f64, usize)> = Vec::with_capacity(COPIES + 1);
         for (i, (_, hash, weight)) in self.0.iter().enumerate() {
-            let score = basaltgw_structures::hash::rendezvous(shard as u64, *hash, *weight);
+            let score = basaltgw_structures::hash::rendezvous_score(shard as u64, *hash, *weight);
             let place = best.iter().position(|b| score > b.0).unwrap_or(best.len());
             if place < COPIES {
                 best.insert(place, (score, i));
@@ -116,8 +116,7 @@
     }
 
     fn place(&mut self, fleet: &Inventory) {
-        let entry =
-            |r: &RouterEntry| (r.member.router.clone(), address(&r.member.router.0), r.capacity as f64);
+        let entry = |r: &RouterEntry| (r.member.router.clone(), fnv1a(&r.member.router.0), r.capacity as f64);
         self.0 = fleet.routers.iter().map(entry).collect();
     }
 
--- a/crates/placement/src/body.rs
+++ b/crates/placement/src/body.rs
@@ -119,7 +119,10 @@
         need(self.routers.iter().all(|r| name(&r.branch) && name(&r.machine)), "routers' domains by place")?;
         let order = |r: &Keeper| (r.name.clone(), r.incarnation);
         need(rising(&self.routers.iter().map(order).collect::<Vec<_>>()), "routers in the order of names")?;
-        need(self.routers.iter().all(|r| basaltgw_types::name(&r.name).is_ok()), "routers with plain names")?;
+        need(
+            self.routers.iter().all(|r| basaltgw_types::parse_name(&r.name).is_ok()),
+            "routers with plain names",
+        )?;
         let root = self.root.len() % 2 == 1 && self.root.len() <= MOST_COPIES;
         need(root && distinct(&self.root, self.routers.len()), "a root of 1, 3 or 5 routers")?;
         let founders = rising(&self.founders)
--- a/crates/placement/src/compile.rs
+++ b/crates/placement/src/compile.rs
@@ -61,7 +61,7 @@
     for router in &inventory.routers {
         let RouterEntry { member, domain, .. } = router;
         for name in [&member.router.0, &domain.branch, &domain.machine] {
-            if let Err(bad) = basaltgw_types::name(name) {
+            if let Err(bad) = basaltgw_types::parse_name(name) {
                 faults.push(general(format!("router \"{}\": {bad}", member.router)));
             }
         }
--- a/crates/placement/src/keep.rs
+++ b/crates/placement/src/keep.rs
@@ -6,7 +6,7 @@
 use crate::fault::{found, At, INVENTORY};
 use crate::place::{search, Candidate};
 use crate::smallest::smallest;
-use basaltgw_structures::hash::address;
+use basaltgw_structures::hash::fnv1a;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Copies of a shard where no rule says otherwise: any one machine may be lost.
@@ -315,7 +315,7 @@
             let domain = *domains.entry(key).or_insert(next);
             let apart = apart.get(p).cloned().unwrap_or_default();
             Candidate {
-                hash: address(&routers[*p].member.router.0),
+                hash: fnv1a(&routers[*p].member.router.0),
                 weight: routers[*p].capacity.max(1),
                 domain,
                 apart,
--- a/crates/placement/src/written.rs
+++ b/crates/placement/src/written.rs
@@ -46,7 +46,7 @@
         let (next, stage) = match written.next {
             None => (None, Stage::Idle),
             Some(WrittenNext { table: bytes, by, stage }) => {
-                need(basaltgw_types::name(&by.0).is_ok(), "the name of who offered")?;
+                need(basaltgw_types::parse_name(&by.0).is_ok(), "the name of who offered")?;
                 let new = Table::from_bytes(&bytes)?;
                 need(follows(&table, &new).is_ok(), "a next table that was made after the one that holds")?;
                 let next = Next { steps: portions(&table, &new).len() as u16, table: Arc::new(new), by };
--- a/crates/registers/src/backoff.rs
+++ b/crates/registers/src/backoff.rs
@@ -5,7 +5,7 @@
 
 use crate::message::RejectReason;
 use crate::{Settings, UnavailableReason};
-use basaltgw_structures::hash::{mix, unit};
+use basaltgw_structures::hash::{mix, unit_interval};
 use basaltgw_types::Ms;
 
 /// Doublings of the backoff at most.
@@ -32,7 +32,7 @@
     /// A factor from 0.5 to 1.
     fn factor(&mut self) -> f64 {
         self.samples += 1;
-        0.5 + 0.5 * unit(mix(self.seed, self.samples))
+        0.5 + 0.5 * unit_interval(mix(self.seed, self.samples))
     }
 }
 
--- a/crates/registers/tests/net/mod.rs
+++ b/crates/registers/tests/net/mod.rs
@@ -137,7 +137,7 @@
     /// A random number from 0 to 1.
     pub fn random(&mut self) -> f64 {
         self.seed = mix(self.seed, 0x9e37);
-        basaltgw_structures::hash::unit(self.seed)
+        basaltgw_structures::hash::unit_interval(self.seed)
     }
 
     pub fn random_index(&mut self, n: usize) -> usize {
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,71 +1,74 @@
-//! RESP arrays of bulk strings: an incremental decoder and an encoder, and the `name=value` fields within a word.
+//! RESP arrays of bulk strings: an incremental decoder and an encoder, and `name=value` fields within a bulk string.
+//!
+//! A message is one array; its elements are bulk strings only.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use std::fmt;
 
-/// What is wrong with bytes that are no array of bulk strings, or one beyond the bounds.
+/// Why received bytes are not an array of bulk strings within the size limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed(&'static str);
+pub struct DecodeError(&'static str);
 
-impl Malformed {
-    /// A well-formed array that is no message.
-    pub const SENSELESS: Self = Self("a message that makes no sense");
+impl DecodeError {
+    /// A well-formed array that is not a message of the receiver's protocol.
+    pub const UNKNOWN_MESSAGE: Self = Self("an array that is not a message of the protocol");
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.0)
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for DecodeError {}
 
-/// The bounds of a message.
+/// The size limits of a message.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// The most words.
-    pub words: usize,
-    /// The most bytes of all its words together.
-    pub bytes: usize,
+pub struct MessageLimits {
+    /// The most bulk strings in its array.
+    pub max_elements: usize,
+    /// The most bytes of all its bulk strings together, without headers and line ends.
+    pub max_bytes: usize,
 }
 
-/// The most digits of a length or count; more than any bound has.
+/// The most digits of a length or count; more than any limit has.
 const MAX_LENGTH_DIGITS: usize = 8;
 /// The capacity that an empty buffer keeps for the next message.
 const IDLE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What the next bytes are.
+/// What the next bytes are expected to be.
 enum Expect {
     ArrayHeader,
-    WordHeader,
-    Word { length: usize },
+    BulkStringHeader,
+    BulkString { length: usize },
 }
 
-/// Decodes messages from a byte stream in any chunks.
+/// Decodes messages from a byte stream that arrives in chunks of any size.
 pub struct Decoder {
-    bounds: Bounds,
+    limits: MessageLimits,
     buffer: Vec<u8>,
     /// Bytes before this are decoded.
     position: usize,
     expect: Expect,
-    words_left: usize,
-    /// Bytes that the remaining words of the message may have.
+    elements_left: usize,
+    /// Bytes that the remaining bulk strings of the message may have.
     bytes_left: usize,
-    words: Vec<Vec<u8>>,
+    /// The complete bulk strings of the partial message.
+    elements: Vec<Vec<u8>>,
 }
 
 impl Decoder {
     /// A decoder at the start of a connection.
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(limits: MessageLimits) -> Self {
         Self {
-            bounds,
+            limits,
             buffer: Vec::new(),
             position: 0,
             expect: Expect::ArrayHeader,
-            words_left: 0,
+            elements_left: 0,
             bytes_left: 0,
-            words: Vec::new(),
+            elements: Vec::new(),
         }
     }
 
@@ -79,39 +82,39 @@
     /// The next complete message, if there is one.
     ///
     /// # Errors
-    /// If the bytes are malformed or exceed the bounds; the stream can't be decoded any further.
-    pub fn message(&mut self) -> Result<Option<Vec<Vec<u8>>>, Malformed> {
+    /// If the bytes are malformed or exceed the size limits; the stream can't be decoded any further.
+    pub fn next_message(&mut self) -> Result<Option<Vec<Vec<u8>>>, DecodeError> {
         loop {
             match self.expect {
                 Expect::ArrayHeader => {
-                    let Some(count) = self.header(b'*', self.bounds.words)? else { break };
+                    let Some(count) = self.header(b'*', self.limits.max_elements)? else { break };
                     if count == 0 {
-                        return Err(Malformed("an array without words"));
+                        return Err(DecodeError("an empty array"));
                     }
-                    (self.words_left, self.bytes_left, self.expect) =
-                        (count, self.bounds.bytes, Expect::WordHeader);
+                    (self.elements_left, self.bytes_left, self.expect) =
+                        (count, self.limits.max_bytes, Expect::BulkStringHeader);
                 }
-                Expect::WordHeader => {
+                Expect::BulkStringHeader => {
                     let Some(length) = self.header(b'$', self.bytes_left)? else { break };
                     self.bytes_left -= length;
-                    self.expect = Expect::Word { length };
+                    self.expect = Expect::BulkString { length };
                 }
-                Expect::Word { length } => {
+                Expect::BulkString { length } => {
                     let Some(bytes) = self.buffer.get(self.position..self.position + length + 2) else {
                         break;
                     };
-                    let (word, end) = bytes.split_at(length);
+                    let (element, end) = bytes.split_at(length);
                     if end != b"\r\n" {
-                        return Err(Malformed("a word that does not end where its length says"));
+                        return Err(DecodeError("a bulk string that does not end after its length"));
                     }
-                    self.words.push(word.to_vec());
+                    self.elements.push(element.to_vec());
                     self.position += length + 2;
-                    self.words_left -= 1;
-                    if self.words_left == 0 {
+                    self.elements_left -= 1;
+                    if self.elements_left == 0 {
                         self.expect = Expect::ArrayHeader;
-                        return Ok(Some(std::mem::take(&mut self.words)));
+                        return Ok(Some(std::mem::take(&mut self.elements)));
                     }
-                    self.expect = Expect::WordHeader;
+                    self.expect = Expect::BulkStringHeader;
                 }
             }
         }
@@ -123,65 +126,67 @@
         Ok(None)
     }
 
-    /// Bytes buffered of a partial message.
-    pub fn held(&self) -> usize {
-        self.buffer.len() - self.position + self.words.iter().map(Vec::len).sum::<usize>()
+    /// Bytes buffered of messages that are not yet returned.
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffer.len() - self.position + self.elements.iter().map(Vec::len).sum::<usize>()
     }
 
     /// Whether a message has begun and is not complete.
-    pub fn mid_message(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.position < self.buffer.len() || !matches!(self.expect, Expect::ArrayHeader)
     }
 
-    /// Decodes a sign, digits and the line's end; `None` if the line is not complete.
-    fn header(&mut self, sign: u8, max: usize) -> Result<Option<usize>, Malformed> {
+    /// Decodes a header line (type byte, decimal length or count, CRLF); `None` if the line is not complete.
+    fn header(&mut self, type_byte: u8, max: usize) -> Result<Option<usize>, DecodeError> {
         let bytes = &self.buffer[self.position..];
         let Some((first, rest)) = bytes.split_first() else { return Ok(None) };
-        if *first != sign {
-            return Err(Malformed("another sign than the array's or the word's"));
+        if *first != type_byte {
+            return Err(DecodeError(
+                "a type byte other than '*' before an array or '$' before a bulk string",
+            ));
         }
         let digits = rest.iter().take(MAX_LENGTH_DIGITS + 1).take_while(|b| b.is_ascii_digit()).count();
         if digits > MAX_LENGTH_DIGITS {
-            return Err(Malformed("a length of too many digits"));
+            return Err(DecodeError("a length or count with too many digits"));
         }
         match rest.get(digits..) {
             None | Some([] | [b'\r']) => return Ok(None),
             Some([b'\r', b'\n', ..]) if digits > 0 => {}
-            Some(_) => return Err(Malformed("a length that is no number")),
+            Some(_) => return Err(DecodeError("a length or count that is not a number")),
         }
         let number = rest[..digits].iter().fold(0, |n, b| n * 10 + usize::from(b - b'0'));
         if number > max {
-            return Err(Malformed("over the limit"));
+            return Err(DecodeError("a message over its size limits"));
         }
         self.position += digits + 3;
         Ok(Some(number))
     }
 }
 
-/// Encodes a message.
-pub fn encode(words: &[&[u8]]) -> Vec<u8> {
-    let capacity = words.iter().map(|w| w.len() + 16).sum::<usize>() + 16;
+/// Encodes an array of these bulk strings.
+pub fn encode(elements: &[&[u8]]) -> Vec<u8> {
+    let capacity = elements.iter().map(|e| e.len() + 16).sum::<usize>() + 16;
     let mut bytes = Vec::with_capacity(capacity);
-    bytes.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
-    for word in words {
-        bytes.extend_from_slice(format!("${}\r\n", word.len()).as_bytes());
-        bytes.extend_from_slice(word);
+    bytes.extend_from_slice(format!("*{}\r\n", elements.len()).as_bytes());
+    for element in elements {
+        bytes.extend_from_slice(format!("${}\r\n", element.len()).as_bytes());
+        bytes.extend_from_slice(element);
         bytes.extend_from_slice(b"\r\n");
     }
     bytes
 }
 
-/// The most fields of a word; more than any message has.
+/// The most fields in a bulk string; more than any message has.
 const MAX_FIELDS: usize = 16;
 
-/// The fields of a word: `name=value,name=value`, or `-` or nothing for none.
+/// The fields in a bulk string: `name=value,name=value`, or `-` or nothing for none.
 #[derive(Default)]
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
-    /// Decodes a word's fields; `None` if it is malformed or has a name twice.
-    pub fn read(word: &'a [u8]) -> Option<Self> {
-        let text = std::str::from_utf8(word).ok()?;
+    /// Parses the fields; `None` if they are malformed, too many, or have a name twice.
+    pub fn parse(bulk_string: &'a [u8]) -> Option<Self> {
+        let text = std::str::from_utf8(bulk_string).ok()?;
         let mut fields = Self::default();
         if text.is_empty() || text == "-" {
             return Some(fields);
@@ -196,19 +201,19 @@
         Some(fields)
     }
 
-    /// The value of that name.
+    /// The value of the field with that name, as text.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.0.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
     }
 
-    /// The value of that name as a decimal number of 0 or more; `None` if it is absent or malformed.
+    /// The value of the field with that name as a decimal number of 0 or more; `None` if it is absent or malformed.
     pub fn decimal(&self, name: &str) -> Option<f64> {
-        decimal(self.get(name)?)
+        parse_decimal(self.get(name)?)
     }
 
-    /// The value of that name as an integer up to `max`; `None` if it is absent, malformed or larger.
-    pub fn whole(&self, name: &str, max: u64) -> Option<u64> {
-        whole(self.get(name)?).filter(|n| *n <= max)
+    /// The value of the field with that name as an integer up to `max`; `None` if it is absent, malformed or larger.
+    pub fn integer(&self, name: &str, max: u64) -> Option<u64> {
+        parse_integer(self.get(name)?).filter(|n| *n <= max)
     }
 }
 
@@ -216,25 +221,25 @@
 const MAX_NUMBER_DIGITS: usize = 20;
 
 /// Parses an unsigned integer of digits only: no sign, space or exponent.
-pub fn whole(text: &str) -> Option<u64> {
+pub fn parse_integer(text: &str) -> Option<u64> {
     let digits =
         !text.is_empty() && text.len() <= MAX_NUMBER_DIGITS && text.bytes().all(|b| b.is_ascii_digit());
     text.parse().ok().filter(|_| digits)
 }
 
 /// Parses an unsigned decimal: digits, optionally a point and more digits.
-pub fn decimal(text: &str) -> Option<f64> {
-    let (before, after) = text.split_once('.').unwrap_or((text, "0"));
-    whole(before).and(whole(after))?;
+pub fn parse_decimal(text: &str) -> Option<f64> {
+    let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
+    parse_integer(integer).and(parse_integer(fraction))?;
     text.parse().ok()
 }
 
-/// Encodes fields one after another.
+/// Encodes fields as one bulk string, in the order in which they are added.
 #[derive(Default)]
-pub struct FieldList(String);
+pub struct FieldEncoder(String);
 
-impl FieldList {
-    /// Adds a field.
+impl FieldEncoder {
+    /// Adds a field. Neither the name nor the value may contain `,`, and the name no `=`; this is not checked.
     pub fn add(&mut self, name: &str, value: impl fmt::Display) {
         use fmt::Write;
         let comma = if self.0.is_empty() { "" } else { "," };
@@ -242,8 +247,8 @@
         let _ = write!(self.0, "{comma}{name}={value}");
     }
 
-    /// The fields as one word; empty without any.
-    pub fn text(&self) -> &str {
+    /// The encoded fields; empty without any.
+    pub fn as_str(&self) -> &str {
         &self.0
     }
 }
--- a/crates/scatter_gather/src/sim/load.rs
+++ b/crates/scatter_gather/src/sim/load.rs
@@ -2,7 +2,7 @@
 
 use super::Setup;
 use crate::api::{Ask, Effect, GatherNo, Missing, PartNo, PartSpec, Policy, Site, Times};
-use basaltgw_structures::hash::{mix, unit};
+use basaltgw_structures::hash::{mix, unit_interval};
 use basaltgw_types::Ms;
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
     /// 0 to 1, both excluded.
     pub fn next(&mut self) -> f64 {
         self.1 += 1;
-        unit(mix(self.0, self.1))
+        unit_interval(mix(self.0, self.1))
     }
 
     /// 0 to `n`, the latter excluded.
--- a/crates/scatter_gather/src/site_table.rs
+++ b/crates/scatter_gather/src/site_table.rs
@@ -7,7 +7,7 @@
 use crate::settings::{Settings, MOST_MS};
 use crate::site_state::{fleet_probe_interval, DecisionContext, Draws, SiteState};
 pub(crate) use crate::site_state::{Admission, AttemptSignal, SignalSource, SiteChange};
-use basaltgw_structures::hash::{mix, unit};
+use basaltgw_structures::hash::{mix, unit_interval};
 use basaltgw_types::{Ms, RouterId};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     /// The next number of this router's random sequence, from 0 to 1.
     pub fn random(&mut self) -> f64 {
         self.random_draws += 1;
-        unit(mix(self.seed, self.random_draws))
+        unit_interval(mix(self.seed, self.random_draws))
     }
 
     /// Two draws, in the order of the fields.
--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -2,7 +2,7 @@
 
 use crate::spec::{ClassSpec, EffectSpec, LoadSpec};
 use crate::{rng, Ms, Rng};
-use basaltgw::hash::{mix, unit};
+use basaltgw::hash::{mix, unit_interval};
 use rand::RngExt;
 
 /// A request that comes in.
@@ -75,7 +75,7 @@
 /// The size of an object's parts.
 pub fn size(class: &ClassSpec, object: u64) -> f64 {
     let [least, most] = class.kb;
-    least * (most / least).powf(unit(mix(object, 77)))
+    least * (most / least).powf(unit_interval(mix(object, 77)))
 }
 
 /// The group of an object, of so many.
--- a/crates/structures/src/hash.rs
+++ b/crates/structures/src/hash.rs
@@ -1,11 +1,11 @@
 //! Stable hashing for rendezvous placement; the same at every router and in every build.
 
-/// FNV-1a of an address.
-pub fn address(s: &str) -> u64 {
-    s.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+/// The 64-bit FNV-1a hash of a text, such as a server's address or a router's name.
+pub fn fnv1a(text: &str) -> u64 {
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Mixes two words into one (the finaliser of splitmix64).
+/// Mixes two numbers into one hash (the finaliser of splitmix64).
 pub fn mix(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -13,21 +13,22 @@
     z ^ (z >> 31)
 }
 
-/// The rendezvous score of a server of that weight for a key: the highest wins, each in proportion to its weight.
-pub fn rendezvous(key: u64, server: u64, weight: f64) -> f64 {
-    -weight / unit(mix(key, server)).ln()
+/// The rendezvous score of a server of that weight for a key: the highest wins, each server with a probability in
+/// proportion to its weight.
+pub fn rendezvous_score(key: u64, server: u64, weight: f64) -> f64 {
+    -weight / unit_interval(mix(key, server)).ln()
 }
 
-/// A word as a number between 0 and 1, both excluded.
-pub fn unit(word: u64) -> f64 {
-    ((word >> 11) as f64 + 0.5) / (1u64 << 53) as f64
+/// Maps a hash to a number between 0 and 1, both excluded. The low 11 bits are ignored: a mantissa has 53.
+pub fn unit_interval(hash: u64) -> f64 {
+    ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// Sets the hash of shares apart from that of placement, so that a server's share is no cut through its own objects' scores.
+/// Makes the hash for shares independent of that for placement; else a server's share would depend on the scores of its objects.
 const SHARE_SALT: u64 = 0x6c62_272e_07bb_0142;
 
-/// True if an object belongs to the share (0 to 1) that a server takes of its objects: what belongs to a share belongs to every larger
-/// one, and all who reckon reckon alike.
+/// Whether an object belongs to the share (0 to 1) that a server takes of its objects. An object within a share is within every larger one,
+/// and all routers get the same result.
 pub fn within_share(object: u64, server: u64, share: f64) -> bool {
-    share >= 1.0 || unit(mix(mix(object, SHARE_SALT), server)) < share
+    share >= 1.0 || unit_interval(mix(mix(object, SHARE_SALT), server)) < share
 }
--- a/crates/structures/src/lib.rs
+++ b/crates/structures/src/lib.rs
@@ -1,8 +1,8 @@
-//! Data structures made for routers. Each says what it costs and what it replaces, and is measured beside that in `benches/`.
+//! Data structures for routers. Each module states its costs and the plain structure that it replaces; `benches/` compares the two.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod hash;
-pub mod order;
+pub mod rendezvous;
 
-pub use order::Candidates;
+pub use rendezvous::Candidates;
--- a/crates/transport/src/handshake.rs
+++ b/crates/transport/src/handshake.rs
@@ -10,7 +10,7 @@
 use crate::{LinkError, PROTOCOL_VERSION};
 use async_io::Async;
 use asynchronous_codec::Encoder;
-use basaltgw_types::{name, RouterId};
+use basaltgw_types::{parse_name, RouterId};
 use bytes::BytesMut;
 use futures_lite::{AsyncWriteExt, StreamExt};
 use std::net::TcpStream;
@@ -72,7 +72,7 @@
         let hello = &session.hello;
         let router = &hello.member.router;
         for text in [&hello.cluster, &router.0, &hello.domain.branch, &hello.domain.machine] {
-            name(text).map_err(|invalid| malformed(invalid.to_string()))?;
+            parse_name(text).map_err(|invalid| malformed(invalid.to_string()))?;
         }
         let cluster = &self.me.borrow().hello.cluster;
         if hello.cluster != *cluster {
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Names and plain values that the packages of the fleet share: routers, lives of their folders, shards, versions of tables.
+//! Values that the packages of the fleet share: routers and their incarnations, failure domains, shards, replica sets, table versions.
 //!
-//! Nothing here decides. Every text that comes from outside is checked where it becomes a name.
+//! These types hold data and decide nothing. Text from outside becomes a name only by [`parse_name`], which checks it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -10,103 +10,105 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Milliseconds of the caller's clock, fractional; only ever forward.
+/// A time or duration in milliseconds, with a fraction. Times are of the caller's clock, which never goes back.
 pub type Ms = f64;
 
 /// The longest name of a router, branch, machine or cluster, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// A name that can't be used.
+/// A text that is not a valid name, cut to [`MAX_NAME_BYTES`] characters.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("expected 1 to {MAX_NAME_BYTES} bytes of letters, digits, '-', '_' and '.', found {0:?}")]
 pub struct InvalidName(pub String);
 
-/// Checks a name; all kinds of names are spelled alike.
+/// Parses a name; the same rules hold for all kinds of names.
 ///
 /// # Errors
-/// If it is empty, longer than [`MOST_NAME`], or has other characters than letters, digits, `-`, `_` and `.`.
-pub fn name(text: &str) -> Result<Arc<str>, InvalidName> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    match !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(plain) {
+/// If the text is empty, longer than [`MAX_NAME_BYTES`], or has other characters than ASCII letters, digits, `-`, `_` and `.`.
+pub fn parse_name(text: &str) -> Result<Arc<str>, InvalidName> {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    match !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(allowed) {
         true => Ok(Arc::from(text)),
         false => Err(InvalidName(text.chars().take(MAX_NAME_BYTES).collect())),
     }
 }
 
-/// A router, by its name in the fleet: the same after a restart, and on another machine.
+/// A router's name in the fleet. It stays the same after a restart and on another machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouterId(pub Arc<str>);
 
-/// One life of a router's folder, drawn at random when the folder was empty: whoever returns with another disk is another.
+/// The identity of a router's data folder, drawn at random when the folder was empty: a router that returns with another disk is another
+/// incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u128);
 
-/// A router with the folder it has: what may vote and vouch.
+/// A router with the incarnation of its data folder. Votes and acknowledgements are counted by member, not by router.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The router's name.
     pub router: RouterId,
-    /// The life of its folder.
+    /// The identity of its data folder.
     pub incarnation: Incarnation,
 }
 
-/// What is lost together: a machine, and the branch in which it stands.
+/// The failure domain of a router: a machine, whose routers fail together, in a branch, whose machines fail together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Domain {
-    /// The branch.
+    /// The branch's name.
     pub branch: Arc<str>,
-    /// The machine within it.
+    /// The machine's name within the branch.
     pub machine: Arc<str>,
 }
 
-/// A shard of the holds, from 0 to the table's number of shards.
+/// The number of a shard of the registers: at least 0, less than the table's number of shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Shard(pub u16);
 
-/// The version of a table; the founding one is 1.
+/// The version of a placement table; that of a new fleet is 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TableVersion(pub u64);
 
-/// The hash of a table's bytes.
+/// The hash of a placement table's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TableHash(pub [u8; 32]);
 
-/// Routers of which a certain number must have something on their disks before it holds.
+/// Members of which a quorum must have a change on disk before it is committed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuorumGroup {
-    /// Who, in the order of preference.
+    /// The members, in order of preference.
     pub members: Vec<Member>,
-    /// How many of them it takes: a majority, or all while a fleet is founded.
+    /// How many of the members are a quorum: a majority, or all of them while a fleet is bootstrapped.
     pub quorum: usize,
 }
 
 impl QuorumGroup {
-    /// A group in which any two majorities meet.
+    /// A group whose quorum is a majority, so that any two quorums have a member in common.
     pub fn majority(members: Vec<Member>) -> Self {
-        let need = members.len() / 2 + 1;
-        Self { members, quorum: need }
+        let quorum = members.len() / 2 + 1;
+        Self { members, quorum }
     }
 }
 
-/// Who keeps a shard. While it moves there are two groups and a promise needs both; else one.
+/// The replicas of a shard: one group, or two while the shard moves, when a change needs a quorum of both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaSet {
-    /// The groups, the older first; never empty.
+    /// The groups, the older one first; never empty.
     pub groups: Vec<QuorumGroup>,
 }
 
-/// The keepers of all shards under one version of the table, as `crates/placement` made it and `crates/registers` uses it.
+/// The replicas of all shards under one version of the placement table. `crates/placement` makes it; `crates/registers` uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardMap {
-    /// Counted up with every change of who keeps what, twice for each version of the table: while both hold, and once the new one holds.
+    /// Raised with each change of replicas, twice for each version of the table: when the groups of both versions count, and when those of
+    /// the new version alone do.
     pub epoch: u64,
-    /// The version that is being left, or that holds.
+    /// The table's version; while the groups of two versions count, the older one.
     pub version: TableVersion,
-    /// Its hash.
+    /// The hash of that version of the table.
     pub hash: TableHash,
-    /// By shard.
+    /// The replicas of each shard, by its number.
     pub shards: Vec<ReplicaSet>,
-    /// Who keeps the register of the table itself.
+    /// The replicas of the register of the table itself.
     pub root: ReplicaSet,
 }
 
--- a/crates/types/src/link.rs
+++ b/crates/types/src/link.rs
@@ -1,59 +1,59 @@
-//! What is said of a link between two routers, as the packages on both sides of it have it.
+//! A link between two routers: its lanes, its handshake, and why it is down. Shared by the transport and the packages that use it.
 
 use crate::{Domain, Member, TableHash, TableVersion};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The version of the frames; another is refused with its number named.
+/// The version of the frame format. A peer with another version is refused, with its version in the message.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// What a frame is for: each lane has its own bounds, and is written in this order where several wait.
+/// A link's queues of frames. Each lane has its own limits; where several have frames to write, they are written in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Lane {
-    /// What is heard of routers.
+    /// Membership gossip.
     Membership,
-    /// Copies of holds, and the table's register.
+    /// Messages between replicas of registers, that of the placement table included.
     Registers,
-    /// Tables, in portions.
+    /// Messages between control planes: the table's state, purge sync, lease queries, overlay frames.
     Table,
-    /// Parts that a gather asks for, and their answers.
+    /// Scatter-gather sub-requests and their answers.
     ScatterGather,
 }
 
 /// The first message on a link, both ways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// See [`PROTOCOL`].
+    /// The sender's [`PROTOCOL_VERSION`].
     pub protocol: u16,
-    /// The fleet's name: links between fleets are refused.
+    /// The fleet's name; links between fleets are refused.
     pub cluster: Arc<str>,
-    /// Who speaks.
+    /// The sender.
     pub member: Member,
-    /// Where it stands.
+    /// The sender's failure domain.
     pub domain: Domain,
-    /// The table that it goes by.
+    /// The placement table that the sender uses; version 0 and a hash of zeros without one.
     pub table: (TableVersion, TableHash),
 }
 
 /// Why a link is down, or a frame was not written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LinkError {
-    /// There is no link to it now.
+    /// There is no link to the peer.
     NotConnected,
-    /// Its lane is full.
+    /// The frame's lane is full.
     QueueFull,
-    /// The link broke with it unwritten, or in part.
+    /// The connection was lost; the frame was not written, or in part only.
     ConnectionLost,
-    /// The peer was silent.
+    /// The peer sent nothing for too long.
     PeerTimeout,
-    /// The peer sent what can't be read.
+    /// The peer sent bytes that can't be decoded.
     MalformedFrame,
-    /// The peer sent more than it may.
+    /// The peer sent more than its rate limit.
     RateExceeded,
-    /// The peer is not the one that is listed, or of another fleet or protocol.
+    /// The peer is not the listed router, or belongs to another fleet or protocol version.
     PeerMismatch,
-    /// Another life of the router has taken its place.
+    /// Another incarnation of the router has taken its place.
     Replaced,
-    /// Whoever dialled the link has closed it in order: it was idle and not wanted. Says nothing of the peer's health.
+    /// The router that dialled the link has closed it, since it was idle and not needed. This says nothing about the peer's health.
     Idle,
 }
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -13,7 +13,7 @@
 use super::weight_penalty::WeightPenalty;
 use super::Router;
 use crate::api::*;
-use crate::hash::address;
+use crate::hash::fnv1a;
 use basaltgw_structures::Candidates;
 use indexmap::IndexMap;
 use std::ops::{Index, IndexMut};
@@ -301,7 +301,7 @@
         let senders = if entry.role == Role::Edge { settings.zone_routers } else { settings.routers };
         let new = || {
             let limit = ConcurrencyLimit::new(*now, senders);
-            Server::new(entry.clone(), address(&entry.id.0), *now, limit)
+            Server::new(entry.clone(), fnv1a(&entry.id.0), *now, limit)
         };
         let server = endpoints.find_or_insert(&entry.id, new, |index| requests.refer_to(index));
         server.update(entry, *now);
--- a/src/routing/slow_start/mod.rs
+++ b/src/routing/slow_start/mod.rs
@@ -17,7 +17,7 @@
 use super::request::{FinishedAttempt, RequestIndex, Route};
 use super::Router;
 use crate::api::*;
-use crate::hash::{mix, unit};
+use crate::hash::{mix, unit_interval};
 
 /// Share of a warming server's budget that all routers use together; less where listed weights are
 /// approximate.
@@ -155,7 +155,7 @@
     fn offset_has_passed(&self, server: &Server, age: Ms, interval: Ms) -> bool {
         let first_event_at = self.first_event_at.unwrap_or(self.now);
         let observed = (self.now - first_event_at).min(age);
-        observed >= interval * unit(mix(self.seed, server.hash))
+        observed >= interval * unit_interval(mix(self.seed, server.hash))
     }
 
     /// Books an attempt in the ledgers of its server and its source.
--- a/tests/fill_plan.rs
+++ b/tests/fill_plan.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use basaltgw::api::*;
-use basaltgw::hash::{address, within_share};
+use basaltgw::hash::{fnv1a, within_share};
 use common::*;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -53,7 +53,7 @@
     let got = sources(&mut driver, 0..400);
     let moved = got.iter().filter(|(_, s)| *s == server_id("parent-1")).count();
     assert!((25..80).contains(&moved), "an eighth or so: {moved}");
-    let hash = address("parent-1");
+    let hash = fnv1a("parent-1");
     assert!(got.iter().all(|(o, s)| *s != server_id("parent-1") || within_share(*o, hash, 0.25)));
     let flat: Vec<_> = {
         driver.handle(Event::FillPlan(None));
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use basaltgw::api::*;
-use basaltgw::hash::{mix, unit};
+use basaltgw::hash::{mix, unit_interval};
 use common::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -152,7 +152,7 @@
 
     fn random(&mut self) -> f64 {
         self.events += 1;
-        unit(mix(self.events, 77))
+        unit_interval(mix(self.events, 77))
     }
 
     fn schedule(&mut self, at: Ms, due: Due) {
@@ -311,7 +311,7 @@
                 let copy = self.random() * 10.0 < self.bodyless_of_ten as f64;
                 let object = self.objects[&attempt.request];
                 let [least, most] = SENDING_TIME_SHARES;
-                let work = SENDING_TIME * (least + (most - least) * unit(mix(object, 5)));
+                let work = SENDING_TIME * (least + (most - least) * unit_interval(mix(object, 5)));
                 self.schedule(now + if copy { UNCHANGED_MS } else { work }, Due::Response(attempt));
             }
             Due::Response(attempt) => {
--- a/tests/slow_start_fleet/run.rs
+++ b/tests/slow_start_fleet/run.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use basaltgw::api::*;
-use basaltgw::hash::{mix, unit};
+use basaltgw::hash::{mix, unit_interval};
 use std::collections::{BTreeMap, HashMap};
 
 /// Time with warm servers before the restart, and time after it that is counted.
@@ -144,7 +144,7 @@
 
     fn random(&mut self) -> f64 {
         self.random_draws += 1;
-        unit(mix(self.seed, self.random_draws + 1_000_000))
+        unit_interval(mix(self.seed, self.random_draws + 1_000_000))
     }
 
     fn schedule(&mut self, at: Ms, due: Due) {
