--- a/crates/node/src/bin/basaltgw/command_line.rs
+++ b/crates/node/src/bin/basaltgw/command_line.rs
@@ -1,41 +1,41 @@
-//! The command line's arguments.
+//! Parses the command line.
 
 use basaltgw_node::placement_report::{self, ReportQueries};
 use std::path::PathBuf;
 
 pub(crate) const HELP: &str = "\
-basaltgw: decides where objects are served, kept and filled from, and carries the requests
+basaltgw: a router that decides where objects are served, cached and filled from
 
 Usage: basaltgw COMMAND
 
 Commands:
   serve          run the router until SIGTERM; SIGUSR1 prints its counters
-  check-config   read the configuration, compile the fleet's rules, say what is wrong, and end
-  plan FILE      check what a settings file plans and show it: the cache tree tier by tier, the
-                 fleet's table with each router's shards
-      --from OLD     and what leads to it from another file: the tree's steps, the shards that move
-      --shard N      and who keeps a shard, and by which rule
-      --key CLASS:GROUP:OBJECT  and what rules leave for an object
+  check-config   check the configuration, compile the fleet's placement rules, and report errors
+  plan FILE      check the plans of a settings file and show them: the cache tree tier by tier, the
+                 fleet's placement table with each router's shards
+      --from OLD     also show the changes from another file: the tree's steps, the shards that move
+      --shard N      also show the routers that replicate a shard, and the rule that selects them
+      --key CLASS:GROUP:OBJECT  also show what the rules permit for an object
   version        print the version
 
 Options:
-  --with FILE    the project's own settings (YAML), for serve and check-config
+  --with FILE    the settings file (YAML), for serve and check-config
   -h, --help     print this
 
 Environment:
   GW_CONFIG      the configuration file (JSON)
-  GW_NAME        the router's name; wins over the file
-  GW_LISTEN      where clients connect, address:port; wins over the file
-  GW_LOG         what is logged: error, warn, info (the default), debug
+  GW_NAME        the router's name; overrides the file's
+  GW_LISTEN      where clients connect, address:port; overrides the file's
+  GW_LOG         the log level: error, warn, info (the default), debug
 ";
 
-/// What the command line asks for.
+/// A command of the command line.
 pub(crate) enum Command {
-    /// Run the router, with the project's own settings.
+    /// Run the router, with this settings file.
     Serve(Option<PathBuf>),
-    /// Check the configuration, with the project's own settings.
+    /// Check the configuration and this settings file.
     CheckConfig(Option<PathBuf>),
-    /// Show what a settings file plans, and the steps from another file.
+    /// Show the plans of a settings file, and the steps to them from another file.
     Plan { file: PathBuf, from: Option<PathBuf>, queries: ReportQueries },
     /// Print the version.
     Version,
--- a/crates/node/src/bin/basaltgw/main.rs
+++ b/crates/node/src/bin/basaltgw/main.rs
@@ -1,4 +1,4 @@
-//! basaltgw: the router on sockets, from the command line.
+//! The command `basaltgw`, which runs a router or checks its configuration.
 #![forbid(unsafe_code)]
 
 mod command_line;
@@ -7,29 +7,29 @@
 use basaltgw_config::{own_settings, read, Environment, NodeConfig};
 use basaltgw_hierarchy::Cold;
 use basaltgw_node::log_writer::LogWriter;
-use basaltgw_node::{placement_report, serve, Own};
+use basaltgw_node::{placement_report, serve, SettingsFile};
 use command_line::{Command, HELP};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-fn configuration() -> Result<NodeConfig, String> {
+fn read_config() -> Result<NodeConfig, String> {
     read(&Environment::take()).map_err(|e| e.to_string())
 }
 
-/// The project's own settings; the defaults without a file.
-fn own(file: Option<PathBuf>, cold: Cold) -> Result<Own, String> {
+/// Reads the settings file; without one, the settings have their defaults.
+fn read_settings(file: Option<PathBuf>, cold: Cold) -> Result<SettingsFile, String> {
     let settings = file.as_deref().map(|f| own_settings(f, cold).map_err(|e| e.to_string())).transpose()?;
-    Ok(Own { file, settings: settings.unwrap_or_default() })
+    Ok(SettingsFile { file, settings: settings.unwrap_or_default() })
 }
 
-/// Checks the configuration and the project's own file, and compiles its placement rules.
+/// Checks the configuration and the settings file, and compiles the placement rules.
 fn check_config(with: Option<PathBuf>) -> Result<(), String> {
-    let config = configuration()?;
+    let config = read_config()?;
     if let Some(fault) = config.unread.first() {
         return Err(fault.to_string());
     }
-    let own = own(with, config.cold())?;
-    let fleet = own.settings.fleet.as_ref();
+    let settings_file = read_settings(with, config.cold())?;
+    let fleet = settings_file.settings.fleet.as_ref();
     if let Some(overlay) = fleet.and_then(|fleet| fleet.overlay.as_ref()) {
         overlay.keep(config.settings.purge_convergence_time)?;
     }
@@ -42,9 +42,9 @@
 }
 
 fn run_router(with: Option<PathBuf>) -> Result<(), String> {
-    let config = configuration()?;
-    let own = own(with, config.cold())?;
-    let counters = serve(config, own).map_err(|e| e.to_string())?;
+    let config = read_config()?;
+    let settings_file = read_settings(with, config.cold())?;
+    let counters = serve(config, settings_file).map_err(|e| e.to_string())?;
     log::info!("ended: {counters}");
     Ok(())
 }
--- a/crates/node/src/bin/basaltgw/plan.rs
+++ b/crates/node/src/bin/basaltgw/plan.rs
@@ -1,4 +1,4 @@
-//! The command `plan`: shows what a settings file plans, and the steps from another file to it.
+//! The command `plan`: shows the plans of a settings file, and the steps to them from another file.
 
 use basaltgw_config::fleet::Fleet;
 use basaltgw_config::{own_settings, OwnSettings};
@@ -7,12 +7,12 @@
 use basaltgw_placement::Table;
 use std::path::Path;
 
-/// The tiers of a cache tree, for its listing.
+/// The tiers that a listing of a cache tree shows.
 const TIERS: std::ops::RangeInclusive<u8> = 0..=8;
-/// Nodes of a tier that are listed by name.
+/// The most nodes of a tier that are listed by name.
 const MAX_LISTED_NODES: usize = 8;
 
-/// The checked plans of a settings file.
+/// The plans of a settings file, after their checks.
 struct PlannedSettings {
     tree: Option<Plan>,
     fleet: Option<Fleet>,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Compiles the placement rules of a fleet after a table that is in use.
+/// Compiles the placement rules of a fleet, given the table that is in use.
 pub(crate) fn compile_table(fleet: &Fleet, before: Option<&Table>) -> Result<Table, String> {
     placement_report::table(fleet, before)
         .map_err(|faults| format!("fleet {}:\n{}", fleet.cluster, placement_report::faults(fleet, &faults)))
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Checks that the files have the sections that the arguments ask for.
+/// Checks that the files have the sections that the arguments require.
 fn check_sections(
     (file, new): (&Path, &PlannedSettings),
     from: Option<(&Path, &PlannedSettings)>,
@@ -99,8 +99,8 @@
         let changed = |n: &&NodeSpec| before.node(&n.id).is_none_or(|o| o.sources != n.sources);
         let names: Vec<&str> = step.nodes().iter().filter(changed).map(|n| &*n.id.0).collect();
         let removed = before.nodes().iter().filter(|n| step.node(&n.id).is_none());
-        let gone: Vec<&str> = removed.map(|n| &*n.id.0).collect();
-        println!("step {}: new sources for [{}], leaves [{}]", i + 1, names.join(", "), gone.join(", "));
+        let removed: Vec<&str> = removed.map(|n| &*n.id.0).collect();
+        println!("step {}: new sources for [{}], leaves [{}]", i + 1, names.join(", "), removed.join(", "));
         before = step;
     }
     Ok(())
--- a/crates/node/src/breaks.rs
+++ b/crates/node/src/breaks.rs
@@ -1,28 +1,28 @@
-//! Deliberate faults that show that the soak test detects them. Only a build with the feature `breaks` has them, and it activates only the one
-//! that the variable `GW_BREAK` names; in every other build [`broken`] is a constant.
+//! Deliberate faults, with which the soak test is shown to detect such faults. Only a build with the feature `breaks` has them, and activates
+//! the one that the environment variable `GW_BREAK` names; in every other build [`broken`] is a constant.
 
-/// A rule that can be broken on purpose.
+/// A rule of the router that can be broken on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Break {
     /// Purges are ignored.
     PurgeIgnored,
-    /// Each answer is sent twice.
+    /// Each answer to a client is sent twice.
     SecondAnswer,
     /// A request that may have been executed counts as not executed.
     RepeatAfterExecution,
     /// Cancellations are ignored.
     CancelIgnored,
-    /// Connections are closed over open requests.
+    /// Clients' connections are closed with open requests.
     CloseOverRequest,
-    /// Draining servers are sent attempts.
+    /// Draining and removed servers are still sent attempts.
     DrainIgnored,
     /// The monotonic clock reads the wall clock.
     WallClock,
-    /// Deadlines are passed on as they were when the request was read.
+    /// The time that a request waits in sockets and queues is not subtracted from its deadline.
     StaleDeadline,
 }
 
-/// Whether this rule is broken.
+/// Whether `GW_BREAK` breaks this rule.
 #[cfg(feature = "breaks")]
 pub fn broken(which: Break) -> bool {
     static NAMED: std::sync::OnceLock<Option<Break>> = std::sync::OnceLock::new();
@@ -42,7 +42,7 @@
     *named == Some(which)
 }
 
-/// No rule is broken in this build.
+/// Always false: no rule can be broken in this build.
 #[cfg(not(feature = "breaks"))]
 pub const fn broken(_: Break) -> bool {
     false
--- a/crates/node/src/caches/conn.rs
+++ b/crates/node/src/caches/conn.rs
@@ -3,14 +3,14 @@
 use super::ids::{AttemptKey, ConnId, ConnectionFailure};
 use super::wire::ServerAnswer;
 use crate::clients::message::WireId;
-use crate::clock::late;
+use crate::clock::timed_out_after;
 use crate::connection::CloseReason;
-use crate::inbox::{either, read_all, DecodedMessage};
+use crate::inbox::{read_messages, run_reader_and_writer, DecodedMessage};
 use crate::limits::{
     CONNECT_RETRY_INTERVAL, SERVER_READ_LIMITS, SERVER_WRITE_TIMEOUT, SILENT_CONNECTION_MS, VALIDATED_FOR_MS,
 };
 use crate::messages::{Input, Shared};
-use crate::outbox::{write_all, DrainedSince, OutgoingMessage, SendConditions, SendQueue};
+use crate::outbox::{write_messages, DrainedSince, OutgoingMessage, SendConditions, SendQueue};
 use crate::resp::encode;
 use crate::socket;
 use async_io::{Async, Timer};
@@ -24,40 +24,41 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Ids of cancelled attempts that a connection remembers; beyond them it is retired.
+/// Ids of cancelled attempts that a connection remembers; beyond that number it is retired.
 const MAX_ABORTED_IDS: usize = 1024;
 
-/// The state of a connection. Dropped, the connection is closed once its queue is written.
+/// The state of a connection. Dropping it closes the connection once its queue is written.
 pub(super) struct Conn {
     pub server: ServerId,
     pub place: Place,
     pub outbox: SendQueue,
-    pub up: bool,
-    /// It takes no more attempts.
+    pub established: bool,
+    /// Whether the connection takes no more attempts.
     pub retired: bool,
+    /// The open attempts.
     pub open: BTreeMap<WireId, AttemptKey>,
-    /// Cancelled attempts; an answer may still be on its way.
+    /// Cancelled attempts, which may still be answered.
     aborted: BTreeSet<WireId>,
-    /// Since when answers are awaited and nothing came.
+    /// Since when an answer is awaited without any being received.
     pub awaiting_since: Option<Ms>,
     pub last_used: Ms,
     last_answer: Option<Ms>,
-    /// The tag of the health probe that is not answered.
+    /// The tag of the unanswered health probe.
     pub probe: Option<WireId>,
-    /// Attempts that are queued when the probe is answered.
+    /// Attempts that are queued once the probe is answered.
     behind_probe: Vec<Rc<OutgoingMessage>>,
-    /// Since when its server takes no new attempts.
+    /// Since when the server takes no new attempts.
     pub drained: DrainedSince,
 }
 
 impl Conn {
-    /// A connection that is connecting.
+    /// A connection that is being established.
     pub(super) fn new(now: Ms, server: ServerId, place: Place, outbox: SendQueue) -> Self {
         Self {
             server,
             place,
             outbox,
-            up: false,
+            established: false,
             retired: false,
             open: BTreeMap::new(),
             aborted: BTreeSet::new(),
@@ -70,59 +71,59 @@
         }
     }
 
-    /// Whether it has no open attempt and no unwritten byte.
-    pub(super) fn idle(&self) -> bool {
+    /// Whether the connection has no open attempt and no unwritten byte.
+    pub(super) fn is_idle(&self) -> bool {
         self.open.is_empty() && self.outbox.unsent_bytes() == 0
     }
 
-    /// Whether it has awaited answers for long, and nothing came.
-    fn silent(&self, now: Ms) -> bool {
-        self.up && self.awaiting_since.is_some_and(|t| now - t >= SILENT_CONNECTION_MS)
+    /// Whether an answer is awaited and nothing was received for [`SILENT_CONNECTION_MS`].
+    fn is_silent(&self, now: Ms) -> bool {
+        self.established && self.awaiting_since.is_some_and(|t| now - t >= SILENT_CONNECTION_MS)
     }
 
-    /// Whether it has to be probed before an attempt is written: it is new or was idle. A peer may close such a connection at any time, and
-    /// an attempt that crosses the close may have been executed.
-    fn unvalidated(&self, now: Ms) -> bool {
+    /// Whether the connection must be probed before an attempt is written, since it is new or was idle. The server may close such a connection
+    /// at any time, and an attempt that crosses the close may have been executed.
+    fn needs_probe(&self, now: Ms) -> bool {
         self.open.is_empty() && self.last_answer.is_none_or(|t| now - t > VALIDATED_FOR_MS)
     }
 
-    /// Queues an attempt, behind a health probe where one is needed.
+    /// Queues an attempt, after a health probe where one is needed.
     pub(super) fn send(
         &mut self,
         now: Ms,
-        at: ConnId,
+        conn_id: ConnId,
         bytes: Vec<u8>,
-        terms: SendConditions,
+        conditions: SendConditions,
     ) -> Rc<OutgoingMessage> {
-        if self.probe.is_none() && self.unvalidated(now) {
-            let tag = WireId(Arc::from(at.0.to_string()));
+        if self.probe.is_none() && self.needs_probe(now) {
+            let tag = WireId(Arc::from(conn_id.0.to_string()));
             self.outbox.push(encode(&[b"alive", tag.0.as_bytes()]));
             self.probe = Some(tag);
         }
         let message =
-            self.outbox.make_held(bytes, SendConditions { drained: Rc::clone(&self.drained), ..terms });
+            self.outbox.prepare(bytes, SendConditions { drained: Rc::clone(&self.drained), ..conditions });
         match self.probe {
             Some(_) => self.behind_probe.push(Rc::clone(&message)),
-            None => self.outbox.release(&message),
+            None => self.outbox.enqueue(&message),
         }
         message
     }
 
-    /// Whether it takes an attempt. None with the id of an earlier attempt on it, whose answer, or a duplicate of it, would count as the
-    /// answer to the new one.
-    pub(super) fn accepts(&self, now: Ms, id: &WireId, streams: usize) -> bool {
-        let free = self.open.len() < streams && !self.open.contains_key(id) && !self.aborted.contains(id);
-        free && !self.retired && !self.silent(now)
+    /// Whether the connection takes an attempt with this id. It takes none with the id of an earlier attempt on it, whose answer, or a duplicate
+    /// of it, would count as the answer to the new one.
+    pub(super) fn accepts(&self, now: Ms, id: &WireId, max_streams: usize) -> bool {
+        let free = self.open.len() < max_streams && !self.open.contains_key(id) && !self.aborted.contains(id);
+        free && !self.retired && !self.is_silent(now)
     }
 
-    /// Notes an answer; returns the open attempt that it is for, if there is one.
-    pub(super) fn answered(&mut self, now: Ms, id: &WireId) -> Option<AttemptKey> {
+    /// Records an answer; returns the open attempt to which it belongs, if there is one.
+    pub(super) fn on_answer(&mut self, now: Ms, id: &WireId) -> Option<AttemptKey> {
         let key = self.open.remove(id);
         self.last_answer = Some(now);
         if self.probe.as_ref() == Some(id) {
             self.probe = None;
             let waiting = std::mem::take(&mut self.behind_probe);
-            waiting.iter().for_each(|message| self.outbox.release(message));
+            waiting.iter().for_each(|message| self.outbox.enqueue(message));
         }
         self.awaiting_since = Some(now).filter(|_| !self.open.is_empty());
         self.last_used = now;
@@ -132,7 +133,7 @@
         key
     }
 
-    /// Queues the `abort` of an attempt, and behind it a probe under this tag.
+    /// Queues the `abort` of an attempt, and after it a probe with this tag.
     pub(super) fn abort(&mut self, id: &WireId, tag: &WireId) {
         if self.aborted.len() >= MAX_ABORTED_IDS {
             self.aborted.clear();
@@ -144,27 +145,27 @@
     }
 }
 
-/// Connects within the time-out; retries while this machine is short of a resource.
+/// Connects within the timeout; retries while this machine lacks a resource.
 async fn connect(place: Place, timeout: Duration) -> Result<Async<TcpStream>, ConnectionFailure> {
-    let short_of_resource = Cell::new(false);
+    let lacks_resource = Cell::new(false);
     let attempts = async {
         loop {
             match Async::<TcpStream>::connect(place.address).await {
                 Err(e) if socket::is_local(&e) => {
                     log::debug!("connect to {} failed, retrying: {e}", place.address);
-                    short_of_resource.set(true);
+                    lacks_resource.set(true);
                     Timer::after(CONNECT_RETRY_INTERVAL).await;
                 }
                 result => {
-                    short_of_resource.set(false);
+                    lacks_resource.set(false);
                     return result;
                 }
             }
         }
     };
-    future::or(attempts, late(timeout)).await.map_err(|e| {
+    future::or(attempts, timed_out_after(timeout)).await.map_err(|e| {
         log::debug!("connect to {} failed: {e}", place.address);
-        if short_of_resource.get() {
+        if lacks_resource.get() {
             ConnectionFailure::LocalShortage
         } else {
             ConnectionFailure::ConnectFailed
@@ -172,9 +173,9 @@
     })
 }
 
-/// A connection from connect to close; the socket is closed when this returns.
+/// Runs a connection from connect to close; the socket is closed when this returns.
 pub(super) async fn connection(
-    at: ConnId,
+    conn_id: ConnId,
     place: Place,
     timeout: Duration,
     shared: &Shared,
@@ -182,20 +183,24 @@
 ) -> ConnectionFailure {
     let socket = match connect(place, timeout).await {
         Ok(socket) => socket,
-        Err(down) => return down,
+        Err(failure) => return failure,
     };
     if let Err(e) = socket.get_ref().set_nodelay(true) {
-        log::debug!("connection {} to {}: TCP_NODELAY failed: {e}", at.0, place.address);
+        log::debug!("connection {} to {}: TCP_NODELAY failed: {e}", conn_id.0, place.address);
     }
-    if shared.queue.send(Input::ServerConnected(at)).await.is_ok() {
+    if shared.queue.send(Input::ServerConnected(conn_id)).await.is_ok() {
         let read = async {
             let decode = |decoded: DecodedMessage| {
-                Some(Input::ServerAnswer(at, ServerAnswer::read(decoded.words, &[&shared.meter])?))
+                Some(Input::ServerAnswer(conn_id, ServerAnswer::decode(decoded.elements, &[&shared.meter])?))
             };
-            read_all(&socket, SERVER_READ_LIMITS, shared, || false, decode, None).await
+            read_messages(&socket, SERVER_READ_LIMITS, shared, || false, decode, None).await
         };
-        let reason = either(read, write_all(&socket, outgoing, || late(SERVER_WRITE_TIMEOUT))).await;
-        log::debug!("connection {} to {}: closed: {reason:?}", at.0, place.address);
+        let reason = run_reader_and_writer(
+            read,
+            write_messages(&socket, outgoing, || timed_out_after(SERVER_WRITE_TIMEOUT)),
+        )
+        .await;
+        log::debug!("connection {} to {}: closed: {reason:?}", conn_id.0, place.address);
         return ConnectionFailure::Closed(reason);
     }
     ConnectionFailure::Closed(CloseReason::PeerClosed)
--- a/crates/node/src/caches/ids.rs
+++ b/crates/node/src/caches/ids.rs
@@ -1,36 +1,36 @@
-//! Ids of connections and attempts, and how each can end.
+//! Ids of connections and attempts, how a connection can end, and what cancelling an attempt can result in.
 
 use crate::clients::message::WireId;
 use crate::connection::CloseReason;
 use basaltgw::api::AttemptNo;
 
-/// A connection to a server.
+/// The number of a connection to a server, unique in the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnId(pub u64);
-/// A request in the owner's table.
+/// The number of a request in the owner's table, unique in the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestNo(pub u64);
-/// An attempt in the owner's table.
+/// An attempt: its request, and its place among the request's attempts.
 pub type AttemptKey = (RequestNo, AttemptNo);
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionFailure {
-    /// It never came up.
+    /// It was not established.
     ConnectFailed,
-    /// It never came up, since this machine was short of a resource; this says nothing about the server.
+    /// It was not established, since this machine lacked a resource; this says nothing about the server.
     LocalShortage,
-    /// It was up.
+    /// It was established, and closed for this reason.
     Closed(CloseReason),
 }
 
-/// How an attempt was cancelled.
+/// The result of cancelling an attempt.
 #[derive(Debug)]
 pub enum CancelOutcome {
     /// No byte of it was written: it was not executed.
     NotSent,
-    /// The server may have it until it answers under this tag, or its connection is closed.
+    /// The server may execute it until it answers the probe with this tag, or the connection is closed.
     AwaitingConfirmation(WireId),
-    /// Its connection is closed.
+    /// Its connection is already closed.
     Closed,
 }
--- a/crates/node/src/caches/mod.rs
+++ b/crates/node/src/caches/mod.rs
@@ -1,7 +1,7 @@
 //! Connections to servers (caches, parents and the origin) and the attempts that they carry.
 //!
-//! - here: the pool of connections, and which one takes an attempt;
-//! - `conn`: one connection; `wire`: what is written on it and read from it;
+//! - this file: the pool of connections, which selects the connection for an attempt;
+//! - `conn`: one connection; `wire`: its messages;
 //! - `ids`: ids of connections and attempts.
 
 mod conn;
@@ -28,9 +28,9 @@
 /// Counts of a pool's connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolCounts {
-    /// Connections that are open or connecting.
+    /// Connections that are established or being established.
     pub connections: u64,
-    /// The last number given to a connection or to the probe behind an `abort`; the counter `conns`.
+    /// The last number given to a connection or to the probe after an `abort`; the counter `conns` shows it.
     pub last_number: u64,
 }
 
@@ -41,14 +41,14 @@
     transport: Transport,
     conns: BTreeMap<ConnId, Conn>,
     by_server: BTreeMap<ServerId, BTreeSet<ConnId>>,
-    /// The last number given to a connection or to the probe behind an `abort`.
+    /// The last number given to a connection or to the probe after an `abort`.
     last_number: u64,
 }
 
-/// The most connections to one process of a server. Where the settings let a connection carry fewer than [`SHARED_STREAMS`], there are
-/// more of them, with the same number of attempts in total.
-fn max_connections_per_server(streams: usize) -> usize {
-    MAX_CONNECTIONS_PER_SERVER.max((MAX_CONNECTIONS_PER_SERVER * SHARED_STREAMS).div_ceil(streams.max(1)))
+/// The most connections to one process of a server. Where the settings let a connection carry fewer attempts than [`SHARED_STREAMS`], there
+/// may be more connections, for the same number of attempts in total.
+fn max_connections_per_server(max_streams: usize) -> usize {
+    MAX_CONNECTIONS_PER_SERVER.max((MAX_CONNECTIONS_PER_SERVER * SHARED_STREAMS).div_ceil(max_streams.max(1)))
 }
 
 impl ServerPool {
@@ -58,61 +58,62 @@
         Self { shared, max_connections, transport, conns, by_server, last_number: 0 }
     }
 
-    /// The pool's connections.
+    /// Counts of the pool's connections.
     pub fn counts(&self) -> PoolCounts {
         PoolCounts { connections: self.conns.len() as u64, last_number: self.last_number }
     }
 
-    /// Sends an attempt on the connection to a server's process that carries the fewest attempts, without those that were already `asked`
-    /// for this request. Opens a connection if none takes it or all carry [`SHARED_STREAMS`] (for an `alone` attempt: any); `None` if no
-    /// connection takes it and none may be opened. The first byte is written only under the conditions in `terms`.
+    /// Sends an attempt on the connection to a server's process that has the fewest open attempts, except the connections `already_used` for
+    /// this request. Opens a connection if none accepts the attempt or all have [`SHARED_STREAMS`] open attempts (for an `exclusive` attempt: one);
+    /// returns `None` if none accepts it and none may be opened. The first byte is written only under the `conditions`.
     pub fn send(
         &mut self,
         now: Ms,
         to: (&ServerId, Place),
         key: AttemptKey,
-        (id, asked, alone): (&WireId, &[ConnId], bool),
-        (bytes, terms): (Vec<u8>, SendConditions),
+        (id, already_used, exclusive): (&WireId, &[ConnId], bool),
+        (bytes, conditions): (Vec<u8>, SendConditions),
     ) -> Option<(ConnId, Rc<OutgoingMessage>)> {
         let (server, place) = to;
-        let streams = self.transport.max_streams;
+        let max_streams = self.transport.max_streams;
         let mut connections = 0;
         let mut least: Option<(usize, ConnId)> = None;
         let all = self.by_server.get(server).into_iter().flatten();
-        let all = all.filter_map(|at| Some((at, self.conns.get(at)?)));
-        for (at, conn) in all.filter(|(_, c)| c.place == place) {
+        let all = all.filter_map(|conn_id| Some((conn_id, self.conns.get(conn_id)?)));
+        for (conn_id, conn) in all.filter(|(_, c)| c.place == place) {
             connections += 1;
-            let accepts = !asked.contains(at) && conn.accepts(now, id, streams);
+            let accepts = !already_used.contains(conn_id) && conn.accepts(now, id, max_streams);
             if accepts && least.is_none_or(|(open, _)| conn.open.len() < open) {
-                least = Some((conn.open.len(), *at));
+                least = Some((conn.open.len(), *conn_id));
             }
         }
-        let unshared = least.filter(|(open, _)| *open < if alone { 1 } else { SHARED_STREAMS });
-        let at = match (unshared, least) {
-            (Some((_, at)), _) => at,
-            _ if connections < max_connections_per_server(streams) && self.make_capacity() => {
+        let unshared = least.filter(|(open, _)| *open < if exclusive { 1 } else { SHARED_STREAMS });
+        let conn_id = match (unshared, least) {
+            (Some((_, conn_id)), _) => conn_id,
+            _ if connections < max_connections_per_server(max_streams) && self.ensure_capacity() => {
                 self.open(now, server, place)
             }
-            (None, Some((_, at))) => at,
+            (None, Some((_, conn_id))) => conn_id,
             (None, None) => return None,
         };
-        let conn = self.conns.get_mut(&at)?;
-        let message = conn.send(now, at, bytes, terms);
+        let conn = self.conns.get_mut(&conn_id)?;
+        let message = conn.send(now, conn_id, bytes, conditions);
         conn.open.insert(id.clone(), key);
         conn.last_used = now;
-        if conn.up {
+        if conn.established {
             conn.awaiting_since.get_or_insert(now);
         }
-        Some((at, message))
+        Some((conn_id, message))
     }
 
-    /// Whether a connection may be opened; at the limit, closes the one that was idle for longest.
-    fn make_capacity(&mut self) -> bool {
+    /// Whether a connection may be opened; at the limit of connections, closes the one that has been idle for longest.
+    fn ensure_capacity(&mut self) -> bool {
         if self.conns.len() >= self.max_connections {
-            let idle = self.conns.iter().filter(|(_, c)| c.idle());
-            let longest_idle = idle.min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used)).map(|(at, _)| *at);
-            if let Some(at) = longest_idle {
-                self.remove(at);
+            let idle = self.conns.iter().filter(|(_, c)| c.is_idle());
+            let longest_idle =
+                idle.min_by(|a, b| a.1.last_used.total_cmp(&b.1.last_used)).map(|(conn_id, _)| *conn_id);
+            if let Some(conn_id) = longest_idle {
+                self.remove(conn_id);
             }
         }
         self.conns.len() < self.max_connections
@@ -120,45 +121,45 @@
 
     fn open(&mut self, now: Ms, server: &ServerId, place: Place) -> ConnId {
         self.last_number += 1;
-        let at = ConnId(self.last_number);
+        let conn_id = ConnId(self.last_number);
         let (outbox, outgoing) = send_queue(&self.shared.meter, &Rc::default());
         let conn = Conn::new(now, server.clone(), place, outbox);
-        self.by_server.entry(server.clone()).or_default().insert(at);
-        self.conns.insert(at, conn);
+        self.by_server.entry(server.clone()).or_default().insert(conn_id);
+        self.conns.insert(conn_id, conn);
         let shared = self.shared.clone();
         let timeout = Duration::from_secs_f64(self.transport.connect_timeout.clamp(1.0, 60_000.0) / 1000.0);
         let run = async move {
-            let down = connection(at, place, timeout, &shared, outgoing).await;
-            // The owner is gone only when the process ends.
-            let _ = shared.queue.send(Input::ServerDisconnected(at, down)).await;
+            let failure = connection(conn_id, place, timeout, &shared, outgoing).await;
+            // Fails only if the owner has ended, and the process with it.
+            let _ = shared.queue.send(Input::ServerDisconnected(conn_id, failure)).await;
         };
         self.shared.executor.spawn(run).detach();
-        at
+        conn_id
     }
 
-    /// Notes that a connection came up.
-    pub fn on_connected(&mut self, now: Ms, at: ConnId) {
-        if let Some(conn) = self.conns.get_mut(&at) {
-            conn.up = true;
+    /// Records that a connection is established.
+    pub fn on_connected(&mut self, now: Ms, conn_id: ConnId) {
+        if let Some(conn) = self.conns.get_mut(&conn_id) {
+            conn.established = true;
             conn.awaiting_since = Some(now).filter(|_| !conn.open.is_empty());
         }
     }
 
-    /// Whether a connection is connecting.
-    pub fn coming_up(&self, at: ConnId) -> bool {
-        self.conns.get(&at).is_some_and(|c| !c.up)
+    /// Whether a connection is being established.
+    pub fn is_connecting(&self, conn_id: ConnId) -> bool {
+        self.conns.get(&conn_id).is_some_and(|c| !c.established)
     }
 
-    /// Notes an answer; returns the open attempt that it is for, if there is one.
-    pub fn answered(&mut self, now: Ms, at: ConnId, id: &WireId) -> Option<AttemptKey> {
-        self.conns.get_mut(&at)?.answered(now, id)
+    /// Records an answer; returns the open attempt to which it belongs, if there is one.
+    pub fn on_answer(&mut self, now: Ms, conn_id: ConnId, id: &WireId) -> Option<AttemptKey> {
+        self.conns.get_mut(&conn_id)?.on_answer(now, id)
     }
 
-    /// Cancels an attempt. It was not executed if no byte of it was written; else the server may execute it until it reads the `abort` that
-    /// this queues, which the answer to the probe behind it confirms.
-    pub fn cancel(&mut self, at: ConnId, id: &WireId, message: &OutgoingMessage) -> CancelOutcome {
+    /// Cancels an attempt. If no byte of it was written, the server does not execute it. Otherwise this queues an `abort` and a probe, and the
+    /// server may execute the attempt until it reads the `abort`, which its answer to the probe confirms.
+    pub fn cancel(&mut self, conn_id: ConnId, id: &WireId, message: &OutgoingMessage) -> CancelOutcome {
         let recalled = message.recall();
-        let mut conn = self.conns.get_mut(&at);
+        let mut conn = self.conns.get_mut(&conn_id);
         if let Some(conn) = &mut conn {
             conn.open.remove(id);
         }
@@ -174,24 +175,24 @@
         }
     }
 
-    /// Closes a connection. Its attempts end when its socket is closed, which `Input::CacheDown` notes.
-    pub fn close(&mut self, at: ConnId) {
-        if let Some(conn) = self.conns.get_mut(&at) {
+    /// Closes a connection. Its attempts end when its socket is closed, which [`Input::ServerDisconnected`] reports.
+    pub fn close(&mut self, conn_id: ConnId) {
+        if let Some(conn) = self.conns.get_mut(&conn_id) {
             conn.retired = true;
             conn.outbox.close();
         }
     }
 
     /// Removes a closed connection; returns its open attempts.
-    pub fn on_closed(&mut self, at: ConnId) -> Vec<AttemptKey> {
-        self.remove(at).map(|c| c.open.into_values().collect()).unwrap_or_default()
+    pub fn on_closed(&mut self, conn_id: ConnId) -> Vec<AttemptKey> {
+        self.remove(conn_id).map(|c| c.open.into_values().collect()).unwrap_or_default()
     }
 
     /// Removes a connection; dropping it closes it.
-    fn remove(&mut self, at: ConnId) -> Option<Conn> {
-        let conn = self.conns.remove(&at)?;
+    fn remove(&mut self, conn_id: ConnId) -> Option<Conn> {
+        let conn = self.conns.remove(&conn_id)?;
         if let Some(all) = self.by_server.get_mut(&conn.server) {
-            all.remove(&at);
+            all.remove(&conn_id);
             if all.is_empty() {
                 self.by_server.remove(&conn.server);
             }
@@ -199,35 +200,36 @@
         Some(conn)
     }
 
-    /// A server's process has moved to this place, or is gone: connections to another place take no more attempts; returns these.
+    /// Retires the connections to a server's former address or process: they take no more attempts. `place` is the current one, `None` if the
+    /// server takes no attempts at all. Returns the retired connections.
     pub fn retire_moved(&mut self, server: &ServerId, place: Option<Place>) -> Vec<ConnId> {
         let mut retired = Vec::new();
-        for at in self.by_server.get(server).into_iter().flatten() {
-            if let Some(conn) = self.conns.get_mut(at).filter(|c| Some(c.place) != place) {
+        for conn_id in self.by_server.get(server).into_iter().flatten() {
+            if let Some(conn) = self.conns.get_mut(conn_id).filter(|c| Some(c.place) != place) {
                 conn.retired = true;
                 conn.drained.set(conn.drained.get().or(Some(Instant::now())));
-                retired.push(*at);
+                retired.push(*conn_id);
             }
         }
         retired
     }
 
-    /// Connections whose health probe was not answered within the connect time-out.
+    /// Connections whose health probe was not answered within the connect timeout.
     pub fn failed_probes(&self, now: Ms) -> Vec<ConnId> {
         let timeout = self.transport.connect_timeout;
         let failed = |c: &Conn| c.probe.is_some() && c.awaiting_since.is_some_and(|t| now - t >= timeout);
-        self.conns.iter().filter(|(_, c)| failed(c)).map(|(at, _)| *at).collect()
+        self.conns.iter().filter(|(_, c)| failed(c)).map(|(conn_id, _)| *conn_id).collect()
     }
 
-    /// Closes connections without open attempts that are idle, retired, or abandoned without an answer.
-    pub fn tidy(&mut self, now: Ms) {
-        let idle = self.transport.conn_idle * IDLE_TIMEOUT_SHARE;
-        let done = self.conns.iter().filter(|(_, c)| {
+    /// Closes connections without open attempts that are idle, retired, or whose attempts were all cancelled without an answer.
+    pub fn close_unused(&mut self, now: Ms) {
+        let idle_timeout = self.transport.conn_idle * IDLE_TIMEOUT_SHARE;
+        let unused = self.conns.iter().filter(|(_, c)| {
             let abandoned = c.awaiting_since.is_some_and(|t| now - t >= ABANDONED_CONNECTION_MS);
-            c.open.is_empty() && (c.retired || abandoned || now - c.last_used >= idle)
+            c.open.is_empty() && (c.retired || abandoned || now - c.last_used >= idle_timeout)
         });
-        for at in done.map(|(at, _)| *at).collect::<Vec<_>>() {
-            self.remove(at);
+        for conn_id in unused.map(|(conn_id, _)| *conn_id).collect::<Vec<_>>() {
+            self.remove(conn_id);
         }
     }
 }
--- a/crates/node/src/caches/wire.rs
+++ b/crates/node/src/caches/wire.rs
@@ -1,4 +1,4 @@
-//! Encodes attempts and decodes their answers. The protocol's names of fields and words are mapped to ours here only.
+//! Encodes attempts and decodes their answers. Only this module knows the names of fields, results and modes in the servers' protocol.
 
 use crate::clients::message::WireId;
 use crate::outbox::{BufferMeter, BufferedBytes};
@@ -10,26 +10,26 @@
 /// The version of a cached copy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CopyTag {
-    /// The version's name.
+    /// The version's tag, without a structure that routers know.
     pub version: Arc<str>,
-    /// When the origin served it, in Unix milliseconds.
+    /// When the origin served that version, in Unix milliseconds of the origin.
     pub origin_time_ms: u64,
 }
 
 /// A server's answer.
 #[derive(Debug)]
 pub struct ServerAnswer {
-    /// The request's id.
+    /// The request's id, or the tag of a health probe.
     pub id: WireId,
     /// The attempt's result; `None` for the answer to a health probe.
     pub result: Option<AttemptResult>,
     /// The client's copy is current; the answer has no body.
     pub not_modified: bool,
-    /// The copy, which a server has to name where it may be cached.
+    /// The version of the served copy; required in a response that may be cached.
     pub copy: Option<CopyTag>,
     /// How the server got the object.
     pub fill_report: FillReport,
-    /// Time that the server spent waiting for its source, in milliseconds.
+    /// How long the server waited for its fill source, in milliseconds.
     pub source_wait_ms: Ms,
     /// The server's load report.
     pub load: LoadReport,
@@ -39,22 +39,23 @@
 
 impl ServerAnswer {
     /// Decodes an answer; `None` if it is malformed.
-    pub fn read(words: Vec<Vec<u8>>, meters: &[&Rc<BufferMeter>]) -> Option<Self> {
-        let mut words = words.into_iter();
-        let id = words.next()?;
+    pub fn decode(elements: Vec<Vec<u8>>, meters: &[&Rc<BufferMeter>]) -> Option<Self> {
+        let mut elements = elements.into_iter();
+        let id = elements.next()?;
         let id = WireId(Arc::from(std::str::from_utf8(&id).ok()?));
-        let word = words.next()?;
-        let fields = words.next().unwrap_or_default();
+        let status = elements.next()?;
+        let fields = elements.next().unwrap_or_default();
         let fields = Fields::parse(&fields)?;
-        let body = words.next();
+        let body = elements.next();
         let copy = match (fields.get("ver"), fields.get("born")) {
             (None, None) => None,
-            (Some(tag), Some(born)) if !tag.is_empty() => {
-                Some(CopyTag { version: Arc::from(tag), origin_time_ms: parse_decimal(born)? as u64 })
+            (Some(version), Some(origin_time)) if !version.is_empty() => {
+                let origin_time_ms = parse_decimal(origin_time)? as u64;
+                Some(CopyTag { version: Arc::from(version), origin_time_ms })
             }
             (_, _) => return None,
         };
-        let end = match word.as_slice() {
+        let result = match status.as_slice() {
             b"ok" if body.is_some() => Some(AttemptResult::Served),
             b"current" if copy.is_some() => Some(AttemptResult::Served),
             b"ok" | b"current" => return None,
@@ -63,28 +64,28 @@
             b"error" => Some(AttemptResult::Error),
             b"stale" => Some(AttemptResult::NotSent),
             b"yes" => None,
-            // The attempt may have been executed, whatever an unknown word means.
+            // After an unknown status the attempt may have been executed.
             _ => Some(AttemptResult::Error),
         };
-        let waited = match fields.get("waited") {
-            Some(waited) => parse_decimal(waited)?,
+        let source_wait_ms = match fields.get("waited") {
+            Some(wait) => parse_decimal(wait)?,
             None => 0.0,
         };
         Some(Self {
             id,
-            result: end,
-            not_modified: word == b"current",
+            result,
+            not_modified: status == b"current",
             copy,
             fill_report: fill_report(fields.get("note")),
-            source_wait_ms: waited,
+            source_wait_ms,
             load: fields.get("load").map(load_report).unwrap_or_default(),
             body: BufferedBytes::new(body.unwrap_or_default(), meters),
         })
     }
 }
 
-fn fill_report(word: Option<&str>) -> FillReport {
-    match word {
+fn fill_report(note: Option<&str>) -> FillReport {
+    match note {
         Some("hit") => FillReport::Hit,
         Some("filled") => FillReport::FilledBySource,
         Some("via_origin") => FillReport::FilledByOrigin,
@@ -95,7 +96,7 @@
         Some("src_lacks") => FillReport::SourceMiss,
         Some("no_slot") => FillReport::FillLimitReached,
         Some("origin_failed") => FillReport::OriginFailed,
-        // Of caches that take part in a plan; see docs/hierarchy.md.
+        // Only caches that take part in a cache tree's plan send this; see docs/hierarchy.md.
         Some("src_looped") => FillReport::LoopDetected,
         // An unknown note carries no information.
         Some(_) | None => FillReport::NotReported,
@@ -122,44 +123,44 @@
 pub struct AttemptRequest<'a> {
     /// The request's id.
     pub id: &'a WireId,
-    /// Its class.
+    /// The name of the request class.
     pub class: &'a str,
     /// The object as the client wrote it.
     pub object: &'a str,
-    /// The part.
+    /// The requested part of the object.
     pub part: u64,
-    /// The attempt's time-out in milliseconds.
-    pub wait: Ms,
-    /// The source of a miss.
-    pub from: Option<&'a ServerId>,
+    /// The attempt's timeout in milliseconds.
+    pub timeout_ms: Ms,
+    /// The server from which a miss is filled; `None` if the attempt's server itself fills it.
+    pub fill_source: Option<&'a ServerId>,
     /// The rank at which the copy is cached.
     pub rank: Rank,
     /// The highest age of a copy that may be served, in milliseconds.
-    pub oldest: Option<Ms>,
-    /// Join a fill that is in progress.
-    pub share: bool,
-    /// The source serves a cached copy only.
-    pub peek: bool,
-    /// Serve stale, and revalidate in the background.
-    pub renew: bool,
+    pub max_age_ms: Option<Ms>,
+    /// Whether to join a fill that is in progress.
+    pub join_fill: bool,
+    /// Whether the fill source serves cached copies only.
+    pub cached_only: bool,
+    /// Whether a stale copy is served and revalidated in the background.
+    pub revalidate: bool,
     /// The tag of the client's copy.
-    pub seen: Option<&'a str>,
-    /// The idempotency key.
-    pub key: Option<&'a str>,
-    /// The body.
+    pub copy_tag: Option<&'a str>,
+    /// The client's idempotency key.
+    pub idempotency_key: Option<&'a str>,
+    /// The body of a write; empty for a read.
     pub body: &'a [u8],
 }
 
 impl AttemptRequest<'_> {
-    /// Encodes it.
+    /// Encodes the attempt as a `fetch` message.
     pub fn encode(&self) -> Vec<u8> {
         let mut fields = FieldEncoder::default();
         fields.add("c", self.class);
         fields.add("k", self.object);
         fields.add("p", self.part);
-        fields.add("w", encoded_wait(self.wait));
-        if let Some(from) = self.from {
-            fields.add("from", &*from.0);
+        fields.add("w", encoded_timeout(self.timeout_ms));
+        if let Some(source) = self.fill_source {
+            fields.add("from", &*source.0);
         }
         match self.rank {
             Rank::None => {}
@@ -167,45 +168,45 @@
             Rank::Middle => fields.add("rank", 2),
             Rank::Top => fields.add("rank", 3),
         }
-        if let Some(oldest) = self.oldest {
+        if let Some(max_age) = self.max_age_ms {
             // 0 would mean the class's freshness time.
-            fields.add("oldest", oldest.floor().max(1.0));
+            fields.add("oldest", max_age.floor().max(1.0));
         }
-        let modes = [(self.share, "share"), (self.peek, "peek"), (self.renew, "swr")];
-        let modes: Vec<&str> = modes.iter().filter(|(on, _)| *on).map(|(_, word)| *word).collect();
+        let modes = [(self.join_fill, "share"), (self.cached_only, "peek"), (self.revalidate, "swr")];
+        let modes: Vec<&str> = modes.iter().filter(|(on, _)| *on).map(|(_, name)| *name).collect();
         if !modes.is_empty() {
             fields.add("mode", modes.join("+"));
         }
-        if let Some(seen) = self.seen {
-            fields.add("seen", seen);
+        if let Some(copy_tag) = self.copy_tag {
+            fields.add("seen", copy_tag);
         }
-        if let Some(key) = self.key {
+        if let Some(key) = self.idempotency_key {
             fields.add("i", key);
         }
         encode(&[b"fetch", self.id.0.as_bytes(), fields.as_str().as_bytes(), self.body])
     }
 }
 
-/// A time-out as it is encoded: whole milliseconds, at least 1, since 0 would be no time at all.
-fn encoded_wait(wait: Ms) -> Ms {
-    wait.floor().max(1.0)
+/// The timeout in the message: whole milliseconds, at least 1, since 0 would leave no time at all.
+fn encoded_timeout(timeout_ms: Ms) -> Ms {
+    timeout_ms.floor().max(1.0)
 }
 
-/// Encodes an attempt anew with another time-out; `None` if the bytes are no attempt.
-pub fn with_timeout(fetch: &[u8], wait: Ms) -> Option<Vec<u8>> {
+/// Encodes a `fetch` message again with another timeout in milliseconds; `None` if the bytes are not a `fetch` message.
+pub fn with_timeout(fetch: &[u8], timeout_ms: Ms) -> Option<Vec<u8>> {
     let mut decoder = Decoder::new(MessageLimits { max_elements: 4, max_bytes: fetch.len() });
     decoder.feed(fetch);
-    let words = decoder.next_message().ok()??;
-    let fields = std::str::from_utf8(words.get(2)?).ok()?;
-    let wait = encoded_wait(wait);
+    let elements = decoder.next_message().ok()??;
+    let fields = std::str::from_utf8(elements.get(2)?).ok()?;
+    let timeout = encoded_timeout(timeout_ms);
     let replaced = fields.split(',').map(|field| match field.split_once('=') {
-        Some(("w", _)) => format!("w={wait}"),
+        Some(("w", _)) => format!("w={timeout}"),
         _ => field.to_string(),
     });
     let fields = replaced.collect::<Vec<_>>().join(",");
-    let mut words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
-    words[2] = fields.as_bytes();
-    Some(encode(&words))
+    let mut elements: Vec<&[u8]> = elements.iter().map(Vec::as_slice).collect();
+    elements[2] = fields.as_bytes();
+    Some(encode(&elements))
 }
 
 #[cfg(test)]
--- a/crates/node/src/changelog/follow.rs
+++ b/crates/node/src/changelog/follow.rs
@@ -1,8 +1,8 @@
-//! Follows the change log over an active connection and, where that one is suspect, a standby beside it.
+//! Follows the change log over an active connection and, while that one is suspect, a second connection as a standby.
 //!
-//! Inputs: frames, connection errors, a new address, and the time since the last frame. A standby is opened when the active connection sent
-//! no complete frame for [`crate::limits::CHANGELOG_HEDGE_AFTER`], or when empty frames name events that were not sent; it takes over with
-//! its first frame. Failed connections are retried with exponential backoff.
+//! A standby is opened when the active connection has sent no complete frame for [`crate::limits::CHANGELOG_HEDGE_AFTER`], or when empty frames
+//! name events that were not sent; with its first frame it becomes the active connection. Failed connections are retried with exponential
+//! backoff.
 
 use super::watch::Watch;
 use super::{Follower, Frame, ReconnectReason};
@@ -18,22 +18,22 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What the follower waits for.
-enum Next {
+/// What ends the follower's wait.
+enum Wakeup {
     AddressChanged(SocketAddr),
     Active(io::Result<Frame>),
     Standby(io::Result<Frame>),
-    /// A connection is due: a standby with its reason, else the active one.
+    /// A connection is to be opened: a standby for this reason, or without one the active connection.
     Connect(Option<ReconnectReason>),
 }
 
-/// When missing events are asked for on another connection. An event may just be late, so each recheck in vain doubles the interval.
+/// When missing events are requested on another connection. An event may only be late, so each unsuccessful recheck doubles the interval.
 struct RecheckTimer {
     interval: Duration,
     due: Option<Instant>,
 }
 
-/// A connection that replaces the active one with its first complete frame.
+/// A second connection, which replaces the active one with its first complete frame.
 struct Standby {
     watch: Watch,
     reason: ReconnectReason,
@@ -45,17 +45,17 @@
     active: Option<Watch>,
     standby: Option<Standby>,
     follower: Follower,
-    /// The backoff after the next connection that sends nothing.
+    /// The delay after the next connection that fails without a frame.
     backoff: Duration,
-    /// No connection is opened before this.
+    /// The earliest time at which a connection may be opened.
     not_before: Instant,
     recheck: RecheckTimer,
 }
 
-/// Follows the change log from the event after `from` until the owner is gone; `moves` sends a new address.
+/// Follows the change log from the event after `from` until the owner ends; each address received from `addresses` replaces the last one.
 pub async fn follow(
     address: SocketAddr,
-    moves: Receiver<SocketAddr>,
+    addresses: Receiver<SocketAddr>,
     from: Seq,
     names: Names,
     urgent: Sender<Input>,
@@ -70,8 +70,8 @@
         recheck: RecheckTimer { interval: CHANGELOG_RECHECK_MIN, due: None },
     };
     loop {
-        // A new address doesn't interrupt this: an event that was taken reaches the owner.
-        for input in watches.step(&moves, &names).await {
+        // A new address doesn't interrupt this loop, so that every event that was taken reaches the owner.
+        for input in watches.step(&addresses, &names).await {
             if urgent.send(input).await.is_err() {
                 return;
             }
@@ -79,56 +79,57 @@
     }
 }
 
-async fn frame(watch: Option<&mut Watch>, names: &Names) -> io::Result<Frame> {
+async fn next_frame(watch: Option<&mut Watch>, names: &Names) -> io::Result<Frame> {
     match watch {
-        Some(watch) => watch.frame(names).await,
+        Some(watch) => watch.next_frame(names).await,
         None => future::pending().await,
     }
 }
 
 impl Watches {
-    /// Waits for what comes next; returns the owner's inputs.
-    async fn step(&mut self, moves: &Receiver<SocketAddr>, names: &Names) -> Vec<Input> {
-        match self.next(moves, names).await {
-            Next::AddressChanged(address) => self.move_to(address),
-            Next::Connect(reason) => self.connect(reason),
-            Next::Active(Ok(frame)) => self.take(frame, None),
-            Next::Active(Err(e)) => self.active_failed(&e.to_string()),
-            Next::Standby(Ok(frame)) => {
+    /// Waits for one event of the connections and handles it; returns the owner's inputs.
+    async fn step(&mut self, addresses: &Receiver<SocketAddr>, names: &Names) -> Vec<Input> {
+        match self.wait(addresses, names).await {
+            Wakeup::AddressChanged(address) => self.change_address(address),
+            Wakeup::Connect(reason) => self.connect(reason),
+            Wakeup::Active(Ok(frame)) => self.on_frame(frame, None),
+            Wakeup::Active(Err(e)) => self.active_failed(&e.to_string()),
+            Wakeup::Standby(Ok(frame)) => {
                 let reason = self.standby.as_ref().map(|standby| standby.reason);
-                self.take(frame, reason)
+                self.on_frame(frame, reason)
             }
-            Next::Standby(Err(e)) => self.standby_failed(&e.to_string()),
+            Wakeup::Standby(Err(e)) => self.standby_failed(&e.to_string()),
         }
     }
 
-    async fn next(&mut self, moves: &Receiver<SocketAddr>, names: &Names) -> Next {
+    async fn wait(&mut self, addresses: &Receiver<SocketAddr>, names: &Names) -> Wakeup {
         let due = self.next_connection();
         let Self { address, active, standby, .. } = self;
-        let moved = async {
+        let address_changed = async {
             loop {
-                match moves.recv().await {
+                match addresses.recv().await {
                     Ok(to) if to == *address => {}
-                    Ok(to) => return Next::AddressChanged(to),
+                    Ok(to) => return Wakeup::AddressChanged(to),
                     Err(_) => future::pending().await,
                 }
             }
         };
-        let active = async { Next::Active(frame(active.as_mut(), names).await) };
-        let standby = async { Next::Standby(frame(standby.as_mut().map(|s| &mut s.watch), names).await) };
+        let active = async { Wakeup::Active(next_frame(active.as_mut(), names).await) };
+        let standby =
+            async { Wakeup::Standby(next_frame(standby.as_mut().map(|s| &mut s.watch), names).await) };
         let connect = async {
             match due {
                 Some((at, reason)) => {
                     Timer::at(at).await;
-                    Next::Connect(reason)
+                    Wakeup::Connect(reason)
                 }
                 None => future::pending().await,
             }
         };
-        future::or(moved, future::or(active, future::or(standby, connect))).await
+        future::or(address_changed, future::or(active, future::or(standby, connect))).await
     }
 
-    /// When the next connection is opened, with the reason of a standby; `None` while there are two.
+    /// When the next connection is opened, with the reason if it is a standby; `None` while there are two connections.
     fn next_connection(&self) -> Option<(Instant, Option<ReconnectReason>)> {
         if self.standby.is_some() {
             return None;
@@ -141,12 +142,12 @@
         Some((at.max(self.not_before), reason))
     }
 
-    fn move_to(&mut self, address: SocketAddr) -> Vec<Input> {
+    fn change_address(&mut self, address: SocketAddr) -> Vec<Input> {
         self.address = address;
         (self.backoff, self.not_before) = (CHANGELOG_BACKOFF_MIN, Instant::now());
         self.standby = None;
         self.active = None;
-        self.lost(&format!("address changed to {address}"))
+        self.connection_lost(&format!("address changed to {address}"))
     }
 
     fn connect(&mut self, reason: Option<ReconnectReason>) -> Vec<Input> {
@@ -163,13 +164,13 @@
         vec![Input::ChangeLogStandbyOpened(reason)]
     }
 
-    /// Takes a frame of the active connection, or the first frame of the standby with its reason.
-    fn take(&mut self, frame: Frame, standby: Option<ReconnectReason>) -> Vec<Input> {
-        let known = self.follower.last();
-        let event = match self.follower.take(frame) {
+    /// Handles a frame of the active connection, or, with the reason for the standby, the first frame of the standby.
+    fn on_frame(&mut self, frame: Frame, standby: Option<ReconnectReason>) -> Vec<Input> {
+        let last_before = self.follower.last();
+        let event = match self.follower.on_frame(frame) {
             Ok(event) => event,
             Err(e) => {
-                // The fault counts as repeated only on a connection that requested the event since.
+                // A fault may count as repeated only on a connection that requested the event after it, so the standby is dropped.
                 self.standby = None;
                 return self.active_failed(&e.to_string());
             }
@@ -177,13 +178,13 @@
         let mut inputs = Vec::new();
         if let Some(Standby { watch, reason }) = self.standby.take_if(|_| standby.is_some()) {
             self.active = Some(watch);
-            inputs = self.lost(&format!("{reason}, replaced by a standby connection"));
-            if reason == ReconnectReason::MissingEvents && self.follower.last() > known {
+            inputs = self.connection_lost(&format!("{reason}, replaced by a standby connection"));
+            if reason == ReconnectReason::MissingEvents && self.follower.last() > last_before {
                 self.recheck.interval = CHANGELOG_RECHECK_MIN;
             }
         }
         self.recheck.due = match self.recheck.due {
-            _ if !self.follower.behind() => None,
+            _ if !self.follower.is_behind() => None,
             None => Some(Instant::now() + self.recheck.interval),
             due => due,
         };
@@ -191,18 +192,18 @@
         inputs
     }
 
-    /// The active connection failed; the standby, if there is one, replaces it.
-    fn active_failed(&mut self, why: &str) -> Vec<Input> {
+    /// Handles a failure of the active connection; the standby, if there is one, replaces it.
+    fn active_failed(&mut self, cause: &str) -> Vec<Input> {
         let received = self.active.take().is_some_and(|watch| watch.has_received());
         self.active = self.standby.take().map(|standby| standby.watch);
         self.back_off(received);
-        self.lost(why)
+        self.connection_lost(cause)
     }
 
-    fn standby_failed(&mut self, why: &str) -> Vec<Input> {
+    fn standby_failed(&mut self, cause: &str) -> Vec<Input> {
         let received = self.standby.take().is_some_and(|standby| standby.watch.has_received());
         self.back_off(received);
-        self.lost(why)
+        self.connection_lost(cause)
     }
 
     /// Delays the next connection; a connection that sent a frame resets the backoff.
@@ -214,8 +215,8 @@
         self.backoff = (self.backoff * 2).min(CHANGELOG_BACKOFF_MAX);
     }
 
-    fn lost(&self, why: &str) -> Vec<Input> {
-        log::info!("change log: connection lost ({why}), resuming after event {}", self.follower.last().0);
+    fn connection_lost(&self, cause: &str) -> Vec<Input> {
+        log::info!("change log: connection lost ({cause}), resuming after event {}", self.follower.last().0);
         vec![Input::ChangeLogLost]
     }
 }
--- a/crates/node/src/changelog/follower.rs
+++ b/crates/node/src/changelog/follower.rs
@@ -1,9 +1,9 @@
-//! Decides which event is taken next. Inputs: the frames of all connections, in the order of their arrival; no time.
+//! Decides which event is taken next, from the frames of all connections in the order of their arrival; time plays no role.
 //!
-//! An event is taken once. A gap, or an event that can't be decoded, ends the connection, since the next one may bring what is missing;
-//! when the next connection meets the same fault, the change log has nothing better, and the events behind it are taken.
+//! Each event is taken once. A gap, or an event that can't be decoded, ends the connection, since another connection may send the missing
+//! event. If the next connection has the same fault, the change log does not have the event, and the later events are taken.
 
-use super::{BadFrame, Frame};
+use super::{Frame, FrameError};
 use basaltgw_config::{News, Seq};
 
 /// The position in the change log, over all connections.
@@ -12,7 +12,7 @@
     last: Seq,
     /// The number of the latest empty frame. Above `last`, events are missing.
     last_empty: Seq,
-    /// The event at which the last connection met a gap or could not decode.
+    /// The event at which the last connection had a gap or could not be decoded.
     fault: Option<Seq>,
 }
 
@@ -22,23 +22,23 @@
         Self { last, last_empty: last, fault: None }
     }
 
-    /// The last event taken.
+    /// The number of the last event that was taken.
     pub fn last(&self) -> Seq {
         self.last
     }
 
     /// Whether the change log has named an event that it has not sent.
-    pub fn behind(&self) -> bool {
+    pub fn is_behind(&self) -> bool {
         self.last_empty > self.last
     }
 
-    /// Takes a frame; returns its event if that is the next one, `None` for a known event or an empty frame.
+    /// Handles a frame; returns its event if that is the next one, `None` for a known event or an empty frame.
     ///
     /// # Errors
-    /// On the first meeting with a gap or an event that can't be decoded; the connection has to be closed.
-    pub fn take(&mut self, frame: Frame) -> Result<Option<News>, BadFrame> {
+    /// At a gap or an event that can't be decoded, unless the connection before had the same fault; the connection has to be closed.
+    pub fn on_frame(&mut self, frame: Frame) -> Result<Option<News>, FrameError> {
         let known = frame.seq <= self.last;
-        let event = match frame.news {
+        let event = match frame.event {
             Ok(None) => {
                 self.last_empty = frame.seq;
                 return Ok(None);
@@ -49,7 +49,7 @@
         };
         let repeated = self.fault.replace(frame.seq) == Some(frame.seq);
         if frame.seq.0 > self.last.0 + 1 && !repeated {
-            return Err(BadFrame("a gap between events"));
+            return Err(FrameError("a gap between events"));
         }
         let event = match event {
             Err(e) if !repeated => return Err(e),
--- a/crates/node/src/changelog/mod.rs
+++ b/crates/node/src/changelog/mod.rs
@@ -1,6 +1,6 @@
-//! The change log: a stream of numbered frames that is followed from the last known event.
+//! The change log: a stream of numbered frames, each with an endpoint list, a purge or nothing, that is followed from the last known event.
 //!
-//! - here: decodes frames and their events;
+//! - this file: decodes frames and their events;
 //! - `follower`: decides which event is taken next, over all connections;
 //! - `watch`: one connection; `follow`: the active connection and its standby;
 //! - `reconnect_reason`: why a standby is opened.
@@ -21,42 +21,43 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// The event number (8 bytes) and kind (1 byte) of each frame.
+/// The length of a frame's header: the event number (8 bytes) and the kind (1 byte).
 const HEADER_BYTES: usize = 9;
-/// One endpoint in a list.
-const RECORD_BYTES: usize = 27;
+/// The length of one endpoint in a list.
+const ENDPOINT_BYTES: usize = 27;
 
-/// What is wrong with a frame that can't be decoded.
+/// Why a frame can't be decoded or doesn't continue the event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadFrame(&'static str);
+pub struct FrameError(&'static str);
 
-impl fmt::Display for BadFrame {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.0)
     }
 }
 
-/// A frame.
+/// A frame of the change log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// The event's number.
+    /// The event's number; in an empty frame, that of the latest event.
     pub seq: Seq,
     /// The event; `None` in an empty frame.
-    pub news: Result<Option<News>, BadFrame>,
+    pub event: Result<Option<News>, FrameError>,
 }
 
-/// Reads big-endian numbers off the front of a payload.
-struct Bytes<'a>(&'a [u8]);
+/// Reads big-endian integers from the front of a payload.
+struct PayloadReader<'a>(&'a [u8]);
 
-impl Bytes<'_> {
-    fn number(&mut self, width: usize) -> Result<u64, BadFrame> {
-        let (head, rest) = self.0.split_at_checked(width).ok_or(BadFrame("a payload that is too short"))?;
+impl PayloadReader<'_> {
+    fn integer(&mut self, width_bytes: usize) -> Result<u64, FrameError> {
+        let (head, rest) =
+            self.0.split_at_checked(width_bytes).ok_or(FrameError("a payload that is too short"))?;
         self.0 = rest;
         Ok(head.iter().fold(0, |n, b| n << 8 | u64::from(*b)))
     }
 }
 
-/// Splits a byte stream into frames. Fed only when it has no complete frame left, it buffers less than the longest frame and one read.
+/// Splits a byte stream into frames. If it is fed only when no complete frame is left, it buffers less than the longest frame and one read.
 #[derive(Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
@@ -67,77 +68,77 @@
 impl Decoder {
     /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        // Here and not for each frame, since one read may bring a thousand frames.
+        // Done here and not for each frame, since one read may contain a thousand frames.
         self.bytes.drain(..self.decoded);
         self.decoded = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Bytes that are buffered.
-    pub fn held(&self) -> usize {
+    /// The number of buffered bytes, decoded ones included.
+    pub fn buffered_bytes(&self) -> usize {
         self.bytes.len()
     }
 
     /// The next complete frame, if there is one.
     ///
     /// # Errors
-    /// If its length is out of bounds or its number is cut short; the stream can't be decoded any further.
-    pub fn frame(&mut self, names: &Names) -> Result<Option<Frame>, BadFrame> {
+    /// If the frame's length is out of bounds; the stream can't be decoded any further.
+    pub fn next_frame(&mut self, names: &Names) -> Result<Option<Frame>, FrameError> {
         let unread = self.bytes.get(self.decoded..).unwrap_or_default();
         let Some((length, rest)) = unread.split_first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
         if !(HEADER_BYTES..=CHANGELOG_FRAME_MAX_BYTES).contains(&length) {
-            return Err(BadFrame("a length out of bounds"));
+            return Err(FrameError("a frame length out of bounds"));
         }
         let Some(body) = rest.get(..length) else { return Ok(None) };
-        let mut body = Bytes(body);
-        let frame = Frame { seq: Seq(body.number(8)?), news: event(body, names) };
+        let mut body = PayloadReader(body);
+        let frame = Frame { seq: Seq(body.integer(8)?), event: decode_event(body, names) };
         self.decoded += 4 + length;
         Ok(Some(frame))
     }
 }
 
-fn event(mut b: Bytes<'_>, names: &Names) -> Result<Option<News>, BadFrame> {
-    let news = match b.number(1)? {
+fn decode_event(mut payload: PayloadReader<'_>, names: &Names) -> Result<Option<News>, FrameError> {
+    let event = match payload.integer(1)? {
         0 => None,
         kind @ (1 | 2) => {
-            let mut members = Vec::with_capacity(b.0.len() / RECORD_BYTES);
-            while !b.0.is_empty() {
-                members.push(record(&mut b, names)?);
+            let mut members = Vec::with_capacity(payload.0.len() / ENDPOINT_BYTES);
+            while !payload.0.is_empty() {
+                members.push(decode_endpoint(&mut payload, names)?);
             }
             Some(News::Servers { whole: kind == 1, members })
         }
         3 => {
-            let object = Some(ObjectId(b.number(8)?));
-            Some(News::Purge { object, group: GroupId(0), time: b.number(8)? as f64 })
+            let object = Some(ObjectId(payload.integer(8)?));
+            Some(News::Purge { object, group: GroupId(0), time: payload.integer(8)? as f64 })
         }
         4 => {
-            let group = GroupId(b.number(2)?);
-            Some(News::Purge { object: None, group, time: b.number(8)? as f64 })
+            let group = GroupId(payload.integer(2)?);
+            Some(News::Purge { object: None, group, time: payload.integer(8)? as f64 })
         }
-        _ => return Err(BadFrame("an unknown kind")),
+        _ => return Err(FrameError("an unknown kind of event")),
     };
-    if b.0.is_empty() {
-        Ok(news)
+    if payload.0.is_empty() {
+        Ok(event)
     } else {
-        Err(BadFrame("a payload that is too long"))
+        Err(FrameError("a payload that is too long"))
     }
 }
 
-fn record(b: &mut Bytes<'_>, names: &Names) -> Result<Member, BadFrame> {
-    let id = ServerId(Arc::from(format!("s-{:08x}", b.number(4)?)));
-    let ip = Ipv4Addr::from(b.number(4)? as u32);
-    let address = SocketAddr::from((ip, b.number(2)? as u16));
-    let listed = match b.number(1)? {
+fn decode_endpoint(payload: &mut PayloadReader<'_>, names: &Names) -> Result<Member, FrameError> {
+    let id = ServerId(Arc::from(format!("s-{:08x}", payload.integer(4)?)));
+    let ip = Ipv4Addr::from(payload.integer(4)? as u32);
+    let address = SocketAddr::from((ip, payload.integer(2)? as u16));
+    let state = match payload.integer(1)? {
         0 => EndpointState::Up,
         1 => EndpointState::Draining,
         2 => EndpointState::Removed,
-        _ => return Err(BadFrame("an unknown state")),
+        _ => return Err(FrameError("an unknown endpoint state")),
     };
-    let zone = names.zone_at(b.number(1)? as usize).ok_or(BadFrame("an unknown zone"))?;
-    let role = names.role_at(b.number(1)? as usize).ok_or(BadFrame("an unknown kind of server"))?;
-    let cell = b.number(2)?;
-    let weight = b.number(4)? as f64 / 1000.0;
-    let started = Some(b.number(8)? as f64).filter(|t| *t > 0.0);
-    Ok(Member { entry: Endpoint { id, zone, role, cell, state: listed, weight, started }, address })
+    let zone = names.zone_at(payload.integer(1)? as usize).ok_or(FrameError("an unknown zone"))?;
+    let role = names.role_at(payload.integer(1)? as usize).ok_or(FrameError("an unknown server role"))?;
+    let cell = payload.integer(2)?;
+    let weight = payload.integer(4)? as f64 / 1000.0;
+    let started = Some(payload.integer(8)? as f64).filter(|t| *t > 0.0);
+    Ok(Member { entry: Endpoint { id, zone, role, cell, state, weight, started }, address })
 }
--- a/crates/node/src/changelog/reconnect_reason.rs
+++ b/crates/node/src/changelog/reconnect_reason.rs
@@ -5,9 +5,9 @@
 /// Why a second connection is opened beside the active one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReconnectReason {
-    /// No complete frame came for longer than the interval of frames.
+    /// No complete frame was received for longer than the interval between frames.
     Silent,
-    /// Empty frames name events that were not sent.
+    /// Empty frames name events that were not received.
     MissingEvents,
 }
 
--- a/crates/node/src/changelog/watch.rs
+++ b/crates/node/src/changelog/watch.rs
@@ -1,7 +1,7 @@
 //! One connection to the change log.
 
 use super::{Decoder, Frame};
-use crate::clock::late;
+use crate::clock::timed_out_after;
 use crate::limits::{CHANGELOG_CONNECT_TIMEOUT, CHANGELOG_HEDGE_AFTER, CHANGELOG_READ_TIMEOUT, READ_BYTES};
 use crate::socket as io_socket;
 use async_io::Async;
@@ -22,13 +22,13 @@
     Open(Socket, Vec<u8>),
 }
 
-/// A connection to the change log. Dropped, it is closed.
+/// A connection to the change log. Dropping it closes the connection.
 pub struct Watch {
     state: State,
     decoder: Decoder,
-    /// When it was opened, or sent its last complete frame; partial frames don't count.
+    /// When the connection was opened or received its last complete frame; partial frames don't count.
     last_frame: Instant,
-    /// It times out at this.
+    /// When the connection fails unless it is established, or a frame is complete, before.
     timeout_at: Instant,
     has_received: bool,
 }
@@ -39,7 +39,7 @@
         let connecting = async move {
             let mut socket = Async::<TcpStream>::connect(address).await?;
             socket.get_ref().set_nodelay(true)?;
-            io_socket::write_whole(&mut socket, &last.0.to_be_bytes()).await?;
+            io_socket::write_all(&mut socket, &last.0.to_be_bytes()).await?;
             Ok(socket)
         };
         let last_frame = Instant::now();
@@ -48,31 +48,31 @@
         Self { state, decoder: Decoder::default(), last_frame, timeout_at, has_received: false }
     }
 
-    /// Whether it has sent a complete frame.
+    /// Whether a complete frame was received on the connection.
     pub fn has_received(&self) -> bool {
         self.has_received
     }
 
-    /// When a standby is opened beside it unless a frame comes.
+    /// When a standby connection is opened unless a frame is received before.
     pub fn suspect_at(&self) -> Instant {
         self.last_frame + CHANGELOG_HEDGE_AFTER
     }
 
-    /// Waits for the next frame. Cancel safe.
+    /// Waits for the next frame. Cancel safe: no frame is lost if the future is dropped.
     ///
     /// # Errors
     /// If the connection is closed, times out, or sends a frame that can't be decoded.
-    pub async fn frame(&mut self, names: &Names) -> io::Result<Frame> {
+    pub async fn next_frame(&mut self, names: &Names) -> io::Result<Frame> {
         loop {
-            let bad = |e: super::BadFrame| io::Error::new(io::ErrorKind::InvalidData, e.to_string());
-            if let Some(frame) = self.decoder.frame(names).map_err(bad)? {
+            let invalid = |e: super::FrameError| io::Error::new(io::ErrorKind::InvalidData, e.to_string());
+            if let Some(frame) = self.decoder.next_frame(names).map_err(invalid)? {
                 self.has_received = true;
                 self.last_frame = Instant::now();
                 self.timeout_at = self.last_frame + CHANGELOG_READ_TIMEOUT;
                 return Ok(frame);
             }
             let left = self.timeout_at.saturating_duration_since(Instant::now());
-            future::or(self.advance(), late(left)).await?;
+            future::or(self.advance(), timed_out_after(left)).await?;
         }
     }
 
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -1,7 +1,7 @@
-//! Clients: accepting connections, and the task of each.
+//! Clients: accepts connections and runs a task for each.
 //!
-//! - `message`: decodes what clients send; `response`: encodes what they get;
-//! - `parts`: requests for several parts and their answers;
+//! - `message`: decodes clients' messages; `response`: encodes answers;
+//! - `parts`: decodes requests for several parts and encodes their answers;
 //! - `slot`: a connection's slot, and its lingering close.
 
 pub mod message;
@@ -13,13 +13,13 @@
 pub use response::{encode_answer, encode_pong, Reply};
 
 use crate::connection::{CloseReason, ConnectionEvent, ConnectionSlots, ConnectionState};
-use crate::inbox::{read_all, ClientReader, DecodedMessage};
+use crate::inbox::{read_messages, ClientReader, DecodedMessage};
 use crate::limits::{
     ACCEPTS_PER_TURN, ACCEPT_RETRY_INTERVAL, CLIENT_READ_LIMITS, CLIENT_UNSENT_MAX_BYTES, LISTEN_BACKLOG,
     RETRY_INTERVAL,
 };
 use crate::messages::{Input, Shared};
-use crate::outbox::{send_queue, write_all, BufferMeter};
+use crate::outbox::{send_queue, write_messages, BufferMeter};
 use crate::socket;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -28,8 +28,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Accepts clients until shutdown stops it, and then those in the backlog. Without a free slot it asks the owner to close idle clients;
-/// until one is free, connections wait in the backlog.
+/// Accepts clients until the shutdown ends accepting, then those that are in the listener's backlog. While no slot is free, it asks the owner
+/// to close idle clients, and connections wait in the backlog.
 pub async fn accept(
     listener: Async<TcpListener>,
     max_clients: usize,
@@ -40,9 +40,9 @@
     let mut turns: usize = 0;
     // Since when connections may wait in the backlog: while no slot was free, or accepts failed.
     let mut waiting_since = None;
-    // Bounded, so that clients that keep connecting don't delay the shutdown.
-    let mut accepted_at_end = 0;
-    while accepted_at_end < LISTEN_BACKLOG {
+    // Limited, so that clients that keep connecting don't delay the shutdown.
+    let mut accepted_after_end = 0;
+    while accepted_after_end < LISTEN_BACKLOG {
         if waiting_since.is_some() && !socket::readable(&listener) {
             waiting_since = None;
         }
@@ -57,12 +57,12 @@
             slots.accepting_stopped().await;
             None
         };
-        // The backlog is accepted before the end takes effect.
+        // `accept` goes first, so that the backlog is accepted before the loop ends.
         match future::or(async { Some(listener.accept().await) }, ended).await {
             Some(Ok((socket, _))) => {
                 accepted += 1;
                 let slot = ConnectionSlot::take(&slots);
-                let since = waiting_since.unwrap_or_else(|| shared.stalls.accepted());
+                let since = waiting_since.unwrap_or_else(|| shared.stalls.backlog_since());
                 let task = connection(ClientId(accepted), socket, shared.clone(), slot, since);
                 shared.executor.spawn(task).detach();
             }
@@ -73,7 +73,7 @@
             }
             None => return,
         }
-        accepted_at_end += i32::from(slots.stopped_accepting());
+        accepted_after_end += i32::from(slots.stopped_accepting());
         turns += 1;
         if turns.is_multiple_of(ACCEPTS_PER_TURN) {
             future::yield_now().await;
@@ -81,8 +81,8 @@
     }
 }
 
-/// A client's connection from accept to close; the socket is closed when this returns. It may have waited in the backlog since
-/// `waiting_since`.
+/// Runs a client's connection from accept to close; the socket is closed when this returns. The connection may have waited in the backlog
+/// since `waiting_since`.
 async fn connection(
     id: ClientId,
     socket: Async<TcpStream>,
@@ -94,7 +94,7 @@
         log::debug!("client {}: TCP_NODELAY failed: {e}", id.0);
     }
     let buffered = Rc::new(BufferMeter::default());
-    let state = Rc::new(ConnectionState::watched(slot.slots(), &shared.invariants));
+    let state = Rc::new(ConnectionState::with_invariants(slot.slots(), &shared.invariants));
     let (outbox, outgoing) = send_queue(&shared.meter, &buffered);
     if shared.queue.send(Input::ClientConnected(id, outbox, Rc::clone(&state))).await.is_err() {
         return;
@@ -102,13 +102,13 @@
     let read = async {
         let paused = || buffered.bytes() > CLIENT_UNSENT_MAX_BYTES;
         let decode = |decoded: DecodedMessage| {
-            let message = ClientMessage::decode(decoded.words)?;
+            let message = ClientMessage::decode(decoded.elements)?;
             state.liveness().observe(&message);
             let message = if decoded.boundary_uncertain { message.with_uncertain_end() } else { message };
-            Some(Input::Client(id, message, decoded.read_at))
+            Some(Input::ClientMessage { client: id, message, received_at: decoded.received_at })
         };
         let client = ClientReader { state: &state, waiting_since };
-        let reason = read_all(&socket, CLIENT_READ_LIMITS, &shared, paused, decode, Some(client)).await;
+        let reason = read_messages(&socket, CLIENT_READ_LIMITS, &shared, paused, decode, Some(client)).await;
         log::debug!("client {}: reading stopped: {reason:?}", id.0);
         state.apply(ConnectionEvent::ReadStopped);
         let lingers = reason != CloseReason::PeerClosed;
@@ -117,13 +117,13 @@
         }
     };
     let write = async {
-        if write_all(&socket, outgoing, || slot.stalled()).await {
+        if write_messages(&socket, outgoing, || slot.write_timeout()).await {
             slot.linger(&socket, &state).await;
         }
     };
     future::or(read, write).await;
     state.apply(ConnectionEvent::Closed);
     state.liveness().disconnect();
-    // The owner is gone only when the process ends.
+    // Fails only if the owner has ended, and the process with it.
     let _ = shared.queue.send(Input::ClientClosed(id)).await;
 }
--- a/crates/node/src/clients/response.rs
+++ b/crates/node/src/clients/response.rs
@@ -9,11 +9,11 @@
 pub enum Reply<'a> {
     /// The object's bytes.
     Served(&'a [u8]),
-    /// The client's copy is current.
+    /// The client's copy is current; there is no body.
     NotModified,
-    /// Rejected, with a Retry-After in milliseconds (0: none).
+    /// The request was rejected and may be sent again, after this Retry-After in milliseconds (0: none).
     Rejected(Ms),
-    /// Failed.
+    /// The request failed.
     Failed,
 }
 
@@ -21,7 +21,7 @@
 pub fn encode_answer(tag: Tag, reply: Reply<'_>) -> Vec<u8> {
     let tag = tag.0.to_string();
     let mut fields = FieldEncoder::default();
-    let (word, body): (&[u8], &[u8]) = match reply {
+    let (status, body): (&[u8], &[u8]) = match reply {
         Reply::Served(body) => (b"200", body),
         Reply::NotModified => {
             fields.add("ok304", 1);
@@ -35,11 +35,11 @@
         }
         Reply::Failed => (b"500", b""),
     };
-    encode(&[tag.as_bytes(), word, fields.as_str().as_bytes(), body])
+    encode(&[tag.as_bytes(), status, fields.as_str().as_bytes(), body])
 }
 
-/// Encodes the answer to `PING`.
+/// Encodes the answer to `PING`; `serving` is false while the router can't take requests.
 pub fn encode_pong(tag: Tag, serving: bool) -> Vec<u8> {
-    let word: &[u8] = if serving { b"serving" } else { b"not_serving" };
-    encode(&[tag.0.to_string().as_bytes(), word, b"", b""])
+    let status: &[u8] = if serving { b"serving" } else { b"not_serving" };
+    encode(&[tag.0.to_string().as_bytes(), status, b"", b""])
 }
--- a/crates/node/src/clients/slot.rs
+++ b/crates/node/src/clients/slot.rs
@@ -1,6 +1,6 @@
-//! A client connection's slot, and the lingering close that ends it.
+//! The slot of a client's connection, and the lingering close at its end.
 
-use crate::clock::late;
+use crate::clock::timed_out_after;
 use crate::connection::{
     CloseReason, ConnectionEvent, ConnectionPhase, ConnectionSlots, ConnectionState, IdleReason,
 };
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The slot of one connection, free again when dropped.
+/// The slot of one connection; dropping it frees the slot.
 pub(super) struct ConnectionSlot {
     slots: Rc<ConnectionSlots>,
     lingering: Cell<bool>,
@@ -38,19 +38,19 @@
         &self.slots
     }
 
-    /// Waits for the time after which a client that takes no byte counts as gone; shorter during shutdown.
-    pub(super) async fn stalled(&self) -> io::Result<usize> {
+    /// Completes, with an error, after the time in which a client must take at least one byte; shorter during shutdown.
+    pub(super) async fn write_timeout(&self) -> io::Result<usize> {
         let at_shutdown = async {
             self.slots.accepting_stopped().await;
-            late(CLIENT_WRITE_TIMEOUT_AT_SHUTDOWN).await
+            timed_out_after(CLIENT_WRITE_TIMEOUT_AT_SHUTDOWN).await
         };
-        let gone = future::or(late(CLIENT_WRITE_TIMEOUT), at_shutdown).await;
+        let timed_out = future::or(timed_out_after(CLIENT_WRITE_TIMEOUT), at_shutdown).await;
         self.slots.count_stalled();
-        gone
+        timed_out
     }
 
-    /// Shuts our side down and waits for the client's close, which its reader sees, up to the linger timeout. A socket that is closed
-    /// with unread bytes, or that receives bytes later, is reset, and answers that the client has not read are lost.
+    /// Shuts down the router's side and waits, up to the linger timeout, for the client's close, which the reader detects. Closing a socket
+    /// with unread bytes, or bytes that arrive later, resets the connection, and answers that the client has not read are lost.
     pub(super) async fn linger(&self, socket: &Async<TcpStream>, state: &ConnectionState) {
         if let Err(e) = socket.get_ref().shutdown(Shutdown::Write) {
             log::debug!("shutdown of a client's socket failed: {e}");
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Reads and discards until the client's close or up to a number of bytes; beyond it the writer's timeout decides.
+    /// Reads and discards until the client closes or [`LINGER_MAX_BYTES`] are discarded. After that, the connection ends when the writer does;
+    /// if the writer has already shut down the router's side, it ends at once.
     pub(super) async fn discard(
         &self,
         mut socket: &Async<TcpStream>,
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The clock of the decision module: monotonic, in milliseconds from an origin that the whole process shares.
+/// The clock of the decision module: monotonic, in milliseconds since an origin that is the same in the whole process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -35,16 +35,16 @@
     }
 }
 
-/// The wall clock in Unix milliseconds. It may be wrong and may be stepped, so no duration is computed from it.
+/// The wall clock in Unix milliseconds. It may be wrong and may be set forward or back, so no duration is computed from it.
 pub fn wall_now() -> Ms {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_micros() as f64 / 1000.0)
 }
 
-/// Fails with `TimedOut` after a time; raced against an operation on a socket.
+/// Completes after a time with the error `TimedOut`; to be raced against an operation on a socket.
 ///
 /// # Errors
 /// Always.
-pub async fn late<T>(after: Duration) -> io::Result<T> {
+pub async fn timed_out_after<T>(after: Duration) -> io::Result<T> {
     Timer::after(after).await;
     Err(io::ErrorKind::TimedOut.into())
 }
--- a/crates/node/src/connection/close_reason.rs
+++ b/crates/node/src/connection/close_reason.rs
@@ -5,7 +5,7 @@
 /// Why the owner closes a client's connection on which no request is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleReason {
-    /// It has been idle for longer than the idle timeout.
+    /// The connection has been idle for longer than the idle timeout.
     IdleTimeout,
     /// Other clients wait for its slot.
     SlotNeeded,
@@ -13,18 +13,18 @@
     Shutdown,
 }
 
-/// Why no more is read on a connection.
+/// Why nothing more is read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The peer closed it, or it failed.
+    /// The peer closed the connection, or it failed.
     PeerClosed,
     /// The peer sent bytes that can't be decoded.
     Malformed(DecodeError),
-    /// No complete message came within the time for the first one.
+    /// The first message was not complete in time.
     NoFirstMessage,
-    /// A message was begun and not completed in time.
+    /// A message that had begun was not complete in time.
     IncompleteMessage,
-    /// The owner asked for the close, and no message crossed the request.
+    /// The owner requested the close, and no message of the client crossed the request.
     IdleClose(IdleReason),
     /// The owner dropped the client.
     Dropped,
--- a/crates/node/src/connection/liveness.rs
+++ b/crates/node/src/connection/liveness.rs
@@ -1,5 +1,5 @@
-//! Whether a client still waits for its requests. The task that reads its connection notes a cancellation when it decodes it, ahead of the
-//! queue to the owner; the owner and the writers of connections to servers check it.
+//! Whether a client still waits for its requests. The reader of its connection records a cancellation when it decodes it, before the message
+//! reaches the owner by its queue; the owner and the writers of connections to servers check it.
 
 use crate::breaks::{broken, Break};
 use crate::clients::message::{ClientMessage, Tag};
@@ -9,11 +9,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Liveness of one client's connection and of its requests.
+/// Whether one client is connected, and which of its requests it has cancelled.
 #[derive(Debug, Default)]
 pub struct ClientLiveness {
+    /// When the connection was closed.
     disconnected: Cell<Option<Instant>>,
-    /// Requests whose cancellation was read and has not reached the owner, with the time of reading.
+    /// Requests whose cancellation was decoded but not yet handled by the owner, with the time of decoding.
     cancelled: RefCell<BTreeMap<Tag, Instant>>,
 }
 
@@ -23,7 +24,8 @@
         self.disconnected.get().is_none() && !self.cancelled.borrow().contains_key(&tag)
     }
 
-    /// Notes a message that was read. Above the bound of cancellations the owner learns of one by its queue only.
+    /// Records a decoded message if it is a cancellation. Beyond [`MAX_CANCELLATIONS_AHEAD`], a cancellation takes effect only when the owner
+    /// handles it.
     pub fn observe(&self, message: &ClientMessage) {
         if let ClientMessage::Cancel(tag) = message {
             let mut cancelled = self.cancelled.borrow_mut();
@@ -33,7 +35,7 @@
         }
     }
 
-    /// The owner has handled the cancellation under this tag. A tag is used once, so no request is under it any more.
+    /// Forgets a cancellation that the owner has handled. A tag is used once, so no open request has it.
     pub fn cancellation_handled(&self, tag: Tag) {
         self.cancelled.borrow_mut().remove(&tag);
     }
@@ -43,18 +45,18 @@
         !self.cancelled.borrow().contains_key(&tag)
     }
 
-    /// Notes that the connection is closed.
+    /// Records that the connection is closed.
     pub fn disconnect(&self) {
         self.disconnected.set(Some(Instant::now()));
     }
 
-    /// Since when the client no longer waits for the answer under this tag.
-    fn gone_since(&self, tag: Tag) -> Option<Instant> {
+    /// When the client stopped waiting for the answer under this tag; `None` while it waits.
+    fn left_since(&self, tag: Tag) -> Option<Instant> {
         self.disconnected.get().into_iter().chain(self.cancelled.borrow().get(&tag).copied()).min()
     }
 }
 
-/// Liveness of one request: whether its client still waits for the answer.
+/// Whether the client of one request still waits for the answer.
 #[derive(Clone, Debug)]
 pub struct RequestLiveness {
     client: Rc<ClientLiveness>,
@@ -62,18 +64,18 @@
 }
 
 impl RequestLiveness {
-    /// The liveness of the request that a client made under this tag.
+    /// The liveness of the client's request with this tag.
     pub fn new(client: &Rc<ClientLiveness>, tag: Tag) -> Self {
         Self { client: Rc::clone(client), tag }
     }
 
-    /// Whether the client waits.
+    /// Whether the client still waits for the answer.
     pub fn is_waiting(&self) -> bool {
         broken(Break::CancelIgnored) || self.client.is_waiting(self.tag)
     }
 
-    /// For how long the client has not waited; `None` while it does.
-    pub fn gone_for(&self, now: Instant) -> Option<Duration> {
-        self.client.gone_since(self.tag).map(|since| now.saturating_duration_since(since))
+    /// How long ago the client stopped waiting; `None` while it waits.
+    pub fn left_for(&self, now: Instant) -> Option<Duration> {
+        self.client.left_since(self.tag).map(|since| now.saturating_duration_since(since))
     }
 }
--- a/crates/node/src/connection/mod.rs
+++ b/crates/node/src/connection/mod.rs
@@ -1,7 +1,7 @@
-//! What the reader, the writer and the owner of a client's connection share. Nothing here reads or writes a socket.
+//! State that the reader, the writer and the owner of a client's connection share. This module does no I/O.
 //!
 //! - `close_reason`: why a connection is closed or no longer read;
-//! - `state`: the phases of a connection and the events that lead from one to the next;
+//! - `state`: the phases of a connection and the events that change them;
 //! - `liveness`: whether a client still waits for its requests;
 //! - `slots`: how many connections are open, and whether new ones are accepted.
 
--- a/crates/node/src/connection/slots.rs
+++ b/crates/node/src/connection/slots.rs
@@ -6,13 +6,13 @@
 /// Counts of special cases at the close of clients' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseCounts {
-    /// Close requests that lapsed, since a message crossed them.
+    /// Close requests of the owner that lapsed, since a message of the client crossed them.
     pub crossed: u64,
-    /// Closes after which unread bytes came.
+    /// Closes after which the client sent bytes.
     pub unread: u64,
-    /// Lingering closes that reached their bound.
+    /// Lingering closes that reached their limit in time or bytes.
     pub lingered: u64,
-    /// Closes of clients that took no byte.
+    /// Closes after the write timeout, since the client read nothing.
     pub stalled: u64,
 }
 
@@ -20,13 +20,13 @@
 #[derive(Debug)]
 pub struct ConnectionSlots {
     taken: Cell<usize>,
-    /// Of `taken`: half closed, to be closed within the linger timeout.
+    /// Of the taken slots: those of half-closed connections, which are closed within the linger timeout.
     lingering: Cell<usize>,
     closes_crossed: Cell<u64>,
     closes_unread: Cell<u64>,
     closes_lingered: Cell<u64>,
     closed_stalled: Cell<u64>,
-    /// Closed once only what is in the backlog is still accepted.
+    /// A channel without messages; closed when accepting ends, except for connections that are in the backlog.
     accept_end: (Sender<()>, Receiver<()>),
 }
 
@@ -49,12 +49,12 @@
 }
 
 impl ConnectionSlots {
-    /// Connections whose sockets are not closed.
+    /// The number of taken slots: connections whose sockets are not closed.
     pub fn taken(&self) -> usize {
         self.taken.get()
     }
 
-    /// Those of them that are half closed.
+    /// The number of taken slots whose connections are half closed.
     pub fn lingering(&self) -> usize {
         self.lingering.get()
     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Stops accepting: from now on only what is in the backlog is accepted.
+    /// Stops accepting, except for connections that are in the backlog.
     pub fn stop_accepting(&self) {
         self.accept_end.0.close();
     }
@@ -81,7 +81,7 @@
 
     /// Waits until accepting has stopped.
     pub async fn accepting_stopped(&self) {
-        // Nothing is ever sent; the receive returns when the channel is closed.
+        // The receive returns only when the channel is closed.
         let _ = self.accept_end.1.recv().await;
     }
 
@@ -106,17 +106,17 @@
         increment(&self.closes_crossed);
     }
 
-    /// Counts a close after which unread bytes came.
+    /// Counts a close after which the client sent bytes.
     pub(crate) fn count_unread(&self) {
         increment(&self.closes_unread);
     }
 
-    /// Counts a close that reached the bound of lingering.
+    /// Counts a lingering close that reached its limit.
     pub(crate) fn count_lingered(&self) {
         increment(&self.closes_lingered);
     }
 
-    /// Counts a close of a client that took no byte.
+    /// Counts a close after the write timeout.
     pub(crate) fn count_stalled(&self) {
         increment(&self.closed_stalled);
     }
--- a/crates/node/src/connection/state.rs
+++ b/crates/node/src/connection/state.rs
@@ -1,5 +1,5 @@
-//! The state of a client's connection from accept to close. Events of its reader, its writer and the owner meet in one match, so that each
-//! pair of events that cross has one outcome.
+//! The state machine of a client's connection from accept to close. One `match` handles the events of the reader, the writer and the owner,
+//! so that two events that cross have a defined result in either order.
 
 use super::close_reason::{CloseReason, IdleReason};
 use super::liveness::ClientLiveness;
@@ -13,21 +13,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How far a connection is. Phases only advance.
+/// The phase of a connection. Phases only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
     /// Messages are read and queued for the owner.
     Open {
-        /// Messages that the owner has not taken from the queue.
+        /// Messages in the owner's queue that the owner has not taken.
         queued: u32,
-        /// Why the owner wants it closed; cleared when a message crosses the request.
+        /// Why the owner requested a close; cleared when a message crosses the request.
         close_requested: Option<IdleReason>,
     },
     /// No more messages are read. Open requests are answered unless the owner cancelled them, and queued answers are written.
     Closing,
-    /// Our side is shut down (FIN). Received bytes are discarded, within a bound of time and bytes.
+    /// The router has shut down its side (FIN). Received bytes are discarded, within limits of time and bytes.
     HalfClosed,
-    /// Closed.
+    /// The socket is closed, or about to be.
     Closed,
 }
 
@@ -36,26 +36,26 @@
 pub enum ConnectionEvent {
     /// The reader queues a message for the owner.
     Enqueued,
-    /// The reader, asked to close, finds the socket empty and no message begun.
-    AtRest,
-    /// The reader, asked to close, is in the middle of a message.
-    MidMessage,
-    /// The reader stops: what came can't be decoded, or not in time.
+    /// After a close request the reader found the socket empty and no partial message.
+    FoundIdle,
+    /// After a close request the reader found a partial message.
+    FoundMidMessage,
+    /// The reader stopped: the peer closed, or sent bytes that can't be decoded or were not complete in time.
     ReadStopped,
     /// The owner takes a message from the queue.
     Dequeued,
-    /// The owner wants it closed.
+    /// The owner requests a close.
     CloseRequested(IdleReason),
     /// The owner drops the client with all its open requests.
     Dropped,
-    /// The writer has written all that is queued and shut our side down.
+    /// The writer has written all queued messages and shut down the router's side.
     WriteShutdown,
-    /// The peer is gone, or the bound of the half-closed phase is reached.
+    /// The peer has closed, or the half-closed phase has reached its limit.
     Closed,
 }
 
 impl ConnectionPhase {
-    /// The phase that follows an event.
+    /// The phase after an event.
     pub fn after(self, event: ConnectionEvent) -> Self {
         use ConnectionEvent as E;
         use ConnectionPhase::{Closed, Closing, HalfClosed, Open};
@@ -67,28 +67,28 @@
             (Open { queued, .. }, E::Dequeued) => {
                 Open { queued: queued.saturating_sub(1), close_requested: None }
             }
-            (Open { queued, close_requested }, E::CloseRequested(why)) => {
-                Open { queued, close_requested: close_requested.or(Some(why)) }
+            (Open { queued, close_requested }, E::CloseRequested(reason)) => {
+                Open { queued, close_requested: close_requested.or(Some(reason)) }
             }
-            (Open { queued, close_requested }, E::AtRest) => {
-                let may =
+            (Open { queued, close_requested }, E::FoundIdle) => {
+                let permission =
                     may_close(&CloseState { wanted: close_requested.is_some(), queued_messages: queued });
-                if may.is_ok() || broken(Break::CloseOverRequest) {
+                if permission.is_ok() || broken(Break::CloseOverRequest) {
                     Closing
                 } else {
                     Open { queued, close_requested: None }
                 }
             }
-            (Open { queued, .. }, E::MidMessage) => Open { queued, close_requested: None },
+            (Open { queued, .. }, E::FoundMidMessage) => Open { queued, close_requested: None },
             (Open { .. }, E::ReadStopped | E::Dropped) => Closing,
-            // The owner dropped the outbox without an event: no one is left to queue messages for.
+            // While open: the owner dropped the client's send queue without an event and takes no more messages of it.
             (Open { .. } | Closing, E::WriteShutdown) => HalfClosed,
-            // Messages queued before the reader stopped are still taken; close requests are too late.
+            // Messages that were queued before the reader stopped are still taken; close requests come too late.
             (
                 Closing,
                 E::Enqueued
-                | E::AtRest
-                | E::MidMessage
+                | E::FoundIdle
+                | E::FoundMidMessage
                 | E::ReadStopped
                 | E::Dequeued
                 | E::CloseRequested(_)
@@ -97,8 +97,8 @@
             (
                 HalfClosed,
                 E::Enqueued
-                | E::AtRest
-                | E::MidMessage
+                | E::FoundIdle
+                | E::FoundMidMessage
                 | E::ReadStopped
                 | E::Dequeued
                 | E::CloseRequested(_)
@@ -116,11 +116,11 @@
     }
 }
 
-/// A connection's phase, shared by its task and the owner.
+/// The state of a connection, shared by its task and the owner.
 #[derive(Debug)]
 pub struct ConnectionState {
     phase: Cell<ConnectionPhase>,
-    /// A complete message was received, so answers may have been written too.
+    /// Whether a complete message was received, in which case answers may have been written too.
     has_received: Cell<bool>,
     /// Wakes the reader when the owner asks for a close.
     close_requests: (Sender<()>, Receiver<()>),
@@ -142,8 +142,8 @@
         }
     }
 
-    /// The same, with this invariant checker.
-    pub fn watched(slots: &Rc<ConnectionSlots>, invariants: &Rc<Invariants>) -> Self {
+    /// A connection that was just accepted, with this invariant checker.
+    pub fn with_invariants(slots: &Rc<ConnectionSlots>, invariants: &Rc<Invariants>) -> Self {
         Self { invariants: Rc::clone(invariants), ..Self::new(slots) }
     }
 
@@ -152,7 +152,7 @@
         &self.invariants
     }
 
-    /// Whether its client still waits for its requests.
+    /// Whether the connection's client still waits for its requests.
     pub fn liveness(&self) -> &Rc<ClientLiveness> {
         &self.liveness
     }
@@ -180,7 +180,7 @@
         after
     }
 
-    /// Why the owner wants it closed, while that request is undecided.
+    /// The reason of the owner's close request, while that is undecided.
     pub fn close_reason(&self) -> Option<IdleReason> {
         match self.phase() {
             ConnectionPhase::Open { close_requested, .. } => close_requested,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Waits until the owner wants the connection closed or drops the client.
+    /// Waits until the owner requests a close or drops the client.
     pub async fn close_requested(&self) {
         while let ConnectionPhase::Open { close_requested: None, .. } = self.phase() {
             if self.close_requests.1.recv().await.is_err() {
@@ -197,18 +197,18 @@
         }
     }
 
-    /// Decides a close request when the reader finds the socket empty; `partial_for` is the age of a partial message. Returns why the
-    /// reader stops, or `None` if it goes on.
+    /// Decides a close request when the reader finds the socket empty; `partial_for` is the age of a partial message, if there is one. Returns
+    /// why the reader stops, or `None` if it continues.
     pub fn decide_close(&self, partial_for: Option<Duration>) -> Option<CloseReason> {
         let requested = self.close_reason();
         // Shutdown waits for a partial message for a bounded time only.
         let mid_message = partial_for
             .is_some_and(|age| requested != Some(IdleReason::Shutdown) || age < PARTIAL_MESSAGE_AT_SHUTDOWN);
-        let event = if mid_message { ConnectionEvent::MidMessage } else { ConnectionEvent::AtRest };
+        let event = if mid_message { ConnectionEvent::FoundMidMessage } else { ConnectionEvent::FoundIdle };
         (!self.apply(event).reads()).then_some(requested.map_or(CloseReason::Dropped, CloseReason::IdleClose))
     }
 
-    /// Notes a decoded message that the reader is about to queue; false if the connection no longer takes any.
+    /// Records a decoded message that the reader is about to queue; false if the connection takes no more messages.
     pub fn enqueue(&self) -> bool {
         let open = self.apply(ConnectionEvent::Enqueued).reads();
         self.has_received.set(self.has_received.get() || open);
--- a/crates/node/src/counters/kinds.rs
+++ b/crates/node/src/counters/kinds.rs
@@ -1,14 +1,14 @@
-//! Counter and gauge types: written by the owner's thread at the cost of a plain number, readable by other threads through a registry.
+//! Counter and gauge types: a single thread writes them, as cheaply as plain numbers; other threads read them through a registry.
 
 use prometheus_client::metrics::counter::{Atomic, Counter};
-use prometheus_client::metrics::gauge::{self, Gauge};
+use prometheus_client::metrics::gauge::{self, Gauge as RegistryGauge};
 use prometheus_client::registry::Registry;
 use std::cell::Cell;
 use std::fmt;
 use std::marker::PhantomData;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A number with a single writer, so that an increment needs no locked instruction.
+/// An atomic number with a single writer, so that an increment needs no locked instruction.
 #[derive(Debug, Default)]
 struct SingleWriter(AtomicU64);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A counter. Neither cloned nor shared between threads, so that it has a single writer.
+/// A counter. It can't be cloned or shared between threads, so it has a single writer.
 #[derive(Debug, Default)]
 pub struct Count(Counter<u64, SingleWriter>, PhantomData<Cell<()>>);
 
@@ -43,7 +43,7 @@
         self.0.inc_by(amount);
     }
 
-    /// Sets the value to one that was counted elsewhere.
+    /// Sets the value to a count that is kept in another place.
     pub fn set(&self, value: u64) {
         self.0.inner().0.store(value, Ordering::Relaxed);
     }
@@ -54,11 +54,11 @@
     }
 }
 
-/// A gauge.
+/// A gauge. It can't be cloned or shared between threads, so it has a single writer.
 #[derive(Debug, Default)]
-pub struct Level<N>(Gauge<N, AtomicU64>, PhantomData<Cell<()>>);
+pub struct Gauge<N>(RegistryGauge<N, AtomicU64>, PhantomData<Cell<()>>);
 
-impl<N: PartialOrd + Copy> Level<N>
+impl<N: PartialOrd + Copy> Gauge<N>
 where
     AtomicU64: gauge::Atomic<N>,
 {
@@ -83,20 +83,21 @@
 /// A value as it is formatted in the line of counters.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Value {
-    Whole(u64),
-    Millis(f64),
+    Integer(u64),
+    /// Written with two decimal places.
+    Decimal(f64),
 }
 
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Whole(n) => write!(f, "{n}"),
-            Self::Millis(ms) => write!(f, "{ms:.2}"),
+            Self::Integer(n) => write!(f, "{n}"),
+            Self::Decimal(number) => write!(f, "{number:.2}"),
         }
     }
 }
 
-/// A member of a group.
+/// A counter or gauge of a group.
 pub(super) trait Metric {
     fn value(&self) -> Value;
     fn register(&self, registry: &mut Registry, name: &str, help: &str);
@@ -104,7 +105,7 @@
 
 impl Metric for Count {
     fn value(&self) -> Value {
-        Value::Whole(self.get())
+        Value::Integer(self.get())
     }
 
     fn register(&self, registry: &mut Registry, name: &str, help: &str) {
@@ -112,9 +113,9 @@
     }
 }
 
-impl Metric for Level<u64> {
+impl Metric for Gauge<u64> {
     fn value(&self) -> Value {
-        Value::Whole(self.get())
+        Value::Integer(self.get())
     }
 
     fn register(&self, registry: &mut Registry, name: &str, help: &str) {
@@ -122,9 +123,9 @@
     }
 }
 
-impl Metric for Level<f64> {
+impl Metric for Gauge<f64> {
     fn value(&self) -> Value {
-        Value::Millis(self.get())
+        Value::Decimal(self.get())
     }
 
     fn register(&self, registry: &mut Registry, name: &str, help: &str) {
@@ -132,7 +133,8 @@
     }
 }
 
-/// Defines a group: a struct of [`Count`]s and [`Level`]s, each with its name in the line and the registry; its doc comment is the help text.
+/// Defines a group: a struct of [`Count`]s and [`Gauge`]s. Each field has the name that it has in the log line and in the registry; its doc
+/// comment is the help text.
 macro_rules! group {
     (
         $(#[$about:meta])*
@@ -143,7 +145,7 @@
         pub struct $group { $($(#[doc = $help])+ pub $field: $kind,)+ }
 
         impl $group {
-            /// Names and values, in the order of declaration.
+            /// The names and values, in the order of declaration.
             pub(super) fn named_values(&self) -> Vec<(&'static str, Value)> {
                 vec![$(($name, self.$field.value()),)+]
             }
--- a/crates/node/src/counters/mod.rs
+++ b/crates/node/src/counters/mod.rs
@@ -1,10 +1,10 @@
-//! Counters of a router, in groups. The line of counters and the registry use the same names.
+//! The counters of a router, in groups. The log line of counters and the registry use the same names.
 
 mod groups;
 mod kinds;
 
 pub use groups::{Attempts, Batches, ChangeLog, Clients, Conns, Files, Memory, Tree, Violations};
-pub use kinds::{Count, Level};
+pub use kinds::{Count, Gauge};
 
 use crate::changelog::reconnect_reason::ReconnectReason;
 use crate::clients::Reply;
@@ -15,7 +15,7 @@
 use prometheus_client::registry::Registry;
 use std::fmt;
 
-/// Counters since the start.
+/// All counters, since the start of the process.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Clients, their requests and their answers.
@@ -30,38 +30,38 @@
     pub files: Files,
     /// Memory.
     pub memory: Memory,
-    /// Plans of the tree.
+    /// Plans of the cache tree.
     pub tree: Tree,
-    /// Batches given to the module.
+    /// Batches of inputs that the owner handled.
     pub batches: Batches,
-    /// Violated invariants.
+    /// Violated invariants, and other counts of the checkers.
     pub violations: Violations,
 }
 
 impl Attempts {
     /// Counts the result of an attempt.
-    pub fn ended(&self, result: AttemptResult) {
+    pub fn count_result(&self, result: AttemptResult) {
         let count = match result {
             AttemptResult::Served => &self.served,
             AttemptResult::Error => &self.error,
-            AttemptResult::Rejected => &self.full,
-            AttemptResult::TimedOut => &self.late,
+            AttemptResult::Rejected => &self.rejected,
+            AttemptResult::TimedOut => &self.timed_out,
             AttemptResult::NoConnection => &self.no_connection,
-            AttemptResult::ConnectionLost => &self.broken,
+            AttemptResult::ConnectionLost => &self.connection_lost,
             AttemptResult::Cancelled => &self.cancelled,
             AttemptResult::NotSent => &self.not_sent,
-            AttemptResult::CacheMiss => &self.miss,
+            AttemptResult::CacheMiss => &self.cache_miss,
         };
         count.increment();
     }
 }
 
 impl ChangeLog {
-    /// Counts a second connection by its reason.
-    pub fn standby_opened(&self, reason: ReconnectReason) {
+    /// Counts a second connection to the change log by its reason.
+    pub fn count_standby(&self, reason: ReconnectReason) {
         match reason {
-            ReconnectReason::Silent => &self.quiet,
-            ReconnectReason::MissingEvents => &self.behind,
+            ReconnectReason::Silent => &self.standbys_for_silence,
+            ReconnectReason::MissingEvents => &self.standbys_for_missing_events,
         }
         .increment();
     }
@@ -69,11 +69,11 @@
 
 impl Clients {
     /// Counts an answer to a client.
-    pub fn answered(&self, reply: &Reply<'_>) {
+    pub fn count_reply(&self, reply: &Reply<'_>) {
         let count = match reply {
             Reply::Served(_) => &self.served,
-            Reply::NotModified => &self.same,
-            Reply::Rejected(_) => &self.refused,
+            Reply::NotModified => &self.not_modified,
+            Reply::Rejected(_) => &self.rejected,
             Reply::Failed => &self.failed,
         };
         count.increment();
@@ -81,28 +81,28 @@
 }
 
 impl Tree {
-    /// Copies the tree's own counters.
-    pub fn reached(&self, counted: &TreeCounters) {
-        self.offered.set(counted.offered);
-        self.refused.set(counted.refused);
-        self.ended.set(counted.ended);
-        self.loops.set(counted.loops);
-        self.set_aside.set(counted.set_aside);
+    /// Copies the counters that the cache tree's module keeps.
+    pub fn copy_from(&self, source: &TreeCounters) {
+        self.plans.set(source.plans);
+        self.plans_rejected.set(source.plans_rejected);
+        self.changes_completed.set(source.changes_completed);
+        self.loops.set(source.loops);
+        self.pairs_disabled.set(source.pairs_disabled);
     }
 }
 
 impl Violations {
     /// Copies the counts of the invariant checker.
-    pub fn reached(&self, invariants: &Invariants) {
+    pub fn copy_from(&self, invariants: &Invariants) {
         for violation in Violation::ALL {
             let count = match violation {
-                Violation::SecondResponse => &self.second_answer,
+                Violation::SecondResponse => &self.second_response,
                 Violation::AttemptAfterClientLeft => &self.attempt_after_client_left,
                 Violation::RepeatAfterExecution => &self.repeat_after_execution,
-                Violation::RejectionAfterExecution => &self.refusal_after_execution,
+                Violation::RejectionAfterExecution => &self.rejection_after_execution,
                 Violation::SentToDrained => &self.sent_to_drained,
                 Violation::DeadlineExceeded => &self.deadline_exceeded,
-                Violation::ClosedWithOpenRequest => &self.closed_over_request,
+                Violation::ClosedWithOpenRequest => &self.closed_with_open_request,
                 Violation::SlowStartExceeded => &self.slow_start_exceeded,
             };
             count.set(invariants.count(violation));
@@ -111,8 +111,8 @@
 }
 
 impl Counters {
-    /// A registry of all counters that other threads may read. `*_now`, `held`, `conns`, `closes_*` and the plans' counters are as of when the
-    /// line was last logged.
+    /// A registry of all counters, which other threads may read. `*_now`, `held`, `conns`, `closes_*` and the plans' counters have the values
+    /// of the time when the log line was last written.
     pub fn registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("basaltgw");
         let Self { clients, attempts, conns, log, files, memory, tree, batches, violations } = self;
@@ -128,7 +128,7 @@
         registry
     }
 
-    /// The names and values of the line, in its order.
+    /// The names and values of the log line, in its order.
     fn named_values(&self) -> Vec<(&'static str, Value)> {
         let Self { clients, attempts, conns, log, files, memory, tree, batches, violations } = self;
         let groups = [
@@ -143,9 +143,9 @@
             violations.named_values(),
         ];
         let mut values = groups.concat();
-        // `unheeded` keeps its place in the line, outside its group.
-        let at = |name| values.iter().position(|(n, _)| *n == name);
-        if let (Some(from), Some(to)) = (at("unheeded"), at("log_lost")) {
+        // `unheeded` has its place in the line outside its group, since the order of the line is fixed.
+        let position = |name| values.iter().position(|(n, _)| *n == name);
+        if let (Some(from), Some(to)) = (position("unheeded"), position("log_lost")) {
             values[from..to].rotate_left(1);
         }
         values
--- a/crates/node/src/counters/tests.rs
+++ b/crates/node/src/counters/tests.rs
@@ -1,14 +1,16 @@
+//! The log line of counters, and the registry.
+
 use super::*;
 
 #[test]
 fn counter_line_keeps_its_names_and_order() {
     let counters = Counters::default();
-    counters.batches.longest.raise(1.236);
-    counters.batches.longest.raise(0.5);
-    counters.attempts.unheeded.add(3);
-    counters.attempts.ended(AttemptResult::CacheMiss);
-    counters.log.lost.increment();
-    counters.clients.answered(&Reply::NotModified);
+    counters.batches.longest_ms.raise(1.236);
+    counters.batches.longest_ms.raise(0.5);
+    counters.attempts.abort_unconfirmed.add(3);
+    counters.attempts.count_result(AttemptResult::CacheMiss);
+    counters.log.connections_lost.increment();
+    counters.clients.count_reply(&Reply::NotModified);
     assert_eq!(
         counters.to_string(),
         "clients=0 clients_now=0 requests=0 closed_unreadable=0 closed_silent=0 closed_unfinished=0 \
@@ -31,7 +33,7 @@
     let counters = Counters::default();
     let registry = counters.registry();
     counters.clients.requests.add(7);
-    counters.memory.held.set(4096);
+    counters.memory.buffered_bytes.set(4096);
     let read = std::thread::spawn(move || {
         let mut text = String::new();
         prometheus_client::encoding::text::encode(&mut text, &registry).map(|()| text)
@@ -45,8 +47,8 @@
         let metric = format!("basaltgw_{name}");
         let read = value(&metric).or_else(|| value(&format!("{metric}_total")));
         let expected = match expected {
-            Value::Whole(n) => n as f64,
-            Value::Millis(ms) => ms,
+            Value::Integer(n) => n as f64,
+            Value::Decimal(number) => number,
         };
         assert_eq!(read, Some(expected), "{name}");
     }
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -21,31 +21,32 @@
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-/// A client's connection that waited in the backlog for no longer than this counts as accepted at once.
-const ACCEPTED_AT_ONCE: Duration = Duration::from_millis(10);
+/// A client's connection that waited in the listener's backlog for no longer than this counts as accepted at once.
+const MAX_PROMPT_ACCEPT_DELAY: Duration = Duration::from_millis(10);
 
-/// A message as it was decoded.
+/// A complete message, split into the bulk strings of its RESP array.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedMessage {
-    /// Its words.
-    pub words: Vec<Vec<u8>>,
-    /// When its last byte was received, in milliseconds of the router's clock.
-    pub read_at: Ms,
-    /// The bytes behind it can't be decoded, so it may not be complete.
+    /// The bulk strings.
+    pub elements: Vec<Vec<u8>>,
+    /// When the last byte was received, in milliseconds of the router's clock.
+    pub received_at: Ms,
+    /// The bytes after the message can't be decoded, so the message may not be complete.
     pub boundary_uncertain: bool,
 }
 
-/// What the reader of a client's connection needs besides the socket.
+/// What the reader of a client's connection needs in addition to that of a server's.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientReader<'a> {
-    /// The connection's state; the owner may ask for a close by it.
+    /// The connection's state, through which the owner may request a close.
     pub state: &'a ConnectionState,
-    /// Since when the connection may have waited in the backlog.
+    /// Since when the connection may have waited in the listener's backlog.
     pub waiting_since: Instant,
 }
 
-/// What a reader waits for.
+/// What ends a reader's wait.
 enum ReadEvent {
+    /// The result of a read, with the number of bytes.
     Read(std::io::Result<usize>),
     TimedOut,
     CloseRequested,
@@ -62,8 +63,8 @@
     QueueFull,
 }
 
-/// Runs a connection's reader and writer until one of them ends.
-pub async fn either(
+/// Runs a connection's reader and writer until one of them ends; returns why the connection is closed.
+pub async fn run_reader_and_writer(
     read: impl Future<Output = CloseReason>,
     write: impl Future<Output = bool>,
 ) -> CloseReason {
@@ -76,9 +77,9 @@
 
 /// Reads messages until the connection ends, sends what can't be decoded, or exceeds a time limit; returns why it stops.
 ///
-/// While `paused` returns true, reading pauses. `decode` makes an input of a message, or `None` of one that makes no sense; it sees all
-/// messages of a read before the first of them is queued. `client` is given for a client's connection.
-pub async fn read_all(
+/// While `paused` returns true, reading pauses. `decode` converts a message to an input, or returns `None` if the protocol has no such
+/// message; it is called for all messages of a read before the first of them is queued. `client` is given for a client's connection.
+pub async fn read_messages(
     socket: &Async<TcpStream>,
     limits: ReadLimits,
     shared: &Shared,
@@ -86,37 +87,37 @@
     decode: impl Fn(DecodedMessage) -> Option<Input>,
     client: Option<ClientReader<'_>>,
 ) -> CloseReason {
-    // Bytes that are readable at once came while the connection waited in the backlog.
+    // Bytes that are readable at once were received while the connection waited in the backlog.
     let accepted_late = client
         .map(|client| client.waiting_since)
-        .filter(|since| since.elapsed() > ACCEPTED_AT_ONCE && socket::readable(socket));
+        .filter(|since| since.elapsed() > MAX_PROMPT_ACCEPT_DELAY && socket::readable(socket));
     let mut reader = Reader {
         socket,
         limits,
         shared,
         decode,
         state: client.map(|client| client.state),
-        decoder: Decoder::new(limits.bounds),
+        decoder: Decoder::new(limits.message_limits),
         chunk: vec![0; READ_BYTES],
         pending: VecDeque::new(),
         pending_bytes: 0,
         failure: None,
-        first_message_due: limits.first_message.map(|t| Instant::now() + t),
+        first_message_due: limits.first_message_timeout.map(|t| Instant::now() + t),
         message_started: None,
         empty_since: accepted_late.unwrap_or_else(Instant::now),
         waited_in_backlog: accepted_late.is_some(),
         buffered: BufferReservation::new(&shared.meter),
     };
     loop {
-        if let Err(reason) = reader.next(&paused).await {
+        if let Err(reason) = reader.read_and_enqueue(&paused).await {
             return reason;
         }
-        // A peer at full speed leaves the thread to the others after each read.
+        // Other connections run between two reads, even if the peer sends without a pause.
         future::yield_now().await;
     }
 }
 
-/// A connection's reading side.
+/// The reading side of a connection.
 struct Reader<'a, D> {
     socket: &'a Async<TcpStream>,
     limits: ReadLimits,
@@ -125,10 +126,10 @@
     state: Option<&'a ConnectionState>,
     decoder: Decoder,
     chunk: Vec<u8>,
-    /// Decoded messages that are not queued: those of one read, and what was read ahead.
+    /// Decoded messages that are not yet in the owner's queue: those of one read, and those read ahead.
     pending: VecDeque<Input>,
     pending_bytes: usize,
-    /// Ends the connection once `pending` is empty.
+    /// Why the reader stops once `pending` is empty.
     failure: Option<CloseReason>,
     first_message_due: Option<Instant>,
     /// When the first byte of the partial message was received.
@@ -142,15 +143,15 @@
 
 impl<D: Fn(DecodedMessage) -> Option<Input>> Reader<'_, D> {
     /// Reads once and queues the complete messages.
-    async fn next(&mut self, paused: &impl Fn() -> bool) -> Result<(), CloseReason> {
-        while let Some(why) = self.pause_reason(paused) {
-            // Cancellations use no memory and free what their requests use.
+    async fn read_and_enqueue(&mut self, paused: &impl Fn() -> bool) -> Result<(), CloseReason> {
+        while let Some(reason) = self.pause_reason(paused) {
+            // Cancellations use no memory and free that of their requests.
             while self.pending.front().is_some_and(is_cancellation) && !self.shared.queue.is_full() {
                 self.enqueue(1).await?;
             }
-            self.wait_paused(why).await?;
+            self.wait_paused(reason).await?;
         }
-        // What was read ahead comes first.
+        // Messages that were read ahead go first.
         if self.pending.is_empty() && self.failure.is_none() {
             let n = self.read().await?;
             self.decode_chunk(n);
@@ -169,7 +170,7 @@
         paused().then_some(PauseReason::SlowPeer)
     }
 
-    /// Reads what was received, within the time limits; returns the number of bytes, 0 if a close request lapsed.
+    /// Reads once, within the time limits; returns the number of bytes, 0 if a close request lapsed.
     async fn read(&mut self) -> Result<usize, CloseReason> {
         match self.wait_readable().await {
             ReadEvent::Read(Ok(n)) if n > 0 => Ok(n),
@@ -188,8 +189,9 @@
 
     /// Waits for bytes, a time limit or a close request, in this order where several are ready.
     async fn wait_readable(&mut self) -> ReadEvent {
-        let message_due =
-            self.message_started.map(|t| (t + self.limits.message).min(Instant::now() + self.limits.gap));
+        let message_due = self
+            .message_started
+            .map(|t| (t + self.limits.message_timeout).min(Instant::now() + self.limits.read_gap_timeout));
         let due = message_due.into_iter().chain(self.first_message_due).min();
         let timeout = async {
             match due {
@@ -225,11 +227,11 @@
     /// Decodes the first bytes of the chunk.
     fn decode_chunk(&mut self, bytes: usize) {
         self.decoder.feed(self.chunk.get(..bytes).unwrap_or_default());
-        let read_at = self.receive_time();
+        let received_at = self.receive_time();
         let mut next = self.decoder.next_message();
         while self.failure.is_none() {
-            let words = match next {
-                Ok(Some(words)) => words,
+            let elements = match next {
+                Ok(Some(elements)) => elements,
                 Ok(None) => break,
                 Err(e) => {
                     self.failure = Some(CloseReason::Malformed(e));
@@ -238,8 +240,8 @@
             };
             next = self.decoder.next_message();
             (self.message_started, self.first_message_due) = (None, None);
-            self.pending_bytes += words.iter().map(Vec::len).sum::<usize>();
-            match (self.decode)(DecodedMessage { words, read_at, boundary_uncertain: next.is_err() }) {
+            self.pending_bytes += elements.iter().map(Vec::len).sum::<usize>();
+            match (self.decode)(DecodedMessage { elements, received_at, boundary_uncertain: next.is_err() }) {
                 Some(input) if self.state.is_none_or(ConnectionState::enqueue) => {
                     self.pending.push_back(input)
                 }
@@ -253,16 +255,16 @@
         }
     }
 
-    /// When the bytes just read were received: as early as possible where they waited in the socket during a pause of the process.
+    /// When the bytes just read were received; if they may have waited in the socket during a pause of the process, the earliest possible time.
     fn receive_time(&mut self) -> Ms {
         let waited = match std::mem::take(&mut self.waited_in_backlog) {
             true => self.empty_since.elapsed(),
-            false => self.shared.stalls.waited(self.empty_since),
+            false => self.shared.stalls.max_wait_in_socket(self.empty_since),
         };
         self.shared.clock.now() - waited.as_secs_f64() * 1000.0
     }
 
-    /// Queues the first pending messages for the owner, waiting for capacity.
+    /// Moves the first pending messages to the owner's queue, waiting for capacity.
     async fn enqueue(&mut self, count: usize) -> Result<(), CloseReason> {
         for _ in 0..count {
             let Some(input) = self.pending.pop_front() else { break };
@@ -281,7 +283,7 @@
         Ok(())
     }
 
-    /// Waits until the owner's queue takes a message.
+    /// Waits until the owner's queue has capacity for a message.
     async fn enqueue_when_free(&mut self, input: Input) -> Result<(), CloseReason> {
         let queue = &self.shared.queue;
         let mut send = pin!(queue.send(input));
@@ -294,30 +296,31 @@
         }
     }
 
-    /// Waits for one retry interval while reading is paused. The close of a watched peer ends the wait, and a bounded amount is read ahead.
-    async fn wait_paused(&mut self, why: PauseReason) -> Result<(), CloseReason> {
+    /// Waits for one retry interval while reading is paused. If the peer is watched meanwhile, its close ends the wait, and a bounded amount
+    /// is read ahead.
+    async fn wait_paused(&mut self, reason: PauseReason) -> Result<(), CloseReason> {
         let since = Instant::now();
         let read_ahead = READ_AHEAD_BYTES.saturating_sub(self.pending_bytes + self.decoder.buffered_bytes());
-        let reads_ahead = self.limits.watched
+        let reads_ahead = self.limits.watch_while_paused
             && self.failure.is_none()
             && self.pending.len() < READ_AHEAD_MESSAGES
             && read_ahead > 0;
         if reads_ahead {
             self.read_ahead(read_ahead).await?;
-        } else if self.limits.watched && peer_closed(self.socket) {
+        } else if self.limits.watch_while_paused && peer_closed(self.socket) {
             return Err(CloseReason::PeerClosed);
         } else {
             Timer::after(RETRY_INTERVAL).await;
         }
-        match why {
-            // Partial messages that use up the memory have to time out.
+        match reason {
+            // A partial message must time out here, since it may be what uses up the memory.
             PauseReason::Memory
-                if self.message_started.is_some_and(|t| t.elapsed() > self.limits.message) =>
+                if self.message_started.is_some_and(|t| t.elapsed() > self.limits.message_timeout) =>
             {
                 Err(CloseReason::IncompleteMessage)
             }
             PauseReason::Memory => Ok(()),
-            // The time of the pause doesn't count against the partial message.
+            // The pause doesn't count towards the time limit of the partial message.
             PauseReason::SlowPeer | PauseReason::QueueFull => {
                 self.message_started = self.message_started.map(|t| t + since.elapsed());
                 Ok(())
@@ -342,10 +345,10 @@
 }
 
 fn is_cancellation(input: &Input) -> bool {
-    matches!(input, Input::Client(_, ClientMessage::Cancel(_), _))
+    matches!(input, Input::ClientMessage { message: ClientMessage::Cancel(_), .. })
 }
 
-/// Whether the peer has closed its side, even if bytes before the close are unread. Where that can't be polled, the next read shows it.
+/// Whether the peer has closed its side, even if bytes before the close are unread. If polling fails, the next read detects the close.
 fn peer_closed(socket: &Async<TcpStream>) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::RDHUP)];
     let polled = poll(&mut fds, Some(&Timespec::default()));
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -1,7 +1,7 @@
 //! Checks the router's invariants at the places where it acts, and counts each violation under its name.
 //!
-//! [`crate::permissions`] decides beforehand; this checker observes what is really done, by its own reckoning, and shares no rule with the
-//! deciders. The first violation of each kind is logged with its ids. A debug build panics, so that a test fails at the place.
+//! [`crate::permissions`] decides beforehand; this checker observes what is really done, and shares no code with the modules that decide. The
+//! first violation of each kind is logged with its ids. A debug build panics, so that a test fails where the violation occurs.
 
 #[cfg(test)]
 mod tests;
@@ -11,12 +11,12 @@
 use std::fmt;
 use std::time::Duration;
 
-/// An attempt may start for this long after its client has left: the owner learns of that with a delay.
+/// An attempt may start for this long after its client has left, since the owner learns of that with a delay.
 const CLIENT_LEFT_TOLERANCE: Duration = Duration::from_millis(100);
 /// The timeout that is passed to a server may exceed the client's remaining time by this.
 const TIMEOUT_TOLERANCE_MS: Ms = 150.0;
 
-/// An invariant that was violated.
+/// A violated invariant. The log line of a violation has the variant's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A response was sent for a request that was not open.
@@ -29,11 +29,11 @@
     RejectionAfterExecution,
     /// A request was sent to a server that is draining or removed.
     SentToDrained,
-    /// A server was given more time than the client has left.
+    /// The timeout that was passed to a server exceeds the client's remaining time.
     DeadlineExceeded,
     /// The router closed a client's connection with a request unanswered.
     ClosedWithOpenRequest,
-    /// This router alone sent more to a server in slow start than all routers may.
+    /// This router alone sent more requests to a server in slow start than all routers together may.
     SlowStartExceeded,
 }
 
@@ -51,18 +51,18 @@
     ];
 }
 
-/// The checker, with its counts.
+/// The invariant checker, with its counts.
 #[derive(Debug, Default)]
 pub struct Invariants {
     counts: [Cell<u64>; Violation::ALL.len()],
 }
 
-/// A fetch whose first byte is being written.
+/// The state of an attempt whose first byte is being written.
 #[derive(Clone, Copy, Debug)]
 pub struct FetchStart {
-    /// How long ago its client left; `None` while it waits.
+    /// How long ago the client left; `None` while it waits.
     pub since_client_left: Option<Duration>,
-    /// By how much its server has been draining or removed for longer than the grace period; `None` if it is not.
+    /// How long ago the grace period after the server's drain or removal ended; `None` if it has not ended or the server is in service.
     pub past_drain_grace: Option<Duration>,
     /// The timeout that is passed to the server.
     pub timeout_ms: Ms,
@@ -71,7 +71,7 @@
 }
 
 impl Invariants {
-    /// Counts a violation; `ids` names the request or connection.
+    /// Counts and logs a violation; `ids` names the request or connection.
     ///
     /// # Panics
     /// In debug builds, unless the feature `breaks` is enabled.
@@ -92,14 +92,14 @@
         self.counts[violation as usize].get()
     }
 
-    /// Checks a response that is queued for a client.
+    /// Checks a response that is queued for a client; `was_open` if its request was open.
     pub fn check_answer(&self, was_open: bool, ids: fmt::Arguments<'_>) {
         if !was_open {
             self.violated(Violation::SecondResponse, ids);
         }
     }
 
-    /// Checks an attempt; `earlier` are the results of the request's earlier ones, `None` of those in flight.
+    /// Checks an attempt; `earlier` has the result of each earlier attempt of its request, `None` of one in flight.
     pub fn check_attempt(
         &self,
         idempotency: Idempotency,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Checks a rejection; `earlier` are the results of the request's attempts, `None` of those in flight.
+    /// Checks a rejection; `earlier` has the result of each attempt of its request, `None` of one in flight.
     pub fn check_rejection(
         &self,
         idempotency: Idempotency,
@@ -123,9 +123,9 @@
         }
     }
 
-    /// Checks a fetch whose first byte is being written.
+    /// Checks an attempt whose first byte is being written.
     pub fn check_fetch(&self, fetch: &FetchStart, ids: fmt::Arguments<'_>) {
-        if fetch.since_client_left.is_some_and(|gone| gone > CLIENT_LEFT_TOLERANCE) {
+        if fetch.since_client_left.is_some_and(|since| since > CLIENT_LEFT_TOLERANCE) {
             self.violated(Violation::AttemptAfterClientLeft, ids);
         }
         if fetch.past_drain_grace.is_some() {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Checks a client's connection that the router has closed, with the number of requests neither answered nor cancelled.
+    /// Checks a client's connection that the router has closed; `unanswered` requests were neither answered nor cancelled.
     pub fn check_close(&self, unanswered: usize, ids: fmt::Arguments<'_>) {
         if unanswered > 0 {
             self.violated(Violation::ClosedWithOpenRequest, ids);
@@ -144,7 +144,8 @@
     }
 }
 
-/// Whether a server may have executed an attempt, or may yet. Written out here: the checker shares no rule with what it checks.
+/// Whether a server may have executed an attempt, or may still do so. It repeats the rule of the decision module on purpose, since the checker
+/// shares no code with what it checks.
 fn may_have_executed(result: Option<AttemptResult>) -> bool {
     !matches!(
         result,
--- a/crates/node/src/invariants/tests.rs
+++ b/crates/node/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Each violation is counted under its own name.
+//! Each check counts its violation, and no other.
 
 use super::*;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -56,13 +56,13 @@
 
 #[test]
 fn fetch_start_is_checked_against_client_server_and_deadline() {
-    let begun = |fetch: FetchStart| move |i: &Invariants| i.check_fetch(&fetch, format_args!("request 1"));
-    assert!(!violates(Violation::DeadlineExceeded, begun(FETCH)));
+    let check = |fetch: FetchStart| move |i: &Invariants| i.check_fetch(&fetch, format_args!("request 1"));
+    assert!(!violates(Violation::DeadlineExceeded, check(FETCH)));
     let late = FetchStart { timeout_ms: 1_151.0, ..FETCH };
-    assert!(violates(Violation::DeadlineExceeded, begun(late)));
+    assert!(violates(Violation::DeadlineExceeded, check(late)));
     let left = |ms| FetchStart { since_client_left: Some(Duration::from_millis(ms)), ..FETCH };
-    assert!(!violates(Violation::AttemptAfterClientLeft, begun(left(100))));
-    assert!(violates(Violation::AttemptAfterClientLeft, begun(left(101))));
+    assert!(!violates(Violation::AttemptAfterClientLeft, check(left(100))));
+    assert!(violates(Violation::AttemptAfterClientLeft, check(left(101))));
     let drained = FetchStart { past_drain_grace: Some(Duration::ZERO), ..FETCH };
-    assert!(violates(Violation::SentToDrained, begun(drained)));
+    assert!(violates(Violation::SentToDrained, check(drained)));
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
-//! The router on sockets: clients, servers and the change log around the decision module.
+//! The router process: connects the decision module (`basaltgw`) to clients, servers and the change log by sockets.
 //!
-//! A request is read by [`clients`], taken by [`owner`], sent by [`caches`], and its answer takes the same way back. The decision module
-//! alone decides; the other modules carry.
+//! [`clients`] reads a request, [`owner`] hands it to the decision module, [`caches`] sends its attempts to servers; the answer returns the
+//! same way. The decision module decides on routing and retries; the modules of this package move messages and enforce limits.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -36,5 +36,5 @@
 
 pub use basaltgw_resp as resp;
 pub use messages::{Input, Inputs, Shared};
-pub use reload::Own;
+pub use reload::SettingsFile;
 pub use serve::serve;
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -1,49 +1,49 @@
-//! The limits of the transport: sizes, counts and time-outs. None decides where, whether or how often a request is sent.
+//! Limits of connections, queues and buffers: sizes, counts and timeouts. None decides where, whether or how often a request is sent.
 
 use crate::resp::MessageLimits;
 use basaltgw::api::Ms;
 use std::time::Duration;
 
-/// What may be read on a connection, and how long it may take.
+/// Limits on what is read from a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadLimits {
-    /// The size of a message.
-    pub bounds: MessageLimits,
-    /// The first message is complete within this after the connection is accepted; `None`: it may begin at any time.
-    pub first_message: Option<Duration>,
-    /// A message is complete within this after its first byte.
-    pub message: Duration,
+    /// The size limits of a message.
+    pub message_limits: MessageLimits,
+    /// Time from accept until the first message must be complete; `None`: it may begin at any time.
+    pub first_message_timeout: Option<Duration>,
+    /// Time from a message's first byte until it must be complete.
+    pub message_timeout: Duration,
     /// The longest pause between two reads within a message.
-    pub gap: Duration,
+    pub read_gap_timeout: Duration,
     /// While reading is paused, the peer is watched: its close takes effect at once, and a bounded amount is read ahead to find
     /// cancellations.
-    pub watched: bool,
+    pub watch_while_paused: bool,
 }
 
 /// Messages of clients: a write carries up to [`MAX_BODY_BYTES`].
 pub const CLIENT_READ_LIMITS: ReadLimits = ReadLimits {
-    bounds: MessageLimits { max_elements: 6, max_bytes: 56 * 1024 },
-    first_message: Some(Duration::from_millis(2000)),
-    message: Duration::from_millis(2000),
-    gap: Duration::from_millis(2000),
-    watched: true,
+    message_limits: MessageLimits { max_elements: 6, max_bytes: 56 * 1024 },
+    first_message_timeout: Some(Duration::from_millis(2000)),
+    message_timeout: Duration::from_millis(2000),
+    read_gap_timeout: Duration::from_millis(2000),
+    watch_while_paused: true,
 };
-/// Answers of servers: an object has up to 240,000 bytes. Attempts have their own time-outs; these bound what a connection that stops in
-/// the middle of an answer costs the other attempts on it.
+/// Answers of servers: an object has up to 240,000 bytes. Attempts have their own timeouts; these limits bound how long a connection that
+/// stops in the middle of an answer delays the other attempts on it.
 pub const SERVER_READ_LIMITS: ReadLimits = ReadLimits {
-    bounds: MessageLimits { max_elements: 6, max_bytes: 256 * 1024 },
-    first_message: None,
-    message: Duration::from_millis(5000),
-    gap: Duration::from_millis(250),
+    message_limits: MessageLimits { max_elements: 6, max_bytes: 256 * 1024 },
+    first_message_timeout: None,
+    message_timeout: Duration::from_millis(5000),
+    read_gap_timeout: Duration::from_millis(250),
     // Answers sent before a close still count.
-    watched: false,
+    watch_while_paused: false,
 };
 /// Delay that sockets and queues add to the time limits of the decision module, in milliseconds.
 pub const SOCKET_SLACK_MS: Ms = 50.0;
 
 // Requests.
 
-/// The body of a write.
+/// The longest body of a write.
 pub const MAX_BODY_BYTES: usize = 48_000;
 /// The highest group number.
 pub const MAX_GROUP: u64 = 255;
@@ -58,7 +58,7 @@
 
 // Reading.
 
-/// Bytes read at once.
+/// The most bytes of one read.
 pub const READ_BYTES: usize = 16 * 1024;
 /// Bytes read ahead on a client's connection while reading is paused: enough for a dozen requests without a body and their
 /// cancellations.
@@ -67,7 +67,7 @@
 pub const READ_AHEAD_MESSAGES: usize = MAX_OPEN_REQUESTS_PER_CLIENT;
 /// Cancellations of one client that take effect ahead of the queue to the owner: as many as one read can bring with their requests.
 pub const MAX_CANCELLATIONS_AHEAD: usize = 128;
-/// Inputs that each queue to the owner takes before its senders wait.
+/// Inputs that each queue to the owner holds before its senders wait.
 pub const INPUT_QUEUE_CAPACITY: usize = 256;
 /// How often a paused operation is tried again.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(5);
@@ -78,20 +78,20 @@
 pub const MAX_OPEN_REQUESTS_PER_CLIENT: usize = 32;
 /// Recent tags that a client's connection remembers, to reject a tag used twice.
 pub const RECENT_TAGS_PER_CLIENT: usize = 32;
-/// Requests cancelled within [`UNDONE_WINDOW_MS`] without an answer between them that end a client's connection: three times
-/// [`OPEN_PER_CLIENT`].
+/// Cancellations within [`CANCELLATION_WINDOW_MS`], without an answer between them, that end a client's connection: three times
+/// [`MAX_OPEN_REQUESTS_PER_CLIENT`].
 pub const MAX_CANCELLATIONS: u32 = 96;
-/// See [`UNDONE_MOST`].
+/// See [`MAX_CANCELLATIONS`].
 pub const CANCELLATION_WINDOW_MS: Ms = 1_000.0;
 /// Malformed requests that end a client's connection.
 pub const MAX_MALFORMED_REQUESTS: u32 = 16;
-/// Bytes that wait to be written to a client before no more is read from it.
+/// While more bytes than this wait to be written to a client, nothing is read from it.
 pub const CLIENT_UNSENT_MAX_BYTES: usize = 1024 * 1024;
 /// A client that takes no byte of an answer for this long counts as gone. Long, since all requests on its connection end with it.
 pub const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The same during shutdown, so that the process ends in time.
+/// As [`CLIENT_WRITE_TIMEOUT`], during shutdown: shorter, so that the process ends in time.
 pub const CLIENT_WRITE_TIMEOUT_AT_SHUTDOWN: Duration = Duration::from_secs(2);
-/// A client's connection without open requests is closed when nothing came for this long.
+/// A client's connection without open requests is closed after this long without a message or an answer.
 pub const CLIENT_IDLE_MS: Ms = 6_000.0;
 
 // Accepting.
@@ -100,28 +100,28 @@
 pub const LISTEN_BACKLOG: i32 = 1024;
 /// Connections accepted before other tasks run.
 pub const ACCEPTS_PER_TURN: usize = 32;
-/// Wait after a failed accept, such as for want of descriptors.
+/// Wait after a failed accept, for example when the process has no free descriptor.
 pub const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a bind is retried while the previous process still has the address.
 pub const BIND_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Without a free slot, one client in this many is closed (see `Owner::make_room`): of those that sent nothing within
-/// [`ROOM_SILENT_MS`] of connecting, or were idle for [`ROOM_IDLE_MS`].
+/// Without a free slot, one client in this many is closed (see `Clients::least_active`): first those that sent nothing within
+/// [`RECLAIM_SILENT_MS`] of connecting, or were idle for [`RECLAIM_IDLE_MS`].
 pub const SLOT_RECLAIM_DIVISOR: usize = 8;
-/// See [`ROOM_SHARE`].
+/// See [`SLOT_RECLAIM_DIVISOR`].
 pub const RECLAIM_SILENT_MS: Ms = 100.0;
-/// See [`ROOM_SHARE`].
+/// See [`SLOT_RECLAIM_DIVISOR`].
 pub const RECLAIM_IDLE_MS: Ms = 4_200.0;
 /// Where those are too few, clients with all answers written that were idle for this long are closed, longest idle first.
 pub const RECLAIM_SERVED_MS: Ms = 50.0;
 
 // Closing.
 
-/// After our side of a client's connection is shut down, received bytes are discarded until the client closes, for at most this long: a
-/// close over unread bytes is a reset, which drops answers that the client has not read.
+/// After the router has shut down its side of a client's connection, received bytes are discarded until the client closes, for at most this
+/// long: closing a socket with unread bytes resets it, which drops answers that the client has not read.
 pub const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// The same while others wait for the slot. The connection's answers were written at least [`ROOM_REST_MS`] ago.
+/// As [`LINGER_TIMEOUT`], while others wait for the slot. The connection's answers were written at least [`RECLAIM_SERVED_MS`] ago.
 pub const LINGER_TIMEOUT_WHEN_FULL: Duration = Duration::from_millis(50);
-/// Bytes discarded at most.
+/// The most bytes that are discarded from one connection.
 pub const LINGER_MAX_BYTES: usize = 1024 * 1024;
 
 // Servers.
@@ -130,32 +130,32 @@
 pub const SERVER_DESCRIPTOR_DIVISOR: u64 = 3;
 /// Descriptors of the process itself: standard streams 3, reactor 3, signals 6, listener 1, change log 2, and one for a file.
 pub const RESERVED_DESCRIPTORS: u64 = 16;
-/// Connections to one process of a server; more where the settings let each carry fewer than [`SHARED_STREAMS`].
+/// The most connections to one process of a server; more where the settings let each carry fewer attempts than [`SHARED_STREAMS`].
 pub const MAX_CONNECTIONS_PER_SERVER: usize = 8;
 /// Open attempts on every connection to a process at which another connection is opened, since a lost connection ends all attempts on it.
 pub const SHARED_STREAMS: usize = 3;
-/// Wait between two connects while the machine is short of a resource.
+/// Wait between two connects while the machine lacks a resource such as descriptors or ports.
 pub const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// A connection without open attempts that answered within this time is validated; otherwise it is probed (`alive`) before a request is
 /// written.
 pub const VALIDATED_FOR_MS: Ms = 50.0;
-/// The part of the settings' idle time for which an idle connection is used, so that the server never closes one in use.
+/// Idle connections are closed after this share of the configured idle time, so that the server never closes one in use.
 pub const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// A connection with an open attempt on which nothing came for this long takes no more attempts.
+/// A connection with an open attempt on which nothing was received for this long takes no more attempts.
 pub const SILENT_CONNECTION_MS: Ms = 800.0;
-/// A connection whose attempts were all cancelled is closed when nothing came for this long.
+/// A connection whose attempts were all cancelled is closed when nothing was received for this long.
 pub const ABANDONED_CONNECTION_MS: Ms = 300.0;
 /// A server that takes no byte for this long counts as gone.
 pub const SERVER_WRITE_TIMEOUT: Duration = Duration::from_secs(6);
-/// A server that has not confirmed an `abort` after this is silent, and the cancelled attempt counts as over.
+/// A cancelled attempt counts as ended if its server has not confirmed the `abort` within this.
 pub const ABORT_CONFIRM_TIMEOUT_MS: Ms = 400.0;
 
 // Memory.
 
-/// The part of memory that buffered messages may use before the client with most unsent bytes has its unsent answers failed, so that slow
-/// readers don't exhaust the router.
+/// When buffered messages use more than this share of memory, unsent answers are replaced by failures, first those of the client with the
+/// most unsent bytes, so that slow readers don't exhaust the router.
 pub const MEMORY_PRESSURE_SHARE: f64 = 0.4;
-/// The part of memory at which nothing more is read.
+/// While buffered messages use more than this share of memory, nothing is read.
 pub const READ_STOP_MEMORY_SHARE: f64 = 0.5;
 
 // Change log.
@@ -165,18 +165,18 @@
 pub const CHANGELOG_HEDGE_AFTER: Duration = Duration::from_millis(1250);
 /// A connection without a frame for this long is closed.
 pub const CHANGELOG_READ_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time for a connection to come up.
+/// Time in which a connection must be established.
 pub const CHANGELOG_CONNECT_TIMEOUT: Duration = Duration::from_millis(2000);
-/// When an empty frame names an event that was not sent, a second connection is opened after this, since the event may be on its way;
-/// doubled up to [`CHANGELOG_RECHECK_MAX`] each time that the event was still missing.
+/// When an empty frame names an event that was not sent, a second connection is opened after this, since the event may be in transit;
+/// doubled up to [`CHANGELOG_RECHECK_MAX`] each time that the event is still missing.
 pub const CHANGELOG_RECHECK_MIN: Duration = Duration::from_millis(100);
-/// Leaves, of the 7 s within which an event counts as notified, a second until the next empty frame, one to connect and one to spare.
+/// Of the 7 s within which an event counts as notified, this leaves one second until the next empty frame, one to connect and one to spare.
 pub const CHANGELOG_RECHECK_MAX: Duration = Duration::from_millis(4000);
 /// The first backoff between connections, doubled up to [`CHANGELOG_BACKOFF_MAX`].
 pub const CHANGELOG_BACKOFF_MIN: Duration = Duration::from_millis(50);
 /// See [`CHANGELOG_BACKOFF_MIN`].
 pub const CHANGELOG_BACKOFF_MAX: Duration = Duration::from_millis(800);
-/// The longest frame.
+/// The longest frame, without its length field.
 pub const CHANGELOG_FRAME_MAX_BYTES: usize = 4 * 1024 * 1024;
 
 // Shutdown.
--- a/crates/node/src/log_writer.rs
+++ b/crates/node/src/log_writer.rs
@@ -1,30 +1,30 @@
 //! Writes log lines to standard error without blocking.
 //!
-//! A write to a full pipe would block the thread that serves requests. A line is therefore written only while standard error takes it;
-//! otherwise it is dropped and counted, and the next line that is written is preceded by the number of dropped ones.
+//! A write to a full pipe would block the thread that serves requests. A line is therefore written only if standard error accepts it at once;
+//! otherwise it is dropped and counted, and the number of dropped lines is written before the next line.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bytes that a writable pipe takes without blocking (PIPE_BUF).
+/// Bytes that a writable pipe accepts without blocking (PIPE_BUF).
 const CHUNK_BYTES: usize = 4_096;
 
-/// Lines dropped since the start.
+/// Lines dropped since the start of the process.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
-/// Those of them that no line has reported yet.
+/// Dropped lines that have not been reported yet.
 static UNREPORTED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines dropped since the start.
+/// The number of log lines dropped since the start of the process.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Standard error; each write is one line.
+/// Writes log lines to standard error; each write is one line.
 #[derive(Debug, Default)]
 pub struct LogWriter;
 
-/// Whether standard error takes bytes without blocking; true where that can't be polled.
+/// Whether standard error accepts bytes without blocking; true if polling fails.
 fn is_writable() -> bool {
     let stderr = io::stderr();
     let mut fds = [PollFd::new(&stderr, PollFlags::OUT)];
@@ -35,7 +35,7 @@
 }
 
 impl LogWriter {
-    /// Writes a line, or as much of it as can be written without blocking; whether it is complete.
+    /// Writes a line, or as much of it as can be written without blocking; returns whether all of it was written.
     fn write_line(line: &[u8]) -> bool {
         for chunk in line.chunks(CHUNK_BYTES) {
             if !is_writable() || io::stderr().write_all(chunk).is_err() {
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -1,4 +1,4 @@
-//! Inputs of the owner, and what the tasks that send them share.
+//! The owner's inputs, and the state shared by the tasks that send them.
 
 use crate::caches::ids::{ConnId, ConnectionFailure};
 use crate::caches::wire::ServerAnswer;
@@ -19,19 +19,26 @@
 pub enum Input {
     /// A client connected.
     ClientConnected(ClientId, SendQueue, Rc<ConnectionState>),
-    /// A client sent a message; its last byte was read at that time.
-    Client(ClientId, ClientMessage, Ms),
-    /// Nothing more is read of a client.
+    /// A client sent a message.
+    ClientMessage {
+        /// The client's connection.
+        client: ClientId,
+        /// The decoded message.
+        message: ClientMessage,
+        /// When its last byte was received, in milliseconds of the router's clock.
+        received_at: Ms,
+    },
+    /// Nothing more is read from a client.
     ClientReadStopped(ClientId, CloseReason),
     /// A client's connection is closed.
     ClientClosed(ClientId),
-    /// A client waits in the backlog for a free slot.
+    /// A client may wait in the listener's backlog for a free slot.
     SlotWanted,
-    /// A connection to a server came up.
+    /// A connection to a server is established.
     ServerConnected(ConnId),
     /// A server answered.
     ServerAnswer(ConnId, ServerAnswer),
-    /// A connection to a server is closed, or never came up.
+    /// A connection to a server is closed, or was not established.
     ServerDisconnected(ConnId, ConnectionFailure),
     /// An event of the change log.
     WatchEvent(News),
@@ -39,45 +46,50 @@
     ChangeLogLost,
     /// A second connection to the change log was opened.
     ChangeLogStandbyOpened(ReconnectReason),
-    /// The configuration was read again; false if it was rejected.
+    /// The configuration was reloaded; false if it was rejected.
     Reloaded(bool),
-    /// A plan of the cache tree was read again.
+    /// A plan of the cache tree was reloaded.
     Plan(Box<Hierarchy>),
-    /// New placement rules of the fleet, by file name and text.
-    PlacementRules(String, String),
-    /// The fleet's threads have queued something.
+    /// Placement rules of the fleet were changed by a reload.
+    PlacementRules {
+        /// The name of the rules' file, for messages.
+        file: String,
+        /// The text of the rules.
+        text: String,
+    },
+    /// The fleet's threads have queued notifications or messages.
     Fleet,
-    /// The process shuts down.
+    /// The process was asked to shut down.
     Shutdown,
-    /// The counters are to be logged.
+    /// The process was asked to log its counters.
     LogCounters,
 }
 
-/// The owner's queues, in the order of their priority.
+/// The receiving ends of the owner's queues, in the order of their priority.
 pub struct Inputs {
-    /// Events of the change log, the fleet and signals.
+    /// Inputs from the change log, the fleet and signals.
     pub urgent: Receiver<Input>,
-    /// From connections to servers.
+    /// Inputs from connections to servers.
     pub servers: Receiver<Input>,
-    /// From clients.
+    /// Inputs from clients' connections.
     pub clients: Receiver<Input>,
 }
 
-/// What all connections to clients, or to servers, share.
+/// What all connections to clients, or all connections to servers, share.
 #[derive(Clone)]
 pub struct Shared {
-    /// Runs their tasks.
+    /// Runs the connections' tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// The queue to the owner.
+    /// The owner's queue for inputs of these connections.
     pub queue: Sender<Input>,
-    /// The monotonic clock.
+    /// The process's monotonic clock.
     pub clock: Clock,
-    /// Bytes buffered by all of them.
+    /// Counts the bytes buffered by all connections.
     pub meter: Rc<BufferMeter>,
     /// The invariant checker.
     pub invariants: Rc<Invariants>,
-    /// Pauses of the process.
+    /// The detector of pauses of the process.
     pub stalls: Rc<Stalls>,
-    /// Bytes buffered above which nothing more is read.
+    /// While more bytes than this are buffered, nothing is read from connections.
     pub buffer_limit_bytes: usize,
 }
--- a/crates/node/src/outbox/buffered.rs
+++ b/crates/node/src/outbox/buffered.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes buffered by the messages of one connection, or of all.
+/// The number of bytes that the messages of one connection, or of all connections, buffer.
 #[derive(Debug, Default)]
 pub struct BufferMeter(Cell<usize>);
 
@@ -30,7 +30,7 @@
 }
 
 impl BufferedBytes {
-    /// Counts bytes at these meters.
+    /// Counts bytes at these meters until they are dropped.
     pub fn new(bytes: Vec<u8>, meters: &[&Rc<BufferMeter>]) -> Self {
         meters.iter().for_each(|m| m.add(bytes.len()));
         Self { bytes, meters: meters.iter().map(|m| Rc::clone(m)).collect() }
--- a/crates/node/src/outbox/mod.rs
+++ b/crates/node/src/outbox/mod.rs
@@ -1,15 +1,14 @@
-//! Messages on their way to a socket. Their bytes are counted while they are buffered, and each can be recalled until its first byte is
-//! written.
+//! Outgoing messages. Their bytes are counted while they are buffered, and each message can be recalled until its first byte is written.
 //!
 //! - `buffered`: the accounting of buffered bytes;
-//! - `fetch_terms`: the conditions under which an attempt is written;
-//! - here: a connection's queue, and the task that writes from it.
+//! - `send_conditions`: the conditions under which an attempt is written;
+//! - this file: a connection's queue, and the task that writes from it.
 
 mod buffered;
-mod fetch_terms;
+mod send_conditions;
 
 pub use buffered::{BufferMeter, BufferReservation, BufferedBytes};
-pub use fetch_terms::{AttemptRoute, AttemptTimes, DrainedSince, EncodeTimeout, SendConditions};
+pub use send_conditions::{AttemptRoute, AttemptTimes, DrainedSince, EncodeTimeout, SendConditions};
 
 use crate::permissions::may_send;
 use crate::socket;
@@ -19,7 +18,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// How far a message is written.
+/// How much of a message has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryState {
     /// No byte is written.
@@ -28,33 +27,34 @@
     Partial,
     /// All bytes are written.
     Written,
-    /// It was recalled before its first byte.
+    /// The message was recalled before its first byte was written.
     Recalled,
 }
 
-/// A message.
+/// A message to a client or a server, shared by its sender and the connection that writes it.
 #[derive(Debug)]
 pub struct OutgoingMessage {
     delivery_state: Cell<DeliveryState>,
-    /// The conditions, of an attempt.
-    fetch: Option<Box<SendConditions>>,
+    /// The conditions for writing, if the message is an attempt.
+    conditions: Option<Box<SendConditions>>,
+    /// `None` once writing has begun or the message is recalled.
     bytes: RefCell<Option<BufferedBytes>>,
 }
 
 impl OutgoingMessage {
-    /// How far it is written.
+    /// How much of the message has been written.
     pub fn delivery_state(&self) -> DeliveryState {
         self.delivery_state.get()
     }
 
-    /// Marks it as written.
+    /// Marks the message as written.
     #[cfg(test)]
-    pub fn write(&self) {
+    pub fn mark_written(&self) {
         self.delivery_state.set(DeliveryState::Written);
         self.bytes.take();
     }
 
-    /// Recalls it unless its first byte is written; true if no byte of it is or ever will be written.
+    /// Recalls the message unless its first byte is written; true if no byte of it has been or will be written.
     pub fn recall(&self) -> bool {
         let unwritten = matches!(self.delivery_state.get(), DeliveryState::Queued | DeliveryState::Recalled);
         if unwritten {
@@ -64,42 +64,43 @@
         unwritten
     }
 
-    /// The bytes to write, unless it was recalled or its conditions fail: the owner may not have handled the cancellation yet.
-    fn begin(&self) -> Option<BufferedBytes> {
+    /// Begins to write the message; returns its bytes, or `None` if it was recalled or its conditions fail. The conditions are checked here
+    /// since the owner may not have handled a cancellation yet.
+    fn begin_write(&self) -> Option<BufferedBytes> {
         let now = Instant::now();
-        if let Some(fetch) = &self.fetch {
+        if let Some(conditions) = &self.conditions {
             let recalled = self.delivery_state.get() == DeliveryState::Recalled;
-            if let Err(refusal) = may_send(&fetch.send_state(now, recalled)) {
-                let (request, attempt) = fetch.ids;
+            if let Err(refusal) = may_send(&conditions.send_state(now, recalled)) {
+                let (request, attempt) = conditions.ids;
                 log::debug!("request {request}, attempt {attempt}: not sent: {refusal}");
                 self.recall();
             }
         }
         let bytes = self.bytes.take()?;
         self.delivery_state.set(DeliveryState::Partial);
-        Some(match &self.fetch {
-            Some(fetch) => fetch.on_first_byte(now, bytes),
+        Some(match &self.conditions {
+            Some(conditions) => conditions.on_first_byte(now, bytes),
             None => bytes,
         })
     }
 
-    /// Its last byte is written.
-    fn finish(&self) {
+    /// Marks the message as written after its last byte.
+    fn finish_write(&self) {
         self.delivery_state.set(DeliveryState::Written);
-        if let Some(fetch) = &self.fetch {
-            fetch.on_last_byte();
+        if let Some(conditions) = &self.conditions {
+            conditions.on_last_byte();
         }
     }
 
-    /// Waits until an attempt may be written: after a pause of the process, what arrived during it is read first.
-    async fn wait_for_backlog(&self) {
-        if let Some(fetch) = &self.fetch {
-            fetch.stalls.read_first().await;
+    /// Delays an attempt after a pause of the process until the bytes received during the pause are read.
+    async fn wait_for_reads(&self) {
+        if let Some(conditions) = &self.conditions {
+            conditions.stalls.wait_for_reads().await;
         }
     }
 }
 
-/// A connection's queue of outgoing messages. Dropped, the connection is closed once they are written.
+/// A connection's queue of outgoing messages. Dropping it closes the connection once the queued messages are written.
 #[derive(Debug)]
 pub struct SendQueue {
     queue: Sender<Rc<OutgoingMessage>>,
@@ -107,12 +108,12 @@
     connection: Rc<BufferMeter>,
 }
 
-/// A queue whose bytes are counted at two meters, and the end from which its connection writes.
+/// Creates a queue, whose bytes are counted at both meters, and the end from which its connection writes.
 pub fn send_queue(
     all_connections: &Rc<BufferMeter>,
     connection: &Rc<BufferMeter>,
 ) -> (SendQueue, Receiver<Rc<OutgoingMessage>>) {
-    // Bounded by the requests that may be open on the connection; the owner must not wait for a socket.
+    // The owner must not wait for a socket; the number of open requests of the connection bounds the queue.
     let (queue, outgoing) = async_channel::unbounded();
     let (all_connections, connection) = (Rc::clone(all_connections), Rc::clone(connection));
     (SendQueue { queue, all_connections, connection }, outgoing)
@@ -122,58 +123,62 @@
     /// Queues a message.
     pub fn push(&self, bytes: Vec<u8>) -> Rc<OutgoingMessage> {
         let message = self.message(bytes, None);
-        self.release(&message);
+        self.enqueue(&message);
         message
     }
 
-    /// Makes an attempt's message that is queued only when it is released.
-    pub fn make_held(&self, bytes: Vec<u8>, fetch: SendConditions) -> Rc<OutgoingMessage> {
-        self.message(bytes, Some(Box::new(fetch)))
+    /// Creates the message of an attempt, to be queued later by [`Self::enqueue`].
+    pub fn prepare(&self, bytes: Vec<u8>, conditions: SendConditions) -> Rc<OutgoingMessage> {
+        self.message(bytes, Some(Box::new(conditions)))
     }
 
-    fn message(&self, bytes: Vec<u8>, fetch: Option<Box<SendConditions>>) -> Rc<OutgoingMessage> {
+    fn message(&self, bytes: Vec<u8>, conditions: Option<Box<SendConditions>>) -> Rc<OutgoingMessage> {
         let bytes = RefCell::new(Some(BufferedBytes::new(bytes, &[&self.all_connections, &self.connection])));
-        Rc::new(OutgoingMessage { delivery_state: Cell::new(DeliveryState::Queued), fetch, bytes })
+        Rc::new(OutgoingMessage { delivery_state: Cell::new(DeliveryState::Queued), conditions, bytes })
     }
 
-    /// Queues a message that was made with `make_held`.
-    pub fn release(&self, message: &Rc<OutgoingMessage>) {
+    /// Queues a message that was created by [`Self::prepare`].
+    pub fn enqueue(&self, message: &Rc<OutgoingMessage>) {
         if self.queue.try_send(Rc::clone(message)).is_err() {
-            // The connection is closed; nothing of this will be written.
+            // The connection is closed and writes nothing more.
             message.recall();
         }
     }
 
-    /// Takes no more messages; those that are queued are still written.
+    /// Closes the queue for new messages; the queued ones are still written.
     pub fn close(&self) {
         self.queue.close();
     }
 
-    /// Bytes that are not written.
+    /// Bytes of the connection's messages that are not yet written.
     pub fn unsent_bytes(&self) -> usize {
         self.connection.bytes()
     }
 }
 
-/// Writes messages until the queue is dropped or the connection fails; whether all were written. `stalled` ends a write that takes too
-/// long.
-pub async fn write_all<W, S, F>(mut socket: W, outgoing: Receiver<Rc<OutgoingMessage>>, stalled: S) -> bool
+/// Writes messages until the queue is dropped or the connection fails; returns whether all were written. The future of `write_timeout` is
+/// created for each write and ends one that takes too long.
+pub async fn write_messages<W, S, F>(
+    mut socket: W,
+    outgoing: Receiver<Rc<OutgoingMessage>>,
+    write_timeout: S,
+) -> bool
 where
     W: AsyncWrite + Unpin,
     S: Fn() -> F,
     F: std::future::Future<Output = std::io::Result<usize>>,
 {
     while let Ok(message) = outgoing.recv().await {
-        message.wait_for_backlog().await;
-        let Some(bytes) = message.begin() else { continue };
+        message.wait_for_reads().await;
+        let Some(bytes) = message.begin_write() else { continue };
         let mut rest = bytes.bytes();
         while !rest.is_empty() {
-            match futures_lite::future::or(socket::write(&mut socket, rest), stalled()).await {
+            match futures_lite::future::or(socket::write(&mut socket, rest), write_timeout()).await {
                 Ok(n) if n > 0 => rest = rest.get(n..).unwrap_or_default(),
                 Ok(_) | Err(_) => return false,
             }
         }
-        message.finish();
+        message.finish_write();
     }
     true
 }
--- a/crates/node/src/outbox/fetch_terms.rs
+++ b/crates/node/src/outbox/send_conditions.rs
@@ -1,5 +1,5 @@
-//! The conditions under which an attempt's first byte may be written, checked when that is about to happen; see
-//! [`crate::permissions::may_send`].
+//! The conditions under which an attempt's first byte may be written; they are checked immediately before (see
+//! [`crate::permissions::may_send`]).
 
 use super::BufferedBytes;
 use crate::breaks::{broken, Break};
@@ -13,22 +13,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An attempt that waited for longer than this before its first byte gets its time-out encoded anew.
+/// The timeout of an attempt that waited for longer than this before its first byte is encoded again.
 const REENCODE_AFTER: Duration = Duration::from_millis(10);
 
-/// Encodes an attempt anew with another time-out; `None` if the message has none.
+/// Encodes an attempt's message again with another timeout in milliseconds; `None` if the bytes are not an attempt.
 pub type EncodeTimeout = fn(&[u8], Ms) -> Option<Vec<u8>>;
 
-/// The times of an attempt.
+/// Deadlines of an attempt, and what is needed to update the timeout in its message.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
-    /// When the attempt times out.
+    /// When the attempt times out; the message has the time until then.
     pub attempt_deadline: Instant,
-    /// The request's deadline.
+    /// When the request's client stops waiting.
     pub client_deadline: Instant,
-    /// When the message was encoded, with the time that was left until `until` then.
+    /// When the message was encoded.
     pub encoded_at: Instant,
-    /// Encodes it with another time-out.
+    /// Encodes the message again with another timeout.
     pub encode_timeout: EncodeTimeout,
 }
 
@@ -38,40 +38,40 @@
 /// The conditions for writing an attempt.
 #[derive(Clone, Debug)]
 pub struct SendConditions {
-    /// The first byte is written before this.
+    /// The time before which the first byte must be written; `None` without such a limit.
     pub begin_by: Option<Instant>,
-    /// Whether the request's client still waits, where it has one.
+    /// Whether the request's client still waits; `None` for a request that is not a client's.
     pub liveness: Option<RequestLiveness>,
-    /// Its times; `None` in tests that don't check them.
+    /// The attempt's deadlines; `None` in tests that don't check them.
     pub times: Option<AttemptTimes>,
-    /// Whether its server takes new attempts; set by the connection on which it is sent.
+    /// Since when the server takes no new attempts; set by the connection on which the attempt is sent.
     pub drained: DrainedSince,
-    /// For how long after a drain was notified a send to the server is no violation.
+    /// How long after the notification of a drain a send to the server is not a violation.
     pub drain_grace: Duration,
-    /// The numbers of the request and of the attempt.
+    /// The number of the request and that of the attempt.
     pub ids: (u64, usize),
     /// The invariant checker.
     pub invariants: Rc<Invariants>,
-    /// Pauses of the process.
+    /// The detector of pauses of the process.
     pub stalls: Rc<Stalls>,
-    /// Where it is sent; `None` in tests without a slow-start watch.
+    /// Where the attempt is sent; `None` for a request of an unknown class, and in tests without a slow-start watch.
     pub route: Option<AttemptRoute>,
 }
 
 /// Where an attempt is sent, for the slow-start watch.
 #[derive(Clone, Debug)]
 pub struct AttemptRoute {
-    /// Its server, and the source of a miss.
-    pub to: [Option<ServerId>; 2],
-    /// The index of its class in the settings.
+    /// The attempt's server, and the fill source if that is another server.
+    pub servers: [Option<ServerId>; 2],
+    /// The index of the request class in the settings.
     pub class: usize,
-    /// Counts what is written.
+    /// Counts the attempts that are written.
     pub watch: Rc<SlowStartWatch>,
 }
 
 impl SendConditions {
     /// Conditions of time and client only, without invariant checks.
-    pub fn unwatched(begin_by: Option<Instant>, liveness: Option<RequestLiveness>) -> Self {
+    pub fn without_invariant_checks(begin_by: Option<Instant>, liveness: Option<RequestLiveness>) -> Self {
         Self {
             begin_by,
             liveness,
@@ -85,21 +85,21 @@
         }
     }
 
-    pub(super) fn send_state(&self, now: Instant, taken_back: bool) -> SendState {
+    pub(super) fn send_state(&self, now: Instant, withdrawn: bool) -> SendState {
         SendState {
-            withdrawn: taken_back,
+            withdrawn,
             start_window_passed: self.begin_by.is_some_and(|by| now >= by),
             deadline_passed: self.times.is_some_and(|time| now >= time.attempt_deadline),
             client_waits: self.liveness.as_ref().is_none_or(RequestLiveness::is_waiting),
         }
     }
 
-    /// Notes that the first byte is about to be written; returns the bytes to write, with the time-out as it is now.
+    /// Checks and counts an attempt whose first byte is about to be written; returns the bytes to write, with the current timeout.
     pub(super) fn on_first_byte(&self, now: Instant, bytes: BufferedBytes) -> BufferedBytes {
         let Some(time) = self.times else { return bytes };
         let (timeout_ms, bytes) = time.with_current_timeout(now, bytes);
-        let begun = FetchStart {
-            since_client_left: self.liveness.as_ref().and_then(|w| w.gone_for(now)),
+        let fetch = FetchStart {
+            since_client_left: self.liveness.as_ref().and_then(|liveness| liveness.left_for(now)),
             past_drain_grace: self
                 .drained
                 .get()
@@ -108,20 +108,20 @@
             client_time_left_ms: millis(time.client_deadline.saturating_duration_since(now)),
         };
         let (request, attempt) = self.ids;
-        self.invariants.check_fetch(&begun, format_args!("request {request}, attempt {attempt}"));
+        self.invariants.check_fetch(&fetch, format_args!("request {request}, attempt {attempt}"));
         self.count_send(now);
         bytes
     }
 
-    /// Notes that the last byte is written.
+    /// Counts an attempt whose last byte is written.
     pub(super) fn on_last_byte(&self) {
-        self.route.iter().for_each(|route| route.watch.count_written(self.ids));
+        self.route.iter().for_each(|route| route.watch.record_written(self.ids));
     }
 
     fn count_send(&self, now: Instant) {
-        let Some(AttemptRoute { to, class, watch }) = &self.route else { return };
-        let over = watch.count_fetch(now, *class, [to[0].as_ref(), to[1].as_ref()]);
-        if let Some(Exceeded { server, sent, bound }) = over {
+        let Some(AttemptRoute { servers, class, watch }) = &self.route else { return };
+        let exceeded = watch.count_fetch(now, *class, [servers[0].as_ref(), servers[1].as_ref()]);
+        if let Some(Exceeded { server, sent, bound }) = exceeded {
             let (request, attempt) = self.ids;
             self.invariants.violated(
                 Violation::SlowStartExceeded,
@@ -135,13 +135,13 @@
 }
 
 impl AttemptTimes {
-    /// The time-out in milliseconds that the server is told, and the message that tells it.
+    /// The timeout that is passed to the server, in milliseconds, and the message with it.
     fn with_current_timeout(&self, now: Instant, bytes: BufferedBytes) -> (Ms, BufferedBytes) {
         let encoded = millis(self.attempt_deadline.saturating_duration_since(self.encoded_at));
         if now.saturating_duration_since(self.encoded_at) > REENCODE_AFTER && !broken(Break::StaleDeadline) {
             let left = millis(self.attempt_deadline.saturating_duration_since(now));
-            if let Some(anew) = (self.encode_timeout)(bytes.bytes(), left) {
-                return (left, bytes.replaced(anew));
+            if let Some(reencoded) = (self.encode_timeout)(bytes.bytes(), left) {
+                return (left, bytes.replaced(reencoded));
             }
         }
         (encoded, bytes)
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -1,7 +1,7 @@
-//! A request from its admission to its response.
+//! The path of a request from its admission to its response.
 //!
-//! Every request enters by [`Owner::admit`], and every response leaves by [`Owner::answer`]: admission -> lease, if it must not run twice ->
-//! routing -> attempts -> response -> the lease's outcome.
+//! Every request is admitted by [`Owner::admit`] and answered by [`Owner::answer`]: admission -> lease, if it must not run twice -> routing ->
+//! attempts -> outcome stored in the lease's record -> response.
 
 use super::lease::SendResponse;
 use super::requester::{Delivered, IncomingRequest, Requester};
@@ -12,8 +12,8 @@
 use basaltgw::api::{Event, Request};
 
 impl Owner {
-    /// Admits a request if there is capacity. What has to be done before a request may be attempted belongs between the registration and
-    /// the routing.
+    /// Admits a request if there is capacity, else rejects it. Any step that a request needs before its first attempt belongs between
+    /// registration and routing, like the lease.
     pub(super) fn admit(&mut self, incoming: IncomingRequest) {
         if self.requests.is_full() {
             return self.reject_unadmitted(incoming.requester);
@@ -44,7 +44,7 @@
         self.dispatch(event);
     }
 
-    /// A rejection invites the client to send its request again. If that could execute it twice, it becomes a failure.
+    /// Replaces a rejection, which invites the client to send its request again, by a failure if the request could be executed twice.
     fn without_unsafe_rejection<'a>(&self, number: RequestNo, reply: Reply<'a>) -> Reply<'a> {
         let (Reply::Rejected(_), Some(pending)) = (reply, self.requests.get(number)) else { return reply };
         let policy = self.config.retry_policy(pending.class);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Answers a request, once. All responses of the decision module and of servers go through this.
+    /// Answers a request, unless it has been answered. All responses of the decision module and of servers go through this function.
     pub(super) fn answer(&mut self, number: RequestNo, reply: Reply<'_>) {
         let reply = self.without_unsafe_rejection(number, reply);
         if let (Reply::Rejected(_), Some(pending)) = (reply, self.requests.get(number)) {
@@ -65,23 +65,23 @@
             let ids = format_args!("request {}", number.0);
             self.monitors.invariants.check_rejection(idempotency, pending.results(), ids);
         }
-        // The outcome of a leased request is durable before anybody learns of it.
+        // The outcome of a leased request must be durable before its response is sent.
         match self.record_outcome(number, reply) {
             SendResponse::Now => self.reply(number, reply),
             SendResponse::OnceStored => {}
         }
     }
 
-    /// Hands a response to the requester.
+    /// Hands a response to the requester, unless the request has been answered.
     pub(super) fn reply(&mut self, number: RequestNo, reply: Reply<'_>) {
         let Some(answered) = self.requests.mark_answered(number) else { return };
         if self.deliver(answered.requester, reply, answered.copy) == Delivered::ToClient {
-            self.counters.clients.answered(&reply);
+            self.counters.clients.count_reply(&reply);
         }
         self.remove_if_complete(number);
     }
 
-    /// The requester no longer waits.
+    /// Handles a requester that no longer waits: its request is cancelled.
     pub(super) fn on_requester_left(&mut self, number: RequestNo) {
         if self.cancel_scatter_gather(number) {
             return;
@@ -91,16 +91,16 @@
             if routed {
                 self.dispatch(Event::ClientDisconnected(request_id(number)));
             }
-            // No byte of these attempts is written, so cancelling them needs no decision.
+            // No byte of these attempts is written, so cancelling them needs no decision of the decision module.
             self.withdraw_unsent(number);
         }
         self.remove_if_complete(number);
     }
 
-    /// Marks a request as answered without a response; false if it was answered before.
+    /// Marks a request as answered without sending a response; false if it was answered before.
     pub(super) fn abandon(&mut self, number: RequestNo) -> bool {
         let Some(answered) = self.requests.mark_answered(number) else { return false };
-        self.counters.clients.left.add(matches!(answered.requester, Requester::Client(..)).into());
+        self.counters.clients.cancelled.add(matches!(answered.requester, Requester::Client(..)).into());
         true
     }
 
--- a/crates/node/src/owner/attempts/cancel.rs
+++ b/crates/node/src/owner/attempts/cancel.rs
@@ -90,7 +90,7 @@
     pub(in crate::owner) fn on_attempt_timeout(&mut self, key: AttemptKey) {
         let attempt = self.requests.attempt(key);
         let Some(in_flight) = attempt.and_then(|attempt| attempt.in_flight.as_ref()) else { return };
-        let unsent = if self.upstream.caches.coming_up(in_flight.connection) {
+        let unsent = if self.upstream.caches.is_connecting(in_flight.connection) {
             AttemptResult::NoConnection
         } else {
             AttemptResult::NotSent
@@ -102,7 +102,7 @@
     /// The time by which an attempt had to start has passed: it ends unless its first byte is written.
     pub(in crate::owner) fn on_start_window_closed(&mut self, key: AttemptKey) {
         if self.requests.attempt(key).is_some_and(Attempt::is_unsent) {
-            self.counters.attempts.window_over.increment();
+            self.counters.attempts.start_window_closed.increment();
             let results = CancelResults { sent: AttemptResult::NotSent, unsent: AttemptResult::NotSent };
             self.cancel_attempt(key, results, Delivery::Now);
         }
--- a/crates/node/src/owner/attempts/complete.rs
+++ b/crates/node/src/owner/attempts/complete.rs
@@ -16,19 +16,19 @@
         let counters = &self.counters.conns;
         match reason {
             ConnectionFailure::ConnectFailed => counters.failed.increment(),
-            ConnectionFailure::LocalShortage => counters.shortages.increment(),
+            ConnectionFailure::LocalShortage => counters.local_shortages.increment(),
             ConnectionFailure::Closed(
                 CloseReason::PeerClosed
                 | CloseReason::NoFirstMessage
                 | CloseReason::IdleClose(_)
                 | CloseReason::Dropped,
             ) => {}
-            ConnectionFailure::Closed(CloseReason::Malformed(_)) => counters.unreadable.increment(),
-            ConnectionFailure::Closed(CloseReason::IncompleteMessage) => counters.unfinished.increment(),
+            ConnectionFailure::Closed(CloseReason::Malformed(_)) => counters.malformed.increment(),
+            ConnectionFailure::Closed(CloseReason::IncompleteMessage) => counters.incomplete.increment(),
         }
         self.reap_aborted(|aborting| aborting.connection == connection);
         for key in self.upstream.caches.on_closed(connection) {
-            let result = match (reason, self.requests.attempt(key).and_then(Attempt::stage)) {
+            let result = match (reason, self.requests.attempt(key).and_then(Attempt::delivery_state)) {
                 (ConnectionFailure::ConnectFailed, _) => AttemptResult::NoConnection,
                 // Nothing was written, and the server is not at fault.
                 (ConnectionFailure::LocalShortage, _) => AttemptResult::NotSent,
@@ -47,7 +47,7 @@
             self.reap_aborted(is_abort_of);
             return;
         }
-        let key = self.upstream.caches.answered(self.time.now, connection, &answer.id);
+        let key = self.upstream.caches.on_answer(self.time.now, connection, &answer.id);
         let (Some(key), Some(result)) = (key, answer.result) else {
             self.counters.attempts.late_answers.add(answer.result.is_some().into());
             return;
@@ -80,7 +80,7 @@
     /// A read's answer without its copy's tag is malformed, and so is the rest of its connection. What else is in flight there stays so
     /// until the socket is closed.
     fn on_malformed_answer(&mut self, key: AttemptKey, connection: ConnId) {
-        self.counters.conns.unreadable.increment();
+        self.counters.conns.malformed.increment();
         self.upstream.caches.close(connection);
         self.recall(|_, attempt| attempt.is_on(connection));
         self.end_attempt(key, AttemptResult::ConnectionLost, NO_REPORT, Delivery::Now);
@@ -116,7 +116,7 @@
         pending.lease.on_attempt_result(result);
         let Some(attempt) = pending.attempts.get_mut(attempt_number.0) else { return };
         attempt.result = Some(result);
-        self.counters.attempts.ended(result);
+        self.counters.attempts.count_result(result);
         let latency = now - attempt.started_at;
         let object = pending.request.object;
         if let Some(class) = pending.class.filter(|_| report.body_complete) {
--- a/crates/node/src/owner/attempts/mod.rs
+++ b/crates/node/src/owner/attempts/mod.rs
@@ -50,13 +50,13 @@
     }
 
     /// How far its message is; `None` once it has ended.
-    pub(super) fn stage(&self) -> Option<DeliveryState> {
+    pub(super) fn delivery_state(&self) -> Option<DeliveryState> {
         self.in_flight.as_ref().map(|in_flight| in_flight.message.delivery_state())
     }
 
     /// Whether no byte of it is written.
     fn is_unsent(&self) -> bool {
-        matches!(self.stage(), Some(DeliveryState::Queued | DeliveryState::Recalled))
+        matches!(self.delivery_state(), Some(DeliveryState::Queued | DeliveryState::Recalled))
     }
 }
 
--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -95,7 +95,7 @@
         let pending = self.requests.get(new.number)?;
         let place = *self.upstream.endpoints.get(&new.spec.server)?;
         let message = self.encode(pending, new);
-        let terms = self.fetch_terms(pending, new);
+        let terms = self.send_conditions(pending, new);
         let (number, attempt) = (new.number, new.attempt);
         if let Some(class) = self.config.class(pending.class) {
             let ids = format_args!("request {}, attempt {}", number.0, attempt.0);
@@ -112,27 +112,27 @@
     /// The message of an attempt.
     fn encode(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> Vec<u8> {
         let (request, spec) = (&pending.request, new.spec);
-        let ask = AttemptRequest {
+        let message = AttemptRequest {
             id: &request.id,
             class: &request.class,
             object: &request.object_text,
             part: request.part.0,
-            wait: new.deadline - self.time.now,
-            from: new.fill_source(),
+            timeout_ms: new.deadline - self.time.now,
+            fill_source: new.fill_source(),
             rank: spec.rank,
-            oldest: spec.max_age,
-            share: spec.join_fill,
-            peek: spec.cached_only,
-            renew: spec.revalidate,
-            seen: request.copy_tag.as_deref(),
-            key: request.idempotency_key.as_deref(),
+            max_age_ms: spec.max_age,
+            join_fill: spec.join_fill,
+            cached_only: spec.cached_only,
+            revalidate: spec.revalidate,
+            copy_tag: request.copy_tag.as_deref(),
+            idempotency_key: request.idempotency_key.as_deref(),
             body: pending.body.as_ref().map_or(&[][..], BufferedBytes::bytes),
         };
-        ask.encode()
+        message.encode()
     }
 
     /// What the writer of the connection checks when the first byte is written.
-    fn fetch_terms(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> SendConditions {
+    fn send_conditions(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> SendConditions {
         let now = Instant::now();
         let clock_now = self.time.clock.now();
         // Times of the owner's clock in the terms of the writers.
@@ -153,7 +153,7 @@
             invariants: Rc::clone(&self.monitors.invariants),
             stalls: Rc::clone(&self.monitors.stalls),
             route: pending.class.map(|class| AttemptRoute {
-                to: [Some(spec.server.clone()), new.fill_source().cloned()],
+                servers: [Some(spec.server.clone()), new.fill_source().cloned()],
                 class: class.0,
                 watch: Rc::clone(&self.monitors.slow_start),
             }),
