--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -1,4 +1,4 @@
-//! The owner's loop: inputs and timers are handled in batches, no more often than the batch interval.
+//! The owner's loop: handles inputs and timers in batches, at most one per batch interval.
 
 use super::snapshot::TimedSnapshot;
 use super::timers::TimerKind;
@@ -16,40 +16,39 @@
 use futures_lite::future;
 use std::time::Duration;
 
-/// How often maintenance runs, and the longest that the owner sleeps.
+/// How often maintenance runs, and the longest time for which the owner sleeps.
 const MAINTENANCE_INTERVAL_MS: Ms = 100.0;
 
-/// What an owner leaves when the process ends.
+/// The result of [`Owner::run`], when the process ends.
 pub struct ExitReport {
     /// The counters.
     pub counters: Counters,
-    /// What the next process takes over; its times are Unix times in milliseconds.
+    /// The decision module's snapshot for the next process; its times are Unix times in milliseconds.
     pub snapshot: Snapshot,
-    /// When that was taken, in Unix milliseconds.
+    /// When the snapshot was taken, in Unix milliseconds.
     pub snapshot_taken_at: Ms,
-    /// The fleet's counters as `name=value` words.
+    /// The fleet's counters, as `name=value` pairs separated by spaces.
     pub fleet_counters: String,
-    /// Why the process ends, if it was not asked to.
+    /// The fault for which the process ends, unless it was asked to shut down.
     pub fault: Option<String>,
 }
 
 impl Owner {
-    /// Handles inputs until the process may end. `listener` accepts clients, and finishes once the backlog is empty after
-    /// accepting has ended.
-    pub async fn run(mut self, from: Inputs, listener: Task<()>) -> ExitReport {
+    /// Handles inputs until the process may exit. `listener` accepts clients, and finishes when accepting has ended and the backlog is empty.
+    pub async fn run(mut self, queues: Inputs, listener: Task<()>) -> ExitReport {
         let mut inputs = Vec::new();
         loop {
-            inputs.extend(self.first_input(&from).await);
-            self.monitors.stalls.turn();
+            inputs.extend(self.first_input(&queues).await);
+            self.monitors.stalls.on_turn();
             self.wait_for_batch_interval().await;
-            // What the last batch queued is written before what this one adds, even if a batch takes the whole interval.
+            // Lets connections write the messages of the last batch before this one adds more, even if a batch takes the whole interval.
             future::yield_now().await;
-            // Each queue has a share of the batch, so that a flood on one does not delay the others.
-            for queue in [&from.urgent, &from.servers, &from.clients] {
+            // Each queue contributes a limited number of inputs, so that a flood on one does not delay the others.
+            for queue in [&queues.urgent, &queues.servers, &queues.clients] {
                 inputs.extend(std::iter::from_fn(|| queue.try_recv().ok()).take(INPUT_QUEUE_CAPACITY));
             }
             self.batch(&mut inputs);
-            self.monitors.stalls.turn();
+            self.monitors.stalls.on_turn();
             if self.may_exit(&listener) {
                 return self.exit();
             }
@@ -57,7 +56,7 @@
     }
 
     /// Waits for an input, unless a timer is due or the last batch left events.
-    async fn first_input(&self, from: &Inputs) -> Option<Input> {
+    async fn first_input(&self, queues: &Inputs) -> Option<Input> {
         let until_timer = |due: Ms| (due - self.time.clock.now()).min(MAINTENANCE_INTERVAL_MS);
         let sleep = self.schedule.timers.next_due().map_or(MAINTENANCE_INTERVAL_MS, until_timer);
         if !self.schedule.next_batch.is_empty() || sleep <= 0.0 {
@@ -68,8 +67,8 @@
             None
         };
         let receive = |queue: Receiver<Input>| async move { queue.recv().await.ok() };
-        let sockets = future::or(receive(from.servers.clone()), receive(from.clients.clone()));
-        future::or(receive(from.urgent.clone()), future::or(sockets, slept)).await
+        let sockets = future::or(receive(queues.servers.clone()), receive(queues.clients.clone()));
+        future::or(receive(queues.urgent.clone()), future::or(sockets, slept)).await
     }
 
     async fn wait_for_batch_interval(&self) {
@@ -85,7 +84,7 @@
             return false;
         }
         self.clients.slots.stop_accepting();
-        // A client is in the table until its connection is closed, and has its slot until the socket is.
+        // A client is in the table until its connection is closed; its slot is taken until the socket is closed, which may be later.
         let open = !listener.is_finished() || self.clients.len() > 0 || self.clients.slots.taken() > 0;
         self.shutdown.may_exit(self.time.now, open)
     }
@@ -95,30 +94,24 @@
         // Leases of clients that have left are released before the threads end.
         self.on_fleet_wakeup();
         let fault = self.fleet.as_mut().and_then(|f| f.fault.take().or(f.shut_down()));
-        let fleet = self.fleet_counters_text();
-        let TimedSnapshot { snapshot: learnt, taken_at: left_at } = self.take_snapshot();
-        ExitReport {
-            counters: self.counters,
-            snapshot: learnt,
-            snapshot_taken_at: left_at,
-            fleet_counters: fleet,
-            fault,
-        }
+        let fleet_counters = self.fleet_counters_text();
+        let TimedSnapshot { snapshot, taken_at: snapshot_taken_at } = self.take_snapshot();
+        ExitReport { counters: self.counters, snapshot, snapshot_taken_at, fleet_counters, fault }
     }
 
-    /// Handles the inputs, the timers that are due, and what the last batch left.
+    /// Handles the inputs, the timers that are due, and the events that the last batch left.
     pub(super) fn batch(&mut self, inputs: &mut Vec<Input>) {
         let last_batch = std::mem::replace(&mut self.time.now, self.time.clock.now());
-        let begun = self.time.now;
-        self.on_pause(begun - last_batch);
-        // Endpoint lists and purges go before all other inputs, and before what is routed again.
+        let batch_start = self.time.now;
+        self.on_batch_gap(batch_start - last_batch);
+        // Endpoint lists and purges are handled before all other inputs, and before requests are routed again.
         let (watch_events, others): (Vec<_>, Vec<_>) =
             inputs.drain(..).partition(|input| matches!(input, Input::WatchEvent(..)));
         self.dispatch_written();
-        let left_over = std::mem::take(&mut self.schedule.next_batch);
+        let left_by_last_batch = std::mem::take(&mut self.schedule.next_batch);
         watch_events.into_iter().for_each(|input| self.handle_input(input));
         self.reap_unconfirmed();
-        left_over.into_iter().for_each(|event| self.dispatch(event));
+        left_by_last_batch.into_iter().for_each(|event| self.dispatch(event));
         others.into_iter().for_each(|input| self.handle_input(input));
         for kind in self.schedule.timers.take_due(self.time.now) {
             self.on_timer(kind);
@@ -129,16 +122,16 @@
         }
         self.apply_memory_pressure();
         self.clients.release_closed();
-        self.counters.batches.given.increment();
-        self.counters.batches.longest.raise(self.time.clock.now() - begun);
-        self.counters.memory.held_most.raise(self.memory.meter.bytes() as u64);
+        self.counters.batches.count.increment();
+        self.counters.batches.longest_ms.raise(self.time.clock.now() - batch_start);
+        self.counters.memory.max_buffered_bytes.raise(self.memory.meter.bytes() as u64);
     }
 
-    /// Ends cancelled attempts whose server has not confirmed that in time.
+    /// Ends cancelled attempts whose server has not confirmed the abort in time.
     fn reap_unconfirmed(&mut self) {
         let cancelled_before = self.time.now - ABORT_CONFIRM_TIMEOUT_MS;
         let unconfirmed = self.reap_aborted(|aborting| aborting.since < cancelled_before);
-        self.counters.attempts.unheeded.add(unconfirmed);
+        self.counters.attempts.abort_unconfirmed.add(unconfirmed);
     }
 
     fn on_timer(&mut self, kind: TimerKind) {
@@ -152,14 +145,14 @@
         }
     }
 
-    /// Periodic work: closes idle connections, advances the cache tree, handles the fleet, drops converged purges.
+    /// Periodic work: closes unused connections, advances the cache tree, handles the fleet's notifications, drops converged purges.
     fn maintain(&mut self) {
-        self.upstream.caches.tidy(self.time.now);
+        self.upstream.caches.close_unused(self.time.now);
         let events = self.upstream.tree.tick(self.time.now);
         self.on_fleet_wakeup();
         self.expire_scatter_gather_purges();
         self.dispatch_all(events);
-        // Nothing was written on connections that failed their health check, so they count as never established.
+        // No attempt was written on a connection that failed its health probe, so it counts as not established.
         for connection in self.upstream.caches.failed_probes(self.time.now) {
             self.handle_input(Input::ServerDisconnected(connection, ConnectionFailure::ConnectFailed));
         }
--- a/crates/node/src/owner/client_inputs.rs
+++ b/crates/node/src/owner/client_inputs.rs
@@ -1,4 +1,4 @@
-//! What clients' connections send the owner: connects, messages, ends.
+//! Handles the inputs of clients' connections: connects, messages, closes.
 
 use super::clients::Client;
 use super::requester::{ClientRequest, IncomingRequest, Requester};
@@ -25,18 +25,18 @@
         self.clients.connected.insert(id, Client::new(self.time.now, outbox, connection));
     }
 
-    /// Nothing more is read of a client. Its open requests are answered, except where it sent what can't be decoded: then they may have
-    /// meant anything, and all are failed.
+    /// Handles the end of reading from a client. Its open requests are still answered, except if the client sent bytes that can't be decoded:
+    /// then its requests may have been decoded wrongly too, and all are failed.
     pub(super) fn on_client_stopped(&mut self, id: ClientId, reason: CloseReason) {
         let counters = &self.counters.clients;
         match reason {
             CloseReason::PeerClosed | CloseReason::Dropped => {}
-            CloseReason::Malformed(_) => counters.closed_unreadable.increment(),
-            CloseReason::NoFirstMessage => counters.closed_silent.increment(),
-            CloseReason::IncompleteMessage => counters.closed_unfinished.increment(),
+            CloseReason::Malformed(_) => counters.closed_malformed.increment(),
+            CloseReason::NoFirstMessage => counters.closed_no_first_message.increment(),
+            CloseReason::IncompleteMessage => counters.closed_incomplete.increment(),
             CloseReason::IdleClose(IdleReason::IdleTimeout) => counters.closed_idle.increment(),
-            CloseReason::IdleClose(IdleReason::SlotNeeded) => counters.closed_for_room.increment(),
-            CloseReason::IdleClose(IdleReason::Shutdown) => counters.closed_at_end.increment(),
+            CloseReason::IdleClose(IdleReason::SlotNeeded) => counters.closed_for_slot.increment(),
+            CloseReason::IdleClose(IdleReason::Shutdown) => counters.closed_at_shutdown.increment(),
         }
         if let (CloseReason::IdleClose(reason), Some(client)) = (reason, self.clients.connected.get_mut(&id))
         {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A client's connection is closed; its open requests are cancelled.
+    /// Handles the close of a client's connection: its open requests are cancelled.
     pub(super) fn on_client_closed(&mut self, id: ClientId) {
         let Some(client) = self.clients.connected.remove(&id) else { return };
         let open = client.open;
@@ -67,12 +67,12 @@
         open.into_values().for_each(|number| self.on_requester_left(number));
     }
 
-    pub(super) fn on_client_message(&mut self, id: ClientId, message: ClientMessage, read_at: Ms) {
+    pub(super) fn on_client_message(&mut self, id: ClientId, message: ClientMessage, received_at: Ms) {
         let Some(client) = self.clients.connected.get_mut(&id).filter(|c| !c.closing) else { return };
         client.connection.apply(ConnectionEvent::Dequeued);
         (client.has_sent, client.last_active) = (true, self.time.now);
         match message {
-            ClientMessage::Request(tag, request) => self.on_client_request(id, tag, request, read_at),
+            ClientMessage::Request(tag, request) => self.on_client_request(id, tag, request, received_at),
             ClientMessage::Cancel(_) if broken(Break::CancelIgnored) => {}
             ClientMessage::Cancel(tag) => self.on_client_cancel(id, tag),
             ClientMessage::Probe(tag) => {
@@ -81,11 +81,11 @@
                     client.outbox.push(encode_pong(tag, ready));
                 }
             }
-            ClientMessage::Malformed(tag) => self.on_undecodable_request(id, tag),
+            ClientMessage::Malformed(tag) => self.on_invalid_request(id, tag),
         }
     }
 
-    /// Whether the router may take requests: it has an endpoint list, knows the purges, and is not shutting down.
+    /// Whether the router can take requests: it has an endpoint list, knows the purges, and is not shutting down.
     fn is_ready(&self) -> bool {
         let purges_known = self.fleet.as_ref().is_none_or(|fleet| fleet.purges_known);
         self.upstream.list_received && purges_known && !self.shutdown.has_begun()
@@ -96,34 +96,35 @@
         client.connection.liveness().cancellation_handled(tag);
         let Some(number) = client.open.remove(&tag) else {
             if let Some(message) = client.unsent.remove(&tag) {
-                self.counters.clients.taken_back.add(message.recall().into());
+                self.counters.clients.recalled.add(message.recall().into());
             }
             return;
         };
         let too_many = client.has_too_many_cancellations(self.time.now);
         self.on_requester_left(number);
         if too_many {
-            self.counters.clients.closed_broken_rule.increment();
+            self.counters.clients.closed_for_misuse.increment();
             self.fail_and_disconnect(id);
         }
     }
 
-    /// Fails a request that is malformed, of an unknown class, or under an id that is open already; a client that sends many of them is closed.
-    pub(super) fn on_undecodable_request(&mut self, id: ClientId, tag: Tag) {
+    /// Fails a request that is malformed, of an unknown class, or has the id of an open request; a client that sends many of them is
+    /// disconnected.
+    pub(super) fn on_invalid_request(&mut self, id: ClientId, tag: Tag) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
-        self.counters.clients.unreadable.increment();
+        self.counters.clients.malformed.increment();
         client.outbox.push(encode_answer(tag, Reply::Failed));
-        if client.has_too_many_undecodable() {
-            self.counters.clients.closed_broken_rule.increment();
+        if client.has_too_many_invalid() {
+            self.counters.clients.closed_for_misuse.increment();
             self.fail_and_disconnect(id);
         }
     }
 
-    fn on_client_request(&mut self, id: ClientId, tag: Tag, request: Box<RequestMessage>, read_at: Ms) {
+    fn on_client_request(&mut self, id: ClientId, tag: Tag, request: Box<RequestMessage>, received_at: Ms) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
         if !client.register_tag(tag) {
-            // A response could be for either of two requests under one tag: the connection is closed, and nothing open on it is answered.
-            self.counters.clients.closed_broken_rule.increment();
+            // Two requests with one tag can't be told apart in responses: the connection is closed, and its open requests are not answered.
+            self.counters.clients.closed_for_misuse.increment();
             return self.disconnect(id);
         }
         let liveness = RequestLiveness::new(client.connection.liveness(), tag);
@@ -131,11 +132,11 @@
             return self.skip_cancelled_request(ClientRequest { id, tag }, &request);
         }
         let class = self.config.names.class(&request.class);
-        // An id is new with each request; under one that is open, a response could be for either.
+        // Each request needs a new id: two open requests with one id can't be told apart in responses of servers.
         if class.is_none() || self.requests.contains_id(&request.id) {
-            return self.on_undecodable_request(id, tag);
+            return self.on_invalid_request(id, tag);
         }
-        let deadline = read_at + request.deadline_ms;
+        let deadline = received_at + request.deadline_ms;
         if let Some(class) = class.filter(|_| self.scatter_gather.is_some() && request.parts.is_some()) {
             return self.on_scatter_gather_request(ClientRequest { id, tag }, class, request, deadline);
         }
@@ -144,20 +145,22 @@
         self.admit(IncomingRequest { requester, class, request, deadline, liveness: Some(liveness) });
     }
 
-    /// Counts a request that its client cancelled before the owner took it. Its tag stays in use until the cancellation arrives.
+    /// Counts a request that its client cancelled before the owner handled it. Its tag stays in use until the owner handles the cancellation.
     fn skip_cancelled_request(&mut self, client: ClientRequest, request: &RequestMessage) {
         let number = self.requests.next_number();
         self.clients.register(client, number);
         let counters = &self.counters.clients;
-        [&counters.requests, &counters.left, &counters.left_early].into_iter().for_each(Count::increment);
+        [&counters.requests, &counters.cancelled, &counters.cancelled_early]
+            .into_iter()
+            .for_each(Count::increment);
         if request.parts.is_some() {
             self.scatter_gather.iter_mut().for_each(ScatterGather::count_early_cancel);
         }
     }
 
-    /// Closes connections for clients that wait for a slot: first those that have sent nothing yet or have been idle for longer than
-    /// clients in service are; else those that have been idle for longest after a response. A connection on which something is open, or
-    /// from which a message is queued, is never closed for this.
+    /// Requests the close of connections for clients that wait for a slot: first of those that have sent nothing yet or have been idle for
+    /// longer than clients in use are, then of those that have been idle for longest after a response. A connection with an open request or a
+    /// queued message is never closed for this.
     pub(super) fn close_least_active_clients(&mut self) {
         for id in self.clients.least_active(self.time.now) {
             if let Some(client) = self.clients.connected.get(&id) {
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Drops a client whose requests can't be told apart: they are cancelled; what is queued for it is written before the close.
+    /// Disconnects a client that broke the protocol: its open requests are cancelled, and the queued messages are written before the close.
     fn disconnect(&mut self, id: ClientId) {
         let Some(client) = self.clients.connected.get_mut(&id) else { return };
         client.connection.apply(ConnectionEvent::Dropped);
@@ -175,7 +178,7 @@
         open.into_values().for_each(|number| self.on_requester_left(number));
     }
 
-    /// Drops a client, and answers each of its open requests as failed.
+    /// Fails the open requests of a client, and disconnects it.
     fn fail_and_disconnect(&mut self, id: ClientId) {
         let Some(client) = self.clients.connected.get(&id) else { return };
         for tag in client.open.keys().filter(|tag| client.connection.liveness().is_waiting(**tag)) {
--- a/crates/node/src/owner/clients.rs
+++ b/crates/node/src/owner/clients.rs
@@ -1,7 +1,7 @@
-//! The clients that are connected: their open requests and unsent responses, and which connections are closed for others.
+//! The connected clients: their open requests and unsent responses, and which connections are closed when others wait for a slot.
 //!
 //! [`Clients::least_active`] decides whose connection is closed when clients wait for a slot. Its inputs are the idle time of each connection,
-//! whether the client has sent a message yet, and the number of slots that are about to be free; its limits are the `ROOM_*` constants of
+//! whether the client has sent a message yet, and the number of slots that are about to be free; its limits are the `RECLAIM_*` constants of
 //! `limits`, in milliseconds. Clients that are still in use would lose requests, so they are closed last.
 
 use super::requester::{ClientRequest, Delivered};
@@ -22,34 +22,34 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// A client's breaches of the protocol, which end its connection when they are too many.
+/// Counts of a client's misuse of the protocol; its connection is closed when one of them is too high.
 struct Misuse {
-    /// Messages that could not be decoded.
-    undecodable: u32,
-    /// Cancellations since the last response.
+    /// Requests that were malformed or otherwise invalid.
+    invalid_requests: u32,
+    /// Cancellations since the last response or since the window began, whichever is later.
     cancellations: u32,
-    /// Since when those are counted.
+    /// When the window began in which cancellations are counted.
     counted_since: Ms,
 }
 
-/// A client that is connected.
+/// A connected client.
 pub(super) struct Client {
     pub(super) outbox: SendQueue,
     pub(super) open: BTreeMap<Tag, RequestNo>,
-    /// Responses of which nothing is written yet.
+    /// Responses of which nothing was written when the client's last response was queued.
     pub(super) unsent: BTreeMap<Tag, Rc<OutgoingMessage>>,
     /// The tags of its last requests.
     recent_tags: VecDeque<Tag>,
     misuse: Misuse,
-    /// It has sent a complete message.
+    /// Whether it has sent a complete message.
     pub(super) has_sent: bool,
     /// When it connected, sent its last message or got its last response.
     pub(super) last_active: Ms,
     /// The state of its connection.
     pub(super) connection: Rc<ConnectionState>,
-    /// Nothing more is read from it; it is released once nothing is pending for it.
+    /// Whether reading from it has ended; it is released once nothing is pending for it.
     pub(super) closing: bool,
-    /// Why the router closes it, if the router does.
+    /// Why the router closes the connection, if the router does.
     pub(super) close_reason: Option<IdleReason>,
 }
 
@@ -60,7 +60,7 @@
             open: BTreeMap::new(),
             unsent: BTreeMap::new(),
             recent_tags: VecDeque::new(),
-            misuse: Misuse { undecodable: 0, cancellations: 0, counted_since: now },
+            misuse: Misuse { invalid_requests: 0, cancellations: 0, counted_since: now },
             has_sent: false,
             last_active: now,
             connection,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Counts a cancellation; true if there were too many since the last response, or since the window began.
+    /// Counts a cancellation; returns whether there were too many since the last response or since the window began.
     pub(super) fn has_too_many_cancellations(&mut self, now: Ms) -> bool {
         let misuse = &mut self.misuse;
         if now - misuse.counted_since > CANCELLATION_WINDOW_MS {
@@ -79,23 +79,23 @@
         misuse.cancellations >= MAX_CANCELLATIONS
     }
 
-    /// Counts a message that could not be decoded; true if there were too many.
-    pub(super) fn has_too_many_undecodable(&mut self) -> bool {
-        self.misuse.undecodable += 1;
-        self.misuse.undecodable >= MAX_MALFORMED_REQUESTS
+    /// Counts an invalid request; returns whether there were too many.
+    pub(super) fn has_too_many_invalid(&mut self) -> bool {
+        self.misuse.invalid_requests += 1;
+        self.misuse.invalid_requests >= MAX_MALFORMED_REQUESTS
     }
 
-    /// Nothing is pending for it.
+    /// Whether no request is open and no byte is unsent.
     fn is_idle(&self) -> bool {
         self.open.is_empty() && self.outbox.unsent_bytes() == 0
     }
 
-    /// The router is about to close it.
+    /// Whether the connection is closing or its close is requested.
     pub(super) fn is_closing(&self) -> bool {
         self.closing || self.connection.close_reason().is_some()
     }
 
-    /// Registers the tag of a new request; false if it was used lately or too many requests are open.
+    /// Registers the tag of a new request; false if the tag was used recently or too many requests are open.
     pub(super) fn register_tag(&mut self, tag: Tag) -> bool {
         if self.recent_tags.contains(&tag) || self.open.len() >= MAX_OPEN_REQUESTS_PER_CLIENT {
             return false;
@@ -108,38 +108,39 @@
     }
 }
 
-/// How willingly a client's connection is closed for others; the least order first.
+/// The order in which clients' connections are closed for others, the least value first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CloseOrder {
-    /// It may be in use: idle for less time than a client in service would be.
+    /// Whether it may be in use, since it has been idle for no longer than a client in use would be.
     may_be_in_use: bool,
-    /// It has sent a message.
+    /// Whether it has sent a message.
     has_sent: bool,
-    /// For how long it has been idle, in microseconds.
+    /// How long it has been idle, in microseconds; the longest goes first.
     idle_us: Reverse<u64>,
     id: ClientId,
 }
 
 impl CloseOrder {
-    fn of(now: Ms, id: ClientId, client: &Client) -> Self {
+    fn new(now: Ms, id: ClientId, client: &Client) -> Self {
         let idle = now - client.last_active;
         let limit = if client.has_sent { RECLAIM_IDLE_MS } else { RECLAIM_SILENT_MS };
         let (may_be_in_use, has_sent) = (idle < limit, client.has_sent);
         Self { may_be_in_use, has_sent, idle_us: Reverse(micros(idle)), id }
     }
 
-    /// One that may be in use is closed only after it has had its responses for a while.
+    /// Whether the connection may be closed at all: one that may be in use only if its responses were sent a while ago.
     fn may_be_closed(&self) -> bool {
         !self.may_be_in_use || (self.has_sent && self.idle_us.0 >= micros(RECLAIM_SERVED_MS))
     }
 }
 
-/// The clients that are connected. Dropping one writes what is queued for it, then closes its connection.
+/// The connected clients. When a [`Client`] is dropped, its queued messages are written and then its connection is closed.
 #[derive(Default)]
 pub(super) struct Clients {
     pub(super) connected: BTreeMap<ClientId, Client>,
+    /// Clients from which nothing more is read.
     closing: BTreeSet<ClientId>,
-    /// The slots of their connections, until the sockets are closed.
+    /// The slots of the connections; a slot is taken until its socket is closed.
     pub(super) slots: Rc<ConnectionSlots>,
 }
 
@@ -155,7 +156,7 @@
         }
     }
 
-    /// What tells whether a client still waits; `None` if it is not connected.
+    /// The liveness of a request; `None` if its client is not connected.
     pub(super) fn liveness(&self, request: ClientRequest) -> Option<RequestLiveness> {
         Some(RequestLiveness::new(self.connected.get(&request.id)?.connection.liveness(), request.tag))
     }
@@ -167,10 +168,10 @@
         }
     }
 
-    /// Queues a response, unless the client is gone.
+    /// Queues a response, unless the client has disconnected.
     pub(super) fn send_response(&mut self, now: Ms, to: ClientRequest, response: Vec<u8>) -> Delivered {
         let ClientRequest { id, tag } = to;
-        let Some(client) = self.connected.get_mut(&id) else { return Delivered::Elsewhere };
+        let Some(client) = self.connected.get_mut(&id) else { return Delivered::NotToClient };
         let was_open = client.open.remove(&tag).is_some();
         let ids = format_args!("client {}, request {}", id.0, tag.0);
         client.connection.invariants().check_answer(was_open, ids);
@@ -183,7 +184,7 @@
         Delivered::ToClient
     }
 
-    /// Asks for the close of connections that have been idle for this long. A message that crosses that is handled first.
+    /// Requests the close of connections that have been idle for this long. A message that crosses the close request cancels it.
     pub(super) fn close_idle(&self, now: Ms, idle: Ms, reason: IdleReason) {
         let breaks = broken(Break::CloseOverRequest);
         let is_idle = |c: &Client| breaks || (c.is_idle() && now - c.last_active >= idle);
@@ -205,7 +206,7 @@
         });
     }
 
-    /// Reads nothing more from a client.
+    /// Marks a client from which nothing more is read, to be released once nothing is pending for it.
     pub(super) fn close(&mut self, id: ClientId) {
         if let Some(client) = self.connected.get_mut(&id) {
             client.closing = true;
@@ -217,11 +218,13 @@
     pub(super) fn least_active(&self, now: Ms) -> Vec<ClientId> {
         let open = self.connected.iter().filter(|(_, c)| !c.is_closing());
         let idle = open.clone().filter(|(_, c)| c.is_idle());
-        let mut order: Vec<_> = idle.map(|(id, c)| CloseOrder::of(now, *id, c)).collect();
+        let mut order: Vec<_> = idle.map(|(id, c)| CloseOrder::new(now, *id, c)).collect();
         order.sort_unstable();
-        // Several at once, so that a crowd does not wait; slots that are about to be free count.
-        let asked = self.connected.values().filter(|c| c.connection.close_reason().is_some()).count();
-        let count = (open.count() / SLOT_RECLAIM_DIVISOR + 1).saturating_sub(asked + self.slots.lingering());
+        // Several at once, so that many waiting clients get slots soon; slots that are about to be free are subtracted.
+        let close_requested =
+            self.connected.values().filter(|c| c.connection.close_reason().is_some()).count();
+        let count = (open.count() / SLOT_RECLAIM_DIVISOR + 1)
+            .saturating_sub(close_requested + self.slots.lingering());
         order.iter().filter(|o| o.may_be_closed()).take(count).map(|o| o.id).collect()
     }
 }
--- a/crates/node/src/owner/fleet_events.rs
+++ b/crates/node/src/owner/fleet_events.rs
@@ -1,4 +1,4 @@
-//! Notifications of the fleet's threads.
+//! Handles the notifications of the fleet's threads.
 
 use super::watch_events::Purged;
 use super::Owner;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl Owner {
-    /// Handles what the replication thread and the links have sent.
+    /// Handles what the replication thread and other routers have sent, and an unexpected end of the threads.
     pub(super) fn on_fleet_wakeup(&mut self) {
         if let Some(fleet) = &mut self.fleet {
             fleet.flush();
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A thread of the fleet has ended, and with it what it vouched for: the process shuts down.
+    /// Shuts the process down after a thread of the fleet has ended, since leases and purges are no longer replicated.
     fn on_fleet_lost(&mut self, cause: &str) {
         if let Some(fleet) = self.fleet.as_mut().filter(|f| f.fault.is_none() && !f.shutting_down) {
             fleet.fault = Some(cause.to_string());
@@ -60,7 +60,8 @@
         }
     }
 
-    /// The purges from before this start are known; if they are not available, everything counts as purged now.
+    /// Handles the end of the sync of purges from before this start of the process; if they are not `available`, everything counts as purged
+    /// now.
     fn on_purges_known(&mut self, available: bool) {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| !fleet.purges_known) else { return };
         fleet.purges_known = true;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Counts every group as purged now.
+    /// Purges every group as of now.
     fn purge_all_groups(&mut self) {
         // A later correction of the platform's clock must not make these purges older.
         self.time.platform.settle();
--- a/crates/node/src/owner/inputs.rs
+++ b/crates/node/src/owner/inputs.rs
@@ -1,4 +1,4 @@
-//! Inputs of the owner, events and actions of the decision module, and the counters that are read from elsewhere.
+//! Dispatches the owner's inputs, exchanges events and actions with the decision module, and collects counters that other modules keep.
 
 use super::attempts::{CancelResults, Delivery};
 use super::timers::TimerKind;
@@ -16,7 +16,9 @@
             Input::ClientConnected(id, outbox, connection) => {
                 self.on_client_connected(id, outbox, connection)
             }
-            Input::Client(id, message, read_at) => self.on_client_message(id, message, read_at),
+            Input::ClientMessage { client, message, received_at } => {
+                self.on_client_message(client, message, received_at)
+            }
             Input::ClientReadStopped(id, reason) => self.on_client_stopped(id, reason),
             Input::ClientClosed(id) => self.on_client_closed(id),
             Input::SlotWanted => self.close_least_active_clients(),
@@ -26,12 +28,12 @@
             Input::ServerAnswer(connection, answer) => self.on_answer(connection, answer),
             Input::ServerDisconnected(connection, reason) => self.on_connection_closed(connection, reason),
             Input::WatchEvent(event) => self.on_watch_event(event),
-            Input::ChangeLogLost => self.counters.log.lost.increment(),
-            Input::ChangeLogStandbyOpened(doubt) => self.counters.log.standby_opened(doubt),
+            Input::ChangeLogLost => self.counters.log.connections_lost.increment(),
+            Input::ChangeLogStandbyOpened(reason) => self.counters.log.count_standby(reason),
             Input::Reloaded(true) => self.counters.files.reloads.increment(),
-            Input::Reloaded(false) => self.counters.files.reloads_refused.increment(),
+            Input::Reloaded(false) => self.counters.files.reloads_rejected.increment(),
             Input::Plan(hierarchy) => self.offer_plan(&hierarchy),
-            Input::PlacementRules(file, text) => {
+            Input::PlacementRules { file, text } => {
                 if let Some(fleet) = &mut self.fleet {
                     fleet.propose_rules(file, text);
                 }
@@ -41,17 +43,17 @@
                 log::info!("shutdown requested");
                 self.shutdown.begin(self.time.now);
             }
-            Input::LogCounters => self.print_counters(),
+            Input::LogCounters => self.log_counters(),
         }
     }
 
-    /// Hands a plan of the cache tree to the reshaping of the tree.
+    /// Offers a plan of the cache tree to the module that changes the tree step by step.
     pub(super) fn offer_plan(&mut self, hierarchy: &Hierarchy) {
         let events = self.upstream.tree.offer(self.time.now, hierarchy);
         self.dispatch_all(events);
     }
 
-    /// Tells the decision module which attempts were written whole since the last batch.
+    /// Tells the decision module which attempts were completely written since the last batch.
     pub(super) fn dispatch_written(&mut self) {
         for (request, attempt) in self.monitors.slow_start.take_written() {
             self.dispatch(Event::RequestWritten(request_id(RequestNo(request)), AttemptNo(attempt)));
@@ -62,7 +64,7 @@
         events.into_iter().for_each(|event| self.dispatch(event));
     }
 
-    /// Hands the decision module an event and performs its actions.
+    /// Hands an event to the decision module and performs the resulting actions.
     pub(super) fn dispatch(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.router.handle(self.time.now, event, &mut actions);
@@ -90,36 +92,36 @@
             Action::Timer(after, token) => {
                 self.schedule.timers.set(self.time.now + after, TimerKind::Router(token));
             }
-            // The change log is followed from the start.
+            // The change log is followed from the start of the process.
             Action::WatchEndpoints => {}
             Action::Log(text) => log::info!("{text}"),
         }
     }
 
-    fn print_counters(&self) {
+    fn log_counters(&self) {
         self.collect_counters();
         log::info!("{}{}", self.counters, self.fleet_counters_text());
         self.upstream.tree.describe().iter().for_each(|line| log::info!("{line}"));
     }
 
-    /// Brings the counters of connections, checkers and memory up to date.
+    /// Updates the counters of connections, checkers and memory, which other modules keep.
     pub(super) fn collect_counters(&self) {
         let counters = &self.counters;
         let PoolCounts { connections, last_number: connections_opened } = self.upstream.caches.counts();
-        counters.conns.now.set(connections);
+        counters.conns.open_now.set(connections);
         counters.conns.opened.set(connections_opened);
-        counters.clients.now.set(self.clients.len() as u64);
+        counters.clients.connected_now.set(self.clients.len() as u64);
         let CloseCounts { crossed, unread, lingered, stalled } = self.clients.slots.counts();
         counters.clients.closes_crossed.set(crossed);
         counters.clients.closes_unread.set(unread);
         counters.clients.closes_lingered.set(lingered);
         counters.clients.closed_stalled.set(stalled);
         counters.log.servers_now.set(self.upstream.endpoints.len() as u64);
-        counters.memory.held.set(self.memory.meter.bytes() as u64);
-        counters.tree.reached(&self.upstream.tree.counters);
-        counters.violations.reached(&self.monitors.invariants);
-        counters.violations.slow_start_highest.raise(self.monitors.slow_start.highest_share());
-        counters.violations.stops.set(self.monitors.stalls.count());
+        counters.memory.buffered_bytes.set(self.memory.meter.bytes() as u64);
+        counters.tree.copy_from(&self.upstream.tree.counters);
+        counters.violations.copy_from(&self.monitors.invariants);
+        counters.violations.slow_start_highest_share.raise(self.monitors.slow_start.highest_share());
+        counters.violations.pauses.set(self.monitors.stalls.count());
         counters.violations.log_dropped.set(crate::log_writer::dropped());
     }
 }
--- a/crates/node/src/owner/lease/outcome.rs
+++ b/crates/node/src/owner/lease/outcome.rs
@@ -98,7 +98,7 @@
     }
 
     /// The last batch was `gap` milliseconds ago. If the process may have been paused, its leases of unsent requests are released.
-    pub(in crate::owner) fn on_pause(&mut self, gap: Ms) {
+    pub(in crate::owner) fn on_batch_gap(&mut self, gap: Ms) {
         let Some(fleet) = self.fleet.as_mut().filter(|_| gap >= PAUSE_THRESHOLD_MS) else { return };
         fleet.stale_input_until = self.time.now + STALE_INPUT_WINDOW_MS;
         let retry_after = fleet.settings.retry_after;
--- a/crates/node/src/owner/lease/tests.rs
+++ b/crates/node/src/owner/lease/tests.rs
@@ -2,13 +2,13 @@
 //! most once, and leaves no lease behind.
 
 use crate::caches::{ConnId, ConnectionFailure, RequestNo, ServerAnswer};
-use crate::clients::{ClientMessage, Tag};
+use crate::clients::ClientMessage;
 use crate::connection::CloseReason;
 use crate::fleet::stand_in::{fleet, StandIn};
 use crate::fleet::{ControlNotification, ControlRequest};
 use crate::outbox::{DeliveryState, OutgoingMessage};
 use crate::owner::attempts::InFlight;
-use crate::owner::tests::{owner, request, CLIENT};
+use crate::owner::tests::{cancellation, owner, request, CLIENT};
 use crate::owner::Owner;
 use crate::Input;
 use basaltgw_registers::{
@@ -134,11 +134,17 @@
         let (mut owner, responses) = owner();
         let (fleet, thread) = fleet(64);
         owner.join_fleet(fleet);
-        let Input::Client(client, ClientMessage::Request(tag, mut write), at) = request(&owner, 1) else {
+        let Input::ClientMessage { client, message: ClientMessage::Request(tag, mut write), received_at } =
+            request(&owner, 1)
+        else {
             panic!("a request")
         };
         (write.class, write.body) = ("loan".into(), b"borrow".to_vec());
-        owner.batch(&mut vec![Input::Client(client, ClientMessage::Request(tag, write), at)]);
+        owner.batch(&mut vec![Input::ClientMessage {
+            client,
+            message: ClientMessage::Request(tag, write),
+            received_at,
+        }]);
         let (pending, background) = Default::default();
         let mut scenario = Self {
             owner,
@@ -168,7 +174,7 @@
         let answer = |result: &str, at| {
             let fields = b"ver=1,born=5,note=via_origin,waited=0".to_vec();
             let parts = vec![format!("{:016x}", 1).into_bytes(), result.into(), fields, b"receipt".to_vec()];
-            Some(Input::ServerAnswer(at, ServerAnswer::read(parts, &[]).expect("an answer")))
+            Some(Input::ServerAnswer(at, ServerAnswer::decode(parts, &[]).expect("an answer")))
         };
         let in_flight = self
             .in_flight()
@@ -181,7 +187,7 @@
             ) => self.replicas.answer(step).then_some(Input::Fleet),
             (Step::ClientCancels, _) => {
                 self.client_left = true;
-                Some(Input::Client(CLIENT, ClientMessage::Cancel(Tag(1)), self.owner.time.clock.now()))
+                Some(cancellation(self.owner.time.clock.now()))
             }
             (Step::ClientCloses, _) => {
                 self.client_left = true;
@@ -197,7 +203,7 @@
                     "it is sent while the record is {:?}",
                     self.replicas.record
                 );
-                message.write();
+                message.mark_written();
                 Some(Input::ServerConnected(at))
             }
             (Step::Ok | Step::Error | Step::Rejected, Some((at, true, _))) => {
@@ -247,7 +253,7 @@
                     pending.into_iter().for_each(|number| self.owner.on_lease_timeout(NO, number));
                 }
                 Step::Poll => self.owner.poll_lease(NO),
-                Step::Paused => self.owner.on_pause(1_000.0),
+                Step::Paused => self.owner.on_batch_gap(1_000.0),
                 _ => inputs.extend(self.input(*step)),
             }
         }
--- a/crates/node/src/owner/memory_pressure.rs
+++ b/crates/node/src/owner/memory_pressure.rs
@@ -1,6 +1,6 @@
 //! Sheds load when the bytes buffered for connections exceed the memory limit, a share of the configured memory.
 //!
-//! It fails unsent responses of the client with the most buffered bytes first, so that slow readers do not take the memory of others.
+//! The unsent responses of the client with the most buffered bytes are failed first, so that slow readers don't use up the memory.
 
 use super::clients::{Client, Clients};
 use super::Owner;
@@ -8,8 +8,8 @@
 use crate::outbox::DeliveryState;
 
 impl Clients {
-    /// Fails the responses of which nothing is written, of the client for which most bytes are buffered; returns how many, `None`
-    /// if no client has any.
+    /// Replaces the responses of which nothing is written by failures, for the client with the most buffered bytes; returns how many, `None` if
+    /// no client has any.
     fn fail_unsent_responses(&mut self) -> Option<u64> {
         let has_unsent =
             |c: &Client| c.unsent.values().any(|message| message.delivery_state() == DeliveryState::Queued);
@@ -31,7 +31,7 @@
     pub(super) fn apply_memory_pressure(&mut self) {
         while self.memory.is_exceeded() {
             let Some(failed) = self.clients.fail_unsent_responses() else { return };
-            self.counters.clients.withheld.add(failed);
+            self.counters.clients.failed_for_memory.add(failed);
         }
     }
 }
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -1,6 +1,6 @@
-//! The owner of the decision module: the one task that holds all state of requests and hands events to the module.
+//! The owner of the decision module: the single task that has all state of requests and exchanges events and actions with the module.
 //!
-//! - `state`: the states that it consists of; `timers` and `batch`: queues, timers and batches; `inputs`: one arm for each input;
+//! - `state`: the parts of its state; `timers` and `batch`: queues, timers and batches; `inputs`: one arm for each input;
 //! - `clients` and `client_inputs`: clients' connections; `requester`: where a request comes from and its response goes;
 //! - `requests` and `admission`: a request from its admission to its response; `attempts`: its attempts; `lease`: its lease in a fleet;
 //! - `watch_events`: endpoint lists and purges of the change log; `fleet_events`: notifications of the fleet's threads;
@@ -55,27 +55,27 @@
     requests: Requests,
     upstream: Upstream,
     schedule: Schedule,
-    /// Other routers, if the own settings name some.
+    /// The fleet of routers, if the settings file has one.
     fleet: Option<Fleet>,
-    /// Requests for several parts, if the own settings take them.
+    /// Scatter-gather requests, if the settings file enables them.
     scatter_gather: Option<ScatterGather>,
     shutdown: GracefulShutdown,
     counters: Counters,
 }
 
-/// The decision module's id of a request.
+/// The id under which the decision module knows a request.
 fn request_id(number: RequestNo) -> RequestId {
     RequestId(Arc::from(number.0.to_string()))
 }
 
-/// The request that the decision module names.
+/// The number of the request that the decision module knows under this id.
 fn request_no(id: &RequestId) -> Option<RequestNo> {
     id.0.parse().ok().map(RequestNo)
 }
 
 impl Owner {
-    /// An owner whose decision module has handled the endpoint lists and purges that the configuration knows.
-    pub fn new(config: &NodeConfig, own: &OwnSettings, shared: &Shared, caches: ServerPool) -> Self {
+    /// An owner whose decision module has handled the endpoint lists and purges in the configuration. `settings` are those of the settings file.
+    pub fn new(config: &NodeConfig, settings: &OwnSettings, shared: &Shared, caches: ServerPool) -> Self {
         let mut owner = Self {
             router: Router::new(config.settings.clone(), config.seed),
             config: RoutingConfig::new(config),
@@ -84,7 +84,7 @@
             monitors: Monitors::new(config, shared),
             clients: Clients::default(),
             requests: Requests::new(config.transport.most_open),
-            upstream: Upstream::new(caches, Tree::new(own.hierarchy.as_ref())),
+            upstream: Upstream::new(caches, Tree::new(settings.hierarchy.as_ref())),
             schedule: Schedule::default(),
             fleet: None,
             scatter_gather: None,
@@ -93,7 +93,7 @@
         };
         owner.router.report_writes();
         owner.handle_known_events(&config.known);
-        if let Some(hierarchy) = &own.hierarchy {
+        if let Some(hierarchy) = &settings.hierarchy {
             owner.offer_plan(hierarchy);
         }
         owner
@@ -109,11 +109,11 @@
         let snapshot = self.map_to_local_times(snapshot);
         let (servers, purges) = (snapshot.servers.len(), snapshot.purges.len());
         let restored = self.router.restore(self.time.now, snapshot);
-        self.counters.files.carried.set(restored as u64);
+        self.counters.files.servers_restored.set(restored as u64);
         log::info!("snapshot restored: {restored} of {servers} servers, {purges} purges");
     }
 
-    /// Joins a fleet: requests that must not run twice are leased from now on.
+    /// Joins a fleet. From now on, requests that must not run twice are leased if the fleet's settings require it.
     pub fn join_fleet(&mut self, mut fleet: Fleet) {
         if let Some(config) = fleet.scatter_gather.take() {
             match ScatterGather::new(config) {
--- a/crates/node/src/owner/requester.rs
+++ b/crates/node/src/owner/requester.rs
@@ -1,7 +1,8 @@
-//! Where a request comes from, and how its response gets back there.
+//! Where a request comes from, and how its response is delivered.
 //!
-//! A front end decodes and bounds what it reads, and hands over an [`IncomingRequest`]. From there on the owner knows it by its
-//! [`Requester`] alone: another front end is another variant, and one arm in each function here.
+//! A front end (the clients' connections, scatter-gather, other routers) decodes a request, checks its limits, and hands over an
+//! [`IncomingRequest`]. After that, the owner uses only its [`Requester`]; a new front end needs one more variant and one arm in each function
+//! of this module.
 
 use super::scatter_gather::SubRequestKey;
 use super::Owner;
@@ -17,14 +18,14 @@
     pub(super) tag: Tag,
 }
 
-/// Who waits for a request's response.
+/// The receiver of a request's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Requester {
     /// A client.
     Client(ClientRequest),
-    /// A scatter-gather request of this router, for an attempt at one of its parts.
+    /// A sub-request of a scatter-gather request of this router, for one of its parts.
     SubRequest(SubRequestKey),
-    /// Another router, for a part, under its number among those served here.
+    /// Another router, which requests a part; with the number that this router gave the part request.
     Peer(u64),
 }
 
@@ -32,21 +33,21 @@
 pub(super) struct IncomingRequest {
     pub(super) requester: Requester,
     pub(super) class: Option<ClassId>,
-    /// The decoded request; its id is not open yet.
+    /// The decoded request; no open request has its id.
     pub(super) request: Box<RequestMessage>,
     /// When the requester stops waiting.
     pub(super) deadline: Ms,
-    /// Tells whether a client still waits, if one does at all.
+    /// Whether the client still waits; `None` if the requester is not a client.
     pub(super) liveness: Option<RequestLiveness>,
 }
 
-/// What became of a response.
+/// Whether a response was queued for a client, in which case it is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivered {
-    /// It is queued for a client.
+    /// The response is queued for a client.
     ToClient,
-    /// It went elsewhere, or its client is gone.
-    Elsewhere,
+    /// The requester is not a client, or the client has disconnected.
+    NotToClient,
 }
 
 impl Owner {
@@ -59,11 +60,11 @@
         }
     }
 
-    /// Rejects a request that is not admitted for want of capacity.
+    /// Rejects a request that is not admitted, since too many requests are open.
     pub(super) fn reject_unadmitted(&mut self, requester: Requester) {
         match requester {
             Requester::Client(client) => {
-                self.counters.clients.turned_away.increment();
+                self.counters.clients.rejected_at_capacity.increment();
                 self.clients.reject(client);
             }
             Requester::SubRequest(key) => {
@@ -81,11 +82,11 @@
             }
             Requester::SubRequest(key) => {
                 self.on_sub_request_answered(key, reply, copy);
-                Delivered::Elsewhere
+                Delivered::NotToClient
             }
             Requester::Peer(served) => {
                 self.on_peer_request_answered(served, reply, copy);
-                Delivered::Elsewhere
+                Delivered::NotToClient
             }
         }
     }
--- a/crates/node/src/owner/requests.rs
+++ b/crates/node/src/owner/requests.rs
@@ -1,4 +1,4 @@
-//! The table of open requests: a request is in it until its response is given and none of its attempts is in flight.
+//! The table of open requests: a request stays in it until it is answered and none of its attempts is in flight.
 
 use super::attempts::Attempt;
 use super::lease::Lease;
@@ -17,16 +17,16 @@
     requester: Requester,
     pub(super) class: Option<ClassId>,
     pub(super) request: Box<RequestMessage>,
-    /// Its body, metered while an attempt may have to send it.
+    /// The body; `None` once the request is answered and no further attempt may need it.
     pub(super) body: Option<BufferedBytes>,
     pub(super) deadline: Ms,
-    /// Tells whether a client still waits, if one does at all.
+    /// Whether the client still waits; `None` if the requester is not a client.
     pub(super) liveness: Option<RequestLiveness>,
-    /// Its response is given, or nobody waits for one.
+    /// The request was answered, or its requester no longer waits.
     pub(super) answered: bool,
     pub(super) attempts: Vec<Attempt>,
     pub(super) lease: Lease,
-    /// The copy that its response is made of.
+    /// The version of the copy in the response.
     pub(super) copy: Option<CopyTag>,
 }
 
@@ -52,28 +52,28 @@
         self.answered && !self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether its client still waits, as far as the reader of its connection knows.
+    /// Whether the client still waits, as far as the reader of its connection knows; true if the requester is not a client.
     pub(super) fn client_waits(&self) -> bool {
         self.liveness.as_ref().is_none_or(RequestLiveness::is_waiting)
     }
 
-    /// Whether it has a body, while that is stored.
+    /// Whether the request has a body; false once the body is dropped.
     pub(super) fn is_write(&self) -> bool {
         self.body.as_ref().is_some_and(|body| !body.bytes().is_empty())
     }
 
-    /// Its attempts, as the rule on further ones takes them.
+    /// The attempts so far, for the rule that decides on further ones.
     pub(super) fn earlier_attempts(&self, now: Ms) -> impl Iterator<Item = EarlierAttempt> + '_ {
         self.attempts.iter().map(move |attempt| attempt.earlier(now))
     }
 
-    /// The results of its attempts, `None` of those in flight.
+    /// The result of each attempt, `None` of one in flight.
     pub(super) fn results(&self) -> impl Iterator<Item = Option<AttemptResult>> + '_ {
         self.attempts.iter().map(|attempt| attempt.result)
     }
 }
 
-/// The requester of an answered request, and the copy that the response is made of.
+/// The requester of a request that was just marked as answered, and the version of the copy in the response.
 pub(super) struct Answered {
     pub(super) requester: Requester,
     pub(super) copy: Option<CopyTag>,
@@ -83,7 +83,7 @@
 pub(super) struct Requests {
     pending: BTreeMap<RequestNo, PendingRequest>,
     last_number: u64,
-    /// The requesters' ids of the open requests.
+    /// The ids that requesters gave the open requests.
     ids: BTreeSet<WireId>,
     max_open: usize,
 }
@@ -123,37 +123,38 @@
         self.pending.get_mut(&number)?.attempts.get_mut(attempt.0)
     }
 
-    /// The matching attempts of which no byte is written.
+    /// The matching attempts that are queued and of which no byte is written.
     pub(super) fn unsent_attempts(
         &self,
         matches: impl Fn(&PendingRequest, &Attempt) -> bool,
     ) -> Vec<AttemptKey> {
         let mut keys = Vec::new();
         for (number, pending) in &self.pending {
-            let unsent = |a: &Attempt| a.stage() == Some(DeliveryState::Queued) && matches(pending, a);
+            let unsent =
+                |a: &Attempt| a.delivery_state() == Some(DeliveryState::Queued) && matches(pending, a);
             let attempts = pending.attempts.iter().enumerate().filter(|(_, a)| unsent(a));
             keys.extend(attempts.map(|(n, _)| (*number, AttemptNo(n))));
         }
         keys
     }
 
-    /// Requests that wait for their lease.
+    /// The requests that wait for their lease.
     pub(super) fn waiting_for_lease(&self) -> Vec<RequestNo> {
         self.unanswered(|pending| pending.lease.is_awaited())
     }
 
-    /// Leased requests that were not executed and have no attempt on the wire.
+    /// The leased requests that were not executed and of which no attempt in flight has a written byte.
     pub(super) fn leased_unsent(&self) -> Vec<RequestNo> {
-        let on_wire =
-            |a: &Attempt| matches!(a.stage(), Some(DeliveryState::Partial | DeliveryState::Written));
-        self.unanswered(|pending| pending.lease.is_held_unexecuted() && !pending.attempts.iter().any(on_wire))
+        let is_sent =
+            |a: &Attempt| matches!(a.delivery_state(), Some(DeliveryState::Partial | DeliveryState::Written));
+        self.unanswered(|pending| pending.lease.is_held_unexecuted() && !pending.attempts.iter().any(is_sent))
     }
 
     fn unanswered(&self, matches: impl Fn(&PendingRequest) -> bool) -> Vec<RequestNo> {
         self.pending.iter().filter(|(_, p)| !p.answered && matches(p)).map(|(number, _)| *number).collect()
     }
 
-    /// A number that no other request has.
+    /// A new number for a request.
     pub(super) fn next_number(&mut self) -> RequestNo {
         self.last_number += 1;
         RequestNo(self.last_number)
@@ -166,7 +167,7 @@
         number
     }
 
-    /// Marks a request as answered; `None` if it was so before.
+    /// Marks a request as answered; `None` if it was marked before.
     pub(super) fn mark_answered(&mut self, number: RequestNo) -> Option<Answered> {
         let pending = self.pending.get_mut(&number).filter(|pending| !pending.answered)?;
         pending.answered = true;
--- a/crates/node/src/owner/scatter_gather/admission.rs
+++ b/crates/node/src/owner/scatter_gather/admission.rs
@@ -84,13 +84,13 @@
         let continuation = request.continuation.as_deref().map(parts::parse_continuation);
         let is_malformed = continuation == Some(None) || !request.body.is_empty();
         let Some(parts) = state.decode_parts(&request).filter(|_| !is_malformed) else {
-            return self.on_undecodable_request(client.id, client.tag);
+            return self.on_invalid_request(client.id, client.tag);
         };
         self.counters.clients.requests.increment();
         state.counters.requests += 1;
         if state.open.len() >= MAX_OPEN_GATHERS || self.requests.is_full() || self.memory.is_exceeded() {
             state.counters.rejected += 1;
-            self.counters.clients.turned_away.increment();
+            self.counters.clients.rejected_at_capacity.increment();
             return self.clients.reject(client);
         }
         let number = self.requests.next_number();
--- a/crates/node/src/owner/scatter_gather/answers.rs
+++ b/crates/node/src/owner/scatter_gather/answers.rs
@@ -118,7 +118,7 @@
         let bytes = encode_parts_answer(client.tag, &response);
         let delivered = self.clients.send_response(self.time.now, client, bytes);
         if delivered == Delivered::ToClient && complete {
-            self.counters.clients.answered(&Reply::Served(&[]));
+            self.counters.clients.count_reply(&Reply::Served(&[]));
         }
         self.dispatch_scatter_gather(Event::AnswerSent { assembly_time: self.time.now - decided_at });
     }
@@ -134,7 +134,7 @@
         let client = open.client;
         let bytes = encode_answer(client.tag, reply);
         if self.clients.send_response(self.time.now, client, bytes) == Delivered::ToClient {
-            self.counters.clients.answered(&reply);
+            self.counters.clients.count_reply(&reply);
         }
     }
 
@@ -144,7 +144,7 @@
         let gather = GatherNo(number.0);
         let Some(open) = state.open.remove(&gather) else { return false };
         state.counters.cancelled += 1;
-        self.counters.clients.left.increment();
+        self.counters.clients.cancelled.increment();
         match open.stage {
             Stage::ReadingContinuation => {}
             Stage::Gathering => self.dispatch_scatter_gather(Event::Cancelled(gather)),
--- a/crates/node/src/owner/snapshot.rs
+++ b/crates/node/src/owner/snapshot.rs
@@ -1,5 +1,5 @@
-//! The decision module's snapshot between two processes. Its times are carried as Unix times of the platform, since each process's clock
-//! has an origin of its own.
+//! Converts the decision module's snapshot for the next process, and back. Between processes its times are Unix times of the platform, since
+//! the clocks of two processes have different origins.
 
 use super::Owner;
 use basaltgw::api::Ms;
@@ -11,7 +11,8 @@
     pub(super) taken_at: Ms,
 }
 
-/// Maps the times of a snapshot: listed starts identify processes, the others are when something happened.
+/// Maps the times of a snapshot. Listed starts identify server processes and are mapped by `map_listed`; the other times are those of past
+/// events and are mapped by `map_happened`.
 fn map_times(
     mut snapshot: Snapshot,
     mut map_listed: impl FnMut(Ms) -> Ms,
@@ -28,9 +29,10 @@
 }
 
 impl Owner {
-    /// An earlier process's snapshot in terms of this one's clock.
+    /// Maps an earlier process's snapshot to this process's clock.
     pub(super) fn map_to_local_times(&mut self, snapshot: Snapshot) -> Snapshot {
-        // All of it has happened: without a time from the change log, the latest of it is a lower bound of the current time.
+        // All events in the snapshot are in the past, so the latest time among them is a lower bound of the current Unix time, which is needed
+        // if the change log has given none yet.
         let starts = snapshot.servers.iter().filter_map(|server| server.warmup_started);
         let latest = starts.chain(snapshot.purges.iter().map(|purge| purge.purged_at)).reduce(f64::max);
         if let Some(latest) = latest {
@@ -42,7 +44,8 @@
         map_times(snapshot, |unix| listed.local(now, unix), |unix| happened.local(now, unix))
     }
 
-    /// This process's snapshot. Times in doubt are late ones, so that nothing seems older to the next process than it is.
+    /// This process's snapshot, with Unix times. An uncertain time is mapped to the latest possible one, so that no event seems older to the next
+    /// process than it is.
     pub(super) fn take_snapshot(&self) -> TimedSnapshot {
         let platform = &self.time.platform;
         let snapshot = map_times(
--- a/crates/node/src/owner/state.rs
+++ b/crates/node/src/owner/state.rs
@@ -1,4 +1,4 @@
-//! The states that an owner consists of, each with one type.
+//! The parts of an owner's state.
 
 use super::attempts::AbortingAttempt;
 use super::timers::Timers;
@@ -18,14 +18,14 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// What the configuration says of requests; it does not change while the process runs.
+/// The settings of requests. They do not change while the process runs.
 pub(super) struct RoutingConfig {
     pub(super) names: Names,
     /// The least time between two batches.
     pub(super) batch_interval: Ms,
     pub(super) max_attempts: usize,
     pub(super) classes: Vec<Class>,
-    /// For this long after a server is listed as draining, sends to it are no violation.
+    /// How long after a server is listed as draining a send to it is not a violation, in milliseconds.
     pub(super) drain_grace: Ms,
 }
 
@@ -44,7 +44,7 @@
         self.classes.get(class?.0)
     }
 
-    /// The retry policy of a class; a request without a known class has no retries.
+    /// The retry policy of a class; a request of an unknown class is not retried.
     pub(super) fn retry_policy(&self, class: Option<ClassId>) -> RetryPolicy {
         self.class(class).map_or(NO_RETRIES, RetryPolicy::of)
     }
@@ -64,13 +64,13 @@
         Self { now, clock, platform: PlatformTime::new(now, wall_now()) }
     }
 
-    /// Observes a Unix time that the platform gave for a past event. Returns the correction in milliseconds if earlier estimates of platform
-    /// times were too recent.
+    /// Observes a Unix time that the platform gave for a past event. If it shows that the ages computed before were too small, returns by how
+    /// many milliseconds.
     pub(super) fn observe(&mut self, unix: Ms) -> Option<Ms> {
         self.platform.observe(self.now, unix)
     }
 
-    /// The same of a purge's time.
+    /// Observes the Unix time of a purge; the result is that of [`Self::observe`].
     pub(super) fn observe_purge(&mut self, unix: Ms) -> Option<Ms> {
         self.platform.observe_purge(self.now, unix)
     }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Bytes buffered by messages of all connections.
+/// The bytes buffered by messages of all connections, and their limit.
 pub(super) struct Memory {
     pub(super) meter: Rc<BufferMeter>,
     limit_bytes: usize,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Checkers of what the router does, shared with the connections.
+/// The checkers of the router's behaviour, shared with the connections.
 pub(super) struct Monitors {
     pub(super) invariants: Rc<Invariants>,
     pub(super) stalls: Rc<Stalls>,
@@ -120,11 +120,11 @@
 /// The servers and the connections to them.
 pub(super) struct Upstream {
     pub(super) caches: ServerPool,
-    /// Cancelled attempts whose server has not confirmed that yet.
+    /// Cancelled attempts whose server has not yet confirmed the abort.
     pub(super) aborting: Vec<AbortingAttempt>,
     /// The address and start of each listed server.
     pub(super) endpoints: BTreeMap<ServerId, Place>,
-    /// An endpoint list has been received.
+    /// Whether an endpoint list has been received.
     pub(super) list_received: bool,
     /// The plan of the cache tree, if there is one.
     pub(super) tree: Tree,
@@ -136,7 +136,7 @@
     }
 }
 
-/// What is due later.
+/// Timers, and events for the next batch.
 #[derive(Default)]
 pub(super) struct Schedule {
     pub(super) timers: Timers,
--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -73,7 +73,7 @@
     let first = request(owner, 1);
     owner.batch(&mut vec![first]);
     let in_flight = first_attempt(owner).in_flight.as_ref().expect("in flight");
-    in_flight.message.write();
+    in_flight.message.mark_written();
     let up = Input::ServerConnected(in_flight.connection);
     owner.batch(&mut vec![up]);
     (RequestNo(1), AttemptNo(0))
@@ -96,7 +96,7 @@
             panic!("one that is being aborted")
         };
         let (connection, fields) = (*connection, vec![tag.0.as_bytes().to_vec(), b"yes".to_vec()]);
-        let confirmation = ServerAnswer::read(fields, &[]).expect("an answer");
+        let confirmation = ServerAnswer::decode(fields, &[]).expect("an answer");
         owner.batch(&mut vec![Input::ServerAnswer(connection, confirmation)]);
         let out = in_flight(&owner, 1);
         assert!(
@@ -114,17 +114,23 @@
     owner.upstream.aborting[0].since -= ABORT_CONFIRM_TIMEOUT_MS + 1.0;
     owner.batch(&mut Vec::new());
     assert!(!attempts(&owner, 1)[0].in_flight && owner.upstream.aborting.is_empty());
-    assert_eq!(owner.counters.attempts.unheeded.get(), 1);
+    assert_eq!(owner.counters.attempts.abort_unconfirmed.get(), 1);
 }
 
 #[test]
 fn write_of_which_nothing_was_sent_in_time_is_rejected_and_not_failed() {
     let (mut owner, _messages) = owner();
-    let Input::Client(client, ClientMessage::Request(tag, mut write), at) = request(&owner, 1) else {
+    let Input::ClientMessage { client, message: ClientMessage::Request(tag, mut write), received_at } =
+        request(&owner, 1)
+    else {
         panic!("a request")
     };
     (write.class, write.body, write.deadline_ms) = ("loan".into(), b"borrow".to_vec(), 60.0);
-    owner.batch(&mut vec![Input::Client(client, ClientMessage::Request(tag, write), at)]);
+    owner.batch(&mut vec![Input::ClientMessage {
+        client,
+        message: ClientMessage::Request(tag, write),
+        received_at,
+    }]);
     assert_eq!(attempts(&owner, 1).len(), 1, "it waits for a connection");
     // One batch in which its attempt times out and the decision module's own timer is due as well.
     let over = owner.time.now + 200.0;
@@ -132,7 +138,7 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     owner.batch(&mut Vec::new());
-    assert_eq!((owner.counters.clients.refused.get(), owner.counters.clients.failed.get()), (1, 0));
+    assert_eq!((owner.counters.clients.rejected.get(), owner.counters.clients.failed.get()), (1, 0));
 }
 
 #[test]
@@ -164,7 +170,16 @@
         continuation: None,
         body: Vec::new(),
     };
-    Input::Client(CLIENT, ClientMessage::Request(Tag(tag), Box::new(request)), owner.time.clock.now())
+    Input::ClientMessage {
+        client: CLIENT,
+        message: ClientMessage::Request(Tag(tag), Box::new(request)),
+        received_at: owner.time.clock.now(),
+    }
+}
+
+/// The cancellation of request 1.
+pub(super) fn cancellation(received_at: Ms) -> Input {
+    Input::ClientMessage { client: CLIENT, message: ClientMessage::Cancel(Tag(1)), received_at }
 }
 
 /// An attempt as the tests compare it.
@@ -227,7 +242,7 @@
     owner.batch(&mut vec![Input::WatchEvent(News::Servers { whole: true, members: Vec::new() })]);
     // No server is left, so it is answered; and none of its attempts is in flight.
     assert!(owner.requests.is_empty());
-    assert_eq!((owner.counters.clients.refused.get(), owner.counters.attempts.made.get()), (1, 1));
+    assert_eq!((owner.counters.clients.rejected.get(), owner.counters.attempts.made.get()), (1, 1));
 }
 
 /// Clients wait for a slot, and no message crosses the close of those that are asked for theirs.
--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::caches::ConnId;
 use crate::limits::SERVER_WRITE_TIMEOUT;
-use crate::outbox::{write_all, DeliveryState, SendConditions};
+use crate::outbox::{write_messages, DeliveryState, SendConditions};
 use crate::owner::attempts::InFlight;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -63,13 +63,13 @@
 fn message_whose_start_window_has_passed_is_not_written() {
     let meter = Rc::default();
     let (out, messages) = send_queue(&meter, &Rc::default());
-    let by = |at| SendConditions::unwatched(Some(at), None);
-    let late = out.make_held(b"late".to_vec(), by(Instant::now()));
-    let in_time = out.make_held(b"in time".to_vec(), by(Instant::now() + SERVER_WRITE_TIMEOUT));
-    [&late, &in_time].into_iter().for_each(|message| out.release(message));
+    let by = |at| SendConditions::without_invariant_checks(Some(at), None);
+    let late = out.prepare(b"late".to_vec(), by(Instant::now()));
+    let in_time = out.prepare(b"in time".to_vec(), by(Instant::now() + SERVER_WRITE_TIMEOUT));
+    [&late, &in_time].into_iter().for_each(|message| out.enqueue(message));
     drop(out);
     let mut socket = Vec::new();
-    futures_lite::future::block_on(write_all(&mut socket, messages, futures_lite::future::pending));
+    futures_lite::future::block_on(write_messages(&mut socket, messages, futures_lite::future::pending));
     assert_eq!(socket, b"in time");
     assert_eq!(
         (late.delivery_state(), in_time.delivery_state()),
@@ -91,7 +91,7 @@
     let other = ConnId(first.0.max(second.0) + 1);
     let ok = |id: &str| {
         let parts = [id, "ok", "ver=1,born=1,note=hit", "bytes"].map(|part| part.as_bytes().to_vec());
-        ServerAnswer::read(parts.to_vec(), &[]).expect("an answer")
+        ServerAnswer::decode(parts.to_vec(), &[]).expect("an answer")
     };
     // On a connection that is not its own, and under an id that no request has.
     owner.batch(&mut vec![
@@ -100,12 +100,18 @@
     ]);
     assert_eq!((owner.counters.attempts.late_answers.get(), messages.len()), (2, 0));
     // The same id again, while it is open: a client that breaks the protocol gets a failure, and the first goes on.
-    let Input::Client(client, ClientMessage::Request(_, again), at) = request(&owner, 1) else {
+    let Input::ClientMessage { client, message: ClientMessage::Request(_, again), received_at } =
+        request(&owner, 1)
+    else {
         panic!("a request")
     };
-    owner.batch(&mut vec![Input::Client(client, ClientMessage::Request(Tag(3), again), at)]);
+    owner.batch(&mut vec![Input::ClientMessage {
+        client,
+        message: ClientMessage::Request(Tag(3), again),
+        received_at,
+    }]);
     assert_eq!(
-        (owner.counters.clients.unreadable.get(), attempts(&owner, 1).len(), messages.len()),
+        (owner.counters.clients.malformed.get(), attempts(&owner, 1).len(), messages.len()),
         (1, 1, 1)
     );
     owner.batch(&mut vec![Input::ServerAnswer(first, ok(&format!("{:016x}", 1)))]);
@@ -165,14 +171,20 @@
 impl Scenario {
     fn new(class: &'static str) -> Self {
         let (mut owner, responses) = owner();
-        let Input::Client(client, ClientMessage::Request(tag, mut request), at) = request(&owner, 1) else {
+        let Input::ClientMessage { client, message: ClientMessage::Request(tag, mut request), received_at } =
+            request(&owner, 1)
+        else {
             panic!("a request")
         };
         (request.class, request.deadline_ms) = (class.into(), DEADLINE_MS);
         if class == "loan" {
             request.body = b"borrow".to_vec();
         }
-        owner.batch(&mut vec![Input::Client(client, ClientMessage::Request(tag, request), at)]);
+        owner.batch(&mut vec![Input::ClientMessage {
+            client,
+            message: ClientMessage::Request(tag, request),
+            received_at,
+        }]);
         let (established, validated) = Default::default();
         let executed = BTreeSet::new();
         Self { class, owner, responses, inputs: Vec::new(), established, validated, executed }
@@ -188,7 +200,8 @@
     fn answer(&mut self, connection: ConnId, id: &str, result: &str) {
         let fields: &[u8] = if result == "ok" { b"ver=1,born=1,note=hit" } else { b"-" };
         let parts = vec![id.as_bytes().to_vec(), result.as_bytes().to_vec(), fields.to_vec(), Vec::new()];
-        self.inputs.push(Input::ServerAnswer(connection, ServerAnswer::read(parts, &[]).expect("an answer")));
+        self.inputs
+            .push(Input::ServerAnswer(connection, ServerAnswer::decode(parts, &[]).expect("an answer")));
     }
 
     fn step(&mut self, step: Step) {
@@ -200,11 +213,7 @@
             return;
         }
         if let Step::ClientCancels = step {
-            return self.inputs.push(Input::Client(
-                CLIENT,
-                ClientMessage::Cancel(Tag(1)),
-                self.owner.time.now,
-            ));
+            return self.inputs.push(cancellation(self.owner.time.now));
         }
         let Some((n, InFlight { connection, message })) = self.in_flight() else { return };
         let server = self.owner.requests.get(RequestNo(1)).expect("open").attempts[n].server.clone();
@@ -222,7 +231,7 @@
                 if self.validated.contains(&connection)
                     && message.delivery_state() == DeliveryState::Queued =>
             {
-                message.write();
+                message.mark_written();
                 self.executed.insert(n);
             }
             Step::Answer(result) if message.delivery_state() == DeliveryState::Written => {
@@ -264,7 +273,7 @@
     fn check(&self) {
         let clients = &self.owner.counters.clients;
         let [served, refused, failed, left] =
-            [&clients.served, &clients.refused, &clients.failed, &clients.left].map(|c| c.get());
+            [&clients.served, &clients.rejected, &clients.failed, &clients.cancelled].map(|c| c.get());
         assert!(served + refused + failed + left <= 1, "{served} {refused} {failed} {left}");
         assert_eq!(self.responses.len() as u64, served + refused + failed, "what the client gets");
         let executed = self.class == "loan" && !self.executed.is_empty();
@@ -305,7 +314,7 @@
         scenario.batch();
         scenario.batch();
         let clients = &scenario.owner.counters.clients;
-        let answers = [&clients.served, &clients.refused, &clients.failed, &clients.left].map(|c| c.get());
+        let answers = [&clients.served, &clients.rejected, &clients.failed, &clients.cancelled].map(|c| c.get());
         prop_assert_eq!(answers.iter().sum::<u64>(), 1, "a response in time, whatever is still in flight");
         scenario.owner.upstream.aborting.iter_mut().for_each(|a| a.since -= ABORT_CONFIRM_TIMEOUT_MS + 1.0);
         scenario.batch();
@@ -313,7 +322,7 @@
         prop_assert!(scenario.owner.requests.is_empty() && scenario.owner.upstream.aborting.is_empty());
         let a = &scenario.owner.counters.attempts;
         let results = [
-            &a.served, &a.error, &a.full, &a.late, &a.no_connection, &a.broken, &a.cancelled, &a.not_sent, &a.miss,
+            &a.served, &a.error, &a.rejected, &a.timed_out, &a.no_connection, &a.connection_lost, &a.cancelled, &a.not_sent, &a.cache_miss,
         ];
         prop_assert_eq!(results.iter().map(|c| c.get()).sum::<u64>(), a.made.get());
     }
--- a/crates/node/src/owner/timers.rs
+++ b/crates/node/src/owner/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the owner.
+//! The owner's timers.
 
 use crate::caches::RequestNo;
 use basaltgw::api::{AttemptNo, Ms};
@@ -9,7 +9,7 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// The decision module's own, with its token.
+    /// A timer of the decision module, with its token.
     Router(u64),
     /// An attempt times out.
     AttemptTimeout(RequestNo, AttemptNo),
@@ -19,7 +19,7 @@
     LeasePoll(RequestNo),
     /// The response to a change of a record is overdue.
     LeaseTimeout(RequestNo, RequestNumber),
-    /// The scatter-gather decisions are due.
+    /// A timer of the scatter-gather engine is due.
     ScatterGather,
 }
 
@@ -44,12 +44,12 @@
         self.heap.push(Reverse(Timer { due_us: micros(at), sequence: self.last_sequence, kind }));
     }
 
-    /// When the first is due.
+    /// When the next timer is due.
     pub(super) fn next_due(&self) -> Option<Ms> {
         self.heap.peek().map(|Reverse(timer)| timer.due_us as f64 / 1000.0)
     }
 
-    /// Removes the timers that are due.
+    /// Removes and returns the timers that are due.
     pub(super) fn take_due(&mut self, now: Ms) -> Vec<TimerKind> {
         let now_us = micros(now);
         let mut due = Vec::new();
@@ -57,13 +57,13 @@
             due.push(timer.kind);
             self.heap.pop();
         }
-        // Timeouts of attempts go before the decision module's timers, on which it rejects or fails what is left.
+        // The owner's timers go before the decision module's, at which that rejects or fails requests: it should know the attempts' timeouts then.
         due.sort_by_key(|kind| matches!(kind, TimerKind::Router(_)));
         due
     }
 }
 
-/// Whole microseconds, for times that have to be ordered.
+/// A time in whole microseconds, so that it can be ordered and compared exactly.
 pub(super) fn micros(at: Ms) -> u64 {
     (at.max(0.0) * 1000.0) as u64
 }
--- a/crates/node/src/owner/watch_events.rs
+++ b/crates/node/src/owner/watch_events.rs
@@ -1,4 +1,4 @@
-//! Events of the change log: endpoint lists and purges, and the recall of unsent attempts that they outdate.
+//! Handles the events of the change log, endpoint lists and purges, and recalls unsent attempts that were decided before them.
 
 use super::requests::PendingRequest;
 use super::Owner;
@@ -10,14 +10,14 @@
 use basaltgw_config::{Member, News};
 use std::time::Instant;
 
-/// A purge.
+/// A purge of an object or a group.
 #[derive(Clone, Copy)]
 pub(super) struct Purged {
     /// The object; `None` for the whole group.
     pub(super) object: Option<ObjectId>,
-    /// The group.
+    /// The group that is purged if `object` is `None`.
     pub(super) group: GroupId,
-    /// When it happened, in Unix milliseconds.
+    /// The time of the purge, in Unix milliseconds.
     pub(super) time: Ms,
 }
 
@@ -30,28 +30,28 @@
     }
 }
 
-/// What an endpoint list takes out of service.
+/// Servers and connections that an endpoint list takes out of service.
 #[derive(Default)]
 struct Withdrawn {
     /// Servers that are draining, removed, or missing in a complete list.
     servers: Vec<ServerId>,
-    /// Of these, the ones that a complete list does not have.
+    /// Of these, the servers that are missing in a complete list.
     unlisted: Vec<ServerId>,
-    /// Connections to an address that is no longer the server's.
+    /// Connections to a former address or process of a server.
     connections: Vec<ConnId>,
 }
 
 impl Owner {
-    /// Handles the events of the change log that the configuration knows, oldest first.
+    /// Handles the events of the change log that the configuration contains, oldest first.
     pub(super) fn handle_known_events(&mut self, known: &[News]) {
-        // All times first: the latest tells most about the current time.
+        // All times are observed first, since the latest one gives the best bound on the current time.
         for event in known {
             match event {
                 News::Servers { members, .. } => self.observe_starts(members),
                 News::Purge { time, .. } => {
                     let shift = self.time.observe_purge(*time);
                     self.on_clock_corrected(shift);
-                    self.time.platform.purge_known(*time);
+                    self.time.platform.record_known_purge(*time);
                 }
             }
         }
@@ -80,13 +80,13 @@
             News::Purge { object, group, time } => {
                 let shift = self.time.observe_purge(time);
                 self.on_clock_corrected(shift);
-                let age = self.time.platform.age_in_order(self.time.now, time);
+                let age = self.time.platform.age_of_next_purge(self.time.now, time);
                 self.on_logged_purge(Purged { object, group, time }, age);
             }
         }
     }
 
-    /// What the platform listed before lies further in the past than estimated, by `shift`.
+    /// Handles a correction of the platform's clock: events listed before are `shift` milliseconds older than estimated.
     pub(super) fn on_clock_corrected(&mut self, shift: Option<Ms>) {
         if let Some(shift) = shift {
             self.monitors.slow_start.shift_starts(shift);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Servers that are up have started before now.
+    /// Observes the starts of servers that are up, which are in the past.
     fn observe_starts(&mut self, members: &[Member]) {
         let up = members.iter().filter(|member| member.entry.state == EndpointState::Up);
         for started in up.filter_map(|member| member.entry.started) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// A purge of the change log, `age` milliseconds old.
+    /// Handles a purge from the change log, `age` milliseconds old.
     fn on_logged_purge(&mut self, purged: Purged, age: Ms) {
         if let Some(fleet) = &mut self.fleet {
             fleet.replicate_purge(purges::from_change_log(purged.group, purged.object, purged.time));
@@ -111,7 +111,7 @@
         self.purge(purged, age);
     }
 
-    /// A purge that another router has replicated.
+    /// Handles a purge that another router has replicated.
     pub(super) fn on_replicated_purge(&mut self, purged: Purged) {
         let shift = self.time.observe_purge(purged.time);
         self.on_clock_corrected(shift);
@@ -146,7 +146,7 @@
         endpoints.iter_mut().for_each(|endpoint| self.map_start(endpoint));
         self.dispatch(Event::Endpoints(update, endpoints));
         self.dispatch_all(tree_events);
-        // Also what waits for a listed server on a connection to its former address.
+        // Attempts on a connection to a server's former address or process are recalled too.
         self.recall(|_, attempt| {
             withdrawn.servers.contains(&attempt.server)
                 || attempt.fill_source.as_ref().is_some_and(|source| withdrawn.servers.contains(source))
@@ -154,7 +154,7 @@
         });
     }
 
-    /// Removes the servers that a complete list does not have.
+    /// Removes the servers that are missing in a complete list.
     fn withdraw_unlisted(&mut self, members: &[Member], withdrawn: &mut Withdrawn) {
         let is_listed = |id: &ServerId| members.iter().any(|member| member.entry.id == *id);
         let unlisted: Vec<_> = self.upstream.endpoints.keys().filter(|id| !is_listed(id)).cloned().collect();
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Maps an endpoint's listed start to the router's clock, and has the requests to a server that is warming up counted.
+    /// Maps an endpoint's listed start to the router's clock, and passes it to the slow-start watch.
     fn map_start(&mut self, endpoint: &mut Endpoint) {
         let Some(unix) = endpoint.started else {
             self.monitors.slow_start.observe_endpoint(Instant::now(), endpoint, None);
--- a/crates/node/src/permissions.rs
+++ b/crates/node/src/permissions.rs
@@ -1,8 +1,8 @@
 //! Permissions: whether an attempt may start, a message may be sent, a request may run again, a connection may close, the process may end.
 //!
-//! One function answers each question from an explicit state and gives a typed refusal. Nothing here does I/O or reads a clock; the owner, the
-//! connections' writers and the state machine of clients' connections all ask here. Whether a request may run again is the decision module's
-//! rule ([`basaltgw::routing::retry`]); [`may_run_again`] applies it to the attempts that the owner knows of. [`crate::invariants`] checks
+//! One function decides each question from an explicit state and returns a typed refusal, without I/O or a clock. The owner, the connections'
+//! writers and the state machine of clients' connections use these functions. Whether a request may run again is the decision module's rule
+//! ([`basaltgw::routing::retry`]); [`may_run_again`] applies it to the attempts that the owner knows of. [`crate::invariants`] checks
 //! independently what is done in the end. Times are in milliseconds.
 
 #[cfg(test)]
@@ -12,12 +12,12 @@
 pub use basaltgw::routing::retry::{not_executed, RetryPolicy, RetryRefusal};
 use std::fmt;
 
-/// A request and a server, as an attempt is about to start.
+/// The state of a request and a server when an attempt is about to start.
 #[derive(Clone, Copy, Debug)]
 pub struct StartState {
     /// The client still waits.
     pub client_waits: bool,
-    /// The request has its response.
+    /// The request has been answered.
     pub answered: bool,
     /// Time until the client stops waiting.
     pub time_left: Ms,
@@ -34,7 +34,7 @@
 pub enum StartRefusal {
     /// The client has disconnected or cancelled the request.
     ClientLeft,
-    /// The request has its response.
+    /// The request has been answered.
     Answered,
     /// The client's deadline has passed.
     DeadlinePassed,
@@ -61,26 +61,26 @@
     }
 }
 
-/// How far an earlier attempt of a request is.
+/// Whether an earlier attempt of a request has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// It has no result yet.
+    /// The attempt has no result yet.
     InFlight,
-    /// It has ended.
+    /// The attempt has ended with this result.
     Ended(AttemptResult),
 }
 
 /// An earlier attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EarlierAttempt {
-    /// How far it is.
+    /// Whether the attempt has ended.
     pub state: AttemptState,
-    /// How long ago it was started.
+    /// How long ago the attempt was started.
     pub age: Ms,
 }
 
 impl EarlierAttempt {
-    /// Whether a server may have executed it, or may yet.
+    /// Whether a server may have executed the attempt, or may still do so.
     pub fn may_have_executed(&self) -> bool {
         match self.state {
             AttemptState::InFlight => true,
@@ -89,11 +89,11 @@
     }
 }
 
-/// The policy of a request whose class the settings do not have: it never runs again.
+/// The policy of a request whose class is not in the settings: the request never runs again.
 pub const NO_RETRIES: RetryPolicy =
     RetryPolicy { idempotency: Idempotency::NonIdempotent, key_scope: KeyScope::Cell, key_window: 0.0 };
 
-/// Whether a request may run again: by a further attempt, or because a rejection invites its client to send it again.
+/// Whether a request may run again: by a further attempt, or after a rejection, which invites its client to send it again.
 ///
 /// # Errors
 /// [`RetryRefusal`] with the reason against it.
@@ -128,12 +128,12 @@
     }
 }
 
-/// A message to a server, as its first byte is about to be written.
+/// The state of a message to a server when its first byte is about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct SendState {
-    /// The owner has withdrawn it.
+    /// The owner has withdrawn the message.
     pub withdrawn: bool,
-    /// The time by which it had to start has passed.
+    /// The time by which the attempt had to start has passed.
     pub start_window_passed: bool,
     /// The attempt's deadline has passed.
     pub deadline_passed: bool,
@@ -144,9 +144,9 @@
 /// Why nothing of a message is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendRefusal {
-    /// The owner has withdrawn it.
+    /// The owner has withdrawn the message.
     Withdrawn,
-    /// The time by which it had to start has passed.
+    /// The time by which the attempt had to start has passed.
     StartWindowPassed,
     /// The attempt's deadline has passed.
     DeadlinePassed,
@@ -168,10 +168,10 @@
     }
 }
 
-/// A client's connection that the router is about to close.
+/// The state of a client's connection that the router is about to close.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseState {
-    /// The owner still wants it closed.
+    /// The owner has requested the close, and no message has crossed the request.
     pub wanted: bool,
     /// Messages that were read and are queued for the owner.
     pub queued_messages: u32,
@@ -180,7 +180,7 @@
 /// Why a connection is not closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseRefusal {
-    /// The owner no longer wants it closed: the client sent a message after it was asked for.
+    /// The close request has lapsed: the client sent a message after it was made.
     NotWanted,
     /// A message is queued for the owner.
     MessageQueued,
@@ -198,14 +198,14 @@
     }
 }
 
-/// A process that was asked to shut down.
+/// The state of a process that was asked to shut down.
 #[derive(Clone, Copy, Debug)]
 pub struct ExitState {
     /// New clients are still accepted.
     pub accepts: bool,
     /// Clients' connections are open, or may still be in the backlog.
     pub connections_open: bool,
-    /// Nothing has been open for the quiet period.
+    /// No connection has been open for the quiet period.
     pub quiet: bool,
 }
 
@@ -237,7 +237,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::ClientLeft => "the client has disconnected or cancelled",
-            Self::Answered => "the request has its response",
+            Self::Answered => "the request has been answered",
             Self::DeadlinePassed => "the client's deadline has passed",
             Self::AttemptsUsed => "the settings allow no further attempt",
             Self::NotListed => "the server is not on the endpoint list",
@@ -257,8 +257,8 @@
 impl fmt::Display for SendRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Withdrawn => "the owner has withdrawn it",
-            Self::StartWindowPassed => "the time by which it had to start has passed",
+            Self::Withdrawn => "the owner has withdrawn the message",
+            Self::StartWindowPassed => "the time by which the attempt had to start has passed",
             Self::DeadlinePassed => "the attempt's deadline has passed",
             Self::ClientLeft => "the client has disconnected or cancelled",
         })
--- a/crates/node/src/permissions/tests.rs
+++ b/crates/node/src/permissions/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use basaltgw::api::{Idempotency, KeyScope};
 
-const BEGIN: StartState = StartState {
+const MAY_START: StartState = StartState {
     client_waits: true,
     answered: false,
     time_left: 1.0,
@@ -14,13 +14,13 @@
 
 #[test]
 fn attempt_starts_only_while_the_client_waits_and_the_settings_allow_it() {
-    assert_eq!(may_start(&BEGIN), Ok(()));
+    assert_eq!(may_start(&MAY_START), Ok(()));
     let refusals = [
-        (StartState { client_waits: false, ..BEGIN }, StartRefusal::ClientLeft),
-        (StartState { answered: true, ..BEGIN }, StartRefusal::Answered),
-        (StartState { time_left: 0.0, ..BEGIN }, StartRefusal::DeadlinePassed),
-        (StartState { attempts: 1, ..BEGIN }, StartRefusal::AttemptsUsed),
-        (StartState { listed: false, ..BEGIN }, StartRefusal::NotListed),
+        (StartState { client_waits: false, ..MAY_START }, StartRefusal::ClientLeft),
+        (StartState { answered: true, ..MAY_START }, StartRefusal::Answered),
+        (StartState { time_left: 0.0, ..MAY_START }, StartRefusal::DeadlinePassed),
+        (StartState { attempts: 1, ..MAY_START }, StartRefusal::AttemptsUsed),
+        (StartState { listed: false, ..MAY_START }, StartRefusal::NotListed),
     ];
     for (state, refusal) in refusals {
         assert_eq!(may_start(&state), Err(refusal));
@@ -48,27 +48,27 @@
     let expired =
         may_run_again(&policy(Idempotency::IdempotencyKey), ended(AttemptResult::ConnectionLost, 100.0));
     assert_eq!(expired, Err(RetryRefusal::KeyWindowExpired));
-    let narrow = RetryPolicy { key_scope: KeyScope::Cell, ..policy(Idempotency::IdempotencyKey) };
+    let cell_scoped = RetryPolicy { key_scope: KeyScope::Cell, ..policy(Idempotency::IdempotencyKey) };
     assert_eq!(
-        may_run_again(&narrow, ended(AttemptResult::ConnectionLost, 0.0)),
+        may_run_again(&cell_scoped, ended(AttemptResult::ConnectionLost, 0.0)),
         Err(RetryRefusal::MayHaveExecuted)
     );
 }
 
 #[test]
 fn message_is_written_only_while_the_client_waits_and_in_time() {
-    let sends = SendState {
+    let sendable = SendState {
         withdrawn: false,
         start_window_passed: false,
         deadline_passed: false,
         client_waits: true,
     };
-    assert_eq!(may_send(&sends), Ok(()));
+    assert_eq!(may_send(&sendable), Ok(()));
     let refusals = [
-        (SendState { withdrawn: true, ..sends }, SendRefusal::Withdrawn),
-        (SendState { start_window_passed: true, ..sends }, SendRefusal::StartWindowPassed),
-        (SendState { deadline_passed: true, ..sends }, SendRefusal::DeadlinePassed),
-        (SendState { client_waits: false, ..sends }, SendRefusal::ClientLeft),
+        (SendState { withdrawn: true, ..sendable }, SendRefusal::Withdrawn),
+        (SendState { start_window_passed: true, ..sendable }, SendRefusal::StartWindowPassed),
+        (SendState { deadline_passed: true, ..sendable }, SendRefusal::DeadlinePassed),
+        (SendState { client_waits: false, ..sendable }, SendRefusal::ClientLeft),
     ];
     for (state, refusal) in refusals {
         assert_eq!(may_send(&state), Err(refusal));
@@ -80,9 +80,9 @@
     assert_eq!(may_close(&CloseState { wanted: true, queued_messages: 0 }), Ok(()));
     assert_eq!(may_close(&CloseState { wanted: true, queued_messages: 1 }), Err(CloseRefusal::MessageQueued));
     assert_eq!(may_close(&CloseState { wanted: false, queued_messages: 0 }), Err(CloseRefusal::NotWanted));
-    let ends = ExitState { accepts: false, connections_open: false, quiet: true };
-    assert_eq!(may_exit(&ends), Ok(()));
-    assert_eq!(may_exit(&ExitState { accepts: true, ..ends }), Err(ExitRefusal::Accepting));
-    assert_eq!(may_exit(&ExitState { connections_open: true, ..ends }), Err(ExitRefusal::ConnectionsOpen));
-    assert_eq!(may_exit(&ExitState { quiet: false, ..ends }), Err(ExitRefusal::NotQuiet));
+    let may_end = ExitState { accepts: false, connections_open: false, quiet: true };
+    assert_eq!(may_exit(&may_end), Ok(()));
+    assert_eq!(may_exit(&ExitState { accepts: true, ..may_end }), Err(ExitRefusal::Accepting));
+    assert_eq!(may_exit(&ExitState { connections_open: true, ..may_end }), Err(ExitRefusal::ConnectionsOpen));
+    assert_eq!(may_exit(&ExitState { quiet: false, ..may_end }), Err(ExitRefusal::NotQuiet));
 }
--- a/crates/node/src/platform_time.rs
+++ b/crates/node/src/platform_time.rs
@@ -1,23 +1,23 @@
 //! Maps Unix times of the platform (purges, starts of servers, origin times of copies) to the router's monotonic clock.
 //!
 //! The router's wall clock may be wrong, so no age is computed from it alone. A Unix time received from the platform is a lower bound of the
-//! platform's current time, since no event is notified before it happens. An age by the highest such bound exceeds the true age by at most
-//! the rounding (1 ms, which the decision module subtracts), so a copy from before a purge is never accepted, and a server that has just
-//! started never counts as warm. The wall clock only caps bounds from less trusted sources.
+//! platform's current time, since no event is notified before it happens. An age computed from the highest such bound exceeds the true age by
+//! at most the rounding (1 ms, which the decision module subtracts). So a copy from before a purge is never accepted, and a server that has
+//! just started never counts as warm. The wall clock only limits bounds from less trusted sources.
 
 use basaltgw::api::Ms;
 use std::collections::BTreeMap;
 
-/// Offsets are rounded up to whole milliseconds, so that a time received by now maps to before now. An age may be too great by this; the
-/// decision module subtracts twice as much from each age limit.
+/// Offsets are rounded up to whole milliseconds, so that the time of an event received up to now maps to a time before now. An age may be too
+/// great by this; the decision module subtracts twice as much from each age limit.
 const ROUNDING_MS: Ms = 1.0;
 /// Smaller increases of the bound are ignored; computed ages are too small by less than this.
 const MIN_INCREASE_MS: Ms = 5.0;
 
-/// Remembered Unix times that seem to be in the future, the latest ones.
+/// The most Unix times that seem to be in the future and are stored; the latest ones are kept.
 const MAX_FUTURE_TIMES: usize = 256;
 
-/// The lower bound of Unix time less monotonic time that an event at a Unix time before now gives.
+/// The lower bound on Unix time minus monotonic time that follows from an event that happened at a Unix time before now.
 fn offset_at(now: Ms, unix: Ms) -> Ms {
     (unix - now).floor() + ROUNDING_MS
 }
@@ -25,20 +25,20 @@
 /// The platform's time relative to the monotonic clock. Offsets are whole milliseconds, so that mapped times compare exactly.
 #[derive(Clone, Debug)]
 pub struct PlatformTime {
-    /// Unix time less monotonic time, by the wall clock at the start of the process.
+    /// Unix time minus monotonic time, by the wall clock at the start of the process.
     wall_offset: Ms,
-    /// The same by the platform's times: a lower bound.
+    /// The lower bound on Unix time minus monotonic time from the platform's times; `None` before the first of them.
     offset: Option<Ms>,
-    /// Unix time of the latest purge.
+    /// The Unix time of the latest purge.
     latest_purge: Ms,
-    /// Ages that were reported must not grow any more: the bound is fixed.
+    /// Whether the bound is fixed, since ages that were reported must not grow.
     settled: bool,
-    /// Unix times that seemed to be in the future, and the monotonic times to which they were mapped.
+    /// Unix times that seemed to be in the future, with the monotonic times to which they were mapped.
     future_times: BTreeMap<u64, Ms>,
 }
 
 impl PlatformTime {
-    /// Without a time of the platform; `now` is monotonic, `wall` the Unix time at that moment.
+    /// Without any time of the platform yet; `now` is the monotonic time, `wall` the wall clock's Unix time at that moment.
     pub fn new(now: Ms, wall: Ms) -> Self {
         Self {
             wall_offset: (wall - now).floor(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Raises the bound if that is at least `min_increase`; returns by how much ages computed before were too small.
+    /// Raises the bound if the increase is at least `min_increase`; returns by how much ages computed before were too small.
     fn raise(&mut self, offset: Ms, min_increase: Ms) -> Option<Ms> {
         let Some(before) = self.offset else {
             self.offset = Some(offset);
@@ -63,18 +63,20 @@
         Some(increase)
     }
 
-    /// Observes a purge at this Unix time. Purges come from the change log alone, whose times are trusted; see `raise` for the result.
+    /// Observes a purge at this Unix time. Purges come from the change log alone, whose times are trusted. If this raises the bound, returns by
+    /// how many milliseconds ages computed before were too small.
     pub fn observe_purge(&mut self, now: Ms, unix: Ms) -> Option<Ms> {
         self.raise(offset_at(now, unix), 1.0)
     }
 
-    /// Observes another event at this Unix time, such as the start of a server; not trusted beyond the wall clock.
+    /// Observes another event at this Unix time, such as the start of a server; its time is not trusted beyond the wall clock. The result is that
+    /// of [`Self::observe_purge`].
     pub fn observe(&mut self, now: Ms, unix: Ms) -> Option<Ms> {
         self.raise(offset_at(now, unix).min(self.wall_offset), MIN_INCREASE_MS)
     }
 
-    /// The monotonic time of an event at a Unix time, as late as it can have been. The same Unix time maps to the same result while the bound
-    /// stays. An event that seems to be in the future happened at an unknown time, and must not move when the bound is raised.
+    /// The latest monotonic time that an event at a Unix time can have had. While the bound is not raised, the same Unix time maps to the same
+    /// result. An event that seems to be in the future happened at an unknown time, and its result must not change when the bound is raised.
     pub fn local(&mut self, now: Ms, unix: Ms) -> Ms {
         let Some(offset) = self.offset else { return now };
         let local = unix - offset;
@@ -104,24 +106,24 @@
         local + self.offset.unwrap_or(self.wall_offset)
     }
 
-    /// The latest Unix time that a monotonic time can have been, by the bound and the wall clock.
+    /// The latest Unix time to which a monotonic time can correspond, by the bound and the wall clock.
     pub fn unix_at_most(&self, local: Ms) -> Ms {
         local + self.offset.map_or(self.wall_offset, |offset| offset.max(self.wall_offset))
     }
 
-    /// The age of an event at a Unix time, in milliseconds; never more than the true age.
+    /// The age of an event at a Unix time, in milliseconds; never more than the true age plus the rounding.
     pub fn age(&mut self, now: Ms, unix: Ms) -> Ms {
         (now - self.local(now, unix)).max(0.0)
     }
 
-    /// Notes a purge at this Unix time that the change log sent before.
-    pub fn purge_known(&mut self, unix: Ms) {
+    /// Records a purge at this Unix time that was known before the change log is followed.
+    pub fn record_known_purge(&mut self, unix: Ms) {
         self.latest_purge = self.latest_purge.max(unix);
     }
 
-    /// The age of a purge that the change log has just sent, in milliseconds. One that is out of order may come from a change log whose clock
-    /// was set back, and has age 0.
-    pub fn age_in_order(&mut self, now: Ms, unix: Ms) -> Ms {
+    /// The age of a purge that the change log has just sent, in milliseconds; 0 if its time is before that of an earlier purge, since the change
+    /// log's clock may have been set back.
+    pub fn age_of_next_purge(&mut self, now: Ms, unix: Ms) -> Ms {
         if unix < self.latest_purge {
             return 0.0;
         }
@@ -129,7 +131,7 @@
         self.age(now, unix)
     }
 
-    /// Fixes the bound: an event was mapped to the current time instead of its Unix time, and its age must not grow.
+    /// Fixes the bound, since an event was mapped to the current time instead of its Unix time and its age must not grow.
     pub fn settle(&mut self) {
         self.settled = true;
     }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration and the project's own file again in a running router, and applies both or neither. What needs a restart is logged
-//! and ignored.
+//! Reloads the configuration and the settings file in a running router, and applies both or neither. Changes that need a restart are logged and
+//! ignored.
 
 use crate::messages::Input;
 use crate::placement_report;
@@ -9,25 +9,25 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The project's own settings, and the file from which they are read again.
+/// The settings of the optional YAML file (option `--with`), and the file's path for a reload.
 #[derive(Clone, Debug, Default)]
-pub struct Own {
-    /// The file, if one was given.
+pub struct SettingsFile {
+    /// The path, if a file was given.
     pub file: Option<PathBuf>,
-    /// Its settings.
+    /// The file's settings; the defaults without a file.
     pub settings: OwnSettings,
 }
 
-/// Reads the configuration and the project's own file again and applies what a running router can change; the rest is logged and skipped.
-/// False if either file is invalid, in which case nothing is applied, or if the process is ending.
+/// Reloads the configuration and the settings file and applies what can change in a running router; other changes are logged and ignored.
+/// Returns false if either file is invalid, in which case nothing is applied, or if the process is ending.
 pub(crate) async fn reload(
     running: &NodeConfig,
-    own: &mut Own,
+    settings_file: &mut SettingsFile,
     urgent: &Sender<Input>,
-    changelog: &Sender<SocketAddr>,
+    changelog_addresses: &Sender<SocketAddr>,
 ) -> bool {
-    let Some(new) = read_own_settings(running, own) else { return false };
-    let rules = match changed_rules(own.settings.fleet.as_ref(), new.fleet.as_ref()) {
+    let Some(new) = read_settings(running, settings_file) else { return false };
+    let rules = match changed_rules(settings_file.settings.fleet.as_ref(), new.fleet.as_ref()) {
         Ok(rules) => rules.cloned(),
         Err(faults) => {
             log::error!("reload rejected, placement rules are invalid:\n{faults}");
@@ -41,18 +41,18 @@
             return false;
         }
     };
-    if apply_own_settings(own, new, rules, urgent).await.is_err() {
+    if apply_settings(settings_file, new, rules, urgent).await.is_err() {
         return false;
     }
     for key in &config.fixed {
         log::warn!("reload: change of {key} needs a restart, ignored");
     }
     log::info!("reload: change log address {}", config.changelog);
-    changelog.send(config.changelog).await.is_ok()
+    changelog_addresses.send(config.changelog).await.is_ok()
 }
 
-fn read_own_settings(running: &NodeConfig, own: &Own) -> Option<OwnSettings> {
-    match own.file.as_deref().map(|file| own_settings(file, running.cold())).transpose() {
+fn read_settings(running: &NodeConfig, settings_file: &SettingsFile) -> Option<OwnSettings> {
+    match settings_file.file.as_deref().map(|file| own_settings(file, running.cold())).transpose() {
         Ok(settings) => Some(settings.unwrap_or_default()),
         Err(e) => {
             log::error!("reload rejected, settings unchanged: {e}");
@@ -61,37 +61,37 @@
     }
 }
 
-/// The owner is gone: the process ends.
-struct OwnerGone;
+/// The owner has ended, and the process with it.
+struct OwnerEnded;
 
-impl<T> From<async_channel::SendError<T>> for OwnerGone {
+impl<T> From<async_channel::SendError<T>> for OwnerEnded {
     fn from(_: async_channel::SendError<T>) -> Self {
         Self
     }
 }
 
-/// Sends the owner the plan of the cache tree and the fleet's new placement rules; warns of changes that need a restart.
-async fn apply_own_settings(
-    own: &mut Own,
+/// Sends the owner the plan of the cache tree and the fleet's changed placement rules; logs changes that need a restart.
+async fn apply_settings(
+    settings_file: &mut SettingsFile,
     new: OwnSettings,
     rules: Option<Fleet>,
     urgent: &Sender<Input>,
-) -> Result<(), OwnerGone> {
-    if new.carry != own.settings.carry {
+) -> Result<(), OwnerEnded> {
+    if new.carry != settings_file.settings.carry {
         log::warn!("reload: change of carry needs a restart, ignored");
     }
-    if own.settings.hierarchy.is_some() && new.hierarchy.is_none() {
+    if settings_file.settings.hierarchy.is_some() && new.hierarchy.is_none() {
         log::warn!("reload: no plan in section hierarchy, the running plan stays in use until a restart");
     }
     if let Some(hierarchy) = new.hierarchy {
-        own.settings.hierarchy = Some(hierarchy.clone());
+        settings_file.settings.hierarchy = Some(hierarchy.clone());
         urgent.send(Input::Plan(Box::new(hierarchy))).await?;
     }
     if let Some(fleet) = rules {
-        own.settings.fleet = Some(fleet.clone());
-        for (name, text) in crate::fleet::start::placement_rules(&fleet) {
-            log::info!("reload: placement rules {name} proposed to the fleet");
-            urgent.send(Input::PlacementRules(name, text)).await?;
+        settings_file.settings.fleet = Some(fleet.clone());
+        for (file, text) in crate::fleet::start::placement_rules(&fleet) {
+            log::info!("reload: placement rules {file} proposed to the fleet");
+            urgent.send(Input::PlacementRules { file, text }).await?;
         }
     }
     Ok(())
@@ -100,7 +100,7 @@
 /// The new `fleet` section if its placement rules changed and nothing else did.
 ///
 /// # Errors
-/// If the routers that the file lists can't satisfy the rules; each fault with file, line and column.
+/// If the listed routers can't satisfy the rules: a description of each fault, with file, line and column.
 fn changed_rules<'a>(running: Option<&Fleet>, new: Option<&'a Fleet>) -> Result<Option<&'a Fleet>, String> {
     let (running, new) = match (running, new) {
         (None, None) => return Ok(None),
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -8,7 +8,7 @@
 };
 use crate::messages::{Input, Inputs, Shared};
 use crate::owner::Owner;
-use crate::reload::Own;
+use crate::reload::SettingsFile;
 use crate::signal_handler::handle_signals;
 use crate::{changelog, clients, fleet, owner, signals, snapshot_file};
 use async_channel::Sender;
@@ -28,7 +28,7 @@
     clients: Sender<Input>,
 }
 
-/// The descriptors that connections may use.
+/// How many file descriptors connections may use.
 struct DescriptorBudget {
     servers: usize,
     clients: usize,
@@ -37,8 +37,8 @@
 /// Runs a router until it is asked to end; returns its counters as `name=value` words.
 ///
 /// # Errors
-/// If it can't start, or one of the fleet's threads has ended by itself.
-pub fn serve(mut config: NodeConfig, own: Own) -> io::Result<String> {
+/// If the router can't start, or one of the fleet's threads ended unexpectedly.
+pub fn serve(mut config: NodeConfig, settings_file: SettingsFile) -> io::Result<String> {
     config.unread.iter().for_each(|fault| log::warn!("configuration entry ignored: {fault}"));
     let signals = signals::Signals::listen()?;
     let (senders, inputs) = input_queues();
@@ -46,40 +46,36 @@
     let descriptors = descriptor_budget(&config);
     let to_servers = Shared { queue: senders.servers, ..shared.clone() };
     let caches = ServerPool::new(to_servers, descriptors.servers, config.transport);
-    let mut owner = Owner::new(&config, &own.settings, &shared, caches);
-    if let Some(snapshot) = own.settings.carry.as_ref().and_then(snapshot_file::load) {
+    let mut owner = Owner::new(&config, &settings_file.settings, &shared, caches);
+    if let Some(snapshot) = settings_file.settings.carry.as_ref().and_then(snapshot_file::load) {
         owner.restore(snapshot);
     }
-    if let Some(settings) = &own.settings.fleet {
+    if let Some(settings) = &settings_file.settings.fleet {
         join_fleet(&mut owner, settings, &config, &shared, senders.urgent.clone())?;
     }
     let listener = bind(config.listen)?;
     log::info!("{} listens at {}", config.name, listener.get_ref().local_addr()?);
     let executor = Rc::clone(&shared.executor);
     let slots: Rc<ConnectionSlots> = owner.client_slots();
-    // `shared` stays alive: the owner waits on the clients' queue, which must not close while it runs.
+    // `shared` stays alive, since the clients' queue, on which the owner waits, must not close while it runs.
     let listener = executor.spawn(clients::accept(listener, descriptors.clients, slots, shared.clone()));
-    let (moves, moved) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
+    let (address_sender, addresses) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
     let names = config.names.clone();
-    let follow = changelog::follow(config.changelog, moved, config.known_seq, names, senders.urgent.clone());
+    let follow =
+        changelog::follow(config.changelog, addresses, config.known_seq, names, senders.urgent.clone());
     executor.spawn(follow).detach();
-    // The owner has taken these; the signals' task needs only the settings.
+    // The owner has handled these events; the signal handler needs only the settings.
     config.known = Vec::new();
-    let carry = own.settings.carry.clone();
-    executor.spawn(handle_signals(signals, senders.urgent, config, own, moves)).detach();
-    let owner::ExitReport {
-        counters,
-        snapshot: learnt,
-        snapshot_taken_at: left_at,
-        fleet_counters: fleet,
-        fault,
-    } = async_io::block_on(executor.run(owner.run(inputs, listener)));
+    let carry = settings_file.settings.carry.clone();
+    executor.spawn(handle_signals(signals, senders.urgent, config, settings_file, address_sender)).detach();
+    let owner::ExitReport { counters, snapshot, snapshot_taken_at, fleet_counters, fault } =
+        async_io::block_on(executor.run(owner.run(inputs, listener)));
     if let Some(carry) = &carry {
-        snapshot_file::store(carry, &learnt, left_at);
+        snapshot_file::store(carry, &snapshot, snapshot_taken_at);
     }
     match fault {
         Some(fault) => Err(io::Error::other(fault)),
-        None => Ok(format!("{counters}{fleet}")),
+        None => Ok(format!("{counters}{fleet_counters}")),
     }
 }
 
@@ -110,7 +106,7 @@
     DescriptorBudget { servers: servers as usize, clients: clients as usize }
 }
 
-/// Starts the fleet's threads and joins the owner to them.
+/// Starts the fleet's threads and connects the owner to them.
 fn join_fleet(
     owner: &mut Owner,
     settings: &Fleet,
@@ -119,15 +115,15 @@
     urgent: Sender<Input>,
 ) -> io::Result<()> {
     let fleet = fleet::start::start(settings, config, shared.clock)?;
-    let bell = fleet.wakeup.clone();
-    let forward_bell =
-        async move { while bell.recv().await.is_ok() && urgent.send(Input::Fleet).await.is_ok() {} };
-    shared.executor.spawn(forward_bell).detach();
+    let wakeups = fleet.wakeup.clone();
+    let forward_wakeups =
+        async move { while wakeups.recv().await.is_ok() && urgent.send(Input::Fleet).await.is_ok() {} };
+    shared.executor.spawn(forward_wakeups).detach();
     owner.join_fleet(fleet);
     Ok(())
 }
 
-/// Binds the listener; while a process that is ending still has the address, the bind is retried.
+/// Binds the listener. The bind is retried for a while if the address is in use, since the previous process may be about to end.
 fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let start = Instant::now();
     loop {
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,11 +1,11 @@
-//! Decides when a process that was asked to end may do so. Inputs: the time in milliseconds, and whether a client's connection is open.
+//! Decides when a process that was asked to end may exit, from the time in milliseconds and whether a client's connection is open.
 
 use crate::limits::{SHUTDOWN_ACCEPT_MS, SHUTDOWN_QUIET_MS};
 use crate::permissions::{may_exit, ExitState};
 use basaltgw::api::Ms;
 
-/// The progress of a graceful shutdown: clients are accepted for [`SHUTDOWN_ACCEPT_MS`], and the process ends when no connection was open
-/// for [`SHUTDOWN_QUIET_MS`] after that.
+/// The progress of a graceful shutdown: clients are accepted for [`SHUTDOWN_ACCEPT_MS`], and after that the process ends as soon as no
+/// connection was open for [`SHUTDOWN_QUIET_MS`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GracefulShutdown {
     begun_at: Option<Ms>,
@@ -28,7 +28,7 @@
         self.begun_at.is_none_or(|t| now < t + SHUTDOWN_ACCEPT_MS)
     }
 
-    /// Whether the process may end; `open` while a client's connection is open or may come from the backlog.
+    /// Whether the process may exit; `open` while a client's connection is open or may still be accepted from the backlog.
     pub fn may_exit(&mut self, now: Ms, open: bool) -> bool {
         let accepts = self.accepts(now);
         if accepts || open {
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,6 +1,6 @@
-//! Receives signals: handlers set a flag for each signal, and write a byte to a pipe that wakes the task that waits for them.
+//! Receives signals: a handler sets the flag of its signal and writes a byte to a pipe, which wakes the task that waits for signals.
 //!
-//! The byte doesn't say which signal it was. A lost byte (the pipe is full, or the write fails) costs a short delay only, since the flags
+//! The byte does not tell which signal it was. A lost byte (the pipe is full, or the write fails) causes only a short delay, since the flags
 //! are polled as well.
 
 use crate::socket;
@@ -14,42 +14,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the flags are polled without a wake-up.
+/// How often the flags are polled if no byte wakes the task.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a signal asks for.
+/// What the router does on a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum SignalAction {
     /// SIGHUP: read the configuration again.
     Reload,
     /// SIGUSR1: log the counters.
-    Count,
+    LogCounters,
     /// SIGTERM or SIGINT: shut down gracefully.
-    End,
+    Shutdown,
 }
 
-/// The signals that are handled, in the order in which those that came together take effect.
-const ORDERS: [(Order, &[i32]); 3] =
-    [(Order::Reload, &[SIGHUP]), (Order::Count, &[SIGUSR1]), (Order::End, &[SIGTERM, SIGINT])];
+/// The handled signals, in the order in which signals that are received together take effect.
+const HANDLED_SIGNALS: [(SignalAction, &[i32]); 3] = [
+    (SignalAction::Reload, &[SIGHUP]),
+    (SignalAction::LogCounters, &[SIGUSR1]),
+    (SignalAction::Shutdown, &[SIGTERM, SIGINT]),
+];
 
-/// The signals of this process.
+/// The signal handlers of the process, and what they have received.
 #[derive(Debug)]
 pub struct Signals {
-    flags: [Arc<AtomicBool>; ORDERS.len()],
+    flags: [Arc<AtomicBool>; HANDLED_SIGNALS.len()],
     wakes: Async<UnixStream>,
 }
 
 impl Signals {
-    /// Installs the handlers; before this, each of the signals kills the process.
+    /// Installs the handlers; without them, each of the signals kills the process.
     ///
     /// # Errors
-    /// If a handler can't be set, or the pipe can't be made.
+    /// If a handler can't be installed, or the pipe can't be created.
     pub fn listen() -> io::Result<Self> {
         let (wakes, wake) = UnixStream::pair()?;
-        let flags: [Arc<AtomicBool>; ORDERS.len()] = Default::default();
-        for ((_, signals), flag_of) in ORDERS.iter().zip(&flags) {
+        let flags: [Arc<AtomicBool>; HANDLED_SIGNALS.len()] = Default::default();
+        for ((_, signals), flag_of) in HANDLED_SIGNALS.iter().zip(&flags) {
             for signal in *signals {
-                // Handlers run in this order: the flag is set before the wake-up.
+                // Handlers run in the order of registration: the flag is set before the byte is written.
                 flag::register(*signal, Arc::clone(flag_of))?;
                 low_level::pipe::register(*signal, wake.try_clone()?)?;
             }
@@ -57,19 +60,22 @@
         Ok(Self { flags, wakes: Async::new(wakes)? })
     }
 
-    /// What was asked for since the last call; signals of one kind that came together count once.
-    fn take(&self) -> Vec<Order> {
-        let orders = ORDERS.iter().zip(&self.flags);
-        orders.filter(|(_, flag)| flag.swap(false, Ordering::SeqCst)).map(|((order, _), _)| *order).collect()
+    /// The actions for the signals since the last call; several signals with the same action count once.
+    fn take(&self) -> Vec<SignalAction> {
+        let handled = HANDLED_SIGNALS.iter().zip(&self.flags);
+        handled
+            .filter(|(_, flag)| flag.swap(false, Ordering::SeqCst))
+            .map(|((action, _), _)| *action)
+            .collect()
     }
 
-    /// Waits for signals; returns what they ask for.
-    pub async fn next(&mut self) -> Vec<Order> {
+    /// Waits for signals; returns their actions.
+    pub async fn next(&mut self) -> Vec<SignalAction> {
         let mut buffer = [0; 64];
         loop {
-            let orders = self.take();
-            if !orders.is_empty() {
-                return orders;
+            let actions = self.take();
+            if !actions.is_empty() {
+                return actions;
             }
             let mut wakes = &self.wakes;
             let woken = async {
--- a/crates/node/src/slow_start_watch.rs
+++ b/crates/node/src/slow_start_watch.rs
@@ -1,7 +1,8 @@
-//! Checks slow start at the writer: counts the requests written to each server that is warming up against the bound for all routers.
+//! Checks slow start where attempts are written: compares the requests sent to each server that is warming up with the limit for all routers.
 //!
-//! The decision module keeps its own account (`routing::slow_start`). This checker shares no sum and no unit with it: it counts first bytes as
-//! they are written, for each server process, and estimates the cost of a request from responses with bodies alone. Times are in milliseconds.
+//! The decision module has its own count (`routing::slow_start`). This checker shares no state and no unit of cost with it: for each server
+//! process it counts requests when their first byte is written, and estimates their cost from responses with bodies alone. Times are in
+//! milliseconds.
 
 #[cfg(test)]
 mod tests;
@@ -11,36 +12,37 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Objects whose shortest response time is stored.
+/// The most objects whose shortest response time is stored.
 const MAX_TRACKED_OBJECTS: usize = 4_096;
-/// Weight of a response in its class's mean cost.
+/// The least weight of a response in its class's mean cost, an exponential moving average.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Responses for objects that were served before, until a class's mean cost is used.
+/// A class's mean cost is used after this many responses for objects that were served before.
 const MIN_SAMPLES: u32 = 20;
-/// A window that allows fewer requests than this has a wider tolerance, since chance has more effect there.
+/// A window that allows fewer requests than this has a wider tolerance, since random variation has more effect there.
 const LARGE_WINDOW_REQUESTS: f64 = 30.0;
-/// Fetches that were written and not yet taken by the owner; more than are ever open.
+/// The most completely written attempts that are stored until the owner takes them; more than are ever open.
 const MAX_WRITTEN_FETCHES: usize = 100_000;
-/// Two listed start times that differ by no more than this are the same start: rounding, and the time since the batch began.
+/// Two listed start times that differ by no more than this are the same start; differences come from rounding and from the time since the
+/// batch began.
 const SAME_START_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// The number of a request and of the attempt.
+/// The number of a request, and the number of one of its attempts.
 pub type FetchIds = (u64, usize);
 
-/// What the endpoint list says of a server's start.
+/// Whether the endpoint list shows a new start of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedStart {
-    /// A start that was not known before: the server begins to warm up.
+    /// The start was not known before, and the server begins to warm up.
     New,
-    /// A known start, or the server is not warming up.
+    /// The start was known before, or the server is not warming up.
     Unchanged,
 }
 
-/// A request of which the first byte was written to a server, or for which the server was named as the fill source.
+/// A request whose first byte was written to a server, or that named the server as the fill source.
 #[derive(Clone, Copy, Debug)]
 struct SentRequest {
     at: Instant,
-    /// The place of its class in the settings.
+    /// The index of its class in the settings.
     class: usize,
 }
 
@@ -48,10 +50,10 @@
 #[derive(Debug)]
 struct Process {
     policy: SlowStartPolicy,
-    /// The listed capacity, in relation to other servers.
+    /// The listed capacity relative to other servers.
     weight: f64,
     started: Instant,
-    /// What it was sent within the last window.
+    /// The requests that it was sent within the last window.
     sent: VecDeque<SentRequest>,
 }
 
@@ -62,44 +64,45 @@
     samples: u32,
 }
 
-/// A server was sent more than the bound.
+/// A server was sent more requests than the limit allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Exceeded {
     /// The server.
     pub server: ServerId,
-    /// Requests of mean cost in the window.
+    /// The cost of the window's requests, in requests of mean cost.
     pub sent: f64,
-    /// The bound on them.
+    /// The limit on `sent`.
     pub bound: f64,
 }
 
-/// The checker.
+/// The slow-start checker.
 #[derive(Debug)]
 pub struct SlowStartWatch {
     policies: [(Role, SlowStartPolicy); 2],
-    /// Whether listed weights are capacities; they are not where weights are dynamic.
+    /// Whether listed weights are capacities; dynamic weights are not.
     uses_weights: bool,
     warming_up: RefCell<BTreeMap<ServerId, Process>>,
     /// The shortest response time of each object.
     shortest_responses: RefCell<HashMap<ObjectId, Ms>>,
-    /// By class.
+    /// The mean cost of each class, by its index in the settings.
     costs: RefCell<Vec<ClassCost>>,
-    count_written: RefCell<Vec<FetchIds>>,
+    /// Completely written attempts that the owner has not yet taken.
+    written: RefCell<Vec<FetchIds>>,
     highest_share: Cell<f64>,
 }
 
-/// The bound on a window's requests of mean cost, where the settings allow this many: chance adds a few standard deviations.
+/// The limit on a window's requests of mean cost if the settings allow this many. A few standard deviations are added for random variation.
 fn with_tolerance(allowed: f64) -> f64 {
     let (deviations, extra) = if allowed < LARGE_WINDOW_REQUESTS { (3.0, 3.0) } else { (2.0, 2.0) };
     allowed + deviations * allowed.sqrt() + extra
 }
 
-fn duration(ms: Ms) -> Duration {
+fn to_duration(ms: Ms) -> Duration {
     Duration::from_secs_f64(ms.max(0.0) / 1000.0)
 }
 
 impl Process {
-    /// Requests of mean cost that all routers may send in a window, at this age of the process.
+    /// The number of requests of mean cost that all routers together may send in a window, at this age of the process.
     fn allowed(&self, age: Ms, mean_cost: Ms) -> f64 {
         let policy = &self.policy;
         let share = policy.initial_share
@@ -108,7 +111,7 @@
     }
 
     fn drop_before_window(&mut self, now: Instant) {
-        let window = duration(self.policy.overload_window);
+        let window = to_duration(self.policy.overload_window);
         while self.sent.front().is_some_and(|sent| now.saturating_duration_since(sent.at) > window) {
             self.sent.pop_front();
         }
@@ -124,12 +127,12 @@
             warming_up: RefCell::default(),
             shortest_responses: RefCell::default(),
             costs: RefCell::new(vec![ClassCost::default(); settings.classes.len()]),
-            count_written: RefCell::default(),
+            written: RefCell::default(),
             highest_share: Cell::default(),
         }
     }
 
-    /// Observes a listed server whose process started `age` milliseconds ago, `None` if long ago.
+    /// Observes a listed server, whose process started `age` milliseconds ago; `None` if the list has no start.
     pub fn observe_endpoint(&self, now: Instant, endpoint: &Endpoint, age: Option<Ms>) -> ListedStart {
         let mut warming_up = self.warming_up.borrow_mut();
         let policy = self.policies.iter().find(|(role, _)| *role == endpoint.role).map(|(_, policy)| *policy);
@@ -141,7 +144,7 @@
             warming_up.remove(&endpoint.id);
             return ListedStart::Unchanged;
         };
-        let Some(started) = now.checked_sub(duration(age)) else { return ListedStart::Unchanged };
+        let Some(started) = now.checked_sub(to_duration(age)) else { return ListedStart::Unchanged };
         let weight = if self.uses_weights && endpoint.weight > 0.0 { endpoint.weight } else { 1.0 };
         let Some(process) = warming_up.get_mut(&endpoint.id) else {
             let process = Process { policy, weight, started, sent: VecDeque::new() };
@@ -157,14 +160,14 @@
         ListedStart::New
     }
 
-    /// Moves all starts into the past by this: the platform's clock turned out to be ahead of the estimate.
+    /// Moves all starts into the past by this many milliseconds, after the platform's clock was found to be ahead of the estimate.
     pub fn shift_starts(&self, by: Ms) {
         for process in self.warming_up.borrow_mut().values_mut() {
-            process.started = process.started.checked_sub(duration(by)).unwrap_or(process.started);
+            process.started = process.started.checked_sub(to_duration(by)).unwrap_or(process.started);
         }
     }
 
-    /// Observes how long the response with an object's bytes took.
+    /// Observes a response with an object's bytes, which took `elapsed` milliseconds.
     pub fn observe_response(&self, class: usize, object: ObjectId, elapsed: Ms) {
         let mut shortest_responses = self.shortest_responses.borrow_mut();
         let Some(shortest) = shortest_responses.get_mut(&object) else {
@@ -181,21 +184,27 @@
         }
     }
 
-    /// Counts a fetch whose first byte is written to a server, which may fill a miss from a source.
-    pub fn count_fetch(&self, now: Instant, class: usize, to: [Option<&ServerId>; 2]) -> Option<Exceeded> {
-        let exceeded = to.into_iter().flatten().map(|server| self.count_request(now, server, class));
+    /// Counts an attempt whose first byte is written, for its server and for its fill source; returns the first of the two whose limit is
+    /// exceeded.
+    pub fn count_fetch(
+        &self,
+        now: Instant,
+        class: usize,
+        servers: [Option<&ServerId>; 2],
+    ) -> Option<Exceeded> {
+        let exceeded = servers.into_iter().flatten().map(|server| self.count_request(now, server, class));
         exceeded.fold(None, |first, next| first.or(next))
     }
 
-    /// Counts a fetch whose last byte is written.
-    pub fn count_written(&self, ids: FetchIds) {
-        let mut written = self.count_written.borrow_mut();
+    /// Records an attempt whose last byte is written, for [`Self::take_written`].
+    pub fn record_written(&self, ids: FetchIds) {
+        let mut written = self.written.borrow_mut();
         if written.len() < MAX_WRITTEN_FETCHES {
             written.push(ids);
         }
     }
 
-    /// Counts a request to a server, and compares its window with the bound.
+    /// Counts a request to a server, and compares the server's window with the limit.
     fn count_request(&self, now: Instant, server: &ServerId, class: usize) -> Option<Exceeded> {
         let mut warming_up = self.warming_up.borrow_mut();
         let process = warming_up.get_mut(server)?;
@@ -214,7 +223,7 @@
         (sent > bound).then(|| Exceeded { server: server.clone(), sent, bound })
     }
 
-    /// A class's mean cost, once there are enough samples.
+    /// A class's mean cost; `None` before there are enough samples.
     fn mean_cost(&self, class: usize) -> Option<Ms> {
         self.costs.borrow().get(class).filter(|cost| cost.samples >= MIN_SAMPLES).map(|cost| cost.mean)
     }
@@ -226,12 +235,12 @@
         (highest > 0.0).then_some(highest)
     }
 
-    /// Takes the fetches that were written whole since the last call.
+    /// Takes the attempts that were completely written since the last call.
     pub fn take_written(&self) -> Vec<FetchIds> {
-        self.count_written.take()
+        self.written.take()
     }
 
-    /// The highest share of its bound that any server was sent from this router since the start.
+    /// The highest share of its limit that any server was sent by this router since the start of the process.
     pub fn highest_share(&self) -> f64 {
         self.highest_share.get()
     }
--- a/crates/node/src/slow_start_watch/tests.rs
+++ b/crates/node/src/slow_start_watch/tests.rs
@@ -1,4 +1,4 @@
-//! Fetches written to servers that are warming up, counted against the bound.
+//! Attempts written to servers that are warming up, compared with the limit.
 
 use super::*;
 use basaltgw::api::ZoneId;
@@ -19,7 +19,7 @@
         warming_up: RefCell::default(),
         shortest_responses: RefCell::default(),
         costs: RefCell::new(vec![ClassCost::default(); 2]),
-        count_written: RefCell::default(),
+        written: RefCell::default(),
         highest_share: Cell::default(),
     };
     (0..40).for_each(|n| watch.observe_response(0, ObjectId(n % 4), 10.0));
@@ -32,8 +32,8 @@
     Endpoint { id, zone, role, cell: 0, state, weight: 1.0, started: None }
 }
 
-/// Sends this many fetches, a millisecond apart; gives how many exceeded the bound.
-fn send(watch: &SlowStartWatch, from: Instant, count: u64) -> usize {
+/// Writes this many attempts, a millisecond apart; returns how many exceeded the limit.
+fn write_attempts(watch: &SlowStartWatch, from: Instant, count: u64) -> usize {
     let id = endpoint().id;
     let at = |n: u64| from + Duration::from_millis(n);
     (0..count).filter(|n| watch.count_fetch(at(*n), 0, [Some(&id), None]).is_some()).count()
@@ -43,23 +43,23 @@
 fn writes_beyond_the_bound_are_reported_with_their_share_of_it() {
     let (watch, now) = (watch(), Instant::now());
     watch.observe_endpoint(now, &endpoint(), Some(0.0));
-    assert_eq!(send(&watch, now, 122), 0, "100 are allowed, and chance adds 22");
+    assert_eq!(write_attempts(&watch, now, 122), 0, "100 are allowed, and the tolerance is 22");
     assert!((0.95..=1.0).contains(&watch.highest_share()));
-    assert!(send(&watch, now + Duration::from_millis(200), 10) > 0);
-    watch.count_written((7, 0));
+    assert!(write_attempts(&watch, now + Duration::from_millis(200), 10) > 0);
+    watch.record_written((7, 0));
     assert_eq!((watch.take_written(), watch.take_written()), (vec![(7, 0)], Vec::new()));
 }
 
 #[test]
 fn each_window_and_process_counts_apart_and_warm_servers_not_at_all() {
     let (watch, now) = (watch(), Instant::now());
-    assert_eq!(send(&watch, now, 500), 0, "not listed as warming up");
+    assert_eq!(write_attempts(&watch, now, 500), 0, "not listed as warming up");
     watch.observe_endpoint(now, &endpoint(), Some(0.0));
-    assert_eq!(send(&watch, now, 120), 0);
-    assert_eq!(send(&watch, now + Duration::from_millis(1_200), 120), 0, "another window");
+    assert_eq!(write_attempts(&watch, now, 120), 0);
+    assert_eq!(write_attempts(&watch, now + Duration::from_millis(1_200), 120), 0, "another window");
     let later = now + Duration::from_millis(1_400);
     watch.observe_endpoint(later, &endpoint(), Some(0.0));
-    assert_eq!(send(&watch, later, 100), 0, "another process");
+    assert_eq!(write_attempts(&watch, later, 100), 0, "another process");
     watch.observe_endpoint(later, &endpoint(), Some(20_000.0));
-    assert_eq!(send(&watch, later, 500), 0, "warm");
+    assert_eq!(write_attempts(&watch, later, 500), 0, "warm");
 }
--- a/crates/node/src/snapshot_file.rs
+++ b/crates/node/src/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! The snapshot of the decision module that one process leaves in a file for the next.
+//! The file in which a process stores the decision module's snapshot for the next process.
 
 use crate::clock::wall_now;
 use basaltgw::api::Ms;
@@ -8,8 +8,8 @@
 use std::io;
 use std::path::Path;
 
-/// Loads the snapshot, with Unix times; one that is missing or unusable is logged and ignored. Its age is taken from the wall clock, so
-/// nothing may rely on it.
+/// Loads the snapshot, with Unix times; a missing or unusable file is logged and ignored. The snapshot's age is computed from the wall clock,
+/// so nothing may rely on it.
 pub(crate) fn load(carry: &Carry) -> Option<Snapshot> {
     let file = carry.file.display();
     if !carry.file.exists() {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Replaces a file with a rename, so that it has either the old or the new text.
+/// Replaces a file by a rename, so that it always has either the whole old or the whole new text.
 fn replace(file: &Path, text: &str) -> io::Result<()> {
     let mut new = file.to_path_buf().into_os_string();
     new.push(".new");
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -1,5 +1,5 @@
-//! Reads and writes sockets. An interrupted call is repeated at once; while the machine is short of memory it is retried with a pause; any
-//! other error ends the connection.
+//! Reads and writes sockets. An interrupted call is repeated at once; a call that failed because the machine lacks memory is retried after a
+//! pause; any other error ends the connection.
 
 use async_io::Timer;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -8,21 +8,21 @@
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// Pause before a call that failed for want of memory is retried.
+/// Pause before a call is retried that failed because the machine lacks memory.
 const SHORTAGE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// Retries of such a call.
+/// The most retries of such a call.
 const MAX_SHORTAGE_RETRIES: u32 = 50;
-/// Linux error numbers that concern this machine alone: ENOMEM, ENFILE, EMFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, ENETDOWN.
+/// Linux error numbers whose cause is this machine alone: ENOMEM, ENFILE, EMFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, ENETDOWN.
 const LOCAL_ERRORS: [i32; 7] = [12, 23, 24, 105, 99, 101, 100];
-/// Those of them that a read or write of an open connection may return: ENOMEM, ENOBUFS.
+/// Those of [`LOCAL_ERRORS`] that a read or write of an open connection may return: ENOMEM, ENOBUFS.
 const SHORTAGES: [i32; 2] = [12, 105];
 
-/// Whether an error concerns this machine alone and says nothing about the peer: a missing resource or route.
+/// Whether the cause of an error is this machine alone (a missing resource or route), so that it says nothing about the peer.
 pub fn is_local(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|code| LOCAL_ERRORS.contains(&code))
 }
 
-/// Whether a socket has bytes to read or a connection to accept; true where that can't be polled.
+/// Whether a socket has bytes to read or a connection to accept; true if polling fails.
 pub fn readable(socket: &impl AsFd) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::IN)];
     match poll(&mut fds, Some(&Timespec::default())) {
@@ -31,7 +31,7 @@
     }
 }
 
-/// What follows a system call.
+/// What to do after a system call.
 enum NextStep {
     Done(io::Result<usize>),
     Repeat,
@@ -87,8 +87,8 @@
 /// Writes all bytes.
 ///
 /// # Errors
-/// If the connection is broken, or takes nothing more.
-pub async fn write_whole(socket: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> io::Result<()> {
+/// If the connection is broken, or accepts no more bytes.
+pub async fn write_all(socket: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> io::Result<()> {
     let mut rest = bytes;
     while !rest.is_empty() {
         let written = write(socket, rest).await?;
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -11,15 +11,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct TreeCounters {
     /// Plans that were read.
-    pub offered: u64,
+    pub plans: u64,
     /// Plans that were rejected.
-    pub refused: u64,
+    pub plans_rejected: u64,
     /// Topology changes that were completed.
-    pub ended: u64,
+    pub changes_completed: u64,
     /// Fill loops that caches detected.
     pub loops: u64,
     /// Pairs of cache and source that were disabled for a loop.
-    pub set_aside: u64,
+    pub pairs_disabled: u64,
 }
 
 /// A router's plan and the topology change in progress; without a plan it does nothing.
@@ -50,15 +50,15 @@
             match act {
                 Act::Use(of) => events.push(Event::FillPlan(Some(Arc::new(table(&of))))),
                 Act::Entered(version, state, why) => {
-                    self.counters.ended += u64::from(state == hierarchy::State::Gone);
+                    self.counters.changes_completed += u64::from(state == hierarchy::State::Gone);
                     log::info!(version = version.0, state:% = state; "plan {version} is {state}: {why}");
                 }
                 Act::Refused(refusal) => {
-                    self.counters.refused += 1;
+                    self.counters.plans_rejected += 1;
                     log::error!("plan rejected, running plan unchanged: {refusal}");
                 }
                 Act::SetAside(asker, source) => {
-                    self.counters.set_aside += 1;
+                    self.counters.pairs_disabled += 1;
                     log::warn!(asker:% = asker, source:% = source; "fill loop between {asker} and {source}, pair disabled until the plan changes");
                 }
             }
@@ -74,7 +74,7 @@
         reshape.set(own.settings);
         let plan: &PlanSpec = &own.plan;
         let in_use = reshape.came_from().is_some_and(|p| p.spec() == *plan);
-        self.counters.offered += 1;
+        self.counters.plans += 1;
         match (in_use, reshape.under_way()) {
             (true, Some((_, _, false))) => self.handle(now, hierarchy::Event::TakeBack),
             (true, _) => Vec::new(),
--- a/crates/node/tests/codec.rs
+++ b/crates/node/tests/codec.rs
@@ -145,7 +145,7 @@
 
 #[test]
 fn server_answers_are_decoded_and_incomplete_ones_rejected() {
-    let read = |w: &[&str]| ServerAnswer::read(w.iter().map(|w| w.as_bytes().to_vec()).collect(), &[]);
+    let read = |w: &[&str]| ServerAnswer::decode(w.iter().map(|w| w.as_bytes().to_vec()).collect(), &[]);
     let whole = "ver=4be0c1927d55a6f3,born=1764576000123,note=filled,waited=12.5,load=inflight:7;x0:0.61";
     let got = read(&["a", "ok", whole, "bytes"]).expect("an answer");
     assert_eq!(
@@ -197,8 +197,8 @@
     let (mut decoder, names, mut frames) = (changelog::Decoder::default(), names(), Vec::new());
     for piece in pieces {
         decoder.feed(piece);
-        while let Some(frame) = decoder.frame(&names).map_err(|e| e.to_string())? {
-            frame.news.as_ref().map_err(|e| e.to_string())?;
+        while let Some(frame) = decoder.next_frame(&names).map_err(|e| e.to_string())? {
+            frame.event.as_ref().map_err(|e| e.to_string())?;
             frames.push(frame);
         }
     }
@@ -218,15 +218,15 @@
     let bytes =
         [frame(41, 1, &record()), frame(41, 0, &[]), frame(42, 3, &object), frame(43, 4, &purge)].concat();
     let whole = frames(&[&bytes]).expect("good frames");
-    let Ok(Some(News::Servers { whole: true, members })) = &whole[0].news else { panic!("a list") };
+    let Ok(Some(News::Servers { whole: true, members })) = &whole[0].event else { panic!("a list") };
     let m = &members[0];
     assert_eq!((&*m.entry.id.0, m.address.to_string().as_str()), ("s-00c41f7a", "127.0.0.9:10080"));
     assert_eq!((m.entry.state, m.entry.role, m.entry.zone.0), (EndpointState::Draining, Role::Parent, 1));
     assert_eq!((m.entry.cell, m.entry.weight, m.entry.started), (2, 4.0, Some(1_764_576_000_123.0)));
-    assert_eq!(whole[1], Frame { seq: Seq(41), news: Ok(None) });
+    assert_eq!(whole[1], Frame { seq: Seq(41), event: Ok(None) });
     let purge = |object, group, time| News::Purge { object, group: GroupId(group), time };
-    assert_eq!(whole[2].news, Ok(Some(purge(Some(ObjectId(0x7f3a9c21e0b4d655)), 0, 5.0))));
-    assert_eq!(whole[3].news, Ok(Some(purge(None, 17, 1_764_576_000_480.0))));
+    assert_eq!(whole[2].event, Ok(Some(purge(Some(ObjectId(0x7f3a9c21e0b4d655)), 0, 5.0))));
+    assert_eq!(whole[3].event, Ok(Some(purge(None, 17, 1_764_576_000_480.0))));
     for at in 0..=bytes.len() {
         assert_eq!(frames(&[&bytes[..at], &bytes[at..]]).as_ref(), Ok(&whole), "split at {at}");
     }
@@ -254,30 +254,30 @@
     let told = |n, kind, payload: &[u8]| {
         let mut decoder = changelog::Decoder::default();
         decoder.feed(&frame(n, kind, payload));
-        decoder.frame(&names()).expect("a frame").expect("a whole one")
+        decoder.next_frame(&names()).expect("a frame").expect("a whole one")
     };
     let (purge, bad) = (|n| told(n, 4, &[0; 10]), |n| told(n, 9, &[]));
     let mut follower = Follower::new(Seq(4));
-    assert!(matches!(follower.take(purge(4)), Ok(None)), "known already");
-    assert!(matches!(follower.take(purge(5)), Ok(Some(_))));
-    assert!(matches!(follower.take(told(9, 0, &[])), Ok(None)));
-    assert!(follower.take(purge(7)).is_err(), "6 is missing");
+    assert!(matches!(follower.on_frame(purge(4)), Ok(None)), "known already");
+    assert!(matches!(follower.on_frame(purge(5)), Ok(Some(_))));
+    assert!(matches!(follower.on_frame(told(9, 0, &[])), Ok(None)));
+    assert!(follower.on_frame(purge(7)).is_err(), "6 is missing");
     assert_eq!(follower.last(), Seq(5));
-    assert!(matches!(follower.take(purge(6)), Ok(Some(_))));
-    assert!(matches!(follower.take(purge(7)), Ok(Some(_))));
-    assert!(matches!(follower.take(purge(7)), Ok(None)));
+    assert!(matches!(follower.on_frame(purge(6)), Ok(Some(_))));
+    assert!(matches!(follower.on_frame(purge(7)), Ok(Some(_))));
+    assert!(matches!(follower.on_frame(purge(7)), Ok(None)));
     // A log that no longer holds what is missing shows the same gap again; then what it has is taken.
-    assert!(follower.take(purge(20)).is_err());
-    assert!(matches!(follower.take(purge(20)), Ok(Some(_))));
+    assert!(follower.on_frame(purge(20)).is_err());
+    assert!(matches!(follower.on_frame(purge(20)), Ok(Some(_))));
     assert_eq!(follower.last(), Seq(20));
     // So with an event that can't be read: asked for again once, then passed over.
-    assert!(follower.take(bad(21)).is_err());
+    assert!(follower.on_frame(bad(21)).is_err());
     assert_eq!(follower.last(), Seq(20));
-    assert!(matches!(follower.take(bad(21)), Ok(None)));
-    assert!(matches!(follower.take(purge(22)), Ok(Some(_))));
-    assert!(follower.take(bad(23)).is_err());
-    assert!(matches!(follower.take(purge(23)), Ok(Some(_))), "better the second time");
-    assert!(follower.take(bad(22)).is_err(), "a bad frame ends the connection, whatever its number");
+    assert!(matches!(follower.on_frame(bad(21)), Ok(None)));
+    assert!(matches!(follower.on_frame(purge(22)), Ok(Some(_))));
+    assert!(follower.on_frame(bad(23)).is_err());
+    assert!(matches!(follower.on_frame(purge(23)), Ok(Some(_))), "better the second time");
+    assert!(follower.on_frame(bad(22)).is_err(), "a bad frame ends the connection, whatever its number");
 }
 
 /// A field's value, as often good as bad.
@@ -334,7 +334,7 @@
         prop_assert_eq!(all.is_err(), decode(&split).is_err());
         for words in all.into_iter().flatten() {
             let _ = ClientMessage::decode(words.clone());
-            let _ = ServerAnswer::read(words, &[]);
+            let _ = ServerAnswer::decode(words, &[]);
         }
         let _ = frames(&[&bytes]);
         let _ = Fields::parse(&bytes);
--- a/crates/node/tests/crossing/closing/end.rs
+++ b/crates/node/tests/crossing/closing/end.rs
@@ -114,7 +114,7 @@
         assert_eq!(client.must().tag, 1);
         assert_eq!(read_to_close(&mut client), Ok(0));
         // Where the machine was that slow, it may have been closed for the time that a message has.
-        if written.elapsed() >= CLIENT_READ_LIMITS.message {
+        if written.elapsed() >= CLIENT_READ_LIMITS.message_timeout {
             continue;
         }
         assert!(rig.router.ended().success());
--- a/crates/node/tests/reader.rs
+++ b/crates/node/tests/reader.rs
@@ -4,7 +4,7 @@
 use async_io::{block_on, Async, Timer};
 use basaltgw_node::clients::{ClientId, ClientMessage, Tag};
 use basaltgw_node::connection::{ClientLiveness, CloseReason};
-use basaltgw_node::inbox::{read_all, DecodedMessage};
+use basaltgw_node::inbox::{read_messages, DecodedMessage};
 use basaltgw_node::limits::{CLIENT_READ_LIMITS, READ_AHEAD_BYTES, READ_BYTES};
 use basaltgw_node::outbox::{BufferMeter, BufferedBytes};
 use basaltgw_node::resp::encode;
@@ -58,14 +58,14 @@
 
     async fn read(&self) -> CloseReason {
         let decode = |decoded: DecodedMessage| {
-            let bytes = decoded.words.iter().map(Vec::len).sum::<usize>();
+            let bytes = decoded.elements.iter().map(Vec::len).sum::<usize>();
             self.decoded_bytes.set(self.decoded_bytes.get() + bytes);
-            let message = ClientMessage::decode(decoded.words)?;
+            let message = ClientMessage::decode(decoded.elements)?;
             self.liveness.observe(&message);
-            Some(Input::Client(ClientId(1), message, decoded.read_at))
+            Some(Input::ClientMessage { client: ClientId(1), message, received_at: decoded.received_at })
         };
         let paused = || self.paused.get();
-        let reason = read_all(&self.near, CLIENT_READ_LIMITS, &self.shared, paused, decode, None).await;
+        let reason = read_messages(&self.near, CLIENT_READ_LIMITS, &self.shared, paused, decode, None).await;
         self.liveness.disconnect();
         reason
     }
@@ -112,7 +112,7 @@
 /// The message of an input, without its time.
 fn message(input: Input) -> ClientMessage {
     match input {
-        Input::Client(_, message, _) => message,
+        Input::ClientMessage { message, .. } => message,
         _ => panic!("a client's message"),
     }
 }
@@ -129,7 +129,7 @@
         memory_full in any::<bool>(),
     ) {
         let all: Vec<u8> = parts.concat();
-        let mut decoder = basaltgw_node::resp::Decoder::new(CLIENT_READ_LIMITS.bounds);
+        let mut decoder = basaltgw_node::resp::Decoder::new(CLIENT_READ_LIMITS.message_limits);
         decoder.feed(&all);
         let mut expected = Vec::new();
         let mut malformed = false;
@@ -256,7 +256,7 @@
         let (first, rest) = whole.split_at(9);
         let held_up = async {
             (&harness.far).write_all(first).await.expect("written");
-            Timer::after(CLIENT_READ_LIMITS.message + Duration::from_millis(300)).await;
+            Timer::after(CLIENT_READ_LIMITS.message_timeout + Duration::from_millis(300)).await;
             harness.paused.set(false);
             (&harness.far).write_all(rest).await.expect("written");
             let input = harness.inputs.recv().await.expect("an input");
--- a/crates/node/tests/watch.rs
+++ b/crates/node/tests/watch.rs
@@ -20,7 +20,7 @@
 fn read(bytes: &[u8]) -> Frame {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
-    decoder.frame(&names()).expect("a frame").expect("a whole one")
+    decoder.next_frame(&names()).expect("a frame").expect("a whole one")
 }
 
 /// An event that can be read; its object is its number.
@@ -60,15 +60,15 @@
 #[test]
 fn empty_frame_reveals_missing_events() {
     let mut follower = Follower::new(Seq(4));
-    assert!(!follower.behind());
+    assert!(!follower.is_behind());
     for (number, behind) in [(4, false), (0, false), (6, true), (5, true), (3, false), (6, true)] {
-        assert!(matches!(follower.take(empty(number)), Ok(None)));
-        assert_eq!((follower.behind(), follower.last()), (behind, Seq(4)), "{number}");
+        assert!(matches!(follower.on_frame(empty(number)), Ok(None)));
+        assert_eq!((follower.is_behind(), follower.last()), (behind, Seq(4)), "{number}");
     }
-    assert!(matches!(follower.take(event(5)), Ok(Some(_))));
-    assert!(follower.behind(), "6 has not come yet");
-    assert!(matches!(follower.take(event(6)), Ok(Some(_))));
-    assert!(!follower.behind());
+    assert!(matches!(follower.on_frame(event(5)), Ok(Some(_))));
+    assert!(follower.is_behind(), "6 has not come yet");
+    assert!(matches!(follower.on_frame(event(6)), Ok(Some(_))));
+    assert!(!follower.is_behind());
 }
 
 #[test]
@@ -77,13 +77,13 @@
     let mut decoder = Decoder::default();
     decoder.feed(&(CHANGELOG_FRAME_MAX_BYTES as u32).to_be_bytes());
     let mut fed = 4;
-    while decoder.frame(&names()).expect("a length within bounds").is_none() {
-        assert!(fed < most && decoder.held() <= most);
+    while decoder.next_frame(&names()).expect("a length within bounds").is_none() {
+        assert!(fed < most && decoder.buffered_bytes() <= most);
         decoder.feed(&[7; READ_BYTES]);
         fed += READ_BYTES;
     }
     decoder.feed(&[]);
-    assert!(decoder.held() < READ_BYTES, "what was read is given back");
+    assert!(decoder.buffered_bytes() < READ_BYTES, "what was read is given back");
 }
 
 proptest! {
@@ -101,7 +101,7 @@
         let (mut follower, mut told) = (Follower::new(Seq(0)), Vec::new());
         for connections in 0.. {
             prop_assert!(connections <= most, "no end: {} connections, at {:?}", connections, follower);
-            if !connection(&mut follower, &mut told, many, &mut faults, (&gone, &never)) && !follower.behind() {
+            if !connection(&mut follower, &mut told, many, &mut faults, (&gone, &never)) && !follower.is_behind() {
                 break;
             }
         }
@@ -137,9 +137,9 @@
     let (mut decoder, names, mut frames) = (Decoder::default(), names(), Vec::new());
     for piece in pieces {
         decoder.feed(piece);
-        assert!(decoder.held() <= 4 + CHANGELOG_FRAME_MAX_BYTES + piece.len());
+        assert!(decoder.buffered_bytes() <= 4 + CHANGELOG_FRAME_MAX_BYTES + piece.len());
         loop {
-            match decoder.frame(&names) {
+            match decoder.next_frame(&names) {
                 Ok(Some(frame)) => frames.push(frame),
                 Ok(None) => break,
                 Err(_) => return (frames, false),
@@ -171,7 +171,7 @@
             Some(Fault::HeldBack) => break,
         };
         for frame in frames {
-            match follower.take(frame) {
+            match follower.on_frame(frame) {
                 Ok(Some(News::Purge { object: Some(ObjectId(n)), .. })) => told.push(n),
                 Ok(Some(other)) => panic!("{other:?}"),
                 Ok(None) => {}
@@ -179,6 +179,6 @@
             }
         }
     }
-    assert!(matches!(follower.take(empty(many)), Ok(None)));
+    assert!(matches!(follower.on_frame(empty(many)), Ok(None)));
     false
 }
