--- a/crates/node/src/breaks.rs
+++ b/crates/node/src/breaks.rs
@@ -1,5 +1,5 @@
-//! Deliberate faults, with which the soak test is shown to detect such faults. Only a build with the feature `breaks` has them, and activates
-//! the one that the environment variable `GW_BREAK` names; in every other build [`broken`] is a constant.
+//! Deliberate faults, with which the soak test is shown to detect such faults. Only a build with the feature `breaks` has them, and
+//! activates the one that the environment variable `GW_BREAK` names; in every other build [`broken`] is a constant.
 
 /// A rule of the router that can be broken on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/node/src/caches/conn.rs
+++ b/crates/node/src/caches/conn.rs
@@ -81,8 +81,8 @@
         self.established && self.awaiting_since.is_some_and(|t| now - t >= SILENT_CONNECTION_MS)
     }
 
-    /// Whether the connection must be probed before an attempt is written, since it is new or was idle. The server may close such a connection
-    /// at any time, and an attempt that crosses the close may have been executed.
+    /// Whether the connection must be probed before an attempt is written, since it is new or was idle. The server may close such a
+    /// connection at any time, and an attempt that crosses the close may have been executed.
     fn needs_probe(&self, now: Ms) -> bool {
         self.open.is_empty() && self.last_answer.is_none_or(|t| now - t > VALIDATED_FOR_MS)
     }
@@ -109,8 +109,8 @@
         message
     }
 
-    /// Whether the connection takes an attempt with this id. It takes none with the id of an earlier attempt on it, whose answer, or a duplicate
-    /// of it, would count as the answer to the new one.
+    /// Whether the connection takes an attempt with this id. It takes none with the id of an earlier attempt on it, whose answer, or a
+    /// duplicate of it, would count as the answer to the new one.
     pub(super) fn accepts(&self, now: Ms, id: &WireId, max_streams: usize) -> bool {
         let free = self.open.len() < max_streams && !self.open.contains_key(id) && !self.aborted.contains(id);
         free && !self.retired && !self.is_silent(now)
--- a/crates/node/src/caches/mod.rs
+++ b/crates/node/src/caches/mod.rs
@@ -63,9 +63,9 @@
         PoolCounts { connections: self.conns.len() as u64, last_number: self.last_number }
     }
 
-    /// Sends an attempt on the connection to a server's process that has the fewest open attempts, except the connections `already_used` for
-    /// this request. Opens a connection if none accepts the attempt or all have [`SHARED_STREAMS`] open attempts (for an `exclusive` attempt: one);
-    /// returns `None` if none accepts it and none may be opened. The first byte is written only under the `conditions`.
+    /// Sends an attempt on the connection to a server's process that has the fewest open attempts, except the connections `already_used`
+    /// for this request. Opens a connection if none accepts the attempt or all have [`SHARED_STREAMS`] open attempts (for an `exclusive`
+    /// attempt: one); returns `None` if none accepts it and none may be opened. The first byte is written only under the `conditions`.
     pub fn send(
         &mut self,
         now: Ms,
@@ -155,8 +155,8 @@
         self.conns.get_mut(&conn_id)?.on_answer(now, id)
     }
 
-    /// Cancels an attempt. If no byte of it was written, the server does not execute it. Otherwise this queues an `abort` and a probe, and the
-    /// server may execute the attempt until it reads the `abort`, which its answer to the probe confirms.
+    /// Cancels an attempt. If no byte of it was written, the server does not execute it. Otherwise this queues an `abort` and a probe, and
+    /// the server may execute the attempt until it reads the `abort`, which its answer to the probe confirms.
     pub fn cancel(&mut self, conn_id: ConnId, id: &WireId, message: &OutgoingMessage) -> CancelOutcome {
         let recalled = message.recall();
         let mut conn = self.conns.get_mut(&conn_id);
@@ -200,8 +200,8 @@
         Some(conn)
     }
 
-    /// Retires the connections to a server's former address or process: they take no more attempts. `place` is the current one, `None` if the
-    /// server takes no attempts at all. Returns the retired connections.
+    /// Retires the connections to a server's former address or process: they take no more attempts. `place` is the current one, `None` if
+    /// the server takes no attempts at all. Returns the retired connections.
     pub fn retire_moved(&mut self, server: &ServerId, place: Option<Place>) -> Vec<ConnId> {
         let mut retired = Vec::new();
         for conn_id in self.by_server.get(server).into_iter().flatten() {
--- a/crates/node/src/changelog/follow.rs
+++ b/crates/node/src/changelog/follow.rs
@@ -1,8 +1,8 @@
 //! Follows the change log over an active connection and, while that one is suspect, a second connection as a standby.
 //!
-//! A standby is opened when the active connection has sent no complete frame for [`crate::limits::CHANGELOG_HEDGE_AFTER`], or when empty frames
-//! name events that were not sent; with its first frame it becomes the active connection. Failed connections are retried with exponential
-//! backoff.
+//! A standby is opened when the active connection has sent no complete frame for [`crate::limits::CHANGELOG_HEDGE_AFTER`], or when empty
+//! frames name events that were not sent; with its first frame it becomes the active connection. Failed connections are retried with
+//! exponential backoff.
 
 use super::watch::Watch;
 use super::{Follower, Frame, ReconnectReason};
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -28,8 +28,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Accepts clients until the shutdown ends accepting, then those that are in the listener's backlog. While no slot is free, it asks the owner
-/// to close idle clients, and connections wait in the backlog.
+/// Accepts clients until the shutdown ends accepting, then those that are in the listener's backlog. While no slot is free, it asks the
+/// owner to close idle clients, and connections wait in the backlog.
 pub async fn accept(
     listener: Async<TcpListener>,
     max_clients: usize,
--- a/crates/node/src/clients/slot.rs
+++ b/crates/node/src/clients/slot.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Reads and discards until the client closes or [`LINGER_MAX_BYTES`] are discarded. After that, the connection ends when the writer does;
-    /// if the writer has already shut down the router's side, it ends at once.
+    /// Reads and discards until the client closes or [`LINGER_MAX_BYTES`] are discarded. After that, the connection ends when the writer
+    /// does; if the writer has already shut down the router's side, it ends at once.
     pub(super) async fn discard(
         &self,
         mut socket: &Async<TcpStream>,
--- a/crates/node/src/connection/liveness.rs
+++ b/crates/node/src/connection/liveness.rs
@@ -1,5 +1,5 @@
-//! Whether a client still waits for its requests. The reader of its connection records a cancellation when it decodes it, before the message
-//! reaches the owner by its queue; the owner and the writers of connections to servers check it.
+//! Whether a client still waits for its requests. The reader of its connection records a cancellation when it decodes it, before the
+//! message reaches the owner by its queue; the owner and the writers of connections to servers check it.
 
 use crate::breaks::{broken, Break};
 use crate::clients::message::{ClientMessage, Tag};
@@ -24,8 +24,8 @@
         self.disconnected.get().is_none() && !self.cancelled.borrow().contains_key(&tag)
     }
 
-    /// Records a decoded message if it is a cancellation. Beyond [`MAX_CANCELLATIONS_AHEAD`], a cancellation takes effect only when the owner
-    /// handles it.
+    /// Records a decoded message if it is a cancellation. Beyond [`MAX_CANCELLATIONS_AHEAD`], a cancellation takes effect only when the
+    /// owner handles it.
     pub fn observe(&self, message: &ClientMessage) {
         if let ClientMessage::Cancel(tag) = message {
             let mut cancelled = self.cancelled.borrow_mut();
--- a/crates/node/src/connection/state.rs
+++ b/crates/node/src/connection/state.rs
@@ -197,8 +197,8 @@
         }
     }
 
-    /// Decides a close request when the reader finds the socket empty; `partial_for` is the age of a partial message, if there is one. Returns
-    /// why the reader stops, or `None` if it continues.
+    /// Decides a close request when the reader finds the socket empty; `partial_for` is the age of a partial message, if there is one.
+    /// Returns why the reader stops, or `None` if it continues.
     pub fn decide_close(&self, partial_for: Option<Duration>) -> Option<CloseReason> {
         let requested = self.close_reason();
         // Shutdown waits for a partial message for a bounded time only.
--- a/crates/node/src/counters/mod.rs
+++ b/crates/node/src/counters/mod.rs
@@ -111,8 +111,8 @@
 }
 
 impl Counters {
-    /// A registry of all counters, which other threads may read. `*_now`, `held`, `conns`, `closes_*` and the plans' counters have the values
-    /// of the time when the log line was last written.
+    /// A registry of all counters, which other threads may read. `*_now`, `held`, `conns`, `closes_*` and the plans' counters have the
+    /// values of the time when the log line was last written.
     pub fn registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("basaltgw");
         let Self { clients, attempts, conns, log, files, memory, tree, batches, violations } = self;
--- a/crates/node/src/fleet/byte_tests.rs
+++ b/crates/node/src/fleet/byte_tests.rs
@@ -1,4 +1,4 @@
-//! The encoded bytes of the messages about parts, which other versions of the router read.
+//! The encoded bytes of the scatter-gather messages, which must not change since other versions of the router decode them.
 
 use super::message::{PartMessage, PartRequest, PartResult};
 use super::purges::Purge;
--- a/crates/node/src/fleet/counters.rs
+++ b/crates/node/src/fleet/counters.rs
@@ -1,15 +1,15 @@
-//! What a fleet counts. The names in the printed text are read by operators and do not change.
+//! The counters of a fleet. Operators read the names in the log line, so they do not change.
 
 use std::fmt;
 
-/// What the owner counts of leases.
+/// The owner's counters of leases.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeaseCounters {
     /// Requests leased by this router.
     pub acquired: u64,
     /// Requests rejected or failed because a quorum did not grant the lease.
     pub unavailable: u64,
-    /// Requests rejected because the ring had no capacity for the change.
+    /// Requests rejected because there was no time or no capacity in the ring for the change.
     pub rejected: u64,
     /// Polls of a lease that another router holds.
     pub polls: u64,
@@ -17,15 +17,15 @@
     pub replayed_outcomes: u64,
     /// Requests failed because it is unknown whether they were executed.
     pub unknown_outcomes: u64,
-    /// Requests served here and failed because another router had fenced them.
+    /// Requests that were served here but failed, because another router had marked their outcome as unknown.
     pub fenced: u64,
-    /// Requests answered without a response of the replication thread.
+    /// Requests answered without the response of the replication thread, which was overdue.
     pub timeouts: u64,
     /// Pushes that found the ring full.
     pub ring_full: u64,
     /// Changes dropped because the backlog was full.
     pub backlog_dropped: u64,
-    /// Messages of other routers that were dropped because this one takes no scatter-gather requests.
+    /// Messages of other routers that were dropped because this one handles no scatter-gather requests.
     pub unsolicited: u64,
 }
 
@@ -39,12 +39,12 @@
     }
 }
 
-/// What the fleet's threads count.
+/// The counts of the fleet's threads.
 #[derive(Clone, Debug, Default)]
 pub struct FleetCounts {
-    /// Of the control plane.
+    /// The counts of the control plane.
     pub control: basaltgw_control::Counts,
-    /// Of the links, as `name=value` words.
+    /// The counts of the links, as `name=value` pairs separated by spaces.
     pub links: String,
 }
 
--- a/crates/node/src/fleet/handle.rs
+++ b/crates/node/src/fleet/handle.rs
@@ -18,17 +18,18 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Changes and purges that wait for capacity in the ring: no more than there are leased requests, and none is leased while one waits.
+/// The most changes and purges that wait for capacity in the ring. There are no more than leased requests, and no request is leased while
+/// one waits.
 const MAX_BACKLOG: usize = 65_536;
 /// How often the ring is polled for capacity during shutdown.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A request that waits for the response to a change of its record.
+/// A requested change of a record, whose response is awaited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PendingChange {
-    /// The request.
+    /// The request that waits for the response.
     pub request: RequestNo,
-    /// Its record.
+    /// The key of the request's record.
     pub key: RecordKey,
 }
 
@@ -36,7 +37,7 @@
 pub(super) struct OwnerRings {
     pub(super) requests: rtrb::Producer<ControlRequest>,
     pub(super) notifications: rtrb::Consumer<ControlNotification>,
-    /// Receives when a notification was pushed.
+    /// Receives after a notification was pushed or a message was received.
     pub(super) wakeup: Receiver<()>,
 }
 
@@ -46,7 +47,7 @@
     pub(super) transport: TransportHandle,
 }
 
-/// What a started fleet hands to the owner.
+/// What is passed to the owner when the fleet has started.
 pub(super) struct FleetParts {
     pub(super) me: Member,
     pub(super) settings: FleetSettings,
@@ -57,9 +58,10 @@
     pub(super) published_counts: Arc<Mutex<FleetCounts>>,
 }
 
-/// Requests to the replication thread: the ring, and those that must not be lost and wait for capacity in it, in order.
+/// The queue of requests to the replication thread.
 struct RequestQueue {
     ring: rtrb::Producer<ControlRequest>,
+    /// Requests that must not be lost and wait for capacity in the ring, in order.
     backlog: VecDeque<ControlRequest>,
 }
 
@@ -87,30 +89,30 @@
     pub me: Member,
     /// Settings of leases and purges.
     pub settings: FleetSettings,
-    /// Changes that wait for a response.
+    /// Changes whose response is awaited.
     pub pending: BTreeMap<RequestNumber, PendingChange>,
-    /// Counts so far.
+    /// The counters of leases.
     pub counters: LeaseCounters,
-    /// Whether the purges from before this start are known, or everything counts as purged.
+    /// Whether purges from before this start of the process are known, or everything was purged instead.
     pub purges_known: bool,
-    /// Why the process has to end.
+    /// The fault for which the process has to end.
     pub fault: Option<String>,
-    /// After a pause of the process, the time until which input may be stale.
+    /// Until when input may be stale after a pause of the process, in milliseconds of the router's clock.
     pub stale_input_until: Ms,
     /// Whether the threads were asked to end.
     pub shutting_down: bool,
-    /// What the owner needs for scatter-gather requests, until it has taken it over.
+    /// The configuration of scatter-gather requests, until the owner takes it.
     pub scatter_gather: Option<ScatterGatherConfig>,
-    /// Receives when a notification was pushed.
+    /// Receives after a notification was pushed or a message was received.
     pub wakeup: Receiver<()>,
     last_number: u64,
     requests: RequestQueue,
     notifications: rtrb::Consumer<ControlNotification>,
     /// `None` once the threads have ended.
     pub(super) threads: Option<FleetThreads>,
-    /// To other routers' owners.
+    /// The links to other routers' owners.
     port: Port,
-    takes_scatter_gather: bool,
+    handles_scatter_gather: bool,
     published_counts: Arc<Mutex<FleetCounts>>,
 }
 
@@ -126,7 +128,7 @@
             fault: None,
             stale_input_until: 0.0,
             shutting_down: false,
-            takes_scatter_gather: scatter_gather.is_some(),
+            handles_scatter_gather: scatter_gather.is_some(),
             scatter_gather,
             wakeup: rings.wakeup,
             last_number: 0,
@@ -164,12 +166,12 @@
         }
     }
 
-    /// Pushes waiting requests as far as the ring has capacity; true if none waits any more.
+    /// Pushes the backlog as far as the ring has capacity; true if it is empty.
     pub fn flush(&mut self) -> bool {
         self.requests.flush()
     }
 
-    /// Asks for a change of a request's record within `timeout` milliseconds; `None` if the ring is full.
+    /// Requests a change of a request's record within `timeout` milliseconds; `None` if the ring is full.
     pub fn change_record(
         &mut self,
         request: RequestNo,
@@ -186,18 +188,18 @@
         Some(number)
     }
 
-    /// Has a record changed, however long it takes; nobody waits for it.
+    /// Requests a change of a record without a time limit; nobody waits for its response.
     pub fn change_in_background(&mut self, key: RecordKey, change: Change) {
         self.push_or_queue(ControlRequest::ChangeInBackground(key, change));
     }
 
-    /// Stores how an execution ended; nobody waits for it.
+    /// Stores the outcome of a leased request in the background.
     pub fn complete(&mut self, key: RecordKey, term: u32, outcome: Outcome) {
         self.change_in_background(key, Change::Complete(self.me.clone(), term, outcome));
     }
 
-    /// Releases the lease of a request that was not executed; nobody waits for it. The term names the lease: the request may have been
-    /// leased again since.
+    /// Releases the lease of a request that was not executed, in the background. The term identifies the lease, since the request may have
+    /// been leased again since.
     pub fn release(&mut self, key: RecordKey, term: u32) {
         self.change_in_background(key, Change::Release(self.me.clone(), term));
     }
@@ -214,14 +216,14 @@
         self.push_or_queue(ControlRequest::Rules(file, text));
     }
 
-    /// Reports a site's health to other routers. It is advisory: a full ring drops it.
+    /// Reports a site's health to other routers. The report is advisory and is dropped if the ring is full.
     pub fn report_evidence(&mut self, evidence: Evidence) {
         let Evidence { site, missed, answered, latency_ms, age_ms } = evidence;
         let evidence = membership::Evidence { site: site.0, missed, answered, latency_ms, age_ms };
         self.push(ControlRequest::ReportEvidence(evidence));
     }
 
-    /// The outcome as it is stored: without the body if that is too long.
+    /// The outcome to store for a served request: without the body if that is too long.
     pub fn stored_outcome(&self, body: &[u8]) -> Outcome {
         if body.len() <= self.settings.max_outcome_bytes {
             Outcome::Served(body.to_vec())
@@ -232,7 +234,7 @@
 
     /// The next notification of the replication thread.
     pub fn next_notification(&mut self) -> Option<ControlNotification> {
-        if !self.takes_scatter_gather {
+        if !self.handles_scatter_gather {
             self.drop_unsolicited_messages();
         }
         self.notifications.pop().ok()
@@ -244,7 +246,8 @@
         }
     }
 
-    /// Sends a message to another router's owner. `number` comes back if the link fails to write it, 0 for none.
+    /// Sends a message to another router's owner. If the link fails to write it, [`LinkEvent::SendFailed`] has this `number`; 0 for no such
+    /// event.
     ///
     /// # Errors
     /// If the ring is full or the message too long for a frame.
@@ -253,12 +256,12 @@
         self.port.send(LinkCommand::Send { number, to, lane: Lane::ScatterGather, body })
     }
 
-    /// The next event of the links for the owner.
+    /// The next event of the links to other routers' owners.
     pub fn next_link_event(&mut self) -> Option<LinkEvent> {
         self.port.next()
     }
 
-    /// The cause, if a thread has ended that was not asked to.
+    /// The cause, if a thread of the fleet has ended unexpectedly; the other threads are then ended too.
     pub fn unexpected_end(&mut self) -> Option<String> {
         let ended =
             |threads: &FleetThreads| threads.replication.is_finished() || threads.transport.has_ended();
@@ -268,13 +271,13 @@
         Some(self.shut_down().unwrap_or_else(|| "a thread of the fleet has ended unexpectedly".to_string()))
     }
 
-    /// Ends the threads in order, after all that was asked of them; returns the cause if one ended by itself.
+    /// Ends the threads in order, after they have handled all earlier requests; returns the cause if one ended unexpectedly.
     pub fn shut_down(&mut self) -> Option<String> {
         self.shutting_down = true;
         let unanswered = self.pending.keys().copied().collect();
         self.requests.backlog.push_back(ControlRequest::Shutdown(unanswered));
         let FleetThreads { replication, transport } = self.threads.take()?;
-        // The thread ends only on this request.
+        // The thread ends only when it receives the shutdown request.
         while !self.flush() && !replication.is_finished() {
             replication.thread().unpark();
             std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
@@ -285,12 +288,12 @@
             Ok(Err(error)) => Some(error.to_string()),
             Err(_) => Some("the replication thread ended in a panic".to_string()),
         };
-        // The transport thread ends with the replication thread's port.
+        // The transport thread ends when the replication thread drops its port.
         let transport = transport.join().err().map(|e| e.to_string());
         transport.or(replication)
     }
 
-    /// The counters as `name=value` words.
+    /// The counters, as `name=value` pairs separated by spaces.
     pub fn counters_text(&self) -> String {
         let mut text = self.counters.to_string();
         if let Ok(counts) = self.published_counts.lock() {
--- a/crates/node/src/fleet/message.rs
+++ b/crates/node/src/fleet/message.rs
@@ -1,6 +1,6 @@
-//! Messages between the owners of two routers about parts of scatter-gather requests.
+//! Messages between the owners of two routers for the parts of scatter-gather requests.
 //!
-//! The encoding is postcard and goes by the order of variants and fields; `byte_tests` fixes its bytes.
+//! Encoding is postcard: the order of variants and fields is the wire format, which `byte_tests` fixes.
 
 use super::purges::Purge;
 use crate::limits::{COPY_TAG_MAX_BYTES, MAX_DEADLINE_MS, MAX_GROUP, MAX_PART, MAX_SIZE_KB};
@@ -8,31 +8,31 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Purges in a response: the latest of the object and of its group.
+/// The most purges in a response: the latest of the object and the latest of its group.
 const MAX_PURGES: usize = 2;
 /// Hex digits of an object id.
 const OBJECT_ID_DIGITS: usize = 16;
 
-/// A part that another router's caches are to serve.
+/// A request to another router, to serve a part of an object from its caches.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PartRequest {
-    /// The requester's number for it.
+    /// The number that the requester gave this request.
     pub number: u64,
-    /// The request class.
+    /// The name of the request class.
     pub class: Arc<str>,
     /// The object id in hex, as the client wrote it.
     pub object: Arc<str>,
-    /// The part.
+    /// The number of the part.
     pub part: u64,
     /// The object's group.
     pub group: u64,
     /// The part's size in KB; 0 if unknown.
     pub size_kb: f64,
-    /// Time left, in milliseconds.
+    /// The time that is left for the request, in milliseconds.
     pub time_left: Ms,
 }
 
-/// How a part request ended.
+/// The result of a part request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PartResult {
     /// The complete part.
@@ -41,12 +41,12 @@
         version: Arc<str>,
         /// When the origin served that version, in Unix milliseconds of the origin.
         created: u64,
-        /// The bytes.
+        /// The bytes of the part.
         body: Vec<u8>,
     },
-    /// Rejected and not executed, with Retry-After in milliseconds.
+    /// The request was rejected and not executed; with a Retry-After in milliseconds.
     Rejected(Ms),
-    /// Failed.
+    /// The request failed.
     Failed,
 }
 
@@ -55,20 +55,20 @@
 pub enum PartMessage {
     /// Requests a part; answered by one [`PartMessage::Response`] unless it is cancelled.
     Request(PartRequest),
-    /// The response.
+    /// The response to a [`PartMessage::Request`].
     Response {
-        /// The requester's number.
+        /// The number that the requester gave the request.
         number: u64,
         /// How long the responder took, in milliseconds.
         elapsed: Ms,
         /// Purges of the object or its group that have not converged.
         purges: Vec<Purge>,
-        /// How it ended.
+        /// The result of the request.
         result: PartResult,
     },
     /// Cancels a request.
     Cancel {
-        /// The requester's number.
+        /// The number that the requester gave the request.
         number: u64,
     },
 }
@@ -79,7 +79,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a message; `None` if the bytes are no message, a value is out of bounds, or bytes are left over.
+    /// Decodes a message; `None` if the bytes are not a message, a value is out of bounds, or bytes are left over.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (message, rest) = postcard::take_from_bytes::<Self>(bytes).ok()?;
         (rest.is_empty() && message.is_within_bounds()).then_some(message)
--- a/crates/node/src/fleet/message_tests.rs
+++ b/crates/node/src/fleet/message_tests.rs
@@ -1,4 +1,4 @@
-//! Messages about parts, encoded and decoded.
+//! Encoding and decoding of scatter-gather messages.
 
 use super::message::{PartMessage, PartRequest, PartResult};
 use super::purges::Purge;
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! A router's side of a fleet, started only if the own settings have a section `fleet`.
+//! A router's side of a fleet, started only if the settings file has a section `fleet`.
 //!
-//! Two threads run beside the owner's: the transport thread (links to other routers, `crates/transport`) and the replication thread
-//! (`crates/control` and the disk). Bounded rings join the three. A full ring rejects at once and blocks nobody; a change that has to be
-//! durable goes from the owner to the replication thread and back before anybody is notified of it. A thread that ends unexpectedly ends the
-//! process.
+//! Two threads run besides the owner's: the transport thread (links to other routers, `crates/transport`) and the replication thread
+//! (`crates/control` and the disk). Bounded rings connect the three. A full ring rejects at once and blocks no thread. For a change that
+//! has to be durable, the owner waits for the replication thread's response before it notifies anybody. If one of the threads ends
+//! unexpectedly, the process ends.
 //!
 //! - `handle`: the owner's end of the rings and of the threads; `config` and `counters`: its settings and counts;
-//! - `message`: what two routers send each other about parts of scatter-gather requests;
+//! - `message`: messages between two routers for the parts of scatter-gather requests;
 //! - `replication_thread`: the thread that waits for the disk;
 //! - `start`: opens the data folder and starts the threads; `overlay`: settings of dissemination and of links.
 
--- a/crates/node/src/fleet/overlay.rs
+++ b/crates/node/src/fleet/overlay.rs
@@ -9,15 +9,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The version of the router list that the configuration file gives; later versions are agreed on.
+/// The version of the router list in the configuration; the fleet agrees on later versions.
 const CONFIGURED_LIST_VERSION: u64 = 1;
-/// One router may take this part of the messages that wait for links, which are as many as fit on one lane.
+/// Of the messages that wait for links, which are as many as fit in one lane, one in this many may be for a single router.
 const MAX_SHARE_DIVISOR: usize = 4;
 
-/// The overlay, if one is configured; `purge_convergence_time` is in milliseconds.
+/// The overlay's part of the control plane, if an overlay is configured; `purge_convergence_time` is in milliseconds.
 ///
 /// # Errors
-/// If the configured retention of updates is too short, or the router list fits no overlay.
+/// If the configured retention of updates is too short, or the router list is not valid for an overlay.
 pub fn parts(set: &Fleet, purge_convergence_time: Ms, seed: u64) -> Result<Option<OverlayParts>, String> {
     let Some(overlay) = &set.overlay else { return Ok(None) };
     let times = OverlaySettings {
@@ -38,12 +38,12 @@
     entries.extend(set.peers.iter().filter_map(|p| Some(entry(&p.name, p.standing.as_ref()?))));
     let error = |e: basaltgw_overlay::OverlayError| format!("fleet.overlay: {e}");
     let list = RouterList::new(CONFIGURED_LIST_VERSION, Shape::default(), entries).map_err(error)?;
-    let links = persistent_links(set, overlay.links);
+    let links = link_queue_limits(set, overlay.links);
     OverlayParts::with_links(set.name.clone(), list, times, links, seed).map(Some).map_err(error)
 }
 
-/// Bounds of the messages that wait for a link, where links are not a mesh.
-fn persistent_links(set: &Fleet, links: Links) -> Option<LinkQueueLimits> {
+/// The limits of the messages that wait for a link; `None` if each router has a link to every other one, so that none waits.
+fn link_queue_limits(set: &Fleet, links: Links) -> Option<LinkQueueLimits> {
     let limits = &set.limits;
     match links {
         Links::Mesh => None,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Which links are dialled, and when an idle or silent one is closed.
+/// The transport's settings: which links are dialled, and when an idle or silent link is closed.
 pub fn link_settings(set: &Fleet) -> Settings {
     let duration = |ms: Ms| Duration::from_secs_f64(ms / 1_000.0);
     let dial_policy = match set.overlay.as_ref().map(|o| o.links) {
--- a/crates/node/src/fleet/replication_thread.rs
+++ b/crates/node/src/fleet/replication_thread.rs
@@ -1,7 +1,7 @@
-//! The replication thread: it runs the control plane (`crates/control`), owns the disk, and is the only thread that waits for it.
+//! The replication thread: it runs the control plane (`crates/control`), owns the store, and is the only thread that waits for the disk.
 //!
-//! Each iteration hands the control plane what links and owner have sent and what is due, commits all that has to be durable in one write,
-//! and only then notifies the owner.
+//! Each iteration hands the control plane the events of the links, the requests of the owner and the timers that are due, commits all that
+//! has to be durable in one write, and only then notifies the owner.
 
 use super::{ControlNotification, ControlRequest, FleetCounts};
 use crate::clock::Clock;
@@ -15,21 +15,21 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Taken from each ring in one iteration, so that neither starves the other.
+/// The most events taken from each ring in one iteration, so that neither starves the other.
 const MAX_EVENTS_PER_RING: usize = 256;
-/// The longest sleep: it bounds the delay of an event that arrives between the last poll and the sleep.
+/// The longest sleep, which limits the delay of an event that arrives between the last poll and the sleep.
 const MAX_SLEEP_MS: Ms = 50.0;
-/// Notifications that wait for the owner's ring: as many as changes may be open, and purges besides.
+/// The most notifications that wait for the owner's ring: as many as changes may be open, and as many again for purges and others.
 const MAX_PENDING_NOTIFICATIONS: usize = 131_072;
 
-/// Why the thread ends unasked.
+/// Why the thread ends without a shutdown request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicationError {
-    /// The owner takes no notifications.
+    /// The owner takes no notifications from its ring.
     NotificationsNotTaken {
-        /// How many wait.
+        /// Notifications that wait.
         pending: usize,
-        /// How many may.
+        /// Notifications that may wait.
         max: usize,
     },
 }
@@ -47,34 +47,34 @@
 
 impl std::error::Error for ReplicationError {}
 
-/// What the thread reads and writes besides the control plane.
+/// The inputs and outputs of the thread.
 pub struct ThreadIo {
-    /// The disk.
+    /// The store on disk.
     pub store: Store,
-    /// Links to other routers.
+    /// The links to other routers.
     pub port: Port,
-    /// From the owner.
+    /// Requests of the owner.
     pub requests: rtrb::Consumer<ControlRequest>,
-    /// To the owner.
+    /// Notifications to the owner.
     pub notifications: rtrb::Producer<ControlNotification>,
-    /// Wakes the owner.
+    /// Wakes the owner after a notification.
     pub owner_wakeup: Sender<()>,
-    /// The last counts, for the owner to print.
+    /// The last published counts, which the owner logs.
     pub published_counts: Arc<Mutex<FleetCounts>>,
-    /// What the links count.
+    /// The counters of the links.
     pub link_counts: Arc<Counters>,
-    /// The process's clock.
+    /// The process's monotonic clock.
     pub clock: Clock,
 }
 
-/// What the rings had no capacity for yet.
+/// Outputs for which the rings have had no capacity yet.
 #[derive(Default)]
 struct Backlog {
     /// Numbers of messages that the port did not accept in this iteration.
     failed_sends: Vec<u64>,
     /// Notifications to the owner, in order.
     notifications: VecDeque<ControlNotification>,
-    /// Whether a link to a router is wanted: the latest of each.
+    /// Whether a link to a router is wanted; only the latest value for each router is kept.
     wanted_links: BTreeMap<RouterId, bool>,
 }
 
@@ -83,9 +83,9 @@
     control: Control,
     io: ThreadIo,
     backlog: Backlog,
-    /// When counts were last published.
+    /// When the counts were last published.
     counts_published_at: Ms,
-    /// Actions of the control plane; empty between its events.
+    /// Buffer for the actions of the control plane; empty between two events.
     actions: Vec<Action>,
 }
 
@@ -127,7 +127,7 @@
         let _ = self.io.port.send(LinkCommand::Shutdown);
     }
 
-    /// One iteration; true if there was something to do.
+    /// Runs one iteration; true if there was something to do.
     fn iterate(&mut self) -> Result<bool, ReplicationError> {
         let now = self.io.clock.now();
         let mut busy = self.control.next_timer() <= now;
@@ -247,7 +247,7 @@
 
     /// Publishes the counts for the owner; `uncommitted` changes were dropped at shutdown.
     fn publish_counts(&mut self, uncommitted: u64) {
-        // The owner locks this while it prints; it then sees the counts of the last time.
+        // If the owner holds the lock to log the counts, they are published the next time.
         if let Ok(mut published) = self.io.published_counts.try_lock() {
             published.control.clone_from(self.control.counts());
             published.control.background_changes_abandoned += uncommitted;
@@ -256,7 +256,7 @@
     }
 }
 
-/// A link's event as the control plane takes it.
+/// Converts an event of a link to one of the control plane.
 fn from_link(event: LinkEvent) -> Event {
     match event {
         LinkEvent::LinkUp(hello) => Event::LinkUp(hello),
--- a/crates/node/src/fleet/stand_in.rs
+++ b/crates/node/src/fleet/stand_in.rs
@@ -1,4 +1,4 @@
-//! A fleet whose replication thread is a test.
+//! A fleet for tests, in which a stand-in takes the place of the replication thread.
 
 use super::handle::{Fleet, FleetParts, FleetThreads, OwnerRings};
 use super::{ControlNotification, ControlRequest, FleetSettings};
@@ -9,17 +9,17 @@
 use basaltgw_types::{Domain, Incarnation, Member, RouterId, TableHash, TableVersion};
 use std::sync::Arc;
 
-/// The replication thread's ends of an owner's rings.
+/// The stand-in for the replication thread: its ends of an owner's rings.
 pub struct StandIn {
-    /// From the owner.
+    /// Requests of the owner.
     pub requests: rtrb::Consumer<ControlRequest>,
-    /// To the owner.
+    /// Notifications to the owner.
     pub notifications: rtrb::Producer<ControlNotification>,
     port: Port,
     transport: TransportHandle,
 }
 
-/// A fleet of one router, of which only the links run. The first class is idempotent, the second is not.
+/// A fleet of one router, of which only the transport thread runs. The first class is idempotent, the second is not.
 pub fn fleet(ring_entries: usize) -> (Fleet, StandIn) {
     let text = |t: &str| Arc::<str>::from(t);
     let me = Member { router: RouterId(text("r1")), incarnation: Incarnation(7) };
@@ -62,8 +62,8 @@
 }
 
 impl Fleet {
-    /// Has a thread take its requests until `handle` returns false; a shutdown waits for the thread.
-    pub fn served_by(
+    /// Starts a thread that takes the fleet's requests until `handle` returns false; a shutdown waits for the thread.
+    pub fn start_stand_in(
         &mut self,
         stand_in: StandIn,
         mut handle: impl FnMut(ControlRequest) -> bool + Send + 'static,
--- a/crates/node/src/fleet/start.rs
+++ b/crates/node/src/fleet/start.rs
@@ -1,4 +1,4 @@
-//! Starts a router's side of a fleet: opens the data folder, recovers what it stores, and starts the links and the threads.
+//! Starts a router's side of a fleet: opens the data folder, recovers the stored state, and starts the links and the threads.
 
 use super::config::{FleetSettings, ScatterGatherConfig};
 use super::handle::{Fleet, FleetParts, FleetThreads, OwnerRings};
@@ -26,18 +26,19 @@
 
 /// Store entries for each register: its record, and a purge that is stored apart from it.
 const ENTRIES_PER_REGISTER: u64 = 2;
-/// Bytes of the store beyond the registers: the table and the purges.
+/// Bytes of the store in addition to the registers, for the placement table and the purges.
 const EXTRA_STORE_BYTES: u64 = 64 << 20;
-/// Retry-After of a request that found no capacity for its lease: a few replication round trips.
+/// The least Retry-After of a request for whose lease there was no capacity: a few replication round trips.
 const MIN_RETRY_AFTER_MS: Ms = 200.0;
-/// How long an orderly shutdown waits for uncommitted changes: a few round trips and one retry.
+/// The longest time for which a graceful shutdown waits for uncommitted changes: a few round trips and one retry.
 const MAX_SHUTDOWN_MS: Ms = 1_000.0;
-/// That wait takes at most this part of the longest deadline: a process that is asked to end may be killed a deadline later.
+/// The wait of a graceful shutdown is at most the longest deadline divided by this, since a process that is asked to end may be killed a
+/// deadline later.
 const SHUTDOWN_DEADLINE_DIVISOR: f64 = 3.0;
-/// The name of the replication thread, by which profiles and the cost experiment find it.
+/// The name of the replication thread, by which profilers and the cost experiment find it.
 const REPLICATION_THREAD_NAME: &str = "copies";
 
-/// 128 random bits of the operating system, new with each call.
+/// 128 random bits, new with each call; they come from the random seeds of the standard library's hash maps.
 pub(crate) fn random_u128() -> u128 {
     let random_u64 = || u128::from(RandomState::new().build_hasher().finish());
     random_u64() << 64 ^ random_u64().rotate_left(17) ^ u128::from(std::process::id()) << 32
@@ -105,7 +106,7 @@
     store: Store,
     /// This router, with the incarnation that the folder stores.
     member: Member,
-    /// The folder was written by an earlier process.
+    /// Whether an earlier process has written to the folder.
     has_previous_data: bool,
 }
 
@@ -129,7 +130,7 @@
     }
 }
 
-/// What the folder stores.
+/// The state recovered from the data folder.
 struct Recovered {
     registers: Registers,
     min_retry_after: Ms,
@@ -156,7 +157,7 @@
     let limits = &set.limits;
     let longest_repeat =
         config.settings.classes.iter().map(|c| c.deadline.max(c.key_window)).fold(0.0, f64::max);
-    let usual = RegisterSettings::standard();
+    let standard = RegisterSettings::standard();
     RegisterSettings {
         max_open_requests: limits.open_asks,
         max_registers: limits.holds,
@@ -164,29 +165,31 @@
         max_outcome_bytes: limits.outcome_bytes,
         max_message_bytes: limits.frame_bytes,
         max_retry_after_ms: config.settings.max_retry_after.max(MIN_RETRY_AFTER_MS),
-        execution_retention_ms: usual.execution_retention_ms.max(2.0 * longest_repeat),
+        execution_retention_ms: standard.execution_retention_ms.max(2.0 * longest_repeat),
         purge_retention_ms: (2.0 * config.settings.purge_convergence_time).max(1_000.0),
         sync_batch: limits.fill_portion,
         sync_pause_ms: limits.fill_pause_ms.max(1.0),
-        ..usual
+        ..standard
     }
 }
 
-/// The placement table as it was adopted before, or the bootstrap members of the configuration.
+/// The manager of the placement table, with the stored register of the table if there is one, else with the configuration's bootstrap
+/// members.
 fn table(set: &FleetConfig, me: &Member, store: &Store) -> io::Result<TableManager> {
-    let mut founders: BTreeMap<_, _> = set
+    let mut bootstrap_members: BTreeMap<_, _> = set
         .peers
         .iter()
         .map(|p| (p.name.clone(), BootstrapMember { address: p.address, domain: p.domain.clone() }))
         .collect();
-    founders.insert(set.name.clone(), BootstrapMember { address: set.listen, domain: set.domain.clone() });
+    bootstrap_members
+        .insert(set.name.clone(), BootstrapMember { address: set.listen, domain: set.domain.clone() });
     let unreadable =
         |e| io_error(format!("{}: the stored table can't be decoded: {e}", set.folder.display()));
     let stored = store.get(TABLE_SPACE, &[]).map_err(io_error)?;
     let register = stored.map(|bytes| decode_table_register(&bytes)).transpose().map_err(unreadable)?;
     let config = TableManagerConfig {
         me: me.clone(),
-        bootstrap_members: founders,
+        bootstrap_members,
         capacity: set.limits.holds as u64,
         rules: placement_rules(set),
         replace_after: set.limits.replace_after_ms,
@@ -194,7 +197,7 @@
     TableManager::new(config, register).map_err(io_error)
 }
 
-/// The placement rules as file name and text: those of the rules file, or those that the section itself amounts to.
+/// The placement rules as file name and text: those of the rules file, or those that the settings of the section `fleet` imply.
 pub fn placement_rules(set: &FleetConfig) -> Vec<(String, String)> {
     match &set.rules {
         Some(rules) => vec![(rules.file.display().to_string(), rules.text.clone())],
@@ -230,7 +233,7 @@
     (owner, ThreadRings { requests: requests_out, notifications: notifications_in, owner_wakeup })
 }
 
-/// Wakes the replication thread, once that has been started.
+/// Wakes the replication thread; does nothing before that has been started.
 #[derive(Clone, Default)]
 struct ThreadWakeup(Arc<Mutex<Option<Thread>>>);
 
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -255,7 +255,8 @@
         }
     }
 
-    /// When the bytes just read were received; if they may have waited in the socket during a pause of the process, the earliest possible time.
+    /// When the bytes just read were received; if they may have waited in the socket during a pause of the process, the earliest possible
+    /// time.
     fn receive_time(&mut self) -> Ms {
         let waited = match std::mem::take(&mut self.waited_in_backlog) {
             true => self.empty_since.elapsed(),
@@ -296,8 +297,8 @@
         }
     }
 
-    /// Waits for one retry interval while reading is paused. If the peer is watched meanwhile, its close ends the wait, and a bounded amount
-    /// is read ahead.
+    /// Waits for one retry interval while reading is paused. If the peer is watched meanwhile, its close ends the wait, and a bounded
+    /// amount is read ahead.
     async fn wait_paused(&mut self, reason: PauseReason) -> Result<(), CloseReason> {
         let since = Instant::now();
         let read_ahead = READ_AHEAD_BYTES.saturating_sub(self.pending_bytes + self.decoder.buffered_bytes());
--- a/crates/node/src/invariants.rs
+++ b/crates/node/src/invariants.rs
@@ -1,7 +1,7 @@
 //! Checks the router's invariants at the places where it acts, and counts each violation under its name.
 //!
-//! [`crate::permissions`] decides beforehand; this checker observes what is really done, and shares no code with the modules that decide. The
-//! first violation of each kind is logged with its ids. A debug build panics, so that a test fails where the violation occurs.
+//! [`crate::permissions`] decides beforehand; this checker observes what is really done, and shares no code with the modules that decide.
+//! The first violation of each kind is logged with its ids. A debug build panics, so that a test fails where the violation occurs.
 
 #[cfg(test)]
 mod tests;
@@ -144,8 +144,8 @@
     }
 }
 
-/// Whether a server may have executed an attempt, or may still do so. It repeats the rule of the decision module on purpose, since the checker
-/// shares no code with what it checks.
+/// Whether a server may have executed an attempt, or may still do so. It repeats the rule of the decision module on purpose, since the
+/// checker shares no code with what it checks.
 fn may_have_executed(result: Option<AttemptResult>) -> bool {
     !matches!(
         result,
--- a/crates/node/src/log_writer.rs
+++ b/crates/node/src/log_writer.rs
@@ -1,7 +1,7 @@
 //! Writes log lines to standard error without blocking.
 //!
-//! A write to a full pipe would block the thread that serves requests. A line is therefore written only if standard error accepts it at once;
-//! otherwise it is dropped and counted, and the number of dropped lines is written before the next line.
+//! A write to a full pipe would block the thread that serves requests. A line is therefore written only if standard error accepts it at
+//! once; otherwise it is dropped and counted, and the number of dropped lines is written before the next line.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
--- a/crates/node/src/owner/admission.rs
+++ b/crates/node/src/owner/admission.rs
@@ -1,7 +1,7 @@
 //! The path of a request from its admission to its response.
 //!
-//! Every request is admitted by [`Owner::admit`] and answered by [`Owner::answer`]: admission -> lease, if it must not run twice -> routing ->
-//! attempts -> outcome stored in the lease's record -> response.
+//! Every request is admitted by [`Owner::admit`] and answered by [`Owner::answer`]: admission -> lease, if it must not run twice -> routing
+//! -> attempts -> outcome stored in the lease's record -> response.
 
 use super::lease::SendResponse;
 use super::requester::{Delivered, IncomingRequest, Requester};
--- a/crates/node/src/owner/attempts/cancel.rs
+++ b/crates/node/src/owner/attempts/cancel.rs
@@ -7,7 +7,7 @@
 use crate::owner::Owner;
 use basaltgw::api::{AttemptNo, AttemptResult, Ms};
 
-/// The result of a cancelled attempt, by whether anything of it was written.
+/// The result of a cancelled attempt, depending on whether any byte of it was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::owner) struct CancelResults {
     pub(in crate::owner) sent: AttemptResult,
@@ -31,8 +31,8 @@
 }
 
 impl Owner {
-    /// Cancels an attempt. One that was not sent ends at once. One that was stays in flight until its abort is confirmed: on another
-    /// connection the request's next attempt could overtake the abort, and two would be in flight.
+    /// Cancels an attempt. If it was not sent, it ends at once. If it was, it stays in flight until the server confirms the abort: the
+    /// request's next attempt, on another connection, could overtake the abort, and two attempts would be in flight.
     pub(in crate::owner) fn cancel_attempt(
         &mut self,
         key: AttemptKey,
@@ -69,7 +69,7 @@
         count
     }
 
-    /// Cancels a request's attempts of which nothing is written, also those that their connection has withdrawn itself.
+    /// Cancels a request's attempts of which nothing is written, including those that the writer of their connection has recalled.
     pub(in crate::owner) fn withdraw_unsent(&mut self, number: RequestNo) {
         let Some(pending) = self.requests.get(number) else { return };
         let attempts = pending.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_unsent());
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Cancels the matching attempts of which nothing is written: they were decided before a list or purge that concerns them, and their
-    /// requests are routed again.
+    /// Cancels the matching attempts of which nothing is written, so that their requests are routed again: they were decided before an
+    /// endpoint list or purge that concerns them.
     pub(in crate::owner) fn recall(&mut self, is_outdated: impl Fn(&PendingRequest, &Attempt) -> bool) {
         for key in self.requests.unsent_attempts(is_outdated) {
             self.cancel_attempt(key, CancelResults::CANCELLED, Delivery::Now);
@@ -99,7 +99,7 @@
         self.cancel_attempt(key, results, Delivery::Now);
     }
 
-    /// The time by which an attempt had to start has passed: it ends unless its first byte is written.
+    /// Handles the time by which an attempt had to start: the attempt ends unless its first byte is written.
     pub(in crate::owner) fn on_start_window_closed(&mut self, key: AttemptKey) {
         if self.requests.attempt(key).is_some_and(Attempt::is_unsent) {
             self.counters.attempts.start_window_closed.increment();
--- a/crates/node/src/owner/attempts/complete.rs
+++ b/crates/node/src/owner/attempts/complete.rs
@@ -1,4 +1,4 @@
-//! Results of attempts: answers of servers, closed connections, and how the decision module learns of them.
+//! Completes attempts: handles answers of servers and closed connections, and reports the results to the decision module.
 
 use super::{Attempt, AttemptReport, Delivery, NO_REPORT};
 use crate::breaks::{broken, Break};
@@ -11,7 +11,7 @@
 use basaltgw::api::{AttemptResult, Event, Ms, Outcome};
 
 impl Owner {
-    /// A connection to a server is closed, and with it ends what was in flight on it.
+    /// Handles the close of a connection to a server, with which the attempts in flight on it end.
     pub(in crate::owner) fn on_connection_closed(&mut self, connection: ConnId, reason: ConnectionFailure) {
         let counters = &self.counters.conns;
         match reason {
@@ -30,17 +30,17 @@
         for key in self.upstream.caches.on_closed(connection) {
             let result = match (reason, self.requests.attempt(key).and_then(Attempt::delivery_state)) {
                 (ConnectionFailure::ConnectFailed, _) => AttemptResult::NoConnection,
-                // Nothing was written, and the server is not at fault.
+                // Nothing was written, and the server did not cause the failure.
                 (ConnectionFailure::LocalShortage, _) => AttemptResult::NotSent,
                 (ConnectionFailure::Closed(_), Some(DeliveryState::Written)) => AttemptResult::ConnectionLost,
-                // Its last byte was not written.
+                // The last byte was not written, so the server can't have executed the attempt.
                 (ConnectionFailure::Closed(_), _) => AttemptResult::NotSent,
             };
             self.end_attempt(key, result, NO_REPORT, Delivery::Now);
         }
     }
 
-    /// A server answers an attempt, or confirms an abort.
+    /// Handles a server's answer to an attempt, or its confirmation of an abort.
     pub(in crate::owner) fn on_answer(&mut self, connection: ConnId, answer: ServerAnswer) {
         let is_abort_of = |aborting: &super::AbortingAttempt| aborting.tag == answer.id;
         if self.upstream.aborting.iter().any(|a| a.connection == connection && is_abort_of(a)) {
@@ -77,8 +77,8 @@
         self.end_attempt(key, result, report, Delivery::Now);
     }
 
-    /// A read's answer without its copy's tag is malformed, and so is the rest of its connection. What else is in flight there stays so
-    /// until the socket is closed.
+    /// Handles an answer to a read without the copy's version. It is malformed, so the connection is closed; the other attempts that were
+    /// sent on it stay in flight until its socket is closed.
     fn on_malformed_answer(&mut self, key: AttemptKey, connection: ConnId) {
         self.counters.conns.malformed.increment();
         self.upstream.caches.close(connection);
@@ -86,7 +86,7 @@
         self.end_attempt(key, AttemptResult::ConnectionLost, NO_REPORT, Delivery::Now);
     }
 
-    /// Ends an attempt that is in flight.
+    /// Ends an attempt, if it is in flight, with this result.
     pub(super) fn end_attempt(
         &mut self,
         key: AttemptKey,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Records an attempt's result, observes what it says of servers and of the cache tree, and hands it to the decision module.
+    /// Records an attempt's result, and passes it to the slow-start watch, the cache tree and the decision module.
     pub(super) fn report(
         &mut self,
         key: AttemptKey,
@@ -125,7 +125,7 @@
         }
         if let Some(source) = &attempt.fill_source {
             let pair = (&attempt.server, source);
-            let events = self.upstream.tree.ended(now, pair, object, (result, report.fill));
+            let events = self.upstream.tree.on_attempt_result(now, pair, object, (result, report.fill));
             self.schedule.next_batch.extend(events);
         }
         let event = Event::Outcome(Outcome {
--- a/crates/node/src/owner/attempts/mod.rs
+++ b/crates/node/src/owner/attempts/mod.rs
@@ -12,29 +12,29 @@
 use basaltgw::api::{AttemptResult, FillReport, LoadReport, Ms, ServerId};
 use std::rc::Rc;
 
-/// Where an attempt is while it is in flight.
+/// The connection and the message of an attempt in flight.
 #[derive(Clone)]
 pub(super) struct InFlight {
     pub(super) connection: ConnId,
     pub(super) message: Rc<OutgoingMessage>,
 }
 
-/// An attempt that the decision module has asked for.
+/// An attempt that the decision module has requested.
 pub(super) struct Attempt {
     pub(super) server: ServerId,
-    /// Who fills a miss, unless the server itself does.
+    /// The server from which a miss is filled, unless the attempt's server fills it itself.
     pub(super) fill_source: Option<ServerId>,
     started_at: Ms,
-    /// The connection on which it was sent.
+    /// The connection to which it was given; `None` if there was none.
     connection: Option<ConnId>,
-    /// `None` once it has ended.
+    /// `None` once the attempt has ended.
     pub(super) in_flight: Option<InFlight>,
-    /// `None` until it has ended.
+    /// `None` until the attempt has ended.
     pub(super) result: Option<AttemptResult>,
 }
 
 impl Attempt {
-    /// As the rule on further attempts takes it.
+    /// The attempt as an input of the rule that decides on further attempts.
     pub(super) fn earlier(&self, now: Ms) -> EarlierAttempt {
         let state = self.result.map_or(AttemptState::InFlight, AttemptState::Ended);
         EarlierAttempt { state, age: now - self.started_at }
@@ -44,41 +44,42 @@
         self.in_flight.is_some()
     }
 
-    /// Whether it is in flight on this connection.
+    /// Whether the attempt is in flight on this connection.
     pub(super) fn is_on(&self, connection: ConnId) -> bool {
         self.in_flight.as_ref().is_some_and(|in_flight| in_flight.connection == connection)
     }
 
-    /// How far its message is; `None` once it has ended.
+    /// How much of the attempt's message has been written; `None` once the attempt has ended.
     pub(super) fn delivery_state(&self) -> Option<DeliveryState> {
         self.in_flight.as_ref().map(|in_flight| in_flight.message.delivery_state())
     }
 
-    /// Whether no byte of it is written.
+    /// Whether the attempt is in flight and no byte of it is written.
     fn is_unsent(&self) -> bool {
         matches!(self.delivery_state(), Some(DeliveryState::Queued | DeliveryState::Recalled))
     }
 }
 
-/// When the decision module learns of a result.
+/// When an attempt's result is reported to the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
     /// At once.
     Now,
-    /// In the next batch: the result follows from the module's own action.
+    /// In the next batch, since the result follows from an action of the module itself.
     NextBatch,
 }
 
 /// What a server reports with its answer.
 struct AttemptReport {
     fill: FillReport,
-    /// How long it waited for the fill source.
+    /// How long the server waited for the fill source, in milliseconds.
     source_wait: Ms,
     load: LoadReport,
-    /// The answer has the object's bytes.
+    /// Whether the answer has the object's bytes.
     body_complete: bool,
 }
 
+/// The report of an attempt that ended without an answer.
 const NO_REPORT: AttemptReport = AttemptReport {
     fill: FillReport::NotReported,
     source_wait: 0.0,
--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -1,4 +1,4 @@
-//! Starts attempts: permission, message, connection.
+//! Starts attempts: checks the permission, encodes the message, and selects the connection.
 
 use super::{Attempt, Delivery, InFlight, NO_REPORT};
 use crate::caches::{with_timeout, AttemptRequest, ConnId, RequestNo};
@@ -17,22 +17,22 @@
     number: RequestNo,
     attempt: AttemptNo,
     spec: &'a AttemptSpec,
-    /// When the router cancels it.
+    /// When the attempt times out.
     deadline: Ms,
 }
 
 impl NewAttempt<'_> {
-    /// Who fills a miss, unless the server itself does.
+    /// The server from which a miss is filled, unless the attempt's server fills it itself.
     fn fill_source(&self) -> Option<&ServerId> {
         Some(&self.spec.fill_source).filter(|source| **source != self.spec.server)
     }
 }
 
 impl Owner {
-    /// Starts an attempt if it may; if not, the decision module learns that it was not sent.
+    /// Starts an attempt if that is permitted; otherwise the attempt is reported to the decision module as not sent.
     pub(in crate::owner) fn start_attempt(&mut self, spec: AttemptSpec) {
         let Some(number) = request_no(&spec.request) else { return };
-        // If the client has left and the owner has not handled that yet, this is the request's last attempt.
+        // If the client has left and the owner has not handled that yet, the request is marked as answered, and no further attempt follows.
         if !self.requests.get(number).is_some_and(PendingRequest::client_waits) {
             self.abandon(number);
         }
@@ -81,7 +81,7 @@
             result: None,
         });
         if connection.is_none() {
-            // Also if all connections are in use: that limit is the router's own, and says nothing of the server.
+            // This includes the case that all connections are in use: that is a limit of the router and says nothing about the server.
             return self.report((number, attempt), AttemptResult::NotSent, NO_REPORT, Delivery::NextBatch);
         }
         self.schedule.timers.set(new.deadline, TimerKind::AttemptTimeout(number, attempt));
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Queues an attempt on a connection; `None` if none may be opened.
+    /// Queues an attempt on a connection; `None` if no connection takes it and none may be opened.
     fn send(&mut self, new: &NewAttempt<'_>) -> Option<InFlight> {
         let pending = self.requests.get(new.number)?;
         let place = *self.upstream.endpoints.get(&new.spec.server)?;
         let message = self.encode(pending, new);
-        let terms = self.send_conditions(pending, new);
+        let conditions = self.send_conditions(pending, new);
         let (number, attempt) = (new.number, new.attempt);
         if let Some(class) = self.config.class(pending.class) {
             let ids = format_args!("request {}, attempt {}", number.0, attempt.0);
@@ -105,11 +105,11 @@
         let request = (&pending.request.id, &used[..], pending.is_write());
         let to = (&new.spec.server, place);
         let caches = &mut self.upstream.caches;
-        let sent = caches.send(self.time.now, to, (number, attempt), request, (message, terms));
+        let sent = caches.send(self.time.now, to, (number, attempt), request, (message, conditions));
         sent.map(|(connection, message)| InFlight { connection, message })
     }
 
-    /// The message of an attempt.
+    /// Encodes the message of an attempt.
     fn encode(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> Vec<u8> {
         let (request, spec) = (&pending.request, new.spec);
         let message = AttemptRequest {
@@ -131,11 +131,11 @@
         message.encode()
     }
 
-    /// What the writer of the connection checks when the first byte is written.
+    /// The conditions that the connection's writer checks before it writes the first byte.
     fn send_conditions(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> SendConditions {
         let now = Instant::now();
         let clock_now = self.time.clock.now();
-        // Times of the owner's clock in the terms of the writers.
+        // Converts a time of the owner's clock to the `Instant` that the writers use.
         let instant = |at: Ms| now + duration((at - clock_now).clamp(0.0, MAX_DEADLINE_MS));
         let spec = new.spec;
         SendConditions {
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -34,7 +34,8 @@
 }
 
 impl Owner {
-    /// Handles inputs until the process may exit. `listener` accepts clients, and finishes when accepting has ended and the backlog is empty.
+    /// Handles inputs until the process may exit. `listener` accepts clients, and finishes when accepting has ended and the backlog is
+    /// empty.
     pub async fn run(mut self, queues: Inputs, listener: Task<()>) -> ExitReport {
         let mut inputs = Vec::new();
         loop {
--- a/crates/node/src/owner/client_inputs.rs
+++ b/crates/node/src/owner/client_inputs.rs
@@ -25,8 +25,8 @@
         self.clients.connected.insert(id, Client::new(self.time.now, outbox, connection));
     }
 
-    /// Handles the end of reading from a client. Its open requests are still answered, except if the client sent bytes that can't be decoded:
-    /// then its requests may have been decoded wrongly too, and all are failed.
+    /// Handles the end of reading from a client. Its open requests are still answered, except if the client sent bytes that can't be
+    /// decoded: then its requests may have been decoded wrongly too, and all are failed.
     pub(super) fn on_client_stopped(&mut self, id: ClientId, reason: CloseReason) {
         let counters = &self.counters.clients;
         match reason {
@@ -145,7 +145,8 @@
         self.admit(IncomingRequest { requester, class, request, deadline, liveness: Some(liveness) });
     }
 
-    /// Counts a request that its client cancelled before the owner handled it. Its tag stays in use until the owner handles the cancellation.
+    /// Counts a request that its client cancelled before the owner handled it. Its tag stays in use until the owner handles the
+    /// cancellation.
     fn skip_cancelled_request(&mut self, client: ClientRequest, request: &RequestMessage) {
         let number = self.requests.next_number();
         self.clients.register(client, number);
@@ -159,8 +160,8 @@
     }
 
     /// Requests the close of connections for clients that wait for a slot: first of those that have sent nothing yet or have been idle for
-    /// longer than clients in use are, then of those that have been idle for longest after a response. A connection with an open request or a
-    /// queued message is never closed for this.
+    /// longer than clients in use are, then of those that have been idle for longest after a response. A connection with an open request or
+    /// a queued message is never closed for this.
     pub(super) fn close_least_active_clients(&mut self) {
         for id in self.clients.least_active(self.time.now) {
             if let Some(client) = self.clients.connected.get(&id) {
--- a/crates/node/src/owner/clients.rs
+++ b/crates/node/src/owner/clients.rs
@@ -1,8 +1,8 @@
 //! The connected clients: their open requests and unsent responses, and which connections are closed when others wait for a slot.
 //!
-//! [`Clients::least_active`] decides whose connection is closed when clients wait for a slot. Its inputs are the idle time of each connection,
-//! whether the client has sent a message yet, and the number of slots that are about to be free; its limits are the `RECLAIM_*` constants of
-//! `limits`, in milliseconds. Clients that are still in use would lose requests, so they are closed last.
+//! [`Clients::least_active`] decides whose connection is closed when clients wait for a slot. Its inputs are the idle time of each
+//! connection, whether the client has sent a message yet, and the number of slots that are about to be free; its limits are the `RECLAIM_*`
+//! constants of `limits`, in milliseconds. Clients that are still in use would lose requests, so they are closed last.
 
 use super::requester::{ClientRequest, Delivered};
 use super::timers::micros;
--- a/crates/node/src/owner/fleet_events.rs
+++ b/crates/node/src/owner/fleet_events.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Handles the end of the sync of purges from before this start of the process; if they are not `available`, everything counts as purged
-    /// now.
+    /// Handles the end of the sync of purges from before this start of the process; if they are not `available`, everything counts as
+    /// purged now.
     fn on_purges_known(&mut self, available: bool) {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| !fleet.purges_known) else { return };
         fleet.purges_known = true;
--- a/crates/node/src/owner/lease/acquire.rs
+++ b/crates/node/src/owner/lease/acquire.rs
@@ -10,7 +10,7 @@
 
 /// How often a lease that another router holds is polled.
 const LEASE_POLL_INTERVAL_MS: Ms = 30.0;
-/// How much longer than its timeout the response to a change is waited for, since the replication thread may be blocked by the disk. At most
+/// How long after its timeout the response to a change is still awaited, since the disk may block the replication thread. At most
 /// [`RESPONSE_WRITE_MARGIN_MS`], so that the client is answered within its deadline.
 const LEASE_REPLY_GRACE_MS: Ms = 8.0;
 
@@ -23,7 +23,7 @@
         fleet.settings.replicate_executions && runs_once
     }
 
-    /// Asks the replicas for the lease, or rejects the request for want of time or capacity.
+    /// Requests the lease from the replicas, or rejects the request if there is no time or capacity for that.
     pub(in crate::owner) fn acquire_lease(&mut self, number: RequestNo) {
         if let Some(pending) = self.requests.get_mut(number) {
             pending.lease = Lease::Acquiring;
@@ -43,8 +43,8 @@
         self.change_record(number, Change::Acquire(me))
     }
 
-    /// Asks for a change of a request's record, within the time that the request has and the settings give; false for want of time or
-    /// capacity.
+    /// Requests a change of a request's record, with the configured timeout or the request's remaining time if that is shorter; false if
+    /// there is no time or capacity.
     pub(super) fn change_record(&mut self, number: RequestNo, change: Change) -> bool {
         let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get(number)) else {
             return false;
@@ -61,24 +61,24 @@
         true
     }
 
-    /// Rejects a request that is not leased: it was not executed here. If it may have been presented to another router too, nobody here
-    /// knows whether it was executed there, and it is failed.
+    /// Rejects a request whose lease was not granted, since this router has not executed it. If it may have been sent to another router
+    /// too, that router may have executed it, and it is failed instead.
     fn reject_unleased(&mut self, number: RequestNo, retry_after: Ms) {
-        // After a pause of the process, its input may be stale and the request presented elsewhere since.
+        // After a pause of the process its input may be stale, and the client may have sent the request to another router since.
         let stale = self.fleet.as_ref().is_some_and(|fleet| self.time.now < fleet.stale_input_until);
-        let presented_before =
+        let may_be_repeated =
             stale || self.requests.get(number).is_some_and(|pending| pending.request.repeated);
-        if presented_before {
+        if may_be_repeated {
             self.count_unknown_outcome();
         }
-        self.answer(number, if presented_before { Reply::Failed } else { Reply::Rejected(retry_after) });
+        self.answer(number, if may_be_repeated { Reply::Failed } else { Reply::Rejected(retry_after) });
     }
 
     pub(super) fn count_unknown_outcome(&mut self) {
         self.fleet.iter_mut().for_each(|fleet| fleet.counters.unknown_outcomes += 1);
     }
 
-    /// The replication thread has answered a change.
+    /// Handles the replication thread's response to a change of a record.
     pub(in crate::owner) fn on_record_response(&mut self, change_number: RequestNumber, response: Response) {
         let Some(fleet) = &mut self.fleet else { return };
         let Some(change) = fleet.pending.remove(&change_number) else { return };
@@ -93,13 +93,13 @@
                 pending.lease = Lease::Released;
                 self.on_outcome_stored(number, &body, &response);
             }
-            Lease::Acquiring | Lease::HeldElsewhere => self.on_acquire(number, response),
+            Lease::Acquiring | Lease::HeldByOther => self.on_acquire(number, response),
             lease @ (Lease::NotRequired | Lease::Held { .. } | Lease::Released) => pending.lease = lease,
         }
     }
 
-    /// The response to a change is overdue: the replication thread is blocked. If the response arrives later, a lease that it grants
-    /// is released, and an outcome is still stored.
+    /// Handles an overdue response to a change: the replication thread is blocked, and the request is answered without it. If the response
+    /// arrives later, a lease that it grants is released, and an outcome is still stored.
     pub(in crate::owner) fn on_lease_timeout(&mut self, number: RequestNo, change_number: RequestNumber) {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.pending.contains_key(&change_number))
         else {
@@ -107,7 +107,7 @@
         };
         let Some(pending) = self.requests.get_mut(number) else { return };
         match std::mem::take(&mut pending.lease) {
-            Lease::Acquiring | Lease::HeldElsewhere => {
+            Lease::Acquiring | Lease::HeldByOther => {
                 fleet.counters.timeouts += 1;
                 pending.lease = Lease::Released;
                 let retry_after = fleet.settings.retry_after;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The response to acquiring or polling a lease.
+    /// Handles the response to an attempt to acquire a lease, the first one or a poll.
     fn on_acquire(&mut self, number: RequestNo, response: Response) {
         let Some(fleet) = &mut self.fleet else { return };
         match response {
@@ -131,7 +131,7 @@
             }
             Response::Committed(record) => self.on_record_found(number, Some(record)),
             Response::Conflict(record) => self.on_record_found(number, record),
-            // The lease may yet be granted; the replication thread releases it then.
+            // The lease may still be granted; then the replication thread releases it.
             Response::Unavailable { not_executed: _, retry_after, reason } => {
                 self.on_lease_unavailable(number, reason, retry_after);
             }
@@ -143,7 +143,7 @@
         fleet.counters.acquired += 1;
         pending.lease = Lease::Held { term, execution: Execution::NotExecuted };
         if pending.answered {
-            // The client has left meanwhile.
+            // The client has left while the lease was being acquired.
             self.remove_if_complete(number);
         } else {
             self.route(number);
@@ -158,7 +158,7 @@
         self.reject_unleased(number, retry_after);
     }
 
-    /// The record shows that the request is leased by another router, or how it ended.
+    /// Handles a record that shows that another router has leased the request, or how the request ended.
     fn on_record_found(&mut self, number: RequestNo, record: Option<Record>) {
         let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(number)) else { return };
         pending.lease = Lease::Released;
@@ -171,12 +171,12 @@
                 if pending.answered {
                     return self.remove_if_complete(number);
                 }
-                pending.lease = Lease::HeldElsewhere;
+                pending.lease = Lease::HeldByOther;
                 fleet.counters.polls += 1;
                 let at = self.time.now + LEASE_POLL_INTERVAL_MS;
                 self.schedule.timers.set(at, TimerKind::LeasePoll(number));
             }
-            // It may have been executed.
+            // The request may have been executed.
             Some(
                 Record::Completed(Outcome::ServedBodyOmitted | Outcome::Failed)
                 | Record::OutcomeUnknown
@@ -193,14 +193,14 @@
         }
     }
 
-    /// Asks again for a lease that another router held.
+    /// Tries again to acquire a lease that another router held.
     pub(in crate::owner) fn poll_lease(&mut self, number: RequestNo) {
         let Some(pending) = self.requests.get(number) else { return };
-        if !matches!(pending.lease, Lease::HeldElsewhere) || pending.answered {
+        if !matches!(pending.lease, Lease::HeldByOther) || pending.answered {
             return;
         }
         if !self.request_lease(number) {
-            // The other router may execute it: the client is not invited to retry.
+            // The other router may execute the request, so the client must not be invited to retry.
             self.count_unknown_outcome();
             self.answer(number, Reply::Failed);
         }
--- a/crates/node/src/owner/lease/outcome.rs
+++ b/crates/node/src/owner/lease/outcome.rs
@@ -9,14 +9,14 @@
 use basaltgw::api::{Event, Ms};
 use basaltgw_registers::{Change, Outcome, Record, Response};
 
-/// After a pause of the process, input that is read for this long may be stale: links to peers take about as long to be re-established.
+/// Input that is read within this time after a pause of the process may be stale: links to peers take about as long to be re-established.
 const STALE_INPUT_WINDOW_MS: Ms = 1_500.0;
-/// A process that has handled no batch for this long may have been paused, and other routers may have taken over its leases: requests that
-/// were not sent are released instead.
+/// A process that has handled no batch for this long may have been paused, and other routers may have taken over its leases. The leases of
+/// requests that were not sent are then released.
 const PAUSE_THRESHOLD_MS: Ms = 750.0;
 
 impl Owner {
-    /// Stores how a leased request ends; returns whether its response has to wait for that.
+    /// Stores the outcome of a leased request; returns whether the response has to wait for that.
     pub(in crate::owner) fn record_outcome(&mut self, number: RequestNo, reply: Reply<'_>) -> SendResponse {
         let (Some(fleet), Some(pending)) = (&mut self.fleet, self.requests.get_mut(number)) else {
             return SendResponse::Now;
@@ -28,7 +28,7 @@
         let key = execution_key(&pending.request.id);
         pending.lease = Lease::Released;
         let body = match reply {
-            // These are sent at once; the record is changed in the background.
+            // Rejections and failures are sent at once, and the record is changed in the background.
             Reply::Rejected(_) => {
                 fleet.release(key, term);
                 return SendResponse::Now;
@@ -55,22 +55,22 @@
         SendResponse::Now
     }
 
-    /// The replication thread has answered the change that stores an outcome.
+    /// Handles the response to the change that stores an outcome.
     pub(super) fn on_outcome_stored(&mut self, number: RequestNo, body: &BufferedBytes, response: &Response) {
         match response {
             Response::Committed(_) | Response::Conflict(Some(Record::Completed(_))) => {}
             Response::Conflict(_) => {
-                // Others have learned that the outcome is unknown.
+                // Another router has marked the outcome as unknown, and others may have learned that.
                 self.fleet.iter_mut().for_each(|fleet| fleet.counters.fenced += 1);
                 return self.reply(number, Reply::Failed);
             }
-            // It was served all the same; the replication thread keeps trying to store that.
+            // The request was served all the same; the replication thread continues to try to store that.
             Response::Unavailable { .. } => {}
         }
         self.reply(number, Reply::Served(body.bytes()));
     }
 
-    /// Releases a lease that was granted after nobody waited for it: the request was not sent.
+    /// Releases a lease that was granted when nobody waited for it any more; the request was not sent.
     pub(super) fn release_unwanted(&mut self, change: PendingChange, response: &Response) {
         let Some(fleet) = &mut self.fleet else { return };
         match response {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Settles the lease of a complete request whose requester had left: by the results of its attempts.
+    /// Releases or completes the lease of a complete request whose requester has left, by the results of its attempts.
     pub(in crate::owner) fn settle_abandoned_lease(&mut self, number: RequestNo) {
         let Some(fleet) = &mut self.fleet else { return };
         let Some(pending) = self.requests.get_mut(number).filter(|pending| pending.is_complete()) else {
@@ -97,12 +97,13 @@
         }
     }
 
-    /// The last batch was `gap` milliseconds ago. If the process may have been paused, its leases of unsent requests are released.
+    /// Handles the time since the last batch, in milliseconds. If it is so long that the process may have been paused, the leases of unsent
+    /// requests are released.
     pub(in crate::owner) fn on_batch_gap(&mut self, gap: Ms) {
         let Some(fleet) = self.fleet.as_mut().filter(|_| gap >= PAUSE_THRESHOLD_MS) else { return };
         fleet.stale_input_until = self.time.now + STALE_INPUT_WINDOW_MS;
         let retry_after = fleet.settings.retry_after;
-        // Another router may have leased these meanwhile: their outcome can't be known in time.
+        // Another router may have leased these requests during the pause; their outcome can't be known in time.
         for number in self.requests.waiting_for_lease() {
             self.count_unknown_outcome();
             self.answer(number, Reply::Failed);
--- a/crates/node/src/owner/lease/tests.rs
+++ b/crates/node/src/owner/lease/tests.rs
@@ -1,5 +1,5 @@
-//! A leased request between an owner and a replication thread that is a test: in every order of events it has one response, is executed at
-//! most once, and leaves no lease behind.
+//! A leased request with an owner and a stand-in for the replication thread: in every order of events the request has one response, is
+//! executed at most once, and leaves no lease.
 
 use crate::caches::{ConnId, ConnectionFailure, RequestNo, ServerAnswer};
 use crate::clients::ClientMessage;
@@ -19,10 +19,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What happens next.
+/// An event that may happen next.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The oldest change is answered: committed or not, known to the owner or not.
+    /// The oldest change is answered: it was committed or not, and the response says so or leaves it open.
     Committed,
     NotCommitted,
     UnknownCommitted,
@@ -34,7 +34,7 @@
     /// The client cancels the request, or closes its connection.
     ClientCancels,
     ClientCloses,
-    /// The attempt is written; it is answered so, or its connection is closed.
+    /// The attempt is written, answered with this result, or its connection is closed.
     Written,
     Ok,
     Rejected,
@@ -44,12 +44,12 @@
     Paused,
 }
 
-/// The replicas, as one register that changes at once, and the replication thread before them.
+/// A stand-in for the replication thread and the replicas: one register that changes at once.
 struct Replicas {
     thread: StandIn,
     record: Option<Record>,
     pending: VecDeque<(RequestNumber, Change)>,
-    /// Changes that are made however long it takes.
+    /// Changes without a time limit, for which nobody waits.
     background: VecDeque<Change>,
 }
 
@@ -77,14 +77,14 @@
     }
 
     /// Answers the oldest change; false if there was none.
-    fn answer(&mut self, how: Step) -> bool {
+    fn answer(&mut self, step: Step) -> bool {
         let Some((number, change)) = self.pending.pop_front() else { return false };
         let unavailable = |not_executed| Response::Unavailable {
             not_executed,
             reason: UnavailableReason::DeadlineExceeded,
             retry_after: 100.0,
         };
-        let response = match how {
+        let response = match step {
             Step::NotCommitted => unavailable(true),
             Step::UnknownCommitted => {
                 self.apply(&change);
@@ -93,7 +93,7 @@
             Step::UnknownNotCommitted => unavailable(false),
             _ => self.apply(&change),
         };
-        // As the replication thread does by itself.
+        // The replication thread makes these changes by itself.
         match (&response, &change) {
             (Response::Unavailable { not_executed: false, .. }, Change::Acquire(me)) => match &self.record {
                 Some(Record::Leased { owner, term }) if owner == me => {
@@ -121,9 +121,9 @@
     responses: async_channel::Receiver<Rc<OutgoingMessage>>,
     response_count: usize,
     client_left: bool,
-    /// An attempt was written whole, and not rejected by its server.
+    /// An attempt was completely written, and not rejected by its server.
     executed: bool,
-    /// Connections on which it was answered or that were closed: a server answers an attempt once.
+    /// Connections on which an attempt was answered or that were closed; a server answers an attempt once.
     answered_on: Vec<ConnId>,
 }
 
@@ -169,12 +169,13 @@
         pending.attempts.iter().rev().find_map(|a| a.in_flight.clone())
     }
 
-    /// The input that a step is, if it is one.
+    /// The owner's input for a step, if the step is possible now and has one.
     fn input(&mut self, step: Step) -> Option<Input> {
         let answer = |result: &str, at| {
             let fields = b"ver=1,born=5,note=via_origin,waited=0".to_vec();
-            let parts = vec![format!("{:016x}", 1).into_bytes(), result.into(), fields, b"receipt".to_vec()];
-            Some(Input::ServerAnswer(at, ServerAnswer::decode(parts, &[]).expect("an answer")))
+            let elements =
+                vec![format!("{:016x}", 1).into_bytes(), result.into(), fields, b"receipt".to_vec()];
+            Some(Input::ServerAnswer(at, ServerAnswer::decode(elements, &[]).expect("an answer")))
         };
         let in_flight = self
             .in_flight()
@@ -196,11 +197,11 @@
             (Step::Written, Some((at, false, message)))
                 if message.delivery_state() == DeliveryState::Queued =>
             {
-                // Nothing is sent unless this router holds the lease.
+                // An attempt may be sent only while this router holds the lease.
                 let me = self.owner.fleet.as_ref().map(|f| f.me.clone()).expect("a fleet");
                 assert!(
                     matches!(&self.replicas.record, Some(Record::Leased { owner, .. }) if *owner == me),
-                    "it is sent while the record is {:?}",
+                    "the attempt is sent while the record is {:?}",
                     self.replicas.record
                 );
                 message.mark_written();
@@ -242,7 +243,7 @@
         assert!(self.response_count <= 1, "{} responses", self.response_count);
     }
 
-    /// Steps that fall into one batch.
+    /// Performs steps in one batch.
     fn steps(&mut self, together: &[Step]) {
         let (mut inputs, client_had_left) = (Vec::new(), self.client_left);
         for step in together {
@@ -260,7 +261,7 @@
         self.batch(inputs, client_had_left);
     }
 
-    /// Brings everything that is under way to its end, and disconnects the client.
+    /// Completes all changes and attempts, and disconnects the client.
     fn finish(&mut self) {
         for _ in 0..12 {
             self.steps(&[Step::Committed, Step::ConnectionClosed]);
@@ -289,7 +290,10 @@
         let record = &self.replicas.record;
         assert!(!matches!(record, Some(Record::Leased { .. })), "a lease is left: {record:?}");
         let free = matches!(record, None | Some(Record::Released { .. }));
-        assert!(!(self.executed && free), "it was executed, and {record:?} invites a second execution");
+        assert!(
+            !(self.executed && free),
+            "the request was executed, and {record:?} permits a second execution"
+        );
     }
 }
 
@@ -311,7 +315,7 @@
         ConnectionClosed,
         Paused,
     ];
-    // The steps of an undisturbed request are more frequent.
+    // The steps of a request without faults are more frequent.
     prop_oneof![
         3 => Just(Committed),
         3 => Just(Written),
@@ -356,8 +360,8 @@
     scenario.steps(&[Step::Committed]);
     let releases: Vec<_> = scenario.replicas.background.iter().cloned().collect();
     let me = scenario.owner.fleet.as_ref().map(|f| f.me.clone()).expect("a fleet");
-    assert_eq!(releases, [Change::Release(me.clone(), 0)], "it names the term");
-    // Meanwhile it is leased again, and executed.
+    assert_eq!(releases, [Change::Release(me.clone(), 0)], "the release has the term");
+    // Before the release takes effect, the request is leased again and executed.
     scenario.replicas.record = Some(Record::Leased { owner: me, term: 1 });
     scenario.replicas.apply_background();
     assert!(matches!(scenario.replicas.record, Some(Record::Leased { term: 1, .. })));
@@ -388,7 +392,7 @@
     (0..6).for_each(|term| fleet.release(Scenario::key(), term));
     let seen = Arc::new(std::sync::Mutex::new(Vec::new()));
     let into = Arc::clone(&seen);
-    fleet.served_by(thread, move |request| {
+    fleet.start_stand_in(thread, move |request| {
         let last = matches!(request, ControlRequest::Shutdown(_));
         into.lock().expect("a list").push(format!("{request:?}"));
         !last
--- a/crates/node/src/owner/memory_pressure.rs
+++ b/crates/node/src/owner/memory_pressure.rs
@@ -8,8 +8,8 @@
 use crate::outbox::DeliveryState;
 
 impl Clients {
-    /// Replaces the responses of which nothing is written by failures, for the client with the most buffered bytes; returns how many, `None` if
-    /// no client has any.
+    /// Replaces the responses of which nothing is written by failures, for the client with the most buffered bytes; returns how many,
+    /// `None` if no client has any.
     fn fail_unsent_responses(&mut self) -> Option<u64> {
         let has_unsent =
             |c: &Client| c.unsent.values().any(|message| message.delivery_state() == DeliveryState::Queued);
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -74,7 +74,8 @@
 }
 
 impl Owner {
-    /// An owner whose decision module has handled the endpoint lists and purges in the configuration. `settings` are those of the settings file.
+    /// An owner whose decision module has handled the endpoint lists and purges in the configuration. `settings` are those of the settings
+    /// file.
     pub fn new(config: &NodeConfig, settings: &OwnSettings, shared: &Shared, caches: ServerPool) -> Self {
         let mut owner = Self {
             router: Router::new(config.settings.clone(), config.seed),
--- a/crates/node/src/owner/requester.rs
+++ b/crates/node/src/owner/requester.rs
@@ -1,8 +1,8 @@
 //! Where a request comes from, and how its response is delivered.
 //!
 //! A front end (the clients' connections, scatter-gather, other routers) decodes a request, checks its limits, and hands over an
-//! [`IncomingRequest`]. After that, the owner uses only its [`Requester`]; a new front end needs one more variant and one arm in each function
-//! of this module.
+//! [`IncomingRequest`]. After that, the owner uses only its [`Requester`]; a new front end needs one more variant and one arm in each
+//! function of this module.
 
 use super::scatter_gather::SubRequestKey;
 use super::Owner;
--- a/crates/node/src/owner/snapshot.rs
+++ b/crates/node/src/owner/snapshot.rs
@@ -1,5 +1,5 @@
-//! Converts the decision module's snapshot for the next process, and back. Between processes its times are Unix times of the platform, since
-//! the clocks of two processes have different origins.
+//! Converts the decision module's snapshot for the next process, and back. Between processes its times are Unix times of the platform,
+//! since the clocks of two processes have different origins.
 
 use super::Owner;
 use basaltgw::api::Ms;
@@ -31,8 +31,8 @@
 impl Owner {
     /// Maps an earlier process's snapshot to this process's clock.
     pub(super) fn map_to_local_times(&mut self, snapshot: Snapshot) -> Snapshot {
-        // All events in the snapshot are in the past, so the latest time among them is a lower bound of the current Unix time, which is needed
-        // if the change log has given none yet.
+        // All events in the snapshot are in the past, so the latest time among them is a lower bound of the current Unix time, which is
+        // needed if the change log has given none yet.
         let starts = snapshot.servers.iter().filter_map(|server| server.warmup_started);
         let latest = starts.chain(snapshot.purges.iter().map(|purge| purge.purged_at)).reduce(f64::max);
         if let Some(latest) = latest {
@@ -44,8 +44,8 @@
         map_times(snapshot, |unix| listed.local(now, unix), |unix| happened.local(now, unix))
     }
 
-    /// This process's snapshot, with Unix times. An uncertain time is mapped to the latest possible one, so that no event seems older to the next
-    /// process than it is.
+    /// This process's snapshot, with Unix times. An uncertain time is mapped to the latest possible one, so that no event seems older to
+    /// the next process than it is.
     pub(super) fn take_snapshot(&self) -> TimedSnapshot {
         let platform = &self.time.platform;
         let snapshot = map_times(
--- a/crates/node/src/owner/state.rs
+++ b/crates/node/src/owner/state.rs
@@ -64,8 +64,8 @@
         Self { now, clock, platform: PlatformTime::new(now, wall_now()) }
     }
 
-    /// Observes a Unix time that the platform gave for a past event. If it shows that the ages computed before were too small, returns by how
-    /// many milliseconds.
+    /// Observes a Unix time that the platform gave for a past event. If it shows that the ages computed before were too small, returns by
+    /// how many milliseconds.
     pub(super) fn observe(&mut self, unix: Ms) -> Option<Ms> {
         self.platform.observe(self.now, unix)
     }
--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -68,7 +68,7 @@
     owner.requests.attempt((RequestNo(1), AttemptNo(0))).expect("an attempt")
 }
 
-/// Starts request 1 and marks its first attempt as written whole.
+/// Starts request 1 and marks its first attempt as completely written.
 fn write_first_attempt(owner: &mut Owner) -> AttemptKey {
     let first = request(owner, 1);
     owner.batch(&mut vec![first]);
@@ -90,18 +90,18 @@
         for _ in 0..3 {
             owner.batch(&mut Vec::new());
             let in_flight = in_flight(&owner, 1);
-            assert_eq!(in_flight, [true], "no other may be sent while the server may still have it");
+            assert_eq!(in_flight, [true], "no other attempt while the server may still execute this one");
         }
         let [AbortingAttempt { connection, tag, .. }] = &owner.upstream.aborting[..] else {
-            panic!("one that is being aborted")
+            panic!("one attempt that is being aborted")
         };
         let (connection, fields) = (*connection, vec![tag.0.as_bytes().to_vec(), b"yes".to_vec()]);
         let confirmation = ServerAnswer::decode(fields, &[]).expect("an answer");
         owner.batch(&mut vec![Input::ServerAnswer(connection, confirmation)]);
-        let out = in_flight(&owner, 1);
+        let in_flight = in_flight(&owner, 1);
         assert!(
-            !out[0] && out.len() == 2 && owner.upstream.aborting.is_empty(),
-            "ended, and attempted again: {out:?}"
+            !in_flight[0] && in_flight.len() == 2 && owner.upstream.aborting.is_empty(),
+            "the first attempt ended, and another was made: {in_flight:?}"
         );
     }
 }
@@ -131,8 +131,8 @@
         message: ClientMessage::Request(tag, write),
         received_at,
     }]);
-    assert_eq!(attempts(&owner, 1).len(), 1, "it waits for a connection");
-    // One batch in which its attempt times out and the decision module's own timer is due as well.
+    assert_eq!(attempts(&owner, 1).len(), 1, "the attempt waits for a connection");
+    // In the next batch, the attempt times out and the decision module's own timer is due as well.
     let over = owner.time.now + 200.0;
     while owner.time.clock.now() < over {
         std::thread::sleep(Duration::from_millis(5));
@@ -240,49 +240,49 @@
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
     owner.batch(&mut vec![Input::WatchEvent(News::Servers { whole: true, members: Vec::new() })]);
-    // No server is left, so it is answered; and none of its attempts is in flight.
+    // No server is left, so the request is answered, and none of its attempts is in flight.
     assert!(owner.requests.is_empty());
     assert_eq!((owner.counters.clients.rejected.get(), owner.counters.attempts.made.get()), (1, 1));
 }
 
-/// Clients wait for a slot, and no message crosses the close of those that are asked for theirs.
+/// Has the owner close clients for others that wait for a slot; no message crosses the close requests.
 fn free_slots(owner: &mut Owner) {
     owner.close_least_active_clients();
     owner.close_least_active_clients();
     let connected = owner.clients.connected.iter();
-    let asked =
+    let closing =
         connected.filter_map(|(id, c)| Some((*id, c.connection.close_reason().map(|_| &c.connection)?)));
-    let stopped: Vec<_> = asked.filter_map(|(id, life)| Some((id, life.decide_close(None)?))).collect();
+    let stopped: Vec<_> = closing.filter_map(|(id, state)| Some((id, state.decide_close(None)?))).collect();
     stopped.into_iter().for_each(|(id, reason)| owner.on_client_stopped(id, reason));
     owner.clients.release_closed();
 }
 
 #[test]
 fn message_queued_from_a_client_is_handled_before_its_close() {
-    for room in [true, false] {
+    for slot_wanted in [true, false] {
         let (mut owner, _messages) = owner();
         owner.clients.connected.iter_mut().for_each(|(_, c)| c.last_active -= CLIENT_IDLE_MS);
-        let life = Rc::clone(&owner.clients.connected.get(&CLIENT).expect("a client").connection);
-        // The owner finds it idle while its reader has a request of it in hand.
-        assert!(life.enqueue());
-        if room {
+        let state = Rc::clone(&owner.clients.connected.get(&CLIENT).expect("a client").connection);
+        // The owner finds the client idle while the reader has decoded a request of the client.
+        assert!(state.enqueue());
+        if slot_wanted {
             owner.batch(&mut vec![Input::SlotWanted]);
         } else {
             owner.schedule.maintained_at = 0.0;
             owner.batch(&mut Vec::new());
         }
-        let why = if room { IdleReason::SlotNeeded } else { IdleReason::IdleTimeout };
-        assert_eq!(life.close_reason(), Some(why));
-        assert_eq!(life.decide_close(None), None);
+        let reason = if slot_wanted { IdleReason::SlotNeeded } else { IdleReason::IdleTimeout };
+        assert_eq!(state.close_reason(), Some(reason));
+        assert_eq!(state.decide_close(None), None);
         let first = request(&owner, 1);
         owner.batch(&mut vec![first]);
         assert_eq!(owner.counters.clients.requests.get(), 1);
         assert_eq!(
-            (life.phase(), attempts(&owner, 1).len()),
+            (state.phase(), attempts(&owner, 1).len()),
             (ConnectionPhase::Open { queued: 0, close_requested: None }, 1)
         );
         owner.batch(&mut vec![Input::SlotWanted]);
-        assert_eq!(life.close_reason(), None, "something is open");
+        assert_eq!(state.close_reason(), None, "a request is open");
     }
 }
 
@@ -300,7 +300,7 @@
     }
     let now = owner.time.now;
     for (id, client) in &mut owner.clients.connected {
-        // Two have long been idle; of the others some have sent nothing yet.
+        // Two clients have been idle for long; some of the others have sent nothing yet.
         client.has_sent = id.0 > 5;
         client.last_active = if [8, 9].contains(&id.0) { now - RECLAIM_IDLE_MS } else { now };
     }
@@ -310,11 +310,11 @@
     assert_eq!(left(&owner).len(), 15, "the others were active just now");
     owner.time.now = now + RECLAIM_SERVED_MS;
     free_slots(&mut owner);
-    let rested: Vec<u64> = left(&owner).into_iter().filter(|n| *n > 5).collect();
-    assert_eq!(rested, [10, 11, 12, 13, 14, 15, 16, 17], "two of those that had their responses");
+    let served: Vec<u64> = left(&owner).into_iter().filter(|n| *n > 5).collect();
+    assert_eq!(served, [10, 11, 12, 13, 14, 15, 16, 17], "two clients that had their responses are closed");
     owner.time.now = now + RECLAIM_SILENT_MS;
     (0..20).for_each(|_| free_slots(&mut owner));
-    assert_eq!(left(&owner), [1], "one with something open stays");
+    assert_eq!(left(&owner), [1], "a client with an open request is not closed");
 }
 
 #[test]
@@ -323,9 +323,9 @@
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
     let purge = |group| News::Purge { object: None, group: GroupId(group), time: owner.time.clock.now() };
-    let (elsewhere, here) = (Input::WatchEvent(purge(16)), Input::WatchEvent(purge(17)));
-    owner.batch(&mut vec![elsewhere]);
-    assert_eq!(attempts(&owner, 1).len(), 1, "another group's purge is no reason");
-    owner.batch(&mut vec![here]);
+    let (other_group, own_group) = (Input::WatchEvent(purge(16)), Input::WatchEvent(purge(17)));
+    owner.batch(&mut vec![other_group]);
+    assert_eq!(attempts(&owner, 1).len(), 1, "a purge of another group recalls nothing");
+    owner.batch(&mut vec![own_group]);
     assert_eq!(in_flight(&owner, 1), [false, true], "attempted again");
 }
--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -1,4 +1,4 @@
-//! Events that cross each other, in every order.
+//! Events that cross each other, in any order.
 
 use super::*;
 use crate::caches::ConnId;
@@ -10,7 +10,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Instant;
 
-/// Lists a server at another port.
+/// An endpoint list that has a server at another port.
 fn moved(owner: &Owner, id: &ServerId, port: u16) -> Input {
     let entry = Endpoint {
         id: id.clone(),
@@ -31,12 +31,12 @@
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
     let home = attempts(&owner, 1)[0].server.clone();
-    let news = moved(&owner, &home, 77);
-    owner.batch(&mut vec![news]);
+    let list = moved(&owner, &home, 77);
+    owner.batch(&mut vec![list]);
     let all = attempts(&owner, 1);
     assert!(
         all.len() == 2 && !all[0].in_flight && all[1].in_flight,
-        "it would go to the former address: {all:?}"
+        "the first attempt would go to the former address: {all:?}"
     );
     assert_eq!(owner.counters.attempts.not_sent.get(), 1);
 }
@@ -48,12 +48,12 @@
     owner.batch(&mut vec![first]);
     let home = attempts(&owner, 1)[0].server.clone();
     let port = owner.upstream.endpoints[&home].address.port();
-    let Input::WatchEvent(News::Servers { members: back, .. }) = moved(&owner, &home, port) else {
+    let Input::WatchEvent(News::Servers { members: listed_again, .. }) = moved(&owner, &home, port) else {
         panic!("a list")
     };
-    let mut gone = back.clone();
-    gone[0].entry.state = EndpointState::Removed;
-    let members = gone.into_iter().chain(back).collect();
+    let mut removed = listed_again.clone();
+    removed[0].entry.state = EndpointState::Removed;
+    let members = removed.into_iter().chain(listed_again).collect();
     owner.batch(&mut vec![Input::WatchEvent(News::Servers { whole: false, members })]);
     let all = attempts(&owner, 1);
     assert!(all.len() == 2 && !all[0].in_flight && all[1].in_flight, "{all:?}");
@@ -75,7 +75,7 @@
         (late.delivery_state(), in_time.delivery_state()),
         (DeliveryState::Recalled, DeliveryState::Written)
     );
-    assert!(late.recall() && !in_time.recall(), "what was not written may be reported as not sent");
+    assert!(late.recall() && !in_time.recall(), "a message that was not written may be reported as not sent");
 }
 
 #[test]
@@ -90,16 +90,16 @@
     let (first, second) = (connection(1), connection(2));
     let other = ConnId(first.0.max(second.0) + 1);
     let ok = |id: &str| {
-        let parts = [id, "ok", "ver=1,born=1,note=hit", "bytes"].map(|part| part.as_bytes().to_vec());
-        ServerAnswer::decode(parts.to_vec(), &[]).expect("an answer")
+        let elements = [id, "ok", "ver=1,born=1,note=hit", "bytes"].map(|e| e.as_bytes().to_vec());
+        ServerAnswer::decode(elements.to_vec(), &[]).expect("an answer")
     };
-    // On a connection that is not its own, and under an id that no request has.
+    // An answer on another connection, and an answer with an id that no request has.
     owner.batch(&mut vec![
         Input::ServerAnswer(other, ok(&format!("{:016x}", 1))),
         Input::ServerAnswer(first, ok("00000000000000ff")),
     ]);
     assert_eq!((owner.counters.attempts.late_answers.get(), messages.len()), (2, 0));
-    // The same id again, while it is open: a client that breaks the protocol gets a failure, and the first goes on.
+    // The id of an open request again: that breaks the protocol and gets a failure, and the first request continues.
     let Input::ClientMessage { client, message: ClientMessage::Request(_, again), received_at } =
         request(&owner, 1)
     else {
@@ -118,7 +118,7 @@
     assert_eq!((owner.counters.clients.served.get(), messages.len()), (1, 2));
 }
 
-/// What may happen to the one request.
+/// An event that may happen to the request.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Established,
@@ -133,7 +133,7 @@
     AddressChanges,
     TimeOut,
     TimePasses,
-    /// What happened since the last batch goes into one.
+    /// The events since the last batch are handled in one batch.
     Batch,
 }
 
@@ -156,7 +156,7 @@
 /// The client's deadline, by which the final response is due.
 const DEADLINE_MS: Ms = 45.0;
 
-/// One request and what the test knows of it.
+/// An owner with one request, and the events so far.
 struct Scenario {
     class: &'static str,
     owner: Owner,
@@ -164,7 +164,7 @@
     inputs: Vec<Input>,
     established: BTreeSet<ConnId>,
     validated: BTreeSet<ConnId>,
-    /// Attempts that were written whole, unless their server answered that it did not execute them.
+    /// Attempts that were completely written, except those that their server answered without executing them.
     executed: BTreeSet<usize>,
 }
 
@@ -199,9 +199,9 @@
 
     fn answer(&mut self, connection: ConnId, id: &str, result: &str) {
         let fields: &[u8] = if result == "ok" { b"ver=1,born=1,note=hit" } else { b"-" };
-        let parts = vec![id.as_bytes().to_vec(), result.as_bytes().to_vec(), fields.to_vec(), Vec::new()];
+        let elements = vec![id.as_bytes().to_vec(), result.as_bytes().to_vec(), fields.to_vec(), Vec::new()];
         self.inputs
-            .push(Input::ServerAnswer(connection, ServerAnswer::decode(parts, &[]).expect("an answer")));
+            .push(Input::ServerAnswer(connection, ServerAnswer::decode(elements, &[]).expect("an answer")));
     }
 
     fn step(&mut self, step: Step) {
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Handles everything so far in one batch, then checks the invariants.
+    /// Handles the inputs so far in one batch, then checks the invariants.
     fn batch(&mut self) {
         let mut inputs = std::mem::take(&mut self.inputs);
         self.owner.batch(&mut inputs);
@@ -272,12 +272,12 @@
 
     fn check(&self) {
         let clients = &self.owner.counters.clients;
-        let [served, refused, failed, left] =
+        let [served, rejected, failed, cancelled] =
             [&clients.served, &clients.rejected, &clients.failed, &clients.cancelled].map(|c| c.get());
-        assert!(served + refused + failed + left <= 1, "{served} {refused} {failed} {left}");
-        assert_eq!(self.responses.len() as u64, served + refused + failed, "what the client gets");
+        assert!(served + rejected + failed + cancelled <= 1, "{served} {rejected} {failed} {cancelled}");
+        assert_eq!(self.responses.len() as u64, served + rejected + failed, "responses to the client");
         let executed = self.class == "loan" && !self.executed.is_empty();
-        assert!(refused == 0 || !executed, "rejected, and it may have been executed");
+        assert!(rejected == 0 || !executed, "the request was rejected and may have been executed");
         let Some(pending) = self.owner.requests.get(RequestNo(1)) else { return };
         let in_flight = pending.attempts.iter().filter(|a| a.is_in_flight()).count();
         assert!(in_flight <= 1, "{in_flight} in flight at once");
@@ -302,11 +302,11 @@
         all in prop::collection::vec(steps(), 1..20),
     ) {
         let mut scenario = Scenario::new(class);
-        // How far the request gets before other events cross it.
+        // The progress of the request before other events cross it.
         let path = [Step::Established, Step::Validated, Step::Written].into_iter().take(progress);
         path.chain(all).for_each(|step| scenario.step(step));
         scenario.batch();
-        // The client's deadline passes; aborts are confirmed or not.
+        // The client's deadline passes, whether aborts are confirmed or not.
         let deadline = scenario.owner.time.now + DEADLINE_MS;
         while scenario.owner.time.clock.now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
@@ -315,7 +315,7 @@
         scenario.batch();
         let clients = &scenario.owner.counters.clients;
         let answers = [&clients.served, &clients.rejected, &clients.failed, &clients.cancelled].map(|c| c.get());
-        prop_assert_eq!(answers.iter().sum::<u64>(), 1, "a response in time, whatever is still in flight");
+        prop_assert_eq!(answers.iter().sum::<u64>(), 1, "one response in time, even with attempts in flight");
         scenario.owner.upstream.aborting.iter_mut().for_each(|a| a.since -= ABORT_CONFIRM_TIMEOUT_MS + 1.0);
         scenario.batch();
         scenario.batch();
--- a/crates/node/src/owner/timers.rs
+++ b/crates/node/src/owner/timers.rs
@@ -57,7 +57,8 @@
             due.push(timer.kind);
             self.heap.pop();
         }
-        // The owner's timers go before the decision module's, at which that rejects or fails requests: it should know the attempts' timeouts then.
+        // The owner's timers go before the decision module's, at which that rejects or fails requests: it should know the attempts'
+        // timeouts then.
         due.sort_by_key(|kind| matches!(kind, TimerKind::Router(_)));
         due
     }
--- a/crates/node/src/owner/watch_events.rs
+++ b/crates/node/src/owner/watch_events.rs
@@ -140,7 +140,7 @@
             self.withdraw_unlisted(&members, &mut withdrawn);
         }
         self.update_endpoints(&members, &mut withdrawn);
-        let tree_events = self.upstream.tree.listed(self.time.now, &members, &withdrawn.unlisted);
+        let tree_events = self.upstream.tree.on_endpoint_list(self.time.now, &members, &withdrawn.unlisted);
         let update = if complete { EndpointUpdate::Complete } else { EndpointUpdate::Delta };
         let mut endpoints: Vec<_> = members.into_iter().map(|member| member.entry).collect();
         endpoints.iter_mut().for_each(|endpoint| self.map_start(endpoint));
--- a/crates/node/src/permissions.rs
+++ b/crates/node/src/permissions.rs
@@ -1,9 +1,9 @@
 //! Permissions: whether an attempt may start, a message may be sent, a request may run again, a connection may close, the process may end.
 //!
-//! One function decides each question from an explicit state and returns a typed refusal, without I/O or a clock. The owner, the connections'
-//! writers and the state machine of clients' connections use these functions. Whether a request may run again is the decision module's rule
-//! ([`basaltgw::routing::retry`]); [`may_run_again`] applies it to the attempts that the owner knows of. [`crate::invariants`] checks
-//! independently what is done in the end. Times are in milliseconds.
+//! One function decides each question from an explicit state and returns a typed refusal, without I/O or a clock. The owner, the
+//! connections' writers and the state machine of clients' connections use these functions. Whether a request may run again is the decision
+//! module's rule ([`basaltgw::routing::retry`]); [`may_run_again`] applies it to the attempts that the owner knows of.
+//! [`crate::invariants`] checks independently what is done in the end. Times are in milliseconds.
 
 #[cfg(test)]
 mod tests;
--- a/crates/node/src/placement_report.rs
+++ b/crates/node/src/placement_report.rs
@@ -1,4 +1,4 @@
-//! Compiles the placement rules of a configuration for the routers that it lists, and reports the resulting table to people.
+//! Compiles the placement rules of a configuration for the routers that it lists, and describes the resulting table for operators.
 
 use crate::fleet::start::placement_rules;
 use basaltgw_config::fleet::Fleet;
@@ -8,21 +8,21 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Stands for the incarnation of each router: a configuration doesn't know it, and placement doesn't depend on it.
-const UNKNOWN: Incarnation = Incarnation(0);
+/// The incarnation used for each router, since a configuration doesn't have the real ones and placement doesn't depend on them.
+const PLACEHOLDER_INCARNATION: Incarnation = Incarnation(0);
 
 /// An object by class, group and number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObjectKey {
-    /// Its class.
+    /// The name of the request class.
     pub class: String,
-    /// Its group.
+    /// The object's group.
     pub group: u64,
-    /// Its number.
+    /// The object's number.
     pub object: u64,
 }
 
-/// What a report explains besides the table.
+/// What a report explains in addition to the table.
 #[derive(Clone, Debug, Default)]
 pub struct ReportQueries {
     /// A shard to explain.
@@ -43,9 +43,9 @@
 /// # Errors
 /// If the text has another form.
 pub fn parse_key(text: &str) -> Result<ObjectKey, String> {
-    let mut words = text.rsplitn(3, ':');
-    let (object, group, class) = (words.next(), words.next(), words.next());
-    let number = |word: Option<&str>| word.and_then(|w| w.parse().ok());
+    let mut fields = text.rsplitn(3, ':');
+    let (object, group, class) = (fields.next(), fields.next(), fields.next());
+    let number = |field: Option<&str>| field.and_then(|text| text.parse().ok());
     match (class, number(group), number(object)) {
         (Some(class), Some(group), Some(object)) if !class.is_empty() => {
             Ok(ObjectKey { class: class.to_string(), group, object })
@@ -56,13 +56,13 @@
     }
 }
 
-/// Compiles the placement rules of a section for the routers that it lists, after a table that is in use.
+/// Compiles the placement rules of a section `fleet` for the routers that it lists; `before` is the table in use, if there is one.
 ///
 /// # Errors
 /// All faults of the rules.
 pub fn table(fleet: &Fleet, before: Option<&Table>) -> Result<Table, Vec<Fault>> {
     let entry = |router: &RouterId, domain: &Domain| RouterEntry {
-        member: Member { router: router.clone(), incarnation: UNKNOWN },
+        member: Member { router: router.clone(), incarnation: PLACEHOLDER_INCARNATION },
         domain: domain.clone(),
         capacity: fleet.limits.holds as u64,
         stays: true,
@@ -73,15 +73,15 @@
     compile(&placement_rules(fleet), &Inventory { routers, ..Inventory::default() }, before)
 }
 
-/// Renders faults with the lines that they concern.
+/// Describes faults, each with an excerpt of the rules.
 pub fn faults(fleet: &Fleet, faults: &[Fault]) -> String {
     let files = placement_rules(fleet);
-    // The position is written out besides the excerpt, so that programs find it too.
+    // Each fault has its position in text form before the excerpt, so that programs can parse it.
     let render = |f: &Fault| format!("{f}\n{}", f.render(&files, false));
     faults.iter().map(render).collect::<Vec<_>>().join("\n")
 }
 
-/// One line about a table.
+/// One line that summarizes a table.
 pub fn summary(fleet: &Fleet, table: &Table) -> String {
     let copies = table.keepers(Shard(0)).map_or(0, |g| g.members.len());
     let (version, routers) = (table.version().0, fleet.peers.len() + 1);
@@ -89,7 +89,8 @@
     format!("fleet {}: table version {version}, {shards} shards, {copies} copies, {routers} routers, no fault found", fleet.cluster)
 }
 
-/// A table with each router's shards, the root, the shards that move from an older table, and the answers to the queries.
+/// Describes a table: each router's shards, the replicas of the root, the shards that move from the old table, and the answers to the
+/// queries.
 pub fn report(fleet: &Fleet, table: &Table, old: Option<&Table>, queries: &ReportQueries) -> String {
     let mut text = summary(fleet, table);
     let mut shards_of: BTreeMap<&Member, Vec<String>> =
@@ -113,6 +114,6 @@
     if let Some(key) = &queries.object {
         text.push_str(&explain(table, &key.class, key.group, key.object));
     }
-    // The stand-in incarnation means nothing to readers.
-    text.replace(&format!("/{UNKNOWN}"), "")
+    // The placeholder incarnation is not shown.
+    text.replace(&format!("/{PLACEHOLDER_INCARNATION}"), "")
 }
--- a/crates/node/src/platform_time.rs
+++ b/crates/node/src/platform_time.rs
@@ -1,15 +1,15 @@
 //! Maps Unix times of the platform (purges, starts of servers, origin times of copies) to the router's monotonic clock.
 //!
-//! The router's wall clock may be wrong, so no age is computed from it alone. A Unix time received from the platform is a lower bound of the
-//! platform's current time, since no event is notified before it happens. An age computed from the highest such bound exceeds the true age by
-//! at most the rounding (1 ms, which the decision module subtracts). So a copy from before a purge is never accepted, and a server that has
-//! just started never counts as warm. The wall clock only limits bounds from less trusted sources.
+//! The router's wall clock may be wrong, so no age is computed from it alone. A Unix time received from the platform is a lower bound of
+//! the platform's current time, since no event is notified before it happens. An age computed from the highest such bound exceeds the true
+//! age by at most the rounding (1 ms, which the decision module subtracts). So a copy from before a purge is never accepted, and a server
+//! that has just started never counts as warm. The wall clock only limits bounds from less trusted sources.
 
 use basaltgw::api::Ms;
 use std::collections::BTreeMap;
 
-/// Offsets are rounded up to whole milliseconds, so that the time of an event received up to now maps to a time before now. An age may be too
-/// great by this; the decision module subtracts twice as much from each age limit.
+/// Offsets are rounded up to whole milliseconds, so that the time of an event received up to now maps to a time before now. An age may be
+/// too great by this; the decision module subtracts twice as much from each age limit.
 const ROUNDING_MS: Ms = 1.0;
 /// Smaller increases of the bound are ignored; computed ages are too small by less than this.
 const MIN_INCREASE_MS: Ms = 5.0;
@@ -63,20 +63,21 @@
         Some(increase)
     }
 
-    /// Observes a purge at this Unix time. Purges come from the change log alone, whose times are trusted. If this raises the bound, returns by
-    /// how many milliseconds ages computed before were too small.
+    /// Observes a purge at this Unix time. Purges come from the change log alone, whose times are trusted. If this raises the bound,
+    /// returns by how many milliseconds ages computed before were too small.
     pub fn observe_purge(&mut self, now: Ms, unix: Ms) -> Option<Ms> {
         self.raise(offset_at(now, unix), 1.0)
     }
 
-    /// Observes another event at this Unix time, such as the start of a server; its time is not trusted beyond the wall clock. The result is that
-    /// of [`Self::observe_purge`].
+    /// Observes another event at this Unix time, such as the start of a server; its time is not trusted beyond the wall clock. The result
+    /// is that of [`Self::observe_purge`].
     pub fn observe(&mut self, now: Ms, unix: Ms) -> Option<Ms> {
         self.raise(offset_at(now, unix).min(self.wall_offset), MIN_INCREASE_MS)
     }
 
-    /// The latest monotonic time that an event at a Unix time can have had. While the bound is not raised, the same Unix time maps to the same
-    /// result. An event that seems to be in the future happened at an unknown time, and its result must not change when the bound is raised.
+    /// The latest monotonic time that an event at a Unix time can have had. While the bound is not raised, the same Unix time maps to the
+    /// same result. An event that seems to be in the future happened at an unknown time, and its result must not change when the bound is
+    /// raised.
     pub fn local(&mut self, now: Ms, unix: Ms) -> Ms {
         let Some(offset) = self.offset else { return now };
         let local = unix - offset;
@@ -121,8 +122,8 @@
         self.latest_purge = self.latest_purge.max(unix);
     }
 
-    /// The age of a purge that the change log has just sent, in milliseconds; 0 if its time is before that of an earlier purge, since the change
-    /// log's clock may have been set back.
+    /// The age of a purge that the change log has just sent, in milliseconds; 0 if its time is before that of an earlier purge, since the
+    /// change log's clock may have been set back.
     pub fn age_of_next_purge(&mut self, now: Ms, unix: Ms) -> Ms {
         if unix < self.latest_purge {
             return 0.0;
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reloads the configuration and the settings file in a running router, and applies both or neither. Changes that need a restart are logged and
-//! ignored.
+//! Reloads the configuration and the settings file in a running router, and applies both or neither. Changes that need a restart are logged
+//! and ignored.
 
 use crate::messages::Input;
 use crate::placement_report;
--- a/crates/node/src/signal_handler.rs
+++ b/crates/node/src/signal_handler.rs
@@ -7,8 +7,8 @@
 use basaltgw_config::NodeConfig;
 use std::net::SocketAddr;
 
-/// Passes signals to the owner: SIGTERM and SIGINT shut the router down, SIGHUP reloads, SIGUSR1 logs the counters. Returns when the owner has
-/// ended.
+/// Passes signals to the owner: SIGTERM and SIGINT shut the router down, SIGHUP reloads, SIGUSR1 logs the counters. Returns when the owner
+/// has ended.
 pub(crate) async fn handle_signals(
     mut signals: Signals,
     urgent: Sender<Input>,
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,7 +1,7 @@
 //! Receives signals: a handler sets the flag of its signal and writes a byte to a pipe, which wakes the task that waits for signals.
 //!
-//! The byte does not tell which signal it was. A lost byte (the pipe is full, or the write fails) causes only a short delay, since the flags
-//! are polled as well.
+//! The byte does not tell which signal it was. A lost byte (the pipe is full, or the write fails) causes only a short delay, since the
+//! flags are polled as well.
 
 use crate::socket;
 use async_io::{Async, Timer};
--- a/crates/node/src/slow_start_watch.rs
+++ b/crates/node/src/slow_start_watch.rs
@@ -1,4 +1,5 @@
-//! Checks slow start where attempts are written: compares the requests sent to each server that is warming up with the limit for all routers.
+//! Checks slow start where attempts are written: compares the requests sent to each server that is warming up with the limit for all
+//! routers.
 //!
 //! The decision module has its own count (`routing::slow_start`). This checker shares no state and no unit of cost with it: for each server
 //! process it counts requests when their first byte is written, and estimates their cost from responses with bodies alone. Times are in
--- a/crates/node/src/snapshot_file.rs
+++ b/crates/node/src/snapshot_file.rs
@@ -8,8 +8,8 @@
 use std::io;
 use std::path::Path;
 
-/// Loads the snapshot, with Unix times; a missing or unusable file is logged and ignored. The snapshot's age is computed from the wall clock,
-/// so nothing may rely on it.
+/// Loads the snapshot, with Unix times; a missing or unusable file is logged and ignored. The snapshot's age is computed from the wall
+/// clock, so nothing may rely on it.
 pub(crate) fn load(carry: &Carry) -> Option<Snapshot> {
     let file = carry.file.display();
     if !carry.file.exists() {
--- a/crates/node/src/socket.rs
+++ b/crates/node/src/socket.rs
@@ -1,5 +1,5 @@
-//! Reads and writes sockets. An interrupted call is repeated at once; a call that failed because the machine lacks memory is retried after a
-//! pause; any other error ends the connection.
+//! Reads and writes sockets. An interrupted call is repeated at once; a call that failed because the machine lacks memory is retried after
+//! a pause; any other error ends the connection.
 
 use async_io::Timer;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
--- a/crates/node/src/stalls.rs
+++ b/crates/node/src/stalls.rs
@@ -11,8 +11,8 @@
 
 /// The event loop has a turn at least this often, since the owner sleeps for no longer.
 pub const MAX_TURN_INTERVAL: Duration = Duration::from_millis(100);
-/// At least this long between two turns is a pause. A shorter delay goes unnoticed; less [`MAX_TURN_INTERVAL`], it is shorter than the slack
-/// of the deadlines that are passed to servers.
+/// At least this long between two turns is a pause. A shorter delay goes unnoticed; less [`MAX_TURN_INTERVAL`], it is shorter than the
+/// slack of the deadlines that are passed to servers.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(150);
 /// Bytes that a connection reads within this time after a pause may have been received during the pause.
 const BACKLOG_READ_WINDOW: Duration = Duration::from_millis(250);
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -1,4 +1,5 @@
-//! The plan of the cache tree, where the project's own file has one: translates between the router's events and `basaltgw-hierarchy`.
+//! The plan of the cache tree, if the settings file has one: converts the router's events for `basaltgw-hierarchy`, and its actions to
+//! events of the decision module.
 
 use basaltgw::api::{AttemptResult, EndpointState, Event, FillReport, Ms, ObjectId, ServerId};
 use basaltgw_config::plan::table;
@@ -10,7 +11,7 @@
 /// Counters of plans.
 #[derive(Clone, Debug, Default)]
 pub struct TreeCounters {
-    /// Plans that were read.
+    /// Plans read from the settings file.
     pub plans: u64,
     /// Plans that were rejected.
     pub plans_rejected: u64,
@@ -22,11 +23,11 @@
     pub pairs_disabled: u64,
 }
 
-/// A router's plan and the topology change in progress; without a plan it does nothing.
+/// A router's plan and the topology change in progress. Without a plan, events have no effect.
 #[derive(Default)]
 pub struct Tree {
     reshape: Option<Reshape>,
-    /// Counters so far.
+    /// The counters of plans.
     pub counters: TreeCounters,
 }
 
@@ -35,7 +36,7 @@
 }
 
 impl Tree {
-    /// A tree without a plan; where there is one, it is offered once the endpoint list is known (see [`Tree::offer`]).
+    /// A tree without a plan yet; if the settings file has one, it is offered when the endpoint list is known (see [`Tree::offer`]).
     pub fn new(own: Option<&Hierarchy>) -> Self {
         Self { reshape: own.map(|h| Reshape::new(h.settings)), counters: TreeCounters::default() }
     }
@@ -63,12 +64,13 @@
                 }
             }
         }
-        // The last table replaces those before it.
+        // Only the last fill plan matters, since each replaces the one before.
         events.drain(..events.len().saturating_sub(1));
         events
     }
 
-    /// Offers a plan, at the start or after a reload. The plan in use, while a change to another is in progress, rolls that change back.
+    /// Offers a plan, at the start or after a reload. If it is the plan in use and a change to another plan is in progress, that change is
+    /// rolled back.
     pub fn offer(&mut self, now: Ms, own: &Hierarchy) -> Vec<Event> {
         let reshape = self.reshape.get_or_insert_with(|| Reshape::new(own.settings));
         reshape.set(own.settings);
@@ -78,14 +80,14 @@
         match (in_use, reshape.under_way()) {
             (true, Some((_, _, false))) => self.handle(now, hierarchy::Event::TakeBack),
             (true, _) => Vec::new(),
-            // The change in progress was read again.
+            // The plan is that of the change in progress.
             (false, Some((version, _, false))) if version == plan.version => Vec::new(),
             (false, _) => self.handle(now, hierarchy::Event::Offer(plan.clone())),
         }
     }
 
-    /// Handles an endpoint list; servers that a complete list omits are removed.
-    pub fn listed(&mut self, now: Ms, members: &[Member], left_out: &[ServerId]) -> Vec<Event> {
+    /// Handles an endpoint list; `left_out` are the servers that a complete list omits, which are removed.
+    pub fn on_endpoint_list(&mut self, now: Ms, members: &[Member], left_out: &[ServerId]) -> Vec<Event> {
         if self.reshape.is_none() {
             return Vec::new();
         }
@@ -99,7 +101,7 @@
     }
 
     /// Handles the result of an attempt that named a source.
-    pub fn ended(
+    pub fn on_attempt_result(
         &mut self,
         now: Ms,
         (asker, source): (&ServerId, &ServerId),
@@ -109,7 +111,8 @@
         let how = match (end, note) {
             (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => How::Answered,
             (_, FillReport::SourceRejected) => How::Refused,
-            // A time-out may be the fault of either; a source that is being introduced gets no more meanwhile.
+            // A timeout may be caused by the cache or by the source. It counts as a failure of the pair, so that the share of a source that
+            // is being introduced is not raised meanwhile.
             (_, FillReport::SourceFailed) | (AttemptResult::TimedOut, _) => How::Failed,
             (_, FillReport::LoopDetected) => How::Looped,
             _ => return Vec::new(),
@@ -120,7 +123,7 @@
         self.handle(now, event)
     }
 
-    /// Handles the passage of time.
+    /// Handles the passage of time; called by the owner's maintenance.
     pub fn tick(&mut self, now: Ms) -> Vec<Event> {
         self.handle(now, hierarchy::Event::Tick)
     }
