--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -82,7 +82,7 @@
             endpoint(value, names).map_err(|e| e.within(&format!("items[{index}]")))
         };
         let entries = items.iter().enumerate().map(read).collect::<Result<_, _>>()?;
-        Ok(Event::Endpoints(update, entries))
+        Ok(Event::Endpoints { update, entries })
     }
 
     fn request(&self, names: &Names) -> Result<Request, BadInput> {
@@ -117,7 +117,11 @@
     fn purge(&self) -> Result<Event, BadInput> {
         let object = self.integer_or_0(4, "asset")?;
         let object = (object != 0).then_some(ObjectId(object));
-        Ok(Event::Purged(GroupId(self.integer(2, "bucket")?), object, self.number_or_0(3, "age-span")?))
+        Ok(Event::Purged {
+            group: GroupId(self.integer(2, "bucket")?),
+            object,
+            age: self.number_or_0(3, "age-span")?,
+        })
     }
 }
 
@@ -161,7 +165,12 @@
         .as_object()
         .ok_or_else(|| BadInput::new("usage", format!("expected an object, found {value}")))?;
     let get = |name: &str| fields.get(name).map(|v| number(v, &format!("usage.{name}"))).transpose();
-    Ok(LoadReport { inflight: get("rif")?, util: get("busy")?, hits: get("x0")?, link: get("x1")? })
+    Ok(LoadReport {
+        in_flight: get("rif")?,
+        cpu_utilization: get("busy")?,
+        hit_ratio: get("x0")?,
+        fill_load: get("x1")?,
+    })
 }
 
 fn endpoint(value: &Value, names: &Names) -> Result<Endpoint, BadInput> {
@@ -193,7 +202,9 @@
     Ok(Some(match message.name {
         "TARGETS" => message.endpoints(names)?,
         "QUERY" => Event::Request(message.request(names)?),
-        "FLOWING" => Event::ResponseStarted(message.request_id()?, message.attempt_no()?),
+        "FLOWING" => {
+            Event::ResponseStarted { request: message.request_id()?, attempt: message.attempt_no()? }
+        }
         "FINISHED" => Event::Outcome(message.outcome()?),
         "EXPIRED" => Event::ClientDisconnected(message.request_id()?),
         "TICK_DUE" => Event::Timer(message.integer(2, "cookie")?),
--- a/crates/adapter/src/encode.rs
+++ b/crates/adapter/src/encode.rs
@@ -14,10 +14,12 @@
 pub fn action(instance: u64, action: Action) -> Value {
     match action {
         Action::StartAttempt(spec) => start_attempt(instance, &spec),
-        Action::CancelAttempt(request, attempt) => json!(["DROP_ATTEMPT", instance, *request.0, attempt.0]),
-        Action::Reject(request, retry_after) => json!(["PUSH_BACK", instance, *request.0, retry_after]),
+        Action::CancelAttempt { request, attempt } => {
+            json!(["DROP_ATTEMPT", instance, *request.0, attempt.0])
+        }
+        Action::Reject { request, retry_after } => json!(["PUSH_BACK", instance, *request.0, retry_after]),
         Action::Fail(request) => json!(["ERROR", instance, *request.0]),
-        Action::Timer(delay, token) => json!(["DEFER", instance, delay, token]),
+        Action::Timer { delay, token } => json!(["DEFER", instance, delay, token]),
         Action::WatchEndpoints => json!(["SUBSCRIBE", instance, true]),
         Action::Log(text) => json!(["JOURNAL_LINE", instance, text]),
     }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -74,7 +74,7 @@
             ["o:1", "hub", "origin", 0, "removed", 1, 0]
         ]
     ]);
-    let Ok(Some(Event::Endpoints(EndpointUpdate::Complete, entries))) = read(list) else {
+    let Ok(Some(Event::Endpoints { update: EndpointUpdate::Complete, entries })) = read(list) else {
         panic!("a list")
     };
     assert_eq!((entries[0].id.clone(), entries[0].role, entries[0].cell), (cache(), Role::Edge, 2));
@@ -87,10 +87,10 @@
         (Role::Origin, EndpointState::Removed, None)
     );
     let patch = read(json!(["TARGETS", 3, 42, "patch", []]));
-    assert_eq!(patch, Ok(Some(Event::Endpoints(EndpointUpdate::Delta, vec![]))));
+    assert_eq!(patch, Ok(Some(Event::Endpoints { update: EndpointUpdate::Delta, entries: vec![] })));
     assert_eq!(
         read(json!(["TARGETS", 3, 42, "broken"])),
-        Ok(Some(Event::Endpoints(EndpointUpdate::Failed, vec![])))
+        Ok(Some(Event::Endpoints { update: EndpointUpdate::Failed, entries: vec![] }))
     );
     let query = read(json!(["QUERY", 3, R, null, 640, 5, 240.0, 11, 4569004829183723u64, 3, "big"]));
     let expected = Request {
@@ -111,7 +111,7 @@
     assert_eq!((r.class, r.size_kb, r.object), (None, 0.0, ObjectId(0)));
     assert_eq!(
         read(json!(["FLOWING", 3, R, 1, C, 9.25])),
-        Ok(Some(Event::ResponseStarted(rid(), AttemptNo(1))))
+        Ok(Some(Event::ResponseStarted { request: rid(), attempt: AttemptNo(1) }))
     );
     let done = json!(["FINISHED", 3, R, 2, C, "GOOD", 18.5, true, 2, 9.4, {"busy": 0.62, "rif": 7, "x0": 0.4, "x1": 2}]);
     let expected = Outcome {
@@ -123,13 +123,18 @@
         completes_request: true,
         fill_report: FillReport::FilledBySource,
         source_wait: 9.4,
-        load: LoadReport { inflight: Some(7.0), util: Some(0.62), hits: Some(0.4), link: Some(2.0) },
+        load: LoadReport {
+            in_flight: Some(7.0),
+            cpu_utilization: Some(0.62),
+            hit_ratio: Some(0.4),
+            fill_load: Some(2.0),
+        },
         body_complete: true,
     };
     assert_eq!(read(done), Ok(Some(Event::Outcome(expected))));
     assert_eq!(read(json!(["EXPIRED", 3, R])), Ok(Some(Event::ClientDisconnected(rid()))));
     assert_eq!(read(json!(["TICK_DUE", 3, 77])), Ok(Some(Event::Timer(77))));
-    let purge = |o| Ok(Some(Event::Purged(GroupId(11), o, 85.0)));
+    let purge = |o| Ok(Some(Event::Purged { group: GroupId(11), object: o, age: 85.0 }));
     assert_eq!(read(json!(["VOIDED", 3, 11, 85.0, 534015773185u64])), purge(Some(ObjectId(534015773185))));
     assert_eq!(read(json!(["VOIDED", 3, 11, 85.0])), purge(None));
     assert_eq!(read(json!(["VOIDED", 3, 11, 85.0, 0])), purge(None));
@@ -171,10 +176,16 @@
         action(3, Action::StartAttempt(plain)),
         json!(["DELIVER_VIA", 3, R, C, 900.0, "p:1", 1, 0.0, 2])
     );
-    assert_eq!(action(3, Action::CancelAttempt(rid(), AttemptNo(4))), json!(["DROP_ATTEMPT", 3, R, 4]));
-    assert_eq!(action(3, Action::Reject(rid(), 250.0)), json!(["PUSH_BACK", 3, R, 250.0]));
+    assert_eq!(
+        action(3, Action::CancelAttempt { request: rid(), attempt: AttemptNo(4) }),
+        json!(["DROP_ATTEMPT", 3, R, 4])
+    );
+    assert_eq!(
+        action(3, Action::Reject { request: rid(), retry_after: 250.0 }),
+        json!(["PUSH_BACK", 3, R, 250.0])
+    );
     assert_eq!(action(3, Action::Fail(rid())), json!(["ERROR", 3, R]));
-    assert_eq!(action(3, Action::Timer(500.0, 77)), json!(["DEFER", 3, 500.0, 77]));
+    assert_eq!(action(3, Action::Timer { delay: 500.0, token: 77 }), json!(["DEFER", 3, 500.0, 77]));
     assert_eq!(action(3, Action::WatchEndpoints), json!(["SUBSCRIBE", 3, true]));
     assert_eq!(action(3, Action::Log("x".into())), json!(["JOURNAL_LINE", 3, "x"]));
 }
--- a/crates/config/tests/nonsense.rs
+++ b/crates/config/tests/nonsense.rs
@@ -92,9 +92,11 @@
         let event = match news {
             News::Servers { whole, members } => {
                 let mode = if *whole { EndpointUpdate::Complete } else { EndpointUpdate::Delta };
-                Event::Endpoints(mode, members.iter().map(|m| m.entry.clone()).collect())
+                Event::Endpoints { update: mode, entries: members.iter().map(|m| m.entry.clone()).collect() }
+            }
+            News::Purge { object, group, time } => {
+                Event::Purged { group: *group, object: *object, age: (now - time).max(0.0) }
             }
-            News::Purge { object, group, time } => Event::Purged(*group, *object, (now - time).max(0.0)),
         };
         router.handle(now, event, &mut acts);
     }
@@ -161,9 +163,9 @@
             Action::StartAttempt(f) => {
                 f.timeout > 0.0 && f.timeout <= 4000.0 && f.max_age.is_none_or(|a| a > 0.0)
             }
-            Action::Reject(_, ms) => *ms >= 0.0 && *ms <= c.settings.max_retry_after,
-            Action::Timer(ms, _) => *ms > 0.0 && ms.is_finite(),
-            Action::CancelAttempt(..) | Action::Fail(_) | Action::WatchEndpoints | Action::Log(_) => true,
+            Action::Reject { retry_after: ms, .. } => *ms >= 0.0 && *ms <= c.settings.max_retry_after,
+            Action::Timer { delay: ms, .. } => *ms > 0.0 && ms.is_finite(),
+            Action::CancelAttempt { .. } | Action::Fail(_) | Action::WatchEndpoints | Action::Log(_) => true,
         };
         if !fits {
             return Err(format!("{act:?}"));
--- a/crates/experiments/src/capacity/data/cold.rs
+++ b/crates/experiments/src/capacity/data/cold.rs
@@ -79,7 +79,7 @@
             reached: Vec::new(),
         };
         for k in 0..routers {
-            play.tell(1000.0, k, Event::Endpoints(EndpointUpdate::Complete, list(None)));
+            play.tell(1000.0, k, Event::Endpoints { update: EndpointUpdate::Complete, entries: list(None) });
             let (first, late) = (play.next_gap(), 10.0 * draw(&mut play.rng));
             play.at(1000.0 + first, Due::Ask(k));
             play.at(started + late, Due::Told(k));
@@ -101,7 +101,7 @@
         self.routers[k].handle(now, event, &mut acts);
         for act in acts {
             match act {
-                Action::Timer(after, _) => self.at(now + after, Due::Sweep(k)),
+                Action::Timer { delay: after, .. } => self.at(now + after, Due::Sweep(k)),
                 Action::StartAttempt(f) => {
                     if f.fill_source == self.cold {
                         self.reached.push(now);
@@ -124,7 +124,7 @@
                     };
                     self.at(now + delay, Due::Answer(k, Box::new(outcome)));
                 }
-                Action::CancelAttempt(..) | Action::Reject(..) | Action::Fail(_) => {}
+                Action::CancelAttempt { .. } | Action::Reject { .. } | Action::Fail(_) => {}
                 Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
@@ -155,7 +155,11 @@
                 Due::Sweep(k) => self.tell(now, k, Event::Timer(1)),
                 Due::Told(k) => {
                     let started = Some(self.started);
-                    self.tell(now, k, Event::Endpoints(EndpointUpdate::Complete, list(started)));
+                    self.tell(
+                        now,
+                        k,
+                        Event::Endpoints { update: EndpointUpdate::Complete, entries: list(started) },
+                    );
                 }
                 Due::Answer(k, outcome) => self.tell(now, k, Event::Outcome(*outcome)),
             }
--- a/crates/experiments/src/capacity/data/tables.rs
+++ b/crates/experiments/src/capacity/data/tables.rs
@@ -21,7 +21,11 @@
 /// A router that knows nothing yet, and what it holds.
 fn fresh(expected: &Expected) -> Router {
     let mut router = Router::new(usual(expected), 7);
-    router.handle(0.0, Event::Endpoints(EndpointUpdate::Complete, Vec::new()), &mut Vec::new());
+    router.handle(
+        0.0,
+        Event::Endpoints { update: EndpointUpdate::Complete, entries: Vec::new() },
+        &mut Vec::new(),
+    );
     router
 }
 
@@ -31,7 +35,14 @@
     // The names are the list's and stay with it, so they are made anew and counted.
     let own =
         || list.iter().map(|e| Endpoint { id: ServerId(e.id.0.as_ref().into()), ..e.clone() }).collect();
-    taken(|| router.handle(1.0, Event::Endpoints(EndpointUpdate::Complete, own()), &mut Vec::new())).1
+    taken(|| {
+        router.handle(
+            1.0,
+            Event::Endpoints { update: EndpointUpdate::Complete, entries: own() },
+            &mut Vec::new(),
+        )
+    })
+    .1
 }
 
 /// Bytes held for the list, and what a whole one or one change takes.
@@ -41,13 +52,15 @@
         let list = servers(expected, *n);
         let counted = first(expected, &list);
         let anew = least(TIMES, || {
-            let (mut router, event) =
-                (fresh(expected), Event::Endpoints(EndpointUpdate::Complete, list.clone()));
+            let (mut router, event) = (
+                fresh(expected),
+                Event::Endpoints { update: EndpointUpdate::Complete, entries: list.clone() },
+            );
             timed(|| router.handle(1.0, event, &mut Vec::new())).1
         });
         let mut router = fresh(expected);
         let mut told = |mode: EndpointUpdate, entries: &[Endpoint]| {
-            let event = Event::Endpoints(mode, entries.to_vec());
+            let event = Event::Endpoints { update: mode, entries: entries.to_vec() };
             timed(|| router.handle(3.0, event, &mut Vec::new())).1
         };
         told(EndpointUpdate::Complete, &list);
@@ -71,7 +84,7 @@
 fn purge(n: u64, age: Ms) -> Event {
     let group = GroupId(n);
     let object = (!n.is_multiple_of(GROUP_PURGES)).then_some(ObjectId(n));
-    Event::Purged(group, object, age)
+    Event::Purged { group, object, age }
 }
 
 /// Purges that are known: what they hold, what taking one in takes, and a look among them. And how many are known at a rate.
--- a/crates/experiments/src/capacity/data/world.rs
+++ b/crates/experiments/src/capacity/data/world.rs
@@ -141,7 +141,7 @@
         let (acts, timers, answers) = (Vec::new(), VecDeque::new(), VecDeque::new());
         let swept = Taken::default();
         let mut drive = Self { router, now: 1000.0, gap, asked: 0, acts, timers, answers, sent: 0, swept };
-        drive.tell(Event::Endpoints(EndpointUpdate::Complete, list));
+        drive.tell(Event::Endpoints { update: EndpointUpdate::Complete, entries: list });
         drive
     }
 
@@ -150,7 +150,7 @@
         self.router.handle(self.now, event, &mut self.acts);
         for act in self.acts.drain(..) {
             match act {
-                Action::Timer(after, token) => self.timers.push_back((self.now + after, token)),
+                Action::Timer { delay: after, token } => self.timers.push_back((self.now + after, token)),
                 Action::StartAttempt(f) => {
                     self.sent += 1;
                     let filled = (self.sent as u64).is_multiple_of(FILLS);
@@ -174,7 +174,7 @@
                     };
                     self.answers.push_back((self.now + delay, outcome));
                 }
-                Action::CancelAttempt(..) | Action::Reject(..) | Action::Fail(_) => {}
+                Action::CancelAttempt { .. } | Action::Reject { .. } | Action::Fail(_) => {}
                 Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
--- a/crates/node/src/caches/ids.rs
+++ b/crates/node/src/caches/ids.rs
@@ -11,7 +11,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestNo(pub u64);
 /// An attempt in the owner's table.
-pub type AttemptKey = (RequestNo, AttemptNo);
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptKey {
+    /// Its request.
+    pub request: RequestNo,
+    /// Its number within the request.
+    pub attempt: AttemptNo,
+}
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/node/src/caches/wire.rs
+++ b/crates/node/src/caches/wire.rs
@@ -107,10 +107,10 @@
     for (name, value) in report.split(';').filter_map(|pair| pair.split_once(':')) {
         let value = value.parse().ok().filter(|v: &f64| v.is_finite());
         match name {
-            "inflight" | "rif" => load.inflight = value,
-            "util" | "busy" => load.util = value,
-            "x0" => load.hits = value,
-            "x1" => load.link = value,
+            "inflight" | "rif" => load.in_flight = value,
+            "util" | "busy" => load.cpu_utilization = value,
+            "x0" => load.hit_ratio = value,
+            "x1" => load.fill_load = value,
             _ => {}
         }
     }
--- a/crates/node/src/owner/attempts/cancel.rs
+++ b/crates/node/src/owner/attempts/cancel.rs
@@ -39,8 +39,8 @@
         results: CancelResults,
         delivery: Delivery,
     ) {
-        let Some(pending) = self.requests.get(key.0) else { return };
-        let Some(in_flight) = pending.attempts.get(key.1 .0).and_then(|a| a.in_flight.as_ref()) else {
+        let Some(pending) = self.requests.get(key.request) else { return };
+        let Some(in_flight) = pending.attempts.get(key.attempt.0).and_then(|a| a.in_flight.as_ref()) else {
             return;
         };
         if self.upstream.aborting.iter().any(|aborting| aborting.key == key) {
@@ -73,7 +73,8 @@
     pub(in crate::owner) fn withdraw_unsent(&mut self, number: RequestNo) {
         let Some(pending) = self.requests.get(number) else { return };
         let attempts = pending.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_unsent());
-        let keys: Vec<AttemptKey> = attempts.map(|(n, _)| (number, AttemptNo(n))).collect();
+        let key = |n| AttemptKey { request: number, attempt: AttemptNo(n) };
+        let keys: Vec<AttemptKey> = attempts.map(|(n, _)| key(n)).collect();
         for key in keys {
             self.cancel_attempt(key, CancelResults::CANCELLED, Delivery::NextBatch);
         }
--- a/crates/node/src/owner/attempts/complete.rs
+++ b/crates/node/src/owner/attempts/complete.rs
@@ -52,7 +52,7 @@
             self.counters.attempts.late_answers.add(answer.result.is_some().into());
             return;
         };
-        let is_write = self.requests.get(key.0).is_some_and(PendingRequest::is_write);
+        let is_write = self.requests.get(key.request).is_some_and(PendingRequest::is_write);
         if result == AttemptResult::Served && answer.copy.is_none() && !is_write {
             return self.on_malformed_answer(key, connection);
         }
@@ -61,12 +61,12 @@
             self.on_clock_corrected(shift);
         }
         if result == AttemptResult::Served {
-            if let Some(pending) = self.requests.get_mut(key.0) {
+            if let Some(pending) = self.requests.get_mut(key.request) {
                 pending.copy.clone_from(&answer.copy);
             }
             let reply =
                 if answer.not_modified { Reply::NotModified } else { Reply::Served(answer.body.bytes()) };
-            self.answer(key.0, reply);
+            self.answer(key.request, reply);
         }
         let report = AttemptReport {
             fill: answer.fill_report,
@@ -110,11 +110,10 @@
     ) {
         let breaks = broken(Break::RepeatAfterExecution) && result != AttemptResult::Served;
         let result = if breaks { AttemptResult::NotSent } else { result };
-        let (number, attempt_number) = key;
         let now = self.time.now;
-        let Some(pending) = self.requests.get_mut(number) else { return };
+        let Some(pending) = self.requests.get_mut(key.request) else { return };
         pending.lease.on_attempt_result(result);
-        let Some(attempt) = pending.attempts.get_mut(attempt_number.0) else { return };
+        let Some(attempt) = pending.attempts.get_mut(key.attempt.0) else { return };
         attempt.result = Some(result);
         self.counters.attempts.ended(result);
         let latency = now - attempt.started_at;
@@ -129,8 +128,8 @@
             self.schedule.next_batch.extend(events);
         }
         let event = Event::Outcome(Outcome {
-            request: request_id(number),
-            attempt: attempt_number,
+            request: request_id(key.request),
+            attempt: key.attempt,
             server: attempt.server.clone(),
             result,
             latency,
@@ -144,6 +143,6 @@
             Delivery::NextBatch => self.schedule.next_batch.push_back(event),
             Delivery::Now => self.dispatch(event),
         }
-        self.remove_if_complete(number);
+        self.remove_if_complete(key.request);
     }
 }
--- a/crates/node/src/owner/attempts/mod.rs
+++ b/crates/node/src/owner/attempts/mod.rs
@@ -82,6 +82,6 @@
 const NO_REPORT: AttemptReport = AttemptReport {
     fill: FillReport::NotReported,
     source_wait: 0.0,
-    load: LoadReport { inflight: None, util: None, hits: None, link: None },
+    load: LoadReport { in_flight: None, cpu_utilization: None, hit_ratio: None, fill_load: None },
     body_complete: false,
 };
--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -1,7 +1,7 @@
 //! Starts attempts: permission, message, connection.
 
 use super::{Attempt, Delivery, InFlight, NO_REPORT};
-use crate::caches::{with_timeout, AttemptRequest, ConnId, RequestNo};
+use crate::caches::{with_timeout, AttemptKey, AttemptRequest, ConnId};
 use crate::limits::MAX_DEADLINE_MS;
 use crate::outbox::{AttemptRoute, AttemptTimes, BufferedBytes, SendConditions};
 use crate::owner::requests::PendingRequest;
@@ -14,8 +14,7 @@
 
 /// An attempt that is about to start.
 struct NewAttempt<'a> {
-    number: RequestNo,
-    attempt: AttemptNo,
+    key: AttemptKey,
     spec: &'a AttemptSpec,
     /// When the router cancels it.
     deadline: Ms,
@@ -37,15 +36,15 @@
             self.abandon(number);
         }
         let Some(pending) = self.requests.get(number) else { return };
-        let attempt = AttemptNo(pending.attempts.len());
+        let key = AttemptKey { request: number, attempt: AttemptNo(pending.attempts.len()) };
         self.counters.attempts.made.increment();
         let timeout = Some(spec.timeout).filter(|timeout| *timeout != 0.0);
         let deadline = timeout.map_or(pending.deadline, |t| pending.deadline.min(self.time.now + t));
-        let new = NewAttempt { number, attempt, spec: &spec, deadline };
+        let new = NewAttempt { key, spec: &spec, deadline };
         let in_flight = match self.check_start(pending, &new) {
             Ok(()) => self.send(&new),
             Err(refusal) => {
-                log::debug!("request {}, attempt {}: not started: {refusal}", number.0, attempt.0);
+                log::debug!("request {}, attempt {}: not started: {refusal}", number.0, key.attempt.0);
                 None
             }
         };
@@ -58,7 +57,7 @@
             client_waits: pending.client_waits(),
             answered: pending.answered,
             time_left: new.deadline - self.time.now,
-            attempts: new.attempt.0,
+            attempts: new.key.attempt.0,
             max_attempts: self.config.max_attempts,
             listed: self.upstream.endpoints.contains_key(&new.spec.server),
         };
@@ -69,9 +68,9 @@
 
     /// Records an attempt that was sent, with its timers, or that was not.
     fn record_attempt(&mut self, new: &NewAttempt<'_>, in_flight: Option<InFlight>) {
-        let (number, attempt, spec) = (new.number, new.attempt, new.spec);
+        let (key, spec) = (new.key, new.spec);
         let connection = in_flight.as_ref().map(|in_flight| in_flight.connection);
-        let Some(pending) = self.requests.get_mut(number) else { return };
+        let Some(pending) = self.requests.get_mut(key.request) else { return };
         pending.attempts.push(Attempt {
             server: spec.server.clone(),
             fill_source: new.fill_source().cloned(),
@@ -82,30 +81,30 @@
         });
         if connection.is_none() {
             // Also if all connections are in use: that limit is the router's own, and says nothing of the server.
-            return self.report((number, attempt), AttemptResult::NotSent, NO_REPORT, Delivery::NextBatch);
+            return self.report(key, AttemptResult::NotSent, NO_REPORT, Delivery::NextBatch);
         }
-        self.schedule.timers.set(new.deadline, TimerKind::AttemptTimeout(number, attempt));
+        self.schedule.timers.set(new.deadline, TimerKind::AttemptTimeout(key));
         if spec.start_before.is_finite() {
-            self.schedule.timers.set(spec.start_before, TimerKind::AttemptStart(number, attempt));
+            self.schedule.timers.set(spec.start_before, TimerKind::AttemptStart(key));
         }
     }
 
     /// Queues an attempt on a connection; `None` if none may be opened.
     fn send(&mut self, new: &NewAttempt<'_>) -> Option<InFlight> {
-        let pending = self.requests.get(new.number)?;
+        let pending = self.requests.get(new.key.request)?;
         let place = *self.upstream.endpoints.get(&new.spec.server)?;
         let message = self.encode(pending, new);
         let terms = self.fetch_terms(pending, new);
-        let (number, attempt) = (new.number, new.attempt);
+        let key = new.key;
         if let Some(class) = self.config.class(pending.class) {
-            let ids = format_args!("request {}, attempt {}", number.0, attempt.0);
+            let ids = format_args!("request {}, attempt {}", key.request.0, key.attempt.0);
             self.monitors.invariants.check_attempt(class.idempotency, pending.results(), ids);
         }
         let used: Vec<ConnId> = pending.attempts.iter().filter_map(|a| a.connection).collect();
         let request = (&pending.request.id, &used[..], pending.is_write());
         let to = (&new.spec.server, place);
         let caches = &mut self.upstream.caches;
-        let sent = caches.send(self.time.now, to, (number, attempt), request, (message, terms));
+        let sent = caches.send(self.time.now, to, key, request, (message, terms));
         sent.map(|(connection, message)| InFlight { connection, message })
     }
 
@@ -149,7 +148,7 @@
             }),
             drained: Rc::default(),
             drain_grace: duration(self.config.drain_grace),
-            ids: (new.number.0, new.attempt.0),
+            ids: (new.key.request.0, new.key.attempt.0),
             invariants: Rc::clone(&self.monitors.invariants),
             stalls: Rc::clone(&self.monitors.stalls),
             route: pending.class.map(|class| AttemptRoute {
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -144,8 +144,8 @@
     fn on_timer(&mut self, kind: TimerKind) {
         match kind {
             TimerKind::Router(token) => self.dispatch(Event::Timer(token)),
-            TimerKind::AttemptTimeout(number, attempt) => self.on_attempt_timeout((number, attempt)),
-            TimerKind::AttemptStart(number, attempt) => self.on_start_window_closed((number, attempt)),
+            TimerKind::AttemptTimeout(key) => self.on_attempt_timeout(key),
+            TimerKind::AttemptStart(key) => self.on_start_window_closed(key),
             TimerKind::LeasePoll(number) => self.poll_lease(number),
             TimerKind::LeaseTimeout(number, change_number) => self.on_lease_timeout(number, change_number),
             TimerKind::ScatterGather => self.on_scatter_gather_timer(),
--- a/crates/node/src/owner/fleet_events.rs
+++ b/crates/node/src/owner/fleet_events.rs
@@ -78,7 +78,7 @@
         self.time.platform.settle();
         let now = self.time.unix_at_most();
         for group in (0..=crate::limits::MAX_GROUP).map(GroupId) {
-            self.dispatch(Event::Purged(group, None, 0.0));
+            self.dispatch(Event::Purged { group, object: None, age: 0.0 });
             self.purge_parts(None, group, now);
         }
     }
--- a/crates/node/src/owner/inputs.rs
+++ b/crates/node/src/owner/inputs.rs
@@ -3,7 +3,7 @@
 use super::attempts::{CancelResults, Delivery};
 use super::timers::TimerKind;
 use super::{request_id, request_no, Owner};
-use crate::caches::{PoolCounts, RequestNo};
+use crate::caches::{AttemptKey, PoolCounts, RequestNo};
 use crate::clients::Reply;
 use crate::connection::CloseCounts;
 use crate::Input;
@@ -54,7 +54,8 @@
     /// Tells the decision module which attempts were written whole since the last batch.
     pub(super) fn dispatch_written(&mut self) {
         for (request, attempt) in self.monitors.slow_start.take_written() {
-            self.dispatch(Event::RequestWritten(request_id(RequestNo(request)), AttemptNo(attempt)));
+            let (request, attempt) = (request_id(RequestNo(request)), AttemptNo(attempt));
+            self.dispatch(Event::RequestWritten { request, attempt });
         }
     }
 
@@ -72,12 +73,13 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::StartAttempt(attempt) => self.start_attempt(attempt),
-            Action::CancelAttempt(request, attempt) => {
+            Action::CancelAttempt { request, attempt } => {
                 if let Some(number) = request_no(&request) {
-                    self.cancel_attempt((number, attempt), CancelResults::CANCELLED, Delivery::NextBatch);
+                    let key = AttemptKey { request: number, attempt };
+                    self.cancel_attempt(key, CancelResults::CANCELLED, Delivery::NextBatch);
                 }
             }
-            Action::Reject(request, retry_after) => {
+            Action::Reject { request, retry_after } => {
                 if let Some(number) = request_no(&request) {
                     self.answer(number, Reply::Rejected(retry_after));
                 }
@@ -87,8 +89,8 @@
                     self.answer(number, Reply::Failed);
                 }
             }
-            Action::Timer(after, token) => {
-                self.schedule.timers.set(self.time.now + after, TimerKind::Router(token));
+            Action::Timer { delay, token } => {
+                self.schedule.timers.set(self.time.now + delay, TimerKind::Router(token));
             }
             // The change log is followed from the start.
             Action::WatchEndpoints => {}
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -91,7 +91,7 @@
             shutdown: GracefulShutdown::default(),
             counters: Counters::default(),
         };
-        owner.router.report_writes();
+        owner.router.expect_write_events();
         owner.handle_known_events(&config.known);
         if let Some(hierarchy) = &own.hierarchy {
             owner.offer_plan(hierarchy);
--- a/crates/node/src/owner/requests.rs
+++ b/crates/node/src/owner/requests.rs
@@ -115,12 +115,12 @@
         self.pending.get_mut(&number)
     }
 
-    pub(super) fn attempt(&self, (number, attempt): AttemptKey) -> Option<&Attempt> {
-        self.pending.get(&number)?.attempts.get(attempt.0)
+    pub(super) fn attempt(&self, key: AttemptKey) -> Option<&Attempt> {
+        self.pending.get(&key.request)?.attempts.get(key.attempt.0)
     }
 
-    pub(super) fn attempt_mut(&mut self, (number, attempt): AttemptKey) -> Option<&mut Attempt> {
-        self.pending.get_mut(&number)?.attempts.get_mut(attempt.0)
+    pub(super) fn attempt_mut(&mut self, key: AttemptKey) -> Option<&mut Attempt> {
+        self.pending.get_mut(&key.request)?.attempts.get_mut(key.attempt.0)
     }
 
     /// The matching attempts of which no byte is written.
@@ -132,7 +132,7 @@
         for (number, pending) in &self.pending {
             let unsent = |a: &Attempt| a.stage() == Some(DeliveryState::Queued) && matches(pending, a);
             let attempts = pending.attempts.iter().enumerate().filter(|(_, a)| unsent(a));
-            keys.extend(attempts.map(|(n, _)| (*number, AttemptNo(n))));
+            keys.extend(attempts.map(|(n, _)| AttemptKey { request: *number, attempt: AttemptNo(n) }));
         }
         keys
     }
--- a/crates/node/src/owner/state.rs
+++ b/crates/node/src/owner/state.rs
@@ -46,7 +46,7 @@
 
     /// The retry policy of a class; a request without a known class has no retries.
     pub(super) fn retry_policy(&self, class: Option<ClassId>) -> RetryPolicy {
-        self.class(class).map_or(NO_RETRIES, RetryPolicy::of)
+        self.class(class).map_or(NO_RETRIES, RetryPolicy::for_class)
     }
 }
 
--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -65,7 +65,7 @@
 }
 
 fn first_attempt(owner: &Owner) -> &Attempt {
-    owner.requests.attempt((RequestNo(1), AttemptNo(0))).expect("an attempt")
+    owner.requests.attempt(AttemptKey { request: RequestNo(1), attempt: AttemptNo(0) }).expect("an attempt")
 }
 
 /// Starts request 1 and marks its first attempt as written whole.
@@ -76,7 +76,7 @@
     in_flight.message.write();
     let up = Input::ServerConnected(in_flight.connection);
     owner.batch(&mut vec![up]);
-    (RequestNo(1), AttemptNo(0))
+    AttemptKey { request: RequestNo(1), attempt: AttemptNo(0) }
 }
 
 #[test]
--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -249,7 +249,10 @@
                 self.inputs.push(draining(&self.owner, &server));
             }
             Step::AddressChanges => self.inputs.push(moved(&self.owner, &server, 99)),
-            Step::TimeOut => self.owner.on_attempt_timeout((RequestNo(1), AttemptNo(n))),
+            Step::TimeOut => {
+                let key = AttemptKey { request: RequestNo(1), attempt: AttemptNo(n) };
+                self.owner.on_attempt_timeout(key);
+            }
             _ => {}
         }
     }
--- a/crates/node/src/owner/timers.rs
+++ b/crates/node/src/owner/timers.rs
@@ -1,7 +1,7 @@
 //! Timers of the owner.
 
-use crate::caches::RequestNo;
-use basaltgw::api::{AttemptNo, Ms};
+use crate::caches::{AttemptKey, RequestNo};
+use basaltgw::api::Ms;
 use basaltgw_registers::RequestNumber;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,9 +12,9 @@
     /// The decision module's own, with its token.
     Router(u64),
     /// An attempt times out.
-    AttemptTimeout(RequestNo, AttemptNo),
+    AttemptTimeout(AttemptKey),
     /// The time by which an attempt has to start has passed.
-    AttemptStart(RequestNo, AttemptNo),
+    AttemptStart(AttemptKey),
     /// A lease that another router holds is polled.
     LeasePoll(RequestNo),
     /// The response to a change of a record is overdue.
--- a/crates/node/src/owner/watch_events.rs
+++ b/crates/node/src/owner/watch_events.rs
@@ -90,7 +90,7 @@
     pub(super) fn on_clock_corrected(&mut self, shift: Option<Ms>) {
         if let Some(shift) = shift {
             self.monitors.slow_start.shift_starts(shift);
-            self.dispatch(Event::ClockCorrected(shift));
+            self.dispatch(Event::ClockCorrected { shift });
         }
     }
 
@@ -126,7 +126,7 @@
             return;
         }
         self.purge_parts(object, group, time);
-        self.dispatch(Event::Purged(group, object, age));
+        self.dispatch(Event::Purged { group, object, age });
         self.recall(|pending, _| purged.concerns(pending));
     }
 
@@ -144,7 +144,7 @@
         let update = if complete { EndpointUpdate::Complete } else { EndpointUpdate::Delta };
         let mut endpoints: Vec<_> = members.into_iter().map(|member| member.entry).collect();
         endpoints.iter_mut().for_each(|endpoint| self.map_start(endpoint));
-        self.dispatch(Event::Endpoints(update, endpoints));
+        self.dispatch(Event::Endpoints { update, entries: endpoints });
         self.dispatch_all(tree_events);
         // Also what waits for a listed server on a connection to its former address.
         self.recall(|_, attempt| {
--- a/crates/node/tests/codec.rs
+++ b/crates/node/tests/codec.rs
@@ -153,7 +153,7 @@
         (Some(AttemptResult::Served), false, &b"bytes"[..])
     );
     assert_eq!(
-        (got.fill_report, got.source_wait_ms, got.load.inflight),
+        (got.fill_report, got.source_wait_ms, got.load.in_flight),
         (FillReport::FilledBySource, 12.5, Some(7.0))
     );
     assert_eq!(
--- a/crates/simulator/src/sim/days.rs
+++ b/crates/simulator/src/sim/days.rs
@@ -116,7 +116,10 @@
             }
             Ev::Purge(r, object, group, at) => {
                 self.checker.see(self.now, Seen::Purged(r, object, group, at));
-                self.decide(r, Event::Purged(GroupId(group), object.map(ObjectId), self.now - at));
+                self.decide(
+                    r,
+                    Event::Purged { group: GroupId(group), object: object.map(ObjectId), age: self.now - at },
+                );
             }
             Ev::Offer(r, spec) => {
                 if !self.setup.staged {
--- a/crates/simulator/src/sim/requests.rs
+++ b/crates/simulator/src/sim/requests.rs
@@ -10,7 +10,7 @@
             let id = self.nodes[node.0].id.clone();
             self.reshape(r, tree::Event::Listed(id, e.state == EndpointState::Up, e.started));
         }
-        self.decide(r, Event::Endpoints(mode, entries));
+        self.decide(r, Event::Endpoints { update: mode, entries });
     }
 
     pub(super) fn reshape(&mut self, r: usize, event: tree::Event) {
@@ -57,7 +57,7 @@
         for act in acts {
             match act {
                 Action::StartAttempt(fetch) => self.fetch(r, fetch),
-                Action::CancelAttempt(request, n) => {
+                Action::CancelAttempt { request, attempt: n } => {
                     let Some(no) = number(&request) else { continue };
                     let out =
                         self.seats[r].open.get(&no).and_then(|o| o.attempts.get(n.0)).is_some_and(|a| a.out);
@@ -72,9 +72,11 @@
                         self.ended(r, no, n.0, called_off, true);
                     }
                 }
-                Action::Reject(request, stay) => self.answer(r, &request, Final::Refused, stay),
+                Action::Reject { request, retry_after: stay } => {
+                    self.answer(r, &request, Final::Refused, stay)
+                }
                 Action::Fail(request) => self.answer(r, &request, Final::Failed, 0.0),
-                Action::Timer(after, token) => self.at(self.now + after, Ev::Timer(r, token)),
+                Action::Timer { delay: after, token } => self.at(self.now + after, Ev::Timer(r, token)),
                 Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
--- a/crates/simulator/tests/breakers.rs
+++ b/crates/simulator/tests/breakers.rs
@@ -55,7 +55,7 @@
     let forgets = || {
         |r: &mut Router, now, event, acts: &mut Vec<Action>, _: &mut _| {
             r.handle(now, event, acts);
-            acts.retain(|a| !matches!(a, Action::Reject(..) | Action::Fail(_)));
+            acts.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail(_)));
         }
     };
     assert_eq!(broken(&rough(), forgets), [Rule::Lost]);
@@ -102,7 +102,7 @@
         vec![on("edge-1-1", moment(5_000.0, What::Drain)), on("district-1", moment(8_000.0, What::Drain))];
     let deaf = || {
         |r: &mut Router, now, event: Event, acts: &mut Vec<Action>, _: &mut _| {
-            if matches!(&event, Event::Endpoints(_, e) if e.iter().any(|e| e.state == EndpointState::Draining))
+            if matches!(&event, Event::Endpoints { entries: e, .. } if e.iter().any(|e| e.state == EndpointState::Draining))
             {
                 return;
             }
@@ -123,7 +123,7 @@
     let hasty = || {
         let mut newest: Option<ServerId> = None;
         move |r: &mut Router, now, event: Event, acts: &mut Vec<Action>, _: &mut _| {
-            if let Event::Endpoints(_, entries) = &event {
+            if let Event::Endpoints { entries, .. } = &event {
                 let cold = entries.iter().filter(|e| e.started.is_some() && e.role == Role::Edge);
                 newest = cold.map(|e| e.id.clone()).next().or(newest.take());
             }
@@ -145,7 +145,7 @@
     s.script = vec![Moment { factor: 0.8, ..moment(6_000.0, What::MassPurge) }];
     let deaf = || {
         |r: &mut Router, now, event: Event, acts: &mut Vec<Action>, _: &mut _| {
-            if !matches!(event, Event::Purged(..)) {
+            if !matches!(event, Event::Purged { .. }) {
                 r.handle(now, event, acts);
             }
         }
--- a/src/api.rs
+++ b/src/api.rs
@@ -171,13 +171,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in flight.
-    pub inflight: Option<f64>,
-    /// CPU utilisation, 0 to 1.
-    pub util: Option<f64>,
-    /// Recent hit ratio, 0 to 1.
-    pub hits: Option<f64>,
-    /// At an edge cache the utilisation of its zone's link, at a parent the fills in flight.
-    pub link: Option<f64>,
+    pub in_flight: Option<f64>,
+    /// CPU utilization, 0 to 1.
+    pub cpu_utilization: Option<f64>,
+    /// Share of recent requests that were hits, 0 to 1.
+    pub hit_ratio: Option<f64>,
+    /// At an edge cache the utilization of its zone's link; at a parent the number of fills in flight.
+    pub fill_load: Option<f64>,
 }
 
 /// The outcome of an attempt.
@@ -240,25 +240,50 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the endpoint list.
-    Endpoints(EndpointUpdate, Vec<Endpoint>),
+    Endpoints {
+        /// How the entries relate to the list before them.
+        update: EndpointUpdate,
+        /// The listed servers; empty if polling failed.
+        entries: Vec<Endpoint>,
+    },
     /// A request has arrived; it gets exactly one final answer.
     Request(Request),
     /// A streamed response has started: the request is bound to this attempt.
-    ResponseStarted(RequestId, AttemptNo),
+    ResponseStarted {
+        /// The request.
+        request: RequestId,
+        /// The attempt whose response has started.
+        attempt: AttemptNo,
+    },
     /// The last byte of an attempt was written to its connection.
-    RequestWritten(RequestId, AttemptNo),
+    RequestWritten {
+        /// The request.
+        request: RequestId,
+        /// The attempt that was written.
+        attempt: AttemptNo,
+    },
     /// An attempt has ended.
     Outcome(Outcome),
     /// The client has disconnected; the request gets no answer.
     ClientDisconnected(RequestId),
-    /// A timer of this token has expired.
+    /// The timer that [`Action::Timer`] started with this token has expired.
     Timer(u64),
     /// The plan of fill sources has changed; `None` allows every listed parent.
     FillPlan(Option<Arc<FillPlan>>),
-    /// An object, or without one a whole group, was purged this many milliseconds ago.
-    Purged(GroupId, Option<ObjectId>, Ms),
-    /// Known purges and listed process starts are this many milliseconds older than assumed.
-    ClockCorrected(Ms),
+    /// An object or a whole group was purged.
+    Purged {
+        /// The object's group.
+        group: GroupId,
+        /// The purged object; `None` for all objects of the group.
+        object: Option<ObjectId>,
+        /// Milliseconds since the purge.
+        age: Ms,
+    },
+    /// Known purges and listed process starts are older than assumed.
+    ClockCorrected {
+        /// By how many milliseconds.
+        shift: Ms,
+    },
 }
 
 /// The priority of a cached copy; low ranks are evicted first.
@@ -305,13 +330,28 @@
     /// Start an attempt.
     StartAttempt(AttemptSpec),
     /// Cancel an attempt.
-    CancelAttempt(RequestId, AttemptNo),
-    /// Final answer: rejected, a new request is safe; with a Retry-After in milliseconds (0 for none).
-    Reject(RequestId, Ms),
+    CancelAttempt {
+        /// The request.
+        request: RequestId,
+        /// The attempt to be cancelled.
+        attempt: AttemptNo,
+    },
+    /// Final answer: rejected, a new request is safe.
+    Reject {
+        /// The request.
+        request: RequestId,
+        /// Retry-After in milliseconds; 0 for none.
+        retry_after: Ms,
+    },
     /// Final answer: failed, the request may have been executed.
     Fail(RequestId),
-    /// Start a timer of this duration in milliseconds and this token.
-    Timer(Ms, u64),
+    /// Start a timer.
+    Timer {
+        /// Milliseconds until it expires.
+        delay: Ms,
+        /// Returned by [`Event::Timer`].
+        token: u64,
+    },
     /// Watch the endpoint list from now on.
     WatchEndpoints,
     /// Write a log line for the operators.
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -113,7 +113,8 @@
         }
         let pending = &self.requests[index];
         for (number, _) in pending.attempts.iter().enumerate().filter(|(_, attempt)| !attempt.finished) {
-            actions.push(Action::CancelAttempt(pending.request.id.clone(), AttemptNo(number)));
+            let (request, attempt) = (pending.request.id.clone(), AttemptNo(number));
+            actions.push(Action::CancelAttempt { request, attempt });
         }
     }
 
--- a/src/routing/load_shedding.rs
+++ b/src/routing/load_shedding.rs
@@ -50,10 +50,14 @@
     pub(super) fn reject_or_fail(&mut self, index: RequestIndex, actions: &mut Vec<Action>) {
         let pending = &self.requests[index];
         if !pending.answered {
-            let id = pending.request.id.clone();
+            let request = pending.request.id.clone();
             let is_safe = self.now < self.retry_safe_until(pending);
             let retry_after = self.retry_after(pending.class);
-            actions.push(if is_safe { Action::Reject(id, retry_after) } else { Action::Fail(id) });
+            actions.push(if is_safe {
+                Action::Reject { request, retry_after }
+            } else {
+                Action::Fail(request)
+            });
         }
         self.complete(index, actions);
     }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -74,8 +74,8 @@
     /// Limit on fills over the zone's link.
     zone_link: ConcurrencyLimit,
     last_send_key: SendKey,
-    /// Whether the caller reports when attempts are written to their connections.
-    reports_writes: bool,
+    /// Whether the caller sends [`Event::RequestWritten`].
+    expects_write_events: bool,
     log_lines: usize,
 }
 
@@ -96,16 +96,16 @@
             purges: Purges::default(),
             zone_link: ConcurrencyLimit::new(0.0, settings.zone_routers),
             last_send_key: SendKey::default(),
-            reports_writes: false,
+            expects_write_events: false,
             log_lines: 0,
             settings,
         }
     }
 
-    /// Announces that the caller reports for each attempt when its last byte is written to the connection
-    /// ([`Event::RequestWritten`]). Without this, attempts count as written when they are decided.
-    pub fn report_writes(&mut self) {
-        self.reports_writes = true;
+    /// Expects an [`Event::RequestWritten`] for each attempt from now on. Without this, attempts count as
+    /// written when they are decided.
+    pub fn expect_write_events(&mut self) {
+        self.expects_write_events = true;
     }
 
     /// Handles an event and appends the resulting actions. `now` is in milliseconds and never decreases.
@@ -115,14 +115,14 @@
             self.start(actions);
         }
         match event {
-            Event::Endpoints(update, entries) => self.on_endpoints(update, entries, actions),
+            Event::Endpoints { update, entries } => self.on_endpoints(update, entries, actions),
             Event::Request(request) => self.on_request(request, actions),
-            Event::ResponseStarted(id, _) => {
-                if let Some(pending) = self.requests.get_mut(&id) {
+            Event::ResponseStarted { request, .. } => {
+                if let Some(pending) = self.requests.get_mut(&request) {
                     pending.answered = true;
                 }
             }
-            Event::RequestWritten(id, attempt) => self.on_request_written(&id, attempt),
+            Event::RequestWritten { request, attempt } => self.on_request_written(&request, attempt),
             Event::Outcome(outcome) => self.on_outcome(&outcome, actions),
             Event::ClientDisconnected(id) => {
                 if let Some(index) = self.requests.index_of(&id) {
@@ -131,19 +131,19 @@
             }
             Event::Timer(SWEEP_TOKEN) => {
                 self.sweep(actions);
-                actions.push(Action::Timer(SWEEP_MS, SWEEP_TOKEN));
+                actions.push(Action::Timer { delay: SWEEP_MS, token: SWEEP_TOKEN });
             }
             Event::Timer(_) => {}
             Event::FillPlan(plan) => self.on_fill_plan(plan),
-            Event::Purged(group, object, age) => self.on_purged(group, object, age),
-            Event::ClockCorrected(by) => self.on_clock_corrected(by.max(0.0)),
+            Event::Purged { group, object, age } => self.on_purged(group, object, age),
+            Event::ClockCorrected { shift } => self.on_clock_corrected(shift.max(0.0)),
         }
     }
 
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.first_event_at = Some(self.now);
         self.next_period = self.now + PERIOD_MS;
-        actions.push(Action::Timer(SWEEP_MS, SWEEP_TOKEN));
+        actions.push(Action::Timer { delay: SWEEP_MS, token: SWEEP_TOKEN });
         if self.settings.must_watch_endpoints {
             actions.push(Action::WatchEndpoints);
         }
@@ -156,7 +156,7 @@
         }
         let Some(class) = self.admitted_class(&request) else {
             // Nothing was sent, so a new request is safe whatever the class.
-            actions.push(Action::Reject(request.id, 0.0));
+            actions.push(Action::Reject { request: request.id, retry_after: 0.0 });
             return;
         };
         let rank = self.rank(&request, class);
--- a/src/routing/outlier_ejection.rs
+++ b/src/routing/outlier_ejection.rs
@@ -346,7 +346,7 @@
         }
         let classes = &self.settings.classes;
         let affected = self.requests.unanswered_ids(|pending| {
-            RetryPolicy::of(&classes[pending.class.0]).is_always_safe()
+            RetryPolicy::for_class(&classes[pending.class.0]).is_always_safe()
                 && pending.attempts.iter().any(|attempt| attempt.waits_on(silent))
         });
         self.for_each_request(affected, actions, Self::cancel_attempts);
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -57,7 +57,7 @@
 
 impl RetryPolicy {
     /// The policy of a request class.
-    pub fn of(class: &Class) -> Self {
+    pub fn for_class(class: &Class) -> Self {
         Self { idempotency: class.idempotency, key_scope: class.key_scope, key_window: class.key_window }
     }
 
@@ -102,6 +102,6 @@
     /// The time until which a request may run again, or be rejected.
     pub(super) fn retry_safe_until(&self, pending: &PendingRequest) -> Ms {
         let class = &self.settings.classes[pending.class.0];
-        RetryPolicy::of(class).safe_until(pending.first_possible_execution())
+        RetryPolicy::for_class(class).safe_until(pending.first_possible_execution())
     }
 }
--- a/src/routing/slow_start/mod.rs
+++ b/src/routing/slow_start/mod.rs
@@ -168,7 +168,7 @@
         if let Some(source) = route.source {
             self.endpoints[source].ledger.book(fill_cost, key);
         }
-        if !self.reports_writes {
+        if !self.expects_write_events {
             self.record_written(*route, key);
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -174,7 +174,7 @@
     pub fn at(now: Ms, settings: Settings, seed: u64, servers: Vec<Endpoint>) -> Self {
         let router = Router::new(settings, seed);
         let mut driver = Self { router, now, timers: Vec::new(), log: Vec::new() };
-        driver.handle(Event::Endpoints(EndpointUpdate::Complete, servers));
+        driver.handle(Event::Endpoints { update: EndpointUpdate::Complete, entries: servers });
         driver
     }
 
@@ -184,7 +184,7 @@
         self.router.handle(self.now, event, &mut actions);
         let mut rest = Vec::new();
         for action in actions {
-            if let Action::Timer(delay, token) = action {
+            if let Action::Timer { delay, token } = action {
                 self.timers.push((self.now + delay, token));
             } else {
                 self.log.push((self.now, action.clone()));
@@ -251,10 +251,10 @@
     /// Lists a server as just restarted.
     pub fn restart(&mut self, name: &str, role: Role) {
         let started = Some(self.now);
-        self.handle(Event::Endpoints(
-            EndpointUpdate::Delta,
-            vec![Endpoint { started, ..endpoint(name, role) }],
-        ));
+        self.handle(Event::Endpoints {
+            update: EndpointUpdate::Delta,
+            entries: vec![Endpoint { started, ..endpoint(name, role) }],
+        });
     }
 
     /// Requests an object and serves it with a fill report; returns its attempt.
@@ -274,7 +274,7 @@
 }
 
 pub fn is_rejected(actions: &[Action], n: usize) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject(r, _) if *r == request_id(n)))
+    actions.iter().any(|a| matches!(a, Action::Reject { request: r, .. } if *r == request_id(n)))
 }
 
 pub fn is_failed(actions: &[Action], n: usize) -> bool {
--- a/tests/failure_handling.rs
+++ b/tests/failure_handling.rs
@@ -59,7 +59,7 @@
     let (n, at) = actions
         .iter()
         .find_map(|a| match a {
-            Action::CancelAttempt(r, at) => Some((r.clone(), *at)),
+            Action::CancelAttempt { request: r, attempt: at } => Some((r.clone(), *at)),
             _ => None,
         })
         .expect("an attempt was cancelled");
@@ -164,10 +164,10 @@
     serve_hits(&mut driver, 0, 600);
     let now = driver.now;
     let restarted = |s: Endpoint| Endpoint { started: Some(now), ..s };
-    driver.handle(Event::Endpoints(
-        EndpointUpdate::Delta,
-        fleet().into_iter().filter(|s| s.role == Role::Edge).map(restarted).collect(),
-    ));
+    driver.handle(Event::Endpoints {
+        update: EndpointUpdate::Delta,
+        entries: fleet().into_iter().filter(|s| s.role == Role::Edge).map(restarted).collect(),
+    });
     let sent = (1000..1100)
         .filter_map(|n| first_attempt(&driver.request(n, IDEMPOTENT, n as u64)))
         .filter(|f| f.server.0.starts_with("edge"))
--- a/tests/fill_plan.rs
+++ b/tests/fill_plan.rs
@@ -74,7 +74,7 @@
     for permitted in [false, true] {
         let mut driver = Driver::new(settings(), fleet());
         driver.handle(plan(&[("parent-0", 1.0)], permitted));
-        driver.handle(Event::Endpoints(EndpointUpdate::Delta, vec![gone("parent-0")]));
+        driver.handle(Event::Endpoints { update: EndpointUpdate::Delta, entries: vec![gone("parent-0")] });
         let first = first_attempt(&driver.request(1, IDEMPOTENT, 5)).expect("a fetch");
         let expected = if permitted { server_id("origin") } else { first.server.clone() };
         assert_eq!(first.fill_source, expected, "a lookup without a fill, where no source is allowed");
--- a/tests/guarantees.rs
+++ b/tests/guarantees.rs
@@ -14,12 +14,12 @@
     let at = driver
         .log
         .iter()
-        .find(|(_, a)| matches!(a, Action::Reject(r, _) if *r == request_id(1)))
+        .find(|(_, a)| matches!(a, Action::Reject { request: r, .. } if *r == request_id(1)))
         .expect("an answer")
         .0;
     assert!(at < 5000.0 && at > 4900.0, "answered at {at}");
     assert!(
-        actions.iter().any(|a| matches!(a, Action::CancelAttempt(r, _) if *r == request_id(1))),
+        actions.iter().any(|a| matches!(a, Action::CancelAttempt { request: r, .. } if *r == request_id(1))),
         "the attempt in flight is cancelled"
     );
 }
@@ -27,7 +27,10 @@
 #[test]
 fn request_that_cannot_be_served_is_rejected_at_once_with_retry_after() {
     let mut driver = Driver::new(settings(), Vec::new());
-    assert_eq!(driver.request(1, IDEMPOTENT, 5), vec![Action::Reject(request_id(1), 100.0)]);
+    assert_eq!(
+        driver.request(1, IDEMPOTENT, 5),
+        vec![Action::Reject { request: request_id(1), retry_after: 100.0 }]
+    );
     let mut driver = Driver::new(settings(), fleet());
     for budget in [0.0, -5.0, 1.0] {
         let actions = driver.handle(Event::Request(request(budget as usize + 10, IDEMPOTENT, 5, budget)));
@@ -46,7 +49,7 @@
     assert!(driver
         .handle(Event::ClientDisconnected(request_id(1)))
         .iter()
-        .all(|a| matches!(a, Action::CancelAttempt(..))));
+        .all(|a| matches!(a, Action::CancelAttempt { .. })));
     assert!(driver
         .finish(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported)
         .is_empty());
@@ -59,7 +62,7 @@
         "an unknown request"
     );
     driver.advance(6000.0);
-    assert!(!driver.log.iter().any(|(_, a)| matches!(a, Action::Reject(..) | Action::Fail(_))));
+    assert!(!driver.log.iter().any(|(_, a)| matches!(a, Action::Reject { .. } | Action::Fail(_))));
 }
 
 #[test]
@@ -228,7 +231,7 @@
             .any(|a| matches!(a, Action::StartAttempt(f) if f.request == request_id(in_flight[0])));
         let cancelled = actions
             .iter()
-            .any(|a| matches!(a, Action::CancelAttempt(r, _) if *r == request_id(in_flight[0])));
+            .any(|a| matches!(a, Action::CancelAttempt { request: r, .. } if *r == request_id(in_flight[0])));
         assert!(cancelled && !sent, "{actions:?}");
         let actions = driver.finish(
             in_flight[0],
@@ -257,7 +260,7 @@
                 Endpoint { state, ..endpoint(name, role) }
             })
             .collect();
-        driver.handle(Event::Endpoints(EndpointUpdate::Delta, listed));
+        driver.handle(Event::Endpoints { update: EndpointUpdate::Delta, entries: listed });
         for n in 0..200 {
             let f = driver.serve(n, IDEMPOTENT, n as u64, FillReport::FilledBySource);
             assert!(f.server != server_id("edge-0") && f.fill_source != server_id("parent-1"));
@@ -268,15 +271,15 @@
 #[test]
 fn server_missing_from_a_complete_list_is_removed() {
     let mut driver = Driver::new(settings(), fleet());
-    driver.handle(Event::Endpoints(
-        EndpointUpdate::Complete,
-        fleet().into_iter().filter(|s| s.id != server_id("edge-3")).collect(),
-    ));
+    driver.handle(Event::Endpoints {
+        update: EndpointUpdate::Complete,
+        entries: fleet().into_iter().filter(|s| s.id != server_id("edge-3")).collect(),
+    });
     for n in 0..100 {
         assert_ne!(driver.serve(n, IDEMPOTENT, n as u64, FillReport::Hit).server, server_id("edge-3"));
     }
-    driver.handle(Event::Endpoints(EndpointUpdate::Complete, Vec::new()));
+    driver.handle(Event::Endpoints { update: EndpointUpdate::Complete, entries: Vec::new() });
     assert!(is_rejected(&driver.request(1000, IDEMPOTENT, 1), 1000));
-    driver.handle(Event::Endpoints(EndpointUpdate::Failed, Vec::new()));
+    driver.handle(Event::Endpoints { update: EndpointUpdate::Failed, entries: Vec::new() });
     assert!(is_rejected(&driver.request(1001, IDEMPOTENT, 1), 1001), "a failed poll changes nothing");
 }
--- a/tests/large_fleets.rs
+++ b/tests/large_fleets.rs
@@ -7,7 +7,7 @@
 /// How many final answers the router gave to a request, and how many attempts it started.
 fn answers_and_sends(driver: &Driver, n: usize) -> (usize, usize) {
     let answers = driver.log.iter().filter(|(_, a)| {
-        matches!(a, Action::Reject(r, _) if *r == request_id(n))
+        matches!(a, Action::Reject { request: r, .. } if *r == request_id(n))
             || matches!(a, Action::Fail(r) if *r == request_id(n))
     });
     let sends =
@@ -28,7 +28,7 @@
             let part = all.iter().enumerate().filter(|(n, _)| n % 3 == wave);
             let listed: Vec<Endpoint> = part.map(|(_, e)| Endpoint { state, ..e.clone() }).collect();
             left.extend(listed.iter().map(|e| e.id.clone()));
-            driver.handle(Event::Endpoints(EndpointUpdate::Delta, listed));
+            driver.handle(Event::Endpoints { update: EndpointUpdate::Delta, entries: listed });
             for n in 0..40 {
                 let n = 1 + wave * 200 + usize::from(state == EndpointState::Removed) * 100 + n;
                 let actions = driver.request(n, IDEMPOTENT, n as u64);
@@ -70,7 +70,7 @@
     ];
     let mut n = 0;
     for (mode, list) in lists {
-        driver.handle(Event::Endpoints(mode, list));
+        driver.handle(Event::Endpoints { update: mode, entries: list });
         for class in [IDEMPOTENT, EXPIRING, NON_IDEMPOTENT, WITH_KEY] {
             for object in 0..10 {
                 n += 1;
@@ -96,7 +96,7 @@
     let started = Some(driver.now);
     let cell = ["edge-0", "edge-1"];
     let listed = cell.iter().map(|name| Endpoint { started, ..endpoint(name, Role::Edge) });
-    driver.handle(Event::Endpoints(EndpointUpdate::Delta, listed.collect()));
+    driver.handle(Event::Endpoints { update: EndpointUpdate::Delta, entries: listed.collect() });
     let (mut warming, mut warm) = (0, 0);
     for n in 1000..1100 {
         let f = driver.serve(n, IDEMPOTENT, n as u64 * 13, FillReport::Hit);
--- a/tests/latency_feedback.rs
+++ b/tests/latency_feedback.rs
@@ -107,10 +107,13 @@
     let mut driver = Driver::new(settings, fleet());
     let f = first_attempt(&driver.request(0, EXPIRING, 1)).expect("a fetch");
     assert_eq!(f.max_age, None, "a fill brings a fresh copy");
-    driver.handle(Event::Endpoints(EndpointUpdate::Delta, removed(&["parent-0", "parent-1", "origin"])));
+    driver.handle(Event::Endpoints {
+        update: EndpointUpdate::Delta,
+        entries: removed(&["parent-0", "parent-1", "origin"]),
+    });
     let f = first_attempt(&driver.request(1, EXPIRING, 1)).expect("a lookup");
     assert_eq!((f.max_age, f.fill_source == f.server), (Some(28_000.0), true));
-    driver.handle(Event::Purged(GroupId(1), Some(ObjectId(1)), 0.0));
+    driver.handle(Event::Purged { group: GroupId(1), object: Some(ObjectId(1)), age: 0.0 });
     driver.advance(500.0);
     let f = first_attempt(&driver.request(2, EXPIRING, 1)).expect("a lookup");
     assert!(f.max_age.is_some_and(|age| age <= 500.0), "{:?}", f.max_age);
@@ -136,7 +139,7 @@
         let started = Some(driver.now);
         let mut all: Vec<Endpoint> = fleet().into_iter().map(sized).collect();
         all[0].started = started;
-        driver.handle(Event::Endpoints(EndpointUpdate::Complete, all));
+        driver.handle(Event::Endpoints { update: EndpointUpdate::Complete, entries: all });
         for n in 0..50 {
             let actions = driver.request(n, IDEMPOTENT, n as u64);
             let Some(f) = first_attempt(&actions) else { continue };
@@ -160,7 +163,7 @@
         old.advance(20.0);
     }
     old.restart("edge-2", Role::Edge);
-    old.handle(Event::Purged(GroupId(3), None, 0.0));
+    old.handle(Event::Purged { group: GroupId(3), object: None, age: 0.0 });
     let (mut snapshot, at) = (old.router.snapshot(), old.now);
     let purge = PurgeSnapshot { target: PurgeTarget::Group(GroupId(3)), purged_at: at };
     assert_eq!(snapshot.purges, [purge]);
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -10,7 +10,7 @@
         let mut driver = Driver::new(settings(), fleet());
         let object = (!by_group).then_some(ObjectId(5));
         assert_eq!(driver.serve(0, IDEMPOTENT, 5, FillReport::Hit).max_age, None);
-        driver.handle(Event::Purged(GroupId(5), object, 80.0));
+        driver.handle(Event::Purged { group: GroupId(5), object, age: 80.0 });
         for n in 1..70 {
             let since = driver.now - 1000.0 + 80.0;
             let f = first_attempt(&driver.request(n, IDEMPOTENT, 5)).expect("a fetch");
@@ -33,7 +33,7 @@
 #[test]
 fn purge_never_extends_the_freshness_lifetime_and_spares_other_objects() {
     let mut driver = Driver::new(settings(), fleet());
-    driver.handle(Event::Purged(GroupId(5), Some(ObjectId(5)), 80.0));
+    driver.handle(Event::Purged { group: GroupId(5), object: Some(ObjectId(5)), age: 80.0 });
     assert_eq!(driver.serve(1, IDEMPOTENT, 13, FillReport::Hit).max_age, None, "same group, another object");
     driver.advance(3000.0);
     let age = driver.serve(2, EXPIRING, 5, FillReport::Hit).max_age.expect("a bound");
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -151,7 +151,11 @@
             Step::Purge { object, group, age } => {
                 let (purged_at, notified_at) = (self.driver.now - age, self.driver.now);
                 self.purges.push(SeenPurge { object, group, purged_at, notified_at });
-                self.driver.handle(Event::Purged(GroupId(group), object.map(ObjectId), age));
+                self.driver.handle(Event::Purged {
+                    group: GroupId(group),
+                    object: object.map(ObjectId),
+                    age,
+                });
             }
             Step::Wait { span } => {
                 self.driver.advance(span);
@@ -240,7 +244,7 @@
         } else {
             self.banned.insert(entry.id.clone());
         }
-        self.driver.handle(Event::Endpoints(EndpointUpdate::Delta, vec![entry]));
+        self.driver.handle(Event::Endpoints { update: EndpointUpdate::Delta, entries: vec![entry] });
     }
 
     fn list_all(&mut self, keep: u8) {
@@ -250,7 +254,7 @@
         remaining.iter().for_each(|entry| {
             self.banned.remove(&entry.id);
         });
-        self.driver.handle(Event::Endpoints(EndpointUpdate::Complete, remaining));
+        self.driver.handle(Event::Endpoints { update: EndpointUpdate::Complete, entries: remaining });
     }
 
     /// Checks the actions since the last check.
@@ -266,23 +270,23 @@
     fn check_action(&mut self, at: Ms, action: &Action) -> Checked {
         match action {
             Action::StartAttempt(spec) => self.check_attempt(at, spec),
-            Action::Reject(id, _) | Action::Fail(id) => {
+            Action::Reject { request: id, .. } | Action::Fail(id) => {
                 let seen = self.seen.get_mut(id).expect("a known request");
                 prop_assert!(!seen.ended, "answered twice");
                 prop_assert!(at <= seen.due, "answered late");
                 let unexecuted = !seen.may_have_been_executed && seen.attempts.iter().all(|a| a.finished);
                 let idempotency = self.settings.classes[seen.class.0].idempotency;
-                if matches!(action, Action::Reject(..)) && idempotency == Idempotency::NonIdempotent {
+                if matches!(action, Action::Reject { .. }) && idempotency == Idempotency::NonIdempotent {
                     prop_assert!(unexecuted, "rejected though it may have been executed");
                 }
                 (seen.ended, seen.answers) = (true, seen.answers + 1);
                 Ok(())
             }
-            Action::CancelAttempt(id, number) => {
+            Action::CancelAttempt { request: id, attempt: number } => {
                 prop_assert!(number.0 < self.seen[id].attempts.len());
                 Ok(())
             }
-            Action::Timer(..) | Action::WatchEndpoints | Action::Log(_) => Ok(()),
+            Action::Timer { .. } | Action::WatchEndpoints | Action::Log(_) => Ok(()),
         }
     }
 
@@ -314,7 +318,7 @@
     fn finish_all(&mut self) -> Checked {
         self.driver.advance(5000.0);
         for (at, action) in &self.driver.log[self.checked..] {
-            if let Action::Reject(id, _) | Action::Fail(id) = action {
+            if let Action::Reject { request: id, .. } | Action::Fail(id) = action {
                 let seen = self.seen.get_mut(id).expect("a known request");
                 prop_assert!(!seen.ended && *at <= seen.due);
                 (seen.ended, seen.answers) = (true, seen.answers + 1);
--- a/tests/settings/main.rs
+++ b/tests/settings/main.rs
@@ -45,7 +45,7 @@
             let request = common::request(0, ClassId(99), seen.object, 1000.0);
             let mut actions = Vec::new();
             world.router.handle(world.now, Event::Request(Request { id: id.clone(), ..request }), &mut actions);
-            prop_assert_eq!(actions, vec![Action::Reject(id, 0.0)]);
+            prop_assert_eq!(actions, vec![Action::Reject { request: id, retry_after: 0.0 }]);
         }
     }
 }
@@ -57,7 +57,7 @@
         let sent = common::first_attempt(&driver.request(n, common::IDEMPOTENT, 5)).expect("a fetch");
         driver.finish(n, 0, &sent.server, AttemptResult::Rejected, FillReport::SourceRejected);
         // Any update recomputes the order.
-        driver.handle(Event::Endpoints(EndpointUpdate::Delta, Vec::new()));
+        driver.handle(Event::Endpoints { update: EndpointUpdate::Delta, entries: Vec::new() });
     }
     let penalties: Vec<f64> = driver.router.snapshot().servers.iter().map(|s| s.weight_penalty_log).collect();
     assert!(penalties.iter().all(|p| p.is_finite()) && penalties.iter().any(|p| *p < 0.0), "{penalties:?}");
@@ -95,10 +95,10 @@
         // The clock of its machine is ahead by two seconds; it is the only cache.
         let started = Some(driver.now + 2000.0);
         let cold = Endpoint { started, ..endpoint("edge-0", Role::Edge) };
-        driver.handle(Event::Endpoints(
-            EndpointUpdate::Complete,
-            vec![cold, endpoint("parent-0", Role::Parent)],
-        ));
+        driver.handle(Event::Endpoints {
+            update: EndpointUpdate::Complete,
+            entries: vec![cold, endpoint("parent-0", Role::Parent)],
+        });
         let edge = common::server_id("edge-0");
         let mut requested = 0;
         let mut sent = |driver: &mut common::Driver| {
--- a/tests/settings/steps.rs
+++ b/tests/settings/steps.rs
@@ -34,7 +34,7 @@
                 let unanswered = self.in_flight().into_iter().filter(|(id, _)| self.seen[id].answers == 0);
                 let Some((id, n)) = pick(&unanswered.collect::<Vec<_>>(), number) else { return Ok(()) };
                 self.seen.get_mut(&id).expect("seen").answers = 1;
-                self.handle(Event::ResponseStarted(id, AttemptNo(n)))
+                self.handle(Event::ResponseStarted { request: id, attempt: AttemptNo(n) })
             }
             Step::Disconnect { pick: number } => {
                 let Some(id) = pick(&self.unanswered(), number) else { return Ok(()) };
@@ -53,7 +53,7 @@
             }
             Step::Purge { object, group, age } => {
                 self.purges.push((object, group, self.now - age, self.now));
-                self.handle(Event::Purged(GroupId(group), object.map(ObjectId), age))
+                self.handle(Event::Purged { group: GroupId(group), object: object.map(ObjectId), age })
             }
             Step::Stop { span } => self.stop(span),
             Step::Wait { span } => self.advance(span),
--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -96,7 +96,7 @@
     pub fn check(&mut self, action: Action) -> Checked {
         match action {
             Action::StartAttempt(fetch) => self.check_attempt(&fetch),
-            Action::Reject(id, retry_after) => {
+            Action::Reject { request: id, retry_after } => {
                 let max = if self.settings.retry_after { self.settings.max_retry_after } else { 0.0 };
                 prop_assert!((0.0..=max).contains(&retry_after), "Retry-After of {retry_after} above {max}");
                 let (class, since) = self.answered(&id)?;
@@ -117,12 +117,12 @@
                 Ok(())
             }
             Action::Fail(id) => self.answered(&id).map(|_| ()),
-            Action::CancelAttempt(id, n) => {
+            Action::CancelAttempt { request: id, attempt: n } => {
                 prop_assert!(self.settings.cancel, "cancelled where that is not allowed");
                 prop_assert!(n.0 < self.seen[&id].attempts.len());
                 Ok(())
             }
-            Action::Timer(after, token) => {
+            Action::Timer { delay: after, token } => {
                 prop_assert!(after.is_finite() && after > 0.0 && self.timers.len() < 4);
                 self.timers.push((self.now + after, token));
                 Ok(())
@@ -293,6 +293,6 @@
                 self.listed.insert(e.id.clone());
             }
         }
-        self.handle(Event::Endpoints(mode, entries))
+        self.handle(Event::Endpoints { update: mode, entries })
     }
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -115,7 +115,7 @@
         (settings.zone_routers, settings.routers, settings.approximate_weights) = (1, 1, false);
         (settings.edge_slow_start, settings.parent_slow_start) = (POLICY, POLICY);
         let mut driver = Driver::at(1_000.0, settings.clone(), seed, Self::list(None));
-        driver.router.report_writes();
+        driver.router.expect_write_events();
         let mut world = Self {
             driver,
             settings,
@@ -195,10 +195,10 @@
             }
             Step::List(kind) => {
                 let started = [Some(self.listed), None, Some(self.listed - 3_000.0)][*kind as usize % 3];
-                self.handle(Event::Endpoints(
-                    EndpointUpdate::Complete,
-                    Self::list(started.filter(|at| *at > 0.0)),
-                ));
+                self.handle(Event::Endpoints {
+                    update: EndpointUpdate::Complete,
+                    entries: Self::list(started.filter(|at| *at > 0.0)),
+                });
             }
             Step::Restart => {
                 self.incarnation += 1;
@@ -206,7 +206,7 @@
                 self.on_wire.clear();
                 let list = Self::list(Some(self.listed).filter(|at| *at > 0.0));
                 self.driver = Driver::at(now, self.settings.clone(), self.incarnation, list);
-                self.driver.router.report_writes();
+                self.driver.router.expect_write_events();
             }
             Step::Wait(span) => self.run(now + span),
         }
@@ -235,7 +235,7 @@
         for action in actions {
             match action {
                 Action::StartAttempt(fetch) => self.begin(fetch),
-                Action::CancelAttempt(request, number) => {
+                Action::CancelAttempt { request, attempt: number } => {
                     let request = request.0[1..].parse().expect("a number");
                     let found = self.in_flight.keys().find(|a| (a.request, a.number) == (request, number.0));
                     if let Some(attempt) = found.cloned() {
@@ -297,7 +297,10 @@
                     return self.finish(attempt, AttemptResult::NoConnection, FillReport::NotReported, false);
                 }
                 self.on_wire.insert(attempt.clone());
-                self.handle(Event::RequestWritten(request_id(attempt.request), AttemptNo(attempt.number)));
+                self.handle(Event::RequestWritten {
+                    request: request_id(attempt.request),
+                    attempt: AttemptNo(attempt.number),
+                });
                 self.schedule(now, Due::Arrive(attempt));
             }
             Due::Arrive(attempt) => {
@@ -336,7 +339,10 @@
                     self.listed_at = Some(now);
                 }
                 self.listed = self.listed.max(started);
-                self.handle(Event::Endpoints(EndpointUpdate::Complete, Self::list(Some(started))));
+                self.handle(Event::Endpoints {
+                    update: EndpointUpdate::Complete,
+                    entries: Self::list(Some(started)),
+                });
             }
             Due::Written(_) => {}
         }
--- a/tests/slow_start_fleet/main.rs
+++ b/tests/slow_start_fleet/main.rs
@@ -89,7 +89,7 @@
             driver.serve(n, IDEMPOTENT, n as u64, FillReport::Hit);
             driver.advance(WARM_MS / 10.0);
         }
-        driver.handle(Event::Endpoints(EndpointUpdate::Complete, list(1000.0)));
+        driver.handle(Event::Endpoints { update: EndpointUpdate::Complete, entries: list(1000.0) });
         let restarted = list(0.0).into_iter().find(|e| e.started.is_some()).expect("one").id;
         let sent = (10..510).filter(|n| {
             let f = driver.serve(*n, IDEMPOTENT, *n as u64, FillReport::FilledBySource);
--- a/tests/slow_start_fleet/run.rs
+++ b/tests/slow_start_fleet/run.rs
@@ -123,7 +123,7 @@
             fleet.iter().filter(|e| e.role == case.role).take(case.restarted).map(|e| e.id.clone()).collect();
         let router = |k: usize| {
             let mut driver = Driver::at(1000.0, settings.clone(), mix(seed, k as u64), fleet.clone());
-            driver.router.report_writes();
+            driver.router.expect_write_events();
             driver
         };
         Self {
@@ -234,7 +234,7 @@
                         self.incarnations[k] += 1;
                         let seed = mix(self.seed, (k as u64) << (8 * self.incarnations[k]));
                         self.routers[k] = Driver::at(self.now, self.settings.clone(), seed, list.clone());
-                        self.routers[k].router.report_writes();
+                        self.routers[k].router.expect_write_events();
                     }
                     continue;
                 }
@@ -249,13 +249,14 @@
                 Due::Listed(k) => {
                     let all = self.fleet.clone();
                     self.opened.retain(|(of, _, to), _| *of != k || !self.restarted.contains(to));
-                    self.routers[k].handle(Event::Endpoints(EndpointUpdate::Complete, all));
+                    self.routers[k]
+                        .handle(Event::Endpoints { update: EndpointUpdate::Complete, entries: all });
                 }
                 Due::Response(k, incarnation, o) if incarnation == self.incarnations[k] => {
                     self.routers[k].handle(Event::Outcome(*o));
                 }
                 Due::Written(k, incarnation, request) if incarnation == self.incarnations[k] => {
-                    self.routers[k].handle(Event::RequestWritten(request, AttemptNo(0)));
+                    self.routers[k].handle(Event::RequestWritten { request, attempt: AttemptNo(0) });
                 }
                 Due::Written(..) | Due::Response(..) | Due::Restart => {}
             }
--- a/tests/slow_start_share.rs
+++ b/tests/slow_start_share.rs
@@ -71,7 +71,7 @@
         .map(|seed| {
             let mut driver = Driver::new(s.clone(), Vec::new());
             driver.router = Router::new(s.clone(), seed);
-            driver.handle(Event::Endpoints(EndpointUpdate::Complete, fleet()));
+            driver.handle(Event::Endpoints { update: EndpointUpdate::Complete, entries: fleet() });
             driver
         })
         .collect();
