--- a/crates/control/src/gather_policies.rs
+++ b/crates/control/src/gather_policies.rs
@@ -1,7 +1,8 @@
 //! Scatter-gather policies, converted from the gather rules of a placement table.
 
-use basaltgw_placement::{GatherRule, MissingPartPolicy, Table};
-use basaltgw_scatter_gather::{Missing, PartNo, Policy};
+use basaltgw_placement as placement;
+use basaltgw_placement::{GatherRule, Table};
+use basaltgw_scatter_gather::{MissingParts, PartNo, Policy};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -18,15 +19,15 @@
 
 fn policy(rule: &GatherRule) -> Policy {
     Policy {
-        needed: rule.needed_parts.iter().map(|part| PartNo(*part)).collect(),
-        least_count: f64::from(rule.min_parts_percent) / PERCENT,
-        least_worth: f64::from(rule.min_weight_percent) / PERCENT,
-        wait: f64::from(rule.wait_ms),
-        missing: match rule.missing {
-            MissingPartPolicy::Owed => Missing::Owed,
-            MissingPartPolicy::Dropped => Missing::Dropped,
-            MissingPartPolicy::Refused => Missing::Refused,
+        required_parts: rule.needed_parts.iter().map(|part| PartNo(*part)).collect(),
+        min_part_share: f64::from(rule.min_parts_percent) / PERCENT,
+        min_weight_share: f64::from(rule.min_weight_percent) / PERCENT,
+        max_wait: f64::from(rule.wait_ms),
+        missing_parts: match rule.missing {
+            placement::MissingPartPolicy::Owed => MissingParts::Continuation,
+            placement::MissingPartPolicy::Dropped => MissingParts::Omitted,
+            placement::MissingPartPolicy::Refused => MissingParts::NotAllowed,
         },
-        second_copies: rule.second_copies,
+        hedging: rule.second_copies,
     }
 }
--- a/crates/placement/src/compile.rs
+++ b/crates/placement/src/compile.rs
@@ -58,7 +58,7 @@
     for router in &inventory.routers {
         let RouterEntry { member, domain, .. } = router;
         for name in [&member.router.0, &domain.branch, &domain.machine] {
-            if let Err(error) = basaltgw_types::name(name) {
+            if let Err(error) = basaltgw_types::parse_name(name) {
                 report(format!("router \"{}\": {error}", member.router));
             }
         }
--- a/crates/placement/src/register_encoding.rs
+++ b/crates/placement/src/register_encoding.rs
@@ -49,7 +49,7 @@
         let (proposed, stage) = match encoded.proposed {
             None => (None, Stage::Idle),
             Some(EncodedProposal { table: bytes, proposer, stage }) => {
-                expect(basaltgw_types::name(&proposer.0).is_ok(), "a valid name of the proposer")?;
+                expect(basaltgw_types::parse_name(&proposer.0).is_ok(), "a valid name of the proposer")?;
                 let next = Table::from_bytes(&bytes)?;
                 expect(
                     check_successor(&table, &next).is_ok(),
--- a/crates/placement/src/replica_constraints.rs
+++ b/crates/placement/src/replica_constraints.rs
@@ -6,7 +6,7 @@
 use crate::diagnostic::{DraftDiagnostic, SourceSpan};
 use crate::replica_rules::ReplicaPolicy;
 use crate::resolver::Resolver;
-use basaltgw_structures::hash::address;
+use basaltgw_structures::hash::fnv1a;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Domains listed in a diagnostic, so that it stays readable.
@@ -181,7 +181,7 @@
             };
             let next = domains.len();
             Candidate {
-                name_hash: address(&router.member.router.0),
+                name_hash: fnv1a(&router.member.router.0),
                 weight: router.capacity.max(1),
                 domain: *domains.entry(key).or_insert(next),
                 exclusions: exclusions.get(i).cloned().unwrap_or_default(),
--- a/crates/placement/src/table_body.rs
+++ b/crates/placement/src/table_body.rs
@@ -153,7 +153,10 @@
         )?;
         let keys: Vec<_> = self.routers.iter().map(|r| (r.name.clone(), r.incarnation)).collect();
         expect(is_strictly_ascending(&keys), "routers ordered by name")?;
-        expect(self.routers.iter().all(|r| basaltgw_types::name(&r.name).is_ok()), "valid names of routers")?;
+        expect(
+            self.routers.iter().all(|r| basaltgw_types::parse_name(&r.name).is_ok()),
+            "valid names of routers",
+        )?;
         let root_size = self.root.len() % 2 == 1 && self.root.len() <= MAX_COPIES;
         expect(
             root_size && are_distinct_below(self.routers.len(), &self.root),
--- a/tests/fill_plan.rs
+++ b/tests/fill_plan.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use basaltgw::api::*;
-use basaltgw::hash::{address, within_share};
+use basaltgw::hash::{fnv1a, within_share};
 use common::*;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -53,7 +53,7 @@
     let got = sources(&mut driver, 0..400);
     let moved = got.iter().filter(|(_, s)| *s == server_id("parent-1")).count();
     assert!((25..80).contains(&moved), "an eighth or so: {moved}");
-    let hash = address("parent-1");
+    let hash = fnv1a("parent-1");
     assert!(got.iter().all(|(o, s)| *s != server_id("parent-1") || within_share(*o, hash, 0.25)));
     let flat: Vec<_> = {
         driver.handle(Event::FillPlan(None));
@@ -74,7 +74,7 @@
     for permitted in [false, true] {
         let mut driver = Driver::new(settings(), fleet());
         driver.handle(plan(&[("parent-0", 1.0)], permitted));
-        driver.handle(Event::Endpoints(EndpointUpdate::Delta, vec![gone("parent-0")]));
+        driver.handle(Event::Endpoints { update: EndpointUpdate::Delta, entries: vec![gone("parent-0")] });
         let first = first_attempt(&driver.request(1, IDEMPOTENT, 5)).expect("a fetch");
         let expected = if permitted { server_id("origin") } else { first.server.clone() };
         assert_eq!(first.fill_source, expected, "a lookup without a fill, where no source is allowed");
