--- a/crates/control/src/gather_policies.rs
+++ b/crates/control/src/gather_policies.rs
@@ -19,15 +19,15 @@
 
 fn policy(rule: &GatherRule) -> Policy {
     Policy {
-        required_parts: rule.needed_parts.iter().map(|part| PartNo(*part)).collect(),
-        min_part_share: f64::from(rule.min_parts_percent) / PERCENT,
+        required_parts: rule.required_parts.iter().map(|part| PartNo(*part)).collect(),
+        min_part_share: f64::from(rule.min_part_percent) / PERCENT,
         min_weight_share: f64::from(rule.min_weight_percent) / PERCENT,
-        max_wait: f64::from(rule.wait_ms),
-        missing_parts: match rule.missing {
-            placement::MissingPartPolicy::Owed => MissingParts::Continuation,
-            placement::MissingPartPolicy::Dropped => MissingParts::Omitted,
-            placement::MissingPartPolicy::Refused => MissingParts::NotAllowed,
+        max_wait: f64::from(rule.max_wait_ms),
+        missing_parts: match rule.missing_parts {
+            placement::MissingParts::Continuation => MissingParts::Continuation,
+            placement::MissingParts::Omitted => MissingParts::Omitted,
+            placement::MissingParts::NotAllowed => MissingParts::NotAllowed,
         },
-        hedging: rule.second_copies,
+        hedging: rule.hedging,
     }
 }
--- a/crates/fleet_simulation/src/mesh.rs
+++ b/crates/fleet_simulation/src/mesh.rs
@@ -165,8 +165,11 @@
                 | ControlNotification::Evidence(..) => Word::Other,
             }),
         }));
-        let needed =
-            self.control.table().table().and_then(|t| t.gather_rule(CHANGED)?.needed_parts.first().copied());
+        let needed = self
+            .control
+            .table()
+            .table()
+            .and_then(|t| t.gather_rule(CHANGED)?.required_parts.first().copied());
         out.extend(needed.filter(|_| table).map(|n| PartyAction::Told(Word::Change(n as usize))));
     }
 
--- a/crates/placement/src/ast.rs
+++ b/crates/placement/src/ast.rs
@@ -166,8 +166,8 @@
     /// Percentages.
     AtLeast(Vec<(Spanned<u64>, Spanned<ShareOf>)>),
     WaitMs(u64),
-    Missing(MissingPartPolicy),
-    SecondCopies(bool),
+    MissingParts(MissingParts),
+    Hedging(bool),
 }
 
 /// What a percentage refers to.
@@ -177,13 +177,13 @@
     Weight,
 }
 
-/// What a partial response does about a missing part.
+/// How a partial response handles missing parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum MissingPartPolicy {
-    /// The response names the part and when to retry for it.
-    Owed,
-    /// The response names the part, which will not follow.
-    Dropped,
-    /// There is no response without the part.
-    Refused,
+pub enum MissingParts {
+    /// Keyword `owed`: the response names them and when to retry, and a continuation is stored for them.
+    Continuation,
+    /// Keyword `dropped`: the response names them, without a continuation.
+    Omitted,
+    /// Keyword `refused`: there is no response without them.
+    NotAllowed,
 }
--- a/crates/placement/src/gather_rules.rs
+++ b/crates/placement/src/gather_rules.rs
@@ -1,6 +1,6 @@
 //! Compiles the rules `gather`: scatter-gather policies by class.
 
-use crate::ast::{GatherClause, MissingPartPolicy, Rule, ShareOf, Spanned};
+use crate::ast::{GatherClause, MissingParts, Rule, ShareOf, Spanned};
 use crate::diagnostic::{DraftDiagnostic, SourceSpan};
 use crate::resolver::Resolver;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 /// Longest wait for parts in milliseconds: beyond it every client has left.
 pub const MAX_WAIT_MS: u32 = 60_000;
 /// Largest number of parts that a rule may name as needed.
-pub const MAX_NEEDED_PARTS: usize = 1024;
+pub const MAX_REQUIRED_PARTS: usize = 1024;
 
 /// The scatter-gather policy of a class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -19,53 +19,53 @@
     /// The class.
     pub class: Arc<str>,
     /// Numbers of the parts without which there is no response, ascending.
-    pub needed_parts: Vec<u32>,
+    pub required_parts: Vec<u32>,
     /// Least share of the number of parts, in percent.
-    pub min_parts_percent: u8,
+    pub min_part_percent: u8,
     /// Least share of the parts' total weight (`worth` in rules), in percent.
     pub min_weight_percent: u8,
     /// Longest wait for further parts in milliseconds, from when a partial response is possible.
-    pub wait_ms: u32,
-    /// What a partial response does about a missing part.
-    pub missing: MissingPartPolicy,
-    /// Whether a part may be requested from a second site while the first request is pending.
-    pub second_copies: bool,
+    pub max_wait_ms: u32,
+    /// How a partial response handles missing parts.
+    pub missing_parts: MissingParts,
+    /// Whether a part may be requested from a second site while the first request is pending (`second copies` in rules).
+    pub hedging: bool,
 }
 
 impl GatherRule {
     fn without_partial_responses() -> Self {
         Self {
             class: Arc::from(""),
-            needed_parts: Vec::new(),
-            min_parts_percent: 100,
+            required_parts: Vec::new(),
+            min_part_percent: 100,
             min_weight_percent: 100,
-            wait_ms: 0,
-            missing: MissingPartPolicy::Refused,
-            second_copies: false,
+            max_wait_ms: 0,
+            missing_parts: MissingParts::NotAllowed,
+            hedging: false,
         }
     }
 
     /// Whether all values are within their limits.
     pub(crate) fn is_valid(&self) -> bool {
-        let percentages = self.min_parts_percent <= 100 && self.min_weight_percent <= 100;
-        percentages && self.wait_ms <= MAX_WAIT_MS && self.needed_parts.windows(2).all(|w| w[0] < w[1])
+        let percentages = self.min_part_percent <= 100 && self.min_weight_percent <= 100;
+        percentages && self.max_wait_ms <= MAX_WAIT_MS && self.required_parts.windows(2).all(|w| w[0] < w[1])
     }
 }
 
 impl fmt::Display for GatherRule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let needed: Vec<String> = self.needed_parts.iter().map(u32::to_string).collect();
+        let needed: Vec<String> = self.required_parts.iter().map(u32::to_string).collect();
         let needed = if needed.is_empty() { "none".into() } else { needed.join(", ") };
-        let missing = match self.missing {
-            MissingPartPolicy::Owed => "owed",
-            MissingPartPolicy::Dropped => "dropped",
-            MissingPartPolicy::Refused => "refused",
+        let missing = match self.missing_parts {
+            MissingParts::Continuation => "owed",
+            MissingParts::Omitted => "dropped",
+            MissingParts::NotAllowed => "refused",
         };
-        let second = if self.second_copies { "yes" } else { "no" };
-        let (parts, weight) = (self.min_parts_percent, self.min_weight_percent);
+        let second = if self.hedging { "yes" } else { "no" };
+        let (parts, weight) = (self.min_part_percent, self.min_weight_percent);
         writeln!(f, "gathers of class {}: parts needed: {needed}", self.class)?;
         writeln!(f, "  at least {parts}% of parts and {weight}% of worth")?;
-        writeln!(f, "  wait {} ms, missing {missing}, second copies {second}", self.wait_ms)
+        writeln!(f, "  wait {} ms, missing {missing}, second copies {second}", self.max_wait_ms)
     }
 }
 
@@ -106,22 +106,22 @@
             GatherClause::WaitMs(ms) => {
                 has_wait = true;
                 match u32::try_from(*ms).ok().filter(|ms| *ms <= MAX_WAIT_MS) {
-                    Some(ms) => rule.wait_ms = ms,
+                    Some(ms) => rule.max_wait_ms = ms,
                     None => {
                         let message = format!("a wait of {ms} ms; expected at most {MAX_WAIT_MS} ms");
                         resolver.report(DraftDiagnostic::at(clause.span, message, "too long"));
                     }
                 }
             }
-            GatherClause::Missing(missing) => {
-                rule.missing = *missing;
-                refused_span = (*missing == MissingPartPolicy::Refused).then_some(clause.span);
+            GatherClause::MissingParts(missing) => {
+                rule.missing_parts = *missing;
+                refused_span = (*missing == MissingParts::NotAllowed).then_some(clause.span);
             }
-            GatherClause::SecondCopies(yes) => rule.second_copies = *yes,
+            GatherClause::Hedging(yes) => rule.hedging = *yes,
         }
     }
     if let (Some(shares), Some(refused)) = (shares_span, refused_span) {
-        if rule.min_parts_percent < 100 {
+        if rule.min_part_percent < 100 {
             let message = "this rule never permits a partial response";
             let draft = DraftDiagnostic::at(shares, message, "a share of the parts is enough");
             let draft = draft.with_label(refused, "but a missing part refuses the response");
@@ -139,24 +139,24 @@
     fn set_needed_parts(&mut self, span: SourceSpan, parts: &[Spanned<u64>], resolver: &mut Resolver<'_>) {
         for part in parts {
             match u32::try_from(part.node) {
-                Ok(number) => self.needed_parts.push(number),
+                Ok(number) => self.required_parts.push(number),
                 Err(_) => {
                     let message = format!("part {}; expected 0 to {}", part.node, u32::MAX);
                     resolver.report(DraftDiagnostic::at(part.span, message, "parts are numbered from 0"));
                 }
             }
         }
-        self.needed_parts.sort_unstable();
-        self.needed_parts.dedup();
-        if self.needed_parts.len() > MAX_NEEDED_PARTS {
-            let message = format!("more than {MAX_NEEDED_PARTS} needed parts");
+        self.required_parts.sort_unstable();
+        self.required_parts.dedup();
+        if self.required_parts.len() > MAX_REQUIRED_PARTS {
+            let message = format!("more than {MAX_REQUIRED_PARTS} needed parts");
             resolver.report(DraftDiagnostic::at(span, message, "too many"));
         }
     }
 
     fn set_shares(&mut self, shares: &[(Spanned<u64>, Spanned<ShareOf>)], resolver: &mut Resolver<'_>) {
         // A share that the clause does not name is not required.
-        (self.min_parts_percent, self.min_weight_percent) = (0, 0);
+        (self.min_part_percent, self.min_weight_percent) = (0, 0);
         for (percent, of) in shares {
             let Some(share) = u8::try_from(percent.node).ok().filter(|p| *p <= 100) else {
                 let message = "a share of more than 100%";
@@ -164,7 +164,7 @@
                 continue;
             };
             match of.node {
-                ShareOf::Parts => self.min_parts_percent = share,
+                ShareOf::Parts => self.min_part_percent = share,
                 ShareOf::Weight => self.min_weight_percent = share,
             }
         }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -38,13 +38,13 @@
     Adoption, AdoptionAction, AdoptionCounters, AdoptionEvent, ProposalNumber, ProposalOutcome,
     MAX_OPEN_PROPOSALS,
 };
-pub use ast::MissingPartPolicy;
+pub use ast::MissingParts;
 pub use compile::{
     compile, MAX_BOOTSTRAP_ROUTERS, MAX_CACHES, MAX_ROUTERS, MAX_RULES, MAX_RULES_BYTES, MAX_RULE_FILES,
 };
 pub use diagnostic::{Diagnostic, SourceSpan};
 pub use explain::{explain, explain_root, explain_shard};
-pub use gather_rules::{GatherRule, MAX_NEEDED_PARTS, MAX_WAIT_MS};
+pub use gather_rules::{GatherRule, MAX_REQUIRED_PARTS, MAX_WAIT_MS};
 #[cfg(any(test, feature = "broken"))]
 pub use register::InjectedBug;
 pub use register::{
--- a/crates/placement/src/parser.rs
+++ b/crates/placement/src/parser.rs
@@ -1,8 +1,8 @@
 //! Parses the tokens of a file into rules.
 
 use crate::ast::{
-    Comparison, Condition, DomainPart, EntryKind, GatherClause, HomeClause, HomeSelector, MissingPartPolicy,
-    Name, OperandKind, ReplicaClause, Rule, ShareOf, Spanned, Spread,
+    Comparison, Condition, DomainPart, EntryKind, GatherClause, HomeClause, HomeSelector, MissingParts, Name,
+    OperandKind, ReplicaClause, Rule, ShareOf, Spanned, Spread,
 };
 use crate::diagnostic::{suggestion, DraftDiagnostic, SourceSpan};
 use crate::lexer::{tokens, Token};
@@ -160,17 +160,17 @@
     let share = number().map_with(spanned).then_ignore(just(Token::Percent)).then(of.map_with(spanned));
     let shares = share.separated_by(just(Token::Comma)).at_least(1).collect();
     let missing = choice((
-        keyword("owed").to(MissingPartPolicy::Owed),
-        keyword("dropped").to(MissingPartPolicy::Dropped),
-        keyword("refused").to(MissingPartPolicy::Refused),
+        keyword("owed").to(MissingParts::Continuation),
+        keyword("dropped").to(MissingParts::Omitted),
+        keyword("refused").to(MissingParts::NotAllowed),
     ));
     let yes = choice((keyword("yes").to(true), keyword("no").to(false)));
     let clause = choice((
         keyword("needs").ignore_then(numbers()).map(GatherClause::Needs),
         keyword("at").ignore_then(keyword("least")).ignore_then(shares).map(GatherClause::AtLeast),
         keyword("wait").ignore_then(number()).then_ignore(keyword("ms")).map(GatherClause::WaitMs),
-        keyword("missing").ignore_then(missing).map(GatherClause::Missing),
-        keyword("second").ignore_then(keyword("copies")).ignore_then(yes).map(GatherClause::SecondCopies),
+        keyword("missing").ignore_then(missing).map(GatherClause::MissingParts),
+        keyword("second").ignore_then(keyword("copies")).ignore_then(yes).map(GatherClause::Hedging),
     ));
     rule_keyword("gather")
         .then_ignore(keyword("class"))
--- a/crates/placement/tests/lookups.rs
+++ b/crates/placement/tests/lookups.rs
@@ -1,7 +1,7 @@
 //! Lookups in compiled tables.
 
 mod common;
-use basaltgw_placement::{explain, explain_shard, shard_moves, Inventory, MissingPartPolicy, Table};
+use basaltgw_placement::{explain, explain_shard, shard_moves, Inventory, MissingParts, Table};
 use basaltgw_types::Shard;
 use common::{cache, fleet, router, table};
 
@@ -91,10 +91,13 @@
     let table = table(text, &fleet(3, 1), None);
     let rule = table.gather_rule("shelf").expect("a rule");
     assert_eq!(
-        (rule.needed_parts.as_slice(), rule.min_parts_percent, rule.min_weight_percent),
+        (rule.required_parts.as_slice(), rule.min_part_percent, rule.min_weight_percent),
         (&[0, 1][..], 60, 50)
     );
-    assert_eq!((rule.wait_ms, rule.missing, rule.second_copies), (120, MissingPartPolicy::Owed, false));
+    assert_eq!(
+        (rule.max_wait_ms, rule.missing_parts, rule.hedging),
+        (120, MissingParts::Continuation, false)
+    );
     assert!(table.gather_rule("pages").is_none());
 }
 
