--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Messages of the protocol to events.
+//! Decodes messages of the simulator's protocol to events.
 
 use basaltgw::api::*;
 use basaltgw_config::value::{boolean, number, or_null, text, whole};
@@ -9,52 +9,53 @@
 /// Flag of a request that changes something at the origin.
 const WRITE_FLAG: u64 = 4;
 
-/// A message: an array of a name and values.
+/// A message of the protocol: an array of a name and values.
 pub struct Message<'a> {
-    /// The message's name.
+    /// What the message announces, such as `QUERY`.
     pub name: &'a str,
     values: &'a [Value],
 }
 
 impl<'a> Message<'a> {
-    /// Reads a message.
+    /// The message of a JSON value.
     ///
     /// # Errors
     /// [`BadInput`] if the value is no array that begins with a name.
     pub fn new(value: &'a Value) -> Result<Self, BadInput> {
-        let values = value.as_array().ok_or_else(|| BadInput::new("message", "expected an array"))?;
+        let expected = || BadInput::new("message", format!("expected an array, found {value}"));
+        let values = value.as_array().ok_or_else(expected)?;
         let name = values.first().and_then(Value::as_str);
         let name = name.ok_or_else(|| BadInput::new("[0]", "expected the message's name"))?;
         Ok(Self { name, values })
     }
 
-    /// The value at a position; null if there is none.
-    pub fn value(&self, at: usize) -> &'a Value {
-        self.values.get(at).unwrap_or(&Value::Null)
+    /// The value at a position, where the name has position 0; null if there is none.
+    pub fn value(&self, position: usize) -> &'a Value {
+        self.values.get(position).unwrap_or(&Value::Null)
     }
 
-    /// A required whole number.
+    /// The whole number at a position.
     ///
     /// # Errors
-    /// [`BadInput`] of the given field.
-    pub fn integer(&self, at: usize, field: &str) -> Result<u64, BadInput> {
-        whole(self.value(at), field)
+    /// [`BadInput`] with the name of the field if the value is missing or no whole number.
+    pub fn integer(&self, position: usize, field: &str) -> Result<u64, BadInput> {
+        whole(self.value(position), field)
     }
 
-    fn integer_or_0(&self, at: usize, field: &str) -> Result<u64, BadInput> {
-        or_null(self.value(at), || whole(self.value(at), field)).map(Option::unwrap_or_default)
+    fn integer_or_0(&self, position: usize, field: &str) -> Result<u64, BadInput> {
+        or_null(self.value(position), || whole(self.value(position), field)).map(Option::unwrap_or_default)
     }
 
-    fn number(&self, at: usize, field: &str) -> Result<f64, BadInput> {
-        number(self.value(at), field)
+    fn number(&self, position: usize, field: &str) -> Result<f64, BadInput> {
+        number(self.value(position), field)
     }
 
-    fn number_or_0(&self, at: usize, field: &str) -> Result<f64, BadInput> {
-        or_null(self.value(at), || self.number(at, field)).map(Option::unwrap_or_default)
+    fn number_or_0(&self, position: usize, field: &str) -> Result<f64, BadInput> {
+        or_null(self.value(position), || self.number(position, field)).map(Option::unwrap_or_default)
     }
 
-    fn text(&self, at: usize, field: &str) -> Result<&'a str, BadInput> {
-        text(self.value(at), field)
+    fn text(&self, position: usize, field: &str) -> Result<&'a str, BadInput> {
+        text(self.value(position), field)
     }
 
     fn request_id(&self) -> Result<RequestId, BadInput> {
@@ -75,13 +76,13 @@
         };
         let items = or_null(self.value(4), || {
             let items = self.value(4).as_array();
-            items.ok_or_else(|| BadInput::new("items", "expected an array"))
+            items.ok_or_else(|| BadInput::new("items", format!("expected an array, found {}", self.value(4))))
         })?;
         let items = items.map_or(&[][..], |items| items);
-        let read = |(index, value): (usize, &Value)| {
+        let decode = |(index, value): (usize, &Value)| {
             endpoint(value, names).map_err(|e| e.within(&format!("items[{index}]")))
         };
-        let entries = items.iter().enumerate().map(read).collect::<Result<_, _>>()?;
+        let entries = items.iter().enumerate().map(decode).collect::<Result<_, _>>()?;
         Ok(Event::Endpoints { update, entries })
     }
 
@@ -117,11 +118,8 @@
     fn purge(&self) -> Result<Event, BadInput> {
         let object = self.integer_or_0(4, "asset")?;
         let object = (object != 0).then_some(ObjectId(object));
-        Ok(Event::Purged {
-            group: GroupId(self.integer(2, "bucket")?),
-            object,
-            age: self.number_or_0(3, "age-span")?,
-        })
+        let group = GroupId(self.integer(2, "bucket")?);
+        Ok(Event::Purged { group, object, age: self.number_or_0(3, "age-span")? })
     }
 }
 
@@ -164,12 +162,12 @@
     let fields = value
         .as_object()
         .ok_or_else(|| BadInput::new("usage", format!("expected an object, found {value}")))?;
-    let get = |name: &str| fields.get(name).map(|v| number(v, &format!("usage.{name}"))).transpose();
+    let value_of = |name: &str| fields.get(name).map(|v| number(v, &format!("usage.{name}"))).transpose();
     Ok(LoadReport {
-        in_flight: get("rif")?,
-        cpu_utilization: get("busy")?,
-        hit_ratio: get("x0")?,
-        fill_load: get("x1")?,
+        in_flight: value_of("rif")?,
+        cpu_utilization: value_of("busy")?,
+        hit_ratio: value_of("x0")?,
+        fill_load: value_of("x1")?,
     })
 }
 
@@ -198,7 +196,7 @@
 ///
 /// # Errors
 /// [`BadInput`] with the field at fault.
-pub fn event(message: &Message<'_>, names: &Names) -> Result<Option<Event>, BadInput> {
+pub fn decode_event(message: &Message<'_>, names: &Names) -> Result<Option<Event>, BadInput> {
     Ok(Some(match message.name {
         "TARGETS" => message.endpoints(names)?,
         "QUERY" => Event::Request(message.request(names)?),
--- a/crates/adapter/src/encode.rs
+++ b/crates/adapter/src/encode.rs
@@ -1,17 +1,17 @@
-//! Actions to messages of the protocol.
+//! Encodes actions as messages of the simulator's protocol.
 
 use basaltgw::api::{Action, AttemptSpec, Rank};
 use serde_json::{json, Value};
 
-/// Flags of an attempt.
-const JOIN_FILL: u64 = 1;
-const CACHED_ONLY: u64 = 2;
-const REVALIDATE: u64 = 8;
+/// Flags of an attempt, summed up in its message.
+const JOIN_FILL_FLAG: u64 = 1;
+const CACHED_ONLY_FLAG: u64 = 2;
+const REVALIDATE_FLAG: u64 = 8;
 /// The age limit that stands for the class's freshness lifetime.
 const DEFAULT_MAX_AGE: f64 = 0.0;
 
-/// The message for an action of an instance.
-pub fn action(instance: u64, action: Action) -> Value {
+/// The message for an action of a router, by the router's instance number.
+pub fn encode_action(instance: u64, action: Action) -> Value {
     match action {
         Action::StartAttempt(spec) => start_attempt(instance, &spec),
         Action::CancelAttempt { request, attempt } => {
@@ -26,10 +26,10 @@
 }
 
 fn start_attempt(instance: u64, spec: &AttemptSpec) -> Value {
-    let flag = |set: bool, bit: u64| if set { bit } else { 0 };
-    let flags = flag(spec.join_fill, JOIN_FILL)
-        + flag(spec.cached_only, CACHED_ONLY)
-        + flag(spec.revalidate, REVALIDATE);
+    let flag = |is_set: bool, flag: u64| if is_set { flag } else { 0 };
+    let flags = flag(spec.join_fill, JOIN_FILL_FLAG)
+        + flag(spec.cached_only, CACHED_ONLY_FLAG)
+        + flag(spec.revalidate, REVALIDATE_FLAG);
     let max_age = spec.max_age.unwrap_or(DEFAULT_MAX_AGE);
     json!([
         "DELIVER_VIA",
@@ -38,13 +38,13 @@
         *spec.server.0,
         spec.timeout,
         *spec.fill_source.0,
-        rank(spec.rank),
+        rank_code(spec.rank),
         max_age,
         flags
     ])
 }
 
-fn rank(rank: Rank) -> u64 {
+fn rank_code(rank: Rank) -> u64 {
     match rank {
         Rank::None => 0,
         Rank::Low => 1,
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -6,15 +6,15 @@
 mod encode;
 
 pub use basaltgw_config::{settings, BadInput, Names};
-pub use decode::{event, Message};
-pub use encode::action;
+pub use decode::{decode_event, Message};
+pub use encode::encode_action;
 
 use basaltgw::{api::Action, routing::Router};
 use basaltgw_config::value::number;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// A router and the names of its zones, classes and roles in the protocol.
+/// A router, and the names of its zones, classes and roles in the protocol.
 struct Instance {
     names: Names,
     router: Router,
@@ -22,22 +22,22 @@
 
 /// All routers of this process, by instance number; they share nothing.
 #[derive(Default)]
-pub struct Host {
+pub struct RouterHost {
     instances: BTreeMap<u64, Instance>,
 }
 
-impl Host {
+impl RouterHost {
     /// Handles one line of input, a batch of events at one time, and returns the line of output with the
     /// resulting actions.
     ///
     /// # Errors
     /// [`BadInput`] with the field at fault. Events before it have been handled.
-    pub fn batch(&mut self, line: &str) -> Result<String, BadInput> {
+    pub fn handle_batch(&mut self, line: &str) -> Result<String, BadInput> {
         let batch: Value =
             serde_json::from_str(line).map_err(|e| BadInput::new("batch", format!("not JSON: {e}")))?;
         let now = number(&batch["now"], "now")?;
-        let events =
-            batch["events"].as_array().ok_or_else(|| BadInput::new("events", "expected an array"))?;
+        let expected = || BadInput::new("events", format!("expected an array, found {}", batch["events"]));
+        let events = batch["events"].as_array().ok_or_else(expected)?;
         let mut decisions = Vec::new();
         for (index, value) in events.iter().enumerate() {
             self.handle(now, value, &mut decisions).map_err(|e| e.within(&format!("events[{index}]")))?;
@@ -63,10 +63,10 @@
                 let Some(instance) = self.instances.get_mut(&number) else {
                     return Err(BadInput::new("i", format!("instance {number} was never begun")));
                 };
-                if let Some(event) = event(&message, &instance.names)? {
+                if let Some(event) = decode_event(&message, &instance.names)? {
                     let mut actions: Vec<Action> = Vec::new();
                     instance.router.handle(now, event, &mut actions);
-                    decisions.extend(actions.into_iter().map(|a| action(number, a)));
+                    decisions.extend(actions.into_iter().map(|action| encode_action(number, action)));
                 }
             }
         }
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,7 +1,7 @@
 //! The interface of the decision module: settings, events, actions and ids.
 //!
-//! It is independent of any protocol and decides nothing. Times are in milliseconds; the clock is what the
-//! caller passes to [`Router::handle`](crate::routing::Router::handle) and never moves backward.
+//! The interface is independent of any protocol and decides nothing. Times are in milliseconds; the clock is
+//! what the caller passes to [`Router::handle`](crate::routing::Router::handle) and never moves backward.
 
 mod settings;
 
@@ -52,49 +52,50 @@
 /// The state of a server by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// The server takes requests.
     Up,
-    /// It completes its requests and takes no new ones.
+    /// The server completes its requests and takes no new ones.
     Draining,
-    /// It has been removed.
+    /// The server has left the list.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its id.
+    /// Unique among the servers of all roles.
     pub id: ServerId,
-    /// Its zone.
+    /// Edge caches are used by the routers of this zone only, parents and the origin by all routers.
     pub zone: ZoneId,
-    /// Its role.
+    /// Edge cache, parent or origin.
     pub role: Role,
-    /// Its cell, within which repeated idempotency keys may be recognised. No decision depends on it at present.
+    /// The cell, within which repeated idempotency keys may be recognised. No decision depends on it at
+    /// present.
     pub cell: u64,
-    /// Its state.
+    /// Whether the server takes new requests.
     pub state: EndpointState,
-    /// Its capacity relative to others.
+    /// Capacity relative to other servers; a weight that is not above 0 counts as 1.
     pub weight: f64,
-    /// When its process last started; `None` if long ago.
+    /// When the server's process last started; `None` if long ago.
     pub started: Option<Ms>,
 }
 
 /// A request from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id, used once.
+    /// Used once; a second request with the id of a pending one is ignored.
     pub id: RequestId,
-    /// Its class; `None` if the settings have none for it.
+    /// The request class; `None` if the settings have none for the request, which is then rejected.
     pub class: Option<ClassId>,
     /// The requested object.
     pub object: ObjectId,
-    /// The requested part of it.
+    /// The requested part of the object.
     pub part: Part,
-    /// The object's group.
+    /// The group with which the object may be purged.
     pub group: GroupId,
     /// The part's size in KB; 0 if unknown.
     pub size_kb: f64,
-    /// Whether it changes something at the origin.
+    /// Whether the request changes something at the origin, where it is executed.
     pub write: bool,
     /// How long the client still waits, in milliseconds.
     pub budget: Ms,
@@ -183,13 +184,13 @@
 /// The outcome of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The number of the attempt.
+    /// The number of the attempt within the request.
     pub attempt: AttemptNo,
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// The result.
+    /// How the attempt ended.
     pub result: AttemptResult,
     /// How long the attempt took, in milliseconds.
     pub latency: Ms,
@@ -208,22 +209,23 @@
 /// How an endpoint list relates to the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// It has only the changed entries.
+    /// The list has only the changed entries.
     Delta,
-    /// It is complete; servers that it lacks are removed.
+    /// The list is complete; servers that it lacks are removed.
     Complete,
-    /// Polling the list failed; the previous one remains valid.
+    /// Polling the list failed; the previous list remains valid.
     Failed,
 }
 
 /// A source that a cache may be filled from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceShare {
-    /// Its id.
+    /// The server that the cache is filled from.
     pub id: ServerId,
-    /// Its capacity relative to the cache's other sources.
+    /// Capacity relative to the cache's other sources.
     pub weight: f64,
-    /// The share of its objects for which it may be used now, 0 to 1 (see [`crate::hash::within_share`]).
+    /// Share of the source's objects for which it may be used now, 0 to 1 (see
+    /// [`crate::hash::within_share`]).
     pub share: f64,
 }
 
@@ -246,7 +248,7 @@
         /// The listed servers; empty if polling failed.
         entries: Vec<Endpoint>,
     },
-    /// A request has arrived; it gets exactly one final answer.
+    /// A request has arrived; the router gives it exactly one final answer.
     Request(Request),
     /// A streamed response has started: the request is bound to this attempt.
     ResponseStarted {
@@ -302,17 +304,18 @@
 /// An attempt to be started.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptSpec {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The server to send it to.
+    /// The server to send the attempt to.
     pub server: ServerId,
     /// Timeout of the attempt, in milliseconds.
     pub timeout: Ms,
-    /// The time before which its first byte must be written, or none may be; infinite without a limit.
+    /// The time before which the attempt's first byte must be written, or none may be; infinite without a
+    /// limit.
     pub start_before: Ms,
     /// The source of a miss; the server itself if a miss is not to be filled.
     pub fill_source: ServerId,
-    /// The rank of the cached copy.
+    /// The rank at which the copy is cached.
     pub rank: Rank,
     /// Greatest accepted age of a copy in milliseconds; `None` for the class's freshness lifetime.
     pub max_age: Option<Ms>,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -5,11 +5,11 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be executed any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
     /// Servers of a group recognise repeated executions by a key for some time.
     IdempotencyKey,
-    /// It must not be executed twice.
+    /// The request must not be executed twice.
     NonIdempotent,
 }
 
@@ -24,10 +24,10 @@
     Cell,
 }
 
-/// A request class.
+/// A request class. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name in the settings; identifies the class in snapshots.
     pub name: String,
     /// A response within this time, plus the stretch times its sending time, has the full priority weight.
     pub latency_objective: Ms,
@@ -35,52 +35,53 @@
     pub latency_objective_stretch: f64,
     /// How long a client waits for a response, over all of its retries.
     pub deadline: Ms,
-    /// Whether its requests may be executed more than once.
+    /// Whether requests of the class may be executed more than once.
     pub idempotency: Idempotency,
     /// The servers that recognise an idempotency key.
     pub key_scope: KeyScope,
-    /// How long they recognise it, from the first attempt that may have been executed.
+    /// How long servers recognise an idempotency key, from the first attempt that may have been executed.
     pub key_window: Ms,
     /// The priority weight of a response.
     pub priority_weight: f64,
-    /// The share of it that a late response has.
+    /// Share of the priority weight that a late response has, 0 to 1.
     pub late_weight_share: f64,
     /// Freshness lifetime of a copy; 0 for no limit.
     pub fresh_for: Ms,
-    /// How long after that a stale copy may be served. Without a freshness lifetime, the age limit of lookups.
+    /// How long after its freshness lifetime a stale copy may be served. Without a freshness lifetime, the
+    /// age limit of lookups.
     pub stale_for: Ms,
-    /// Whether its requests are executed at the origin and their responses never cached.
+    /// Whether requests of the class are executed at the origin and their responses never cached.
     pub uncacheable: bool,
 }
 
-/// The slow-start policy for servers of a role.
+/// The slow-start policy for servers of a role. Durations are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartPolicy {
     /// Share of its capacity that a server has when it starts, 0 to 1.
     pub initial_share: f64,
-    /// Time until it is warm.
+    /// Time from a server's start until it is warm.
     pub ramp_duration: Ms,
-    /// Multiple of its present capacity that overloads it.
+    /// Multiple of a server's present capacity that overloads it.
     pub overload_factor: f64,
-    /// Time over which the cost that arrives is compared with that multiple.
+    /// Time over which the cost that arrives at a server is compared with the overload multiple.
     pub overload_window: Ms,
 }
 
 /// Which other edge caches may be the source of a fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerFill {
-    /// None.
+    /// No other edge cache.
     None,
-    /// Those of the same zone.
+    /// The edge caches of the same zone.
     Zone,
-    /// Any.
+    /// All edge caches.
     Any,
 }
 
 /// The settings of a router. Durations are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The zone of this router.
+    /// The zone whose edge caches this router uses.
     pub zone: ZoneId,
     /// Number of routers in this router's zone.
     pub zone_routers: usize,
--- a/src/averages.rs
+++ b/src/averages.rs
@@ -20,13 +20,13 @@
         Self { sum: 0.0, updated: now, started: now, time_constant }
     }
 
-    /// Adds a weight at a time.
+    /// Adds a weight at the time `now`.
     pub fn add(&mut self, now: f64, weight: f64) {
         self.sum = self.sum * (-(now - self.updated) / self.time_constant).exp() + weight;
         self.updated = now;
     }
 
-    /// Weight per millisecond.
+    /// The rate at the time `now`, as weight per millisecond.
     pub fn rate(&self, now: f64) -> f64 {
         let sum = self.sum * (-(now - self.updated) / self.time_constant).exp();
         let observed = self.time_constant * (1.0 - (-(now - self.started) / self.time_constant).exp());
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,8 +1,8 @@
 //! The start and the end of an attempt: the contents of its message, and the use of its outcome.
 //!
-//! Inputs: the route of `selection`, and outcomes with latencies in milliseconds. Every outcome is first
-//! evaluated by the modules that learn from it; then the request is complete, continues, or gets its next
-//! attempt.
+//! Inputs: the route of `selection`, and outcomes with latencies in milliseconds. Every outcome first updates
+//! statistics, limits, penalties and health; then its request is complete, waits for another attempt in
+//! flight, or gets its next attempt.
 
 use super::request::{Attempt, LookupResult, RequestIndex, Route};
 use super::{retry, Router};
--- a/src/routing/concurrency_limit.rs
+++ b/src/routing/concurrency_limit.rs
@@ -17,7 +17,7 @@
 const RATIO_SAMPLE_WEIGHT: f64 = 0.1;
 /// Factor by which congestion decreases a limit.
 pub(super) const CONGESTION_FACTOR: f64 = 0.9;
-/// Factor where requests timed out, so that work for them was wasted.
+/// Factor by which a timeout decreases a limit: work for the request was wasted.
 pub(super) const TIMEOUT_FACTOR: f64 = 0.5;
 /// Least time between two decreases.
 const DECREASE_INTERVAL_MS: Ms = 150.0;
@@ -27,7 +27,7 @@
 const MIN_IN_FLIGHT_FOR_CONGESTION: f64 = 6.0;
 /// Time constant of the mean number in flight.
 const IN_FLIGHT_WINDOW_MS: Ms = 1000.0;
-/// Responses between two decreases where few requests are in flight.
+/// Least number of responses between two decreases where few requests are in flight.
 const MIN_RESPONSES: u32 = 3;
 /// Time within which the mean latency ratio follows even a few responses.
 const SPARSE_WINDOW_MS: Ms = 1500.0;
@@ -41,7 +41,7 @@
 /// A limit changes only while at least this share of it is used.
 const MIN_UTILIZATION: f64 = 0.7;
 /// A class whose mean sending time is below this share of the longest class's may exceed limits by a factor:
-/// its requests earn more for the same capacity.
+/// its responses have more priority weight for the same capacity.
 const SHORT_CLASS_SHARE: f64 = 0.5;
 const SHORT_CLASS_HEADROOM: f64 = 1.5;
 
@@ -56,12 +56,12 @@
     sample_rate: DecayingRate,
     /// Mean number in flight: the sum of their durations over the time.
     mean_in_flight: DecayingRate,
-    /// Routers that send to the same place.
+    /// Number of routers that share the cache, the source or the link.
     senders: f64,
 }
 
 impl ConcurrencyLimit {
-    /// No limit yet, for a place to which a number of routers send.
+    /// A limit that is infinite until the first congestion, on what `senders` routers share.
     pub fn new(now: Ms, senders: usize) -> Self {
         Self {
             limit: f64::INFINITY,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Number of routers that send to the same place.
+    /// Number of routers that share the cache, the source or the link.
     pub fn senders(&self) -> f64 {
         self.senders
     }
@@ -129,8 +129,8 @@
     }
 
     /// Sets the limit to `factor` times the smaller of itself and the requests in flight, but not below the
-    /// least limit; at most once in each interval, and only if the limit is used and the routers that send
-    /// there can be the cause.
+    /// least limit; at most once in each interval, and only if the limit is used and the routers' requests
+    /// can be the cause of the congestion.
     pub fn decrease(&mut self, now: Ms, in_flight: f64, factor: f64) {
         self.responses_since_decrease += 1;
         let mean = self.mean_in_flight.rate(now);
@@ -188,8 +188,8 @@
         self.requests.in_flight().map(|attempt| attempt.fill_probability).sum()
     }
 
-    /// Expected number of fills in progress from a source; from the origin also those that parents ask it
-    /// for.
+    /// Expected number of fills in progress from a source; from the origin also those that reach it through
+    /// parents.
     pub(super) fn expected_fills_from(&self, source: ServerIndex) -> f64 {
         let is_origin = self.endpoints[source].entry.role == Role::Origin;
         let origin_share =
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -38,11 +38,11 @@
     pub warmup: Warmup,
     pub limit: ConcurrencyLimit,
     pub penalty: WeightPenalty,
-    /// Attempts in flight that name it as their server or as their fill source.
+    /// Attempts in flight that name this server as their server or as their fill source.
     pub in_flight: usize,
     /// Sending time, in milliseconds, of the attempts in flight that were sent to the server itself.
     pub in_flight_cost: Ms,
-    /// Recent sends; a parent's include fills.
+    /// Recent sends; those to a parent include fills.
     pub ledger: SendLedger,
 }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Its weight relative to others: the listed one with the penalty applied.
+    /// The listed weight with the penalty applied, relative to other servers.
     pub fn weight(&self) -> f64 {
         self.entry.weight * self.penalty.applied_log().exp()
     }
@@ -74,12 +74,12 @@
             self.outlier = OutlierState::new(now);
             self.penalty.reset();
         }
-        // A list that is late or has no start does not make the process an older one.
+        // A list that is late or has no start does not replace a later start that is known.
         let started = entry.started.into_iter().chain(self.entry.started).reduce(f64::max);
         self.entry = Endpoint { started, ..entry };
     }
 
-    /// Whether its index can be reused for another server.
+    /// Whether the server's index can be reused for another server.
     fn is_reusable(&self) -> bool {
         self.entry.state == EndpointState::Removed && self.ledger.is_empty()
     }
@@ -143,12 +143,12 @@
     ) -> &mut Server {
         let servers = &mut self.servers;
         let index = servers.get_index_of(id).unwrap_or_else(|| {
-            let reusable = |at: &usize| servers[*at].is_reusable() && !in_use(ServerIndex(*at));
-            let reusable = (0..servers.len()).find(reusable);
-            match reusable.filter(|at| servers.replace_index(*at, id.clone()).is_ok()) {
-                Some(at) => {
-                    servers[at] = new();
-                    at
+            let is_free = |index: &usize| servers[*index].is_reusable() && !in_use(ServerIndex(*index));
+            let free = (0..servers.len()).find(is_free);
+            match free.filter(|index| servers.replace_index(*index, id.clone()).is_ok()) {
+                Some(index) => {
+                    servers[index] = new();
+                    index
                 }
                 None => servers.insert_full(id.clone(), new()).0,
             }
@@ -203,21 +203,21 @@
             let is_up =
                 |s: &Server| s.entry.role == role && s.entry.state == EndpointState::Up && in_scope(s);
             let up = self.servers.values().enumerate().filter(|(_, server)| is_up(server));
-            self.up[role] = up.map(|(at, _)| ServerIndex(at)).collect();
+            self.up[role] = up.map(|(index, _)| ServerIndex(index)).collect();
             self.reorder(role);
         }
     }
 
     /// Applies the weight penalties of a role's servers and recomputes their order.
     pub fn reorder(&mut self, role: Role) {
-        for ServerIndex(at) in &self.up[role] {
-            self.servers[*at].penalty.apply();
+        for ServerIndex(index) in &self.up[role] {
+            self.servers[*index].penalty.apply();
         }
         let weighted = self.up[role].iter().map(|server| (*server, self[*server].weight()));
         self.order[role] = ServerOrder::new(weighted, self);
     }
 
-    /// Counts an attempt as in flight at the servers of its route. An ejected server is probed by it.
+    /// Counts an attempt as in flight at the servers of its route. At an ejected server it is a probe.
     pub fn begin_attempt(&mut self, route: &Route, cost: Ms, now: Ms) {
         let server = &mut self[route.server];
         if server.in_flight == 0 {
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Moves listed process starts into the past, in milliseconds. A start that was inferred was seen by this
+    /// Moves listed process starts into the past, in milliseconds. An inferred start is a time of this
     /// router's own clock and is not moved.
     fn shift_listed_starts(&mut self, by: Ms) {
         for server in self.servers.values_mut() {
@@ -295,7 +295,7 @@
     /// Adds a server or replaces its entry.
     fn update_endpoint(&mut self, mut entry: Endpoint) {
         let Self { endpoints, requests, settings, now, .. } = self;
-        // Weights that follow the load would move every object's home with each list.
+        // Weights that follow the servers' load would move every object's home with each list.
         let is_stable = !settings.dynamic_weights && entry.weight > 0.0;
         entry.weight = if is_stable { entry.weight } else { DEFAULT_WEIGHT };
         let senders = if entry.role == Role::Edge { settings.zone_routers } else { settings.routers };
--- a/src/routing/endpoints/tests.rs
+++ b/src/routing/endpoints/tests.rs
@@ -29,7 +29,7 @@
     }
     assert_eq!(endpoints.servers.len(), 3);
     assert_eq!(list(&mut endpoints, "listed", EndpointState::Up, Some(in_use)), listed);
-    // Once nothing refers to it any more, its index is free as well.
+    // Once no attempt refers to the removed server `in-use`, its index is free as well.
     list(&mut endpoints, "new", EndpointState::Up, None);
     assert_eq!(list(&mut endpoints, "newer", EndpointState::Up, None).0.max(2), 2);
 }
--- a/src/routing/feedback.rs
+++ b/src/routing/feedback.rs
@@ -14,10 +14,10 @@
 
 /// Mean latency ratio above which a cache counts as congested.
 const CACHE_RATIO_THRESHOLD: f64 = 3.0;
-/// The same for the link; the least stretch of a class's latency objective if that is lower, since slower
-/// responses are late.
+/// Mean latency ratio above which the link counts as congested. A class with a lower stretch of its latency
+/// objective lowers the threshold to that, since slower responses are late.
 const LINK_RATIO_THRESHOLD: f64 = 2.0;
-/// Share of its class's latency objective that a hit takes at an idle cache.
+/// Share of its class's latency objective that a hit is assumed to take at an idle cache.
 const HIT_OBJECTIVE_SHARE: f64 = 0.5;
 
 impl Router {
@@ -49,7 +49,7 @@
                 AttemptResult::Served,
                 FillReport::Hit | FillReport::FilledBySource | FillReport::FilledByOrigin,
             ) => self.record_fill_latency(attempt, outcome),
-            // A timeout of an attempt that needs a fill for certain is the link's.
+            // A timeout of an attempt that certainly needs a fill counts against the link.
             (AttemptResult::TimedOut, _) if attempt.fill_probability >= 1.0 => {
                 let fills = self.expected_link_fills();
                 self.zone_link.decrease(self.now, fills, CONGESTION_FACTOR);
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Whether a fill timed out at a source that has responded to others since, so that the origin delayed
-    /// it.
+    /// Whether a fill timed out at a source that has responded to other attempts since, so that the origin
+    /// delayed the fill.
     fn delayed_by_origin(&self, source: ServerIndex, outcome: &Outcome) -> bool {
         outcome.fill_report == FillReport::SourceFailed
             && self.endpoints[source].outlier.silent_since > self.now - outcome.latency
@@ -127,8 +127,8 @@
     /// Updates a cache's limit by the latency of a hit.
     fn record_hit_latency(&mut self, attempt: &FinishedAttempt, in_flight: f64, outcome: &Outcome) {
         let ratio_log = self.latency_ratio_log(attempt.request, outcome.latency - outcome.source_wait);
-        // A router that starts under overload has seen no response of an idle cache; there the objective
-        // shows it.
+        // The sending time of an object is its shortest one, which is too long if the router started under
+        // overload. The latency objective shows the overload in that case.
         let hit_latency_log = &mut self.statistics.class_mut(attempt.class).hit_latency_log;
         hit_latency_log.add(outcome.latency.max(1.0).ln(), SAMPLE_WEIGHT);
         let objective = HIT_OBJECTIVE_SHARE * self.settings.classes[attempt.class.0].latency_objective;
@@ -144,19 +144,20 @@
     /// Updates the link's limit by the latency of a fill.
     fn record_fill_latency(&mut self, attempt: &FinishedAttempt, outcome: &Outcome) {
         let ratio_log = self.latency_ratio_log(attempt.request, outcome.latency - outcome.source_wait);
-        // By how much the cache's hits are slower than its zone's median cache is not the link's.
+        // Where the cache's hits are slower than those of its zone's median cache, the cache is the cause of
+        // the difference and not the link.
         let cache_ratio_log = self.endpoints[attempt.route.server].limit.mean_latency_ratio_log();
         let cache_excess = cache_ratio_log
             .zip(self.median_hit_ratio_log())
-            .map_or(0.0, |(own, median)| (own - median).max(0.0));
-        let stretched =
-            self.settings.classes.iter().filter(|c| !c.uncacheable && c.latency_objective_stretch > 1.0);
-        let threshold = stretched.map(|c| c.latency_objective_stretch).fold(LINK_RATIO_THRESHOLD, f64::min);
+            .map_or(0.0, |(cache, median)| (cache - median).max(0.0));
+        let cacheable = self.settings.classes.iter().filter(|class| !class.uncacheable);
+        let stretches = cacheable.map(|class| class.latency_objective_stretch);
+        let threshold = stretches.filter(|stretch| *stretch > 1.0).fold(LINK_RATIO_THRESHOLD, f64::min);
         let fills = self.expected_link_fills();
         self.zone_link.record_latency(self.now, ratio_log - cache_excess, threshold, fills);
     }
 
-    /// The median of the zone's caches' mean latency ratios of hits.
+    /// The median of the mean latency ratios of hits, as a logarithm, over the zone's caches.
     fn median_hit_ratio_log(&self) -> Option<f64> {
         let caches = self.endpoints.up(Role::Edge).iter();
         let ratios =
--- a/src/routing/fill_sources.rs
+++ b/src/routing/fill_sources.rs
@@ -11,10 +11,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The planned sources of some edge caches.
+/// The sources that the plan names for an edge cache, among the servers that are up.
 pub(super) struct PlannedSources {
     order: ServerOrder,
-    /// By source: the share of its objects for which it may be named, 0 to 1.
+    /// By source: the share of its objects for which it may be used, 0 to 1.
     share: HashMap<ServerIndex, f64>,
     origin_allowed: bool,
 }
@@ -40,7 +40,7 @@
         self.origin_allowed
     }
 
-    /// Whether an object belongs to the share that a source takes.
+    /// Whether an object belongs to the planned share of a source.
     pub fn assigns(&self, object: u64, source: ServerIndex, endpoints: &Endpoints) -> bool {
         within_share(object, endpoints[source].hash, self.share[&source])
     }
@@ -53,8 +53,9 @@
     by_edge: IndexMap<ServerIndex, Rc<PlannedSources>>,
 }
 
-/// Edge caches with the same sources share the resolved ones.
+/// Resolved sources, shared by the edge caches for which the plan has the same list.
 struct SharedSources {
+    /// Address of the plan's list, which identifies it.
     list: *const Vec<SourceShare>,
     origin_allowed: bool,
     resolved: Rc<PlannedSources>,
@@ -75,8 +76,8 @@
             let id = &endpoints[*edge].entry.id;
             let Some(sources) = plan.sources.get(id) else { continue };
             let (list, origin_allowed) = (Arc::as_ptr(sources), plan.origin_allowed.contains(id));
-            let same = |s: &&SharedSources| s.list == list && s.origin_allowed == origin_allowed;
-            let resolved = match shared.iter().find(same) {
+            let is_same = |s: &&SharedSources| s.list == list && s.origin_allowed == origin_allowed;
+            let resolved = match shared.iter().find(is_same) {
                 Some(found) => Rc::clone(&found.resolved),
                 None => {
                     let resolved = Rc::new(PlannedSources::new(sources, origin_allowed, endpoints));
@@ -88,8 +89,8 @@
         }
     }
 
-    /// The planned sources of an edge cache; `None` where every parent and the origin may be named.
-    pub fn of(&self, edge: ServerIndex) -> Option<&PlannedSources> {
+    /// The planned sources of an edge cache; `None` where every parent and the origin may be the source.
+    pub fn for_edge(&self, edge: ServerIndex) -> Option<&PlannedSources> {
         self.by_edge.get(&edge).map(Rc::as_ref)
     }
 }
--- a/src/routing/freshness.rs
+++ b/src/routing/freshness.rs
@@ -76,9 +76,9 @@
     }
 
     /// The greatest age in milliseconds of a copy that answers a request by a route; `None` for the class's
-    /// freshness lifetime. A route without a source accepts stale copies: one earns less than a fresh copy
-    /// and more than a rejection. Without a freshness lifetime, the class's time for stale copies alone
-    /// limits the age of a copy.
+    /// freshness lifetime. A route without a source accepts stale copies: a stale copy is worth less than a
+    /// fresh one and more than a rejection. Without a freshness lifetime, the class's time for stale copies
+    /// alone limits the age of a copy.
     pub(super) fn max_age(&self, pending: &PendingRequest, route: &Route) -> Option<Ms> {
         let purged_at = self.purges.last_purged(pending.request.object, pending.request.group);
         let class = &self.settings.classes[pending.class.0];
--- a/src/routing/load_shedding.rs
+++ b/src/routing/load_shedding.rs
@@ -1,17 +1,17 @@
 //! When a request gets no further attempt, and whether its final answer is a rejection or a failure.
 //!
 //! Inputs: the client's remaining time and the sending time of the response, in milliseconds, the attempts
-//! made so far, and the retry policy. A rejection means that a new request is safe and when to
-//! send it, so it falls under the same rule as a retry; everything else fails. The final answer is out at
-//! least a margin before the client's time is up.
+//! made so far, and the retry policy. A rejection tells the client that a new request is safe, and when to
+//! send it, so it falls under the same rule as a retry; where that rule forbids a retry, the request fails.
+//! The final answer is out at least a margin before the client's deadline.
 
 use super::request::RequestIndex;
 use super::{Router, SWEEP_MS};
 use crate::api::*;
 
-/// Least answer margin, in milliseconds.
+/// Lower bound of the answer margin, in milliseconds.
 pub const ANSWER_MARGIN_MS: Ms = 25.0;
-/// Attempts for one request; the settings' limit applies as well.
+/// Greatest number of attempts of a request; the settings' limit applies as well.
 const MAX_ATTEMPTS: usize = 5;
 /// Retry-After of a rejection, as a share of the class's latency objective: the client's next request may
 /// still be in time.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -44,27 +44,27 @@
 use slow_start::SendKey;
 use statistics::Statistics;
 
-/// Milliseconds between two sweeps over pending requests and servers: the resolution of everything that acts
-/// by time.
+/// Milliseconds between two sweeps over pending requests and servers: the resolution of deadlines, penalties
+/// and the detection of silent servers.
 pub const SWEEP_MS: Ms = 20.0;
 /// Token of the timer that triggers sweeps.
 const SWEEP_TOKEN: u64 = 1;
 /// Log lines in the lifetime of a router, so that no fault fills the log; further lines are dropped.
 const MAX_LOG_LINES: usize = 120;
 
-/// What is done to a pending request.
-type RequestStep = fn(&mut Router, RequestIndex, &mut Vec<Action>);
+/// An operation on a pending request.
+type RequestOperation = fn(&mut Router, RequestIndex, &mut Vec<Action>);
 
 /// One router: decides for its own requests, by its own events only.
 pub struct Router {
     settings: Settings,
-    /// Sets the slow-start offsets apart from other routers'.
+    /// Sets this router's slow-start offsets apart from those of other routers.
     seed: u64,
     /// Time of the current event.
     now: Ms,
     first_event_at: Option<Ms>,
-    /// When the split is adapted next.
-    next_period: Ms,
+    /// When the split is next adapted, and purges and sends expire.
+    next_period_at: Ms,
     endpoints: Endpoints,
     fill_sources: FillSources,
     requests: PendingRequests,
@@ -80,14 +80,14 @@
 }
 
 impl Router {
-    /// A router without any observations. The seed sets its turns at warming servers apart from other
-    /// routers'.
+    /// A router without any observations. The seed sets its slow-start offsets apart from those of other
+    /// routers, so that each router needs another seed.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             seed,
             now: 0.0,
             first_event_at: None,
-            next_period: 0.0,
+            next_period_at: 0.0,
             endpoints: Endpoints::default(),
             fill_sources: FillSources::default(),
             requests: PendingRequests::default(),
@@ -142,7 +142,7 @@
 
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.first_event_at = Some(self.now);
-        self.next_period = self.now + PERIOD_MS;
+        self.next_period_at = self.now + PERIOD_MS;
         actions.push(Action::Timer { delay: SWEEP_MS, token: SWEEP_TOKEN });
         if self.settings.must_watch_endpoints {
             actions.push(Action::WatchEndpoints);
@@ -168,8 +168,8 @@
     /// Runs every `SWEEP_MS`: answers expired requests, decays penalties, ejects silent servers; and every
     /// `PERIOD_MS` adapts the split and expires purges and sends.
     fn sweep(&mut self, actions: &mut Vec<Action>) {
-        if self.now >= self.next_period {
-            self.next_period = self.now + PERIOD_MS;
+        if self.now >= self.next_period_at {
+            self.next_period_at = self.now + PERIOD_MS;
             self.reuse.adapt();
             self.expire_state();
         }
@@ -181,7 +181,7 @@
         self.eject_silent_servers(actions);
     }
 
-    /// Removes purges and sends that are too old to matter.
+    /// Removes purges and sends that no longer affect a decision.
     fn expire_state(&mut self) {
         self.purges.expire(self.now - self.purge_lifetime());
         let longest_warmup =
@@ -190,11 +190,16 @@
         self.endpoints.iter_mut().for_each(|server| server.ledger.expire(before));
     }
 
-    /// Does a step for each of some requests that are still pending.
-    fn for_each_request(&mut self, ids: Vec<RequestId>, actions: &mut Vec<Action>, step: RequestStep) {
+    /// Applies an operation to those of the given requests that are still pending.
+    fn for_each_request(
+        &mut self,
+        ids: Vec<RequestId>,
+        actions: &mut Vec<Action>,
+        operation: RequestOperation,
+    ) {
         for id in ids {
             if let Some(index) = self.requests.index_of(&id) {
-                step(self, index, actions);
+                operation(self, index, actions);
             }
         }
     }
--- a/src/routing/outlier_ejection.rs
+++ b/src/routing/outlier_ejection.rs
@@ -14,15 +14,18 @@
 
 /// Weight of a served request in a server's share of refused connections.
 const SERVED_SAMPLE_WEIGHT: f64 = 0.05;
-/// Weight of a refused connection in it. It is higher because it concerns the whole process.
+/// Weight of a refused connection in a server's share of refused connections. It is higher, because a refusal
+/// concerns the whole process.
 const REFUSED_SAMPLE_WEIGHT: f64 = 0.3;
 /// A server with a larger share of refused connections is ejected.
 const MAX_REFUSED_SHARE: f64 = 0.45;
-/// An attempt is overdue after its class's mean delay, its sending time and this many mean deviations.
+/// An attempt is overdue after the mean delay of its class, its response's sending time and this many mean
+/// deviations of the delay.
 const OVERDUE_DEVIATIONS: f64 = 5.0;
-/// Responses of a class before its delays are used in place of its deadline.
+/// Number of responses of a class from which on its mean delay, and not its deadline, makes attempts overdue.
 const MIN_DELAY_SAMPLES: u32 = 20;
-/// Evidence of silence in an overdue attempt at a cache, where 1 is enough. One lost response is no silence.
+/// Evidence of silence by one overdue attempt at a cache; at 1 the cache counts as silent, so that one lost
+/// response is not enough.
 const OVERDUE_EVIDENCE: f64 = 0.34;
 /// Least time without a response before a server counts as silent, so that short pauses pass.
 const MIN_SILENCE_MS: Ms = 350.0;
@@ -32,7 +35,7 @@
 /// Time until an ejected server's first probe, doubled with each failed probe up to the limit.
 const BASE_EJECTION_MS: Ms = 1000.0;
 const MAX_EJECTION_MS: Ms = 8000.0;
-/// Doublings are counted up to here, so that the multiple does not overflow.
+/// Greatest number of doublings that is counted, so that the multiple does not overflow.
 const MAX_DOUBLINGS: u32 = 16;
 /// Served probes, minus failed ones, that end an ejection.
 const PROBE_SUCCESSES: u32 = 3;
@@ -41,11 +44,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Health {
     Healthy,
-    /// Not before a time.
+    /// No attempt is sent before a time.
     Ejected {
         until: Ms,
     },
-    /// One attempt at a time.
+    /// One attempt is sent at a time.
     Probing {
         /// Served probes, minus failed ones.
         successes: u32,
@@ -64,15 +67,15 @@
 pub(super) struct OutlierState {
     pub health: Health,
     consecutive_ejections: u32,
-    /// Whether it was unreachable or silent when it was ejected, so that it may recover with an empty
-    /// cache.
+    /// Whether the server was unreachable or silent when it was ejected, so that it may recover with an
+    /// empty cache.
     unreachable: bool,
     /// Decayed share of refused connections.
     refused_share: f64,
-    /// When its present silence began: its last response, or, if nothing was in flight, the next attempt sent
-    /// to it directly. A fill from it as a source does not set this.
+    /// When the server's present silence began: at its last response, or, if nothing was in flight, at the
+    /// next attempt sent to it directly. A fill for which the server is only the source does not set this.
     pub silent_since: Ms,
-    /// Evidence of silence since then; at 1 it is silent.
+    /// Evidence of silence since `silent_since`; at 1 the server counts as silent.
     silence_evidence: f64,
 }
 
@@ -98,7 +101,7 @@
         }
     }
 
-    /// An attempt is sent: to an ejected server it is the first probe.
+    /// Records that an attempt is sent; one to an ejected server is its first probe.
     pub fn begin_probe(&mut self) {
         if let Health::Ejected { .. } = self.health {
             self.health = Health::Probing { successes: 0 };
@@ -145,6 +148,7 @@
 /// The server that an overdue attempt waits for.
 struct Silence {
     server: ServerIndex,
+    /// How much the attempt adds to the server's evidence of silence, 0 to 1.
     evidence: f64,
 }
 
@@ -179,8 +183,8 @@
                 }
             }
             (FillReport::SourceMiss | FillReport::FillLimitReached | FillReport::OriginFailed, _) => {}
-            // Only a probe fails by it: the request continues elsewhere, and a cache that fails some requests
-            // still serves the others.
+            // An error or a lost connection fails only a probe: the request continues elsewhere, and a cache
+            // that fails some requests still serves the others.
             (_, Error | ConnectionLost) => self.apply_signal(server, HealthSignal::Failed, actions),
             (_, NoConnection) => self.apply_signal(server, HealthSignal::ConnectionRefused, actions),
             (
@@ -203,7 +207,7 @@
             let silence = now - server.outlier.silent_since;
             let many_in_flight = server.in_flight >= RESTART_MIN_IN_FLIGHT;
             if silence > RESTART_SILENCE_MS && many_in_flight && server.entry.role == Role::Edge {
-                // It may have restarted with an empty cache before the list shows it.
+                // The cache may have restarted empty before the list shows the restart.
                 server.warmup.infer_restart(now);
             }
             server.outlier.record_response(now);
@@ -266,7 +270,8 @@
         self.log(actions, text);
     }
 
-    /// The time in milliseconds after which an attempt of a request is overdue.
+    /// The time in milliseconds after which an attempt of a request is overdue. The class's deadline stands
+    /// for a mean delay that is not known yet.
     fn overdue_after(&self, pending: &PendingRequest) -> Ms {
         let class = self.statistics.class(pending.class);
         let mean = class.delay.get_after(MIN_DELAY_SAMPLES);
@@ -326,16 +331,16 @@
     fn may_eject_as_silent(&self, index: ServerIndex) -> bool {
         let server = &self.endpoints[index];
         let role = server.entry.role;
-        let replaces =
+        let is_replacement =
             |other: &ServerIndex| *other != index && self.endpoints[*other].outlier.health == Health::Healthy;
-        let is_last = role != Role::Edge && !self.endpoints.up(role).iter().any(replaces);
+        let is_last = role != Role::Edge && !self.endpoints.up(role).iter().any(is_replacement);
         let outlier = &server.outlier;
-        let proven = match outlier.health {
+        let is_silent = match outlier.health {
             Health::Healthy => outlier.silence_evidence >= 1.0,
             Health::Probing { .. } => true,
             Health::Ejected { .. } => false,
         };
-        proven && !is_last && self.now - outlier.silent_since >= MIN_SILENCE_MS
+        is_silent && !is_last && self.now - outlier.silent_since >= MIN_SILENCE_MS
     }
 
     /// Cancels the attempts that wait for a server; their requests' next attempts exclude it. Requests that
--- a/src/routing/ranking.rs
+++ b/src/routing/ranking.rs
@@ -28,10 +28,10 @@
 pub fn best_split(split: usize, step: usize, mr1: &[f64], mr2: &[f64], l1: f64, l2: f64) -> usize {
     let entries = mr1.len() - 1;
     let cost = |s: usize| mr1[s] * l1 + mr2[entries - s] * l2;
-    let in_reach = split.saturating_sub(step)..=(split + step).min(entries);
-    let better =
+    let reachable = split.saturating_sub(step)..=(split + step).min(entries);
+    let by_cost_then_distance =
         |a: &usize, b: &usize| cost(*a).total_cmp(&cost(*b)).then(a.abs_diff(split).cmp(&b.abs_diff(split)));
-    in_reach.min_by(better).unwrap_or(split)
+    reachable.min_by(by_cost_then_distance).unwrap_or(split)
 }
 
 /// The shadow lists, and the split between the ranks.
@@ -97,7 +97,7 @@
 }
 
 impl Router {
-    /// s1, the reuse distances that earn the top rank, in entries of the shadow list.
+    /// s1: a reuse distance below it, in entries of the shadow list, gets the top rank.
     pub fn split(&self) -> usize {
         self.reuse.split
     }
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -36,23 +36,24 @@
 pub(super) struct Attempt {
     pub route: Route,
     pub sent_at: Ms,
-    /// Mean sending time of its class, in milliseconds, as added to the server's `in_flight_cost`.
+    /// Mean sending time of the request's class, in milliseconds, as added to the server's `in_flight_cost`.
     pub cost: Ms,
-    /// Identifies the send in the ledgers of its servers.
+    /// Identifies the send in the ledgers of the server and the source.
     pub send_key: SendKey,
-    /// Probability, 0 to 1, that it needs a fill over the zone's link.
+    /// Probability, 0 to 1, that the attempt needs a fill over the zone's link.
     pub fill_probability: f64,
-    /// The server that the request's further attempts exclude: this one's cache or its source.
+    /// The server that the request's further attempts exclude: the cache or the source of this attempt.
     pub excluded: Option<ServerIndex>,
-    /// How often it was found overdue.
+    /// How often the attempt was found overdue.
     pub times_overdue: u32,
-    /// Its latency ratio, as a logarithm, when it was last reported as slow.
+    /// The latency ratio, as a logarithm, at which the attempt was last reported as slow.
     pub reported_ratio_log: f64,
     pub finished: bool,
 }
 
 impl Attempt {
-    /// An attempt that was just sent. Its server is excluded unless the outcome clears it.
+    /// An attempt that was just sent. Its server is excluded from further attempts unless the outcome shows
+    /// that the server is not at fault.
     pub fn new(route: Route, sent_at: Ms, cost: Ms, send_key: SendKey, fill_probability: f64) -> Self {
         Self {
             route,
@@ -91,7 +92,7 @@
     }
 }
 
-/// An attempt whose outcome has arrived, with what its evaluation needs.
+/// An attempt whose outcome has arrived, as the modules that evaluate the outcome need it.
 #[derive(Clone, Copy)]
 pub(super) struct FinishedAttempt {
     pub request: RequestIndex,
@@ -109,7 +110,7 @@
     Unknown,
     /// The edge cache lacks the object.
     EdgeMiss,
-    /// The edge cache and the parent lack it.
+    /// The edge cache and the parent lack the object.
     ParentMiss,
     /// A fill is in progress that a request can join.
     FillInProgress,
@@ -119,14 +120,14 @@
 pub(super) struct PendingRequest {
     pub request: Request,
     pub class: ClassId,
-    /// The time by which it has its final answer: the client's deadline less the answer margin.
+    /// The time by which the final answer is out: the client's deadline less the answer margin.
     pub deadline: Ms,
     pub rank: Rank,
     pub attempts: Vec<Attempt>,
     pub lookup: LookupResult,
     /// When the first finished attempt was sent that may have been executed.
     executed_since: Option<Ms>,
-    /// Whether its final answer is out or a response has started.
+    /// Whether the final answer is out or a response has started.
     pub answered: bool,
 }
 
@@ -233,7 +234,8 @@
     /// Requests without a final answer, with their positions.
     pub fn unanswered(&self) -> impl Iterator<Item = (RequestIndex, &PendingRequest)> {
         let all = self.by_id.values().enumerate();
-        all.filter(|(_, pending)| !pending.answered).map(|(at, pending)| (RequestIndex(at), pending))
+        all.filter(|(_, pending)| !pending.answered)
+            .map(|(position, pending)| (RequestIndex(position), pending))
     }
 
     /// The ids of requests without a final answer that satisfy a condition.
@@ -259,11 +261,11 @@
 
     /// Marks an attempt in flight as finished; `None` if there is none of that number.
     pub fn finish_attempt(&mut self, id: &RequestId, number: AttemptNo) -> Option<FinishedAttempt> {
-        let (at, _, pending) = self.by_id.get_full_mut(id)?;
+        let (position, _, pending) = self.by_id.get_full_mut(id)?;
         let attempt = pending.attempts.get_mut(number.0).filter(|attempt| !attempt.finished)?;
         attempt.finished = true;
         Some(FinishedAttempt {
-            request: RequestIndex(at),
+            request: RequestIndex(position),
             class: pending.class,
             route: attempt.route,
             sent_at: attempt.sent_at,
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -12,11 +12,11 @@
 /// What the settings of a request class say about running its requests more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// What a repeated request may do.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
     /// The servers that recognise a repeated request by its key.
     pub key_scope: KeyScope,
-    /// How long they do, in milliseconds from the first attempt that may have been executed.
+    /// How long servers recognise a key, in milliseconds from the first attempt that may have been executed.
     pub key_window: Ms,
 }
 
--- a/src/routing/selection.rs
+++ b/src/routing/selection.rs
@@ -32,7 +32,8 @@
         }
     }
 
-    /// An edge cache and a source; less of it while one of them, or the link, is at its limit.
+    /// A route to an edge cache, with a source for a miss. While the link or the source is at its limit the
+    /// route is a lookup without a source; while the origin is, the source answers from its cache only.
     fn select_cache_route(&self, index: RequestIndex) -> Option<Route> {
         let pending = &self.requests[index];
         let headroom = self.headroom_factor(pending.class);
@@ -44,7 +45,7 @@
         let origin_ready =
             origin.is_none_or(|o| self.permits_fill(o, headroom) && self.origin_admits_fill(o));
         let Some(server) = edge else {
-            // Without a warm cache in the zone, a parent answers itself, with the origin behind it.
+            // Without a warm cache in the zone, a parent serves the request, with the origin as its source.
             let parent = source.filter(|_| may_fill && self.settings.direct_to_parents)?;
             let source = origin.filter(|origin| origin_ready && parent != *origin);
             return (!self.has_warm_edge()).then_some(Route { server: parent, source, cached_only: false });
@@ -54,11 +55,11 @@
             LookupResult::ParentMiss if may_fill && origin_ready => {
                 Some(Route { server, source, cached_only: false })
             }
-            // While the origin is at its limit, only what the parent has cached.
+            // While the origin is at its limit, the parent serves only what it has cached.
             LookupResult::Unknown | LookupResult::EdgeMiss if may_fill => {
                 Some(Route { server, source, cached_only: !origin_ready && source != origin })
             }
-            // While the link or the source is at its limit, a lookup: only a miss needs them.
+            // While the link or the source is at its limit, a lookup without them: only a miss needs them.
             LookupResult::Unknown => Some(Route { server, source: None, cached_only: false }),
             LookupResult::EdgeMiss | LookupResult::ParentMiss => None,
         }
@@ -115,14 +116,14 @@
                 && self.has_slow_start_capacity(*server, fill_cost)
         };
         let edge = edge.or(self.endpoints.up(Role::Edge).first().copied());
-        let plan = edge.and_then(|edge| self.fill_sources.of(edge));
+        let plan = edge.and_then(|edge| self.fill_sources.for_edge(edge));
         let key = mix(object, 0);
         let parent = match plan {
             None => self.endpoints.order(Role::Parent).iter(key).find(is_ready),
             Some(plan) => {
                 let assigned = |source: &ServerIndex| plan.assigns(object, *source, &self.endpoints);
                 let home = plan.order().iter(key).find(|source| assigned(source) && is_ready(source));
-                // A source beyond its present share is better than none.
+                // A source outside its present share is better than none.
                 home.or_else(|| plan.order().iter(key).find(is_ready))
             }
         };
--- a/src/routing/shadow_list.rs
+++ b/src/routing/shadow_list.rs
@@ -1,7 +1,7 @@
 //! A key-only LRU list that measures reuse distances.
 //!
-//! It decides nothing: `ranking` compares its distances with the split and feeds its miss curve into the
-//! search.
+//! The list decides nothing: `ranking` compares the distances with the split and searches the split by the
+//! miss curves.
 
 use std::collections::VecDeque;
 
@@ -39,7 +39,7 @@
         found
     }
 
-    /// Whether the list contains the key; counts nothing.
+    /// Whether the list contains the key; not counted as an access.
     pub fn contains(&self, key: u64) -> bool {
         self.keys.contains(&key)
     }
--- a/src/routing/slow_start/cost_estimate.rs
+++ b/src/routing/slow_start/cost_estimate.rs
@@ -10,7 +10,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of samples from which on a new one weighs no less, so that the estimate follows a changing mix.
+/// Number of samples at which the weight of a new one stops falling, so that the estimate follows a changing
+/// mix.
 const MAX_SAMPLES: u32 = 1_000;
 /// Standard errors that are added to the mean; the budget's own tolerance covers the rest.
 const ADDED_STANDARD_ERRORS: f64 = 0.5;
@@ -50,8 +51,8 @@
 impl Statistics {
     /// The cost of an attempt of a class.
     pub(in crate::routing) fn attempt_cost(&self, class: ClassId) -> Ms {
-        let unknown = || self.highest_cost().max(self.mean_sending_time(class));
-        self.class(class).cost.upper_bound().unwrap_or_else(unknown)
+        let cost_of_unknown_class = || self.highest_cost().max(self.mean_sending_time(class));
+        self.class(class).cost.upper_bound().unwrap_or_else(cost_of_unknown_class)
     }
 
     /// The cost of a request's fill at its source.
--- a/src/routing/slow_start/mod.rs
+++ b/src/routing/slow_start/mod.rs
@@ -1,4 +1,4 @@
-//! Slow start: how much more a server that is warming up may be sent.
+//! Slow start: the cost that a server that is warming up may still be sent.
 //!
 //! Inputs: the settings' slow-start policy by role (initial share, ramp and window in milliseconds, overload
 //! multiple), the server's process start, and its ledger of recent sends, whose costs are sending times in
@@ -25,31 +25,32 @@
 const APPROXIMATE_BUDGET_SHARE: f64 = 0.8;
 /// Requests that all routers' shares for a window must cover before one router may exceed its own share.
 const MIN_REQUESTS_PER_WINDOW: f64 = 4.0;
-/// A send that was on its way for less than this share of the window arrived when it was written.
+/// A send that was on its way for less than this share of the window counts as arrived when it was written.
 const ARRIVAL_TOLERANCE_SHARE: f64 = 0.1;
 
 /// When the process of a server started.
 #[derive(Clone, Copy)]
 pub(super) struct Warmup {
-    /// When it started or presumably restarted; `None` if long ago.
+    /// When the process started or presumably restarted; `None` if long ago.
     started: Option<Ms>,
-    /// When it started by the list. Earlier sends arrived at another process. `None` if the list has no
-    /// start, or one that seemed to be in the future.
+    /// The listed start; earlier sends arrived at another process. `None` if the list has no start, or one
+    /// that seemed to be in the future.
     listed_start: Option<Ms>,
 }
 
 impl Warmup {
     /// The warm-up of a server that was just listed with a process start.
     pub fn new(listed: Option<Ms>, now: Ms) -> Self {
-        // By a clock ahead of this one it would not have started yet, and its sends would not count.
+        // A start in the future comes from a clock that is ahead of this one. With it as the start of the
+        // process, sends until then would not count.
         Self { started: listed.map(|at| at.min(now)), listed_start: listed.filter(|at| *at <= now) }
     }
 
-    /// Records a new process of the list. A later start that was inferred remains.
+    /// Records that the list shows a new process. A later start that was inferred remains.
     pub fn process_started(&mut self, listed: Option<Ms>, now: Ms) {
-        let of_process = Self::new(listed, now);
-        self.started = of_process.started.into_iter().chain(self.started).reduce(f64::max);
-        self.listed_start = of_process.listed_start;
+        let process = Self::new(listed, now);
+        self.started = process.started.into_iter().chain(self.started).reduce(f64::max);
+        self.listed_start = process.listed_start;
     }
 
     /// Records that the server may have restarted just now.
@@ -90,9 +91,9 @@
     fn warmup_age(&self, server: &Server) -> Option<Ms> {
         let policy = self.settings.slow_start(server.entry.role);
         // Without a multiple or a window nothing overloads a warming server.
-        let span =
-            if policy.overload_factor * policy.overload_window > 0.0 { policy.ramp_duration } else { 0.0 };
-        server.warmup.started.map(|at| self.now - at).filter(|age| *age < span)
+        let has_budget = policy.overload_factor * policy.overload_window > 0.0;
+        let ramp_duration = if has_budget { policy.ramp_duration } else { 0.0 };
+        server.warmup.started.map(|at| self.now - at).filter(|age| *age < ramp_duration)
     }
 
     /// Whether a server is usable and warm.
@@ -107,10 +108,10 @@
         // Listed weights are in responses at full rate.
         let approximate = self.settings.approximate_weights;
         let budget_share = if approximate { APPROXIMATE_BUDGET_SHARE } else { BUDGET_SHARE };
-        // Capacity at the start of the window, since sends within it must fit what the server could take
-        // then. At the end of the ramp the limit ends altogether.
-        let ramp = ((age - policy.overload_window) / policy.ramp_duration).clamp(0.0, 1.0);
-        let share = policy.initial_share + (1.0 - policy.initial_share) * ramp;
+        // The capacity at the start of the window counts, since sends within the window must fit what the
+        // server could take then. At the end of the ramp there is no limit any more.
+        let ramp_progress = ((age - policy.overload_window) / policy.ramp_duration).clamp(0.0, 1.0);
+        let share = policy.initial_share + (1.0 - policy.initial_share) * ramp_progress;
         let total_rate = policy.overload_factor * share * budget_share * server.entry.weight;
         Some(Allowance { rate: total_rate / server.limit.senders(), total_rate, age })
     }
@@ -122,12 +123,13 @@
         let window = self.settings.slow_start(server.entry.role).overload_window;
         let rate = allowance.rate;
         let budget = rate * window;
-        // Before any response no cost is known, and an objective may be far less: one request per window.
+        // Before the first response no cost is known, and the class's latency objective may be far less than
+        // the cost: one request per window.
         let highest_cost = self.statistics.highest_cost();
         let cost = if highest_cost > 0.0 { cost } else { cost.max(budget) };
         let process_start = server.warmup.listed_start.unwrap_or(f64::NEG_INFINITY);
         let cost_within = |span: Ms| server.ledger.cost_since((self.now - span).max(process_start)) + cost;
-        // With many routers one request may cost more than a router's share of a window. Its share then
+        // With many routers one request may cost more than a router's share of a window. The share then
         // accumulates over an interval that covers the request; the routers' first intervals start at offsets
         // that are spread by their seeds.
         let interval = window.max(highest_cost.max(cost) / rate);
--- a/src/routing/slow_start/send_ledger.rs
+++ b/src/routing/slow_start/send_ledger.rs
@@ -28,16 +28,16 @@
 
 /// A send whose arrival is not proven yet.
 #[derive(Clone, Copy, Debug)]
-struct Unproven {
+struct UnprovenSend {
     key: SendKey,
     cost: Ms,
-    /// When it was written to the connection; `None` before that.
+    /// When the send was written to the connection; `None` before that.
     written: Option<Ms>,
 }
 
 /// A send that has arrived.
 #[derive(Clone, Copy, Debug)]
-struct Arrived {
+struct ArrivedSend {
     at: Ms,
     cost: Ms,
     key: SendKey,
@@ -45,32 +45,35 @@
 
 #[derive(Clone, Debug, Default)]
 struct Sends {
-    unproven: Vec<Unproven>,
-    /// In ascending order of time.
-    arrived: VecDeque<Arrived>,
+    unproven: Vec<UnprovenSend>,
+    /// In ascending order of arrival.
+    arrived: VecDeque<ArrivedSend>,
 }
 
 impl Sends {
-    fn arrive(&mut self, now: Ms, send: Unproven, tolerance: Ms) {
+    /// Records the arrival of a send: when it was written if that was at most `tolerance` ago, else now.
+    fn record_arrival(&mut self, now: Ms, send: UnprovenSend, tolerance: Ms) {
         let at = send.written.filter(|at| now - at <= tolerance).unwrap_or(now);
         let position = self.arrived.iter().rposition(|other| other.at <= at).map_or(0, |before| before + 1);
-        self.arrived.insert(position, Arrived { at, cost: send.cost, key: send.key });
+        self.arrived.insert(position, ArrivedSend { at, cost: send.cost, key: send.key });
     }
 }
 
 /// Recent sends to one server. Boxed, because most of many listed servers are sent nothing.
 #[derive(Clone, Debug, Default)]
-pub(in crate::routing) struct SendLedger(Option<Box<Sends>>);
+pub(in crate::routing) struct SendLedger {
+    sends: Option<Box<Sends>>,
+}
 
 impl SendLedger {
     /// Books a send.
     pub fn book(&mut self, cost: Ms, key: SendKey) {
-        self.0.get_or_insert_default().unproven.push(Unproven { key, cost, written: None });
+        self.sends.get_or_insert_default().unproven.push(UnprovenSend { key, cost, written: None });
     }
 
     /// Records that the last byte of a send was written to the connection.
     pub fn record_written(&mut self, now: Ms, key: SendKey) {
-        let sends = self.0.iter_mut().flat_map(|sends| &mut sends.unproven);
+        let sends = self.sends.iter_mut().flat_map(|sends| &mut sends.unproven);
         if let Some(send) = sends.into_iter().find(|send| send.key == key) {
             send.written.get_or_insert(now);
         }
@@ -79,26 +82,26 @@
     /// Records that a send has ended, so that it has arrived by now or never will. One that may have been on
     /// its way for longer than `tolerance` counts as having arrived now.
     pub fn record_end(&mut self, now: Ms, key: SendKey, tolerance: Ms) {
-        self.arrive_all(now, tolerance, |send| send.key == key);
+        self.record_arrivals(now, tolerance, |send| send.key == key);
     }
 
     /// Records a response to a send. Sends that were written well before it have arrived as well.
     pub fn record_response(&mut self, now: Ms, key: SendKey, tolerance: Ms) {
         self.record_end(now, key, tolerance);
-        self.arrive_all(now, tolerance, |send| send.written.is_some_and(|at| at <= now - TRANSIT_MS));
+        self.record_arrivals(now, tolerance, |send| send.written.is_some_and(|at| at <= now - TRANSIT_MS));
     }
 
-    fn arrive_all(&mut self, now: Ms, tolerance: Ms, proven: impl Fn(&Unproven) -> bool) {
-        let Some(sends) = &mut self.0 else { return };
-        while let Some(index) = sends.unproven.iter().position(&proven) {
+    fn record_arrivals(&mut self, now: Ms, tolerance: Ms, is_proven: impl Fn(&UnprovenSend) -> bool) {
+        let Some(sends) = &mut self.sends else { return };
+        while let Some(index) = sends.unproven.iter().position(&is_proven) {
             let send = sends.unproven.swap_remove(index);
-            sends.arrive(now, send, tolerance);
+            sends.record_arrival(now, send, tolerance);
         }
     }
 
     /// Removes a send that provably never arrived.
     pub fn cancel(&mut self, key: SendKey) {
-        let Some(sends) = &mut self.0 else { return };
+        let Some(sends) = &mut self.sends else { return };
         sends.unproven.retain(|send| send.key != key);
         if let Some(index) = sends.arrived.iter().rposition(|send| send.key == key) {
             sends.arrived.remove(index);
@@ -107,7 +110,7 @@
 
     /// Upper bound of the cost that has arrived since a time or may still arrive.
     pub fn cost_since(&self, since: Ms) -> Ms {
-        let Some(sends) = &self.0 else { return 0.0 };
+        let Some(sends) = &self.sends else { return 0.0 };
         let unproven: f64 = sends.unproven.iter().map(|send| send.cost).sum();
         let arrived = sends.arrived.iter().rev().take_while(|send| send.at >= since);
         unproven + arrived.map(|send| send.cost).sum::<f64>()
@@ -115,17 +118,17 @@
 
     /// Removes sends that arrived before a time.
     pub fn expire(&mut self, before: Ms) {
-        let Some(sends) = &mut self.0 else { return };
+        let Some(sends) = &mut self.sends else { return };
         while sends.arrived.front().is_some_and(|send| send.at < before) {
             sends.arrived.pop_front();
         }
         if self.is_empty() {
-            self.0 = None;
+            self.sends = None;
         }
     }
 
     /// Whether no send is booked.
     pub fn is_empty(&self) -> bool {
-        self.0.as_ref().is_none_or(|sends| sends.unproven.is_empty() && sends.arrived.is_empty())
+        self.sends.as_ref().is_none_or(|sends| sends.unproven.is_empty() && sends.arrived.is_empty())
     }
 }
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -1,10 +1,10 @@
-//! What the next process takes over from this one.
+//! The state that a router's next process takes over.
 //!
-//! A snapshot contains what means the same in another process that routes to the same servers: by server its
-//! weight penalty, latency ratio, ejection and warm-up, each for the same server process only; by class the
-//! mean sending time; and the purges. Concurrency limits, delays, shadow lists, the split and shares of fills
-//! depend on the deployment and its clients and start afresh. Times are in milliseconds of the caller's
-//! clock.
+//! A snapshot contains the state that means the same in another process that routes to the same servers: by
+//! server its weight penalty, latency ratio, ejection and warm-up, each for the same server process only; by
+//! class the mean sending time; and the purges. Concurrency limits, delays, shadow lists, the split and
+//! shares of fills depend on the deployment and its clients and start afresh. Times are in milliseconds of
+//! the caller's clock.
 
 use super::endpoints::Server;
 use super::outlier_ejection::Health;
@@ -16,28 +16,28 @@
 /// What is known of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSnapshot {
-    /// Its id.
+    /// The server that the snapshot describes.
     pub id: ServerId,
-    /// The listed start of the process that this describes.
+    /// The listed start of the process that the snapshot describes.
     pub listed_start: Option<Ms>,
-    /// Logarithm of the share of its listed weight that it keeps; 0 or below.
+    /// Logarithm of the share of its listed weight that the server keeps; 0 or below.
     pub weight_penalty_log: f64,
-    /// Logarithm of its mean latency ratio.
+    /// Logarithm of the mean latency ratio; `None` without a response.
     pub latency_ratio_log: Option<f64>,
-    /// Whether it is ejected, or probed after an ejection.
+    /// Whether the server is ejected, or probed after an ejection.
     pub ejected: bool,
-    /// When it started or presumably restarted.
+    /// When the process started or presumably restarted; `None` if long ago.
     pub warmup_started: Option<Ms>,
 }
 
 /// The mean sending time of a class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SendingTimeSnapshot {
-    /// The class's name.
+    /// Name of the class in the settings.
     pub class: String,
-    /// The mean, in milliseconds.
+    /// Mean sending time in milliseconds.
     pub mean: Ms,
-    /// The number of samples in it.
+    /// Number of samples in the mean.
     pub samples: u32,
 }
 
@@ -46,7 +46,7 @@
 pub struct PurgeSnapshot {
     /// What was purged.
     pub target: PurgeTarget,
-    /// When.
+    /// When it was purged.
     pub purged_at: Ms,
 }
 
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Takes over a snapshot. Returns how many of its servers are listed here as the same process. Nothing in
-    /// it makes a warming server warm or a purge undone.
+    /// Takes over a snapshot. Returns how many of its servers are listed here as the same process. No
+    /// snapshot makes a warming server warm or a purge undone.
     pub fn restore(&mut self, now: Ms, snapshot: Snapshot) -> usize {
         let restored = snapshot.servers.into_iter().filter(|server| self.restore_server(now, server)).count();
         for SendingTimeSnapshot { class, mean, samples } in snapshot.sending_times {
--- a/src/routing/statistics.rs
+++ b/src/routing/statistics.rs
@@ -10,7 +10,7 @@
 use crate::averages::{MovingAverage, SAMPLE_WEIGHT};
 use indexmap::IndexMap;
 
-/// Responses of an object from which on its sending time is used.
+/// Number of responses of an object from which on its sending time is used.
 const MIN_OBJECT_RESPONSES: u32 = 2;
 
 /// Averages over the requests of a class.
@@ -89,12 +89,12 @@
 impl Statistics {
     /// Statistics without samples.
     pub fn new(settings: &Settings) -> Self {
-        let of = |class: &Class| ClassStatistics {
+        let class_statistics = |class: &Class| ClassStatistics {
             latency_objective: class.latency_objective,
             ..ClassStatistics::default()
         };
         Self {
-            classes: settings.classes.iter().map(of).collect(),
+            classes: settings.classes.iter().map(class_statistics).collect(),
             objects: IndexMap::new(),
             response_rate_kb_per_s: settings.response_rate_kb_per_s,
             origin_fill_share: MovingAverage::default(),
@@ -111,7 +111,7 @@
         &self.classes[class.0]
     }
 
-    /// The averages of a class.
+    /// The averages of a class, to be changed.
     pub fn class_mut(&mut self, class: ClassId) -> &mut ClassStatistics {
         &mut self.classes[class.0]
     }
@@ -121,7 +121,8 @@
         self.objects.get(&object).map(|known| known.rank)
     }
 
-    /// Records the rank of an object's first part. The object requested least recently is forgotten.
+    /// Records the rank of an object's first part. Beyond `SHADOW_ENTRIES` objects, the one requested least
+    /// recently is removed.
     pub fn set_rank(&mut self, object: ObjectId, rank: Rank) {
         let known = self.objects.shift_remove(&object).unwrap_or_default();
         self.objects.insert(object, ObjectStatistics { rank, ..known });
--- a/src/routing/weight_penalty.rs
+++ b/src/routing/weight_penalty.rs
@@ -17,7 +17,7 @@
 const RATIO_SAMPLE_WEIGHT: f64 = 0.2;
 /// Largest change of a penalty by one response.
 const PENALTY_STEP_LOG: f64 = 0.3;
-/// A latency ratio up to this far above the usual one lowers the penalty.
+/// A latency ratio that exceeds the usual one by less than this makes the penalty smaller.
 const TOLERATED_EXCESS_LOG: f64 = 0.25;
 /// Least share of the listed weight that a server keeps.
 const MIN_WEIGHT_SHARE: f64 = 0.05;
@@ -152,14 +152,14 @@
 
     /// Adjusts the penalty of a server by the latency ratio of a response.
     fn adjust_served(&mut self, server: ServerIndex, ratio_log: f64) {
-        // The usual ratio is the one before this sample.
+        // The sample is compared with the usual ratio as it was before the sample.
         let usual_log = self.comparable_ratio_log(server, ratio_log);
         let penalty = &mut self.endpoints[server].penalty;
         penalty.latency_ratio_log.add(ratio_log, RATIO_SAMPLE_WEIGHT);
         penalty.adjust(usual_log, ratio_log);
     }
 
-    /// Adjusts the penalty of a server by a latency ratio that is no complete response's.
+    /// Adjusts the penalty of a server by a latency ratio that was not measured on a complete response.
     fn adjust_penalty(&mut self, server: ServerIndex, ratio_log: f64) {
         let usual_log = self.comparable_ratio_log(server, ratio_log);
         self.endpoints[server].penalty.adjust(usual_log, ratio_log);
@@ -186,8 +186,8 @@
         for (request, pending) in self.requests.unanswered() {
             for (number, attempt) in pending.attempts.iter().enumerate().filter(|(_, a)| !a.finished) {
                 let ratio_log = self.latency_ratio_log(request, self.now - attempt.sent_at);
-                let grown = ratio_log > attempt.reported_ratio_log + SLOW_REPORT_FACTOR.ln();
-                if self.endpoints.is_edge(attempt.route.server) && grown {
+                let has_grown = ratio_log > attempt.reported_ratio_log + SLOW_REPORT_FACTOR.ln();
+                if self.endpoints.is_edge(attempt.route.server) && has_grown {
                     slow.push(SlowAttempt { request, number: AttemptNo(number), ratio_log });
                 }
             }
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Decays all penalties and reorders the roles in which one has moved far enough.
+    /// Decays all penalties and reorders the roles in which a penalty has moved far enough.
     pub(super) fn decay_penalties(&mut self) {
         self.endpoints.iter_mut().for_each(|server| server.penalty.decay());
         for role in [Role::Edge, Role::Parent] {
