--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -27,8 +27,8 @@
     FillReport::LoopDetected,
 ];
 
-/// Whether an attempt with this result leaves no execution without an answer: it was not executed, or served. The
-/// checkers' own account, apart from the module's rule.
+/// Whether an attempt with this result was either not executed or served, so that no execution is left without an
+/// answer. Stated apart from the module's own rule, so that a fault there does not hide in the checkers.
 pub fn proves_no_pending_execution(result: AttemptResult) -> bool {
     matches!(
         result,
@@ -40,8 +40,8 @@
     )
 }
 
-pub fn server_id(s: &str) -> ServerId {
-    ServerId(Arc::from(s))
+pub fn server_id(name: &str) -> ServerId {
+    ServerId(Arc::from(name))
 }
 
 pub fn request_id(n: usize) -> RequestId {
@@ -133,7 +133,7 @@
     all
 }
 
-/// The same with hundreds more caches here and in other zones, and a few more parents.
+/// The servers of [`fleet`], three hundred more caches in 30 zones, and ten more parents.
 pub fn large_fleet() -> Vec<Endpoint> {
     let mut all = fleet();
     for n in 0..300 {
@@ -156,11 +156,17 @@
     }
 }
 
+/// A timer that the router has started.
+struct Timer {
+    due_at: Ms,
+    token: u64,
+}
+
 /// A router with a clock. Timers expire as the clock advances.
 pub struct Driver {
     pub router: Router,
     pub now: Ms,
-    timers: Vec<(Ms, u64)>,
+    timers: Vec<Timer>,
     /// All actions so far, with their times.
     pub log: Vec<(Ms, Action)>,
 }
@@ -182,28 +188,28 @@
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
-        let mut rest = Vec::new();
+        let mut others = Vec::new();
         for action in actions {
             if let Action::Timer { delay, token } = action {
-                self.timers.push((self.now + delay, token));
+                self.timers.push(Timer { due_at: self.now + delay, token });
             } else {
                 self.log.push((self.now, action.clone()));
-                rest.push(action);
+                others.push(action);
             }
         }
-        rest
+        others
     }
 
     /// Advances the clock and returns the actions of expired timers.
     pub fn advance(&mut self, span: Ms) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
-        while let Some(at) = (0..self.timers.len())
-            .min_by(|a, b| self.timers[*a].0.total_cmp(&self.timers[*b].0))
-            .filter(|at| self.timers[*at].0 <= end)
+        while let Some(next) = (0..self.timers.len())
+            .min_by(|a, b| self.timers[*a].due_at.total_cmp(&self.timers[*b].due_at))
+            .filter(|index| self.timers[*index].due_at <= end)
         {
-            let (due, token) = self.timers.remove(at);
-            self.now = due.max(self.now);
+            let Timer { due_at, token } = self.timers.remove(next);
+            self.now = due_at.max(self.now);
             all.extend(self.handle(Event::Timer(token)));
         }
         self.now = end;
@@ -214,33 +220,35 @@
         self.handle(Event::Request(request(n, class, object, 4000.0)))
     }
 
+    /// Reports the outcome of an attempt of request `n` after 100 ms.
     pub fn finish(
         &mut self,
         n: usize,
         attempt: usize,
         server: &ServerId,
-        end: AttemptResult,
+        result: AttemptResult,
         fill_report: FillReport,
     ) -> Vec<Action> {
-        self.finish_in(n, attempt, server, end, fill_report, 100.0)
+        self.finish_after(n, attempt, server, result, fill_report, 100.0)
     }
 
-    pub fn finish_in(
+    /// Reports the outcome of an attempt of request `n`, with a latency in milliseconds.
+    pub fn finish_after(
         &mut self,
         n: usize,
         attempt: usize,
         server: &ServerId,
-        end: AttemptResult,
+        result: AttemptResult,
         fill_report: FillReport,
-        delay: Ms,
+        latency: Ms,
     ) -> Vec<Action> {
         self.handle(Event::Outcome(Outcome {
             request: request_id(n),
             attempt: AttemptNo(attempt),
             server: server.clone(),
-            result: end,
-            latency: delay,
-            completes_request: end == AttemptResult::Served,
+            result,
+            latency,
+            completes_request: result == AttemptResult::Served,
             fill_report,
             source_wait: if fill_report == FillReport::Hit { 0.0 } else { 20.0 },
             load: LoadReport::default(),
@@ -250,37 +258,34 @@
 
     /// Lists a server as just restarted.
     pub fn restart(&mut self, name: &str, role: Role) {
-        let started = Some(self.now);
-        self.handle(Event::Endpoints {
-            update: EndpointUpdate::Delta,
-            entries: vec![Endpoint { started, ..endpoint(name, role) }],
-        });
+        let entries = vec![Endpoint { started: Some(self.now), ..endpoint(name, role) }];
+        self.handle(Event::Endpoints { update: EndpointUpdate::Delta, entries });
     }
 
     /// Requests an object and serves it with a fill report; returns its attempt.
     pub fn serve(&mut self, n: usize, class: ClassId, object: u64, fill_report: FillReport) -> AttemptSpec {
-        let fetch = first_attempt(&self.request(n, class, object)).expect("a fetch");
-        self.finish(n, 0, &fetch.server, AttemptResult::Served, fill_report);
-        fetch
+        let spec = first_attempt(&self.request(n, class, object)).expect("an attempt");
+        self.finish(n, 0, &spec.server, AttemptResult::Served, fill_report);
+        spec
     }
 }
 
-/// The first attempt that some actions start.
+/// The first attempt that the actions start.
 pub fn first_attempt(actions: &[Action]) -> Option<AttemptSpec> {
     actions.iter().find_map(|a| match a {
-        Action::StartAttempt(f) => Some(f.clone()),
+        Action::StartAttempt(spec) => Some(spec.clone()),
         _ => None,
     })
 }
 
 pub fn is_rejected(actions: &[Action], n: usize) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { request: r, .. } if *r == request_id(n)))
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == request_id(n)))
 }
 
 pub fn is_failed(actions: &[Action], n: usize) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail(r) if *r == request_id(n)))
+    actions.iter().any(|a| matches!(a, Action::Fail(request) if *request == request_id(n)))
 }
 
-pub fn count_log_lines(actions: &[Action], what: &str) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Log(text) if text.contains(what))).count()
+pub fn count_log_lines(actions: &[Action], pattern: &str) -> usize {
+    actions.iter().filter(|a| matches!(a, Action::Log(text) if text.contains(pattern))).count()
 }
--- a/tests/guarantees.rs
+++ b/tests/guarantees.rs
@@ -11,15 +11,17 @@
     let mut driver = Driver::new(settings(), fleet());
     driver.request(1, IDEMPOTENT, 5);
     let actions = driver.advance(4000.0);
-    let at = driver
+    let answered_at = driver
         .log
         .iter()
-        .find(|(_, a)| matches!(a, Action::Reject { request: r, .. } if *r == request_id(1)))
+        .find(|(_, a)| matches!(a, Action::Reject { request, .. } if *request == request_id(1)))
         .expect("an answer")
         .0;
-    assert!(at < 5000.0 && at > 4900.0, "answered at {at}");
+    assert!(answered_at < 5000.0 && answered_at > 4900.0, "answered at {answered_at}");
     assert!(
-        actions.iter().any(|a| matches!(a, Action::CancelAttempt { request: r, .. } if *r == request_id(1))),
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::CancelAttempt { request, .. } if *request == request_id(1))),
         "the attempt in flight is cancelled"
     );
 }
@@ -39,13 +41,16 @@
     let unknown = Request { class: None, ..request(2, IDEMPOTENT, 5, 4000.0) };
     assert!(is_rejected(&driver.handle(Event::Request(unknown)), 2));
     let huge = Request { size_kb: 1.0e6, ..request(3, IDEMPOTENT, 5, 4000.0) };
-    assert!(is_rejected(&driver.handle(Event::Request(huge)), 3), "two minutes to send, four seconds left");
+    assert!(
+        is_rejected(&driver.handle(Event::Request(huge)), 3),
+        "the response takes two minutes, and four seconds are left"
+    );
 }
 
 #[test]
 fn completed_request_starts_no_attempt() {
     let mut driver = Driver::new(settings(), fleet());
-    let first = first_attempt(&driver.request(1, IDEMPOTENT, 5)).expect("a fetch");
+    let first = first_attempt(&driver.request(1, IDEMPOTENT, 5)).expect("an attempt");
     assert!(driver
         .handle(Event::ClientDisconnected(request_id(1)))
         .iter()
@@ -68,7 +73,7 @@
 #[test]
 fn timed_out_attempt_is_retried_or_rejected() {
     let mut driver = Driver::new(settings(), fleet());
-    let first = first_attempt(&driver.request(1, IDEMPOTENT, 5)).expect("a fetch");
+    let first = first_attempt(&driver.request(1, IDEMPOTENT, 5)).expect("an attempt");
     let actions = driver.finish(1, 0, &first.server, AttemptResult::TimedOut, FillReport::NotReported);
     assert!(first_attempt(&actions).is_some() || is_rejected(&actions, 1));
 }
@@ -77,29 +82,29 @@
 
 #[test]
 fn non_idempotent_request_that_may_have_been_executed_fails_without_retry() {
-    for end in [
+    for result in [
         AttemptResult::Error,
         AttemptResult::TimedOut,
         AttemptResult::ConnectionLost,
         AttemptResult::Cancelled,
     ] {
         let mut driver = Driver::new(settings(), fleet());
-        let first = first_attempt(&driver.request(1, NON_IDEMPOTENT, 5)).expect("a fetch");
+        let first = first_attempt(&driver.request(1, NON_IDEMPOTENT, 5)).expect("an attempt");
         assert_eq!(first.server, server_id("origin"));
-        let actions = driver.finish(1, 0, &first.server, end, FillReport::NotReported);
+        let actions = driver.finish(1, 0, &first.server, result, FillReport::NotReported);
         assert!(
             first_attempt(&actions).is_none() && is_failed(&actions, 1) && !is_rejected(&actions, 1),
-            "{end:?}: {actions:?}"
+            "{result:?}: {actions:?}"
         );
     }
 }
 
 #[test]
 fn non_idempotent_request_that_was_not_executed_is_retried() {
-    for end in [AttemptResult::Rejected, AttemptResult::NoConnection, AttemptResult::NotSent] {
+    for result in [AttemptResult::Rejected, AttemptResult::NoConnection, AttemptResult::NotSent] {
         let mut driver = Driver::new(settings(), fleet());
-        let first = first_attempt(&driver.request(1, NON_IDEMPOTENT, 5)).expect("a fetch");
-        let actions = driver.finish(1, 0, &first.server, end, FillReport::NotReported);
+        let first = first_attempt(&driver.request(1, NON_IDEMPOTENT, 5)).expect("an attempt");
+        let actions = driver.finish(1, 0, &first.server, result, FillReport::NotReported);
         let second = first_attempt(&actions).expect("another attempt");
         assert!(!actions.iter().any(|a| matches!(a, Action::Fail(_))));
         assert_eq!(second.rank, Rank::None);
@@ -117,15 +122,15 @@
 #[test]
 fn retry_with_an_idempotency_key_must_start_within_the_key_window() {
     let mut driver = Driver::new(settings(), fleet());
-    let (sent, window) = (driver.now, settings().classes[WITH_KEY.0].key_window);
-    let first = first_attempt(&driver.request(1, WITH_KEY, 5)).expect("a fetch");
-    assert_eq!(first.start_before, f64::INFINITY, "none may have been executed");
+    let (first_sent, window) = (driver.now, settings().classes[WITH_KEY.0].key_window);
+    let first = first_attempt(&driver.request(1, WITH_KEY, 5)).expect("an attempt");
+    assert_eq!(first.start_before, f64::INFINITY, "no attempt may have been executed yet");
     driver.advance(200.0);
     let second =
         first_attempt(&driver.finish(1, 0, &first.server, AttemptResult::NotSent, FillReport::NotReported))
-            .expect("a fetch");
-    assert_eq!(second.start_before, f64::INFINITY, "none was executed");
-    let since = driver.now;
+            .expect("an attempt");
+    assert_eq!(second.start_before, f64::INFINITY, "the first attempt was not executed");
+    let second_sent = driver.now;
     driver.advance(200.0);
     let third = first_attempt(&driver.finish(
         1,
@@ -134,23 +139,23 @@
         AttemptResult::ConnectionLost,
         FillReport::NotReported,
     ))
-    .expect("a fetch");
+    .expect("an attempt");
     assert!(
-        sent < since && third.start_before < since + window,
-        "it may have been executed since then: {}",
+        first_sent < second_sent && third.start_before < second_sent + window,
+        "the second may have been executed since {second_sent}; the third may start until {}",
         third.start_before
     );
-    let first = first_attempt(&driver.request(2, IDEMPOTENT, 6)).expect("a fetch");
-    let again = first_attempt(&driver.finish(
+    let first = first_attempt(&driver.request(2, IDEMPOTENT, 6)).expect("an attempt");
+    let second = first_attempt(&driver.finish(
         2,
         0,
         &first.server,
         AttemptResult::ConnectionLost,
         FillReport::NotReported,
     ))
-    .expect("a fetch");
-    assert_eq!(again.start_before, f64::INFINITY);
-    // An attempt that was not sent by then has no successor.
+    .expect("an attempt");
+    assert_eq!(second.start_before, f64::INFINITY, "an idempotent request may always run again");
+    // No attempt follows one that was not sent within the key's window.
     driver.advance(third.start_before - driver.now);
     let actions = driver.finish(1, 2, &third.server, AttemptResult::NotSent, FillReport::NotReported);
     assert!(first_attempt(&actions).is_none() && is_rejected(&actions, 1), "{actions:?}");
@@ -159,7 +164,7 @@
 #[test]
 fn request_with_an_idempotency_key_is_retried_only_within_window_and_scope() {
     let mut driver = Driver::new(settings(), fleet());
-    let first = first_attempt(&driver.request(1, WITH_KEY, 5)).expect("a fetch");
+    let first = first_attempt(&driver.request(1, WITH_KEY, 5)).expect("an attempt");
     driver.advance(200.0);
     assert!(
         first_attempt(&driver.finish(
@@ -170,9 +175,9 @@
             FillReport::NotReported
         ))
         .is_some(),
-        "within"
+        "retried within the window"
     );
-    let first = first_attempt(&driver.request(2, WITH_KEY, 6)).expect("a fetch");
+    let first = first_attempt(&driver.request(2, WITH_KEY, 6)).expect("an attempt");
     driver.advance(1100.0);
     assert!(
         first_attempt(&driver.finish(
@@ -183,12 +188,12 @@
             FillReport::NotReported
         ))
         .is_none(),
-        "after the window"
+        "not retried after the window"
     );
-    let mut narrow = settings();
-    narrow.classes[WITH_KEY.0].key_scope = KeyScope::Cell;
-    let mut driver = Driver::new(narrow, fleet());
-    let first = first_attempt(&driver.request(1, WITH_KEY, 5)).expect("a fetch");
+    let mut narrow_scope = settings();
+    narrow_scope.classes[WITH_KEY.0].key_scope = KeyScope::Cell;
+    let mut driver = Driver::new(narrow_scope, fleet());
+    let first = first_attempt(&driver.request(1, WITH_KEY, 5)).expect("an attempt");
     let actions = driver.finish(1, 0, &first.server, AttemptResult::ConnectionLost, FillReport::NotReported);
     assert!(
         first_attempt(&actions).is_none() && is_failed(&actions, 1),
@@ -198,10 +203,8 @@
 
 #[test]
 fn attempt_at_a_silent_cache_is_cancelled_before_the_next_starts() {
-    for copies in [false, true] {
-        let mut s = settings();
-        s.hedging = copies;
-        let mut driver = Driver::new(s, fleet());
+    for hedging in [false, true] {
+        let mut driver = Driver::new(Settings { hedging, ..settings() }, fleet());
         // Enough responses for a mean delay, then one cache falls silent.
         for n in 0..200 {
             driver.serve(n, IDEMPOTENT, n as u64, FillReport::Hit);
@@ -212,11 +215,11 @@
             if in_flight.len() == 2 {
                 break;
             }
-            if let Some(f) = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)) {
-                if f.server == server_id("edge-2") {
+            if let Some(spec) = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)) {
+                if spec.server == server_id("edge-2") {
                     in_flight.push(n);
                 } else {
-                    driver.finish(n, 0, &f.server, AttemptResult::Served, FillReport::Hit);
+                    driver.finish(n, 0, &spec.server, AttemptResult::Served, FillReport::Hit);
                 }
             }
         }
@@ -225,14 +228,14 @@
         while actions.is_empty() && driver.now < 20_000.0 {
             actions = driver.advance(50.0);
         }
-        // The first is cancelled before another starts, so there are never two.
-        let sent = actions
+        // The attempt is cancelled before the next one starts, so that two are never in flight.
+        let started = actions
             .iter()
-            .any(|a| matches!(a, Action::StartAttempt(f) if f.request == request_id(in_flight[0])));
-        let cancelled = actions
-            .iter()
-            .any(|a| matches!(a, Action::CancelAttempt { request: r, .. } if *r == request_id(in_flight[0])));
-        assert!(cancelled && !sent, "{actions:?}");
+            .any(|a| matches!(a, Action::StartAttempt(spec) if spec.request == request_id(in_flight[0])));
+        let cancelled = actions.iter().any(
+            |a| matches!(a, Action::CancelAttempt { request, .. } if *request == request_id(in_flight[0])),
+        );
+        assert!(cancelled && !started, "{actions:?}");
         let actions = driver.finish(
             in_flight[0],
             0,
@@ -240,10 +243,10 @@
             AttemptResult::Cancelled,
             FillReport::NotReported,
         );
-        assert!(first_attempt(&actions).is_some_and(|f| f.server != server_id("edge-2")));
+        assert!(first_attempt(&actions).is_some_and(|spec| spec.server != server_id("edge-2")));
         assert!(actions
             .iter()
-            .all(|a| !matches!(a, Action::StartAttempt(f) if f.server == server_id("edge-2"))));
+            .all(|a| !matches!(a, Action::StartAttempt(spec) if spec.server == server_id("edge-2"))));
     }
 }
 
@@ -262,8 +265,8 @@
             .collect();
         driver.handle(Event::Endpoints { update: EndpointUpdate::Delta, entries: listed });
         for n in 0..200 {
-            let f = driver.serve(n, IDEMPOTENT, n as u64, FillReport::FilledBySource);
-            assert!(f.server != server_id("edge-0") && f.fill_source != server_id("parent-1"));
+            let spec = driver.serve(n, IDEMPOTENT, n as u64, FillReport::FilledBySource);
+            assert!(spec.server != server_id("edge-0") && spec.fill_source != server_id("parent-1"));
         }
     }
 }
@@ -271,10 +274,8 @@
 #[test]
 fn server_missing_from_a_complete_list_is_removed() {
     let mut driver = Driver::new(settings(), fleet());
-    driver.handle(Event::Endpoints {
-        update: EndpointUpdate::Complete,
-        entries: fleet().into_iter().filter(|s| s.id != server_id("edge-3")).collect(),
-    });
+    let entries = fleet().into_iter().filter(|server| server.id != server_id("edge-3")).collect();
+    driver.handle(Event::Endpoints { update: EndpointUpdate::Complete, entries });
     for n in 0..100 {
         assert_ne!(driver.serve(n, IDEMPOTENT, n as u64, FillReport::Hit).server, server_id("edge-3"));
     }
--- a/tests/origin_overload.rs
+++ b/tests/origin_overload.rs
@@ -1,4 +1,4 @@
-//! What routers ask of an origin whose responses are all too late.
+//! The requests that reach an origin whose responses are all too late.
 
 mod common;
 
@@ -6,64 +6,75 @@
 use common::{first_attempt, fleet, settings, Driver, IDEMPOTENT};
 use std::collections::VecDeque;
 
-/// One router of 300 that gets a request for a new object every 500 ms, for 50 s. No parent has it cached: fills time
-/// out after 1,600 ms, reported as `late`. Counts the fills that may reach the origin in the last 25 s.
-fn fills_of_an_overloaded_origin(late: FillReport) -> usize {
+/// An attempt of request `n` that waits for the origin.
+struct Fill {
+    timeout_at: Ms,
+    n: usize,
+    attempt: usize,
+    server: ServerId,
+}
+
+/// One router of 300 that gets a request for a new object every 500 ms, for 50 s. No parent has the object cached:
+/// fills time out after 1,600 ms, reported as `timeout_report`. Counts the fills that may reach the origin in the last
+/// 25 s.
+fn fills_of_an_overloaded_origin(timeout_report: FillReport) -> usize {
     let mut driver = Driver::new(Settings { routers: 300, zone_routers: 10, ..settings() }, fleet());
     for n in 0..100 {
         let fill_report = if n % 2 == 0 { FillReport::FilledBySource } else { FillReport::FilledByOrigin };
         driver.serve(n, IDEMPOTENT, n as u64, fill_report);
         driver.advance(100.0);
     }
-    let mut calls = 0;
-    let mut in_flight: VecDeque<(Ms, usize, usize, ServerId)> = VecDeque::new();
+    let mut fills = 0;
+    let mut in_flight: VecDeque<Fill> = VecDeque::new();
     for n in 1000..1100 {
-        let requested = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)).map(|f| (n, 0, f));
+        let requested = first_attempt(&driver.request(n, IDEMPOTENT, n as u64)).map(|spec| (n, 0, spec));
         // The parents still serve what they have cached.
         for k in 25 * n..25 * n + 25 {
-            if let Some(f) = first_attempt(&driver.request(5000 + k, IDEMPOTENT, (k % 50) as u64 * 2)) {
+            if let Some(spec) = first_attempt(&driver.request(5000 + k, IDEMPOTENT, (k % 50) as u64 * 2)) {
                 let cached = if k % 3 > 0 { FillReport::Hit } else { FillReport::FilledBySource };
-                let fill_report = if f.fill_source == f.server { FillReport::Hit } else { cached };
-                driver.finish(5000 + k, 0, &f.server, AttemptResult::Served, fill_report);
+                let fill_report = if spec.fill_source == spec.server { FillReport::Hit } else { cached };
+                driver.finish(5000 + k, 0, &spec.server, AttemptResult::Served, fill_report);
             }
             driver.advance(20.0);
         }
         let mut next: Vec<_> = requested.into_iter().collect();
-        while in_flight.front().is_some_and(|(due, ..)| *due <= driver.now) {
-            let (_, n, attempt, server) = in_flight.pop_front().expect("just seen");
-            let actions = driver.finish_in(n, attempt, &server, AttemptResult::Error, late, 1600.0);
-            next.extend(first_attempt(&actions).map(|f| (n, attempt + 1, f)));
+        while in_flight.front().is_some_and(|fill| fill.timeout_at <= driver.now) {
+            let Fill { n, attempt, server, .. } = in_flight.pop_front().expect("checked above");
+            let actions =
+                driver.finish_after(n, attempt, &server, AttemptResult::Error, timeout_report, 1600.0);
+            next.extend(first_attempt(&actions).map(|spec| (n, attempt + 1, spec)));
         }
-        while let Some((n, attempt, f)) = next.pop() {
-            if f.cached_only || f.fill_source == f.server {
+        while let Some((n, attempt, spec)) = next.pop() {
+            if spec.cached_only || spec.fill_source == spec.server {
                 let fill_report =
-                    if f.cached_only { FillReport::SourceMiss } else { FillReport::NotReported };
+                    if spec.cached_only { FillReport::SourceMiss } else { FillReport::NotReported };
                 next.extend(
                     first_attempt(&driver.finish(
                         n,
                         attempt,
-                        &f.server,
+                        &spec.server,
                         AttemptResult::CacheMiss,
                         fill_report,
                     ))
-                    .map(|f| (n, attempt + 1, f)),
+                    .map(|spec| (n, attempt + 1, spec)),
                 );
             } else {
-                calls += usize::from(n >= 1050);
-                in_flight.push_back((driver.now + 1600.0, n, attempt, f.server));
+                fills += usize::from(n >= 1050);
+                let timeout_at = driver.now + 1600.0;
+                in_flight.push_back(Fill { timeout_at, n, attempt, server: spec.server });
             }
         }
     }
-    calls
+    fills
 }
 
-/// An origin whose queue is longer than a fill's timeout does only useless work while it gets more than it can do.
-/// Timeouts halve its limit, so that the queue drains, whether the parent reports a failed origin or times out.
+/// An origin whose queue is longer than a fill's timeout does only useless work while it gets more requests than it can
+/// serve. Timeouts halve its limit, so that the queue drains, whether the parent reports a failed origin or times out.
 #[test]
 fn overloaded_origin_soon_gets_few_requests() {
-    for late in [FillReport::OriginFailed, FillReport::SourceFailed] {
-        let calls = fills_of_an_overloaded_origin(late);
-        println!("{late:?}: {calls}");
-        assert!((1..10).contains(&calls), "{late:?}: {calls} of 50 reached it");
+    for timeout_report in [FillReport::OriginFailed, FillReport::SourceFailed] {
+        let fills = fills_of_an_overloaded_origin(timeout_report);
+        println!("{timeout_report:?}: {fills}");
+        assert!((1..10).contains(&fills), "{timeout_report:?}: {fills} fills for 50 requests");
     }
 }
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -1,4 +1,5 @@
-//! The guarantees under random sequences of events, without a model of servers.
+//! The guarantees (one answer in time, no second execution, nothing to draining servers, purges respected) under random
+//! sequences of events, without a model of servers.
 
 mod common;
 use basaltgw::api::*;
@@ -15,37 +16,45 @@
         object: u64,
         part: u64,
         budget: f64,
+        /// Whether the settings have the class.
         known: bool,
     },
-    End {
+    FinishAttempt {
+        /// Selects one of the attempts in flight.
         pick: usize,
-        end: u8,
+        result: u8,
         fill_report: u8,
-        delay: f64,
+        latency: f64,
     },
-    Leave {
+    /// The client disconnects.
+    Disconnect {
+        /// Selects one of the unanswered requests.
         pick: usize,
     },
-    List {
+    /// The list changes one server.
+    ListOne {
         server: usize,
-        listed: u8,
+        /// Up, draining or removed.
+        state: u8,
         restart: bool,
     },
-    Whole {
-        keep: u8,
+    CompleteList {
+        /// A bit for each server, modulo 8: whether the list has it.
+        kept: u8,
     },
     Purge {
         object: Option<u64>,
         group: u64,
         age: f64,
     },
-    /// A fill plan of some parents with shares, with or without the origin; or none.
-    Plan {
+    /// A fill plan with the first parents as sources; without shares no plan.
+    FillPlan {
+        /// The share of each parent, in quarters.
         shares: Vec<u8>,
-        origin: bool,
+        allows_origin: bool,
     },
     Wait {
-        span: f64,
+        duration: f64,
     },
 }
 
@@ -54,63 +63,64 @@
         6 => (0usize..4, 0u64..6, 0u64..3, -10.0..3000.0f64, prop::bool::weighted(0.95))
             .prop_map(|(class, object, part, budget, known)| Step::Request { class, object, part, budget, known }),
         8 => (any::<usize>(), 0u8..9, 0u8..FILL_REPORTS.len() as u8, 0.0..2000.0f64)
-            .prop_map(|(pick, end, fill_report, delay)| Step::End { pick, end, fill_report, delay }),
-        1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
+            .prop_map(|(pick, result, fill_report, latency)|
+                Step::FinishAttempt { pick, result, fill_report, latency }),
+        1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
         1 => (0usize..7, 0u8..3, any::<bool>())
-            .prop_map(|(server, listed, restart)| Step::List { server, listed, restart }),
-        1 => any::<u8>().prop_map(|keep| Step::Whole { keep }),
+            .prop_map(|(server, state, restart)| Step::ListOne { server, state, restart }),
+        1 => any::<u8>().prop_map(|kept| Step::CompleteList { kept }),
         1 => (prop::option::of(0u64..6), 0u64..6, 0.0..500.0f64)
             .prop_map(|(object, group, age)| Step::Purge { object, group, age }),
         1 => (proptest::collection::vec(0u8..6, 0..4), any::<bool>())
-            .prop_map(|(shares, origin)| Step::Plan { shares, origin }),
-        4 => (0.0..400.0f64).prop_map(|span| Step::Wait { span }),
+            .prop_map(|(shares, allows_origin)| Step::FillPlan { shares, allows_origin }),
+        4 => (0.0..400.0f64).prop_map(|duration| Step::Wait { duration }),
     ]
 }
 
 /// What the test knows about a request, from events and actions only.
-struct Seen {
+struct TrackedRequest {
     class: ClassId,
     object: u64,
-    due: Ms,
+    answer_due_at: Ms,
     answers: usize,
     ended: bool,
-    attempts: Vec<SeenAttempt>,
+    attempts: Vec<TrackedAttempt>,
     may_have_been_executed: bool,
 }
 
-struct SeenAttempt {
+struct TrackedAttempt {
     server: ServerId,
     finished: bool,
 }
 
-/// A purge, and when the router was notified of it.
-struct SeenPurge {
+/// A purge of an object or a group, and when the router was notified of it.
+struct TrackedPurge {
     object: Option<u64>,
     group: u64,
     purged_at: Ms,
     notified_at: Ms,
 }
 
-impl SeenPurge {
+impl TrackedPurge {
     fn concerns(&self, object: u64) -> bool {
         self.object.map_or(self.group == object % 8, |purged| purged == object)
     }
 }
 
-type Checked = Result<(), TestCaseError>;
+type CheckResult = Result<(), TestCaseError>;
 
 /// A router, and what the test knows about its requests, servers and purges.
 struct Checker {
     driver: Driver,
     settings: Settings,
     servers: Vec<Endpoint>,
-    seen: BTreeMap<RequestId, Seen>,
+    tracked: BTreeMap<RequestId, TrackedRequest>,
     /// Servers that are draining or removed.
-    banned: BTreeSet<ServerId>,
-    purges: Vec<SeenPurge>,
-    /// Number of actions that are checked already.
-    checked: usize,
-    requests: usize,
+    unusable: BTreeSet<ServerId>,
+    purges: Vec<TrackedPurge>,
+    /// Number of actions in the driver's log that are checked already.
+    checked_actions: usize,
+    request_count: usize,
 }
 
 impl Checker {
@@ -119,108 +129,108 @@
             driver: Driver::new(settings.clone(), servers.clone()),
             settings,
             servers,
-            seen: BTreeMap::new(),
-            banned: BTreeSet::new(),
+            tracked: BTreeMap::new(),
+            unusable: BTreeSet::new(),
             purges: Vec::new(),
-            checked: 0,
-            requests: 0,
+            checked_actions: 0,
+            request_count: 0,
         }
     }
 
     fn apply(&mut self, step: Step) {
         match step {
             Step::Request { class, object, part, budget, known } => {
-                self.requests += 1;
+                self.request_count += 1;
                 let class = ClassId(class);
-                let sent = request(self.requests, class, object, budget);
-                let named = Some(class).filter(|_| known);
-                self.request(class, Request { class: named, part: Part(part), ..sent });
+                let sent = request(self.request_count, class, object, budget);
+                let listed_class = Some(class).filter(|_| known);
+                self.request(class, Request { class: listed_class, part: Part(part), ..sent });
             }
-            Step::End { pick, end, fill_report, delay } => {
+            Step::FinishAttempt { pick, result, fill_report, latency } => {
                 self.finish(
                     pick,
-                    AttemptResult::ALL[end as usize],
+                    AttemptResult::ALL[result as usize],
                     FILL_REPORTS[fill_report as usize],
-                    delay,
+                    latency,
                 );
             }
-            Step::Leave { pick } => self.disconnect(pick),
-            Step::Plan { shares, origin } => self.plan(&shares, origin),
-            Step::List { server, listed, restart } => self.list_one(server, listed, restart),
-            Step::Whole { keep } => self.list_all(keep),
+            Step::Disconnect { pick } => self.disconnect(pick),
+            Step::FillPlan { shares, allows_origin } => self.plan(&shares, allows_origin),
+            Step::ListOne { server, state, restart } => self.list_one(server, state, restart),
+            Step::CompleteList { kept } => self.list_all(kept),
             Step::Purge { object, group, age } => {
                 let (purged_at, notified_at) = (self.driver.now - age, self.driver.now);
-                self.purges.push(SeenPurge { object, group, purged_at, notified_at });
+                self.purges.push(TrackedPurge { object, group, purged_at, notified_at });
                 self.driver.handle(Event::Purged {
                     group: GroupId(group),
                     object: object.map(ObjectId),
                     age,
                 });
             }
-            Step::Wait { span } => {
-                self.driver.advance(span);
+            Step::Wait { duration } => {
+                self.driver.advance(duration);
             }
         }
     }
 
     fn request(&mut self, class: ClassId, request: Request) {
-        let seen = Seen {
+        let tracked = TrackedRequest {
             class,
             object: request.object.0,
-            due: self.driver.now + request.budget.max(0.0),
+            answer_due_at: self.driver.now + request.budget.max(0.0),
             answers: 0,
             ended: false,
             attempts: Vec::new(),
             may_have_been_executed: false,
         };
-        self.seen.insert(request.id.clone(), seen);
+        self.tracked.insert(request.id.clone(), tracked);
         self.driver.handle(Event::Request(request));
     }
 
-    fn finish(&mut self, pick: usize, result: AttemptResult, fill_report: FillReport, delay: Ms) {
+    fn finish(&mut self, pick: usize, result: AttemptResult, fill_report: FillReport, latency: Ms) {
         let mut in_flight: Vec<(RequestId, usize)> = Vec::new();
-        for (id, seen) in &self.seen {
-            let unfinished = seen.attempts.iter().enumerate().filter(|(_, attempt)| !attempt.finished);
+        for (id, tracked) in &self.tracked {
+            let unfinished = tracked.attempts.iter().enumerate().filter(|(_, attempt)| !attempt.finished);
             in_flight.extend(unfinished.map(|(n, _)| (id.clone(), n)));
         }
         if in_flight.is_empty() {
             return;
         }
         let (id, n) = in_flight[pick % in_flight.len()].clone();
-        let seen = self.seen.get_mut(&id).expect("seen");
-        seen.attempts[n].finished = true;
-        seen.may_have_been_executed |= !proves_no_pending_execution(result);
-        if result == AttemptResult::Served && !seen.ended {
-            seen.ended = true;
-            seen.answers += 1;
+        let tracked = self.tracked.get_mut(&id).expect("a tracked request");
+        tracked.attempts[n].finished = true;
+        tracked.may_have_been_executed |= !proves_no_pending_execution(result);
+        if result == AttemptResult::Served && !tracked.ended {
+            tracked.ended = true;
+            tracked.answers += 1;
         }
-        let (server, completes_request) = (seen.attempts[n].server.clone(), seen.ended);
+        let (server, completes_request) = (tracked.attempts[n].server.clone(), tracked.ended);
         self.driver.handle(Event::Outcome(Outcome {
             request: id,
             attempt: AttemptNo(n),
             server,
             result,
-            latency: delay,
+            latency,
             completes_request,
             fill_report,
-            source_wait: delay / 3.0,
+            source_wait: latency / 3.0,
             load: LoadReport::default(),
             body_complete: true,
         }));
     }
 
     fn disconnect(&mut self, pick: usize) {
-        let unanswered = self.seen.iter().filter(|(_, seen)| !seen.ended);
+        let unanswered = self.tracked.iter().filter(|(_, tracked)| !tracked.ended);
         let unanswered: Vec<RequestId> = unanswered.map(|(id, _)| id.clone()).collect();
         if !unanswered.is_empty() {
             let id = unanswered[pick % unanswered.len()].clone();
-            let seen = self.seen.get_mut(&id).expect("seen");
-            (seen.ended, seen.answers) = (true, 1);
+            let tracked = self.tracked.get_mut(&id).expect("a tracked request");
+            (tracked.ended, tracked.answers) = (true, 1);
             self.driver.handle(Event::ClientDisconnected(id));
         }
     }
 
-    fn plan(&mut self, shares: &[u8], origin: bool) {
+    fn plan(&mut self, shares: &[u8], allows_origin: bool) {
         let source = |(n, share): (usize, &u8)| SourceShare {
             id: server_id(&format!("parent-{n}")),
             weight: 1.0,
@@ -230,102 +240,103 @@
         let edges = ["edge-0", "edge-2", "edge-3"].map(server_id);
         let plan = FillPlan {
             sources: edges.iter().map(|edge| (edge.clone(), Arc::clone(&sources))).collect(),
-            origin_allowed: edges.into_iter().filter(|_| origin).collect(),
+            origin_allowed: edges.into_iter().filter(|_| allows_origin).collect(),
         };
         self.driver.handle(Event::FillPlan((!shares.is_empty()).then(|| Arc::new(plan))));
     }
 
-    fn list_one(&mut self, server: usize, listed: u8, restart: bool) {
+    fn list_one(&mut self, server: usize, state: u8, restart: bool) {
         let mut entry = self.servers[server * self.servers.len() / 7].clone();
-        entry.state = [EndpointState::Up, EndpointState::Draining, EndpointState::Removed][listed as usize];
+        entry.state = [EndpointState::Up, EndpointState::Draining, EndpointState::Removed][state as usize];
         entry.started = restart.then_some(self.driver.now);
         if entry.state == EndpointState::Up {
-            self.banned.remove(&entry.id);
+            self.unusable.remove(&entry.id);
         } else {
-            self.banned.insert(entry.id.clone());
+            self.unusable.insert(entry.id.clone());
         }
         self.driver.handle(Event::Endpoints { update: EndpointUpdate::Delta, entries: vec![entry] });
     }
 
-    fn list_all(&mut self, keep: u8) {
-        let remaining = self.servers.iter().enumerate().filter(|(n, _)| keep >> (n % 8) & 1 == 1);
+    fn list_all(&mut self, kept: u8) {
+        let remaining = self.servers.iter().enumerate().filter(|(n, _)| kept >> (n % 8) & 1 == 1);
         let remaining: Vec<Endpoint> = remaining.map(|(_, entry)| entry.clone()).collect();
-        self.banned = self.servers.iter().map(|entry| entry.id.clone()).collect();
+        self.unusable = self.servers.iter().map(|entry| entry.id.clone()).collect();
         remaining.iter().for_each(|entry| {
-            self.banned.remove(&entry.id);
+            self.unusable.remove(&entry.id);
         });
         self.driver.handle(Event::Endpoints { update: EndpointUpdate::Complete, entries: remaining });
     }
 
     /// Checks the actions since the last check.
-    fn check(&mut self) -> Checked {
-        for (at, action) in self.driver.log.split_off(self.checked) {
+    fn check(&mut self) -> CheckResult {
+        for (at, action) in self.driver.log.split_off(self.checked_actions) {
             self.check_action(at, &action)?;
             self.driver.log.push((at, action));
         }
-        self.checked = self.driver.log.len();
+        self.checked_actions = self.driver.log.len();
         Ok(())
     }
 
-    fn check_action(&mut self, at: Ms, action: &Action) -> Checked {
+    fn check_action(&mut self, at: Ms, action: &Action) -> CheckResult {
         match action {
             Action::StartAttempt(spec) => self.check_attempt(at, spec),
             Action::Reject { request: id, .. } | Action::Fail(id) => {
-                let seen = self.seen.get_mut(id).expect("a known request");
-                prop_assert!(!seen.ended, "answered twice");
-                prop_assert!(at <= seen.due, "answered late");
-                let unexecuted = !seen.may_have_been_executed && seen.attempts.iter().all(|a| a.finished);
-                let idempotency = self.settings.classes[seen.class.0].idempotency;
+                let tracked = self.tracked.get_mut(id).expect("a known request");
+                prop_assert!(!tracked.ended, "answered twice");
+                prop_assert!(at <= tracked.answer_due_at, "answered late");
+                let unexecuted =
+                    !tracked.may_have_been_executed && tracked.attempts.iter().all(|a| a.finished);
+                let idempotency = self.settings.classes[tracked.class.0].idempotency;
                 if matches!(action, Action::Reject { .. }) && idempotency == Idempotency::NonIdempotent {
                     prop_assert!(unexecuted, "rejected though it may have been executed");
                 }
-                (seen.ended, seen.answers) = (true, seen.answers + 1);
+                (tracked.ended, tracked.answers) = (true, tracked.answers + 1);
                 Ok(())
             }
             Action::CancelAttempt { request: id, attempt: number } => {
-                prop_assert!(number.0 < self.seen[id].attempts.len());
+                prop_assert!(number.0 < self.tracked[id].attempts.len());
                 Ok(())
             }
             Action::Timer { .. } | Action::WatchEndpoints | Action::Log(_) => Ok(()),
         }
     }
 
-    fn check_attempt(&mut self, at: Ms, spec: &AttemptSpec) -> Checked {
+    fn check_attempt(&mut self, at: Ms, spec: &AttemptSpec) -> CheckResult {
         let settings = &self.settings;
-        let seen = self.seen.get_mut(&spec.request).expect("a known request");
-        prop_assert!(!seen.ended, "started after the final answer");
-        let in_flight = seen.attempts.iter().filter(|attempt| !attempt.finished).count();
-        let idempotency = settings.classes[seen.class.0].idempotency;
+        let tracked = self.tracked.get_mut(&spec.request).expect("a known request");
+        prop_assert!(!tracked.ended, "started after the final answer");
+        let in_flight = tracked.attempts.iter().filter(|attempt| !attempt.finished).count();
+        let idempotency = settings.classes[tracked.class.0].idempotency;
         let may_hedge = settings.hedging && idempotency == Idempotency::Idempotent;
         prop_assert!(in_flight == 0 || (in_flight == 1 && may_hedge));
-        let executed = seen.may_have_been_executed;
-        prop_assert!(idempotency != Idempotency::NonIdempotent || !executed, "executed twice");
+        let may_have_been_executed = tracked.may_have_been_executed;
+        prop_assert!(idempotency != Idempotency::NonIdempotent || !may_have_been_executed, "executed twice");
         for id in [&spec.server, &spec.fill_source] {
-            prop_assert!(!self.banned.contains(id), "{id:?} is draining or removed");
+            prop_assert!(!self.unusable.contains(id), "{id:?} is draining or removed");
         }
-        for purge in self.purges.iter().filter(|purge| purge.concerns(seen.object)) {
-            let respected = at > purge.notified_at + settings.purge_grace;
-            if respected && at < purge.purged_at + settings.purge_convergence_time {
+        for purge in self.purges.iter().filter(|purge| purge.concerns(tracked.object)) {
+            let must_respect = at > purge.notified_at + settings.purge_grace;
+            if must_respect && at < purge.purged_at + settings.purge_convergence_time {
                 let age = spec.max_age.expect("an age limit");
                 prop_assert!(age > 0.0 && age <= at - purge.purged_at);
             }
         }
-        seen.attempts.push(SeenAttempt { server: spec.server.clone(), finished: false });
+        tracked.attempts.push(TrackedAttempt { server: spec.server.clone(), finished: false });
         Ok(())
     }
 
-    /// Lets the remaining requests end and checks that each has one answer.
-    fn finish_all(&mut self) -> Checked {
+    /// Advances past all deadlines and checks that each request has one answer.
+    fn finish_all(&mut self) -> CheckResult {
         self.driver.advance(5000.0);
-        for (at, action) in &self.driver.log[self.checked..] {
+        for (at, action) in &self.driver.log[self.checked_actions..] {
             if let Action::Reject { request: id, .. } | Action::Fail(id) = action {
-                let seen = self.seen.get_mut(id).expect("a known request");
-                prop_assert!(!seen.ended && *at <= seen.due);
-                (seen.ended, seen.answers) = (true, seen.answers + 1);
+                let tracked = self.tracked.get_mut(id).expect("a known request");
+                prop_assert!(!tracked.ended && *at <= tracked.answer_due_at);
+                (tracked.ended, tracked.answers) = (true, tracked.answers + 1);
             }
         }
-        for (id, seen) in &self.seen {
-            prop_assert_eq!(seen.answers, 1, "{:?}", id);
+        for (id, tracked) in &self.tracked {
+            prop_assert_eq!(tracked.answers, 1, "{:?}", id);
         }
         Ok(())
     }
--- a/tests/ranking_and_placement.rs
+++ b/tests/ranking_and_placement.rs
@@ -16,7 +16,7 @@
     assert_eq!(list.access(1), Some(0));
     list.access(3);
     list.access(4);
-    assert!(!list.contains(2), "the fourth key pushes the oldest out");
+    assert!(!list.contains(2), "the fourth key evicts the least recent one");
     assert_eq!(list.access(2), None);
 }
 
@@ -26,7 +26,7 @@
     for key in [1, 2, 1, 1, 2] {
         list.access(key);
     }
-    // Two not found, one at position 0, two at position 1.
+    // Two keys were not found, one was found at position 0, two at position 1.
     assert_eq!(list.miss_curve(), vec![5.0, 4.0, 2.0, 2.0]);
     list.halve();
     assert_eq!(list.miss_curve(), vec![2.5, 2.0, 1.0, 1.0]);
@@ -37,10 +37,14 @@
     // By hand, St = 4: MR1 falls by 4, 3, 2, 1; MR2 likewise, so with s2 = 4 - s the sums are
     // s: 0 -> 10 L1 + 0, 1 -> 6 L1 + 1 L2, 2 -> 3 L1 + 3 L2, 3 -> 1 L1 + 6 L2, 4 -> 0 + 10 L2.
     let mr = [10.0, 6.0, 3.0, 1.0, 0.0];
-    assert_eq!(best_split(2, 1, &mr, &mr, 10.0, 1.0), 3, "dear misses at the edge widen its share");
-    assert_eq!(best_split(2, 1, &mr, &mr, 1.0, 10.0), 1, "dear misses behind it narrow it");
-    assert_eq!(best_split(2, 1, &mr, &mr, 1.0, 1.0), 2, "the least stays");
-    assert_eq!(best_split(2, 2, &mr, &mr, 10.0, 1.0), 4, "33 at 2, 16 at 3, 10 at 4: only q held it back");
+    assert_eq!(best_split(2, 1, &mr, &mr, 10.0, 1.0), 3, "costly misses at the edge raise the split");
+    assert_eq!(best_split(2, 1, &mr, &mr, 1.0, 10.0), 1, "costly misses at the parents lower it");
+    assert_eq!(best_split(2, 1, &mr, &mr, 1.0, 1.0), 2, "the split has the lowest cost");
+    assert_eq!(
+        best_split(2, 2, &mr, &mr, 10.0, 1.0),
+        4,
+        "costs of 33 at 2, 16 at 3, 10 at 4: a longer step reaches 4"
+    );
 }
 
 #[test]
@@ -65,13 +69,13 @@
 #[test]
 fn split_moves_by_at_most_q_once_both_latencies_are_known() {
     let mut driver = Driver::new(settings(), fleet());
-    // A scan over more objects than s1, twice: every second access is at a distance just beyond s1.
-    let many = SHADOW_ENTRIES / 2 + 50;
-    for n in 0..2 * many {
+    // Two scans over more objects than s1: each access of the second one is at a distance just above s1.
+    let objects = SHADOW_ENTRIES / 2 + 50;
+    for n in 0..2 * objects {
         let fill_report = if n % 2 == 0 { FillReport::FilledBySource } else { FillReport::FilledByOrigin };
-        let fetch = first_attempt(&driver.request(n, IDEMPOTENT, (n % many) as u64)).expect("a fetch");
+        let spec = first_attempt(&driver.request(n, IDEMPOTENT, (n % objects) as u64)).expect("an attempt");
         let fill_report = if n < 4 { fill_report } else { FillReport::Hit };
-        driver.finish(n, 0, &fetch.server, AttemptResult::Served, fill_report);
+        driver.finish(n, 0, &spec.server, AttemptResult::Served, fill_report);
     }
     let before = driver.router.split();
     driver.advance(PERIOD_MS + 20.0);
@@ -83,19 +87,23 @@
 #[test]
 fn rank_follows_reuse_distance_and_later_parts_follow_the_first() {
     let mut driver = Driver::new(settings(), fleet());
-    assert_eq!(driver.serve(0, IDEMPOTENT, 9, FillReport::Hit).rank, Rank::Low, "never seen");
+    assert_eq!(driver.serve(0, IDEMPOTENT, 9, FillReport::Hit).rank, Rank::Low, "not requested before");
     let part = |n: usize, part: u64| {
         Event::Request(Request { part: Part(part), ..request(n, IDEMPOTENT, 9, 4000.0) })
     };
     let actions = driver.handle(part(1, 1));
-    assert_eq!(first_attempt(&actions).map(|f| f.rank), Some(Rank::Low), "a later part is not filed");
+    assert_eq!(
+        first_attempt(&actions).map(|spec| spec.rank),
+        Some(Rank::Low),
+        "a later part is no access to the object"
+    );
     assert_eq!(
         driver.serve(2, IDEMPOTENT, 9, FillReport::Hit).rank,
         Rank::Top,
-        "the second first part was near"
+        "the first part was requested again at a short distance"
     );
     let actions = driver.handle(part(3, 2));
-    assert_eq!(first_attempt(&actions).map(|f| f.rank), Some(Rank::Top));
+    assert_eq!(first_attempt(&actions).map(|spec| spec.rank), Some(Rank::Top));
 }
 
 #[test]
@@ -116,32 +124,31 @@
     let all = homes(fleet());
     let mut fewer = fleet();
     fewer.remove(1);
-    // The list's order must not matter either.
+    // The order of the list must not matter either.
     fewer.reverse();
-    let rest = homes(fewer);
-    for (a, b) in all.iter().zip(&rest) {
-        if a.server != server_id("edge-1") {
-            assert_eq!(a.server, b.server);
+    let remaining = homes(fewer);
+    for (before, after) in all.iter().zip(&remaining) {
+        if before.server != server_id("edge-1") {
+            assert_eq!(before.server, after.server);
         } else {
-            assert_ne!(b.server, server_id("edge-1"));
+            assert_ne!(after.server, server_id("edge-1"));
         }
-        assert_eq!(a.fill_source, b.fill_source, "the parent does not depend on the caches");
+        assert_eq!(before.fill_source, after.fill_source, "the parent does not depend on the caches");
     }
-    assert_eq!(all.iter().map(|f| &f.server).collect::<BTreeSet<_>>().len(), 4);
-    assert_eq!(all.iter().map(|f| &f.fill_source).collect::<BTreeSet<_>>().len(), 2);
+    assert_eq!(all.iter().map(|spec| &spec.server).collect::<BTreeSet<_>>().len(), 4);
+    assert_eq!(all.iter().map(|spec| &spec.fill_source).collect::<BTreeSet<_>>().len(), 2);
 }
 
 #[test]
 fn every_zone_fills_an_object_from_the_same_parent() {
-    let mut here = Driver::new(settings(), fleet());
-    let mut there_settings = settings();
-    there_settings.zone = ZoneId(2);
+    let mut own_zone = Driver::new(settings(), fleet());
+    let other_settings = Settings { zone: ZoneId(2), ..settings() };
     let mut servers = fleet();
     servers.iter_mut().filter(|s| s.role == Role::Edge).for_each(|s| s.zone = ZoneId(2));
-    let mut there = Driver::new(there_settings, servers);
+    let mut other_zone = Driver::new(other_settings, servers);
     for n in 0..50 {
-        let a = here.serve(n, IDEMPOTENT, n as u64 * 31, FillReport::Hit);
-        let b = there.serve(n, IDEMPOTENT, n as u64 * 31, FillReport::Hit);
-        assert_eq!(a.fill_source, b.fill_source);
+        let own = own_zone.serve(n, IDEMPOTENT, n as u64 * 31, FillReport::Hit);
+        let other = other_zone.serve(n, IDEMPOTENT, n as u64 * 31, FillReport::Hit);
+        assert_eq!(own.fill_source, other.fill_source);
     }
 }
--- a/tests/settings/steps.rs
+++ b/tests/settings/steps.rs
@@ -2,18 +2,18 @@
 
 use crate::common::{self, request_id, FILL_REPORTS};
 use crate::generators::Step;
-use crate::world::{Checked, Seen, World};
+use crate::world::{CheckResult, TrackedPurge, TrackedRequest, World};
 use basaltgw::api::*;
 use proptest::prelude::*;
 
-/// One of some items, selected by a random number.
-fn pick<T: Clone>(items: &[T], number: usize) -> Option<T> {
+/// The item that a random number selects; `None` if there are no items.
+fn select_item<T: Clone>(items: &[T], number: usize) -> Option<T> {
     (!items.is_empty()).then(|| items[number % items.len()].clone())
 }
 
 impl World {
     /// Applies a step. `count` numbers the request that it may send.
-    pub fn step(&mut self, step: Step, fleet: &[Endpoint], count: usize) -> Checked {
+    pub fn step(&mut self, step: Step, fleet: &[Endpoint], count: usize) -> CheckResult {
         match step {
             Step::Request { class, object, part, budget, size, write } => self.request(Request {
                 id: request_id(count),
@@ -25,69 +25,75 @@
                 write,
                 budget,
             }),
-            Step::End { pick: number, end, fill_report, delay, wait } => {
-                let Some((id, n)) = pick(&self.in_flight(), number) else { return Ok(()) };
-                self.finish(&id, n, AttemptResult::ALL[end], FILL_REPORTS[fill_report], delay, wait)
+            Step::FinishAttempt { pick: number, result, fill_report, latency, source_wait } => {
+                let Some((id, n)) = select_item(&self.in_flight(), number) else { return Ok(()) };
+                let (result, fill_report) = (AttemptResult::ALL[result], FILL_REPORTS[fill_report]);
+                self.finish(&id, n, result, fill_report, latency, source_wait)
+            }
+            Step::FinishUnknownAttempt { pick: number, attempt, result } => {
+                self.finish_unknown(number, attempt, result)
             }
-            Step::Unknown { pick: number, attempt, end } => self.finish_unknown(number, attempt, end),
             Step::StartResponse { pick: number } => {
-                let unanswered = self.in_flight().into_iter().filter(|(id, _)| self.seen[id].answers == 0);
-                let Some((id, n)) = pick(&unanswered.collect::<Vec<_>>(), number) else { return Ok(()) };
-                self.seen.get_mut(&id).expect("seen").answers = 1;
+                let unanswered = self.in_flight().into_iter().filter(|(id, _)| self.tracked[id].answers == 0);
+                let Some((id, n)) = select_item(&unanswered.collect::<Vec<_>>(), number) else {
+                    return Ok(());
+                };
+                self.tracked.get_mut(&id).expect("a tracked request").answers = 1;
                 self.handle(Event::ResponseStarted { request: id, attempt: AttemptNo(n) })
             }
             Step::Disconnect { pick: number } => {
-                let Some(id) = pick(&self.unanswered(), number) else { return Ok(()) };
-                self.seen.get_mut(&id).expect("seen").answers = 1;
+                let Some(id) = select_item(&self.unanswered(), number) else { return Ok(()) };
+                self.tracked.get_mut(&id).expect("a tracked request").answers = 1;
                 self.handle(Event::ClientDisconnected(id))
             }
-            Step::ListOne { server, listed, started } => {
-                let Some(entry) = pick(fleet, server) else { return Ok(()) };
+            Step::ListOne { server, state, started } => {
+                let Some(entry) = select_item(fleet, server) else { return Ok(()) };
                 let states = [EndpointState::Up, EndpointState::Draining, EndpointState::Removed];
-                let (state, started) = (states[listed as usize], started.map(|ago| self.now + ago));
+                let (state, started) = (states[state as usize], started.map(|offset| self.now + offset));
                 self.list(EndpointUpdate::Delta, vec![Endpoint { state, started, ..entry }])
             }
-            Step::CompleteList { keep } => {
-                let remaining = fleet.iter().enumerate().filter(|(n, _)| keep >> (n % 8) & 1 == 1);
+            Step::CompleteList { kept } => {
+                let remaining = fleet.iter().enumerate().filter(|(n, _)| kept >> (n % 8) & 1 == 1);
                 self.list(EndpointUpdate::Complete, remaining.map(|(_, e)| e.clone()).collect())
             }
             Step::Purge { object, group, age } => {
-                self.purges.push((object, group, self.now - age, self.now));
+                let (purged_at, notified_at) = (self.now - age, self.now);
+                self.purges.push(TrackedPurge { object, group, purged_at, notified_at });
                 self.handle(Event::Purged { group: GroupId(group), object: object.map(ObjectId), age })
             }
-            Step::Stop { span } => self.stop(span),
-            Step::Wait { span } => self.advance(span),
+            Step::StopProcess { duration } => self.stop(duration),
+            Step::Wait { duration } => self.advance(duration),
         }
     }
 
     /// Requests without a final answer.
     fn unanswered(&self) -> Vec<RequestId> {
-        let unanswered = self.seen.iter().filter(|(_, seen)| seen.answers == 0);
+        let unanswered = self.tracked.iter().filter(|(_, tracked)| tracked.answers == 0);
         unanswered.map(|(id, _)| id.clone()).collect()
     }
 
-    fn request(&mut self, request: Request) -> Checked {
-        let seen = Seen {
+    fn request(&mut self, request: Request) -> CheckResult {
+        let tracked = TrackedRequest {
             class: request.class.map(|c| c.0).filter(|c| *c < self.settings.classes.len()),
             object: request.object.0,
-            due: self.now + request.budget.max(0.0),
+            answer_due_at: self.now + request.budget.max(0.0),
             answers: 0,
             attempts: Vec::new(),
             executed_since: None,
         };
-        self.seen.insert(request.id.clone(), seen);
+        self.tracked.insert(request.id.clone(), tracked);
         self.handle(Event::Request(request))
     }
 
-    /// Ends an unknown or finished attempt, of an unknown request or any other.
-    fn finish_unknown(&mut self, number: usize, attempt: usize, end: usize) -> Checked {
-        let requested: Vec<RequestId> = self.seen.keys().cloned().collect();
+    /// Reports an outcome of an attempt that is not in flight, of an unknown request or of a tracked one.
+    fn finish_unknown(&mut self, number: usize, attempt: usize, result: usize) -> CheckResult {
+        let requested: Vec<RequestId> = self.tracked.keys().cloned().collect();
         let id = requested.get(number % (requested.len() + 1)).cloned().unwrap_or_else(|| request_id(9999));
-        let attempts = self.seen.get(&id).map_or(&[][..], |s| &s.attempts);
-        if attempts.get(attempt).is_some_and(|t| !t.over) {
+        let attempts = self.tracked.get(&id).map_or(&[][..], |request| &request.attempts);
+        if attempts.get(attempt).is_some_and(|attempt| !attempt.finished) {
             return Ok(());
         }
-        let result = match AttemptResult::ALL[end] {
+        let result = match AttemptResult::ALL[result] {
             AttemptResult::Served => AttemptResult::ConnectionLost,
             other => other,
         };
@@ -105,16 +111,16 @@
         }))
     }
 
-    /// Stops the process for a duration.
-    fn stop(&mut self, span: Ms) -> Checked {
-        self.now += span;
-        // Expired requests have to be answered with the first batch.
+    /// Stops the process for a duration in milliseconds.
+    fn stop(&mut self, duration: Ms) -> CheckResult {
+        self.now += duration;
+        // Requests that expired meanwhile must be answered with the first batch.
         let now = self.now;
         let late: Vec<RequestId> =
-            self.unanswered().into_iter().filter(|id| self.seen[id].due < now).collect();
-        late.iter().for_each(|id| self.seen.get_mut(id).expect("seen").due = now);
+            self.unanswered().into_iter().filter(|id| self.tracked[id].answer_due_at < now).collect();
+        late.iter().for_each(|id| self.tracked.get_mut(id).expect("a tracked request").answer_due_at = now);
         self.process_due()?;
-        prop_assert!(late.iter().all(|id| self.seen[id].answers == 1), "not answered after a stop");
+        prop_assert!(late.iter().all(|id| self.tracked[id].answers == 1), "not answered after a stop");
         Ok(())
     }
 }
--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -12,90 +12,110 @@
 
 pub struct TrackedAttempt {
     pub server: ServerId,
-    pub sent: Ms,
-    pub until: Ms,
-    pub over: bool,
+    pub sent_at: Ms,
+    pub timeout_at: Ms,
+    pub finished: bool,
 }
 
 /// What the checker knows about a request, from events and actions only.
-pub struct Seen {
+pub struct TrackedRequest {
     pub class: Option<usize>,
     pub object: u64,
-    pub due: Ms,
+    pub answer_due_at: Ms,
     pub answers: usize,
     pub attempts: Vec<TrackedAttempt>,
     /// When the first finished attempt was sent that may have been executed.
     pub executed_since: Option<Ms>,
 }
 
-impl Seen {
-    pub fn in_flight_count(&self) -> usize {
-        self.attempts.iter().filter(|t| !t.over).count()
+impl TrackedRequest {
+    fn in_flight(&self) -> impl Iterator<Item = &TrackedAttempt> {
+        self.attempts.iter().filter(|attempt| !attempt.finished)
     }
 
     /// When the first attempt was sent that may have been executed, or may yet be.
     pub fn first_possible_execution(&self) -> Option<Ms> {
-        self.executed_since.or_else(|| self.attempts.iter().find(|t| !t.over).map(|t| t.sent))
+        self.executed_since.or_else(|| self.in_flight().next().map(|attempt| attempt.sent_at))
     }
 }
 
+/// A purge of an object or a group, and when the router was notified of it.
+pub struct TrackedPurge {
+    pub object: Option<u64>,
+    pub group: u64,
+    pub purged_at: Ms,
+    pub notified_at: Ms,
+}
+
+impl TrackedPurge {
+    fn concerns(&self, object: u64) -> bool {
+        self.object.map_or(self.group == object % 3, |purged| purged == object)
+    }
+}
+
+/// A timer that the router has started.
+pub struct Timer {
+    pub due_at: Ms,
+    pub token: u64,
+}
+
 /// A router, its clock, and the state of the checker.
 pub struct World {
     pub router: Router,
     pub settings: Settings,
     pub now: Ms,
-    pub timers: Vec<(Ms, u64)>,
-    /// Attempts end at their timeouts; otherwise only by random steps.
-    pub prompt: bool,
-    pub seen: BTreeMap<RequestId, Seen>,
+    pub timers: Vec<Timer>,
+    /// Whether attempts end at their timeouts; otherwise only random steps end them.
+    pub times_out: bool,
+    pub tracked: BTreeMap<RequestId, TrackedRequest>,
     /// Servers that are up by the list.
     pub up: BTreeMap<ServerId, Endpoint>,
     pub listed: BTreeSet<ServerId>,
-    pub purges: Vec<(Option<u64>, u64, Ms, Ms)>,
+    pub purges: Vec<TrackedPurge>,
 }
 
-pub type Checked = Result<(), TestCaseError>;
+pub type CheckResult = Result<(), TestCaseError>;
 
 impl World {
-    pub fn new(settings: Settings, prompt: bool) -> Self {
+    pub fn new(settings: Settings, times_out: bool) -> Self {
         Self {
             router: Router::new(settings.clone(), 7),
             settings,
             now: 1_000_000.0,
             timers: Vec::new(),
-            prompt,
-            seen: BTreeMap::new(),
+            times_out,
+            tracked: BTreeMap::new(),
             up: BTreeMap::new(),
             listed: BTreeSet::new(),
             purges: Vec::new(),
         }
     }
 
-    pub fn handle(&mut self, event: Event) -> Checked {
+    pub fn handle(&mut self, event: Event) -> CheckResult {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions.into_iter().try_for_each(|action| self.check(action))?;
-        for s in self.router.snapshot().servers {
+        for server in self.router.snapshot().servers {
             prop_assert!(
-                s.weight_penalty_log.is_finite() && s.weight_penalty_log <= 0.0,
+                server.weight_penalty_log.is_finite() && server.weight_penalty_log <= 0.0,
                 "{:?} has the penalty {}",
-                s.id,
-                s.weight_penalty_log
+                server.id,
+                server.weight_penalty_log
             );
             prop_assert!(
-                s.latency_ratio_log.is_none_or(f64::is_finite),
+                server.latency_ratio_log.is_none_or(f64::is_finite),
                 "{:?} has the latency ratio {:?}",
-                s.id,
-                s.latency_ratio_log
+                server.id,
+                server.latency_ratio_log
             );
-            prop_assert!(self.listed.contains(&s.id), "{:?} is not listed", s.id);
+            prop_assert!(self.listed.contains(&server.id), "{:?} is not listed", server.id);
         }
         Ok(())
     }
 
-    pub fn check(&mut self, action: Action) -> Checked {
+    pub fn check(&mut self, action: Action) -> CheckResult {
         match action {
-            Action::StartAttempt(fetch) => self.check_attempt(&fetch),
+            Action::StartAttempt(spec) => self.check_attempt(&spec),
             Action::Reject { request: id, retry_after } => {
                 let max = if self.settings.retry_after { self.settings.max_retry_after } else { 0.0 };
                 prop_assert!((0.0..=max).contains(&retry_after), "Retry-After of {retry_after} above {max}");
@@ -117,14 +137,14 @@
                 Ok(())
             }
             Action::Fail(id) => self.answered(&id).map(|_| ()),
-            Action::CancelAttempt { request: id, attempt: n } => {
+            Action::CancelAttempt { request, attempt } => {
                 prop_assert!(self.settings.cancel, "cancelled where that is not allowed");
-                prop_assert!(n.0 < self.seen[&id].attempts.len());
+                prop_assert!(attempt.0 < self.tracked[&request].attempts.len());
                 Ok(())
             }
-            Action::Timer { delay: after, token } => {
-                prop_assert!(after.is_finite() && after > 0.0 && self.timers.len() < 4);
-                self.timers.push((self.now + after, token));
+            Action::Timer { delay, token } => {
+                prop_assert!(delay.is_finite() && delay > 0.0 && self.timers.len() < 4);
+                self.timers.push(Timer { due_at: self.now + delay, token });
                 Ok(())
             }
             Action::WatchEndpoints => {
@@ -135,97 +155,104 @@
         }
     }
 
-    /// Checks a final answer; returns the request's class and when it was first possibly executed.
+    /// Checks a final answer; returns the request's class, and when the request may first have been executed.
     pub fn answered(&mut self, id: &RequestId) -> Result<(Option<usize>, Option<Ms>), TestCaseError> {
         let now = self.now;
-        let seen = self.seen.get_mut(id).expect("a known request");
-        prop_assert_eq!(seen.answers, 0, "answered twice");
-        prop_assert!(now <= seen.due, "answered {} ms late", now - seen.due);
-        seen.answers += 1;
-        Ok((seen.class, seen.first_possible_execution()))
+        let tracked = self.tracked.get_mut(id).expect("a known request");
+        prop_assert_eq!(tracked.answers, 0, "answered twice");
+        prop_assert!(now <= tracked.answer_due_at, "answered {} ms late", now - tracked.answer_due_at);
+        tracked.answers += 1;
+        Ok((tracked.class, tracked.first_possible_execution()))
     }
 
-    pub fn check_attempt(&mut self, f: &AttemptSpec) -> Checked {
+    pub fn check_attempt(&mut self, spec: &AttemptSpec) -> CheckResult {
         let (now, settings) = (self.now, &self.settings);
-        let seen = self.seen.get_mut(&f.request).expect("a known request");
-        prop_assert_eq!(seen.answers, 0, "started after the final answer");
-        let class = &settings.classes[seen.class.expect("a class of the settings")];
-        prop_assert!(f.timeout.is_finite() && f.timeout > 0.0 && now + f.timeout <= seen.due);
-        prop_assert!(seen.attempts.len() < settings.max_attempts, "beyond the limit on attempts");
-        let in_flight = seen.in_flight_count();
+        let tracked = self.tracked.get_mut(&spec.request).expect("a known request");
+        prop_assert_eq!(tracked.answers, 0, "started after the final answer");
+        let class = &settings.classes[tracked.class.expect("a class of the settings")];
+        prop_assert!(
+            spec.timeout.is_finite() && spec.timeout > 0.0 && now + spec.timeout <= tracked.answer_due_at
+        );
+        prop_assert!(tracked.attempts.len() < settings.max_attempts, "more attempts than max_attempts");
+        let in_flight = tracked.in_flight().count();
         prop_assert!(
             in_flight == 0
                 || (settings.hedging && in_flight == 1 && class.idempotency == Idempotency::Idempotent)
         );
-        if let Some(since) = seen.first_possible_execution() {
+        if let Some(since) = tracked.first_possible_execution() {
             prop_assert!(class.idempotency != Idempotency::NonIdempotent, "executed twice");
-            let ends = since + class.key_window;
+            let window_end = since + class.key_window;
             if class.idempotency == Idempotency::IdempotencyKey {
                 prop_assert!(class.key_scope == KeyScope::All, "retried outside the key's scope");
                 // An attempt that waits for a connection starts by then or never.
-                prop_assert!(now < f.start_before && f.start_before < ends, "retried after the key's window");
+                prop_assert!(
+                    now < spec.start_before && spec.start_before < window_end,
+                    "retried after the key's window"
+                );
             }
         }
-        let target = self.up.get(&f.server);
-        prop_assert!(target.is_some(), "{:?} is not up", f.server);
-        let target = target.expect("just seen");
-        let near = target.role != Role::Edge || target.zone == settings.zone;
+        let server = self.up.get(&spec.server);
+        prop_assert!(server.is_some(), "{:?} is not up", spec.server);
+        let server = server.expect("checked above");
+        let in_scope = server.role != Role::Edge || server.zone == settings.zone;
         prop_assert!(
-            near && (target.role == Role::Edge || settings.direct_to_parents),
+            in_scope && (server.role == Role::Edge || settings.direct_to_parents),
             "{:?} may not be used",
-            f.server
+            spec.server
         );
-        if f.fill_source != f.server {
-            let source = self.up.get(&f.fill_source);
-            prop_assert!(source.is_some_and(|s| s.role != Role::Edge), "{:?} is no source", f.fill_source);
+        if spec.fill_source != spec.server {
+            let source = self.up.get(&spec.fill_source);
+            prop_assert!(source.is_some_and(|s| s.role != Role::Edge), "{:?} is no source", spec.fill_source);
         }
-        for (object, group, purged, notified) in &self.purges {
-            let named = object.map_or(*group == seen.object % 3, |o| o == seen.object);
-            if named
-                && now > notified + settings.purge_grace
-                && now < purged + settings.purge_convergence_time
-            {
-                let age = f.max_age.unwrap_or(f64::INFINITY);
+        for purge in self.purges.iter().filter(|purge| purge.concerns(tracked.object)) {
+            let must_respect = now > purge.notified_at + settings.purge_grace;
+            if must_respect && now < purge.purged_at + settings.purge_convergence_time {
+                let age = spec.max_age.unwrap_or(f64::INFINITY);
                 prop_assert!(
-                    age > 0.0 && age <= (now - purged).max(MIN_AGE_MS),
+                    age > 0.0 && age <= (now - purge.purged_at).max(MIN_AGE_MS),
                     "a copy of age {age} is accepted"
                 );
             }
         }
-        let server = f.server.clone();
-        seen.attempts.push(TrackedAttempt { server, sent: now, until: now + f.timeout, over: false });
+        let server = spec.server.clone();
+        tracked.attempts.push(TrackedAttempt {
+            server,
+            sent_at: now,
+            timeout_at: now + spec.timeout,
+            finished: false,
+        });
         Ok(())
     }
 
-    /// Ends an attempt, as a transport would.
+    /// Reports the outcome of an attempt, as the caller of the router would.
     pub fn finish(
         &mut self,
         id: &RequestId,
         n: usize,
-        end: AttemptResult,
+        result: AttemptResult,
         fill_report: FillReport,
-        delay: Ms,
-        wait: Ms,
-    ) -> Checked {
-        let seen = self.seen.get_mut(id).expect("a known request");
-        let over = std::mem::replace(&mut seen.attempts[n].over, true);
-        let proved = proves_no_pending_execution(end);
-        if !proved && !over {
-            seen.executed_since = seen.executed_since.or(Some(seen.attempts[n].sent));
+        latency: Ms,
+        source_wait: Ms,
+    ) -> CheckResult {
+        let tracked = self.tracked.get_mut(id).expect("a known request");
+        let finished = std::mem::replace(&mut tracked.attempts[n].finished, true);
+        let proved = proves_no_pending_execution(result);
+        if !proved && !finished {
+            tracked.executed_since = tracked.executed_since.or(Some(tracked.attempts[n].sent_at));
         }
-        if end == AttemptResult::Served && !over {
-            seen.answers = 1;
+        if result == AttemptResult::Served && !finished {
+            tracked.answers = 1;
         }
-        let (server, last) = (seen.attempts[n].server.clone(), seen.answers > 0);
+        let (server, completes_request) = (tracked.attempts[n].server.clone(), tracked.answers > 0);
         let outcome = Outcome {
             request: id.clone(),
             attempt: AttemptNo(n),
             server,
-            result: end,
-            latency: delay,
-            completes_request: last,
+            result,
+            latency,
+            completes_request,
             fill_report,
-            source_wait: wait,
+            source_wait,
             load: LoadReport::default(),
             body_complete: true,
         };
@@ -233,40 +260,42 @@
     }
 
     pub fn in_flight(&self) -> Vec<(RequestId, usize)> {
-        let of = |(id, s): (&RequestId, &Seen)| {
-            let in_flight = s.attempts.iter().enumerate().filter(|(_, t)| !t.over);
+        let attempts_of = |(id, request): (&RequestId, &TrackedRequest)| {
+            let in_flight = request.attempts.iter().enumerate().filter(|(_, attempt)| !attempt.finished);
             in_flight.map(|(n, _)| (id.clone(), n)).collect::<Vec<_>>()
         };
-        self.seen.iter().flat_map(of).collect()
+        self.tracked.iter().flat_map(attempts_of).collect()
     }
 
     /// Processes what is due now.
-    pub fn process_due(&mut self) -> Checked {
-        if self.prompt {
+    pub fn process_due(&mut self) -> CheckResult {
+        if self.times_out {
             for (id, n) in self.in_flight() {
-                // The end of another one may have ended it as well.
-                let t = &self.seen[&id].attempts[n];
-                if t.until <= self.now && !t.over {
-                    let took = self.now - t.sent;
-                    self.finish(&id, n, AttemptResult::TimedOut, FillReport::NotReported, took, 0.0)?;
+                // The end of another attempt may have ended this one as well.
+                let attempt = &self.tracked[&id].attempts[n];
+                if attempt.timeout_at <= self.now && !attempt.finished {
+                    let latency = self.now - attempt.sent_at;
+                    self.finish(&id, n, AttemptResult::TimedOut, FillReport::NotReported, latency, 0.0)?;
                 }
             }
         }
-        let (due, later): (Vec<_>, Vec<_>) = self.timers.drain(..).partition(|t| t.0 <= self.now);
+        let (due, later): (Vec<_>, Vec<_>) =
+            self.timers.drain(..).partition(|timer| timer.due_at <= self.now);
         self.timers = later;
-        due.into_iter().try_for_each(|(_, token)| self.handle(Event::Timer(token)))
+        due.into_iter().try_for_each(|timer| self.handle(Event::Timer(timer.token)))
     }
 
     /// Lets time pass; due events come in batches at least a tick apart.
-    pub fn advance(&mut self, span: Ms) -> Checked {
-        let end = self.now + span;
+    pub fn advance(&mut self, duration: Ms) -> CheckResult {
+        let end = self.now + duration;
         loop {
-            let ends = self
+            let timeouts = self
                 .in_flight()
                 .into_iter()
-                .filter(|_| self.prompt)
-                .map(|(id, n)| self.seen[&id].attempts[n].until);
-            let next = self.timers.iter().map(|t| t.0).chain(ends).fold(f64::INFINITY, f64::min);
+                .filter(|_| self.times_out)
+                .map(|(id, n)| self.tracked[&id].attempts[n].timeout_at);
+            let next =
+                self.timers.iter().map(|timer| timer.due_at).chain(timeouts).fold(f64::INFINITY, f64::min);
             let batch = next.max(self.now + self.settings.tick);
             if batch > end {
                 break;
@@ -278,21 +307,21 @@
         Ok(())
     }
 
-    pub fn list(&mut self, mode: EndpointUpdate, entries: Vec<Endpoint>) -> Checked {
-        if mode == EndpointUpdate::Complete {
+    pub fn list(&mut self, update: EndpointUpdate, entries: Vec<Endpoint>) -> CheckResult {
+        if update == EndpointUpdate::Complete {
             self.up.clear();
             self.listed.clear();
         }
-        for e in &entries {
-            self.up.remove(&e.id);
-            self.listed.remove(&e.id);
-            if e.state == EndpointState::Up {
-                self.up.insert(e.id.clone(), e.clone());
+        for entry in &entries {
+            self.up.remove(&entry.id);
+            self.listed.remove(&entry.id);
+            if entry.state == EndpointState::Up {
+                self.up.insert(entry.id.clone(), entry.clone());
             }
-            if e.state != EndpointState::Removed {
-                self.listed.insert(e.id.clone());
+            if entry.state != EndpointState::Removed {
+                self.listed.insert(entry.id.clone());
             }
         }
-        self.handle(Event::Endpoints { update: mode, entries })
+        self.handle(Event::Endpoints { update, entries })
     }
 }
