--- a/crates/node/src/owner/scatter_gather/continuations.rs
+++ b/crates/node/src/owner/scatter_gather/continuations.rs
@@ -1,5 +1,5 @@
-//! Continuations: replicated records of the parts that a partial answer leaves out. One is stored before the answer names it, and is known
-//! at whichever router is asked for the rest.
+//! Continuations: replicated records of the parts that a partial answer leaves out. A continuation is stored before the answer names it, so
+//! that each router can read it when the client requests the missing parts.
 
 use super::{BufferedBytes, PartialAnswer, PartsAnswer, RequestedPart, Stage};
 use crate::caches::RequestNo;
@@ -13,10 +13,10 @@
 
 /// The missing parts of a partial answer.
 pub(super) struct Continuation {
-    /// The name of its record, which the client presents.
+    /// The name of the record, which the client presents.
     pub(super) name: u128,
     pub(super) object: u64,
-    /// The version of the object that the answer was made of.
+    /// The version of the object that the partial answer has.
     pub(super) version: Arc<str>,
     pub(super) missing: Vec<u64>,
 }
@@ -32,11 +32,11 @@
     RecordKey { kind: Kind::Continuation, name }
 }
 
-/// Whether a continuation was stored.
+/// Whether a continuation was stored in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stored {
-    Yes,
-    No,
+enum StoreOutcome {
+    Stored,
+    NotStored,
 }
 
 impl Owner {
@@ -44,7 +44,7 @@
         self.scatter_gather.as_mut()?.open.get_mut(&gather)?.continuation.take()
     }
 
-    /// Asks for a change of a continuation's record; false for want of time or capacity.
+    /// Requests a change of a continuation's record; returns false for want of time or capacity.
     fn change_continuation(&mut self, gather: GatherNo, name: u128, change: Change) -> bool {
         let open = self.scatter_gather.as_ref().and_then(|state| state.open.get(&gather));
         let deadline = open.map_or(0.0, |open| open.deadline);
@@ -54,7 +54,7 @@
         timeout > 0.0 && fleet.change_record(RequestNo(gather.0), record_key(name), change, timeout).is_some()
     }
 
-    /// A client requests the rest of an earlier answer.
+    /// Reads the continuation of a client that requests the missing parts of an earlier answer.
     pub(super) fn read_continuation(&mut self, gather: GatherNo, name: u128) {
         let Some(open) = self.scatter_gather.as_mut().and_then(|state| state.open.get_mut(&gather)) else {
             return;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Stores the missing parts of an answer, which is sent afterwards.
+    /// Stores a continuation for the missing parts of an answer; the answer is sent afterwards.
     pub(super) fn store_continuation(
         &mut self,
         gather: GatherNo,
@@ -86,25 +86,25 @@
         let answer = PartialAnswer { continuation, response, bodies, decided_at };
         open.stage = Stage::StoringContinuation(Box::new(answer));
         if !self.change_continuation(gather, name, change) {
-            self.send_partial_answer(gather, Stored::No);
+            self.send_partial_answer(gather, StoreOutcome::NotStored);
         }
     }
 
-    /// Sends the answer that waited for its continuation. Without one the missing parts are missing all the same, and the answer names
-    /// no continuation.
-    fn send_partial_answer(&mut self, gather: GatherNo, stored: Stored) {
+    /// Sends the answer that waited for its continuation. If the continuation could not be stored, the answer names none; the parts are
+    /// missing all the same.
+    fn send_partial_answer(&mut self, gather: GatherNo, outcome: StoreOutcome) {
         let Some(state) = &mut self.scatter_gather else { return };
         let Some(open) = state.open.get_mut(&gather) else { return };
         let Stage::StoringContinuation(answer) = std::mem::replace(&mut open.stage, Stage::Gathering) else {
             return;
         };
         let PartialAnswer { continuation, mut response, bodies, decided_at } = *answer;
-        match stored {
-            Stored::Yes => {
+        match outcome {
+            StoreOutcome::Stored => {
                 response.continuation = Some(continuation.name);
                 state.counters.continuations_stored += 1;
             }
-            Stored::No => {
+            StoreOutcome::NotStored => {
                 response.continuation = None;
                 state.counters.continuations_failed += 1;
             }
@@ -112,7 +112,7 @@
         self.send_parts(gather, response, &bodies, decided_at);
     }
 
-    /// The response to a change of a continuation's record; handed back if the request is no scatter-gather request.
+    /// Handles the response to a change of a continuation's record; returns it if the request is no scatter-gather request.
     pub(in crate::owner) fn on_continuation_response(
         &mut self,
         number: RequestNo,
@@ -126,15 +126,15 @@
             Stage::ReadingContinuation => self.on_continuation_read(gather, response),
             Stage::StoringContinuation(_) => {
                 let is_stored = matches!(response, Response::Committed(Record::Continuation { .. }));
-                let stored = if is_stored { Stored::Yes } else { Stored::No };
-                self.send_partial_answer(gather, stored);
+                let outcome = if is_stored { StoreOutcome::Stored } else { StoreOutcome::NotStored };
+                self.send_partial_answer(gather, outcome);
             }
             Stage::Gathering => {}
         }
         None
     }
 
-    /// The record of the continuation that a client names.
+    /// Starts gathering by the record of the continuation that a client names.
     fn on_continuation_read(&mut self, gather: GatherNo, response: Response) {
         let Some(state) = &mut self.scatter_gather else { return };
         let Some(open) = state.open.get_mut(&gather) else { return };
@@ -155,7 +155,7 @@
                 (continuation.version, continuation.missing) = (version, missing);
                 self.start_gathering(gather);
             }
-            // It never was, it is completed, or it has expired.
+            // The continuation never existed, is completed, has expired, or does not have these parts.
             (_, _) => {
                 state.counters.continuations_unknown += 1;
                 self.reply_without_parts(gather, Reply::Failed);
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Parts of a continuation are delivered. The record is changed in the background.
+    /// Removes delivered parts from a continuation. The record is changed in the background.
     pub(super) fn shrink_continuation(&mut self, mut continuation: Continuation, delivered: &[u64]) {
         continuation.missing.retain(|part| !delivered.contains(part));
         if continuation.missing.is_empty() {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Nobody will request it any more.
+    /// Expires a continuation that no client will request any more.
     pub(super) fn expire_continuation(&mut self, continuation: &Continuation) {
         if let Some(fleet) = &mut self.fleet {
             fleet.change_in_background(record_key(continuation.name), Change::Expire);
--- a/crates/node/src/owner/scatter_gather/counters.rs
+++ b/crates/node/src/owner/scatter_gather/counters.rs
@@ -1,8 +1,8 @@
-//! Counters of scatter-gather requests. The names in the printed text are read by operators and do not change.
+//! Counters of scatter-gather requests. Operators' tools read the printed names, which therefore stay as they are.
 
 use std::fmt;
 
-/// What became of scatter-gather requests at this router.
+/// Outcomes of scatter-gather requests at this router, and of parts, messages and continuations.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ScatterGatherCounters {
     pub(super) requests: u64,
--- a/crates/node/src/owner/scatter_gather/dispatch.rs
+++ b/crates/node/src/owner/scatter_gather/dispatch.rs
@@ -14,14 +14,14 @@
     /// Hands the engine an event and performs its actions. Events that arise meanwhile are handled after it.
     pub(in crate::owner) fn dispatch_scatter_gather(&mut self, event: Event) {
         let Some(state) = &mut self.scatter_gather else { return };
-        state.queue.events.push_back(event);
-        if std::mem::replace(&mut state.queue.dispatching, true) {
+        state.events.queue.push_back(event);
+        if std::mem::replace(&mut state.events.is_dispatching, true) {
             return;
         }
         let now = self.time.now;
         while let Some(state) = &mut self.scatter_gather {
-            let Some(event) = state.queue.events.pop_front() else {
-                state.queue.dispatching = false;
+            let Some(event) = state.events.queue.pop_front() else {
+                state.events.is_dispatching = false;
                 return;
             };
             let mut actions = Vec::new();
--- a/crates/node/src/owner/scatter_gather/mod.rs
+++ b/crates/node/src/owner/scatter_gather/mod.rs
@@ -2,9 +2,9 @@
 //! sub-requests here.
 //!
 //! A sub-request for a part of this router's branch is admitted like a client's request, under an id of its own; a part of another branch is
-//! requested from a router of that branch. A partial answer may leave a continuation: a replicated record of the missing parts, under which the client requests
-//! the rest at any router. A scatter-gather request has a number of the request table, so that its client's connection and the fleet's
-//! responses refer to it like to any request.
+//! requested from a router of that branch. A partial answer may leave a continuation: a replicated record of the missing parts, under
+//! which the client requests them at any router. A scatter-gather request has a number of the request table, so that its client's
+//! connection and the fleet's responses refer to it like to any request.
 //!
 //! - `admission`: admits a request and hands it to the engine; `dispatch`: events, actions and timers of the engine;
 //! - `sub_requests`: the attempts at parts; `peers` and `peer_messages`: parts requested from other routers, and by them;
@@ -81,14 +81,17 @@
     stage: Stage,
 }
 
-/// Where an attempt at a part is.
+/// Where an attempt at a part is executed.
 enum Location {
-    /// Not admitted yet, or ended.
+    /// Nowhere: the attempt is not admitted yet, or has ended.
     None,
-    /// A request of this router.
+    /// A request to this router's caches.
     Local(RequestNo),
-    /// A request to another router, under this number.
-    Remote(u64),
+    /// A part request to another router.
+    Remote {
+        /// The number that this router gave the part request.
+        number: u64,
+    },
 }
 
 /// An attempt at a part that is in flight, or whose bytes are buffered.
@@ -98,11 +101,11 @@
     body: Option<BufferedBytes>,
 }
 
-/// Events that arise while another is handled.
+/// The engine's events, queued because they can arise while another event is handled.
 #[derive(Default)]
 struct EventQueue {
-    events: VecDeque<Event>,
-    dispatching: bool,
+    queue: VecDeque<Event>,
+    is_dispatching: bool,
 }
 
 /// The time at which the engine wants an event, and the time of the owner's timer.
@@ -121,7 +124,7 @@
     open: BTreeMap<GatherNo, OpenGather>,
     sub_requests: BTreeMap<SubRequestKey, SubRequest>,
     peers: Peers,
-    queue: EventQueue,
+    events: EventQueue,
     wakeup: Wakeup,
     /// The id of the last sub-request.
     last_id: u64,
@@ -143,7 +146,7 @@
             open: BTreeMap::new(),
             sub_requests: BTreeMap::new(),
             peers: Peers::new(seed),
-            queue: EventQueue::default(),
+            events: EventQueue::default(),
             wakeup: Wakeup::default(),
             last_id: (config.seed >> 64) as u64,
             counters: ScatterGatherCounters::default(),
@@ -167,11 +170,12 @@
 
     /// The known purges of an object or its group that have not converged.
     fn purges_of(&self, group: u64, object: u64) -> Vec<Purge> {
-        let concerns = |p: &Purge| p.group == group && p.object.is_none_or(|o| o == object);
-        self.purges.all().filter(concerns).collect()
+        let is_relevant =
+            |purge: &Purge| purge.group == group && purge.object.is_none_or(|purged| purged == object);
+        self.purges.all().filter(is_relevant).collect()
     }
 
-    /// Takes the bodies of the parts that an answer is made of; `None` if one is missing.
+    /// Removes the bodies of an answer's parts from the sub-requests; `None` if one is missing.
     fn take_bodies(&mut self, gather: GatherNo, used: &[UsedPart]) -> Option<Vec<(PartNo, BufferedBytes)>> {
         let take = |used: &UsedPart| {
             let key = SubRequestKey { gather, attempt: used.attempt };
--- a/crates/node/src/owner/scatter_gather/peer_messages.rs
+++ b/crates/node/src/owner/scatter_gather/peer_messages.rs
@@ -24,15 +24,16 @@
 /// The number of messages whose sender needs no notice if they can't be sent.
 const UNTRACKED: u64 = 0;
 
-/// A response to a part request.
-struct PartResponse {
+/// A response to another router's part request.
+struct OutgoingResponse {
     to: PeerRequest,
+    /// Time from the part request to the response, in milliseconds.
     elapsed: Ms,
     purges: Vec<Purge>,
     result: PartResult,
 }
 
-impl PartResponse {
+impl OutgoingResponse {
     fn without_part(to: PeerRequest, result: PartResult) -> Self {
         Self { to, elapsed: 0.0, purges: Vec::new(), result }
     }
@@ -62,7 +63,7 @@
         state.counters.parts_requested += 1;
         state.peers.add_requested(number, peer, key);
         if let Some(sub_request) = state.sub_requests.get_mut(&key) {
-            sub_request.location = Location::Remote(number);
+            sub_request.location = Location::Remote { number };
         }
     }
 
@@ -184,21 +185,22 @@
     fn on_part_request(&mut self, peer: Member, request: &PartRequest) {
         let class = self.config.names.class(&request.class);
         let Some(state) = &mut self.scatter_gather else { return };
-        let to = PeerRequest { peer, number: request.number };
+        let peer_request = PeerRequest { peer, number: request.number };
         let object = u64::from_str_radix(&request.object, 16).ok();
         let (Some(class), Some(object)) = (class.filter(|class| state.is_idempotent(*class)), object) else {
             state.counters.unexpected_messages += 1;
-            return self.respond(PartResponse::without_part(to, PartResult::Failed));
+            return self.respond(OutgoingResponse::without_part(peer_request, PartResult::Failed));
         };
         if state.peers.served_count() >= MAX_SERVED_PARTS {
-            return self.respond(PartResponse::without_part(to, PartResult::Rejected(0.0)));
+            return self.respond(OutgoingResponse::without_part(peer_request, PartResult::Rejected(0.0)));
         }
-        if state.peers.is_serving(&to) {
+        if state.peers.is_serving(&peer_request) {
             state.counters.unexpected_messages += 1;
             return;
         }
         let (arrived_at, group) = (self.time.now, request.group);
-        let served = state.peers.add_served(ServedPart { to, request: None, arrived_at, group, object });
+        let served =
+            state.peers.add_served(ServedPart { peer_request, admitted_as: None, arrived_at, group, object });
         let part = SinglePartRequest {
             class: request.class.to_string(),
             object: ObjectId(object),
@@ -214,7 +216,7 @@
     fn on_part_cancelled(&mut self, request: PeerRequest) {
         let Some(state) = &mut self.scatter_gather else { return };
         let served = state.peers.remove_served_request(&request);
-        if let Some(number) = served.and_then(|served| served.request) {
+        if let Some(number) = served.and_then(|served| served.admitted_as) {
             self.on_requester_left(number);
         }
     }
@@ -223,7 +225,7 @@
     pub(in crate::owner) fn on_peer_request_admitted(&mut self, served: u64, number: RequestNo) {
         let served = self.scatter_gather.as_mut().and_then(|state| state.peers.served_mut(served));
         if let Some(served) = served {
-            served.request = Some(number);
+            served.admitted_as = Some(number);
         }
     }
 
@@ -240,12 +242,13 @@
         let purges = state.purges_of(served.group, served.object);
         let result = part_result(reply, copy);
         state.counters.parts_served += u64::from(matches!(result, PartResult::Served { .. }));
-        self.respond(PartResponse { to: served.to, elapsed: now - served.arrived_at, purges, result });
+        let elapsed = now - served.arrived_at;
+        self.respond(OutgoingResponse { to: served.peer_request, elapsed, purges, result });
     }
 
-    fn respond(&mut self, response: PartResponse) {
+    fn respond(&mut self, response: OutgoingResponse) {
         let (Some(state), Some(fleet)) = (&mut self.scatter_gather, &mut self.fleet) else { return };
-        let PartResponse { to: PeerRequest { peer, number }, elapsed, purges, result } = response;
+        let OutgoingResponse { to: PeerRequest { peer, number }, elapsed, purges, result } = response;
         if fleet.send(UNTRACKED, &peer, &PartMessage::Response { number, elapsed, purges, result }).is_ok() {
             return;
         }
--- a/crates/node/src/owner/scatter_gather/peers.rs
+++ b/crates/node/src/owner/scatter_gather/peers.rs
@@ -16,9 +16,9 @@
 
 /// A part that is served to another router.
 pub(super) struct ServedPart {
-    pub(super) to: PeerRequest,
-    /// The request of this router, once it is admitted.
-    pub(super) request: Option<RequestNo>,
+    pub(super) peer_request: PeerRequest,
+    /// This router's number of the request, once it is admitted.
+    pub(super) admitted_as: Option<RequestNo>,
     /// When the part request arrived.
     pub(super) arrived_at: Ms,
     pub(super) group: u64,
@@ -126,7 +126,7 @@
     /// Registers a part request of another router; returns this router's number for it.
     pub(super) fn add_served(&mut self, part: ServedPart) -> u64 {
         let number = self.next_number();
-        self.served_numbers.insert(part.to.clone(), number);
+        self.served_numbers.insert(part.peer_request.clone(), number);
         self.served.insert(number, part);
         number
     }
@@ -137,7 +137,7 @@
 
     pub(super) fn remove_served(&mut self, number: u64) -> Option<ServedPart> {
         let part = self.served.remove(&number)?;
-        self.served_numbers.remove(&part.to);
+        self.served_numbers.remove(&part.peer_request);
         Some(part)
     }
 
@@ -152,9 +152,10 @@
         let is_requested =
             |number: &&u64| self.requested.get(*number).is_some_and(|from| from.peer == *member);
         let requested: Vec<u64> = self.requested.keys().filter(is_requested).copied().collect();
-        let is_served = |(_, part): &(&u64, &ServedPart)| part.to.peer == *member;
+        let is_served = |(_, part): &(&u64, &ServedPart)| part.peer_request.peer == *member;
         let served: Vec<u64> = self.served.iter().filter(is_served).map(|(number, _)| *number).collect();
-        let unwanted = served.into_iter().filter_map(|number| self.remove_served(number)?.request).collect();
+        let unwanted =
+            served.into_iter().filter_map(|number| self.remove_served(number)?.admitted_as).collect();
         let removed = requested.into_iter().filter_map(|number| self.requested.remove(&number));
         LostPeer { unanswered: removed.map(|from| from.key).collect(), unwanted }
     }
--- a/crates/node/src/owner/scatter_gather/sub_requests.rs
+++ b/crates/node/src/owner/scatter_gather/sub_requests.rs
@@ -178,7 +178,7 @@
         match sub_request.map(|sub_request| sub_request.location) {
             Some(Location::None) | None => {}
             Some(Location::Local(number)) => self.on_requester_left(number),
-            Some(Location::Remote(number)) => self.cancel_part(number),
+            Some(Location::Remote { number }) => self.cancel_part(number),
         }
     }
 }
--- a/crates/scatter_gather/src/baselines.rs
+++ b/crates/scatter_gather/src/baselines.rs
@@ -84,22 +84,21 @@
         now: Ms,
         request: &mut PendingRequest,
         gather: GatherNo,
-        part: usize,
+        part_index: usize,
         actions: &mut Vec<Action>,
     ) {
         let attempt = request.next_attempt_number();
-        let pending = &request.parts[part];
+        let pending = &request.parts[part_index];
         let (site, version) = (pending.spec.preferred_site.clone(), pending.spec.version.clone());
-        let (newer_than_ms, part_number) = (pending.purge_floor, pending.spec.part);
+        let (newer_than_ms, part) = (pending.purge_floor, pending.spec.part);
         let budget = TimeBudget {
             latency_objective: request.objective_at - now,
             deadline: request.deadline_at - now,
             late_weight_share: request.late_weight_share,
         };
         let kind = AttemptKind::First;
-        let sent = Attempt { part_index: part, site: site.clone(), sent_at: now, kind, received: None };
+        let sent = Attempt { part_index, site: site.clone(), sent_at: now, kind, received: None };
         request.attempts.insert(attempt, sent);
-        let part = part_number;
         actions.push(Action::Fetch { gather, attempt, part, site, kind, budget, version, newer_than_ms });
         self.counters.first_attempts += 1;
     }
--- a/crates/scatter_gather/src/engine/dispatch.rs
+++ b/crates/scatter_gather/src/engine/dispatch.rs
@@ -58,39 +58,39 @@
         admitted.max_by(|a, b| scores[*a].total_cmp(&scores[*b]).then(b.cmp(a)))
     }
 
-    /// Sends a sub-request for a part to one of its sites. Returns false if no time is left for the site.
+    /// Sends a sub-request for a part to one of its sites, both given by index. Returns false if no time is left for the
+    /// site.
     pub(super) fn send(
         &mut self,
         gather: GatherNo,
-        part: usize,
-        site: usize,
+        part_index: usize,
+        site_index: usize,
         kind: AttemptKind,
         actions: &mut Vec<Action>,
     ) -> bool {
         let Some(request) = self.pending.get_mut(&gather) else { return false };
-        let Some(to) = request.parts[part].sites().nth(site).cloned() else { return false };
-        let budget = site_budget(request, self.now, self.sites.network_delay(&to));
+        let Some(site) = request.parts[part_index].sites().nth(site_index).cloned() else { return false };
+        let budget = site_budget(request, self.now, self.sites.network_delay(&site));
         let is_probe = kind == AttemptKind::Probe;
         if budget.deadline <= 0.0 {
             self.counters.attempts_without_time += 1;
-            request.parts[part].abandoned |= !is_probe;
+            request.parts[part_index].abandoned |= !is_probe;
             return false;
         }
         let newest = request.newest_versions();
         let attempt = request.next_attempt_number();
-        let pending = &mut request.parts[part];
+        let pending = &mut request.parts[part_index];
         let version = pending.spec.version.clone().or_else(|| newest.get(&pending.spec.object).cloned());
-        pending.attempts_by_site[site] += usize::from(!is_probe);
+        pending.attempts_by_site[site_index] += usize::from(!is_probe);
         pending.retry_at = None;
-        let (newer_than_ms, part_number) = (pending.purge_floor, pending.spec.part);
-        let sent = Attempt { part_index: part, site: to.clone(), sent_at: self.now, kind, received: None };
+        let (newer_than_ms, part) = (pending.purge_floor, pending.spec.part);
+        let sent = Attempt { part_index, site: site.clone(), sent_at: self.now, kind, received: None };
         request.attempts.insert(attempt, sent);
         let objective_at = request.objective_at;
         self.account_attempt(kind);
         if is_probe {
-            self.register_probe(gather, attempt, &to, objective_at);
+            self.register_probe(gather, attempt, &site, objective_at);
         }
-        let (part, site) = (part_number, to);
         actions.push(Action::Fetch { gather, attempt, part, site, kind, budget, version, newer_than_ms });
         true
     }
@@ -125,7 +125,7 @@
         target: HedgeTarget,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let HedgeTarget { part, site } = target;
+        let HedgeTarget { part_index, site_index } = target;
         let Some(request) = self.pending.get_mut(&gather) else { return false };
         if self.hedge_tokens < 1.0 {
             self.counters.hedges_over_budget += u64::from(!request.hedge_suppressed);
@@ -133,9 +133,9 @@
             return false;
         }
         let time_left = request.time_left(self.now);
-        let Some(to) = request.parts[part].sites().nth(site).cloned() else { return false };
-        let admitted = self.sites.admit(self.now, &to, time_left) == Admission::Admitted;
-        if !admitted || !self.send(gather, part, site, AttemptKind::Hedge, actions) {
+        let Some(site) = request.parts[part_index].sites().nth(site_index).cloned() else { return false };
+        let admitted = self.sites.admit(self.now, &site, time_left) == Admission::Admitted;
+        if !admitted || !self.send(gather, part_index, site_index, AttemptKind::Hedge, actions) {
             return false;
         }
         self.hedge_tokens -= 1.0;
--- a/crates/scatter_gather/src/latency_histogram.rs
+++ b/crates/scatter_gather/src/latency_histogram.rs
@@ -20,8 +20,8 @@
 const TAIL_START_QUANTILE: f64 = 0.9;
 /// The assumed tail extends up to this factor of its start, uniform in the logarithm.
 const TAIL_FACTOR: f64 = 8.0;
-/// Weight of the prior, in samples.
-const PRIOR_WEIGHT: f64 = 3.0;
+/// Weight of the prior before any sample.
+const PRIOR_WEIGHT_SAMPLES: f64 = 3.0;
 
 /// A decayed histogram of latencies.
 #[derive(Clone, PartialEq)]
@@ -60,7 +60,7 @@
         let mut histogram =
             Self { weights: [0.0; BUCKETS], cumulative_weights: [0.0; BUCKETS], tail_start: 0.0 };
         for (factor, weight) in [(0.5, 1.0), (1.0, 2.0), (2.0, 2.0), (4.0, 1.0)] {
-            histogram.add_weight(usual * factor, weight * PRIOR_WEIGHT / 6.0);
+            histogram.add_weight(usual * factor, weight * PRIOR_WEIGHT_SAMPLES / 6.0);
         }
         histogram
     }
--- a/crates/scatter_gather/src/sim/load.rs
+++ b/crates/scatter_gather/src/sim/load.rs
@@ -23,12 +23,12 @@
 
 /// A random sequence of its own for each user of a seed.
 #[derive(Clone, Debug)]
-pub struct Draws {
+pub struct RandomSequence {
     seed: u64,
     count: u64,
 }
 
-impl Draws {
+impl RandomSequence {
     /// The sequence with index `nth` of a user of the seed.
     pub fn new(seed: u64, user: u64, nth: u64) -> Self {
         Self { seed: mix(mix(seed, user), nth), count: 0 }
@@ -58,7 +58,7 @@
 
 /// Arrival times of a router's requests in milliseconds, in order.
 pub fn arrivals(setup: &Setup, router: usize) -> Vec<Ms> {
-    let mut draws = Draws::new(setup.seed, 1, router as u64);
+    let mut draws = RandomSequence::new(setup.seed, 1, router as u64);
     let mut at = 0.0;
     let next = || {
         at -= draws.next().ln() * 1_000.0 / setup.requests_per_second;
@@ -69,7 +69,7 @@
 
 /// A request for 3 to 8 parts, most of them at different sites.
 pub fn generate_request(setup: &Setup, router: usize, nth: usize) -> GatherRequest {
-    let mut draws = Draws::new(setup.seed, 2 + router as u64, nth as u64);
+    let mut draws = RandomSequence::new(setup.seed, 2 + router as u64, nth as u64);
     let count = 3 + draws.below(6);
     let parts: Vec<PartSpec> = (0..count)
         .map(|i| {
--- a/crates/scatter_gather/src/sim/sites.rs
+++ b/crates/scatter_gather/src/sim/sites.rs
@@ -1,6 +1,6 @@
 //! The simulated sites: their capacity, processing times and queues, and the fault of one of them.
 
-use super::load::Draws;
+use super::load::RandomSequence;
 use super::{Fault, Setup};
 use crate::api::{AttemptNo, GatherNo};
 use basaltgw_structures::hash::mix;
@@ -80,7 +80,7 @@
             * mean
             / 1_000.0;
         let (begin, end) = setup.fault_window();
-        let (mut draws, mut flapping_times) = (Draws::new(setup.seed, 4, 0), vec![begin]);
+        let (mut draws, mut flapping_times) = (RandomSequence::new(setup.seed, 4, 0), vec![begin]);
         while let Some(last) = flapping_times.last().copied().filter(|last| *last < end) {
             flapping_times.push(last + MIN_FLAPPING_PHASE_MS + FLAPPING_PHASE_RANGE_MS * draws.next());
         }
@@ -131,7 +131,7 @@
     /// they are the same for each strategy.
     pub fn processing_time(&self, site: usize, key: &AttemptKey, rate: &ServiceRate) -> Ms {
         let request = mix(key.router as u64, key.gather.0);
-        let mut draws = Draws::new(self.setup.seed, 6 + site as u64, request);
+        let mut draws = RandomSequence::new(self.setup.seed, 6 + site as u64, request);
         draws.log_normal(SERVICE_MEDIAN_MS, SERVICE_DEVIATION) * rate.time_factor
     }
 }
--- a/crates/scatter_gather/src/sim/world.rs
+++ b/crates/scatter_gather/src/sim/world.rs
@@ -1,6 +1,6 @@
 //! Simulated time: the routers with their strategies, the links to the sites, and the gossip between routers.
 
-use super::load::{arrivals, generate_request, site, Draws, LATENCY_OBJECTIVE_MS};
+use super::load::{arrivals, generate_request, site, RandomSequence, LATENCY_OBJECTIVE_MS};
 use super::measurements::{Measurements, PendingAnswer};
 use super::sites::{AttemptKey, QueuedAttempt, SimulatedSite, SiteModel, FAULTY_SITE};
 use super::{RunResult, Setup, StrategyKind};
@@ -92,7 +92,7 @@
 pub fn run(setup: &Setup, strategy: StrategyKind) -> Result<RunResult, InvalidSetting> {
     let mut routers = Vec::new();
     for router in 0..setup.routers {
-        let seed = Draws::new(setup.seed, 3, router as u64).next().to_bits();
+        let seed = RandomSequence::new(setup.seed, 3, router as u64).next().to_bits();
         let strategy = strategy.build(&setup.settings, seed)?;
         routers.push(SimulatedRouter { strategy, timer: None, pending: BTreeMap::new() });
     }
@@ -134,7 +134,7 @@
     /// The one-way delay between a router and a site.
     fn network_delay(&self, router: usize, site: usize) -> Ms {
         let link = (router * self.setup.sites + site) as u64;
-        let draw = Draws::new(self.setup.seed, 5, link).next();
+        let draw = RandomSequence::new(self.setup.seed, 5, link).next();
         NETWORK_DELAY_RANGE_MS.0 + (NETWORK_DELAY_RANGE_MS.1 - NETWORK_DELAY_RANGE_MS.0) * draw
     }
 
@@ -267,7 +267,7 @@
     }
 
     fn publish(&mut self, from: usize, evidence: Evidence) {
-        let mut draws = Draws::new(self.setup.seed, 7 + from as u64, self.last_event);
+        let mut draws = RandomSequence::new(self.setup.seed, 7 + from as u64, self.last_event);
         let routers = self.routers.len();
         let receivers: BTreeSet<usize> = match routers <= GOSSIP_FAN_OUT + 1 {
             true => (0..routers).collect(),
--- a/crates/scatter_gather/src/wait_decision.rs
+++ b/crates/scatter_gather/src/wait_decision.rs
@@ -40,9 +40,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HedgeTarget {
     /// Index of the part in the request.
-    pub part: usize,
+    pub part_index: usize,
     /// Index of the site among the part's sites.
-    pub site: usize,
+    pub site_index: usize,
 }
 
 /// A possible hedged sub-request.
@@ -237,7 +237,7 @@
                 .pending_attempt(site, self.now)
                 .map_or(0.0, |attempt| Self::arrival_probability(&attempt, at));
             HedgeCandidate {
-                target: HedgeTarget { part: missing.part_index, site: index },
+                target: HedgeTarget { part_index: missing.part_index, site_index: index },
                 gain: (1.0 - Self::part_probability(missing, at)) * arrival * value,
                 weight: missing.weight,
             }
