--- a/crates/scatter_gather/src/sim/load.rs
+++ b/crates/scatter_gather/src/sim/load.rs
@@ -4,7 +4,7 @@
 use crate::api::{
     GatherNo, GatherRequest, Idempotency, MissingParts, PartNo, PartSpec, Policy, Site, TimeBudget,
 };
-use basaltgw_structures::hash::{mix, unit};
+use basaltgw_structures::hash::{mix, unit_interval};
 use basaltgw_types::Ms;
 use std::sync::Arc;
 
@@ -37,7 +37,7 @@
     /// A uniform draw from 0 to 1, both excluded.
     pub fn next(&mut self) -> f64 {
         self.count += 1;
-        unit(mix(self.seed, self.count))
+        unit_interval(mix(self.seed, self.count))
     }
 
     /// A uniform draw from 0 to `n`, the latter excluded.
