--- a/crates/node/src/caches/ids.rs
+++ b/crates/node/src/caches/ids.rs
@@ -10,8 +10,14 @@
 /// The number of a request in the owner's table, unique in the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestNo(pub u64);
-/// An attempt: its request, and its place among the request's attempts.
-pub type AttemptKey = (RequestNo, AttemptNo);
+/// The key of an attempt in the owner's table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptKey {
+    /// The request's number.
+    pub request: RequestNo,
+    /// The attempt's place among the request's attempts, from 0.
+    pub attempt: AttemptNo,
+}
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -92,7 +92,7 @@
             shutdown: GracefulShutdown::default(),
             counters: Counters::default(),
         };
-        owner.router.report_writes();
+        owner.router.expect_write_events();
         owner.handle_known_events(&config.known);
         if let Some(hierarchy) = &settings.hierarchy {
             owner.offer_plan(hierarchy);
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -44,27 +44,27 @@
 use slow_start::SendKey;
 use statistics::Statistics;
 
-/// Milliseconds between two sweeps over pending requests and servers: the resolution of everything that acts
-/// by time.
+/// Milliseconds between two sweeps over pending requests and servers: the resolution of deadlines, penalties
+/// and the detection of silent servers.
 pub const SWEEP_MS: Ms = 20.0;
 /// Token of the timer that triggers sweeps.
 const SWEEP_TOKEN: u64 = 1;
 /// Log lines in the lifetime of a router, so that no fault fills the log; further lines are dropped.
 const MAX_LOG_LINES: usize = 120;
 
-/// What is done to a pending request.
-type RequestStep = fn(&mut Router, RequestIndex, &mut Vec<Action>);
+/// An operation on a pending request.
+type RequestOperation = fn(&mut Router, RequestIndex, &mut Vec<Action>);
 
 /// One router: decides for its own requests, by its own events only.
 pub struct Router {
     settings: Settings,
-    /// Sets the slow-start offsets apart from other routers'.
+    /// Sets this router's slow-start offsets apart from those of other routers.
     seed: u64,
     /// Time of the current event.
     now: Ms,
     first_event_at: Option<Ms>,
-    /// When the split is adapted next.
-    next_period: Ms,
+    /// When the split is next adapted, and purges and sends expire.
+    next_period_at: Ms,
     endpoints: Endpoints,
     fill_sources: FillSources,
     requests: PendingRequests,
@@ -74,20 +74,20 @@
     /// Limit on fills over the zone's link.
     zone_link: ConcurrencyLimit,
     last_send_key: SendKey,
-    /// Whether the caller reports when attempts are written to their connections.
-    reports_writes: bool,
+    /// Whether the caller sends [`Event::RequestWritten`].
+    expects_write_events: bool,
     log_lines: usize,
 }
 
 impl Router {
-    /// A router without any observations. The seed sets its turns at warming servers apart from other
-    /// routers'.
+    /// A router without any observations. The seed sets its slow-start offsets apart from those of other
+    /// routers, so that each router needs another seed.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             seed,
             now: 0.0,
             first_event_at: None,
-            next_period: 0.0,
+            next_period_at: 0.0,
             endpoints: Endpoints::default(),
             fill_sources: FillSources::default(),
             requests: PendingRequests::default(),
@@ -96,16 +96,16 @@
             purges: Purges::default(),
             zone_link: ConcurrencyLimit::new(0.0, settings.zone_routers),
             last_send_key: SendKey::default(),
-            reports_writes: false,
+            expects_write_events: false,
             log_lines: 0,
             settings,
         }
     }
 
-    /// Announces that the caller reports for each attempt when its last byte is written to the connection
-    /// ([`Event::RequestWritten`]). Without this, attempts count as written when they are decided.
-    pub fn report_writes(&mut self) {
-        self.reports_writes = true;
+    /// Expects an [`Event::RequestWritten`] for each attempt from now on. Without this, attempts count as
+    /// written when they are decided.
+    pub fn expect_write_events(&mut self) {
+        self.expects_write_events = true;
     }
 
     /// Handles an event and appends the resulting actions. `now` is in milliseconds and never decreases.
@@ -115,14 +115,14 @@
             self.start(actions);
         }
         match event {
-            Event::Endpoints(update, entries) => self.on_endpoints(update, entries, actions),
+            Event::Endpoints { update, entries } => self.on_endpoints(update, entries, actions),
             Event::Request(request) => self.on_request(request, actions),
-            Event::ResponseStarted(id, _) => {
-                if let Some(pending) = self.requests.get_mut(&id) {
+            Event::ResponseStarted { request, .. } => {
+                if let Some(pending) = self.requests.get_mut(&request) {
                     pending.answered = true;
                 }
             }
-            Event::RequestWritten(id, attempt) => self.on_request_written(&id, attempt),
+            Event::RequestWritten { request, attempt } => self.on_request_written(&request, attempt),
             Event::Outcome(outcome) => self.on_outcome(&outcome, actions),
             Event::ClientDisconnected(id) => {
                 if let Some(index) = self.requests.index_of(&id) {
@@ -131,19 +131,19 @@
             }
             Event::Timer(SWEEP_TOKEN) => {
                 self.sweep(actions);
-                actions.push(Action::Timer(SWEEP_MS, SWEEP_TOKEN));
+                actions.push(Action::Timer { delay: SWEEP_MS, token: SWEEP_TOKEN });
             }
             Event::Timer(_) => {}
             Event::FillPlan(plan) => self.on_fill_plan(plan),
-            Event::Purged(group, object, age) => self.on_purged(group, object, age),
-            Event::ClockCorrected(by) => self.on_clock_corrected(by.max(0.0)),
+            Event::Purged { group, object, age } => self.on_purged(group, object, age),
+            Event::ClockCorrected { shift } => self.on_clock_corrected(shift.max(0.0)),
         }
     }
 
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.first_event_at = Some(self.now);
-        self.next_period = self.now + PERIOD_MS;
-        actions.push(Action::Timer(SWEEP_MS, SWEEP_TOKEN));
+        self.next_period_at = self.now + PERIOD_MS;
+        actions.push(Action::Timer { delay: SWEEP_MS, token: SWEEP_TOKEN });
         if self.settings.must_watch_endpoints {
             actions.push(Action::WatchEndpoints);
         }
@@ -156,7 +156,7 @@
         }
         let Some(class) = self.admitted_class(&request) else {
             // Nothing was sent, so a new request is safe whatever the class.
-            actions.push(Action::Reject(request.id, 0.0));
+            actions.push(Action::Reject { request: request.id, retry_after: 0.0 });
             return;
         };
         let rank = self.rank(&request, class);
@@ -168,8 +168,8 @@
     /// Runs every `SWEEP_MS`: answers expired requests, decays penalties, ejects silent servers; and every
     /// `PERIOD_MS` adapts the split and expires purges and sends.
     fn sweep(&mut self, actions: &mut Vec<Action>) {
-        if self.now >= self.next_period {
-            self.next_period = self.now + PERIOD_MS;
+        if self.now >= self.next_period_at {
+            self.next_period_at = self.now + PERIOD_MS;
             self.reuse.adapt();
             self.expire_state();
         }
@@ -181,7 +181,7 @@
         self.eject_silent_servers(actions);
     }
 
-    /// Removes purges and sends that are too old to matter.
+    /// Removes purges and sends that no longer affect a decision.
     fn expire_state(&mut self) {
         self.purges.expire(self.now - self.purge_lifetime());
         let longest_warmup =
@@ -190,11 +190,16 @@
         self.endpoints.iter_mut().for_each(|server| server.ledger.expire(before));
     }
 
-    /// Does a step for each of some requests that are still pending.
-    fn for_each_request(&mut self, ids: Vec<RequestId>, actions: &mut Vec<Action>, step: RequestStep) {
+    /// Applies an operation to those of the given requests that are still pending.
+    fn for_each_request(
+        &mut self,
+        ids: Vec<RequestId>,
+        actions: &mut Vec<Action>,
+        operation: RequestOperation,
+    ) {
         for id in ids {
             if let Some(index) = self.requests.index_of(&id) {
-                step(self, index, actions);
+                operation(self, index, actions);
             }
         }
     }
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -12,11 +12,11 @@
 /// What the settings of a request class say about running its requests more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// What a repeated request may do.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
     /// The servers that recognise a repeated request by its key.
     pub key_scope: KeyScope,
-    /// How long they do, in milliseconds from the first attempt that may have been executed.
+    /// How long servers recognise a key, in milliseconds from the first attempt that may have been executed.
     pub key_window: Ms,
 }
 
@@ -57,7 +57,7 @@
 
 impl RetryPolicy {
     /// The policy of a request class.
-    pub fn of(class: &Class) -> Self {
+    pub fn for_class(class: &Class) -> Self {
         Self { idempotency: class.idempotency, key_scope: class.key_scope, key_window: class.key_window }
     }
 
@@ -102,6 +102,6 @@
     /// The time until which a request may run again, or be rejected.
     pub(super) fn retry_safe_until(&self, pending: &PendingRequest) -> Ms {
         let class = &self.settings.classes[pending.class.0];
-        RetryPolicy::of(class).safe_until(pending.first_possible_execution())
+        RetryPolicy::for_class(class).safe_until(pending.first_possible_execution())
     }
 }
