--- a/crates/node/src/caches/mod.rs
+++ b/crates/node/src/caches/mod.rs
@@ -34,6 +34,22 @@
     pub last_number: u64,
 }
 
+/// An attempt that is ready to be sent.
+pub struct OutgoingAttempt<'a> {
+    /// The attempt's key in the owner's table.
+    pub key: AttemptKey,
+    /// The request's id.
+    pub id: &'a WireId,
+    /// The connections to which earlier attempts of the request were given; none of them takes this one.
+    pub used_connections: &'a [ConnId],
+    /// Whether another connection is opened, if possible, rather than to share one with other open attempts.
+    pub exclusive: bool,
+    /// The encoded message.
+    pub message: Vec<u8>,
+    /// The conditions under which the first byte is written.
+    pub conditions: SendConditions,
+}
+
 /// All connections to servers.
 pub struct ServerPool {
     shared: Shared,
@@ -63,18 +79,17 @@
         PoolCounts { connections: self.conns.len() as u64, last_number: self.last_number }
     }
 
-    /// Sends an attempt on the connection to a server's process that has the fewest open attempts, except the connections `already_used`
-    /// for this request. Opens a connection if none accepts the attempt or all have [`SHARED_STREAMS`] open attempts (for an `exclusive`
-    /// attempt: one); returns `None` if none accepts it and none may be opened. The first byte is written only under the `conditions`.
+    /// Sends an attempt on the connection to a server's process that accepts it and has the fewest open attempts. Opens a connection if none
+    /// accepts it or all have [`SHARED_STREAMS`] open attempts (for an exclusive attempt: one); returns `None` if none accepts it and none may
+    /// be opened.
     pub fn send(
         &mut self,
         now: Ms,
-        to: (&ServerId, Place),
-        key: AttemptKey,
-        (id, already_used, exclusive): (&WireId, &[ConnId], bool),
-        (bytes, conditions): (Vec<u8>, SendConditions),
+        server: &ServerId,
+        place: Place,
+        attempt: OutgoingAttempt<'_>,
     ) -> Option<(ConnId, Rc<OutgoingMessage>)> {
-        let (server, place) = to;
+        let OutgoingAttempt { key, id, used_connections, exclusive, message, conditions } = attempt;
         let max_streams = self.transport.max_streams;
         let mut connections = 0;
         let mut least: Option<(usize, ConnId)> = None;
@@ -82,7 +97,7 @@
         let all = all.filter_map(|conn_id| Some((conn_id, self.conns.get(conn_id)?)));
         for (conn_id, conn) in all.filter(|(_, c)| c.place == place) {
             connections += 1;
-            let accepts = !already_used.contains(conn_id) && conn.accepts(now, id, max_streams);
+            let accepts = !used_connections.contains(conn_id) && conn.accepts(now, id, max_streams);
             if accepts && least.is_none_or(|(open, _)| conn.open.len() < open) {
                 least = Some((conn.open.len(), *conn_id));
             }
@@ -97,7 +112,7 @@
             (None, None) => return None,
         };
         let conn = self.conns.get_mut(&conn_id)?;
-        let message = conn.send(now, conn_id, bytes, conditions);
+        let message = conn.send(now, conn_id, message, conditions);
         conn.open.insert(id.clone(), key);
         conn.last_used = now;
         if conn.established {
--- a/crates/node/src/fleet/replication_thread.rs
+++ b/crates/node/src/fleet/replication_thread.rs
@@ -19,7 +19,7 @@
 const MAX_EVENTS_PER_RING: usize = 256;
 /// The longest sleep, which limits the delay of an event that arrives between the last poll and the sleep.
 const MAX_SLEEP_MS: Ms = 50.0;
-/// The most notifications that wait for the owner's ring: as many as changes may be open, and as many again for purges and others.
+/// The most notifications that wait for the owner's ring: as many as changes may be open, and some for purges.
 const MAX_PENDING_NOTIFICATIONS: usize = 131_072;
 
 /// Why the thread ends without a shutdown request.
--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -1,7 +1,7 @@
 //! Starts attempts: checks the permission, encodes the message, and selects the connection.
 
 use super::{Attempt, Delivery, InFlight, NO_REPORT};
-use crate::caches::{with_timeout, AttemptKey, AttemptRequest, ConnId};
+use crate::caches::{with_timeout, AttemptKey, AttemptRequest, ConnId, OutgoingAttempt};
 use crate::limits::MAX_DEADLINE_MS;
 use crate::outbox::{AttemptRoute, AttemptTimes, BufferedBytes, SendConditions};
 use crate::owner::requests::PendingRequest;
@@ -100,11 +100,16 @@
             let ids = format_args!("request {}, attempt {}", key.request.0, key.attempt.0);
             self.monitors.invariants.check_attempt(class.idempotency, pending.results(), ids);
         }
-        let used: Vec<ConnId> = pending.attempts.iter().filter_map(|a| a.connection).collect();
-        let request = (&pending.request.id, &used[..], pending.is_write());
-        let to = (&new.spec.server, place);
-        let caches = &mut self.upstream.caches;
-        let sent = caches.send(self.time.now, to, key, request, (message, conditions));
+        let used_connections: Vec<ConnId> = pending.attempts.iter().filter_map(|a| a.connection).collect();
+        let attempt = OutgoingAttempt {
+            key,
+            id: &pending.request.id,
+            used_connections: &used_connections,
+            exclusive: pending.is_write(),
+            message,
+            conditions,
+        };
+        let sent = self.upstream.caches.send(self.time.now, &new.spec.server, place, attempt);
         sent.map(|(connection, message)| InFlight { connection, message })
     }
 
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -141,7 +141,7 @@
             TimerKind::AttemptTimeout(key) => self.on_attempt_timeout(key),
             TimerKind::AttemptStart(key) => self.on_start_window_closed(key),
             TimerKind::LeasePoll(number) => self.poll_lease(number),
-            TimerKind::LeaseTimeout(number, change_number) => self.on_lease_timeout(number, change_number),
+            TimerKind::LeaseTimeout { request, change } => self.on_lease_timeout(request, change),
             TimerKind::ScatterGather => self.on_scatter_gather_timer(),
         }
     }
--- a/crates/node/src/owner/lease/acquire.rs
+++ b/crates/node/src/owner/lease/acquire.rs
@@ -57,7 +57,7 @@
         let key = execution_key(&pending.request.id);
         let Some(change_number) = fleet.change_record(number, key, change, timeout) else { return false };
         let overdue = self.time.now + timeout + LEASE_REPLY_GRACE_MS;
-        self.schedule.timers.set(overdue, TimerKind::LeaseTimeout(number, change_number));
+        self.schedule.timers.set(overdue, TimerKind::LeaseTimeout { request: number, change: change_number });
         true
     }
 
--- a/crates/node/src/owner/timers.rs
+++ b/crates/node/src/owner/timers.rs
@@ -18,7 +18,12 @@
     /// A lease that another router holds is polled.
     LeasePoll(RequestNo),
     /// The response to a change of a record is overdue.
-    LeaseTimeout(RequestNo, RequestNumber),
+    LeaseTimeout {
+        /// The request whose record is changed.
+        request: RequestNo,
+        /// The number of the change.
+        change: RequestNumber,
+    },
     /// A timer of the scatter-gather engine is due.
     ScatterGather,
 }
