--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -250,9 +250,9 @@
 
 impl NodeConfig {
     /// The slow-start settings of parents, which topology changes use.
-    pub fn cold(&self) -> basaltgw_hierarchy::Cold {
+    pub fn cold(&self) -> basaltgw_hierarchy::SlowStart {
         let rule = self.settings.parent_slow_start;
-        basaltgw_hierarchy::Cold { share: rule.initial_share, span: rule.ramp_duration }
+        basaltgw_hierarchy::SlowStart { initial_share: rule.initial_share, ramp_duration: rule.ramp_duration }
     }
 
     /// Reads the configuration again for a router that runs with this one.
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{fleet, Fleet, FleetFile};
 use crate::yaml::{schema, BadFile, Document};
 use basaltgw::api::{FillPlan, ServerId, SourceShare};
-use basaltgw_hierarchy::{Cold, NodeId, NodeSpec, PlanSpec, Settings, Table, Tier, Version};
+use basaltgw_hierarchy::{NodeId, NodeSpec, PlanSpec, Settings, SlowStart, SourceTable, Tier, Version};
 use jsonschema::Validator;
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
@@ -101,7 +101,7 @@
 ///
 /// # Errors
 /// The fault with file, line and key.
-pub fn own_settings(path: &Path, cold: Cold) -> Result<OwnSettings, BadFile> {
+pub fn own_settings(path: &Path, cold: SlowStart) -> Result<OwnSettings, BadFile> {
     own(&Document::read(path, validator())?, cold)
 }
 
@@ -109,11 +109,11 @@
 ///
 /// # Errors
 /// As [`own_settings`].
-pub fn own_settings_of(file: &str, text: &str, cold: Cold) -> Result<OwnSettings, BadFile> {
+pub fn own_settings_of(file: &str, text: &str, cold: SlowStart) -> Result<OwnSettings, BadFile> {
     own(&Document::parse(file, text, validator())?, cold)
 }
 
-fn own(document: &Document, cold: Cold) -> Result<OwnSettings, BadFile> {
+fn own(document: &Document, cold: SlowStart) -> Result<OwnSettings, BadFile> {
     let File { hierarchy, carry, fleet: routers } = document.typed()?;
     let carry =
         carry.map(|c| Carry { file: c.file, oldest: 1000.0 * c.oldest_s.unwrap_or(DEFAULT_OLDEST_S) });
@@ -122,21 +122,21 @@
     Ok(OwnSettings { hierarchy, carry, fleet })
 }
 
-fn tree(document: &Document, file: HierarchyFile, cold: Cold) -> Result<Hierarchy, BadFile> {
+fn tree(document: &Document, file: HierarchyFile, cold: SlowStart) -> Result<Hierarchy, BadFile> {
     let HierarchyFile { plan, reshape } = file;
     let default = Settings::default();
     let settings = Settings {
-        behind: reshape.behind.unwrap_or(default.behind),
-        proofs: reshape.proofs.unwrap_or(default.proofs),
-        setbacks: reshape.setbacks.unwrap_or(default.setbacks),
-        rest: reshape.rest_ms.unwrap_or(default.rest),
-        idle: reshape.idle_ms.unwrap_or(default.idle),
-        quiet: reshape.quiet_ms.unwrap_or(default.quiet),
-        loops: reshape.loops.unwrap_or(default.loops),
-        cold,
+        max_versions_behind: reshape.behind.unwrap_or(default.max_versions_behind),
+        successes_per_step: reshape.proofs.unwrap_or(default.successes_per_step),
+        failures_to_step_back: reshape.setbacks.unwrap_or(default.failures_to_step_back),
+        step_back_pause: reshape.rest_ms.unwrap_or(default.step_back_pause),
+        idle_step_duration: reshape.idle_ms.unwrap_or(default.idle_step_duration),
+        quiet_period: reshape.quiet_ms.unwrap_or(default.quiet_period),
+        loops_to_disable_pair: reshape.loops.unwrap_or(default.loops_to_disable_pair),
+        slow_start: cold,
         ..default
     };
-    if let Some((name, expected)) = settings.fault() {
+    if let Some((name, expected)) = settings.out_of_bounds() {
         return Err(document.fault(&format!("/hierarchy/reshape/{name}"), format!("expected {expected}")));
     }
     let node = |n: NodeFile| NodeSpec {
@@ -150,20 +150,21 @@
     };
     let nodes: Vec<NodeSpec> = plan.nodes.into_iter().map(node).collect();
     let plan = PlanSpec { version: Version(plan.version), nodes };
-    if let Err(refusal) = basaltgw_hierarchy::Plan::check(plan.clone()) {
-        let at = refusal.node().and_then(|id| plan.nodes.iter().position(|n| n.id == *id));
+    if let Err(error) = basaltgw_hierarchy::Plan::from_spec(plan.clone()) {
+        let at = error.node().and_then(|id| plan.nodes.iter().position(|n| n.id == *id));
         let at = at.map_or_else(|| "/hierarchy/plan".to_string(), |i| format!("/hierarchy/plan/nodes/{i}"));
-        return Err(document.fault(&at, refusal.to_string()));
+        return Err(document.fault(&at, error.to_string()));
     }
     Ok(Hierarchy { plan, settings })
 }
 
 /// The fill plan that the decision module gets of a tree's table.
-pub fn table(tree: &Table) -> FillPlan {
+pub fn table(tree: &SourceTable) -> FillPlan {
     let id = |n: &NodeId| ServerId(Arc::clone(&n.0));
     // Caches that share their sources in the tree share them in the fill plan.
-    let mut converted: Vec<(*const Vec<basaltgw_hierarchy::Share>, Arc<Vec<SourceShare>>)> = Vec::new();
-    let mut requesters: Vec<_> = tree.of.iter().collect();
+    let mut converted: Vec<(*const Vec<basaltgw_hierarchy::PermittedSource>, Arc<Vec<SourceShare>>)> =
+        Vec::new();
+    let mut requesters: Vec<_> = tree.sources.iter().collect();
     requesters.sort_unstable_by(|a, b| a.0.cmp(b.0));
     let mut table = FillPlan::default();
     for (requester, shares) in requesters {
@@ -178,7 +179,7 @@
         });
         table.sources.insert(id(requester), shares);
     }
-    table.origin_allowed = tree.archive.iter().map(id).collect();
+    table.origin_allowed = tree.origin_allowed.iter().map(id).collect();
     table
 }
 
--- a/crates/config/src/plan/tests.rs
+++ b/crates/config/src/plan/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const COLD: Cold = Cold { share: 0.1, span: 20_000.0 };
+const COLD: SlowStart = SlowStart { initial_share: 0.1, ramp_duration: 20_000.0 };
 const GOOD: &str = "\
 hierarchy:
   plan:
@@ -27,7 +27,7 @@
 #[test]
 fn plan_is_parsed_with_defaults() {
     let own = own_settings_of("b.yaml", GOOD, COLD).expect("settings").hierarchy.expect("a hierarchy");
-    assert_eq!((own.plan.version, own.plan.nodes.len(), own.settings.proofs), (Version(3), 4, 5));
+    assert_eq!((own.plan.version, own.plan.nodes.len(), own.settings.successes_per_step), (Version(3), 4, 5));
     assert_eq!(own.plan.nodes[1].capacity, 50.0);
     assert!(own.plan.nodes[2].capacity.is_infinite());
     assert_eq!(own_settings_of("b.yaml", "{}", COLD), Ok(OwnSettings::default()));
@@ -50,9 +50,11 @@
 
 #[test]
 fn fill_plan_shares_the_sources_that_the_tree_shares() {
-    let shares = Arc::new(vec![basaltgw_hierarchy::Share { id: NodeId::new("h"), weight: 2.0, share: 0.5 }]);
+    let shares =
+        Arc::new(vec![basaltgw_hierarchy::PermittedSource { id: NodeId::new("h"), weight: 2.0, share: 0.5 }]);
     let of = [("a", &shares), ("b", &shares)].map(|(n, s)| (NodeId::new(n), Arc::clone(s)));
-    let plain = table(&Table { of: of.into_iter().collect(), archive: vec![NodeId::new("a")] });
+    let plain =
+        table(&SourceTable { sources: of.into_iter().collect(), origin_allowed: vec![NodeId::new("a")] });
     let [a, b] = ["a", "b"].map(|n| plain.sources.get(&ServerId(n.into())).expect("an asker"));
     assert!(Arc::ptr_eq(a, b));
     assert_eq!(a[0], SourceShare { id: ServerId("h".into()), weight: 2.0, share: 0.5 });
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -3,9 +3,9 @@
 use basaltgw_config::fleet::{Fleet, FleetLimits, Held, MOST_RULES_BYTES};
 use basaltgw_config::overlay::{Links, Standing};
 use basaltgw_config::plan::own_settings_of;
-use basaltgw_hierarchy::Cold;
+use basaltgw_hierarchy::SlowStart;
 
-const COLD: Cold = Cold { share: 0.1, span: 20_000.0 };
+const COLD: SlowStart = SlowStart { initial_share: 0.1, ramp_duration: 20_000.0 };
 const GOOD: &str = "\
 fleet:
   cluster: rig
--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -20,7 +20,7 @@
     let _ = writeln!(
         text,
         "  reshape: {{behind: {}, proofs: {}, idle_ms: {}, quiet_ms: {}}}",
-        set.behind, set.proofs, set.idle, set.quiet
+        set.max_versions_behind, set.successes_per_step, set.idle_step_duration, set.quiet_period
     );
     text
 }
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -173,7 +173,7 @@
 
     /// A plan comes out: caches and routers hear of it each at their own moment.
     pub(super) fn plan_out(&mut self, now: Ms, spec: &PlanSpec, text: &str) -> Result<(), String> {
-        let checked = Plan::check(spec.clone()).map_err(|e| e.to_string())?;
+        let checked = Plan::from_spec(spec.clone()).map_err(|e| e.to_string())?;
         self.fleet.plan(now, &Arc::new(checked), self.setup.fleet.news.plan_ms);
         for r in 0..self.seats.len() {
             let after = self.between(self.setup.fleet.news.plan_ms);
--- a/crates/emulator/src/world/start.rs
+++ b/crates/emulator/src/world/start.rs
@@ -83,7 +83,7 @@
             routers: HashMap::new(),
         };
         if let Some(spec) = first {
-            let checked = Plan::check(spec).map_err(|e| e.to_string())?;
+            let checked = Plan::from_spec(spec).map_err(|e| e.to_string())?;
             fleet.plan(0.0, &Arc::new(checked), [0.0, 0.0]);
         }
         Ok(Self {
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -215,27 +215,38 @@
             let changes = [What::Plan, What::TakeBack, What::Start, What::Drain, What::Stop];
             script.retain(|m| !changes.contains(&m.what));
         }
-        let usual = basaltgw_hierarchy::Settings { proofs: 4, idle: 2_000.0, ..Default::default() };
+        let usual = basaltgw_hierarchy::Settings {
+            successes_per_step: 4,
+            idle_step_duration: 2_000.0,
+            ..Default::default()
+        };
         let tree = match (self.on, variant) {
             // Real routers go by portions; as fast as they can comes nearest to at once.
-            (On::Sockets, Variant::AtOnce) => {
-                basaltgw_hierarchy::Settings { proofs: 1, idle: 0.0, quiet: 0.0, handover: 0.0, ..usual }
-            }
-            (On::Sockets, _) => {
-                basaltgw_hierarchy::Settings { proofs: 2, idle: 500.0, quiet: 500.0, ..usual }
-            }
+            (On::Sockets, Variant::AtOnce) => basaltgw_hierarchy::Settings {
+                successes_per_step: 1,
+                idle_step_duration: 0.0,
+                quiet_period: 0.0,
+                handover_duration: 0.0,
+                ..usual
+            },
+            (On::Sockets, _) => basaltgw_hierarchy::Settings {
+                successes_per_step: 2,
+                idle_step_duration: 500.0,
+                quiet_period: 500.0,
+                ..usual
+            },
             (On::Simulated | On::Fleet, _) => usual,
         };
-        let cold = basaltgw_hierarchy::Cold {
-            share: fleet.rules.cold_parent.share,
-            span: fleet.rules.cold_parent.span_ms,
+        let cold = basaltgw_hierarchy::SlowStart {
+            initial_share: fleet.rules.cold_parent.share,
+            ramp_duration: fleet.rules.cold_parent.span_ms,
         };
         Setup {
             fleet,
             load: self.load.clone(),
             script,
             plans,
-            tree: basaltgw_hierarchy::Settings { cold, ..tree },
+            tree: basaltgw_hierarchy::Settings { slow_start: cold, ..tree },
             length_ms: self.length_ms,
             staged: variant != Variant::AtOnce,
             trails: variant != Variant::Blind,
--- a/crates/experiments/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -172,7 +172,10 @@
         ("p50_ms", f.p50),
         ("p99_ms", f.p99),
         ("rules_broken", f.broken.values().map(|b| b.0).sum::<u64>() as f64),
-        ("changes_ended", f.states.iter().filter(|s| s.3 == basaltgw_hierarchy::State::Gone).count() as f64),
+        (
+            "changes_ended",
+            f.states.iter().filter(|s| s.3 == basaltgw_hierarchy::ChangeState::Completed).count() as f64,
+        ),
         ("settled", f64::from(u8::from(f.settled()))),
         ("plans_refused", f.refusals.len() as f64),
     ];
--- a/crates/experiments/src/soak/draw.rs
+++ b/crates/experiments/src/soak/draw.rs
@@ -58,16 +58,16 @@
     };
     let plan = plan(&mut rng, size);
     let script = script(&mut rng, &fleet, size);
-    let cold = basaltgw_hierarchy::Cold {
-        share: fleet.rules.cold_parent.share,
-        span: fleet.rules.cold_parent.span_ms,
+    let cold = basaltgw_hierarchy::SlowStart {
+        initial_share: fleet.rules.cold_parent.share,
+        ramp_duration: fleet.rules.cold_parent.span_ms,
     };
     let setup = Setup {
         fleet,
         load,
         script,
         plans: Vec::new(),
-        tree: basaltgw_hierarchy::Settings { cold, ..Default::default() },
+        tree: basaltgw_hierarchy::Settings { slow_start: cold, ..Default::default() },
         length_ms: size.length_ms,
         staged: true,
         trails: true,
--- a/crates/hierarchy/benches/plan.rs
+++ b/crates/hierarchy/benches/plan.rs
@@ -1,7 +1,7 @@
-//! Checking plans up to the largest, a mixture of two, and the pick of a source.
+//! Benchmarks up to the largest plan: the checks of a plan, of a mixture of two plans, and the selection of a source.
 
 use basaltgw_hierarchy::{
-    mixture, CacheSide, NodeId, NodeSpec, Plan, PlanSpec, Settings, Tier, Trail, Version,
+    check_mixture, NodeId, NodeSpec, Plan, PlanSpec, Settings, SourceSelector, Tier, Version, VisitedPath,
 };
 use divan::{black_box, Bencher};
 use std::sync::Arc;
@@ -10,13 +10,14 @@
     divan::main();
 }
 
-const SIZES: [usize; 3] = [100, 1_000, 10_000];
+const NODE_COUNTS: [usize; 3] = [100, 1_000, 10_000];
 
-/// One hub for every 100 nodes, four districts to a hub, the rest edge caches; with demands and capacities.
-fn plan(version: u64, n: usize, shift: usize) -> PlanSpec {
-    let hubs = (n / 100).max(3);
-    let districts = hubs * 4;
-    let name = |what: &str, i: usize| NodeId::new(&format!("{what}-{i:05}"));
+/// One node of tier 1 for every 100 nodes, four of tier 2 for each of these, the rest edge caches; with demands and capacities.
+/// `shift` moves the sources of tier 2 and of edge caches along, so that two plans differ.
+fn plan(version: u64, node_count: usize, shift: usize) -> PlanSpec {
+    let tier_1 = (node_count / 100).max(3);
+    let tier_2 = tier_1 * 4;
+    let id = |kind: &str, i: usize| NodeId::new(&format!("{kind}-{i:05}"));
     let node = |id: NodeId, tier: u8, demand: f64, sources: Vec<NodeId>| NodeSpec {
         id,
         tier: Tier(tier),
@@ -26,39 +27,44 @@
         capacity: if tier == 0 { f64::INFINITY } else { 1.0e6 },
         sources,
     };
-    let mut nodes = vec![node(name("archive", 0), 0, 0.0, vec![])];
-    nodes.extend((0..hubs).map(|i| node(name("hub", i), 1, 0.0, vec![name("archive", 0)])));
-    let near = |i: usize, k: usize, of: usize, what: &str| {
-        (0..k).map(|j| name(what, (i + j + shift) % of)).collect::<Vec<_>>()
+    let mut nodes = vec![node(id("origin", 0), 0, 0.0, vec![])];
+    nodes.extend((0..tier_1).map(|i| node(id("hub", i), 1, 0.0, vec![id("origin", 0)])));
+    let adjacent = |i: usize, count: usize, of: usize, kind: &str| {
+        (0..count).map(|j| id(kind, (i + j + shift) % of)).collect::<Vec<_>>()
     };
-    nodes.extend((0..districts).map(|i| node(name("district", i), 2, 0.0, near(i, 3, hubs, "hub"))));
-    let edges = n - nodes.len();
-    nodes.extend((0..edges).map(|i| node(name("edge", i), 3, 10.0, near(i, 4, districts, "district"))));
+    nodes.extend((0..tier_2).map(|i| node(id("district", i), 2, 0.0, adjacent(i, 3, tier_1, "hub"))));
+    let edges = node_count - nodes.len();
+    let edge = |i| node(id("edge", i), 3, 10.0, adjacent(i, 4, tier_2, "district"));
+    nodes.extend((0..edges).map(edge));
     PlanSpec { version: Version(version), nodes }
 }
 
-#[divan::bench(args = SIZES)]
-fn check(bencher: Bencher<'_, '_>, n: usize) {
-    let spec = plan(1, n, 0);
-    bencher.bench_local(|| black_box(Plan::check(spec.clone())).is_ok());
+fn checked_plan(version: u64, node_count: usize, shift: usize) -> Plan {
+    Plan::from_spec(plan(version, node_count, shift)).expect("a plan")
 }
 
-#[divan::bench(args = SIZES)]
-fn mixture_of_two(bencher: Bencher<'_, '_>, n: usize) {
-    let (a, b) = (Plan::check(plan(1, n, 0)).expect("a plan"), Plan::check(plan(2, n, 1)).expect("a plan"));
-    bencher.bench_local(|| black_box(mixture(&[&a, &b])).is_ok());
+#[divan::bench(args = NODE_COUNTS)]
+fn check(bencher: Bencher<'_, '_>, node_count: usize) {
+    let spec = plan(1, node_count, 0);
+    bencher.bench_local(|| black_box(Plan::from_spec(spec.clone())).is_ok());
 }
 
-#[divan::bench(args = SIZES)]
-fn pick_of_a_source(bencher: Bencher<'_, '_>, n: usize) {
-    let plan = Arc::new(Plan::check(plan(1, n, 0)).expect("a plan"));
+#[divan::bench(args = NODE_COUNTS)]
+fn mixture_of_two(bencher: Bencher<'_, '_>, node_count: usize) {
+    let (a, b) = (checked_plan(1, node_count, 0), checked_plan(2, node_count, 1));
+    bencher.bench_local(|| black_box(check_mixture(&[&a, &b])).is_ok());
+}
+
+#[divan::bench(args = NODE_COUNTS)]
+fn pick_of_a_source(bencher: Bencher<'_, '_>, node_count: usize) {
+    let plan = Arc::new(checked_plan(1, node_count, 0));
     let me = NodeId::new("district-00001");
-    let mut side = CacheSide::new(me.clone());
-    side.take(0.0, Arc::clone(&plan), &Settings::default());
-    let trail = Trail::default().through(&me).expect("a trail");
+    let mut selector = SourceSelector::new(me.clone());
+    selector.adopt(0.0, Arc::clone(&plan), &Settings::default());
+    let path = VisitedPath::default().visit(&me).expect("a path");
     let mut object = 0;
     bencher.bench_local(|| {
         object += 1;
-        black_box(side.next(0.0, object, &trail, &[]))
+        black_box(selector.next_source(0.0, object, &path, &[]))
     });
 }
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -1,31 +1,40 @@
-//! Which node of a tree of caches may ask which, and how that tree is changed while it serves. No I/O, no clock: time is handed in.
+//! Which node of a tree of caches may request fills from which, and how that tree is changed in service. No I/O and no clock: the
+//! caller passes the time.
 //!
-//! - [`Plan`]: a version of the tree, checked whole ([`Refusal`] says what is wrong);
-//! - [`mixture`], [`steps`]: what may be in use at the same time, and a change split so that no mixture has a cycle;
-//! - [`Reshape`]: a router's side of a change: what each edge cache may name as a source now, and for which share of objects;
-//! - [`CacheSide`]: a cache's side: whom it asks for what it lacks, what it hands over, and when it refuses a loop;
-//! - [`Shield`]: fills under way at a node, those that wait for them, and failed ones;
-//! - [`Trail`]: the nodes that a fill has passed.
+//! - [`Plan`]: a checked version of the tree ([`PlanError`] says why one is rejected);
+//! - [`check_mixture`], [`split_into_steps`]: which versions may be in use at the same time, and a change split so that no mixture has a
+//!   cycle;
+//! - [`TopologyManager`]: a router's side of a change: the sources that each edge cache may name now, and for which share of objects;
+//! - [`SourceSelector`]: a cache's side: where it requests what it has no copy of, what it hands over, and when it rejects a loop;
+//! - [`OriginShield`]: the fills in progress at a node, the requests that wait for them, and failed fills;
+//! - [`VisitedPath`]: the nodes that a fill has visited.
 //!
-//! docs/hierarchy.md has the reasons. Whether, where and how often a request is sent stays with the router's module.
+//! docs/hierarchy.md has the reasons. Whether, where and how often a request is sent is decided by the router's decision module.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod cache;
-mod mix;
+mod graph;
+mod mixture;
+mod origin_shield;
 mod plan;
-mod reshape;
 mod settings;
-mod shield;
-mod trail;
+mod source_selector;
+mod steps;
+mod topology;
+mod visited_path;
 
-pub use cache::{CacheSide, Next};
-pub use mix::{mixture, steps};
-pub use plan::{NodeId, NodeSpec, Plan, PlanSpec, Refusal, Tier, Version};
-pub use reshape::{Act, Event, How, Reshape, Share, State, Table};
-pub use settings::{Cold, Settings};
-pub use shield::{Asks, Came, FillKey, Shield, Then, Waiter};
-pub use trail::{Looped, Trail};
+pub use mixture::check_mixture;
+pub use origin_shield::{
+    Admission, AfterFailure, CompletedFill, FillKey, FillRequest, OriginShield, WaiterId,
+};
+pub use plan::{NodeId, NodeSpec, Plan, PlanError, PlanSpec, Tier, Version};
+pub use settings::{Settings, SlowStart};
+pub use source_selector::{SelectedSource, SourceSelector};
+pub use steps::split_into_steps;
+pub use topology::{
+    Action, ChangeState, ChangeStatus, Event, PermittedSource, SourceResult, SourceTable, TopologyManager,
+};
+pub use visited_path::{LoopError, VisitedPath};
 
-/// Milliseconds, fractional, on the caller's clock; they never go back.
+/// Milliseconds, fractional, on the caller's monotonic clock.
 pub type Ms = f64;
--- a/crates/hierarchy/src/settings.rs
+++ b/crates/hierarchy/src/settings.rs
@@ -1,85 +1,87 @@
-//! What may be set, with units.
+//! Settings of topology changes and of fills, with their units and bounds.
 
 use crate::Ms;
 
-/// The figures of the rule on nodes that have just started.
+/// Slow start of a node that was started a short time ago.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
-    /// Least share of its capacity with which a node starts, 0 to 1.
-    pub share: f64,
-    /// Longest time until it is warm.
-    pub span: Ms,
+pub struct SlowStart {
+    /// Share of its capacity that a node may use at its start, 0 to 1.
+    pub initial_share: f64,
+    /// Time until a node may use its whole capacity.
+    pub ramp_duration: Ms,
 }
 
-/// How a reshape goes.
+/// Settings of topology changes and of fills. Durations are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Versions that routers and caches may be behind: so many steps stay in every mixture that is checked. 1 or more.
-    pub behind: usize,
-    /// Answers that a step of a newcomer's or leaver's share needs.
-    pub proofs: u32,
-    /// Refusals and failures in a step that take it back.
-    pub setbacks: u32,
-    /// The rest after a step taken back.
-    pub rest: Ms,
-    /// A step in which all that was asked was answered, however little, ends after this. Longer than requests wait, so that what
-    /// hangs is known by then.
-    pub idle: Ms,
-    /// A leaver is gone when nothing was asked of it for so long.
-    pub quiet: Ms,
-    /// Loops that set a pair aside until the plan changes.
-    pub loops: u32,
-    /// For nodes that have just started.
-    pub cold: Cold,
-    /// How long a cache asks an object's homes of versions before: longer than anyone is behind, and as long as what they hold is
-    /// worth a question.
-    pub handover: Ms,
-    /// Fills under way at a node.
-    pub fills: usize,
-    /// That wait for one of them.
-    pub waiters: usize,
-    /// How long a failed fill is told to those who come.
-    pub failed: Ms,
+    /// Versions by which routers and caches may be behind, 1 or more: every checked mixture contains so many earlier steps.
+    pub max_versions_behind: usize,
+    /// Successful fills that complete a step of a newcomer's or leaver's share.
+    pub successes_per_step: u32,
+    /// Rejections and failures within a step after which the step is undone.
+    pub failures_to_step_back: u32,
+    /// Pause after a step was undone.
+    pub step_back_pause: Ms,
+    /// A step without a failure is complete after this time, however few its successes. Longer than a request waits, so that a
+    /// source that does not respond is known by then.
+    pub idle_step_duration: Ms,
+    /// A leaver is removed once no request has named it for this long.
+    pub quiet_period: Ms,
+    /// Loops after which a pair of requester and source is disabled until the plan changes.
+    pub loops_to_disable_pair: u32,
+    /// Slow start of newcomers.
+    pub slow_start: SlowStart,
+    /// How long a cache requests an object from its home in earlier versions: longer than any node is behind, and only while
+    /// the old home's copies are likely enough to exist to be worth a request.
+    pub handover_duration: Ms,
+    /// Maximum number of fills in progress at a node.
+    pub max_fills: usize,
+    /// Maximum number of requests that wait for one fill.
+    pub max_waiters_per_fill: usize,
+    /// How long later requests are answered with the failure of a fill.
+    pub failed_fill_ttl: Ms,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            behind: 2,
-            proofs: 8,
-            setbacks: 4,
-            rest: 1_000.0,
-            idle: 5_000.0,
-            quiet: 2_000.0,
-            loops: 2,
-            cold: Cold { share: 0.1, span: 20_000.0 },
-            handover: 120_000.0,
-            fills: 4_096,
-            waiters: 256,
-            failed: 250.0,
+            max_versions_behind: 2,
+            successes_per_step: 8,
+            failures_to_step_back: 4,
+            step_back_pause: 1_000.0,
+            idle_step_duration: 5_000.0,
+            quiet_period: 2_000.0,
+            loops_to_disable_pair: 2,
+            slow_start: SlowStart { initial_share: 0.1, ramp_duration: 20_000.0 },
+            handover_duration: 120_000.0,
+            max_fills: 4_096,
+            max_waiters_per_fill: 256,
+            failed_fill_ttl: 250.0,
         }
     }
 }
 
 impl Settings {
-    /// The name of a setting that can't be used, and what is expected.
-    pub fn fault(&self) -> Option<(&'static str, &'static str)> {
-        let time = |t: Ms| t.is_finite() && (0.0..=86_400_000.0).contains(&t);
+    /// The key of the first setting that is out of bounds, as the settings file names it, and the expected range.
+    pub fn out_of_bounds(&self) -> Option<(&'static str, &'static str)> {
+        let duration = |t: Ms| t.is_finite() && (0.0..=86_400_000.0).contains(&t);
+        let slow_start = &self.slow_start;
+        let initial_share = slow_start.initial_share;
         let checks = [
-            ("behind", (1..=8).contains(&self.behind), "1 to 8"),
-            ("proofs", (1..=10_000).contains(&self.proofs), "1 to 10,000"),
-            ("setbacks", (1..=10_000).contains(&self.setbacks), "1 to 10,000"),
-            ("rest", time(self.rest), "0 to 86,400,000 ms"),
-            ("idle", time(self.idle), "0 to 86,400,000 ms"),
-            ("quiet", time(self.quiet), "0 to 86,400,000 ms"),
-            ("loops", (1..=1_000).contains(&self.loops), "1 to 1,000"),
-            ("cold.share", self.cold.share > 0.0 && self.cold.share <= 1.0, "above 0, at most 1"),
-            ("cold.span", time(self.cold.span), "0 to 86,400,000 ms"),
-            ("handover", time(self.handover), "0 to 86,400,000 ms"),
-            ("fills", (1..=1_000_000).contains(&self.fills), "1 to 1,000,000"),
-            ("waiters", (1..=100_000).contains(&self.waiters), "1 to 100,000"),
-            ("failed", time(self.failed), "0 to 86,400,000 ms"),
+            ("behind", (1..=8).contains(&self.max_versions_behind), "1 to 8"),
+            ("proofs", (1..=10_000).contains(&self.successes_per_step), "1 to 10,000"),
+            ("setbacks", (1..=10_000).contains(&self.failures_to_step_back), "1 to 10,000"),
+            ("rest", duration(self.step_back_pause), "0 to 86,400,000 ms"),
+            ("idle", duration(self.idle_step_duration), "0 to 86,400,000 ms"),
+            ("quiet", duration(self.quiet_period), "0 to 86,400,000 ms"),
+            ("loops", (1..=1_000).contains(&self.loops_to_disable_pair), "1 to 1,000"),
+            ("cold.share", initial_share > 0.0 && initial_share <= 1.0, "above 0, at most 1"),
+            ("cold.span", duration(slow_start.ramp_duration), "0 to 86,400,000 ms"),
+            ("handover", duration(self.handover_duration), "0 to 86,400,000 ms"),
+            ("fills", (1..=1_000_000).contains(&self.max_fills), "1 to 1,000,000"),
+            ("waiters", (1..=100_000).contains(&self.max_waiters_per_fill), "1 to 100,000"),
+            ("failed", duration(self.failed_fill_ttl), "0 to 86,400,000 ms"),
         ];
-        checks.into_iter().find(|(_, good, _)| !good).map(|(name, _, expected)| (name, expected))
+        checks.into_iter().find(|(_, in_bounds, _)| !in_bounds).map(|(key, _, expected)| (key, expected))
     }
 }
--- a/crates/hierarchy/tests/interleavings.rs
+++ b/crates/hierarchy/tests/interleavings.rs
@@ -1,9 +1,10 @@
-//! Every interleaving of a small reshape, by stateright: two hubs, three districts that ask for one part, each taking the second
-//! plan over at any moment, messages in any order, and one of the hubs crashing at any moment. The code is the one that caches run.
+//! Every interleaving of a small topology change, by stateright, with the code that caches run: two nodes of tier 1, and three of tier 2
+//! that request one part. Each adopts the second plan at any point, messages arrive in any order, and one node of tier 1 crashes at any
+//! point.
 
 use basaltgw_hierarchy::{
-    Asks, CacheSide, Came, FillKey, NodeId, NodeSpec, Plan, PlanSpec, Settings, Shield, Then, Tier, Trail,
-    Version, Waiter,
+    Admission, AfterFailure, FillKey, FillRequest, NodeId, NodeSpec, OriginShield, Plan, PlanSpec, Settings,
+    SourceSelector, Tier, Version, VisitedPath, WaiterId,
 };
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -11,49 +12,58 @@
 use std::sync::Arc;
 
 const KEY: FillKey = FillKey { object: 0, part: 0 };
-const HUBS: usize = 2;
+/// Nodes 0 to 1 are of tier 1, the others of tier 2.
+const TIER_1_NODES: usize = 2;
 const NODES: usize = 5;
-const ARCHIVE: usize = 9;
+const ORIGIN: usize = 9;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Word {
-    Whole,
-    Lacks,
-    Looped,
+enum Response {
+    Served,
+    Miss,
+    LoopDetected,
     Failed,
 }
 
+// The order of the variants and of their fields is the order in which messages are explored.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
-    /// From, to, only for what is held, the nodes passed.
-    Ask(usize, usize, bool, Vec<usize>),
-    /// From, to.
-    Reply(usize, usize, Word),
+    Request { from: usize, to: usize, cached_only: bool, visited: Vec<usize> },
+    Response { from: usize, to: usize, response: Response },
 }
 
-/// A hub or district.
+/// The fill that a node runs.
+#[derive(Clone, Debug)]
+struct Fill {
+    source: usize,
+    /// The path, with this node.
+    visited: Vec<usize>,
+    tried: Vec<usize>,
+}
+
+/// A node of tier 1 or 2.
 #[derive(Clone, Debug)]
 struct Node {
-    side: CacheSide,
-    shield: Shield,
-    holds: bool,
+    selector: SourceSelector,
+    shield: OriginShield,
+    has_copy: bool,
     up: bool,
-    /// Whom its fill is asked of, the trail from here, and those that it has tried.
-    fill: Option<(usize, Vec<usize>, Vec<usize>)>,
-    /// A district: it has begun, and is through.
+    fill: Option<Fill>,
+    /// In tier 2: its own request has begun, and was answered.
     begun: bool,
-    through: bool,
+    answered: bool,
 }
 
 #[derive(Clone, Debug)]
 struct State {
     nodes: Vec<Node>,
     messages: BTreeSet<Message>,
-    fills: u32,
-    out: u32,
+    /// Fills that the origin served, and those of them whose response is on its way.
+    origin_fills: u32,
+    origin_fills_in_progress: u32,
     crashes: u32,
-    /// A node was to go on with a fill that had been there.
-    carried: bool,
+    /// A node accepted a fill that had visited it before.
+    loop_accepted: bool,
 }
 
 impl Hash for State {
@@ -70,264 +80,298 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Begin(usize),
-    Take(usize),
+    BeginRequest(usize),
+    AdoptPlan(usize),
     Deliver(Message),
     Crash(usize),
 }
 
-struct Reshape {
+struct ChangeModel {
     plans: [Arc<Plan>; 2],
-    /// The part's object, whose home moves from the first hub to the second.
+    /// The part's object, whose home moves from node 0 to node 1.
     object: u64,
-    set: Settings,
-    crash: bool,
-    /// The old home is asked for what it holds.
+    settings: Settings,
+    may_crash: bool,
+    /// The new home requests cached copies from the old one.
     hands_over: bool,
 }
 
 fn id(node: usize) -> NodeId {
-    NodeId::new(if node == ARCHIVE { "archive".to_string() } else { format!("n{node}") }.as_str())
+    NodeId::new(if node == ORIGIN { "origin".to_string() } else { format!("n{node}") }.as_str())
 }
 
-fn place(id: &NodeId) -> usize {
-    id.0.strip_prefix('n').and_then(|n| n.parse().ok()).unwrap_or(ARCHIVE)
+fn index(id: &NodeId) -> usize {
+    id.0.strip_prefix('n').and_then(|n| n.parse().ok()).unwrap_or(ORIGIN)
 }
 
-fn trail(passed: &[usize]) -> Trail {
-    passed.iter().try_fold(Trail::default(), |t, n| t.through(&id(*n))).expect("no node twice")
+fn ids(nodes: &[usize]) -> Vec<NodeId> {
+    nodes.iter().map(|n| id(*n)).collect()
 }
 
-impl Reshape {
-    fn new(crash: bool, hands_over: bool) -> Self {
-        let plan = |version, second: f64| {
-            let node = |n: usize, tier, weight, sources: &[usize]| NodeSpec {
-                id: id(n),
-                tier: Tier(tier),
-                location: String::new(),
-                weight,
-                demand: 0.0,
-                capacity: f64::INFINITY,
-                sources: sources.iter().map(|s| id(*s)).collect(),
-            };
-            let mut nodes =
-                vec![node(ARCHIVE, 0, 1.0, &[]), node(0, 1, 1.0, &[ARCHIVE]), node(1, 1, second, &[ARCHIVE])];
-            nodes.extend((HUBS..NODES).map(|n| node(n, 2, 1.0, &[0, 1])));
-            Arc::new(Plan::check(PlanSpec { version: Version(version), nodes }).expect("a plan"))
-        };
+fn path(visited: &[usize]) -> VisitedPath {
+    visited.iter().try_fold(VisitedPath::default(), |p, n| p.visit(&id(*n))).expect("no node twice")
+}
+
+fn plan(version: u64, weight_of_node_1: f64) -> Arc<Plan> {
+    let node = |n: usize, tier, weight, sources: &[usize]| NodeSpec {
+        id: id(n),
+        tier: Tier(tier),
+        location: String::new(),
+        weight,
+        demand: 0.0,
+        capacity: f64::INFINITY,
+        sources: ids(sources),
+    };
+    let mut nodes =
+        vec![node(ORIGIN, 0, 1.0, &[]), node(0, 1, 1.0, &[ORIGIN]), node(1, 1, weight_of_node_1, &[ORIGIN])];
+    nodes.extend((TIER_1_NODES..NODES).map(|n| node(n, 2, 1.0, &[0, 1])));
+    Arc::new(Plan::from_spec(PlanSpec { version: Version(version), nodes }).expect("a plan"))
+}
+
+impl ChangeModel {
+    fn new(may_crash: bool, hands_over: bool) -> Self {
         let plans = [plan(1, 1.0), plan(2, 50.0)];
         let moves = |o: &u64| plans[0].home(*o) == Some(&id(0)) && plans[1].home(*o) == Some(&id(1));
         let object = (0..).find(moves).expect("an object");
-        let handover = if hands_over { 1000.0 } else { 0.0 };
-        Self { plans, object, set: Settings { handover, ..Settings::default() }, crash, hands_over }
+        let handover_duration = if hands_over { 1000.0 } else { 0.0 };
+        let settings = Settings { handover_duration, ..Settings::default() };
+        Self { plans, object, settings, may_crash, hands_over }
     }
 
-    /// A node asks the next for its fill; none left: those who wait are told.
-    fn ask(&self, s: &mut State, me: usize, passed: Vec<usize>, tried: Vec<usize>) {
-        let waiting = s.nodes[me].shield.waiting(KEY).cloned();
-        let ids: Vec<NodeId> = tried.iter().map(|t| id(*t)).chain(waiting).collect();
-        match s.nodes[me].side.next(0.0, self.object, &trail(&passed), &ids) {
+    /// A node requests its fill from the next source; without one it reports a failure to its waiters.
+    fn request_fill(&self, s: &mut State, me: usize, visited: Vec<usize>, tried: Vec<usize>) {
+        let waiting = s.nodes[me].shield.waiting_nodes(KEY).cloned();
+        let excluded: Vec<NodeId> = ids(&tried).into_iter().chain(waiting).collect();
+        match s.nodes[me].selector.next_source(0.0, self.object, &path(&visited), &excluded) {
             Some(next) => {
-                let to = place(&next.to);
-                s.nodes[me].shield.asked(KEY, &next.to, next.archive || next.held_only);
-                s.nodes[me].fill = Some((to, passed.clone(), tried));
-                s.messages.insert(Message::Ask(me, to, next.held_only, passed));
+                let to = index(&next.node);
+                s.nodes[me].shield.set_source(KEY, &next.node, next.is_origin || next.cached_only);
+                s.nodes[me].fill = Some(Fill { source: to, visited: visited.clone(), tried });
+                let cached_only = next.cached_only;
+                s.messages.insert(Message::Request { from: me, to, cached_only, visited });
             }
             None => {
                 s.nodes[me].fill = None;
-                let told = s.nodes[me].shield.ended(KEY);
-                self.tell(s, me, told, Word::Failed);
+                let waiters = s.nodes[me].shield.abandon(KEY);
+                self.respond(s, me, waiters, Response::Failed);
             }
         }
     }
 
-    fn tell(&self, s: &mut State, me: usize, told: Vec<Waiter>, word: Word) {
-        for w in told {
-            match w.0 as usize {
-                // A district's own member.
-                to if to == me => s.nodes[me].through = true,
+    fn respond(&self, s: &mut State, me: usize, waiters: Vec<WaiterId>, response: Response) {
+        for waiter in waiters {
+            match waiter.0 as usize {
+                // The node's own request.
+                to if to == me => s.nodes[me].answered = true,
                 to => {
-                    s.messages.insert(Message::Reply(me, to, word.clone()));
+                    s.messages.insert(Message::Response { from: me, to, response: response.clone() });
                 }
             }
         }
     }
 
-    fn asked(&self, s: &mut State, from: usize, me: usize, held_only: bool, passed: &[usize]) {
-        if me == ARCHIVE {
-            s.fills += 1;
-            // What a node asked just before it died is fetched for nobody: the one fill more that its death may cost.
-            if s.nodes[from].up {
-                s.out += 1;
-                s.messages.insert(Message::Reply(ARCHIVE, from, Word::Whole));
-            }
-            return;
+    fn on_request_at_origin(&self, s: &mut State, from: usize) {
+        s.origin_fills += 1;
+        // A fill that a node requested just before it crashed is served to nobody: the one more fill that a crash may cost.
+        if s.nodes[from].up {
+            s.origin_fills_in_progress += 1;
+            s.messages.insert(Message::Response { from: ORIGIN, to: from, response: Response::Served });
+        }
+    }
+
+    fn on_request(&self, s: &mut State, from: usize, me: usize, cached_only: bool, visited: &[usize]) {
+        if me == ORIGIN {
+            return self.on_request_at_origin(s, from);
         }
-        let answer = |s: &mut State, word| {
-            s.messages.insert(Message::Reply(me, from, word));
+        let respond = |s: &mut State, response| {
+            s.messages.insert(Message::Response { from: me, to: from, response });
         };
         if !s.nodes[me].up {
-            return answer(s, Word::Failed);
+            return respond(s, Response::Failed);
         }
-        let seen = trail(passed);
-        if s.nodes[me].side.passes(&seen).is_err() {
-            return answer(s, Word::Looped);
+        let path = path(visited);
+        if s.nodes[me].selector.visit(&path).is_err() {
+            return respond(s, Response::LoopDetected);
         }
-        s.carried |= passed.contains(&me);
-        if s.nodes[me].holds {
-            return answer(s, Word::Whole);
+        s.loop_accepted |= visited.contains(&me);
+        if s.nodes[me].has_copy {
+            return respond(s, Response::Served);
         }
-        let waiter = Waiter(from as u64);
-        let mine = id(me);
-        let asks = Asks { me: &mine, waiter, deadline: f64::INFINITY, since: 0.0, trail: &seen, held_only };
-        match s.nodes[me].shield.ask(0.0, KEY, asks, &self.set) {
-            Came::Begin => {
-                let through: Vec<usize> = passed.iter().copied().chain([me]).collect();
-                self.ask(s, me, through, Vec::new());
+        let request = FillRequest {
+            me: &id(me),
+            waiter: WaiterId(from as u64),
+            deadline: f64::INFINITY,
+            min_origin_time: 0.0,
+            path: &path,
+            cached_only,
+        };
+        match s.nodes[me].shield.request(0.0, KEY, request, &self.settings) {
+            Admission::StartFill => {
+                let visited: Vec<usize> = visited.iter().copied().chain([me]).collect();
+                self.request_fill(s, me, visited, Vec::new());
             }
-            Came::Joined => {}
-            Came::Lacks if held_only => {
-                s.nodes[me].side.hand_over(self.object, &id(from));
-                answer(s, Word::Lacks);
+            Admission::Joined => {}
+            Admission::Miss if cached_only => {
+                s.nodes[me].selector.record_handover(self.object, &id(from));
+                respond(s, Response::Miss);
             }
-            Came::Lacks => answer(s, Word::Looped),
-            Came::Full | Came::Failed => answer(s, Word::Failed),
+            Admission::Miss => respond(s, Response::LoopDetected),
+            Admission::LimitReached | Admission::FailedRecently => respond(s, Response::Failed),
         }
     }
 
-    fn replied(&self, s: &mut State, from: usize, me: usize, word: Word) {
-        if from == ARCHIVE {
-            s.out -= 1;
+    fn on_response(&self, s: &mut State, from: usize, me: usize, response: Response) {
+        if from == ORIGIN {
+            s.origin_fills_in_progress -= 1;
         }
         let node = &mut s.nodes[me];
-        let Some((_, passed, tried)) = node.fill.clone().filter(|(of, ..)| *of == from && node.up) else {
+        let Some(fill) = node.fill.clone().filter(|fill| fill.source == from && node.up) else {
             return;
         };
-        let tried: Vec<usize> = tried.into_iter().chain([from]).collect();
-        match word {
-            Word::Whole => {
-                (node.holds, node.fill) = (true, None);
-                let (served, _) = node.shield.done(KEY, 1.0);
-                self.tell(s, me, served, Word::Whole);
+        let visited = fill.visited;
+        let tried: Vec<usize> = fill.tried.into_iter().chain([from]).collect();
+        match response {
+            Response::Served => {
+                (node.has_copy, node.fill) = (true, None);
+                let waiters = node.shield.complete(KEY, 1.0).served;
+                self.respond(s, me, waiters, Response::Served);
             }
-            Word::Lacks | Word::Looped => {
-                node.shield.turned(KEY);
-                self.ask(s, me, passed, tried);
+            Response::Miss | Response::LoopDetected => {
+                node.shield.clear_source(KEY);
+                self.request_fill(s, me, visited, tried);
             }
-            Word::Failed => {
-                let ids: Vec<NodeId> = tried.iter().map(|t| id(*t)).collect();
-                let next = node.side.next(0.0, self.object, &trail(&passed), &ids);
-                match node.shield.failed(0.0, KEY, next.is_some(), &self.set) {
-                    Then::Again => self.ask(s, me, passed, tried),
-                    Then::Tell(told) => {
+            Response::Failed => {
+                let next = node.selector.next_source(0.0, self.object, &path(&visited), &ids(&tried));
+                match node.shield.fail(0.0, KEY, next.is_some(), &self.settings) {
+                    AfterFailure::Retry => self.request_fill(s, me, visited, tried),
+                    AfterFailure::Notify(waiters) => {
                         s.nodes[me].fill = None;
-                        self.tell(s, me, told, Word::Failed);
+                        self.respond(s, me, waiters, Response::Failed);
                     }
                 }
             }
         }
     }
+
+    fn begin_request(&self, s: &mut State, n: usize) {
+        s.nodes[n].begun = true;
+        let request = FillRequest {
+            me: &id(n),
+            waiter: WaiterId(n as u64),
+            deadline: f64::INFINITY,
+            min_origin_time: 0.0,
+            path: &VisitedPath::default(),
+            cached_only: false,
+        };
+        let admission = s.nodes[n].shield.request(0.0, KEY, request, &self.settings);
+        assert_eq!(admission, Admission::StartFill);
+        self.request_fill(s, n, vec![n], Vec::new());
+    }
+
+    /// A node crashes: its connections close, by which its requesters learn of it, and responses to it are dropped.
+    fn crash(&self, s: &mut State, n: usize) {
+        s.crashes += 1;
+        let node = &mut s.nodes[n];
+        let waiters = node.shield.abandon(KEY);
+        (node.up, node.has_copy, node.fill) = (false, false, None);
+        self.respond(s, n, waiters, Response::Failed);
+        s.messages.retain(|m| !matches!(m, Message::Response { from: ORIGIN, to, .. } if *to == n));
+        let is_from_origin = |m: &&Message| matches!(m, Message::Response { from: ORIGIN, .. });
+        s.origin_fills_in_progress = s.messages.iter().filter(is_from_origin).count() as u32;
+    }
 }
 
-impl Model for Reshape {
+impl Model for ChangeModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
         let node = |n: usize| {
-            let mut side = CacheSide::new(id(n));
-            side.take(0.0, Arc::clone(&self.plans[0]), &self.set);
-            let shield = Shield::default();
-            Node { side, shield, holds: false, up: true, fill: None, begun: false, through: false }
+            let mut selector = SourceSelector::new(id(n));
+            selector.adopt(0.0, Arc::clone(&self.plans[0]), &self.settings);
+            let shield = OriginShield::default();
+            Node { selector, shield, has_copy: false, up: true, fill: None, begun: false, answered: false }
         };
-        let nodes = (0..NODES).map(node).collect();
-        vec![State { nodes, messages: BTreeSet::new(), fills: 0, out: 0, crashes: 0, carried: false }]
+        vec![State {
+            nodes: (0..NODES).map(node).collect(),
+            messages: BTreeSet::new(),
+            origin_fills: 0,
+            origin_fills_in_progress: 0,
+            crashes: 0,
+            loop_accepted: false,
+        }]
     }
 
     fn actions(&self, s: &State, steps: &mut Vec<Step>) {
-        steps.extend((HUBS..NODES).filter(|n| !s.nodes[*n].begun).map(Step::Begin));
-        let old = |n: &usize| s.nodes[*n].side.plan().is_some_and(|p| p.version() == Version(1));
-        steps.extend((0..NODES).filter(old).map(Step::Take));
+        steps.extend((TIER_1_NODES..NODES).filter(|n| !s.nodes[*n].begun).map(Step::BeginRequest));
+        let has_old_plan = |n: &usize| s.nodes[*n].selector.plan().is_some_and(|p| p.version() == Version(1));
+        steps.extend((0..NODES).filter(has_old_plan).map(Step::AdoptPlan));
         steps.extend(s.messages.iter().cloned().map(Step::Deliver));
-        if self.crash && s.crashes == 0 {
-            steps.extend((0..HUBS).map(Step::Crash));
+        if self.may_crash && s.crashes == 0 {
+            steps.extend((0..TIER_1_NODES).map(Step::Crash));
         }
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut s = last.clone();
         match step {
-            Step::Begin(n) => {
-                s.nodes[n].begun = true;
-                let (none, waiter) = (Trail::default(), Waiter(n as u64));
-                let (me, deadline) = (id(n), f64::INFINITY);
-                let asks = Asks { me: &me, waiter, deadline, since: 0.0, trail: &none, held_only: false };
-                assert_eq!(s.nodes[n].shield.ask(0.0, KEY, asks, &self.set), Came::Begin);
-                self.ask(&mut s, n, vec![n], Vec::new());
-            }
-            Step::Take(n) => {
-                s.nodes[n].side.take(0.0, Arc::clone(&self.plans[1]), &self.set);
+            Step::BeginRequest(n) => self.begin_request(&mut s, n),
+            Step::AdoptPlan(n) => {
+                s.nodes[n].selector.adopt(0.0, Arc::clone(&self.plans[1]), &self.settings);
             }
             Step::Deliver(m) => {
                 s.messages.remove(&m);
                 match m {
-                    Message::Ask(from, to, held_only, passed) => {
-                        self.asked(&mut s, from, to, held_only, &passed)
+                    Message::Request { from, to, cached_only, visited } => {
+                        self.on_request(&mut s, from, to, cached_only, &visited)
                     }
-                    Message::Reply(from, to, word) => self.replied(&mut s, from, to, word),
+                    Message::Response { from, to, response } => self.on_response(&mut s, from, to, response),
                 }
             }
-            Step::Crash(n) => {
-                s.crashes += 1;
-                let node = &mut s.nodes[n];
-                let waited = node.shield.ended(KEY);
-                (node.up, node.holds, node.fill) = (false, false, None);
-                // Connections end: those who asked learn it, and what comes for it is dropped.
-                self.tell(&mut s, n, waited, Word::Failed);
-                s.messages.retain(|m| !matches!(m, Message::Reply(ARCHIVE, to, _) if *to == n));
-                s.out = s.messages.iter().filter(|m| matches!(m, Message::Reply(ARCHIVE, ..))).count() as u32;
-            }
+            Step::Crash(n) => self.crash(&mut s, n),
         }
         Some(s)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one fill at the archive, and one more for a crash", |_, s: &State| {
-                s.fills <= 1 + s.crashes
+            Property::always("one fill at the origin, and one more for a crash", |_, s: &State| {
+                s.origin_fills <= 1 + s.crashes
+            }),
+            Property::always("one fill in progress at the origin", |_, s: &State| {
+                s.origin_fills_in_progress <= 1
             }),
-            Property::always("one out at a time", |_, s: &State| s.out <= 1),
-            Property::always("no loop is carried", |_, s: &State| !s.carried),
-            Property::always("who asked is answered", |_, s: &State| {
-                let asked = |n: &&Node| n.begun && n.up;
-                !s.messages.is_empty() || s.nodes.iter().filter(asked).all(|n| n.through)
+            Property::always("no loop is accepted", |_, s: &State| !s.loop_accepted),
+            Property::always("every request is answered", |_, s: &State| {
+                let requested = |n: &&Node| n.begun && n.up;
+                !s.messages.is_empty() || s.nodes.iter().filter(requested).all(|n| n.answered)
             }),
-            Property::sometimes("all are served under the second plan", |_, s: &State| {
-                let new = |n: &Node| n.side.plan().is_some_and(|p| p.version() == Version(2));
-                s.nodes[HUBS..].iter().all(|n| n.holds) && s.nodes.iter().all(new)
+            Property::sometimes("all requests are served under the second plan", |_, s: &State| {
+                let has_new_plan = |n: &Node| n.selector.plan().is_some_and(|p| p.version() == Version(2));
+                s.nodes[TIER_1_NODES..].iter().all(|n| n.has_copy) && s.nodes.iter().all(has_new_plan)
             }),
         ]
     }
 }
 
 #[test]
-fn every_interleaving_of_a_change_keeps_to_one_fill_and_leaves_nobody_waiting() {
-    let checker = Reshape::new(false, true).checker().threads(4).spawn_bfs().join();
+fn change_without_a_crash_takes_one_fill_and_answers_every_request() {
+    let checker = ChangeModel::new(false, true).checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
-fn every_interleaving_with_a_crash_costs_one_fill_more_at_most() {
-    let checker = Reshape::new(true, true).checker().threads(4).spawn_bfs().join();
+fn crash_during_a_change_costs_at_most_one_more_fill() {
+    let checker = ChangeModel::new(true, true).checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
-fn without_handing_over_a_part_is_fetched_twice() {
-    let model = Reshape::new(false, false);
+fn without_handover_a_part_is_fetched_twice() {
+    let model = ChangeModel::new(false, false);
     assert!(!model.hands_over);
     let checker = model.checker().threads(4).spawn_bfs().join();
-    assert!(checker.discovery("one fill at the archive, and one more for a crash").is_some());
+    assert!(checker.discovery("one fill at the origin, and one more for a crash").is_some());
 }
--- a/crates/node/src/bin/basaltgw/main.rs
+++ b/crates/node/src/bin/basaltgw/main.rs
@@ -5,7 +5,7 @@
 mod plan;
 
 use basaltgw_config::{own_settings, read, Environment, NodeConfig};
-use basaltgw_hierarchy::Cold;
+use basaltgw_hierarchy::SlowStart;
 use basaltgw_node::log_writer::LogWriter;
 use basaltgw_node::{placement_report, serve, Own};
 use command_line::{Command, HELP};
@@ -17,7 +17,7 @@
 }
 
 /// The project's own settings; the defaults without a file.
-fn own(file: Option<PathBuf>, cold: Cold) -> Result<Own, String> {
+fn own(file: Option<PathBuf>, cold: SlowStart) -> Result<Own, String> {
     let settings = file.as_deref().map(|f| own_settings(f, cold).map_err(|e| e.to_string())).transpose()?;
     Ok(Own { file, settings: settings.unwrap_or_default() })
 }
--- a/crates/node/src/bin/basaltgw/plan.rs
+++ b/crates/node/src/bin/basaltgw/plan.rs
@@ -2,7 +2,7 @@
 
 use basaltgw_config::fleet::Fleet;
 use basaltgw_config::{own_settings, OwnSettings};
-use basaltgw_hierarchy::{steps, NodeSpec, Plan, Settings, Tier};
+use basaltgw_hierarchy::{split_into_steps, NodeSpec, Plan, Settings, Tier};
 use basaltgw_node::placement_report::{self, ReportQueries};
 use basaltgw_placement::Table;
 use std::path::Path;
@@ -21,8 +21,8 @@
 impl PlannedSettings {
     fn read(file: &Path) -> Result<Self, String> {
         let OwnSettings { hierarchy, fleet, .. } =
-            own_settings(file, Settings::default().cold).map_err(|e| e.to_string())?;
-        let tree = hierarchy.map(|h| Plan::check(h.plan).map_err(|e| format!("{}: {e}", file.display())));
+            own_settings(file, Settings::default().slow_start).map_err(|e| e.to_string())?;
+        let tree = hierarchy.map(|h| Plan::from_spec(h.plan).map_err(|e| format!("{}: {e}", file.display())));
         Ok(Self { tree: tree.transpose()?, fleet })
     }
 }
@@ -92,7 +92,8 @@
 
 /// Prints the steps from one plan of the cache tree to another.
 fn show_steps(plan: &Plan, old: &Plan) -> Result<(), String> {
-    let steps = steps(old, plan, Settings::default().behind).map_err(|e| e.to_string())?;
+    let steps =
+        split_into_steps(old, plan, Settings::default().max_versions_behind).map_err(|e| e.to_string())?;
     println!("from plan {}: {} steps", old.version(), steps.len());
     let mut before = old;
     for (i, step) in steps.iter().enumerate() {
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -4,7 +4,9 @@
 use basaltgw_config::plan::table;
 use basaltgw_config::{Hierarchy, Member};
 use basaltgw_hierarchy as hierarchy;
-use basaltgw_hierarchy::{Act, How, NodeId, PlanSpec, Reshape};
+use basaltgw_hierarchy::{
+    Action, ChangeState, ChangeStatus, NodeId, PlanSpec, SourceResult, TopologyManager,
+};
 use std::sync::Arc;
 
 /// Counters of plans.
@@ -25,7 +27,7 @@
 /// A router's plan and the topology change in progress; without a plan it does nothing.
 #[derive(Default)]
 pub struct Tree {
-    reshape: Option<Reshape>,
+    topology: Option<TopologyManager>,
     /// Counters so far.
     pub counters: TreeCounters,
 }
@@ -37,29 +39,29 @@
 impl Tree {
     /// A tree without a plan; where there is one, it is offered once the endpoint list is known (see [`Tree::offer`]).
     pub fn new(own: Option<&Hierarchy>) -> Self {
-        Self { reshape: own.map(|h| Reshape::new(h.settings)), counters: TreeCounters::default() }
+        Self { topology: own.map(|h| TopologyManager::new(h.settings)), counters: TreeCounters::default() }
     }
 
     /// Handles an event; returns the events for the decision module.
     fn handle(&mut self, now: Ms, event: hierarchy::Event) -> Vec<Event> {
-        let Some(reshape) = &mut self.reshape else { return Vec::new() };
-        let mut acts = Vec::new();
-        reshape.handle(now, event, &mut acts);
+        let Some(topology) = &mut self.topology else { return Vec::new() };
+        let mut actions = Vec::new();
+        topology.handle(now, event, &mut actions);
         let mut events = Vec::new();
-        for act in acts {
-            match act {
-                Act::Use(of) => events.push(Event::FillPlan(Some(Arc::new(table(&of))))),
-                Act::Entered(version, state, why) => {
-                    self.counters.ended += u64::from(state == hierarchy::State::Gone);
-                    log::info!(version = version.0, state:% = state; "plan {version} is {state}: {why}");
+        for action in actions {
+            match action {
+                Action::UseSources(sources) => events.push(Event::FillPlan(Some(Arc::new(table(&sources))))),
+                Action::StateEntered { version, state, reason } => {
+                    self.counters.ended += u64::from(state == ChangeState::Completed);
+                    log::info!(version = version.0, state:% = state; "plan {version} is {state}: {reason}");
                 }
-                Act::Refused(refusal) => {
+                Action::Rejected(error) => {
                     self.counters.refused += 1;
-                    log::error!("plan rejected, running plan unchanged: {refusal}");
+                    log::error!("plan rejected, running plan unchanged: {error}");
                 }
-                Act::SetAside(asker, source) => {
+                Action::PairDisabled { requester, source } => {
                     self.counters.set_aside += 1;
-                    log::warn!(asker:% = asker, source:% = source; "fill loop between {asker} and {source}, pair disabled until the plan changes");
+                    log::warn!(asker:% = requester, source:% = source; "fill loop between {requester} and {source}, pair disabled until the plan changes");
                 }
             }
         }
@@ -70,29 +72,37 @@
 
     /// Offers a plan, at the start or after a reload. The plan in use, while a change to another is in progress, rolls that change back.
     pub fn offer(&mut self, now: Ms, own: &Hierarchy) -> Vec<Event> {
-        let reshape = self.reshape.get_or_insert_with(|| Reshape::new(own.settings));
-        reshape.set(own.settings);
+        let topology = self.topology.get_or_insert_with(|| TopologyManager::new(own.settings));
+        topology.set_settings(own.settings);
         let plan: &PlanSpec = &own.plan;
-        let in_use = reshape.came_from().is_some_and(|p| p.spec() == *plan);
+        let in_use = topology.rollback_plan().is_some_and(|p| p.spec() == *plan);
         self.counters.offered += 1;
-        match (in_use, reshape.under_way()) {
-            (true, Some((_, _, false))) => self.handle(now, hierarchy::Event::TakeBack),
+        match (in_use, topology.change_status()) {
+            (true, Some(ChangeStatus { rolling_back: false, .. })) => {
+                self.handle(now, hierarchy::Event::RollBack)
+            }
             (true, _) => Vec::new(),
             // The change in progress was read again.
-            (false, Some((version, _, false))) if version == plan.version => Vec::new(),
+            (false, Some(ChangeStatus { version, rolling_back: false, .. })) if version == plan.version => {
+                Vec::new()
+            }
             (false, _) => self.handle(now, hierarchy::Event::Offer(plan.clone())),
         }
     }
 
     /// Handles an endpoint list; servers that a complete list omits are removed.
     pub fn listed(&mut self, now: Ms, members: &[Member], left_out: &[ServerId]) -> Vec<Event> {
-        if self.reshape.is_none() {
+        if self.topology.is_none() {
             return Vec::new();
         }
-        let removed = left_out.iter().map(|id| hierarchy::Event::Listed(node(id), false, None));
+        let removed = left_out.iter().map(|id| hierarchy::Event::NodeListed {
+            node: node(id),
+            up: false,
+            started: None,
+        });
         let listed = members.iter().map(|m| {
             let up = m.entry.state == EndpointState::Up;
-            hierarchy::Event::Listed(node(&m.entry.id), up, m.entry.started)
+            hierarchy::Event::NodeListed { node: node(&m.entry.id), up, started: m.entry.started }
         });
         let all: Vec<_> = removed.chain(listed).collect();
         all.into_iter().flat_map(|event| self.handle(now, event)).collect()
@@ -102,21 +112,27 @@
     pub fn ended(
         &mut self,
         now: Ms,
-        (asker, source): (&ServerId, &ServerId),
+        (requester, source): (&ServerId, &ServerId),
         object: ObjectId,
         (end, note): (AttemptResult, FillReport),
     ) -> Vec<Event> {
-        let how = match (end, note) {
-            (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => How::Answered,
-            (_, FillReport::SourceRejected) => How::Refused,
+        let result = match (end, note) {
+            (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => {
+                SourceResult::Filled
+            }
+            (_, FillReport::SourceRejected) => SourceResult::Rejected,
             // A time-out may be the fault of either; a source that is being introduced gets no more meanwhile.
-            (_, FillReport::SourceFailed) | (AttemptResult::TimedOut, _) => How::Failed,
-            (_, FillReport::LoopDetected) => How::Looped,
+            (_, FillReport::SourceFailed) | (AttemptResult::TimedOut, _) => SourceResult::Failed,
+            (_, FillReport::LoopDetected) => SourceResult::LoopDetected,
             _ => return Vec::new(),
         };
-        self.counters.loops += u64::from(how == How::Looped);
-        let event =
-            hierarchy::Event::Ended { asker: node(asker), source: node(source), object: object.0, how };
+        self.counters.loops += u64::from(result == SourceResult::LoopDetected);
+        let event = hierarchy::Event::AttemptEnded {
+            requester: node(requester),
+            source: node(source),
+            object: object.0,
+            result,
+        };
         self.handle(now, event)
     }
 
@@ -127,6 +143,6 @@
 
     /// Describes the plan and the change in progress, for the log.
     pub fn describe(&self) -> Vec<String> {
-        self.reshape.as_ref().map(Reshape::describe).unwrap_or_default()
+        self.topology.as_ref().map(TopologyManager::describe).unwrap_or_default()
     }
 }
--- a/crates/simulator/src/fleet/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -41,7 +41,7 @@
         let n = &mut self.nodes[node.0];
         (n.up, n.vanished, n.hung) = (true, false, 0.0);
         n.store = Store::new(n.info.machine.store_kb);
-        n.side.started(now, &self.set);
+        n.side.restart(now, &self.set);
         n.shield.clear();
         n.fills.clear();
         n.free = (0..n.info.machine.slots).map(|_| Reverse(0)).collect();
@@ -88,7 +88,7 @@
         match object {
             Some(object) => {
                 n.purged.insert(object, at);
-                n.shield.purged(object);
+                n.shield.forget_failures(object);
                 n.store.purge(at, |o| o == object);
             }
             None => {
--- a/crates/simulator/src/fleet/fills.rs
+++ b/crates/simulator/src/fleet/fills.rs
@@ -3,14 +3,14 @@
 use super::*;
 use crate::Ms;
 use basaltgw::api::{AttemptResult, FillReport, Rank};
-use basaltgw_hierarchy::{FillKey, NodeId, Then, Trail};
+use basaltgw_hierarchy::{AfterFailure, FillKey, NodeId, VisitedPath};
 
 /// A fill that a node runs.
 pub(super) struct Fill {
     pub(super) ask: u64,
     pub(super) source: NodeIx,
     pub(super) tried: Vec<NodeId>,
-    pub(super) trail: Trail,
+    pub(super) trail: VisitedPath,
     pub(super) hops: u32,
     pub(super) spec: FillSpec,
     pub(super) begun: Ms,
@@ -46,34 +46,34 @@
         at: NodeIx,
         key: FillKey,
         spec: FillSpec,
-        (trail, hops): (Trail, u32),
+        (trail, hops): (VisitedPath, u32),
         tried: Vec<NodeId>,
         named: Option<NodeIx>,
     ) {
         let (now, n) = (self.now, &self.nodes[at.0]);
-        let unseen = Trail::default();
+        let unseen = VisitedPath::default();
         let mut offered = 0;
         let heeded = if self.heeds_trails { &trail } else { &unseen };
         let id = |ix: NodeIx| &self.nodes[ix.0].info.id;
         // Who waits for this fill must not be asked for it.
-        let waiting = n.shield.waiting(key).filter(|_| self.heeds_trails);
+        let waiting = n.shield.waiting_nodes(key).filter(|_| self.heeds_trails);
         let asked: Vec<NodeId> = tried.iter().chain(waiting).cloned().collect();
         let wrong = n.wrong.filter(|(_, until)| now < *until).map(|(to, _)| (to, false));
         let next = match named {
             Some(source) => Some((source, spec.held_only)),
             None => wrong.filter(|(to, _)| !tried.contains(id(*to))).or_else(|| match n.side.plan() {
                 Some(_) => {
-                    let next = n.side.next(now, key.object, heeded, &asked)?;
+                    let next = n.side.next_source(now, key.object, heeded, &asked)?;
                     // Its plan names somebody whom the fill has passed: a loop that is seen before it is sent.
-                    let blind = n.side.next(now, key.object, &unseen, &tried);
-                    offered = u64::from(self.heeds_trails && blind.is_some_and(|b| trail.holds(&b.to)));
-                    Some((self.find(&next.to)?, next.held_only))
+                    let blind = n.side.next_source(now, key.object, &unseen, &tried);
+                    offered = u64::from(self.heeds_trails && blind.is_some_and(|b| trail.contains(&b.node)));
+                    Some((self.find(&next.node)?, next.cached_only))
                 }
                 None => Some((ARCHIVE, false)).filter(|_| tried.is_empty()),
             }),
         };
         let Some((source, held_only)) = next else {
-            let told = self.nodes[at.0].shield.ended(key);
+            let told = self.nodes[at.0].shield.abandon(key);
             told.into_iter().for_each(|w| self.word(w.0, AttemptResult::Error, FillReport::SourceFailed));
             return;
         };
@@ -82,7 +82,7 @@
         self.asks_ever += 1;
         let no = self.asks_ever;
         let source_id = self.nodes[source.0].info.id.clone();
-        self.nodes[at.0].shield.asked(key, &source_id, source == ARCHIVE || held_only);
+        self.nodes[at.0].shield.set_source(key, &source_id, source == ARCHIVE || held_only);
         self.nodes[at.0]
             .fills
             .insert(key, Fill { ask: no, source, tried, trail: trail.clone(), hops, spec, begun: now });
@@ -130,15 +130,15 @@
                 if r.born >= purged {
                     n.store.put(key, r.born, spec.kb, spec.rank);
                 }
-                let (served, again) = n.shield.done(key, r.born);
+                let completed = n.shield.complete(key, r.born);
                 let origin = source == ARCHIVE || r.note == FillReport::FilledByOrigin;
                 let note = if origin { FillReport::FilledByOrigin } else { FillReport::FilledBySource };
-                for w in served {
+                for w in completed.served {
                     let joined = self.asks.get(&w.0).is_some_and(|a| a.joined);
                     let note = if joined { FillReport::Joined } else { note };
                     self.serve(w.0, r.born, note, self.now - begun);
                 }
-                again.into_iter().for_each(|w| self.miss(w.0));
+                completed.outdated.into_iter().for_each(|w| self.miss(w.0));
             }
             (AttemptResult::CacheMiss, FillReport::LoopDetected | FillReport::SourceMiss)
                 if !fill.spec.named =>
@@ -147,12 +147,12 @@
                 let mut tried = std::mem::take(&mut fill.tried);
                 let source = fill.source;
                 tried.push(self.nodes[source.0].info.id.clone());
-                self.nodes[at.0].shield.turned(key);
+                self.nodes[at.0].shield.clear_source(key);
                 self.fill(at, key, spec, (trail, hops), tried, None);
             }
             (AttemptResult::CacheMiss, note) => {
                 n.fills.swap_remove(&key);
-                let told = n.shield.ended(key);
+                let told = n.shield.abandon(key);
                 let note = if note == FillReport::LoopDetected { note } else { FillReport::SourceMiss };
                 told.into_iter().for_each(|w| self.word(w.0, AttemptResult::CacheMiss, note));
             }
@@ -174,15 +174,17 @@
         tried.push(self.nodes[fill.source.0].info.id.clone());
         // Whose source a router named leaves it to the router; nor does it remember what failed.
         if fill.spec.named {
-            let told = self.nodes[at.0].shield.ended(key);
+            let told = self.nodes[at.0].shield.abandon(key);
             return told.into_iter().for_each(|w| self.word(w.0, AttemptResult::Error, note));
         }
         let n = &mut self.nodes[at.0];
-        let next = n.side.next(self.now, key.object, &fill.trail, &tried);
-        let then = n.shield.failed(self.now, key, again && next.is_some(), &self.set);
+        let next = n.side.next_source(self.now, key.object, &fill.trail, &tried);
+        let then = n.shield.fail(self.now, key, again && next.is_some(), &self.set);
         match then {
-            Then::Again => self.fill(at, key, fill.spec, (fill.trail, fill.hops), tried, None),
-            Then::Tell(told) => told.into_iter().for_each(|w| self.word(w.0, AttemptResult::Error, note)),
+            AfterFailure::Retry => self.fill(at, key, fill.spec, (fill.trail, fill.hops), tried, None),
+            AfterFailure::Notify(told) => {
+                told.into_iter().for_each(|w| self.word(w.0, AttemptResult::Error, note))
+            }
         }
     }
 }
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -16,7 +16,9 @@
 use crate::store::Store;
 use crate::{micros, rng, Ms, Rng};
 use basaltgw::api::{AttemptResult, FillReport, Rank};
-use basaltgw_hierarchy::{CacheSide, FillKey, NodeId, Plan, Settings, Shield, Trail, Waiter};
+use basaltgw_hierarchy::{
+    FillKey, NodeId, OriginShield, Plan, Settings, SourceSelector, VisitedPath, WaiterId,
+};
 use indexmap::IndexMap;
 use rand::RngExt;
 use std::cmp::Reverse;
@@ -46,7 +48,7 @@
     effect: Option<u64>,
     deadline: Ms,
     /// The nodes that it has passed before this one, and how many times it went on.
-    trail: Trail,
+    trail: VisitedPath,
     hops: u32,
     came: Ms,
     /// Its answer that is under way, if it has this number.
@@ -118,8 +120,8 @@
                 loses: (0.0, 0.0),
                 wrong: None,
                 store: Store::new(info.machine.store_kb),
-                side: CacheSide::new(info.id.clone()),
-                shield: Shield::default(),
+                side: SourceSelector::new(info.id.clone()),
+                shield: OriginShield::default(),
                 fills: IndexMap::new(),
                 free: (0..info.machine.slots).map(|_| Reverse(0)).collect(),
                 cold: None,
@@ -223,7 +225,7 @@
                 held_only: ask.held_only,
                 effect: ask.effect,
                 deadline: now + ask.wait,
-                trail: Trail::default(),
+                trail: VisitedPath::default(),
                 hops: 0,
                 came: f64::INFINITY,
                 token: 0,
@@ -240,7 +242,7 @@
         self.now = now;
         if let Some(no) = self.by_id.remove(&id) {
             if let Some(ask) = self.asks.swap_remove(&no) {
-                self.nodes[ask.at.0].shield.left(ask.key, Waiter(no));
+                self.nodes[ask.at.0].shield.remove_waiter(ask.key, WaiterId(no));
             }
         }
     }
@@ -293,7 +295,7 @@
                 Ev::Purge(node, object, group, at) => self.hear_purge(node, object, group, at),
                 Ev::Plan(node, plan) => {
                     let (now, set) = (self.now, self.set);
-                    self.nodes[node.0].side.take(now, plan, &set);
+                    self.nodes[node.0].side.adopt(now, plan, &set);
                 }
                 Ev::Overdue => {
                     self.at(self.now + OVERDUE_MS, Ev::Overdue);
@@ -301,7 +303,7 @@
                         if self.nodes[i].shield.is_empty() {
                             continue;
                         }
-                        for w in self.nodes[i].shield.overdue(self.now) {
+                        for w in self.nodes[i].shield.remove_expired(self.now) {
                             self.word(w.0, AttemptResult::Error, FillReport::SourceFailed);
                         }
                     }
--- a/crates/simulator/src/fleet/node.rs
+++ b/crates/simulator/src/fleet/node.rs
@@ -5,7 +5,7 @@
 use crate::spec::{FleetSpec, Machine};
 use crate::store::Store;
 use crate::Ms;
-use basaltgw_hierarchy::{CacheSide, FillKey, NodeId, Shield};
+use basaltgw_hierarchy::{FillKey, NodeId, OriginShield, SourceSelector};
 use indexmap::IndexMap;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -64,8 +64,8 @@
     pub(super) loses: (f64, Ms),
     pub(super) wrong: Option<(NodeIx, Ms)>,
     pub(super) store: Store,
-    pub(super) side: CacheSide,
-    pub(super) shield: Shield,
+    pub(super) side: SourceSelector,
+    pub(super) shield: OriginShield,
     pub(super) fills: IndexMap<FillKey, Fill>,
     /// When each slot is free.
     pub(super) free: BinaryHeap<Reverse<u64>>,
--- a/crates/simulator/src/fleet/requests.rs
+++ b/crates/simulator/src/fleet/requests.rs
@@ -4,7 +4,7 @@
 use crate::cold::ColdCount;
 use crate::{micros, Ms};
 use basaltgw::api::{AttemptResult, FillReport};
-use basaltgw_hierarchy::{Asks, Came, Trail, Waiter};
+use basaltgw_hierarchy::{Admission, FillRequest, VisitedPath, WaiterId};
 use rand::RngExt;
 use std::cmp::Reverse;
 
@@ -44,7 +44,7 @@
             return;
         }
         self.counts.cold_most = self.counts.cold_most.max(n.cold.as_ref().map_or(0.0, ColdCount::most));
-        let through = n.side.passes(&self.asks[&no].trail);
+        let through = n.side.visit(&self.asks[&no].trail);
         if at == ARCHIVE {
             return self.at_archive(no);
         }
@@ -101,19 +101,26 @@
     pub(super) fn renew(&mut self, no: u64) {
         let Some(ask) = self.asks.get(&no) else { return };
         let (at, key) = (ask.at, ask.key);
-        if ask.from.is_none() || self.nodes[at.0].shield.under_way(key) || !self.has_place(at) {
+        if ask.from.is_none() || self.nodes[at.0].shield.is_filling(key) || !self.has_place(at) {
             return;
         }
-        let trail = Trail::default();
+        let trail = VisitedPath::default();
         // Nobody waits for it.
         // A copy that is fresh will do, or every cache would have the archive asked.
         let since = ask.since;
         let me = self.nodes[at.0].info.id.clone();
-        let (waiter, deadline) = (Waiter(0), f64::INFINITY);
-        let asks = Asks { me: &me, waiter, deadline, since, trail: &trail, held_only: false };
+        let (waiter, deadline) = (WaiterId(0), f64::INFINITY);
+        let asks = FillRequest {
+            me: &me,
+            waiter,
+            deadline,
+            min_origin_time: since,
+            path: &trail,
+            cached_only: false,
+        };
         let spec = self.fill_spec(no, since);
-        if self.nodes[at.0].shield.ask(self.now, key, asks, &self.set) == Came::Begin {
-            let through = self.nodes[at.0].side.passes(&trail).unwrap_or_default();
+        if self.nodes[at.0].shield.request(self.now, key, asks, &self.set) == Admission::StartFill {
+            let through = self.nodes[at.0].side.visit(&trail).unwrap_or_default();
             let from = self.asks[&no].from;
             self.fill(at, key, spec, (through, 1), Vec::new(), from);
         }
@@ -129,7 +136,7 @@
         let (at, key, from, since) = (ask.at, ask.key, ask.from, ask.since);
         let of_router = matches!(ask.asker, Asker::Router(_));
         let held_only = !of_router && ask.held_only;
-        let under_way = self.nodes[at.0].shield.under_way(key);
+        let under_way = self.nodes[at.0].shield.is_filling(key);
         if of_router && from.is_none() && (self.nodes[at.0].info.tier == 3 || !(under_way && ask.join)) {
             let note = if under_way { FillReport::Joined } else { FillReport::NotReported };
             return self.word(no, AttemptResult::CacheMiss, note);
@@ -139,34 +146,40 @@
             return self.word(no, end, FillReport::FillLimitReached);
         }
         let me = self.nodes[at.0].info.id.clone();
-        let asks =
-            Asks { me: &me, waiter: Waiter(no), deadline: ask.deadline, since, trail: &ask.trail, held_only };
+        let asks = FillRequest {
+            me: &me,
+            waiter: WaiterId(no),
+            deadline: ask.deadline,
+            min_origin_time: since,
+            path: &ask.trail,
+            cached_only: held_only,
+        };
         let asker = match ask.asker {
             Asker::Router(_) => None,
             Asker::Node(node, _) => Some(self.nodes[node.0].info.id.clone()),
         };
         let trail = ask.trail.clone();
-        match self.nodes[at.0].shield.ask(self.now, key, asks, &self.set) {
-            Came::Begin => {
-                let through = self.nodes[at.0].side.passes(&trail).unwrap_or(trail);
+        match self.nodes[at.0].shield.request(self.now, key, asks, &self.set) {
+            Admission::StartFill => {
+                let through = self.nodes[at.0].side.visit(&trail).unwrap_or(trail);
                 let (spec, hops) = (self.fill_spec(no, since), self.asks[&no].hops + 1);
                 self.fill(at, key, spec, (through, hops), Vec::new(), from);
             }
-            Came::Joined => {
+            Admission::Joined => {
                 if let Some(ask) = self.asks.get_mut(&no) {
                     ask.joined = true;
                 }
             }
-            Came::Lacks if held_only => {
-                asker.into_iter().for_each(|to| self.nodes[at.0].side.hand_over(key.object, &to));
+            Admission::Miss if held_only => {
+                asker.into_iter().for_each(|to| self.nodes[at.0].side.record_handover(key.object, &to));
                 self.word(no, AttemptResult::CacheMiss, FillReport::SourceMiss);
             }
-            Came::Lacks => {
+            Admission::Miss => {
                 self.counts.loops_offered += 1;
                 self.word(no, AttemptResult::CacheMiss, FillReport::LoopDetected);
             }
-            Came::Full => self.word(no, AttemptResult::Rejected, FillReport::FillLimitReached),
-            Came::Failed => self.word(no, AttemptResult::Error, FillReport::OriginFailed),
+            Admission::LimitReached => self.word(no, AttemptResult::Rejected, FillReport::FillLimitReached),
+            Admission::FailedRecently => self.word(no, AttemptResult::Error, FillReport::OriginFailed),
         }
     }
 
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -16,7 +16,7 @@
 use basaltgw::routing::Router;
 use basaltgw_config::plan::table;
 use basaltgw_hierarchy as tree;
-use basaltgw_hierarchy::{FillKey, NodeId, NodeSpec, Plan, PlanSpec, Reshape, Tier, Version};
+use basaltgw_hierarchy::{FillKey, NodeId, NodeSpec, Plan, PlanSpec, Tier, TopologyManager, Version};
 use hdrhistogram::Histogram;
 use indexmap::IndexMap;
 use rand::RngExt;
@@ -79,7 +79,7 @@
     zone: usize,
     arrivals: Arrivals,
     next: Option<Arrival>,
-    reshape: Reshape,
+    reshape: TopologyManager,
     open: IndexMap<u64, Open>,
     /// Its list is not told before this.
     list_from: Ms,
@@ -134,7 +134,8 @@
 
 impl<'a> Sim<'a> {
     fn new(setup: &'a Setup, make: impl Fn(usize, Settings, u64) -> Box<dyn Decide>) -> Result<Self, String> {
-        let set = if setup.staged { setup.tree } else { tree::Settings { handover: 0.0, ..setup.tree } };
+        let set =
+            if setup.staged { setup.tree } else { tree::Settings { handover_duration: 0.0, ..setup.tree } };
         let mut fleet = Fleet::new(&setup.fleet, setup.load.groups, set, setup.seed);
         fleet.heeds_trails = setup.trails;
         let nodes = nodes(&setup.fleet);
@@ -151,7 +152,7 @@
                     zone,
                     arrivals: Arrivals::new(&setup.load, setup.seed, r as u64),
                     next: None,
-                    reshape: Reshape::new(setup.tree),
+                    reshape: TopologyManager::new(setup.tree),
                     open: IndexMap::new(),
                     list_from: 0.0,
                 });
--- a/crates/simulator/src/sim/days.rs
+++ b/crates/simulator/src/sim/days.rs
@@ -7,7 +7,7 @@
         let first = self.setup.plans.first().map(|shape| plan(shape, 1, &self.nodes));
         if let Some(spec) = &first {
             self.version = 1;
-            let checked = Plan::check(spec.clone()).map_err(|e| e.to_string())?;
+            let checked = Plan::from_spec(spec.clone()).map_err(|e| e.to_string())?;
             self.fleet.plan(0.0, &Arc::new(checked), [0.0, 0.0]);
         }
         for r in 0..self.seats.len() {
@@ -120,11 +120,11 @@
             }
             Ev::Offer(r, spec) => {
                 if !self.setup.staged {
-                    self.seats[r].reshape = Reshape::new(self.setup.tree);
+                    self.seats[r].reshape = TopologyManager::new(self.setup.tree);
                 }
                 self.reshape(r, tree::Event::Offer(spec));
             }
-            Ev::TakeBack(r) => self.reshape(r, tree::Event::TakeBack),
+            Ev::TakeBack(r) => self.reshape(r, tree::Event::RollBack),
             Ev::Tick(r) => {
                 self.reshape(r, tree::Event::Tick);
                 self.at(self.now + TICK_MS, Ev::Tick(r));
@@ -230,7 +230,7 @@
     }
 
     pub(super) fn tell_caches(&mut self, spec: &PlanSpec) -> Result<(), String> {
-        let checked = Arc::new(Plan::check(spec.clone()).map_err(|e| e.to_string())?);
+        let checked = Arc::new(Plan::from_spec(spec.clone()).map_err(|e| e.to_string())?);
         self.fleet.plan(self.now, &checked, self.setup.fleet.news.plan_ms);
         Ok(())
     }
--- a/crates/simulator/src/sim/requests.rs
+++ b/crates/simulator/src/sim/requests.rs
@@ -8,7 +8,10 @@
             let node = self.by_id[&e.id];
             self.checker.see(self.now, Seen::Drained(r, node, e.state != EndpointState::Up));
             let id = self.nodes[node.0].id.clone();
-            self.reshape(r, tree::Event::Listed(id, e.state == EndpointState::Up, e.started));
+            self.reshape(
+                r,
+                tree::Event::NodeListed { node: id, up: e.state == EndpointState::Up, started: e.started },
+            );
         }
         self.decide(r, Event::Endpoints(mode, entries));
     }
@@ -18,12 +21,12 @@
         self.seats[r].reshape.handle(self.now, event, &mut acts);
         for act in acts {
             match act {
-                tree::Act::Use(of) => self.decide(r, Event::FillPlan(Some(Arc::new(table(&of))))),
-                tree::Act::Entered(version, state, _) => {
+                tree::Action::UseSources(of) => self.decide(r, Event::FillPlan(Some(Arc::new(table(&of))))),
+                tree::Action::StateEntered { version, state, .. } => {
                     self.figures.states.push((r, self.now, version.0, state));
                 }
-                tree::Act::Refused(why) => self.figures.refusals.push(why.to_string()),
-                tree::Act::SetAside(..) => {}
+                tree::Action::Rejected(why) => self.figures.refusals.push(why.to_string()),
+                tree::Action::PairDisabled { .. } => {}
             }
         }
     }
@@ -145,20 +148,23 @@
             self.served(r, no);
         }
         if let Some(source) = source {
-            let how = match (reply.end, reply.note) {
+            let result = match (reply.end, reply.note) {
                 (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => {
-                    Some(tree::How::Answered)
+                    Some(tree::SourceResult::Filled)
                 }
-                (_, FillReport::SourceRejected) => Some(tree::How::Refused),
-                (_, FillReport::SourceFailed) => Some(tree::How::Failed),
-                (_, FillReport::LoopDetected) => Some(tree::How::Looped),
+                (_, FillReport::SourceRejected) => Some(tree::SourceResult::Rejected),
+                (_, FillReport::SourceFailed) => Some(tree::SourceResult::Failed),
+                (_, FillReport::LoopDetected) => Some(tree::SourceResult::LoopDetected),
                 // Whose fault it is is not known; a newcomer gets no more while answers are late.
-                (AttemptResult::TimedOut, _) => Some(tree::How::Failed),
+                (AttemptResult::TimedOut, _) => Some(tree::SourceResult::Failed),
                 _ => None,
             };
             let id = |ix: NodeIx| self.nodes[ix.0].id.clone();
-            if let Some(how) = how.filter(|_| source != ARCHIVE) {
-                self.reshape(r, tree::Event::Ended { asker: id(node), source: id(source), object, how });
+            if let Some(result) = result.filter(|_| source != ARCHIVE) {
+                self.reshape(
+                    r,
+                    tree::Event::AttemptEnded { requester: id(node), source: id(source), object, result },
+                );
             }
         }
         let outcome = Outcome {
--- a/crates/simulator/src/sim/setup.rs
+++ b/crates/simulator/src/sim/setup.rs
@@ -72,7 +72,7 @@
     /// Rules broken: how often, and the first in words.
     pub broken: BTreeMap<Rule, (u64, String)>,
     /// States entered by routers, in order: router, when, version, state.
-    pub states: Vec<(usize, Ms, u64, tree::State)>,
+    pub states: Vec<(usize, Ms, u64, tree::ChangeState)>,
     /// Plans refused by routers.
     pub refusals: Vec<String>,
 }
@@ -80,11 +80,11 @@
 impl Figures {
     /// Routers that are through with every change that they began.
     pub fn settled(&self) -> bool {
-        let mut last: HashMap<usize, tree::State> = HashMap::new();
+        let mut last: HashMap<usize, tree::ChangeState> = HashMap::new();
         self.states.iter().for_each(|(router, _, _, state)| {
             last.insert(*router, *state);
         });
-        last.values().all(|s| *s == tree::State::Gone)
+        last.values().all(|s| *s == tree::ChangeState::Completed)
     }
 }
 
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -76,7 +76,7 @@
         },
         script: Vec::new(),
         plans: vec![shape("before", &[0, 1]), shape("after", &[0, 1, 2])],
-        tree: Settings { proofs: 4, ..Settings::default() },
+        tree: Settings { successes_per_step: 4, ..Settings::default() },
         length_ms: 20_000.0,
         staged: true,
         trails: true,
--- a/crates/simulator/tests/runs.rs
+++ b/crates/simulator/tests/runs.rs
@@ -1,7 +1,7 @@
 //! Runs in simulated time: the same twice, calm days served, and a reshape that keeps to the rules.
 
 mod common;
-use basaltgw_hierarchy::State;
+use basaltgw_hierarchy::ChangeState;
 use basaltgw_simulator::spec::{Moment, What};
 use common::*;
 
@@ -39,7 +39,11 @@
     assert!(f.broken.is_empty(), "{:?}", f.broken);
     assert_eq!(f.counts.again, 0);
     assert!(f.refusals.is_empty() && f.settled(), "{:?} {:?}", f.refusals, f.states);
-    assert_eq!(f.states.iter().filter(|s| s.3 == State::Gone).count(), 3, "every router is through");
+    assert_eq!(
+        f.states.iter().filter(|s| s.3 == ChangeState::Completed).count(),
+        3,
+        "every router is through"
+    );
     assert_eq!(f.counts.loops_carried, 0);
 }
 
