--- a/crates/hierarchy/src/plan/validation.rs
+++ b/crates/hierarchy/src/plan/validation.rs
@@ -2,7 +2,7 @@
 
 use super::{NodeId, NodeSpec, Plan, PlanError, PlanSpec, Tier};
 use crate::graph::{find_cycle, NodeIndex};
-use basaltgw_structures::hash::address;
+use basaltgw_structures::hash::fnv1a;
 use basaltgw_structures::Candidates;
 use std::collections::HashMap;
 
@@ -40,7 +40,7 @@
         for node in &nodes {
             sources.push(resolve_sources(node, &indexes, origin)?);
         }
-        let candidate = |i: &NodeIndex| (*i, address(&nodes[*i].id.0), nodes[*i].weight);
+        let candidate = |i: &NodeIndex| (*i, fnv1a(&nodes[*i].id.0), nodes[*i].weight);
         let candidates = sources
             .iter()
             .map(|of_node| Candidates::new(of_node.iter().filter(|i| **i != origin).map(candidate)))
--- a/crates/hierarchy/src/topology/observations.rs
+++ b/crates/hierarchy/src/topology/observations.rs
@@ -4,7 +4,7 @@
 use super::{Action, ChangeState, ListedNode, SourceResult, TopologyManager, MAX_LOOP_PAIRS};
 use crate::plan::{NodeId, Plan};
 use crate::Ms;
-use basaltgw_structures::hash::{address, within_share};
+use basaltgw_structures::hash::{fnv1a, within_share};
 
 impl TopologyManager {
     /// Handles a node's entry on the endpoint list. A newcomer that goes down loses its share; one that comes up or was restarted
@@ -77,7 +77,7 @@
             // A leaver's step is judged by the other sources' results for the objects that it gave up.
             let first = plan.sources(&requester, object).next();
             let gave_up = |t: &&mut ShareTransfer| {
-                first == Some(&t.source) && !within_share(object, address(&t.source.0), SHARES[t.step])
+                first == Some(&t.source) && !within_share(object, fnv1a(&t.source.0), SHARES[t.step])
             };
             if let Some(leaver) = c.leavers.iter_mut().find(gave_up).filter(|t| t.source != source) {
                 leaver.count(result);
--- a/crates/hierarchy/src/topology/tests.rs
+++ b/crates/hierarchy/src/topology/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::plan::test_plans::{node, spec, tree};
 use crate::{PlanSpec, SlowStart};
-use basaltgw_structures::hash::{address, mix, rendezvous, within_share};
+use basaltgw_structures::hash::{fnv1a, mix, rendezvous_score, within_share};
 
 struct Router {
     topology: TopologyManager,
@@ -89,8 +89,8 @@
         for object in objects {
             let sources = self.table.sources.get(&NodeId::new("e1")).expect("a requester").clone();
             let mut candidates: Vec<&PermittedSource> =
-                sources.iter().filter(|s| within_share(object, address(&s.id.0), s.share)).collect();
-            let score = |s: &PermittedSource| rendezvous(mix(object, 0), address(&s.id.0), s.weight);
+                sources.iter().filter(|s| within_share(object, fnv1a(&s.id.0), s.share)).collect();
+            let score = |s: &PermittedSource| rendezvous_score(mix(object, 0), fnv1a(&s.id.0), s.weight);
             candidates.sort_by(|a, b| score(b).total_cmp(&score(a)));
             let id = candidates.first().expect("a source").id.0.to_string();
             self.now += 1.0;
--- a/crates/placement/benches/table.rs
+++ b/crates/placement/benches/table.rs
@@ -1,7 +1,7 @@
-//! Look-up of a shard's keepers: the table beside plain rendezvous over all routers and a sorted list.
+//! Lookup of a shard's replicas: the table compared with plain rendezvous over all routers and with a sorted list.
 
 use basaltgw_placement::{compile, Inventory, RouterEntry, Table};
-use basaltgw_structures::hash::{address, rendezvous};
+use basaltgw_structures::hash::{fnv1a, rendezvous_score};
 use basaltgw_types::{Domain, Incarnation, Member, RouterId, Shard};
 use divan::{black_box, Bencher};
 use std::sync::Arc;
@@ -18,14 +18,14 @@
         member: Member { router: RouterId(Arc::from(format!("r{i}"))), incarnation: Incarnation(i as u128) },
         domain: Domain { branch: Arc::from("b"), machine: Arc::from(format!("m{i}")) },
         capacity: 1000,
-        stays: true,
+        accepts_replicas: true,
     };
     Inventory { routers: (0..n).map(router).collect(), ..Inventory::default() }
 }
 
 fn table(n: usize) -> Table {
-    let founded = compile(&[], &fleet(10), None).unwrap_or_else(|f| panic!("{}", f[0]));
-    compile(&[], &fleet(n), Some(&founded)).unwrap_or_else(|f| panic!("{}", f[0]))
+    let first = compile(&[], &fleet(10), None).unwrap_or_else(|errors| panic!("{}", errors[0]));
+    compile(&[], &fleet(n), Some(&first)).unwrap_or_else(|errors| panic!("{}", errors[0]))
 }
 
 #[divan::bench(args = SIZES)]
@@ -33,18 +33,18 @@
     let (table, mut shard) = (table(n), 0);
     bencher.bench_local(|| {
         shard = (shard + 1) % SHARDS;
-        black_box(table.keepers(Shard(shard)).map(|g| g.quorum))
+        black_box(table.replicas(Shard(shard)).map(|g| g.quorum))
     });
 }
 
 #[divan::bench(args = SIZES)]
 fn look_up_rendezvous(bencher: Bencher<'_, '_>, n: usize) {
-    let hashes: Vec<u64> = fleet(n).routers.iter().map(|r| address(&r.member.router.0)).collect();
+    let hashes: Vec<u64> = fleet(n).routers.iter().map(|r| fnv1a(&r.member.router.0)).collect();
     let mut shard = 0;
     bencher.bench_local(|| {
         shard = (shard + 1) % u64::from(SHARDS);
         let mut scores: Vec<(f64, usize)> =
-            hashes.iter().enumerate().map(|(i, h)| (rendezvous(shard, *h, 1.0), i)).collect();
+            hashes.iter().enumerate().map(|(i, h)| (rendezvous_score(shard, *h, 1.0), i)).collect();
         scores.select_nth_unstable_by(2, |a, b| b.0.total_cmp(&a.0));
         black_box(scores.first().copied())
     });
