--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Which node of a tree of caches may request fills from which, and how that tree is changed in service. No I/O and no clock: the
 //! caller passes the time.
 //!
-//! - [`Plan`]: a checked version of the tree ([`PlanError`] says why one is rejected);
+//! - [`Plan`]: a checked version of the tree ([`PlanError`]: why one is rejected);
 //! - [`check_mixture`], [`split_into_steps`]: which versions may be in use at the same time, and a change split so that no mixture has a
 //!   cycle;
 //! - [`TopologyManager`]: a router's side of a change: the sources that each edge cache may name now, and for which share of objects;
--- a/crates/hierarchy/src/origin_shield.rs
+++ b/crates/hierarchy/src/origin_shield.rs
@@ -26,7 +26,7 @@
     Joined,
     /// Respond that there is no copy: the request accepts only cached copies, or the fill in progress waits for the requester itself.
     Miss,
-    /// Reject the request: the limit of fills or of waiters is reached.
+    /// Reject the request, which had no effect: the limit of fills or of waiters is reached.
     LimitReached,
     /// Respond with a failure: the same fill failed a short time ago.
     FailedRecently,
@@ -140,7 +140,7 @@
     }
 
     /// Records the source that a fill is requested from. `never_waits`: the source responds without waiting for another node's fill,
-    /// as the origin does, or a node that is asked for cached copies only.
+    /// as the origin does, or a node that gets a request for a cached copy only.
     pub fn set_source(&mut self, key: FillKey, source: &NodeId, never_waits: bool) {
         if let Some(fill) = self.fills.get_mut(&key) {
             fill.source = Some(FillSource { node: source.clone(), never_waits });
@@ -186,7 +186,7 @@
         self.fills.contains_key(&key)
     }
 
-    /// Clears the source of a fill that goes on elsewhere without a failure: the source detected a loop, or has no copy.
+    /// Clears the source of a fill that continues at another source without counting as failed: the source detected a loop, or has no copy.
     pub fn clear_source(&mut self, key: FillKey) {
         if let Some(fill) = self.fills.get_mut(&key) {
             fill.source = None;
@@ -229,7 +229,7 @@
         self.failed.retain(|key, _| key.object != object);
     }
 
-    /// Drops all state after a crash of the node. Its waiters learn of the crash when their connections close.
+    /// Drops all state after a crash of the node. Its waiters notice the crash when their connections close.
     pub fn clear(&mut self) {
         self.fills.clear();
         self.failed.clear();
--- a/crates/hierarchy/src/plan/error.rs
+++ b/crates/hierarchy/src/plan/error.rs
@@ -1,6 +1,6 @@
 //! Why a plan, or a change to it, is rejected.
 
-use super::validation::MAX_NODES;
+use super::spec::MAX_NODES;
 use super::{NodeId, Version};
 use thiserror::Error;
 
--- a/crates/hierarchy/src/plan/mod.rs
+++ b/crates/hierarchy/src/plan/mod.rs
@@ -17,6 +17,7 @@
 mod validation;
 
 pub use error::PlanError;
+pub(crate) use spec::MAX_ID_BYTES;
 pub use spec::{NodeId, NodeSpec, PlanSpec, Tier, Version};
 
 use crate::graph::NodeIndex;
--- a/crates/hierarchy/src/plan/spec.rs
+++ b/crates/hierarchy/src/plan/spec.rs
@@ -3,6 +3,17 @@
 use std::fmt;
 use std::sync::Arc;
 
+/// Maximum number of nodes of a plan.
+pub(super) const MAX_NODES: usize = 10_000;
+/// Maximum number of sources of a node.
+pub(super) const MAX_SOURCES: usize = 64;
+/// The tier furthest from the origin.
+pub(super) const MAX_TIER: u8 = 8;
+/// Maximum length of a node's id.
+pub(crate) const MAX_ID_BYTES: usize = 64;
+/// Maximum weight, and maximum demand and capacity in fills per second; a larger value is a mistake in the file.
+pub(super) const MAX_AMOUNT: f64 = 1.0e9;
+
 /// A node, by its id on the endpoint list.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub Arc<str>);
--- a/crates/hierarchy/src/plan/tests.rs
+++ b/crates/hierarchy/src/plan/tests.rs
@@ -1,7 +1,7 @@
 //! The order of sources, and the checks of one plan.
 
+use super::spec::MAX_TIER;
 use super::test_plans::{node, spec, tree};
-use super::validation::MAX_TIER;
 use super::*;
 
 fn error(nodes: Vec<NodeSpec>) -> String {
--- a/crates/hierarchy/src/plan/validation.rs
+++ b/crates/hierarchy/src/plan/validation.rs
@@ -1,22 +1,12 @@
 //! The checks of one plan: the bounds of its values, its origin, its sources, and that it has no cycle.
 
+use super::spec::{MAX_AMOUNT, MAX_ID_BYTES, MAX_NODES, MAX_SOURCES, MAX_TIER};
 use super::{NodeId, NodeSpec, Plan, PlanError, PlanSpec, Tier};
 use crate::graph::{find_cycle, NodeIndex};
 use basaltgw_structures::hash::fnv1a;
 use basaltgw_structures::Candidates;
 use std::collections::HashMap;
 
-/// Maximum number of nodes of a plan.
-pub(super) const MAX_NODES: usize = 10_000;
-/// Maximum number of sources of a node.
-const MAX_SOURCES: usize = 64;
-/// The tier furthest from the origin.
-pub(super) const MAX_TIER: u8 = 8;
-/// Maximum length of a node's id.
-const MAX_ID_BYTES: usize = 64;
-/// Maximum weight, and maximum demand and capacity in fills per second; a larger value is a mistake in the file.
-const MAX_AMOUNT: f64 = 1.0e9;
-
 impl Plan {
     /// Makes a plan from its specification, with every check that does not depend on other versions.
     ///
--- a/crates/hierarchy/src/settings.rs
+++ b/crates/hierarchy/src/settings.rs
@@ -32,7 +32,7 @@
     /// Slow start of newcomers.
     pub slow_start: SlowStart,
     /// How long a cache requests an object from its home in earlier versions: longer than any node is behind, and only while
-    /// the old home's copies are likely enough to exist to be worth a request.
+    /// the old home is likely to have a copy still.
     pub handover_duration: Ms,
     /// Maximum number of fills in progress at a node.
     pub max_fills: usize,
--- a/crates/hierarchy/src/source_selector.rs
+++ b/crates/hierarchy/src/source_selector.rs
@@ -55,7 +55,7 @@
         if self.plan.as_ref().is_some_and(|p| p.version() >= plan.version()) {
             return false;
         }
-        // The new homes either hold the handed-over objects by now, or request them under the new plan.
+        // By now the new homes have the handed-over objects, or will request them under the new plan.
         self.handovers.clear();
         if let Some(old) = self.plan.replace(plan) {
             self.earlier.insert(0, (old, now + settings.handover_duration));
--- a/crates/hierarchy/src/topology/api.rs
+++ b/crates/hierarchy/src/topology/api.rs
@@ -54,9 +54,9 @@
     Filled,
     /// The source rejected the request.
     Rejected,
-    /// The source was unreachable or too slow, or its response broke off.
+    /// The source was unreachable or too slow, or its response was cut off.
     Failed,
-    /// The fill came back to a node that it had visited.
+    /// The fill reached a node that it had visited before.
     LoopDetected,
 }
 
--- a/crates/hierarchy/src/topology/mod.rs
+++ b/crates/hierarchy/src/topology/mod.rs
@@ -34,7 +34,7 @@
 /// Pairs of requester and source whose loops are counted.
 const MAX_LOOP_PAIRS: usize = 1_024;
 
-/// What the endpoint list says about a node.
+/// A node's entry on the endpoint list.
 #[derive(Clone, Copy, Debug)]
 struct ListedNode {
     up: bool,
--- a/crates/hierarchy/src/visited_path.rs
+++ b/crates/hierarchy/src/visited_path.rs
@@ -3,14 +3,13 @@
 //! As in RFC 8586 (CDN-Loop), section 2, each node appends itself and rejects a fill that already names it. The length is bounded
 //! here, so that a node that does not follow this rule cannot make a request grow without limit.
 
+use crate::plan::MAX_ID_BYTES;
 use crate::NodeId;
 use std::fmt;
 use thiserror::Error;
 
 /// Maximum number of nodes on a path: twice the number of tiers.
 pub const MAX_PATH_NODES: usize = 16;
-/// Maximum length of a node's id on a path.
-const MAX_ID_BYTES: usize = 64;
 
 /// The nodes that a fill has visited, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
