--- a/crates/node/src/bin/basaltgw/main.rs
+++ b/crates/node/src/bin/basaltgw/main.rs
@@ -5,7 +5,7 @@
 mod plan;
 
 use basaltgw_config::{own_settings, read, Environment, NodeConfig};
-use basaltgw_hierarchy::Cold;
+use basaltgw_hierarchy::SlowStart;
 use basaltgw_node::log_writer::LogWriter;
 use basaltgw_node::{placement_report, serve, SettingsFile};
 use command_line::{Command, HELP};
@@ -17,7 +17,7 @@
 }
 
 /// Reads the settings file; without one, the settings have their defaults.
-fn read_settings(file: Option<PathBuf>, cold: Cold) -> Result<SettingsFile, String> {
+fn read_settings(file: Option<PathBuf>, cold: SlowStart) -> Result<SettingsFile, String> {
     let settings = file.as_deref().map(|f| own_settings(f, cold).map_err(|e| e.to_string())).transpose()?;
     Ok(SettingsFile { file, settings: settings.unwrap_or_default() })
 }
