--- a/crates/node/src/caches/conn.rs
+++ b/crates/node/src/caches/conn.rs
@@ -9,7 +9,7 @@
 use crate::limits::{
     CONNECT_RETRY_INTERVAL, SERVER_READ_LIMITS, SERVER_WRITE_TIMEOUT, SILENT_CONNECTION_MS, VALIDATED_FOR_MS,
 };
-use crate::messages::{Input, Shared};
+use crate::messages::{ConnectionContext, Input};
 use crate::outbox::{write_messages, DrainedSince, OutgoingMessage, SendConditions, SendQueue};
 use crate::resp::encode;
 use crate::socket;
@@ -178,7 +178,7 @@
     conn_id: ConnId,
     place: Place,
     timeout: Duration,
-    shared: &Shared,
+    context: &ConnectionContext,
     outgoing: async_channel::Receiver<Rc<OutgoingMessage>>,
 ) -> ConnectionFailure {
     let socket = match connect(place, timeout).await {
@@ -188,12 +188,12 @@
     if let Err(e) = socket.get_ref().set_nodelay(true) {
         log::debug!("connection {} to {}: TCP_NODELAY failed: {e}", conn_id.0, place.address);
     }
-    if shared.queue.send(Input::ServerConnected(conn_id)).await.is_ok() {
+    if context.queue.send(Input::ServerConnected(conn_id)).await.is_ok() {
         let read = async {
             let decode = |decoded: DecodedMessage| {
-                Some(Input::ServerAnswer(conn_id, ServerAnswer::decode(decoded.elements, &[&shared.meter])?))
+                Some(Input::ServerAnswer(conn_id, ServerAnswer::decode(decoded.elements, &[&context.meter])?))
             };
-            read_messages(&socket, SERVER_READ_LIMITS, shared, || false, decode, None).await
+            read_messages(&socket, SERVER_READ_LIMITS, context, || false, decode, None).await
         };
         let reason = run_reader_and_writer(
             read,
--- a/crates/node/src/caches/mod.rs
+++ b/crates/node/src/caches/mod.rs
@@ -15,7 +15,7 @@
 use crate::limits::{
     ABANDONED_CONNECTION_MS, IDLE_TIMEOUT_SHARE, MAX_CONNECTIONS_PER_SERVER, SHARED_STREAMS,
 };
-use crate::messages::{Input, Shared};
+use crate::messages::{ConnectionContext, Input};
 use crate::outbox::{send_queue, OutgoingMessage, SendConditions};
 use basaltgw::api::{Ms, ServerId};
 use basaltgw_config::{Place, Transport};
@@ -52,7 +52,7 @@
 
 /// All connections to servers.
 pub struct ServerPool {
-    shared: Shared,
+    context: ConnectionContext,
     max_connections: usize,
     transport: Transport,
     conns: BTreeMap<ConnId, Conn>,
@@ -69,9 +69,9 @@
 
 impl ServerPool {
     /// A pool without connections.
-    pub fn new(shared: Shared, max_connections: usize, transport: Transport) -> Self {
+    pub fn new(context: ConnectionContext, max_connections: usize, transport: Transport) -> Self {
         let (conns, by_server) = (BTreeMap::new(), BTreeMap::new());
-        Self { shared, max_connections, transport, conns, by_server, last_number: 0 }
+        Self { context, max_connections, transport, conns, by_server, last_number: 0 }
     }
 
     /// Counts of the pool's connections.
@@ -79,9 +79,9 @@
         PoolCounts { connections: self.conns.len() as u64, last_number: self.last_number }
     }
 
-    /// Sends an attempt on the connection to a server's process that accepts it and has the fewest open attempts. Opens a connection if none
-    /// accepts it or all have [`SHARED_STREAMS`] open attempts (for an exclusive attempt: one); returns `None` if none accepts it and none may
-    /// be opened.
+    /// Sends an attempt on the connection to a server's process that accepts it and has the fewest open attempts. Opens a connection if
+    /// none accepts it or all have [`SHARED_STREAMS`] open attempts (for an exclusive attempt: one); returns `None` if none accepts it and
+    /// none may be opened.
     pub fn send(
         &mut self,
         now: Ms,
@@ -137,18 +137,18 @@
     fn open(&mut self, now: Ms, server: &ServerId, place: Place) -> ConnId {
         self.last_number += 1;
         let conn_id = ConnId(self.last_number);
-        let (outbox, outgoing) = send_queue(&self.shared.meter, &Rc::default());
+        let (outbox, outgoing) = send_queue(&self.context.meter, &Rc::default());
         let conn = Conn::new(now, server.clone(), place, outbox);
         self.by_server.entry(server.clone()).or_default().insert(conn_id);
         self.conns.insert(conn_id, conn);
-        let shared = self.shared.clone();
+        let context = self.context.clone();
         let timeout = Duration::from_secs_f64(self.transport.connect_timeout.clamp(1.0, 60_000.0) / 1000.0);
         let run = async move {
-            let failure = connection(conn_id, place, timeout, &shared, outgoing).await;
+            let failure = connection(conn_id, place, timeout, &context, outgoing).await;
             // Fails only if the owner has ended, and the process with it.
-            let _ = shared.queue.send(Input::ServerDisconnected(conn_id, failure)).await;
+            let _ = context.queue.send(Input::ServerDisconnected(conn_id, failure)).await;
         };
-        self.shared.executor.spawn(run).detach();
+        self.context.executor.spawn(run).detach();
         conn_id
     }
 
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -18,7 +18,7 @@
     ACCEPTS_PER_TURN, ACCEPT_RETRY_INTERVAL, CLIENT_READ_LIMITS, CLIENT_UNSENT_MAX_BYTES, LISTEN_BACKLOG,
     RETRY_INTERVAL,
 };
-use crate::messages::{Input, Shared};
+use crate::messages::{ConnectionContext, Input};
 use crate::outbox::{send_queue, write_messages, BufferMeter};
 use crate::socket;
 use async_io::{Async, Timer};
@@ -34,7 +34,7 @@
     listener: Async<TcpListener>,
     max_clients: usize,
     slots: Rc<ConnectionSlots>,
-    shared: Shared,
+    context: ConnectionContext,
 ) {
     let mut accepted: u64 = 0;
     let mut turns: usize = 0;
@@ -48,7 +48,7 @@
         }
         while slots.taken() >= max_clients {
             waiting_since.get_or_insert_with(Instant::now);
-            if shared.queue.send(Input::SlotWanted).await.is_err() {
+            if context.queue.send(Input::SlotWanted).await.is_err() {
                 return;
             }
             Timer::after(RETRY_INTERVAL).await;
@@ -62,9 +62,9 @@
             Some(Ok((socket, _))) => {
                 accepted += 1;
                 let slot = ConnectionSlot::take(&slots);
-                let since = waiting_since.unwrap_or_else(|| shared.stalls.backlog_since());
-                let task = connection(ClientId(accepted), socket, shared.clone(), slot, since);
-                shared.executor.spawn(task).detach();
+                let since = waiting_since.unwrap_or_else(|| context.pause_detector.backlog_since());
+                let task = connection(ClientId(accepted), socket, context.clone(), slot, since);
+                context.executor.spawn(task).detach();
             }
             Some(Err(e)) => {
                 log::debug!("accept failed: {e}");
@@ -86,7 +86,7 @@
 async fn connection(
     id: ClientId,
     socket: Async<TcpStream>,
-    shared: Shared,
+    context: ConnectionContext,
     slot: ConnectionSlot,
     waiting_since: Instant,
 ) {
@@ -94,9 +94,9 @@
         log::debug!("client {}: TCP_NODELAY failed: {e}", id.0);
     }
     let buffered = Rc::new(BufferMeter::default());
-    let state = Rc::new(ConnectionState::with_invariants(slot.slots(), &shared.invariants));
-    let (outbox, outgoing) = send_queue(&shared.meter, &buffered);
-    if shared.queue.send(Input::ClientConnected(id, outbox, Rc::clone(&state))).await.is_err() {
+    let state = Rc::new(ConnectionState::with_invariants(slot.slots(), &context.invariants));
+    let (outbox, outgoing) = send_queue(&context.meter, &buffered);
+    if context.queue.send(Input::ClientConnected(id, outbox, Rc::clone(&state))).await.is_err() {
         return;
     }
     let read = async {
@@ -108,11 +108,11 @@
             Some(Input::ClientMessage { client: id, message, received_at: decoded.received_at })
         };
         let client = ClientReader { state: &state, waiting_since };
-        let reason = read_messages(&socket, CLIENT_READ_LIMITS, &shared, paused, decode, Some(client)).await;
+        let reason = read_messages(&socket, CLIENT_READ_LIMITS, &context, paused, decode, Some(client)).await;
         log::debug!("client {}: reading stopped: {reason:?}", id.0);
         state.apply(ConnectionEvent::ReadStopped);
         let lingers = reason != CloseReason::PeerClosed;
-        if lingers && shared.queue.send(Input::ClientReadStopped(id, reason)).await.is_ok() {
+        if lingers && context.queue.send(Input::ClientReadStopped(id, reason)).await.is_ok() {
             slot.discard(&socket, &state, reason).await;
         }
     };
@@ -125,5 +125,5 @@
     state.apply(ConnectionEvent::Closed);
     state.liveness().disconnect();
     // Fails only if the owner has ended, and the process with it.
-    let _ = shared.queue.send(Input::ClientClosed(id)).await;
+    let _ = context.queue.send(Input::ClientClosed(id)).await;
 }
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -6,7 +6,7 @@
 use crate::clients::message::ClientMessage;
 use crate::connection::{CloseReason, ConnectionState};
 use crate::limits::{ReadLimits, READ_AHEAD_BYTES, READ_AHEAD_MESSAGES, READ_BYTES, RETRY_INTERVAL};
-use crate::messages::{Input, Shared};
+use crate::messages::{ConnectionContext, Input};
 use crate::outbox::BufferReservation;
 use crate::resp::{DecodeError, Decoder};
 use crate::socket;
@@ -82,7 +82,7 @@
 pub async fn read_messages(
     socket: &Async<TcpStream>,
     limits: ReadLimits,
-    shared: &Shared,
+    context: &ConnectionContext,
     paused: impl Fn() -> bool,
     decode: impl Fn(DecodedMessage) -> Option<Input>,
     client: Option<ClientReader<'_>>,
@@ -94,7 +94,7 @@
     let mut reader = Reader {
         socket,
         limits,
-        shared,
+        context,
         decode,
         state: client.map(|client| client.state),
         decoder: Decoder::new(limits.message_limits),
@@ -106,7 +106,7 @@
         message_started: None,
         empty_since: accepted_late.unwrap_or_else(Instant::now),
         waited_in_backlog: accepted_late.is_some(),
-        buffered: BufferReservation::new(&shared.meter),
+        buffered: BufferReservation::new(&context.meter),
     };
     loop {
         if let Err(reason) = reader.read_and_enqueue(&paused).await {
@@ -121,7 +121,7 @@
 struct Reader<'a, D> {
     socket: &'a Async<TcpStream>,
     limits: ReadLimits,
-    shared: &'a Shared,
+    context: &'a ConnectionContext,
     decode: D,
     state: Option<&'a ConnectionState>,
     decoder: Decoder,
@@ -146,7 +146,7 @@
     async fn read_and_enqueue(&mut self, paused: &impl Fn() -> bool) -> Result<(), CloseReason> {
         while let Some(reason) = self.pause_reason(paused) {
             // Cancellations use no memory and free that of their requests.
-            while self.pending.front().is_some_and(is_cancellation) && !self.shared.queue.is_full() {
+            while self.pending.front().is_some_and(is_cancellation) && !self.context.queue.is_full() {
                 self.enqueue(1).await?;
             }
             self.wait_paused(reason).await?;
@@ -164,7 +164,7 @@
     }
 
     fn pause_reason(&self, paused: &impl Fn() -> bool) -> Option<PauseReason> {
-        if self.shared.meter.bytes() > self.shared.buffer_limit_bytes {
+        if self.context.meter.bytes() > self.context.buffer_limit_bytes {
             return Some(PauseReason::Memory);
         }
         paused().then_some(PauseReason::SlowPeer)
@@ -260,9 +260,9 @@
     fn receive_time(&mut self) -> Ms {
         let waited = match std::mem::take(&mut self.waited_in_backlog) {
             true => self.empty_since.elapsed(),
-            false => self.shared.stalls.max_wait_in_socket(self.empty_since),
+            false => self.context.pause_detector.max_wait_in_socket(self.empty_since),
         };
-        self.shared.clock.now() - waited.as_secs_f64() * 1000.0
+        self.context.clock.now() - waited.as_secs_f64() * 1000.0
     }
 
     /// Moves the first pending messages to the owner's queue, waiting for capacity.
@@ -272,7 +272,7 @@
             if self.state.is_some_and(|state| !state.phase().reads()) {
                 return Err(CloseReason::Dropped);
             }
-            match self.shared.queue.try_send(input) {
+            match self.context.queue.try_send(input) {
                 Ok(()) => {}
                 Err(TrySendError::Closed(_)) => return Err(CloseReason::PeerClosed),
                 Err(TrySendError::Full(input)) => self.enqueue_when_free(input).await?,
@@ -286,7 +286,7 @@
 
     /// Waits until the owner's queue has capacity for a message.
     async fn enqueue_when_free(&mut self, input: Input) -> Result<(), CloseReason> {
-        let queue = &self.shared.queue;
+        let queue = &self.context.queue;
         let mut send = pin!(queue.send(input));
         loop {
             let sent = async { Some(send.as_mut().await.map_err(|_| CloseReason::PeerClosed)) };
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -8,7 +8,7 @@
 use crate::connection::{CloseReason, ConnectionState};
 use crate::invariants::Invariants;
 use crate::outbox::{BufferMeter, SendQueue};
-use crate::stalls::Stalls;
+use crate::pause_detector::PauseDetector;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use basaltgw::api::Ms;
@@ -66,7 +66,7 @@
 }
 
 /// The receiving ends of the owner's queues, in the order of their priority.
-pub struct Inputs {
+pub struct InputQueues {
     /// Inputs from the change log, the fleet and signals.
     pub urgent: Receiver<Input>,
     /// Inputs from connections to servers.
@@ -77,7 +77,7 @@
 
 /// What all connections to clients, or all connections to servers, share.
 #[derive(Clone)]
-pub struct Shared {
+pub struct ConnectionContext {
     /// Runs the connections' tasks.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The owner's queue for inputs of these connections.
@@ -89,7 +89,7 @@
     /// The invariant checker.
     pub invariants: Rc<Invariants>,
     /// The detector of pauses of the process.
-    pub stalls: Rc<Stalls>,
+    pub pause_detector: Rc<PauseDetector>,
     /// While more bytes than this are buffered, nothing is read from connections.
     pub buffer_limit_bytes: usize,
 }
--- a/crates/node/src/outbox/mod.rs
+++ b/crates/node/src/outbox/mod.rs
@@ -95,7 +95,7 @@
     /// Delays an attempt after a pause of the process until the bytes received during the pause are read.
     async fn wait_for_reads(&self) {
         if let Some(conditions) = &self.conditions {
-            conditions.stalls.wait_for_reads().await;
+            conditions.pause_detector.wait_for_reads().await;
         }
     }
 }
--- a/crates/node/src/outbox/send_conditions.rs
+++ b/crates/node/src/outbox/send_conditions.rs
@@ -5,9 +5,9 @@
 use crate::breaks::{broken, Break};
 use crate::connection::RequestLiveness;
 use crate::invariants::{FetchStart, Invariants, Violation};
+use crate::pause_detector::PauseDetector;
 use crate::permissions::SendState;
 use crate::slow_start_watch::{Exceeded, SlowStartWatch};
-use crate::stalls::Stalls;
 use basaltgw::api::{Ms, ServerId};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -53,7 +53,7 @@
     /// The invariant checker.
     pub invariants: Rc<Invariants>,
     /// The detector of pauses of the process.
-    pub stalls: Rc<Stalls>,
+    pub pause_detector: Rc<PauseDetector>,
     /// Where the attempt is sent; `None` for a request of an unknown class, and in tests without a slow-start watch.
     pub route: Option<AttemptRoute>,
 }
@@ -80,7 +80,7 @@
             drain_grace: Duration::ZERO,
             ids: (0, 0),
             invariants: Rc::default(),
-            stalls: Rc::default(),
+            pause_detector: Rc::default(),
             route: None,
         }
     }
--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -155,7 +155,7 @@
             drain_grace: duration(self.config.drain_grace),
             ids: (new.key.request.0, new.key.attempt.0),
             invariants: Rc::clone(&self.monitors.invariants),
-            stalls: Rc::clone(&self.monitors.stalls),
+            pause_detector: Rc::clone(&self.monitors.pause_detector),
             route: pending.class.map(|class| AttemptRoute {
                 servers: [Some(spec.server.clone()), new.fill_source().cloned()],
                 class: class.0,
--- a/crates/node/src/owner/batch.rs
+++ b/crates/node/src/owner/batch.rs
@@ -7,7 +7,7 @@
 use crate::connection::IdleReason;
 use crate::counters::Counters;
 use crate::limits::{ABORT_CONFIRM_TIMEOUT_MS, CLIENT_IDLE_MS, INPUT_QUEUE_CAPACITY};
-use crate::{Input, Inputs};
+use crate::{Input, InputQueues};
 use async_channel::Receiver;
 use async_executor::Task;
 use async_io::Timer;
@@ -36,11 +36,11 @@
 impl Owner {
     /// Handles inputs until the process may exit. `listener` accepts clients, and finishes when accepting has ended and the backlog is
     /// empty.
-    pub async fn run(mut self, queues: Inputs, listener: Task<()>) -> ExitReport {
+    pub async fn run(mut self, queues: InputQueues, listener: Task<()>) -> ExitReport {
         let mut inputs = Vec::new();
         loop {
             inputs.extend(self.first_input(&queues).await);
-            self.monitors.stalls.on_turn();
+            self.monitors.pause_detector.on_turn();
             self.wait_for_batch_interval().await;
             // Lets connections write the messages of the last batch before this one adds more, even if a batch takes the whole interval.
             future::yield_now().await;
@@ -49,7 +49,7 @@
                 inputs.extend(std::iter::from_fn(|| queue.try_recv().ok()).take(INPUT_QUEUE_CAPACITY));
             }
             self.batch(&mut inputs);
-            self.monitors.stalls.on_turn();
+            self.monitors.pause_detector.on_turn();
             if self.may_exit(&listener) {
                 return self.exit();
             }
@@ -57,7 +57,7 @@
     }
 
     /// Waits for an input, unless a timer is due or the last batch left events.
-    async fn first_input(&self, queues: &Inputs) -> Option<Input> {
+    async fn first_input(&self, queues: &InputQueues) -> Option<Input> {
         let until_timer = |due: Ms| (due - self.time.clock.now()).min(MAINTENANCE_INTERVAL_MS);
         let sleep = self.schedule.timers.next_due().map_or(MAINTENANCE_INTERVAL_MS, until_timer);
         if !self.schedule.next_batch.is_empty() || sleep <= 0.0 {
--- a/crates/node/src/owner/inputs.rs
+++ b/crates/node/src/owner/inputs.rs
@@ -123,7 +123,7 @@
         counters.tree.copy_from(&self.upstream.tree.counters);
         counters.violations.copy_from(&self.monitors.invariants);
         counters.violations.slow_start_highest_share.raise(self.monitors.slow_start.highest_share());
-        counters.violations.pauses.set(self.monitors.stalls.count());
+        counters.violations.pauses.set(self.monitors.pause_detector.count());
         counters.violations.log_dropped.set(crate::log_writer::dropped());
     }
 }
--- a/crates/node/src/owner/lease/tests.rs
+++ b/crates/node/src/owner/lease/tests.rs
@@ -231,11 +231,8 @@
         self.owner.batch(&mut inputs);
         self.replicas.take_requests();
         if client_had_left {
-            assert_eq!(
-                self.owner.counters.attempts.made.get(),
-                made,
-                "an attempt for a client that has left"
-            );
+            let made_after = self.owner.counters.attempts.made.get();
+            assert_eq!(made_after, made, "an attempt for a client that has left");
         }
         while self.responses.try_recv().is_ok() {
             self.response_count += 1;
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -31,7 +31,7 @@
 use crate::fleet::Fleet;
 use crate::shutdown::GracefulShutdown;
 use crate::tree::Tree;
-use crate::Shared;
+use crate::ConnectionContext;
 use basaltgw::api::RequestId;
 use basaltgw::routing::snapshot::Snapshot;
 use basaltgw::routing::Router;
@@ -76,13 +76,18 @@
 impl Owner {
     /// An owner whose decision module has handled the endpoint lists and purges in the configuration. `settings` are those of the settings
     /// file.
-    pub fn new(config: &NodeConfig, settings: &OwnSettings, shared: &Shared, caches: ServerPool) -> Self {
+    pub fn new(
+        config: &NodeConfig,
+        settings: &OwnSettings,
+        context: &ConnectionContext,
+        caches: ServerPool,
+    ) -> Self {
         let mut owner = Self {
             router: Router::new(config.settings.clone(), config.seed),
             config: RoutingConfig::new(config),
-            time: Time::new(shared.clock),
-            memory: Memory::new(config, shared),
-            monitors: Monitors::new(config, shared),
+            time: Time::new(context.clock),
+            memory: Memory::new(config, context),
+            monitors: Monitors::new(config, context),
             clients: Clients::default(),
             requests: Requests::new(config.transport.most_open),
             upstream: Upstream::new(caches, Tree::new(settings.hierarchy.as_ref())),
--- a/crates/node/src/owner/state.rs
+++ b/crates/node/src/owner/state.rs
@@ -7,12 +7,12 @@
 use crate::invariants::Invariants;
 use crate::limits::{MEMORY_PRESSURE_SHARE, SOCKET_SLACK_MS};
 use crate::outbox::BufferMeter;
+use crate::pause_detector::PauseDetector;
 use crate::permissions::{RetryPolicy, NO_RETRIES};
 use crate::platform_time::PlatformTime;
 use crate::slow_start_watch::SlowStartWatch;
-use crate::stalls::Stalls;
 use crate::tree::Tree;
-use crate::Shared;
+use crate::ConnectionContext;
 use basaltgw::api::{Class, ClassId, Event, Ms, ServerId};
 use basaltgw_config::{Names, NodeConfig, Place};
 use std::collections::{BTreeMap, VecDeque};
@@ -88,9 +88,9 @@
 }
 
 impl Memory {
-    pub(super) fn new(config: &NodeConfig, shared: &Shared) -> Self {
+    pub(super) fn new(config: &NodeConfig, context: &ConnectionContext) -> Self {
         Self {
-            meter: Rc::clone(&shared.meter),
+            meter: Rc::clone(&context.meter),
             limit_bytes: config.limits.share_of_memory(MEMORY_PRESSURE_SHARE),
         }
     }
@@ -103,15 +103,15 @@
 /// The checkers of the router's behaviour, shared with the connections.
 pub(super) struct Monitors {
     pub(super) invariants: Rc<Invariants>,
-    pub(super) stalls: Rc<Stalls>,
+    pub(super) pause_detector: Rc<PauseDetector>,
     pub(super) slow_start: Rc<SlowStartWatch>,
 }
 
 impl Monitors {
-    pub(super) fn new(config: &NodeConfig, shared: &Shared) -> Self {
+    pub(super) fn new(config: &NodeConfig, context: &ConnectionContext) -> Self {
         Self {
-            invariants: Rc::clone(&shared.invariants),
-            stalls: Rc::clone(&shared.stalls),
+            invariants: Rc::clone(&context.invariants),
+            pause_detector: Rc::clone(&context.pause_detector),
             slow_start: Rc::new(SlowStartWatch::new(&config.settings)),
         }
     }
--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -43,18 +43,18 @@
                      "limits": {"try-limit": 8, "cancel": true}}
     });
     let config = parse(&config, &Environment::default()).expect("a configuration");
-    let shared = Shared {
+    let context = ConnectionContext {
         executor: Rc::new(LocalExecutor::new()),
         queue: async_channel::unbounded().0,
         clock: Clock::default(),
         meter: Rc::default(),
         invariants: Rc::default(),
-        stalls: Rc::default(),
+        pause_detector: Rc::default(),
         buffer_limit_bytes: usize::MAX,
     };
-    let (out, messages) = send_queue(&shared.meter, &Rc::default());
-    let caches = ServerPool::new(shared.clone(), 100, config.transport);
-    let mut owner = Owner::new(&config, &OwnSettings::default(), &shared, caches);
+    let (out, messages) = send_queue(&context.meter, &Rc::default());
+    let caches = ServerPool::new(context.clone(), 100, config.transport);
+    let mut owner = Owner::new(&config, &OwnSettings::default(), &context, caches);
     let open = Input::ClientConnected(CLIENT, out, connection(&owner));
     owner.batch(&mut vec![open]);
     (owner, messages)
--- a/crates/node/src/stalls.rs
+++ b/crates/node/src/pause_detector.rs
@@ -30,19 +30,19 @@
 
 /// The last turn of the event loop, and the last pause.
 #[derive(Debug)]
-pub struct Stalls {
+pub struct PauseDetector {
     last_turn: Cell<Instant>,
     last_pause: Cell<Option<Pause>>,
     count: Cell<u64>,
 }
 
-impl Default for Stalls {
+impl Default for PauseDetector {
     fn default() -> Self {
         Self { last_turn: Cell::new(Instant::now()), last_pause: Cell::default(), count: Cell::default() }
     }
 }
 
-impl Stalls {
+impl PauseDetector {
     /// Records a turn of the event loop; called by its tasks. Returns the current time.
     pub fn on_turn(&self) -> Instant {
         let now = Instant::now();
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -6,7 +6,7 @@
     BIND_RETRY_TIMEOUT, INPUT_QUEUE_CAPACITY, LISTEN_BACKLOG, READ_STOP_MEMORY_SHARE, RESERVED_DESCRIPTORS,
     RETRY_INTERVAL, SERVER_DESCRIPTOR_DIVISOR,
 };
-use crate::messages::{Input, Inputs, Shared};
+use crate::messages::{ConnectionContext, Input, InputQueues};
 use crate::owner::Owner;
 use crate::reload::SettingsFile;
 use crate::signal_handler::handle_signals;
@@ -42,23 +42,23 @@
     config.unread.iter().for_each(|fault| log::warn!("configuration entry ignored: {fault}"));
     let signals = signals::Signals::listen()?;
     let (senders, inputs) = input_queues();
-    let shared = shared(&config, senders.clients);
+    let context = context(&config, senders.clients);
     let descriptors = descriptor_budget(&config);
-    let to_servers = Shared { queue: senders.servers, ..shared.clone() };
+    let to_servers = ConnectionContext { queue: senders.servers, ..context.clone() };
     let caches = ServerPool::new(to_servers, descriptors.servers, config.transport);
-    let mut owner = Owner::new(&config, &settings_file.settings, &shared, caches);
+    let mut owner = Owner::new(&config, &settings_file.settings, &context, caches);
     if let Some(snapshot) = settings_file.settings.carry.as_ref().and_then(snapshot_file::load) {
         owner.restore(snapshot);
     }
     if let Some(settings) = &settings_file.settings.fleet {
-        join_fleet(&mut owner, settings, &config, &shared, senders.urgent.clone())?;
+        join_fleet(&mut owner, settings, &config, &context, senders.urgent.clone())?;
     }
     let listener = bind(config.listen)?;
     log::info!("{} listens at {}", config.name, listener.get_ref().local_addr()?);
-    let executor = Rc::clone(&shared.executor);
+    let executor = Rc::clone(&context.executor);
     let slots: Rc<ConnectionSlots> = owner.client_slots();
-    // `shared` stays alive, since the clients' queue, on which the owner waits, must not close while it runs.
-    let listener = executor.spawn(clients::accept(listener, descriptors.clients, slots, shared.clone()));
+    // `context` stays alive, since the clients' queue, on which the owner waits, must not close while it runs.
+    let listener = executor.spawn(clients::accept(listener, descriptors.clients, slots, context.clone()));
     let (address_sender, addresses) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
     let names = config.names.clone();
     let follow =
@@ -79,22 +79,22 @@
     }
 }
 
-fn input_queues() -> (InputSenders, Inputs) {
+fn input_queues() -> (InputSenders, InputQueues) {
     let (urgent, urgent_inputs) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
     let (servers, server_inputs) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
     let (clients, client_inputs) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
-    let inputs = Inputs { urgent: urgent_inputs, servers: server_inputs, clients: client_inputs };
+    let inputs = InputQueues { urgent: urgent_inputs, servers: server_inputs, clients: client_inputs };
     (InputSenders { urgent, servers, clients }, inputs)
 }
 
-fn shared(config: &NodeConfig, queue: Sender<Input>) -> Shared {
-    Shared {
+fn context(config: &NodeConfig, queue: Sender<Input>) -> ConnectionContext {
+    ConnectionContext {
         executor: Rc::new(LocalExecutor::new()),
         queue,
         clock: crate::clock::Clock::default(),
         meter: Rc::default(),
         invariants: Rc::default(),
-        stalls: Rc::default(),
+        pause_detector: Rc::default(),
         buffer_limit_bytes: config.limits.share_of_memory(READ_STOP_MEMORY_SHARE),
     }
 }
@@ -111,14 +111,14 @@
     owner: &mut Owner,
     settings: &Fleet,
     config: &NodeConfig,
-    shared: &Shared,
+    context: &ConnectionContext,
     urgent: Sender<Input>,
 ) -> io::Result<()> {
-    let fleet = fleet::start::start(settings, config, shared.clock)?;
+    let fleet = fleet::start::start(settings, config, context.clock)?;
     let wakeups = fleet.wakeup.clone();
     let forward_wakeups =
         async move { while wakeups.recv().await.is_ok() && urgent.send(Input::Fleet).await.is_ok() {} };
-    shared.executor.spawn(forward_wakeups).detach();
+    context.executor.spawn(forward_wakeups).detach();
     owner.join_fleet(fleet);
     Ok(())
 }
@@ -131,7 +131,7 @@
             Err(e) if e.kind() == io::ErrorKind::AddrInUse && start.elapsed() < BIND_RETRY_TIMEOUT => {
                 std::thread::sleep(RETRY_INTERVAL);
             }
-            Err(e) => return Err(e),
+            Err(e) => return Err(io::Error::new(e.kind(), format!("cannot listen at {address}: {e}"))),
             Ok(listener) => {
                 rustix::net::listen(&listener, LISTEN_BACKLOG)?;
                 return Ok(listener);
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -39,9 +39,9 @@
 
 impl Tree {
     /// A tree without a plan yet; if the settings file has one, it is offered when the endpoint list is known (see [`Tree::offer`]).
-    pub fn new(settings: Option<&Hierarchy>) -> Self {
+    pub fn new(section: Option<&Hierarchy>) -> Self {
         Self {
-            topology: settings.map(|h| TopologyManager::new(h.settings)),
+            topology: section.map(|h| TopologyManager::new(h.settings)),
             counters: TreeCounters::default(),
         }
     }
@@ -76,10 +76,10 @@
 
     /// Offers a plan, at the start or after a reload. If it is the plan in use and a change to another plan is in progress, that change is
     /// rolled back.
-    pub fn offer(&mut self, now: Ms, settings: &Hierarchy) -> Vec<Event> {
-        let topology = self.topology.get_or_insert_with(|| TopologyManager::new(settings.settings));
-        topology.set_settings(settings.settings);
-        let plan: &PlanSpec = &settings.plan;
+    pub fn offer(&mut self, now: Ms, section: &Hierarchy) -> Vec<Event> {
+        let topology = self.topology.get_or_insert_with(|| TopologyManager::new(section.settings));
+        topology.set_settings(section.settings);
+        let plan: &PlanSpec = &section.plan;
         let in_use = topology.rollback_plan().is_some_and(|p| p.spec() == *plan);
         self.counters.plans += 1;
         match (in_use, topology.change_status()) {
--- a/crates/node/tests/reader.rs
+++ b/crates/node/tests/reader.rs
@@ -8,7 +8,7 @@
 use basaltgw_node::limits::{CLIENT_READ_LIMITS, READ_AHEAD_BYTES, READ_BYTES};
 use basaltgw_node::outbox::{BufferMeter, BufferedBytes};
 use basaltgw_node::resp::encode;
-use basaltgw_node::{Input, Shared};
+use basaltgw_node::{ConnectionContext, Input};
 use futures_lite::{future, AsyncWriteExt};
 use proptest::prelude::*;
 use std::cell::{Cell, RefCell};
@@ -22,7 +22,7 @@
 struct ReaderHarness {
     near: Async<TcpStream>,
     far: Async<TcpStream>,
-    shared: Shared,
+    context: ConnectionContext,
     inputs: async_channel::Receiver<Input>,
     liveness: Rc<ClientLiveness>,
     /// Bytes of the words that were decoded.
@@ -36,19 +36,19 @@
         let far = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
         let near = listener.accept().expect("the connection").0;
         let (queue, inputs) = async_channel::bounded(queue_capacity);
-        let shared = Shared {
+        let context = ConnectionContext {
             executor: Rc::new(LocalExecutor::new()),
             queue,
             clock: basaltgw_node::clock::Clock::default(),
             meter: Rc::default(),
             invariants: Rc::default(),
-            stalls: Rc::default(),
+            pause_detector: Rc::default(),
             buffer_limit_bytes: MEMORY_LIMIT_BYTES,
         };
         Self {
             near: Async::new(near).expect("a socket"),
             far: Async::new(far).expect("a socket"),
-            shared,
+            context,
             inputs,
             liveness: Rc::default(),
             decoded_bytes: Cell::new(0),
@@ -65,7 +65,7 @@
             Some(Input::ClientMessage { client: ClientId(1), message, received_at: decoded.received_at })
         };
         let paused = || self.paused.get();
-        let reason = read_messages(&self.near, CLIENT_READ_LIMITS, &self.shared, paused, decode, None).await;
+        let reason = read_messages(&self.near, CLIENT_READ_LIMITS, &self.context, paused, decode, None).await;
         self.liveness.disconnect();
         reason
     }
@@ -85,7 +85,7 @@
 
     /// Memory that other connections use.
     fn use_memory(&self, bytes: usize) -> BufferedBytes {
-        let meter: &Rc<BufferMeter> = &self.shared.meter;
+        let meter: &Rc<BufferMeter> = &self.context.meter;
         BufferedBytes::new(vec![0; bytes], &[meter])
     }
 }
