--- a/crates/placement/examples/measure.rs
+++ b/crates/placement/examples/measure.rs
@@ -38,7 +38,7 @@
     fn name(&self) -> &'static str;
     /// Assigns all shards to the routers of a fleet, after an earlier assignment if that matters.
     fn assign(&mut self, fleet: &Inventory);
-    /// Looks up a shard; the result keeps the compiler from removing it.
+    /// Looks up a shard. The result depends on its replicas, so that the compiler can't remove the lookup.
     fn lookup(&self, shard: usize) -> usize;
     fn replicas(&self) -> Replicas;
     /// Bytes in memory for lookups.
@@ -92,7 +92,7 @@
     }
 }
 
-/// Plain rendezvous: the three highest scores of all routers, found at each look-up.
+/// Plain rendezvous: the three highest scores of all routers, found at each lookup.
 #[derive(Default)]
 struct Rendezvous(Vec<(RouterId, u64, f64)>);
 
--- a/crates/placement/src/compile.rs
+++ b/crates/placement/src/compile.rs
@@ -366,7 +366,7 @@
         let omitted = drafts.len().saturating_sub(MAX_DIAGNOSTICS);
         drafts.truncate(MAX_DIAGNOSTICS);
         if omitted > 0 {
-            let message = format!("{omitted} more faults are not shown");
+            let message = format!("{omitted} more errors are not shown");
             drafts.push(DraftDiagnostic::of_all_rules(message));
         }
         let mut diagnostics: Vec<Diagnostic> = drafts.into_iter().map(|d| d.locate(files)).collect();
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,7 +1,7 @@
 //! Placement rules: which routers store which shards, and which caches may serve, keep and fill objects. Compiled to tables that are the same
 //! bytes on every router.
 //!
-//! The rules' language ([`docs/placement.md`]) is parsed, its names are resolved against the inventory, and it is compiled to a [`Table`]: a
+//! The rules' language (`docs/placement.md`) is parsed, its names are resolved against the inventory, and it is compiled to a [`Table`]: a
 //! [`basaltgw_types::ShardMap`], constraints on the choice of caches and sources, and scatter-gather policies. [`Adoption`] decides the steps by which a
 //! new table comes into effect (proposed, durable, joint, in effect), as changes of the table register; `crates/registers` replicates it. No I/O, clock
 //! or random numbers.
--- a/crates/placement/src/resolver.rs
+++ b/crates/placement/src/resolver.rs
@@ -208,7 +208,12 @@
     /// Reports a value that no entry has for the attribute.
     fn check_value(&mut self, attribute: &str, value: &Name, entries: &[Entry<'a>]) {
         if entries.iter().all(|e| e.text(attribute) != Some(&value.node)) {
-            self.report_unknown(value, attribute, entries.iter().filter_map(|e| e.text(attribute)));
+            let kind = match (attribute, entries.first()) {
+                ("name", Some(Entry::Router(..))) => "router",
+                ("name", Some(Entry::Cache(..))) => "cache",
+                _ => attribute,
+            };
+            self.report_unknown(value, kind, entries.iter().filter_map(|e| e.text(attribute)));
         }
     }
 
--- a/crates/placement/tests/diagnostics.rs
+++ b/crates/placement/tests/diagnostics.rs
@@ -54,7 +54,7 @@
         &["no set or domain \"strng\"", "did you mean \"strong\"?"],
     );
     rejected("home class pags { width 1 }", &["no class \"pags\"", "did you mean \"pages\"?"]);
-    rejected("never together router a1, router a9", &["no router \"a9\"".replace("router", "name").as_str()]);
+    rejected("never together router a1, router a9", &["there is no router \"a9\""]);
     rejected("set a = routers set a = caches", &["defined twice"]);
 }
 
@@ -114,7 +114,7 @@
     let long = errors(&"#".repeat(MAX_RULES_BYTES + 1), &inventory());
     assert!(long.len() == 1 && long[0].starts_with("rules: rules of 262145 bytes in 1 files"), "{long:?}");
     let many = errors(&"holds ".repeat(1000), &inventory());
-    assert_eq!((many.len(), many[100].as_str()), (101, "rules: 900 more faults are not shown"));
+    assert_eq!((many.len(), many[100].as_str()), (101, "rules: 900 more errors are not shown"));
     let bootstrap = errors("", &fleet(MAX_BOOTSTRAP_ROUTERS + 1, 5));
     assert!(
         bootstrap.len() == 1
