--- a/src/routing/concurrency_limit.rs
+++ b/src/routing/concurrency_limit.rs
@@ -5,7 +5,7 @@
 //! that a response took over the sending time of its object, as a logarithm. There is no limit until the
 //! first congestion: high latency, a rejection or a timeout. Where a router has few requests in flight
 //! itself, its peers are assumed to have as many, and the limit applies to the mean number in flight, which
-//! may be below one. `feedback` feeds outcomes in.
+//! may be below one. `feedback` records the outcomes.
 
 use super::endpoints::ServerIndex;
 use super::request::Attempt;
@@ -43,18 +43,19 @@
 /// A class whose mean sending time is below this share of the longest class's may exceed limits by a factor:
 /// its responses have more priority weight for the same capacity.
 const SHORT_CLASS_SHARE: f64 = 0.5;
+/// Factor by which a class with a short sending time may exceed limits.
 const SHORT_CLASS_HEADROOM: f64 = 1.5;
 
 /// A limit on requests or fills in flight.
 pub(super) struct ConcurrencyLimit {
     limit: f64,
-    last_decrease: Ms,
+    last_decrease_at: Ms,
     responses_since_decrease: u32,
     mean_latency_ratio_log: MovingAverage,
-    last_sample: Ms,
+    last_sample_at: Ms,
     /// Samples per millisecond, each with its weight in the mean.
     sample_rate: DecayingRate,
-    /// Mean number in flight: the sum of their durations over the time.
+    /// Mean number of requests in flight: the sum of their durations over the time.
     mean_in_flight: DecayingRate,
     /// Number of routers that share the cache, the source or the link.
     senders: f64,
@@ -65,10 +66,10 @@
     pub fn new(now: Ms, senders: usize) -> Self {
         Self {
             limit: f64::INFINITY,
-            last_decrease: f64::NEG_INFINITY,
+            last_decrease_at: f64::NEG_INFINITY,
             responses_since_decrease: 0,
             mean_latency_ratio_log: MovingAverage::default(),
-            last_sample: now,
+            last_sample_at: now,
             sample_rate: DecayingRate::new(now, IN_FLIGHT_WINDOW_MS),
             mean_in_flight: DecayingRate::new(now, IN_FLIGHT_WINDOW_MS),
             senders: senders as f64,
@@ -106,9 +107,9 @@
     /// is above the threshold, else up.
     pub fn record_latency(&mut self, now: Ms, ratio_log: f64, threshold: f64, in_flight: f64) {
         // Where responses are rare, one moves the mean by as much as the time since the last one decays it.
-        let elapsed_weight = 1.0 - ((self.last_sample - now) / SPARSE_WINDOW_MS).exp();
+        let elapsed_weight = 1.0 - ((self.last_sample_at - now) / SPARSE_WINDOW_MS).exp();
         self.mean_latency_ratio_log.add(ratio_log, RATIO_SAMPLE_WEIGHT.max(elapsed_weight));
-        self.last_sample = now;
+        self.last_sample_at = now;
         self.sample_rate.add(now, RATIO_SAMPLE_WEIGHT);
         let sparse =
             in_flight < MIN_IN_FLIGHT_FOR_CONGESTION && self.sample_rate.rate(now) * SPARSE_WINDOW_MS < 1.0;
@@ -139,11 +140,11 @@
         let is_cause = many_in_flight
             || (self.responses_since_decrease >= MIN_RESPONSES
                 && mean * self.senders >= MIN_IN_FLIGHT_FOR_CONGESTION);
-        if used && is_cause && now - self.last_decrease >= DECREASE_INTERVAL_MS {
+        if used && is_cause && now - self.last_decrease_at >= DECREASE_INTERVAL_MS {
             let (min_limit, in_use) =
                 if many_in_flight { (MIN_LIMIT, in_flight) } else { (MIN_MEAN_LIMIT, mean) };
             self.limit = (self.limit.min(in_use) * factor).max(min_limit);
-            (self.last_decrease, self.responses_since_decrease) = (now, 0);
+            (self.last_decrease_at, self.responses_since_decrease) = (now, 0);
         }
     }
 }
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -303,7 +303,7 @@
             let limit = ConcurrencyLimit::new(*now, senders);
             Server::new(entry.clone(), fnv1a(&entry.id.0), *now, limit)
         };
-        let server = endpoints.find_or_insert(&entry.id, new, |index| requests.refer_to(index));
+        let server = endpoints.find_or_insert(&entry.id, new, |index| requests.any_refers_to(index));
         server.update(entry, *now);
     }
 
@@ -314,8 +314,8 @@
     }
 
     /// Moves purges and listed process starts into the past, in milliseconds.
-    pub(super) fn on_clock_corrected(&mut self, by: Ms) {
-        self.purges.shift(by);
-        self.endpoints.shift_listed_starts(by);
+    pub(super) fn on_clock_corrected(&mut self, shift: Ms) {
+        self.purges.shift(shift);
+        self.endpoints.shift_listed_starts(shift);
     }
 }
--- a/src/routing/outlier_ejection.rs
+++ b/src/routing/outlier_ejection.rs
@@ -17,7 +17,7 @@
 /// Weight of a refused connection in a server's share of refused connections. It is higher, because a refusal
 /// concerns the whole process.
 const REFUSED_SAMPLE_WEIGHT: f64 = 0.3;
-/// A server with a larger share of refused connections is ejected.
+/// Share of refused connections above which a server is ejected.
 const MAX_REFUSED_SHARE: f64 = 0.45;
 /// An attempt is overdue after the mean delay of its class, its response's sending time and this many mean
 /// deviations of the delay.
@@ -31,9 +31,11 @@
 const MIN_SILENCE_MS: Ms = 350.0;
 /// A cache that responds after a longer silence, with several attempts in flight, counts as restarted.
 const RESTART_SILENCE_MS: Ms = 1000.0;
+/// Least number of attempts in flight at a cache that counts as restarted.
 const RESTART_MIN_IN_FLIGHT: usize = 4;
-/// Time until an ejected server's first probe, doubled with each failed probe up to the limit.
+/// Time until an ejected server's first probe, doubled with each failed probe.
 const BASE_EJECTION_MS: Ms = 1000.0;
+/// Longest time until an ejected server's next probe.
 const MAX_EJECTION_MS: Ms = 8000.0;
 /// Greatest number of doublings that is counted, so that the multiple does not overflow.
 const MAX_DOUBLINGS: u32 = 16;
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -255,7 +255,7 @@
     }
 
     /// Whether an attempt refers to a server.
-    pub fn refer_to(&self, server: ServerIndex) -> bool {
+    pub fn any_refers_to(&self, server: ServerIndex) -> bool {
         self.iter().flat_map(|pending| &pending.attempts).any(|attempt| attempt.refers_to(server))
     }
 
--- a/src/routing/slow_start/mod.rs
+++ b/src/routing/slow_start/mod.rs
@@ -19,9 +19,9 @@
 use crate::api::*;
 use crate::hash::{mix, unit_interval};
 
-/// Share of a warming server's budget that all routers use together; less where listed weights are
-/// approximate.
+/// Share of a warming server's budget that all routers use together.
 const BUDGET_SHARE: f64 = 1.0;
+/// The smaller share where listed weights are approximate.
 const APPROXIMATE_BUDGET_SHARE: f64 = 0.8;
 /// Requests that all routers' shares for a window must cover before one router may exceed its own share.
 const MIN_REQUESTS_PER_WINDOW: f64 = 4.0;
@@ -83,6 +83,7 @@
     rate: f64,
     /// Cost per millisecond that all routers may send.
     total_rate: f64,
+    /// Milliseconds since the server's start.
     age: Ms,
 }
 
@@ -188,7 +189,7 @@
         self.record_written(attempt.route, attempt.send_key);
     }
 
-    /// Records what the end of an attempt proves about arrivals.
+    /// Records what the end of an attempt proves about its arrival at the server and at the source.
     pub(super) fn record_arrival(&mut self, attempt: &FinishedAttempt, outcome: &Outcome) {
         let tolerance = |role: Role| ARRIVAL_TOLERANCE_SHARE * self.settings.slow_start(role).overload_window;
         let (edge_tolerance, parent_tolerance) = (tolerance(Role::Edge), tolerance(Role::Parent));
--- a/src/routing/weight_penalty.rs
+++ b/src/routing/weight_penalty.rs
@@ -21,11 +21,12 @@
 const TOLERATED_EXCESS_LOG: f64 = 0.25;
 /// Least share of the listed weight that a server keeps.
 const MIN_WEIGHT_SHARE: f64 = 0.05;
-/// Difference between the penalty and the applied one that changes the order.
+/// Difference between the present and the applied penalty above which the rendezvous order is recomputed.
 const REORDER_THRESHOLD_LOG: f64 = 0.1;
 /// Time constant with which penalties decay.
 const DECAY_MS: Ms = 20_000.0;
-/// Sending time that is assumed for an object without one, as a share of its class's mean: most are smaller.
+/// Sending time that is assumed for an object without samples, as a share of its class's mean: most objects
+/// are smaller.
 const UNKNOWN_OBJECT_SHARE: f64 = 0.6;
 /// An attempt in flight is reported as slow each time that its latency ratio has grown by this factor.
 const SLOW_REPORT_FACTOR: f64 = 2.0;
