--- a/crates/scatter_gather/src/engine/completion.rs
+++ b/crates/scatter_gather/src/engine/completion.rs
@@ -21,8 +21,8 @@
 
 /// What an evaluation of a pending request decides.
 enum Decision {
-    /// Answer with the selected parts.
-    Complete,
+    /// End the request, with the selected parts if the policy allows.
+    End,
     /// Wait, and evaluate again at this time at the latest.
     WaitUntil(Ms),
 }
@@ -41,7 +41,7 @@
             let Some(request) = self.pending.get_mut(&gather) else { return };
             let selection = request.best_selection();
             if request.is_complete(&selection) {
-                return self.complete(gather, &selection, actions);
+                return self.end_request(gather, &selection, actions);
             }
             if request.policy_allows(&selection) && request.answerable_since.is_none() {
                 request.answerable_since = Some(now);
@@ -56,7 +56,7 @@
                 continue;
             }
             match decision {
-                Decision::Complete => return self.complete(gather, &selection, actions),
+                Decision::End => return self.end_request(gather, &selection, actions),
                 Decision::WaitUntil(at) => return self.schedule_evaluation(gather, at),
             }
         }
@@ -78,7 +78,7 @@
         let decision = if wait {
             Decision::WaitUntil(self.next_evaluation(request, evaluation.best_time))
         } else {
-            Decision::Complete
+            Decision::End
         };
         EvaluationResult { decision, hedge }
     }
@@ -94,7 +94,7 @@
     }
 
     /// Ends a request with the selected parts, or without an answer if its policy does not allow one.
-    pub(super) fn complete(&mut self, gather: GatherNo, selection: &Selection, actions: &mut Vec<Action>) {
+    pub(super) fn end_request(&mut self, gather: GatherNo, selection: &Selection, actions: &mut Vec<Action>) {
         let Some(request) = self.pending.get(&gather) else { return };
         let retry_after = self.retry_after(request, selection);
         let verdict = if request.policy_allows(selection) {
--- a/crates/scatter_gather/tests/sequences.rs
+++ b/crates/scatter_gather/tests/sequences/main.rs
@@ -1,113 +1,20 @@
 //! Random sequences of events: each request has one answer in time, each attempt ends once, answers don't mix versions,
 //! and the engine's memory is bounded.
 
+mod operations;
+
 use basaltgw_scatter_gather::{
     Action, AttemptKind, AttemptNo, Defect, EndCause, EndedAttempt, Event, Evidence, GatherEngine, GatherNo,
-    GatherRequest, GatherStrategy, Idempotency, MissingParts, PartNo, PartResponse, PartSpec, Policy, Purge,
-    Settings, Site, TimeBudget, UsedPart, Verdict,
+    GatherRequest, GatherStrategy, MissingParts, PartNo, PartResponse, PartSpec, Purge, Settings, Site,
+    UsedPart, Verdict,
 };
 use basaltgw_types::RouterId;
+use operations::{build_request, operation, Operation};
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What is random in a policy.
-#[derive(Clone, Debug)]
-struct PolicyShape {
-    min_part_share: f64,
-    min_weight_share: f64,
-    max_wait: f64,
-    /// Index of the handling of missing parts.
-    missing_parts: u8,
-    hedging: bool,
-}
-
-/// What is random in a request. Times are in milliseconds.
-#[derive(Clone, Debug)]
-struct RequestShape {
-    parts: usize,
-    objects: u64,
-    sites: u8,
-    latency_objective: f64,
-    /// Time from the latency objective to the deadline.
-    late: f64,
-    policy: PolicyShape,
-    first_is_required: bool,
-}
-
-#[derive(Clone, Debug)]
-enum Op {
-    Request(RequestShape),
-    /// A response to any attempt made so far, so that responses come late and twice.
-    Response {
-        attempt: usize,
-        version: u8,
-        origin_time_ms: u64,
-        complete: bool,
-        purge_time: Option<u64>,
-    },
-    /// An end without a response, of any attempt made so far.
-    AttemptEnded {
-        attempt: usize,
-        cause: u8,
-    },
-    Purge {
-        object: u64,
-        whole_group: bool,
-        time: u64,
-    },
-    Cancel {
-        request: usize,
-    },
-    PeerEvidence {
-        site: u8,
-        from: u8,
-        is_missed: bool,
-    },
-    /// Lets this many milliseconds pass.
-    Advance(f64),
-}
-
-fn request_shape() -> impl Strategy<Value = RequestShape> {
-    let policy = (0.0..1.0f64, 0.0..1.0f64, 0.0..300.0f64, 0..3u8, any::<bool>());
-    (1..6usize, 1..3u64, 1..5u8, 0.0..200.0f64, 0.0..400.0f64, policy, any::<bool>()).prop_map(
-        |(parts, objects, sites, latency_objective, late, policy, first_is_required)| {
-            let (min_part_share, min_weight_share, max_wait, missing_parts, hedging) = policy;
-            let policy = PolicyShape { min_part_share, min_weight_share, max_wait, missing_parts, hedging };
-            RequestShape { parts, objects, sites, latency_objective, late, policy, first_is_required }
-        },
-    )
-}
-
-fn response() -> impl Strategy<Value = Op> {
-    let complete = prop::bool::weighted(0.9);
-    let purge_time = prop::option::weighted(0.1, 1..20u64);
-    (any::<usize>(), 0..2u8, 1..20u64, complete, purge_time).prop_map(
-        |(attempt, version, origin_time_ms, complete, purge_time)| Op::Response {
-            attempt,
-            version,
-            origin_time_ms,
-            complete,
-            purge_time,
-        },
-    )
-}
-
-fn op() -> impl Strategy<Value = Op> {
-    prop_oneof![
-        2 => request_shape().prop_map(Op::Request),
-        8 => response(),
-        2 => (any::<usize>(), 0..3u8).prop_map(|(attempt, cause)| Op::AttemptEnded { attempt, cause }),
-        1 => (0..3u64, any::<bool>(), 1..20u64)
-            .prop_map(|(object, whole_group, time)| Op::Purge { object, whole_group, time }),
-        1 => any::<usize>().prop_map(|request| Op::Cancel { request }),
-        1 => (0..6u8, 0..3u8, any::<bool>())
-            .prop_map(|(site, from, is_missed)| Op::PeerEvidence { site, from, is_missed }),
-        4 => (0.0..60.0f64).prop_map(Op::Advance),
-    ]
-}
-
 /// A response's data, buffered by the caller.
 #[derive(Clone, Debug, PartialEq)]
 struct BufferedPart {
@@ -241,55 +148,23 @@
     assert!(answered >= total * policy.min_weight_share - 1e-6);
 }
 
-fn build_request(number: u64, shape: &RequestShape) -> GatherRequest {
-    let site = |i: usize| Site(format!("s{}", i % usize::from(shape.sites)).into());
-    let part = |i: usize| PartSpec {
-        part: PartNo(i as u32),
-        object: i as u64 % shape.objects,
-        group: 0,
-        preferred_site: site(i),
-        alternate_sites: vec![site(i + 1), site(i + 2)],
-        priority_weight: 1.0 + i as f64,
-        version: None,
-    };
-    let PolicyShape { min_part_share, min_weight_share, max_wait, missing_parts, hedging } = shape.policy;
-    let missing_parts = [MissingParts::Continuation, MissingParts::Omitted, MissingParts::NotAllowed]
-        [usize::from(missing_parts)];
-    let required_parts = if shape.first_is_required { vec![PartNo(0)] } else { vec![] };
-    let policy =
-        Policy { required_parts, min_part_share, min_weight_share, max_wait, missing_parts, hedging };
-    let budget = TimeBudget {
-        latency_objective: shape.latency_objective,
-        deadline: shape.latency_objective + shape.late,
-        late_weight_share: 0.3,
-    };
-    GatherRequest {
-        gather: GatherNo(number),
-        policy: policy.into(),
-        idempotency: Idempotency::Idempotent,
-        parts: (0..shape.parts).map(part).collect(),
-        budget,
-        purges: vec![],
-    }
-}
-
 impl Caller {
     /// The event of an operation; `None` if it refers to attempts or requests and there are none yet.
-    fn event(&mut self, now: f64, op: Op) -> Option<Event> {
-        Some(match op {
-            Op::Request(shape) => {
+    fn event(&mut self, now: f64, operation: Operation) -> Option<Event> {
+        Some(match operation {
+            Operation::Request(shape) => {
                 let request = build_request(self.requests.len() as u64, &shape);
                 let request = GatherRequest { purges: self.received_purges.clone(), ..request };
                 self.purges.insert(request.gather, request.purges.clone());
                 self.requests.insert(request.gather, ArrivedRequest { at: now, request: request.clone() });
                 Event::Request(request)
             }
-            Op::Response { attempt, version, origin_time_ms, complete, purge_time } => {
+            Operation::Response { attempt, version, origin_time_ms, complete, purge_time } => {
                 let version: Arc<str> = format!("v{version}").into();
                 let part = BufferedPart { origin_time_ms, version, complete };
                 self.response(attempt, part, purge_time)?
             }
-            Op::AttemptEnded { attempt, cause } => {
+            Operation::AttemptEnded { attempt, cause } => {
                 let index = attempt.checked_rem(self.attempts.len())?;
                 let SentAttempt { gather, attempt, .. } = self.attempts[index];
                 if self.active.get(&(gather, attempt)) == Some(&None) {
@@ -299,24 +174,24 @@
                 let cause = [rejected, EndCause::Failed, EndCause::Unreachable][usize::from(cause)];
                 Event::AttemptEnded(EndedAttempt { gather, attempt, cause })
             }
-            Op::Purge { object, whole_group, time } => {
+            Operation::Purge { object, whole_group, time } => {
                 let purge = Purge { group: 0, object: (!whole_group).then_some(object), time };
                 self.received_purges.push(purge);
                 self.purges.values_mut().for_each(|purges| purges.push(purge));
                 Event::Purge(purge)
             }
-            Op::Cancel { request } => {
+            Operation::Cancel { request } => {
                 let gather = GatherNo(request.checked_rem(self.requests.len())? as u64);
                 self.ended.insert(gather);
                 Event::Cancelled(gather)
             }
-            Op::PeerEvidence { site, from, is_missed } => {
+            Operation::PeerEvidence { site, from, is_missed } => {
                 let (missed, answered) = if is_missed { (5, 0) } else { (0, 5) };
                 let site = Site(format!("s{site}").into());
                 let evidence = Evidence { site, missed, answered, latency_ms: 10.0, age_ms: 5.0 };
                 Event::PeerEvidence { from: RouterId(format!("r{from}").into()), evidence }
             }
-            Op::Advance(_) => return None,
+            Operation::Advance(_) => return None,
         })
     }
 
@@ -345,7 +220,7 @@
     }
 }
 
-fn run_ops(ops: Vec<Op>, seed: u64, defect: Option<Defect>) {
+fn run_operations(operations: Vec<Operation>, seed: u64, defect: Option<Defect>) {
     let settings = Settings { max_sites: 3, max_pending_requests: 4, ..Settings::default() };
     let mut engine = GatherEngine::new(settings.clone(), seed).expect("valid settings");
     if let Some(defect) = defect {
@@ -353,9 +228,9 @@
     }
     let (mut caller, mut now, mut actions) = (Caller::default(), 0.0f64, vec![]);
     // Long enough for all deadlines and probe timeouts.
-    let until_all_ended = [Op::Advance(5_000.0), Op::Advance(5_000.0)];
-    for op in ops.into_iter().chain(until_all_ended) {
-        if let Op::Advance(duration) = op {
+    let until_all_ended = [Operation::Advance(5_000.0), Operation::Advance(5_000.0)];
+    for operation in operations.into_iter().chain(until_all_ended) {
+        if let Operation::Advance(duration) = operation {
             let until = now + duration;
             while let Some(at) = caller.timer.take_if(|at| *at <= until) {
                 assert!(at >= now, "a timer in the past");
@@ -366,7 +241,7 @@
             now = until;
             continue;
         }
-        let Some(event) = caller.event(now, op) else { continue };
+        let Some(event) = caller.event(now, operation) else { continue };
         engine.handle(now, event, &mut actions);
         caller.perform(now, std::mem::take(&mut actions));
         assert!(engine.pending_count() <= settings.max_pending_requests);
@@ -383,8 +258,8 @@
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
     #[test]
-    fn random_sequence_yields_one_answer_in_time_without_mixed_versions(ops in prop::collection::vec(op(), 1..80), seed in any::<u64>()) {
-        run_ops(ops, seed, None);
+    fn random_sequence_yields_one_answer_in_time_without_mixed_versions(operations in prop::collection::vec(operation(), 1..80), seed in any::<u64>()) {
+        run_operations(operations, seed, None);
     }
 }
 
@@ -397,8 +272,8 @@
         let config =
             ProptestConfig { max_shrink_iters: 0, failure_persistence: None, ..ProptestConfig::default() };
         let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
-        let result = runner.run(&prop::collection::vec(op(), 1..80), |ops| {
-            run_ops(ops, 1, Some(defect));
+        let result = runner.run(&prop::collection::vec(operation(), 1..80), |operations| {
+            run_operations(operations, 1, Some(defect));
             Ok(())
         });
         assert!(result.is_err(), "{defect:?} was not detected");
