--- a/crates/node/src/connection/state.rs
+++ b/crates/node/src/connection/state.rs
@@ -122,7 +122,7 @@
     phase: Cell<ConnectionPhase>,
     /// Whether a complete message was received, in which case answers may have been written too.
     has_received: Cell<bool>,
-    /// Wakes the reader when the owner asks for a close.
+    /// Wakes the reader when the owner requests a close.
     close_requests: (Sender<()>, Receiver<()>),
     slots: Rc<ConnectionSlots>,
     liveness: Rc<ClientLiveness>,
--- a/crates/node/src/fleet/replication_thread.rs
+++ b/crates/node/src/fleet/replication_thread.rs
@@ -97,7 +97,7 @@
         Self { control, io, backlog: Backlog::default(), counts_published_at: 0.0, actions }
     }
 
-    /// Runs until the owner asks for a shutdown.
+    /// Runs until the owner requests a shutdown.
     ///
     /// # Errors
     /// If the owner takes no notifications.
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -87,7 +87,7 @@
 pub const MAX_MALFORMED_REQUESTS: u32 = 16;
 /// While more bytes than this wait to be written to a client, nothing is read from it.
 pub const CLIENT_UNSENT_MAX_BYTES: usize = 1024 * 1024;
-/// A client that takes no byte of an answer for this long counts as gone. Long, since all requests on its connection end with it.
+/// A client that takes no byte of an answer for this long is disconnected. The time is long, since all requests on the connection end too.
 pub const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 /// As [`CLIENT_WRITE_TIMEOUT`], during shutdown: shorter, so that the process ends in time.
 pub const CLIENT_WRITE_TIMEOUT_AT_SHUTDOWN: Duration = Duration::from_secs(2);
@@ -145,7 +145,7 @@
 pub const SILENT_CONNECTION_MS: Ms = 800.0;
 /// A connection whose attempts were all cancelled is closed when nothing was received for this long.
 pub const ABANDONED_CONNECTION_MS: Ms = 300.0;
-/// A server that takes no byte for this long counts as gone.
+/// The connection to a server that takes no byte for this long is closed.
 pub const SERVER_WRITE_TIMEOUT: Duration = Duration::from_secs(6);
 /// A cancelled attempt counts as ended if its server has not confirmed the `abort` within this.
 pub const ABORT_CONFIRM_TIMEOUT_MS: Ms = 400.0;
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -34,7 +34,7 @@
     clients: usize,
 }
 
-/// Runs a router until it is asked to end; returns its counters as `name=value` words.
+/// Runs a router until a signal ends it; returns its counters as `name=value` pairs separated by spaces.
 ///
 /// # Errors
 /// If the router can't start, or one of the fleet's threads ended unexpectedly.
