--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
 //! Values that the packages of the fleet share: routers and their incarnations, failure domains, shards, replica sets, table versions.
 //!
-//! These types hold data and decide nothing. Text from outside becomes a name only by [`parse_name`], which checks it.
+//! These types are data and decide nothing. Text from outside becomes a name only by [`parse_name`], which checks it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -21,7 +21,7 @@
 #[error("expected 1 to {MAX_NAME_BYTES} bytes of letters, digits, '-', '_' and '.', found {0:?}")]
 pub struct InvalidName(pub String);
 
-/// Parses a name; the same rules hold for all kinds of names.
+/// Parses a name; the same rules apply to all kinds of names.
 ///
 /// # Errors
 /// If the text is empty, longer than [`MAX_NAME_BYTES`], or has other characters than ASCII letters, digits, `-`, `_` and `.`.
@@ -33,7 +33,7 @@
     }
 }
 
-/// A router's name in the fleet. It stays the same after a restart and on another machine.
+/// A router's name in the fleet, which is the same after a restart and on another machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouterId(pub Arc<str>);
 
