--- a/crates/node/src/owner/scatter_gather/peer_messages.rs
+++ b/crates/node/src/owner/scatter_gather/peer_messages.rs
@@ -21,7 +21,7 @@
 const MAX_SERVED_PARTS: usize = 8_192;
 /// Link events handled in one turn; the others wait for the next.
 const MAX_LINK_EVENTS: usize = 1_024;
-/// The number of messages whose sender needs no notice if they can't be sent.
+/// The message number that requests no failure report from the transport.
 const UNTRACKED: u64 = 0;
 
 /// A response to another router's part request.
@@ -115,7 +115,7 @@
         self.dispatch_scatter_gather(Event::FleetSize { routers });
     }
 
-    /// Ends the part requests to a lost peer, and cancels those that it made here.
+    /// Ends the part requests to a lost peer, and cancels the peer's part requests here.
     fn on_peer_lost(&mut self, member: &Member) {
         let Some(state) = &mut self.scatter_gather else { return };
         let LostPeer { unanswered, unwanted } = state.peers.remove_peer(member);
--- a/crates/node/src/owner/scatter_gather/sub_requests.rs
+++ b/crates/node/src/owner/scatter_gather/sub_requests.rs
@@ -24,7 +24,7 @@
 }
 
 impl SinglePartRequest {
-    /// Converts it to a request like a client's, with an empty id, which the caller sets.
+    /// Converts the part request to one like a client's, with an empty id, which the caller sets.
     pub(super) fn into_request(self) -> RequestMessage {
         RequestMessage {
             id: WireId(Arc::from("")),
--- a/crates/scatter_gather/src/api.rs
+++ b/crates/scatter_gather/src/api.rs
@@ -106,15 +106,15 @@
 pub struct GatherRequest {
     /// The request's number, unique within the router.
     pub gather: GatherNo,
-    /// When it may be answered in part.
+    /// When the request may be answered in part.
     pub policy: Arc<Policy>,
-    /// Whether it may be executed more than once.
+    /// Whether the request may be executed more than once.
     pub idempotency: Idempotency,
     /// The requested parts; answers keep their order.
     pub parts: Vec<PartSpec>,
     /// When an answer is in time, and when it is too late.
     pub budget: TimeBudget,
-    /// Purges of its objects that have not converged yet.
+    /// Purges of the request's objects that have not converged yet.
     pub purges: Vec<Purge>,
 }
 
@@ -194,7 +194,7 @@
     PeerEvidence {
         /// The router that observed the site.
         from: RouterId,
-        /// What it observed.
+        /// The observation.
         evidence: Evidence,
     },
     /// The size of the fleet, which bounds the rate of probes.
@@ -240,7 +240,7 @@
 /// Why a request is invalid; no sub-request was sent for it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// It may not be executed any number of times.
+    /// The request is not idempotent.
     #[error("gather: expected an idempotent request, found {0:?}")]
     NotIdempotent(Idempotency),
     /// Too few or too many parts.
--- a/crates/scatter_gather/src/baselines.rs
+++ b/crates/scatter_gather/src/baselines.rs
@@ -1,7 +1,7 @@
 //! Three simpler strategies for scatter-gather requests, for comparison with [`GatherEngine`](crate::GatherEngine) in
 //! experiments.
 //!
-//! Each sends one sub-request for each part, to its preferred site; they differ in when they answer. The invariants on
+//! Each strategy sends one sub-request for each part, to the part's preferred site; they differ in when they answer. The invariants on
 //! versions, purges and partial responses apply to them as well.
 
 use crate::api::{
@@ -18,7 +18,7 @@
 /// When a baseline strategy answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BaselineKind {
-    /// With all parts; at the deadline it fails.
+    /// With all parts; fails at the deadline.
     AllOrNothing,
     /// With all parts, or in part after a fixed share of the latency objective.
     FixedTimeout {
--- a/crates/scatter_gather/src/counters.rs
+++ b/crates/scatter_gather/src/counters.rs
@@ -73,7 +73,7 @@
     /// Responses that the lower tier marked as partial, not used.
     #[serde(rename = "in_part")]
     pub partial_responses: u64,
-    /// Attempts cancelled before they ended.
+    /// Attempts cancelled before their end.
     #[serde(rename = "given_up")]
     pub cancelled_attempts: u64,
     /// Ignored events of attempts that are not in flight: late, duplicate or unknown.
--- a/crates/scatter_gather/src/engine/mod.rs
+++ b/crates/scatter_gather/src/engine/mod.rs
@@ -59,8 +59,8 @@
 }
 
 impl GatherEngine {
-    /// Starts without requests and measurements. `seed` seeds the random draws; it differs between the routers of a
-    /// fleet, so that they don't act in lockstep.
+    /// Starts without requests and measurements. `seed` seeds the random draws. The routers of a fleet have
+    /// different seeds, so that they don't act in lockstep.
     ///
     /// # Errors
     /// [`InvalidSetting`] for the first setting that is out of its range.
--- a/crates/scatter_gather/src/engine/timers.rs
+++ b/crates/scatter_gather/src/engine/timers.rs
@@ -19,7 +19,7 @@
     pub(super) fn run_timers(&mut self, actions: &mut Vec<Action>) {
         let now = timer_key(self.now);
         self.expire_probes(now, actions);
-        // One evaluation each: it either schedules the next one later or ends the request.
+        // Each request is evaluated once: the evaluation either schedules a later one or ends the request.
         let due = self.evaluation_timers.iter().take_while(|(at, _)| *at <= now);
         let due: Vec<GatherNo> = due.map(|(_, gather)| *gather).collect();
         for gather in due {
--- a/crates/scatter_gather/src/site_state.rs
+++ b/crates/scatter_gather/src/site_state.rs
@@ -29,7 +29,7 @@
 /// The weight of a probe's answer in the latency histogram, above 1 since probes are rare.
 const PROBE_ANSWER_WEIGHT: f64 = 4.0;
 
-/// The outcome of an attempt, as it bears on the site. Times are in milliseconds.
+/// The outcome of an attempt, as a signal on the state of its site. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptSignal {
     /// The site answered with data.
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Applies Bayes' rule to an attempt that was cancelled without an answer. It is not missed if an answer was not to be
-    /// expected yet.
+    /// Applies Bayes' rule to an attempt that was cancelled without an answer. The attempt is not missed if an answer was
+    /// not to be expected yet.
     fn record_silence(&mut self, elapsed: Ms, context: &DecisionContext) -> bool {
         let late = (1.0 - self.latency.probability_within(elapsed)).max(MIN_LATE_PROBABILITY);
         let prior = self.failure.local(context.now, context.settings);
--- a/crates/scatter_gather/src/site_table.rs
+++ b/crates/scatter_gather/src/site_table.rs
@@ -105,8 +105,8 @@
         self.entry(now, site).record(signal, source, &context)
     }
 
-    /// Records another router's observation. Returns false if it is not accepted: it is empty, too old or outdated, or
-    /// its site is unknown and half of the table is used.
+    /// Records another router's observation. Returns false if the observation is not accepted: empty, too old, outdated, or
+    /// of an unknown site while half of the table is used.
     pub fn observe_peer(&mut self, now: Ms, from: RouterId, evidence: &Evidence) -> bool {
         let settings = Arc::clone(&self.settings);
         let is_new = !self.sites.contains_key(&evidence.site);
@@ -134,7 +134,7 @@
         true
     }
 
-    /// The observation of a site to publish, unless one was published too recently. It resets the counts.
+    /// The observation of a site to publish, unless one was published too recently. Resets the site's counts.
     pub fn take_observation(&mut self, now: Ms, site: &Site) -> Option<Evidence> {
         let interval = self.settings.min_publish_interval_ms;
         let state = self.sites.get_mut(site)?;
--- a/crates/scatter_gather/src/wait_decision.rs
+++ b/crates/scatter_gather/src/wait_decision.rs
@@ -48,7 +48,7 @@
 /// A possible hedged sub-request.
 struct HedgeCandidate {
     target: HedgeTarget,
-    /// By how much it raises the part's arrival probability, times the value of an answer.
+    /// Increase of the part's arrival probability by the hedge, times the value of an answer.
     gain: f64,
     /// The part's priority weight.
     weight: f64,
