--- a/crates/node/src/bin/basaltgw/plan.rs
+++ b/crates/node/src/bin/basaltgw/plan.rs
@@ -1,18 +1,18 @@
-//! The command `plan`: shows what a settings file plans, and the steps from another file to it.
+//! The command `plan`: shows the plans of a settings file, and the steps to them from another file.
 
 use basaltgw_config::fleet::Fleet;
 use basaltgw_config::{own_settings, OwnSettings};
-use basaltgw_hierarchy::{steps, NodeSpec, Plan, Settings, Tier};
+use basaltgw_hierarchy::{split_into_steps, NodeSpec, Plan, Settings, Tier};
 use basaltgw_node::placement_report::{self, ReportQueries};
 use basaltgw_placement::Table;
 use std::path::Path;
 
-/// The tiers of a cache tree, for its listing.
+/// The tiers that a listing of a cache tree shows.
 const TIERS: std::ops::RangeInclusive<u8> = 0..=8;
-/// Nodes of a tier that are listed by name.
+/// The most nodes of a tier that are listed by name.
 const MAX_LISTED_NODES: usize = 8;
 
-/// The checked plans of a settings file.
+/// The plans of a settings file, after their checks.
 struct PlannedSettings {
     tree: Option<Plan>,
     fleet: Option<Fleet>,
@@ -21,13 +21,13 @@
 impl PlannedSettings {
     fn read(file: &Path) -> Result<Self, String> {
         let OwnSettings { hierarchy, fleet, .. } =
-            own_settings(file, Settings::default().cold).map_err(|e| e.to_string())?;
-        let tree = hierarchy.map(|h| Plan::check(h.plan).map_err(|e| format!("{}: {e}", file.display())));
+            own_settings(file, Settings::default().slow_start).map_err(|e| e.to_string())?;
+        let tree = hierarchy.map(|h| Plan::from_spec(h.plan).map_err(|e| format!("{}: {e}", file.display())));
         Ok(Self { tree: tree.transpose()?, fleet })
     }
 }
 
-/// Compiles the placement rules of a fleet after a table that is in use.
+/// Compiles the placement rules of a fleet, given the table that is in use.
 pub(crate) fn compile_table(fleet: &Fleet, before: Option<&Table>) -> Result<Table, String> {
     placement_report::table(fleet, before)
         .map_err(|faults| format!("fleet {}:\n{}", fleet.cluster, placement_report::faults(fleet, &faults)))
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Checks that the files have the sections that the arguments ask for.
+/// Checks that the files have the sections that the arguments require.
 fn check_sections(
     (file, new): (&Path, &PlannedSettings),
     from: Option<(&Path, &PlannedSettings)>,
@@ -92,15 +92,16 @@
 
 /// Prints the steps from one plan of the cache tree to another.
 fn show_steps(plan: &Plan, old: &Plan) -> Result<(), String> {
-    let steps = steps(old, plan, Settings::default().behind).map_err(|e| e.to_string())?;
+    let steps =
+        split_into_steps(old, plan, Settings::default().max_versions_behind).map_err(|e| e.to_string())?;
     println!("from plan {}: {} steps", old.version(), steps.len());
     let mut before = old;
     for (i, step) in steps.iter().enumerate() {
         let changed = |n: &&NodeSpec| before.node(&n.id).is_none_or(|o| o.sources != n.sources);
         let names: Vec<&str> = step.nodes().iter().filter(changed).map(|n| &*n.id.0).collect();
         let removed = before.nodes().iter().filter(|n| step.node(&n.id).is_none());
-        let gone: Vec<&str> = removed.map(|n| &*n.id.0).collect();
-        println!("step {}: new sources for [{}], leaves [{}]", i + 1, names.join(", "), gone.join(", "));
+        let removed: Vec<&str> = removed.map(|n| &*n.id.0).collect();
+        println!("step {}: new sources for [{}], leaves [{}]", i + 1, names.join(", "), removed.join(", "));
         before = step;
     }
     Ok(())
--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -1,7 +1,7 @@
-//! Starts attempts: permission, message, connection.
+//! Starts attempts: checks the permission, encodes the message, and selects the connection.
 
 use super::{Attempt, Delivery, InFlight, NO_REPORT};
-use crate::caches::{with_timeout, AttemptKey, AttemptRequest, ConnId};
+use crate::caches::{with_timeout, AttemptKey, AttemptRequest, ConnId, OutgoingAttempt};
 use crate::limits::MAX_DEADLINE_MS;
 use crate::outbox::{AttemptRoute, AttemptTimes, BufferedBytes, SendConditions};
 use crate::owner::requests::PendingRequest;
@@ -16,22 +16,22 @@
 struct NewAttempt<'a> {
     key: AttemptKey,
     spec: &'a AttemptSpec,
-    /// When the router cancels it.
+    /// When the attempt times out.
     deadline: Ms,
 }
 
 impl NewAttempt<'_> {
-    /// Who fills a miss, unless the server itself does.
+    /// The server from which a miss is filled, unless the attempt's server fills it itself.
     fn fill_source(&self) -> Option<&ServerId> {
         Some(&self.spec.fill_source).filter(|source| **source != self.spec.server)
     }
 }
 
 impl Owner {
-    /// Starts an attempt if it may; if not, the decision module learns that it was not sent.
+    /// Starts an attempt if that is permitted; otherwise the attempt is reported to the decision module as not sent.
     pub(in crate::owner) fn start_attempt(&mut self, spec: AttemptSpec) {
         let Some(number) = request_no(&spec.request) else { return };
-        // If the client has left and the owner has not handled that yet, this is the request's last attempt.
+        // If the client has left and the owner has not handled that yet, the request is marked as answered, and no further attempt follows.
         if !self.requests.get(number).is_some_and(PendingRequest::client_waits) {
             self.abandon(number);
         }
@@ -80,7 +80,7 @@
             result: None,
         });
         if connection.is_none() {
-            // Also if all connections are in use: that limit is the router's own, and says nothing of the server.
+            // This includes the case that all connections are in use: that is a limit of the router and says nothing about the server.
             return self.report(key, AttemptResult::NotSent, NO_REPORT, Delivery::NextBatch);
         }
         self.schedule.timers.set(new.deadline, TimerKind::AttemptTimeout(key));
@@ -89,52 +89,57 @@
         }
     }
 
-    /// Queues an attempt on a connection; `None` if none may be opened.
+    /// Queues an attempt on a connection; `None` if no connection takes it and none may be opened.
     fn send(&mut self, new: &NewAttempt<'_>) -> Option<InFlight> {
         let pending = self.requests.get(new.key.request)?;
         let place = *self.upstream.endpoints.get(&new.spec.server)?;
         let message = self.encode(pending, new);
-        let terms = self.fetch_terms(pending, new);
+        let conditions = self.send_conditions(pending, new);
         let key = new.key;
         if let Some(class) = self.config.class(pending.class) {
             let ids = format_args!("request {}, attempt {}", key.request.0, key.attempt.0);
             self.monitors.invariants.check_attempt(class.idempotency, pending.results(), ids);
         }
-        let used: Vec<ConnId> = pending.attempts.iter().filter_map(|a| a.connection).collect();
-        let request = (&pending.request.id, &used[..], pending.is_write());
-        let to = (&new.spec.server, place);
-        let caches = &mut self.upstream.caches;
-        let sent = caches.send(self.time.now, to, key, request, (message, terms));
+        let used_connections: Vec<ConnId> = pending.attempts.iter().filter_map(|a| a.connection).collect();
+        let attempt = OutgoingAttempt {
+            key,
+            id: &pending.request.id,
+            used_connections: &used_connections,
+            exclusive: pending.is_write(),
+            message,
+            conditions,
+        };
+        let sent = self.upstream.caches.send(self.time.now, &new.spec.server, place, attempt);
         sent.map(|(connection, message)| InFlight { connection, message })
     }
 
-    /// The message of an attempt.
+    /// Encodes the message of an attempt.
     fn encode(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> Vec<u8> {
         let (request, spec) = (&pending.request, new.spec);
-        let ask = AttemptRequest {
+        let message = AttemptRequest {
             id: &request.id,
             class: &request.class,
             object: &request.object_text,
             part: request.part.0,
-            wait: new.deadline - self.time.now,
-            from: new.fill_source(),
+            timeout_ms: new.deadline - self.time.now,
+            fill_source: new.fill_source(),
             rank: spec.rank,
-            oldest: spec.max_age,
-            share: spec.join_fill,
-            peek: spec.cached_only,
-            renew: spec.revalidate,
-            seen: request.copy_tag.as_deref(),
-            key: request.idempotency_key.as_deref(),
+            max_age_ms: spec.max_age,
+            join_fill: spec.join_fill,
+            cached_only: spec.cached_only,
+            revalidate: spec.revalidate,
+            copy_tag: request.copy_tag.as_deref(),
+            idempotency_key: request.idempotency_key.as_deref(),
             body: pending.body.as_ref().map_or(&[][..], BufferedBytes::bytes),
         };
-        ask.encode()
+        message.encode()
     }
 
-    /// What the writer of the connection checks when the first byte is written.
-    fn fetch_terms(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> SendConditions {
+    /// The conditions that the connection's writer checks before it writes the first byte.
+    fn send_conditions(&self, pending: &PendingRequest, new: &NewAttempt<'_>) -> SendConditions {
         let now = Instant::now();
         let clock_now = self.time.clock.now();
-        // Times of the owner's clock in the terms of the writers.
+        // Converts a time of the owner's clock to the `Instant` that the writers use.
         let instant = |at: Ms| now + duration((at - clock_now).clamp(0.0, MAX_DEADLINE_MS));
         let spec = new.spec;
         SendConditions {
@@ -150,9 +155,9 @@
             drain_grace: duration(self.config.drain_grace),
             ids: (new.key.request.0, new.key.attempt.0),
             invariants: Rc::clone(&self.monitors.invariants),
-            stalls: Rc::clone(&self.monitors.stalls),
+            pause_detector: Rc::clone(&self.monitors.pause_detector),
             route: pending.class.map(|class| AttemptRoute {
-                to: [Some(spec.server.clone()), new.fill_source().cloned()],
+                servers: [Some(spec.server.clone()), new.fill_source().cloned()],
                 class: class.0,
                 watch: Rc::clone(&self.monitors.slow_start),
             }),
