--- a/crates/scatter_gather/src/sim/mod.rs
+++ b/crates/scatter_gather/src/sim/mod.rs
@@ -1,5 +1,5 @@
 //! Scatter-gather requests in simulated time: routers send sub-requests to sites while one site has a fault, once with the
-//! engine ([`GatherEngine`](crate::GatherEngine)) and once with each baseline, with the same requests and random draws.
+//! engine ([`GatherEngine`]) and once with each baseline, with the same requests and random draws.
 //!
 //! Times are in milliseconds. The same setup and seed give the same results to the last bit.
 
