--- a/crates/placement/src/adoption_model_tests.rs
+++ b/crates/placement/src/adoption_model_tests.rs
@@ -123,16 +123,26 @@
 #[derive(Clone, Debug, PartialEq)]
 enum ModelAction {
     /// A router learns the present content of the register.
-    Learn(usize),
+    Learn {
+        router: usize,
+    },
     /// A router syncs the moving shard from a mask of routers.
-    Sync(usize, u8),
-    Crash(usize),
-    /// An operator proposes its table.
-    Propose(usize),
+    Sync {
+        router: usize,
+        sources: u8,
+    },
+    Crash {
+        router: usize,
+    },
+    Propose {
+        operator: usize,
+    },
     Withdraw,
     Advance,
     /// The write is committed by a mask of routers.
-    Write(u8),
+    Write {
+        replicas: u8,
+    },
 }
 
 fn routers_in(mask: u8) -> impl Iterator<Item = usize> {
@@ -241,17 +251,17 @@
         for router in 0..ROUTERS {
             let bit = 1 << router;
             if state.durable & bit == 0 || state.epochs[router] != Some(epoch) {
-                actions.push(ModelAction::Learn(router));
+                actions.push(ModelAction::Learn { router });
             }
             if state.epochs[router].is_some() && state.changes.len() >= 2 {
-                actions.push(ModelAction::Crash(router));
+                actions.push(ModelAction::Crash { router });
             }
         }
         if let Some((_, from, to)) = history.moving {
             for router in routers_in(to & state.durable & Self::serving(state, epoch) & !state.synced) {
                 let available = from & Self::serving(state, epoch);
                 let sources = minimal_masks(move |m| m & !available == 0 && has_majority(from, m));
-                actions.extend(sources.map(|m| ModelAction::Sync(router, m)));
+                actions.extend(sources.map(|sources| ModelAction::Sync { router, sources }));
             }
         }
         if state.written_at == 0 {
@@ -259,10 +269,12 @@
                 let (groups, serving) = (history.groups(WRITTEN_SHARD, e).to_vec(), Self::serving(state, e));
                 minimal_masks(move |m| m & !serving == 0 && groups.iter().all(|g| has_majority(*g, m)))
             });
-            actions.extend(quorums.map(ModelAction::Write));
+            actions.extend(quorums.map(|replicas| ModelAction::Write { replicas }));
         }
         if state.changes.len() < MAX_CHANGES {
-            actions.extend((0..2).filter(|o| !state.proposed[*o]).map(ModelAction::Propose));
+            actions.extend(
+                (0..2).filter(|o| !state.proposed[*o]).map(|operator| ModelAction::Propose { operator }),
+            );
             if register.propose(&Self::router_id(0), &Proposal::Withdraw).is_ok()
                 && !state.changes.contains(&Change::Withdraw)
             {
@@ -282,20 +294,20 @@
         let history = self.history(last);
         let register = history.last();
         match action {
-            ModelAction::Learn(router) => {
+            ModelAction::Learn { router } => {
                 state.epochs[router] = Some(register.epoch() as u8);
                 state.durable |= 1 << router;
             }
-            ModelAction::Sync(router, from) => {
+            ModelAction::Sync { router, sources } => {
                 state.synced |= 1 << router;
                 let is_written =
                     history.moving.is_some_and(|(shard, _, _)| usize::from(shard.0) == WRITTEN_SHARD);
-                if is_written && from & state.written_at != 0 {
+                if is_written && sources & state.written_at != 0 {
                     state.written_at |= 1 << router;
                 }
             }
-            ModelAction::Crash(router) => state.epochs[router] = None,
-            ModelAction::Propose(operator) => {
+            ModelAction::Crash { router } => state.epochs[router] = None,
+            ModelAction::Propose { operator } => {
                 state.proposed[operator] = true;
                 match register
                     .propose(&Self::router_id(operator), &Proposal::NewTable(self.new[operator].clone()))
@@ -311,7 +323,7 @@
             }
             ModelAction::Withdraw => state.push(Change::Withdraw),
             ModelAction::Advance => state.push(Change::Advance),
-            ModelAction::Write(by) => state.written_at = by,
+            ModelAction::Write { replicas } => state.written_at = replicas,
         }
         Some(state)
     }
--- a/crates/placement/src/assignment.rs
+++ b/crates/placement/src/assignment.rs
@@ -18,8 +18,17 @@
     pub weight: u64,
     /// Number of its failure domain, from 0.
     pub domain: usize,
-    /// The rules of `never together` that name it, ascending, each with the index of the operand that it belongs to.
-    pub exclusions: Vec<(u16, u16)>,
+    /// Its operands in the rules `never together`, ascending by rule.
+    pub exclusions: Vec<ExcludedOperand>,
+}
+
+/// An operand of a rule `never together`: routers of different operands of the same rule exclude each other.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ExcludedOperand {
+    /// Number of the rule.
+    pub rule: u16,
+    /// Number of the operand in the rule.
+    pub operand: u16,
 }
 
 /// The size of an assignment.
@@ -46,9 +55,10 @@
 
 /// Whether a rule of `never together` forbids two routers to store the same shard.
 fn are_exclusive(a: &Candidate, b: &Candidate) -> bool {
-    let operand_of_b =
-        |rule: u16| b.exclusions.binary_search_by_key(&rule, |o| o.0).ok().map(|i| b.exclusions[i].1);
-    a.exclusions.iter().any(|(rule, operand)| operand_of_b(*rule).is_some_and(|o| o != *operand))
+    let operand_of_b = |rule: u16| {
+        b.exclusions.binary_search_by_key(&rule, |e| e.rule).ok().map(|i| b.exclusions[i].operand)
+    };
+    a.exclusions.iter().any(|e| operand_of_b(e.rule).is_some_and(|operand| operand != e.operand))
 }
 
 /// Random weight of a router for a shard, the same on every machine. The highest wins.
--- a/crates/placement/src/register.rs
+++ b/crates/placement/src/register.rs
@@ -60,17 +60,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRegister {
     /// More bytes than [`MAX_REGISTER_BYTES`].
-    #[error("table register of {0} bytes; expected at most {MAX_REGISTER_BYTES}")]
-    TooLong(usize),
+    #[error("table register of {bytes} bytes; expected at most {MAX_REGISTER_BYTES}")]
+    TooLong {
+        /// Size of the encoded register.
+        bytes: usize,
+    },
     /// The bytes can't be decoded.
     #[error("table register can't be decoded: {0}")]
     Undecodable(#[from] postcard::Error),
     /// One of its tables is invalid.
     #[error("table register with an invalid table: {0}")]
     Table(#[from] InvalidTable),
-    /// Its parts contradict each other; what was expected.
-    #[error("invalid table register: expected {0}")]
-    Inconsistent(&'static str),
+    /// Its parts contradict each other.
+    #[error("invalid table register: expected {expected}")]
+    Inconsistent {
+        /// The property that the register lacks.
+        expected: &'static str,
+    },
 }
 
 /// A requested change of the table, by an operator or by a router that saw the inventory change.
--- a/crates/placement/src/register_encoding.rs
+++ b/crates/placement/src/register_encoding.rs
@@ -37,10 +37,13 @@
     /// If there are too many bytes, they can't be decoded, a table is invalid, or the parts contradict each other.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, InvalidRegister> {
         if bytes.len() > MAX_REGISTER_BYTES {
-            return Err(InvalidRegister::TooLong(bytes.len()));
+            return Err(InvalidRegister::TooLong { bytes: bytes.len() });
         }
         let encoded: EncodedRegister = postcard::from_bytes(bytes)?;
-        let expect = |ok: bool, what| if ok { Ok(()) } else { Err(InvalidRegister::Inconsistent(what)) };
+        let expect = |ok: bool, expected| match ok {
+            true => Ok(()),
+            false => Err(InvalidRegister::Inconsistent { expected }),
+        };
         expect(
             encoded.epoch > 0 && encoded.term >= encoded.epoch,
             "an epoch above 0 and a term that is not below it",
--- a/crates/placement/src/replica_constraints.rs
+++ b/crates/placement/src/replica_constraints.rs
@@ -1,6 +1,6 @@
 //! Checks whether the rules permit any choice of replicas, and finds the candidates.
 
-use crate::assignment::{find_replica_group, Candidate};
+use crate::assignment::{find_replica_group, Candidate, ExcludedOperand};
 use crate::ast::{EntryKind, Name, OperandKind, Rule, Spread};
 use crate::conflict::minimal_conflict;
 use crate::diagnostic::{DraftDiagnostic, SourceSpan};
@@ -162,12 +162,12 @@
         let routers = &self.resolver.inventory.routers;
         let indexes: Vec<usize> =
             (0..routers.len()).filter(|i| routers[*i].accepts_replicas && is_permitted(i)).collect();
-        let mut exclusions: BTreeMap<usize, Vec<(u16, u16)>> = BTreeMap::new();
+        let mut exclusions: BTreeMap<usize, Vec<ExcludedOperand>> = BTreeMap::new();
         let used_exclusions =
             self.exclusions.iter().enumerate().filter(|(i, _)| used.contains(&(i + FIRST_EXCLUSION)));
         for (rule, exclusion) in used_exclusions {
             for (operand, routers) in exclusion.operands.iter().enumerate() {
-                let entry = (rule as u16, operand as u16);
+                let entry = ExcludedOperand { rule: rule as u16, operand: operand as u16 };
                 routers.iter().for_each(|r| exclusions.entry(*r).or_default().push(entry));
             }
         }
--- a/crates/placement/src/steps.rs
+++ b/crates/placement/src/steps.rs
@@ -27,8 +27,10 @@
     pub shards: Vec<MovedShard>,
     /// Number of shards of the tables.
     pub shard_count: usize,
-    /// Members that leave the replicas of the root, and members that join them.
-    pub root: (Vec<Member>, Vec<Member>),
+    /// Members that were replicas of the root and are not any more.
+    pub root_left: Vec<Member>,
+    /// Members that become replicas of the root.
+    pub root_joined: Vec<Member>,
     /// Number of joint steps.
     pub steps: usize,
 }
@@ -61,12 +63,14 @@
         let (left, joined) = left_and_joined(old, new);
         MovedShard { shard, left, joined }
     });
+    let (root_left, root_joined) = left_and_joined(&old.root(), &new.root());
     ShardMoves {
         from: old.version(),
         to: new.version(),
         shards: moved.collect(),
         shard_count: new.shard_count(),
-        root: left_and_joined(&old.root(), &new.root()),
+        root_left,
+        root_joined,
         steps: portions(old, new).len(),
     }
 }
@@ -90,7 +94,7 @@
             "version {} to {}: {shards} of {} shards move, {copies} copies, in {} steps",
             self.from.0, self.to.0, self.shard_count, self.steps
         )?;
-        let (left, joined) = &self.root;
+        let (left, joined) = (&self.root_left, &self.root_joined);
         if !left.is_empty() || !joined.is_empty() {
             writeln!(f, "root: {} to {}", names(left), names(joined))?;
         }
--- a/crates/placement/src/table.rs
+++ b/crates/placement/src/table.rs
@@ -14,17 +14,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidTable {
     /// More bytes than [`MAX_TABLE_BYTES`].
-    #[error("table of {0} bytes; expected at most {MAX_TABLE_BYTES}")]
-    TooLong(usize),
+    #[error("table of {bytes} bytes; expected at most {MAX_TABLE_BYTES}")]
+    TooLong {
+        /// Size of the encoded table.
+        bytes: usize,
+    },
     /// The bytes can't be decoded.
     #[error("table can't be decoded: {0}")]
     Undecodable(#[from] postcard::Error),
     /// The bytes can be decoded, but the table is encoded as other bytes.
-    #[error("table of {0} bytes is not in canonical form")]
-    NonCanonical(usize),
-    /// Its parts contradict each other; what was expected.
-    #[error("invalid table: expected {0}")]
-    Inconsistent(&'static str),
+    #[error("table of {bytes} bytes is not in canonical form")]
+    NonCanonical {
+        /// Size of the given bytes.
+        bytes: usize,
+    },
+    /// Its parts contradict each other.
+    #[error("invalid table: expected {expected}")]
+    Inconsistent {
+        /// The property that the table lacks.
+        expected: &'static str,
+    },
 }
 
 /// A cache named by a table, for [`CacheSet::contains`].
@@ -109,7 +118,7 @@
     pub(crate) fn new(body: TableBody) -> Result<Self, InvalidTable> {
         let bytes = postcard::to_stdvec(&body)?;
         if bytes.len() > MAX_TABLE_BYTES {
-            return Err(InvalidTable::TooLong(bytes.len()));
+            return Err(InvalidTable::TooLong { bytes: bytes.len() });
         }
         body.check()?;
         let hash = TableHash(*blake3::hash(&bytes).as_bytes());
@@ -149,12 +158,12 @@
     /// If there are too many bytes, they can't be decoded, are not as [`Table::bytes`] encodes them, or the parts contradict each other.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, InvalidTable> {
         if bytes.len() > MAX_TABLE_BYTES {
-            return Err(InvalidTable::TooLong(bytes.len()));
+            return Err(InvalidTable::TooLong { bytes: bytes.len() });
         }
         let table = Self::new(postcard::from_bytes(bytes)?)?;
         match *table.bytes == *bytes {
             true => Ok(table),
-            false => Err(InvalidTable::NonCanonical(bytes.len())),
+            false => Err(InvalidTable::NonCanonical { bytes: bytes.len() }),
         }
     }
 
--- a/crates/placement/src/table_body.rs
+++ b/crates/placement/src/table_body.rs
@@ -98,10 +98,10 @@
     distinct && indexes.iter().all(|i| usize::from(*i) < len)
 }
 
-fn expect(ok: bool, what: &'static str) -> Result<(), InvalidTable> {
+fn expect(ok: bool, expected: &'static str) -> Result<(), InvalidTable> {
     match ok {
         true => Ok(()),
-        false => Err(InvalidTable::Inconsistent(what)),
+        false => Err(InvalidTable::Inconsistent { expected }),
     }
 }
 
