--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -3,7 +3,7 @@
 use basaltgw::api::EndpointState;
 use basaltgw_hierarchy::{PlanSpec, Settings};
 use basaltgw_simulator::fleet::NodeInfo;
-use basaltgw_simulator::sim::{Setup, AIM_STRETCH};
+use basaltgw_simulator::sim::{Setup, LATENCY_OBJECTIVE_STRETCH};
 use basaltgw_simulator::spec::EffectSpec;
 use serde_json::{json, Value};
 use std::fmt::Write;
@@ -66,7 +66,7 @@
         .map(|c| {
             let effect = if c.effect == EffectSpec::Safe { "read_like" } else { "non_idempotent" };
             json!({"name": c.name, "idempotency": effect, "slo": c.aim_ms, "deadline": c.deadline_ms, "worth": c.worth,
-                   "late-worth": c.late_worth, "aim-stretch": AIM_STRETCH})
+                   "late-worth": c.late_worth, "aim-stretch": LATENCY_OBJECTIVE_STRETCH})
         })
         .collect();
     let rules = &setup.fleet.rules;
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -4,7 +4,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use basaltgw_resp::{encode, Decoder, MessageLimits};
-use basaltgw_simulator::fleet::NodeIx;
+use basaltgw_simulator::fleet::NodeIndex;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -22,7 +22,7 @@
         /// Which router.
         router: usize,
         /// Which node.
-        node: NodeIx,
+        node: NodeIndex,
         /// On which connection.
         conn: ConnId,
         /// What is sent here is written back.
@@ -89,7 +89,7 @@
 pub async fn serve(
     net: Net,
     router: usize,
-    node: NodeIx,
+    node: NodeIndex,
     at: SocketAddr,
     first: TcpListener,
     status: Rc<Status>,
@@ -125,7 +125,7 @@
     }
 }
 
-async fn connection(net: Net, router: usize, node: NodeIx, socket: Async<TcpStream>, status: Rc<Status>) {
+async fn connection(net: Net, router: usize, node: NodeIndex, socket: Async<TcpStream>, status: Rc<Status>) {
     let (conn, life) = (net.next(), status.life.get());
     let (out, written) = async_channel::bounded::<Vec<u8>>(UNSENT);
     let _ = socket.get_ref().set_nodelay(true);
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -3,16 +3,18 @@
 use super::*;
 
 impl<'a> World<'a> {
-    pub(super) fn advance(&mut self, told: &mut Vec<Told>) {
+    pub(super) fn advance(&mut self, told: &mut Vec<FleetEvent>) {
         let now = self.now();
         self.fleet.advance(now, told);
         for t in told.drain(..) {
             match t {
-                Told::Answer(id, reply) => self.replied(now, id, reply),
-                Told::Effect(effect) => self.checker.see(now, Seen::Effect(effect)),
-                Told::Fell(node) => {
+                FleetEvent::Response { request, response } => self.replied(now, request, response),
+                FleetEvent::WriteExecuted { write: effect } => {
+                    self.checker.observe(now, Observation::WriteExecuted { write: effect })
+                }
+                FleetEvent::ColdNodeOverloaded { node } => {
                     self.down(node);
-                    self.checker.see(now, Seen::Fell(node));
+                    self.checker.observe(now, Observation::ColdNodeOverloaded { node });
                 }
             }
         }
@@ -43,27 +45,29 @@
                 Ev::Due(no) => self.time_up(now, no),
                 Ev::Left(no) => {
                     if let Some(r) = self.requests.remove(&no) {
-                        self.checker.see(now, Seen::Left((r.router, no)));
+                        self.checker.observe(now, Observation::ClientLeft { request: (r.router, no) });
                     }
                 }
                 Ev::Script(i) => self.moment(now, i)?,
                 Ev::Tell(r, generation, kind, payload, seen) => {
                     // What a process was to be told is known to the next one from its start.
                     if generation != self.generation(r) {
-                        seen.into_iter().for_each(|seen| self.checker.see(now, seen));
+                        seen.into_iter().for_each(|seen| self.checker.observe(now, seen));
                         continue;
                     }
                     self.seats[r].told += 1;
                     let number = self.seats[r].told;
                     self.seats[r].frames.borrow_mut().push((number, frame(number, kind, &payload)));
                     match (seen, self.deaf_until(now, r)) {
-                        (Some(seen), Some(until)) if !matches!(seen, Seen::Drained(.., false)) => {
+                        (Some(seen), Some(until))
+                            if !matches!(seen, Observation::NodeListed { up: true, .. }) =>
+                        {
                             self.at(until, Ev::Told(seen));
                         }
-                        (seen, _) => seen.into_iter().for_each(|seen| self.checker.see(now, seen)),
+                        (seen, _) => seen.into_iter().for_each(|seen| self.checker.observe(now, seen)),
                     }
                 }
-                Ev::Told(seen) => self.checker.see(now, seen),
+                Ev::Told(seen) => self.checker.observe(now, seen),
                 Ev::Cancel(no) => self.cancel(now, no),
                 Ev::Fault(i) => self.fault(now, i).await,
                 Ev::FaultOver(i) => self.fault_over(now, i),
@@ -76,14 +80,14 @@
                         .min(self.setup.load.classes.len() - 1);
                     let most = self.setup.load.classes[class].objects.clamp(1, 200);
                     let rank = self.between([0.0, most as f64]) as u64;
-                    self.purge(now, Some(object_of(class, rank)), 0);
+                    self.purge(now, Some(object_id(class, rank)), 0);
                     let gap = self.between([0.5, 1.5]) * 1000.0 / self.setup.load.purges_per_s;
                     if now + gap < self.setup.length_ms {
                         self.at(now + gap, Ev::Purges);
                     }
                 }
                 Ev::Tidy => {
-                    self.checker.tidy(now);
+                    self.checker.expire(now);
                     self.look_at_all(now);
                     self.at(now + 1_000.0, Ev::Tidy);
                 }
@@ -126,14 +130,23 @@
         fields.add("o", hex(what.object));
         fields.add("nth", what.part);
         fields.add("batch", what.group);
-        fields.add("m", format!("{:.2}", what.kb));
+        fields.add("m", format!("{:.2}", what.size_kb));
         let body: &[u8] = if unsafe_ { b"a loan" } else { b"" };
         let words =
             [&b"DO"[..], tag.to_string().as_bytes(), class.name.as_bytes(), fields.as_str().as_bytes(), body]
                 .map(<[u8]>::to_vec);
         let words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
         let _ = client.out.try_send(encode(&words));
-        self.checker.see(now, Seen::Taken((r, no), unsafe_, what.object, what.group, due));
+        self.checker.observe(
+            now,
+            Observation::RequestAccepted {
+                request: (r, no),
+                non_idempotent: unsafe_,
+                object: what.object,
+                group: what.group,
+                deadline: due,
+            },
+        );
         let request = Request { router: r, member, answered: false, attempts: 0, conn, tag, sent: now };
         self.requests.insert(no, request);
         // Under faults each answer is judged, with the slack that sockets have.
@@ -178,14 +191,14 @@
         let what = &member.what;
         let class = &self.setup.load.classes[what.class];
         let how = match text(1) {
-            "200" => Final::Served,
-            "503" => Final::Refused,
-            _ => Final::Failed,
+            "200" => ClientResult::Served,
+            "503" => ClientResult::Rejected,
+            _ => ClientResult::Failed,
         };
-        self.checker.see(now, Seen::Answered((router, no), how));
+        self.checker.observe(now, Observation::ClientAnswered { request: (router, no), result: how });
         let took = now - what.at;
         match how {
-            Final::Served => {
+            ClientResult::Served => {
                 self.out.served += 1;
                 let whole = class.effect == EffectSpec::Unsafe
                     || words
@@ -193,21 +206,23 @@
                         .is_some_and(|b| *b == body(FillKey { object: what.object, part: what.part }));
                 self.out.wrong += u64::from(!whole);
                 self.waits.saturating_record((took.max(0.0) * 1000.0) as u64 + 1);
-                let aim = class.aim_ms + AIM_STRETCH * what.kb / self.setup.fleet.net.pace_kb_per_ms;
+                let aim = class.aim_ms
+                    + LATENCY_OBJECTIVE_STRETCH * what.size_kb / self.setup.fleet.net.pace_kb_per_ms;
                 let worth = class.worth * if took <= aim { 1.0 } else { class.late_worth };
                 self.out.worth_late += worth;
                 if took <= aim {
                     self.out.seconds[(what.at / 1000.0) as usize].1 += class.worth;
                 }
             }
-            Final::Refused => self.out.refused += 1,
-            Final::Failed => self.out.failed += 1,
+            ClientResult::Rejected => self.out.refused += 1,
+            ClientResult::Failed => self.out.failed += 1,
         }
         let stay = Fields::parse(words.get(2).map_or(&[][..], Vec::as_slice))
             .and_then(|f| f.decimal("w"))
             .unwrap_or(0.0);
         let again = now + self.setup.load.backoff_ms.max(stay);
-        let may = how != Final::Served && (class.effect == EffectSpec::Safe || how == Final::Refused);
+        let may = how != ClientResult::Served
+            && (class.effect == EffectSpec::Safe || how == ClientResult::Rejected);
         if may && member.tries < self.setup.load.retries && again < what.at + class.deadline_ms {
             let tries = member.tries + 1;
             self.at(again, Ev::Again(router, Member { tries, ..member }));
@@ -223,7 +238,7 @@
                 self.asked(now, (router, node, conn), out, &words)
             }
             Input::Closed(conn) => {
-                let lost: Vec<AskId> =
+                let lost: Vec<NodeRequestId> =
                     self.asks.iter().filter(|(_, w)| w.conn == conn).map(|(id, _)| *id).collect();
                 lost.into_iter().for_each(|id| self.gone(now, id));
             }
@@ -247,11 +262,18 @@
     }
 
     /// An attempt whose end nobody hears.
-    pub(super) fn gone(&mut self, now: Ms, id: AskId) {
-        self.fleet.abort(now, id);
+    pub(super) fn gone(&mut self, now: Ms, id: NodeRequestId) {
+        self.fleet.cancel(now, id);
         if let Some(w) = self.asks.remove(&id) {
             self.by_wire.remove(&(w.conn, w.wire));
-            self.checker.see(now, Seen::Ended((id.router, w.request), w.attempt, Ran::Maybe));
+            self.checker.observe(
+                now,
+                Observation::AttemptEnded {
+                    request: (id.router, w.request),
+                    attempt: w.attempt,
+                    execution: Execution::Unknown,
+                },
+            );
         }
     }
 }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -15,11 +15,14 @@
 use basaltgw::api::{AttemptResult, EndpointState, FillReport, Rank};
 use basaltgw_hierarchy::{FillKey, NodeId, Plan, PlanSpec};
 use basaltgw_resp::{encode, FieldEncoder, Fields};
-use basaltgw_simulator::arrivals::{object as object_of, Arrival, Arrivals};
-use basaltgw_simulator::checker::{Checker, Final, Ran, Rule, Seen};
-use basaltgw_simulator::fleet::{nodes, Ask, AskId, Counts, Fleet, NodeInfo, NodeIx, Reply, Told, Trouble};
-use basaltgw_simulator::sim::{plan, Setup, AIM_STRETCH};
-use basaltgw_simulator::spec::{EffectSpec, Rules, What};
+use basaltgw_simulator::arrivals::{object_id, Arrival, Arrivals};
+use basaltgw_simulator::checker::{Checker, ClientResult, Execution, Observation, Rule};
+use basaltgw_simulator::fleet::{
+    nodes, Counts, Fleet, FleetEvent, NodeFault, NodeIndex, NodeInfo, NodeRequest, NodeRequestId,
+    NodeResponse,
+};
+use basaltgw_simulator::sim::{plan_spec, Setup, LATENCY_OBJECTIVE_STRETCH};
+use basaltgw_simulator::spec::{EffectSpec, RuleLimits, ScriptAction};
 use basaltgw_simulator::{rng, Ms, Rng};
 use futures_lite::future;
 use hdrhistogram::Histogram;
@@ -120,18 +123,18 @@
     Left(u64),
     Script(usize),
     /// To a router's process of that generation.
-    Tell(usize, u64, u8, Vec<u8>, Option<Seen>),
+    Tell(usize, u64, u8, Vec<u8>, Option<Observation>),
     Fault(usize),
     FaultOver(usize),
     /// What counts as told only now.
-    Told(Seen),
+    Told(Observation),
     /// A client loses patience.
     Cancel(u64),
     /// A router ends or starts.
     Seat(usize),
     Hup(usize, String),
-    Start(NodeIx),
-    Talk(NodeIx),
+    Start(NodeIndex),
+    Talk(NodeIndex),
     Purges,
     Tidy,
 }
@@ -157,8 +160,8 @@
     checker: Checker,
     requests: HashMap<u64, Request>,
     requests_ever: u64,
-    asks: HashMap<AskId, Waiting>,
-    by_wire: HashMap<(ConnId, String), AskId>,
+    asks: HashMap<NodeRequestId, Waiting>,
+    by_wire: HashMap<(ConnId, String), NodeRequestId>,
     evs: HashMap<u64, Ev>,
     due: BinaryHeap<Reverse<(u64, u64)>>,
     evs_ever: u64,
@@ -280,7 +283,7 @@
             self.last_words(r);
         }
         self.soak_over();
-        self.checker.tidy(now);
+        self.checker.expire(now);
         let asked: f64 = self.out.seconds.iter().map(|s| s.0).sum::<f64>().max(f64::MIN_POSITIVE);
         self.out.worth = self.out.seconds.iter().map(|s| s.1).sum::<f64>() / asked;
         self.out.worth_late /= asked;
@@ -288,7 +291,7 @@
         self.out.p99 = self.waits.value_at_quantile(0.99) as f64 / 1000.0;
         self.out.late_p99 = self.lags.value_at_quantile(0.99) as f64 / 1000.0;
         self.out.counts = self.fleet.counts.clone();
-        self.out.broken.clone_from(self.checker.report());
+        self.out.broken.clone_from(self.checker.violations());
         (self.out, self.soak.map(|soak| soak.report).unwrap_or_default())
     }
 }
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -6,7 +6,7 @@
     pub(super) fn asked(
         &mut self,
         now: Ms,
-        (router, node, conn): (usize, NodeIx, ConnId),
+        (router, node, conn): (usize, NodeIndex, ConnId),
         out: Sender<Vec<u8>>,
         words: &[Vec<u8>],
     ) {
@@ -36,14 +36,14 @@
         let mode: Vec<&str> = fields.get("mode").unwrap_or_default().split('+').collect();
         let oldest = fields.decimal("oldest").filter(|o| *o > 0.0);
         let fresh = Some(class.fresh_ms).filter(|f| *f > 0.0);
-        let source = fields.get("from").and_then(|id| self.fleet.find(&NodeId::new(id)));
-        let id = AskId { router, number: no << 4 | (attempt as u64).min(15) };
-        let ask = Ask {
+        let source = fields.get("from").and_then(|id| self.fleet.node_by_id(&NodeId::new(id)));
+        let id = NodeRequestId { router, number: no << 4 | (attempt as u64).min(15) };
+        let ask = NodeRequest {
             id,
             key: FillKey { object: what.object, part: what.part },
             group: what.group,
-            kb: what.kb,
-            from: source,
+            size_kb: what.size_kb,
+            fill_source: source,
             rank: match fields.get("rank") {
                 Some("1") => Rank::Low,
                 Some("2") => Rank::Middle,
@@ -51,37 +51,47 @@
                 _ => Rank::None,
             },
             max_age: oldest.or(fresh),
-            grace: if oldest.is_none() && mode.contains(&"swr") { class.grace_ms } else { 0.0 },
-            join: mode.contains(&"share"),
-            held_only: mode.contains(&"peek"),
-            effect: (class.effect == EffectSpec::Unsafe).then_some(no),
-            wait: fields.decimal("w").unwrap_or(class.deadline_ms),
+            stale_for: if oldest.is_none() && mode.contains(&"swr") { class.grace_ms } else { 0.0 },
+            join_fill: mode.contains(&"share"),
+            cached_only: mode.contains(&"peek"),
+            write: (class.effect == EffectSpec::Unsafe).then_some(no),
+            timeout: fields.decimal("w").unwrap_or(class.deadline_ms),
         };
-        self.checker.see(now, Seen::Sent((router, no), attempt, node, source));
+        self.checker.observe(
+            now,
+            Observation::AttemptStarted { request: (router, no), attempt, node, fill_source: source },
+        );
         let zone = self.seats[router].zone;
         self.by_wire.insert((conn, wire.clone()), id);
         self.asks.insert(id, Waiting { conn, out, wire, request: no, attempt });
-        self.fleet.ask(now, zone, node, ask);
+        self.fleet.send(now, zone, node, ask);
     }
 
-    pub(super) fn replied(&mut self, now: Ms, id: AskId, reply: Reply) {
+    pub(super) fn replied(&mut self, now: Ms, id: NodeRequestId, reply: NodeResponse) {
         let Some(w) = self.asks.remove(&id) else { return };
         self.by_wire.remove(&(w.conn, w.wire.clone()));
         let request = self.requests.get(&w.request);
         let key = request.map(|r| FillKey { object: r.member.what.object, part: r.member.what.part });
         let unsafe_ = request
             .is_some_and(|r| self.setup.load.classes[r.member.what.class].effect == EffectSpec::Unsafe);
-        let ran = match reply.end {
-            AttemptResult::Served => Ran::Served((!unsafe_).then_some(reply.born)),
-            AttemptResult::Rejected | AttemptResult::CacheMiss | AttemptResult::NotSent => Ran::Never,
+        let ran = match reply.result {
+            AttemptResult::Served => {
+                Execution::Served { origin_time: (!unsafe_).then_some(reply.origin_time) }
+            }
+            AttemptResult::Rejected | AttemptResult::CacheMiss | AttemptResult::NotSent => {
+                Execution::NotExecuted
+            }
             AttemptResult::Error
             | AttemptResult::TimedOut
             | AttemptResult::ConnectionLost
             | AttemptResult::Cancelled
-            | AttemptResult::NoConnection => Ran::Maybe,
+            | AttemptResult::NoConnection => Execution::Unknown,
         };
-        self.checker.see(now, Seen::Ended((id.router, w.request), w.attempt, ran));
-        let note = match reply.note {
+        self.checker.observe(
+            now,
+            Observation::AttemptEnded { request: (id.router, w.request), attempt: w.attempt, execution: ran },
+        );
+        let note = match reply.fill_report {
             FillReport::NotReported => None,
             FillReport::Hit => Some("hit"),
             FillReport::FilledBySource => Some("filled"),
@@ -95,7 +105,7 @@
             FillReport::OriginFailed => Some("origin_failed"),
             FillReport::LoopDetected => Some("src_looped"),
         };
-        let word: &[u8] = match reply.end {
+        let word: &[u8] = match reply.result {
             AttemptResult::Served => b"ok",
             AttemptResult::CacheMiss => b"nothing",
             AttemptResult::Rejected => b"refused",
@@ -105,13 +115,13 @@
             AttemptResult::ConnectionLost | AttemptResult::NoConnection => return,
         };
         let mut fields = FieldEncoder::default();
-        if reply.end == AttemptResult::Served {
-            fields.add("ver", hex(reply.born.to_bits()));
-            fields.add("born", (self.unix + reply.born).max(0.0) as u64);
+        if reply.result == AttemptResult::Served {
+            fields.add("ver", hex(reply.origin_time.to_bits()));
+            fields.add("born", (self.unix + reply.origin_time).max(0.0) as u64);
         }
         note.into_iter().for_each(|n| fields.add("note", n));
-        fields.add("waited", format!("{:.2}", reply.waited.max(0.0)));
-        let bytes = match key.filter(|_| reply.end == AttemptResult::Served && !unsafe_) {
+        fields.add("waited", format!("{:.2}", reply.source_wait.max(0.0)));
+        let bytes = match key.filter(|_| reply.result == AttemptResult::Served && !unsafe_) {
             Some(key) => body(key),
             None => Vec::new(),
         };
@@ -121,13 +131,13 @@
 
     // ---- The script ----
 
-    pub(super) fn down(&mut self, node: NodeIx) {
+    pub(super) fn down(&mut self, node: NodeIndex) {
         let status = &self.statuses[node.0];
         status.up.set(false);
         status.life.set(status.life.get() + 1);
     }
 
-    pub(super) fn started(&mut self, now: Ms, node: NodeIx) {
+    pub(super) fn started(&mut self, now: Ms, node: NodeIndex) {
         self.fleet.start(now, node);
         let status = &self.statuses[node.0];
         status.life.set(status.life.get() + 1);
@@ -136,7 +146,7 @@
         self.listed(now, node, EndpointState::Up, Some(now));
     }
 
-    pub(super) fn listed(&mut self, now: Ms, node: NodeIx, listed: EndpointState, started: Option<Ms>) {
+    pub(super) fn listed(&mut self, now: Ms, node: NodeIndex, listed: EndpointState, started: Option<Ms>) {
         let started = started.map_or(0, |t| (self.unix + t) as u64);
         if let Some(soak) = &mut self.soak {
             soak.listing[node.0] = (listed, started);
@@ -147,7 +157,7 @@
                 continue;
             }
             let payload = record(info, self.seats[r].addresses[node.0], listed, started);
-            let seen = Seen::Drained(r, node, listed != EndpointState::Up);
+            let seen = Observation::NodeListed { router: r, node, up: listed == EndpointState::Up };
             let after = self.between(self.setup.fleet.news.list_ms);
             let generation = self.generation(r);
             self.at(now + after, Ev::Tell(r, generation, 2, payload, Some(seen)));
@@ -164,7 +174,7 @@
             None => (4, [&(group as u16).to_be_bytes()[..], &time].concat()),
         };
         for r in 0..self.seats.len() {
-            let seen = Seen::Purged(r, object, group, now);
+            let seen = Observation::PurgeReceived { router: r, object, group, purged_at: now };
             let after = self.between(self.setup.fleet.news.purge_ms);
             let generation = self.generation(r);
             self.at(now + after, Ev::Tell(r, generation, kind, payload.clone(), Some(seen)));
@@ -174,7 +184,7 @@
     /// A plan comes out: caches and routers hear of it each at their own moment.
     pub(super) fn plan_out(&mut self, now: Ms, spec: &PlanSpec, text: &str) -> Result<(), String> {
         let checked = Plan::from_spec(spec.clone()).map_err(|e| e.to_string())?;
-        self.fleet.plan(now, &Arc::new(checked), self.setup.fleet.news.plan_ms);
+        self.fleet.distribute_plan(now, &Arc::new(checked), self.setup.fleet.news.plan_ms);
         for r in 0..self.seats.len() {
             let after = self.between(self.setup.fleet.news.plan_ms);
             self.at(now + after, Ev::Hup(r, text.to_string()));
@@ -187,73 +197,81 @@
         let until = now + m.for_ms;
         let find = |name: &Option<String>| {
             let name = name.as_deref().ok_or_else(|| format!("script[{i}]: expected a node"))?;
-            self.fleet.named(name).ok_or_else(|| format!("script[{i}]: unknown node {name}"))
+            self.fleet.node_by_name(name).ok_or_else(|| format!("script[{i}]: unknown node {name}"))
         };
         match m.what {
-            What::MassPurge => {
+            ScriptAction::MassPurge => {
                 let groups = (m.factor * self.setup.load.groups as f64).round() as u64;
                 (0..groups).for_each(|g| self.purge(now, None, g));
             }
-            What::StaleList => return Err(format!("script[{i}]: stale_list is not played on sockets")),
-            What::Plan => {
+            ScriptAction::StaleList => {
+                return Err(format!("script[{i}]: stale_list is not played on sockets"))
+            }
+            ScriptAction::Plan => {
                 let name = m.plan.as_deref().unwrap_or_default();
                 let found = self.setup.plans.iter().position(|p| p.name == name);
                 let shape = found.ok_or_else(|| format!("script[{i}]: unknown plan {name:?}"))?;
                 self.version += 1;
-                let spec = plan(&self.setup.plans[shape], self.version, &self.nodes);
+                let spec = plan_spec(&self.setup.plans[shape], self.version, &self.nodes);
                 let text = plan_file(&spec, &self.setup.tree);
                 (self.shapes, self.texts) = ([shape, self.shapes[0]], [text.clone(), self.texts[0].clone()]);
                 self.plan_out(now, &spec, &text)?;
             }
-            What::TakeBack => {
+            ScriptAction::TakeBack => {
                 // Routers get the old file again; caches the old tree under a new number.
                 self.shapes.swap(0, 1);
                 self.texts.swap(0, 1);
                 self.version += 1;
-                let spec = plan(&self.setup.plans[self.shapes[0]], self.version, &self.nodes);
+                let spec = plan_spec(&self.setup.plans[self.shapes[0]], self.version, &self.nodes);
                 let text = self.texts[0].clone();
                 self.plan_out(now, &spec, &text)?;
             }
-            What::Crash => {
+            ScriptAction::Crash => {
                 let node = find(&m.node)?;
-                self.fleet.trouble(now, node, Trouble::Crash);
+                self.fleet.inject_fault(now, node, NodeFault::Crash);
                 self.down(node);
                 match m.for_ms > 0.0 {
                     true => self.at(until, Ev::Start(node)),
                     false => self.listed(now, node, EndpointState::Removed, None),
                 }
             }
-            What::Vanish => {
+            ScriptAction::Vanish => {
                 let node = find(&m.node)?;
-                self.fleet.trouble(now, node, Trouble::Vanish);
+                self.fleet.inject_fault(now, node, NodeFault::Vanish);
                 self.statuses[node.0].talks.set(false);
                 self.at(until, Ev::Start(node));
             }
-            What::Hang => {
+            ScriptAction::Hang => {
                 let node = find(&m.node)?;
-                self.fleet.trouble(now, node, Trouble::Hang(until));
+                self.fleet.inject_fault(now, node, NodeFault::Hang { until });
                 self.statuses[node.0].talks.set(false);
                 self.at(until, Ev::Talk(node));
             }
-            What::Start => self.started(now, find(&m.node)?),
-            What::Drain => {
+            ScriptAction::Start => self.started(now, find(&m.node)?),
+            ScriptAction::Drain => {
                 let node = find(&m.node)?;
                 self.listed(now, node, EndpointState::Draining, None);
             }
-            What::Stop => {
+            ScriptAction::Stop => {
                 let node = find(&m.node)?;
                 self.listed(now, node, EndpointState::Removed, None);
-                self.fleet.trouble(now, node, Trouble::Crash);
+                self.fleet.inject_fault(now, node, NodeFault::Crash);
                 self.down(node);
             }
-            What::Slow => self.fleet.trouble(now, find(&m.node)?, Trouble::Slow(m.factor, until)),
-            What::RefuseFills => self.fleet.trouble(now, find(&m.node)?, Trouble::RefuseFills(until)),
-            What::LoseAnswers => {
-                self.fleet.trouble(now, find(&m.node)?, Trouble::LoseAnswers(m.factor, until))
+            ScriptAction::Slow => {
+                self.fleet.inject_fault(now, find(&m.node)?, NodeFault::Slow { factor: m.factor, until })
+            }
+            ScriptAction::RefuseFills => {
+                self.fleet.inject_fault(now, find(&m.node)?, NodeFault::RefuseFills { until })
             }
-            What::WrongSource => {
+            ScriptAction::LoseAnswers => self.fleet.inject_fault(
+                now,
+                find(&m.node)?,
+                NodeFault::LoseAnswers { share: m.factor, until },
+            ),
+            ScriptAction::WrongSource => {
                 let (node, to) = (find(&m.node)?, find(&m.to)?);
-                self.fleet.trouble(now, node, Trouble::WrongSource(to, until));
+                self.fleet.inject_fault(now, node, NodeFault::WrongSource { source: to, until });
             }
         }
         Ok(())
--- a/crates/emulator/src/world/soak/seats.rs
+++ b/crates/emulator/src/world/soak/seats.rs
@@ -132,7 +132,7 @@
         self.soak = Some(soak);
         // Whether answers come in time is judged when each is due; the checker's own look is later than that.
         let rules = &self.setup.fleet.rules;
-        self.checker = Checker::new(&Rules {
+        self.checker = Checker::new(&RuleLimits {
             slack_ms: rules.slack_ms + SLACK_MS + 2.0 * CROSSING_MS,
             drain_grace_ms: rules.drain_grace_ms + SLACK_MS,
             purge_grace_ms: rules.purge_grace_ms + SLACK_MS,
--- a/crates/emulator/src/world/start.rs
+++ b/crates/emulator/src/world/start.rs
@@ -7,7 +7,7 @@
         let say = |e: std::io::Error| e.to_string();
         let nodes = nodes(&setup.fleet);
         let mut fleet = Fleet::new(&setup.fleet, setup.load.groups, setup.tree, setup.seed);
-        fleet.heeds_trails = setup.trails;
+        fleet.loop_detection = setup.loop_detection;
         let statuses: Vec<Rc<Status>> = nodes
             .iter()
             .map(|n| {
@@ -17,7 +17,7 @@
                 status
             })
             .collect();
-        let first = setup.plans.first().map(|shape| plan(shape, 1, &nodes));
+        let first = setup.plans.first().map(|shape| plan_spec(shape, 1, &nodes));
         let text = first.as_ref().map(|spec| plan_file(spec, &setup.tree)).unwrap_or_default();
         let mut seats = Vec::new();
         for zone in 1..=setup.fleet.zones {
@@ -28,7 +28,7 @@
                     let listener = TcpListener::bind("127.0.0.1:0").map_err(say)?;
                     let at = listener.local_addr().map_err(say)?;
                     addresses.push(at);
-                    let task = serve(net.clone(), r, NodeIx(i), at, listener, Rc::clone(status));
+                    let task = serve(net.clone(), r, NodeIndex(i), at, listener, Rc::clone(status));
                     net.executor.spawn(task).detach();
                 }
                 let log = TcpListener::bind("127.0.0.1:0").map_err(say)?;
@@ -58,7 +58,7 @@
         let histogram = || Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|e| e.to_string());
         // Once an event is in the change log it counts as told, and on sockets limits are longer.
         let r = &setup.fleet.rules;
-        let rules = Rules {
+        let rules = RuleLimits {
             slack_ms: r.slack_ms + SLACK_MS,
             drain_grace_ms: r.drain_grace_ms + SLACK_MS,
             purge_grace_ms: r.purge_grace_ms + SLACK_MS,
@@ -84,7 +84,7 @@
         };
         if let Some(spec) = first {
             let checked = Plan::from_spec(spec).map_err(|e| e.to_string())?;
-            fleet.plan(0.0, &Arc::new(checked), [0.0, 0.0]);
+            fleet.distribute_plan(0.0, &Arc::new(checked), [0.0, 0.0]);
         }
         Ok(Self {
             setup,
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -2,7 +2,7 @@
 
 use basaltgw_config::yaml::{schema, BadFile, Document};
 use basaltgw_simulator::sim::Setup;
-use basaltgw_simulator::spec::{FleetSpec, LoadSpec, Moment, PlanShape, What};
+use basaltgw_simulator::spec::{FleetSpec, LoadSpec, PlanShape, ScriptAction, ScriptEvent};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -106,7 +106,7 @@
     pub plans: Vec<PlanShape>,
     /// What happens.
     #[serde(default)]
-    pub script: Vec<Moment>,
+    pub script: Vec<ScriptEvent>,
     /// Runs to compare.
     pub runs: Vec<Variant>,
     /// Sizes; the file's own if none is named.
@@ -212,7 +212,13 @@
             }
         }
         if variant == Variant::Still {
-            let changes = [What::Plan, What::TakeBack, What::Start, What::Drain, What::Stop];
+            let changes = [
+                ScriptAction::Plan,
+                ScriptAction::TakeBack,
+                ScriptAction::Start,
+                ScriptAction::Drain,
+                ScriptAction::Stop,
+            ];
             script.retain(|m| !changes.contains(&m.what));
         }
         let usual = basaltgw_hierarchy::Settings {
@@ -249,7 +255,7 @@
             tree: basaltgw_hierarchy::Settings { slow_start: cold, ..tree },
             length_ms: self.length_ms,
             staged: variant != Variant::AtOnce,
-            trails: variant != Variant::Blind,
+            loop_detection: variant != Variant::Blind,
             seed,
         }
     }
--- a/crates/experiments/src/experiment/tests.rs
+++ b/crates/experiments/src/experiment/tests.rs
@@ -30,7 +30,8 @@
     assert_eq!(ten.fleet.spare_districts, one.fleet.spare_districts);
     let nodes = basaltgw_simulator::fleet::nodes(&ten.fleet);
     for p in &ten.plans {
-        basaltgw_hierarchy::Plan::from_spec(basaltgw_simulator::sim::plan(p, 1, &nodes)).expect("a plan");
+        basaltgw_hierarchy::Plan::from_spec(basaltgw_simulator::sim::plan_spec(p, 1, &nodes))
+            .expect("a plan");
     }
     for name in ten.script.iter().filter_map(|m| m.node.as_ref()) {
         assert!(nodes.iter().any(|n| n.name == *name), "{name}");
--- a/crates/experiments/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -6,7 +6,7 @@
 use basaltgw_emulator::Sockets;
 use basaltgw_simulator::checker::Rule;
 use basaltgw_simulator::fleet::Counts;
-use basaltgw_simulator::sim::{run, Decide, Figures, Setup};
+use basaltgw_simulator::sim::{run, DecisionModule, RunMetrics, SecondMetrics, Setup};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -36,7 +36,7 @@
     spent: Rc<Cell<Duration>>,
 }
 
-impl Decide for Timed {
+impl DecisionModule for Timed {
     fn handle(&mut self, now: Ms, event: Event, acts: &mut Vec<Action>) {
         let begun = Instant::now();
         self.router.handle(now, event, acts);
@@ -50,17 +50,17 @@
     let spent = Rc::new(Cell::new(Duration::ZERO));
     let begun = Instant::now();
     let make = |_: usize, set: Settings, seed| {
-        Box::new(Timed { router: Router::new(set, seed), spent: Rc::clone(&spent) }) as Box<dyn Decide>
+        Box::new(Timed { router: Router::new(set, seed), spent: Rc::clone(&spent) })
+            as Box<dyn DecisionModule>
     };
     let figures = run(setup, make)?;
     let mut row = row(&figures);
     row.insert("decision_us".into(), spent.get().as_secs_f64() * 1e6 / figures.decisions.max(1) as f64);
     row.insert("wall_s".into(), begun.elapsed().as_secs_f64());
     row.insert("resident_mb".into(), resident_mb());
-    let seconds =
-        figures.seconds.iter().map(|(asked, got)| if *asked > 0.0 { got / asked } else { f64::NAN });
-    let mut words = broken_words(&figures.broken);
-    words.extend(figures.refusals.iter().take(3).map(|r| format!("plan refused: {r}")));
+    let seconds = figures.seconds.iter().map(SecondMetrics::weighted_in_time_share);
+    let mut words = broken_words(&figures.violations);
+    words.extend(figures.rejected_plans.iter().take(3).map(|r| format!("plan refused: {r}")));
     Ok(Done { routers, variant, row, seconds: seconds.collect(), words })
 }
 
@@ -132,20 +132,20 @@
 
 /// What both ways count alike.
 fn of_counts(c: &Counts) -> [(&'static str, f64); 12] {
-    let filled: u64 = c.archive.values().map(|n| u64::from(*n)).sum();
+    let filled: u64 = c.origin_fills.values().map(|n| u64::from(*n)).sum();
     [
         ("archive_fills", filled as f64),
-        ("archive_parts", c.archive.len() as f64),
-        ("archive_fetched_again", c.again as f64),
-        ("archive_again_after_kill", c.again_after_kill as f64),
-        ("archive_fills_most", c.archive.values().copied().max().unwrap_or(0).into()),
-        ("loops_offered", c.loops_offered as f64),
-        ("loops_carried", c.loops_carried as f64),
-        ("handed_over", c.handed as f64),
-        ("between_nodes", c.between as f64),
-        ("cold_most", c.cold_most),
-        ("fell_over", c.fell as f64),
-        ("archive_kb", c.archive_kb),
+        ("archive_parts", c.origin_fills.len() as f64),
+        ("archive_fetched_again", c.repeated_origin_fills as f64),
+        ("archive_again_after_kill", c.repeated_origin_fills_after_crash as f64),
+        ("archive_fills_most", c.origin_fills.values().copied().max().unwrap_or(0).into()),
+        ("loops_offered", c.loops_detected as f64),
+        ("loops_carried", c.loops_forwarded as f64),
+        ("handed_over", c.cached_only_hits as f64),
+        ("between_nodes", c.requests_between_nodes as f64),
+        ("cold_most", c.max_cold_limit_share),
+        ("fell_over", c.cold_overloads as f64),
+        ("archive_kb", c.origin_kb),
     ]
 }
 
@@ -158,26 +158,27 @@
         .map_or(f64::NAN, |kb| kb / 1024.0)
 }
 
-fn row(f: &Figures) -> Row {
-    let asked: u64 = f.classes.iter().map(|c| c.asked).sum();
+fn row(f: &RunMetrics) -> Row {
+    let asked: u64 = f.classes.iter().map(|c| c.requests).sum();
     let own = [
-        ("worth", f.worth),
-        ("worth_with_late", f.worth_late),
+        ("worth", f.weighted_in_time_share),
+        ("worth_with_late", f.weighted_answered_share),
         ("asked", asked as f64),
         ("served", f.served as f64),
-        ("refused", f.refused as f64),
+        ("refused", f.rejected as f64),
         ("failed", f.failed as f64),
         ("attempts", f.attempts as f64),
         ("decisions", f.decisions as f64),
-        ("p50_ms", f.p50),
-        ("p99_ms", f.p99),
-        ("rules_broken", f.broken.values().map(|b| b.0).sum::<u64>() as f64),
+        ("p50_ms", f.latency_p50_ms),
+        ("p99_ms", f.latency_p99_ms),
+        ("rules_broken", f.violations.values().map(|b| b.0).sum::<u64>() as f64),
         (
             "changes_ended",
-            f.states.iter().filter(|s| s.3 == basaltgw_hierarchy::ChangeState::Completed).count() as f64,
+            f.change_states.iter().filter(|s| s.state == basaltgw_hierarchy::ChangeState::Completed).count()
+                as f64,
         ),
-        ("settled", f64::from(u8::from(f.settled()))),
-        ("plans_refused", f.refusals.len() as f64),
+        ("settled", f64::from(u8::from(f.all_changes_completed()))),
+        ("plans_refused", f.rejected_plans.len() as f64),
     ];
     own.into_iter().chain(of_counts(&f.counts)).map(|(name, value)| (name.to_string(), value)).collect()
 }
--- a/crates/experiments/src/soak/draw.rs
+++ b/crates/experiments/src/soak/draw.rs
@@ -4,7 +4,7 @@
 use basaltgw_emulator::faults::Fault;
 use basaltgw_emulator::{Planned, SoakFault, SoakLimits};
 use basaltgw_simulator::sim::Setup;
-use basaltgw_simulator::spec::{FleetSpec, LoadSpec, Moment, What};
+use basaltgw_simulator::spec::{FleetSpec, LoadSpec, ScriptAction, ScriptEvent};
 use basaltgw_simulator::{draw as unit, rng, Rng};
 
 /// The stream of random numbers that faults are drawn from.
@@ -70,7 +70,7 @@
         tree: basaltgw_hierarchy::Settings { slow_start: cold, ..Default::default() },
         length_ms: size.length_ms,
         staged: true,
-        trails: true,
+        loop_detection: true,
         seed,
     };
     Drawn { setup, plan, limits }
@@ -128,7 +128,7 @@
 }
 
 /// What the model's script does to nodes.
-fn script(rng: &mut Rng, fleet: &FleetSpec, size: Size) -> Vec<Moment> {
+fn script(rng: &mut Rng, fleet: &FleetSpec, size: Size) -> Vec<ScriptEvent> {
     let span = size.length_ms - QUIET_START_MS - QUIET_END_MS;
     (0..size.moments)
         .map(|_| {
@@ -137,17 +137,17 @@
                 if unit(rng) < 0.75 { edge } else { format!("district-{}", index(rng, fleet.districts)) };
             let what = pick(rng, &[0, 1, 2, 3, 4, 5, 6]);
             let (what, for_ms, factor) = match what {
-                0 => (What::Crash, between(rng, 900.0, 2_000.0), 0.0),
-                1 => (What::Hang, between(rng, 300.0, 2_000.0), 0.0),
-                2 => (What::Vanish, between(rng, 900.0, 2_500.0), 0.0),
-                3 => (What::Slow, between(rng, 500.0, 3_000.0), 4.0),
-                4 => (What::LoseAnswers, between(rng, 500.0, 2_000.0), 0.3),
-                5 => (What::Drain, 0.0, 0.0),
-                _ => (What::MassPurge, 0.0, 0.3),
+                0 => (ScriptAction::Crash, between(rng, 900.0, 2_000.0), 0.0),
+                1 => (ScriptAction::Hang, between(rng, 300.0, 2_000.0), 0.0),
+                2 => (ScriptAction::Vanish, between(rng, 900.0, 2_500.0), 0.0),
+                3 => (ScriptAction::Slow, between(rng, 500.0, 3_000.0), 4.0),
+                4 => (ScriptAction::LoseAnswers, between(rng, 500.0, 2_000.0), 0.3),
+                5 => (ScriptAction::Drain, 0.0, 0.0),
+                _ => (ScriptAction::MassPurge, 0.0, 0.3),
             };
-            let node = (what != What::MassPurge).then_some(node);
+            let node = (what != ScriptAction::MassPurge).then_some(node);
             let at_ms = QUIET_START_MS + span * unit(rng);
-            Moment { at_ms, what, node, for_ms, factor, to: None, plan: None }
+            ScriptEvent { at_ms, what, node, for_ms, factor, to: None, plan: None }
         })
         .collect()
 }
--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -1,84 +1,88 @@
-//! Who asks for what, and when: open loop, so that arrivals do not wait for answers.
+//! Generates client requests as an open loop: arrivals do not wait for answers.
 
 use crate::spec::{ClassSpec, EffectSpec, LoadSpec};
 use crate::{rng, Ms, Rng};
 use basaltgw::hash::{mix, unit_interval};
 use rand::RngExt;
 
-/// A request that comes in.
+/// The arrival of a client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When.
+    /// The time of arrival.
     pub at: Ms,
-    /// Its place among the load's classes.
+    /// The index of the request's class in the load.
     pub class: usize,
-    /// What it asks for.
+    /// The requested object.
     pub object: u64,
-    /// Which part.
+    /// The requested part of the object.
     pub part: u64,
     /// The object's group.
     pub group: u64,
-    /// The part's size.
-    pub kb: f64,
+    /// The size of the part.
+    pub size_kb: f64,
 }
 
-/// The requests that come to one router, in order of time.
+/// The requests that arrive at one router, in order of time.
 pub struct Arrivals {
     load: LoadSpec,
-    ranks: Vec<Vec<f64>>,
-    shares: Vec<f64>,
+    /// By class: cumulative shares of the class's objects, the most popular first.
+    cumulative_popularity: Vec<Vec<f64>>,
+    /// Cumulative shares of the classes.
+    cumulative_class_shares: Vec<f64>,
     rng: Rng,
-    at: Ms,
+    last_arrival: Ms,
 }
 
-/// Objects of a class whose popularity is kept; the rest share what is left.
-const RANKED: u64 = 100_000;
+/// The maximum number of objects that are requested in a class.
+const MAX_OBJECTS_PER_CLASS: u64 = 100_000;
 
 impl Arrivals {
-    /// The requests to a router, by its number.
+    /// Creates the arrivals of the router with this index.
     pub fn new(load: &LoadSpec, seed: u64, router: u64) -> Self {
         let total: f64 = load.classes.iter().map(|c| c.share).sum();
         let mut sum = 0.0;
-        let shares = load.classes.iter().map(|c| {
+        let cumulative_class_shares = load.classes.iter().map(|c| {
             sum += c.share / total;
             sum
         });
-        let shares = shares.collect();
-        let ranks = load.classes.iter().map(popularity).collect();
-        Self { load: load.clone(), ranks, shares, rng: rng(seed, 1_000 + router), at: 0.0 }
+        let cumulative_class_shares = cumulative_class_shares.collect();
+        let cumulative_popularity = load.classes.iter().map(cumulative_popularity).collect();
+        let rng = rng(seed, 1_000 + router);
+        Self { load: load.clone(), cumulative_popularity, cumulative_class_shares, rng, last_arrival: 0.0 }
     }
 
-    fn pick(sums: &[f64], at: f64) -> usize {
-        sums.partition_point(|s| *s < at).min(sums.len().saturating_sub(1))
+    /// The index in cumulative shares into which a draw of 0 to 1 falls.
+    fn pick(cumulative: &[f64], draw: f64) -> usize {
+        cumulative.partition_point(|s| *s < draw).min(cumulative.len().saturating_sub(1))
     }
 }
 
-/// Sums of the shares of a class's objects, most asked first.
-fn popularity(class: &ClassSpec) -> Vec<f64> {
-    let each = |rank: u64| 1.0 / ((rank + 1) as f64).powf(class.zipf);
-    let count = class.objects.clamp(1, RANKED);
-    let total: f64 = (0..count).map(each).sum();
+/// Cumulative shares of a class's objects by the Zipf distribution, the most popular first.
+fn cumulative_popularity(class: &ClassSpec) -> Vec<f64> {
+    let weight = |rank: u64| 1.0 / ((rank + 1) as f64).powf(class.zipf);
+    let count = class.objects.clamp(1, MAX_OBJECTS_PER_CLASS);
+    let total: f64 = (0..count).map(weight).sum();
     let mut sum = 0.0;
     (0..count)
         .map(|rank| {
-            sum += each(rank) / total;
+            sum += weight(rank) / total;
             sum
         })
         .collect()
 }
 
-/// The object of a class and rank: ids carry no meaning.
-pub fn object(class: usize, rank: u64) -> u64 {
+/// The id of a class's object by rank of popularity. Ids are hashed, so that they show neither.
+pub fn object_id(class: usize, rank: u64) -> u64 {
     mix(class as u64 + 1, rank) >> 12
 }
 
-/// The size of an object's parts.
-pub fn size(class: &ClassSpec, object: u64) -> f64 {
-    let [least, most] = class.kb;
-    least * (most / least).powf(unit_interval(mix(object, 77)))
+/// The size of each part of an object in KB, log-uniform between the class's bounds.
+pub fn part_size_kb(class: &ClassSpec, object: u64) -> f64 {
+    let [min, max] = class.kb;
+    min * (max / min).powf(unit_interval(mix(object, 77)))
 }
 
-/// The group of an object, of so many.
+/// The group of an object, out of `groups` groups.
 pub fn group_of(object: u64, groups: u64) -> u64 {
     mix(object, 91) % groups.max(1)
 }
@@ -88,16 +92,17 @@
 
     fn next(&mut self) -> Option<Arrival> {
         let gap: f64 = self.rng.random();
-        self.at += -(1.0 - gap).ln() * 1000.0 / self.load.per_router;
-        let class = Self::pick(&self.shares, self.rng.random());
-        let rank = Self::pick(&self.ranks[class], self.rng.random()) as u64;
-        let of = &self.load.classes[class];
-        // What has an effect is new each time.
-        let rank = if of.effect == EffectSpec::Unsafe { self.rng.random::<u64>() >> 1 } else { rank };
-        let object = object(class, rank);
-        let part = self.rng.random_range(0..of.parts.max(1));
-        let kb = size(of, object);
-        Some(Arrival { at: self.at, class, object, part, group: group_of(object, self.load.groups), kb })
+        self.last_arrival += -(1.0 - gap).ln() * 1000.0 / self.load.per_router;
+        let class = Self::pick(&self.cumulative_class_shares, self.rng.random());
+        let rank = Self::pick(&self.cumulative_popularity[class], self.rng.random()) as u64;
+        let spec = &self.load.classes[class];
+        // Every non-idempotent request has an object of its own.
+        let rank = if spec.effect == EffectSpec::Unsafe { self.rng.random::<u64>() >> 1 } else { rank };
+        let object = object_id(class, rank);
+        let part = self.rng.random_range(0..spec.parts.max(1));
+        let size_kb = part_size_kb(spec, object);
+        let group = group_of(object, self.load.groups);
+        Some(Arrival { at: self.last_arrival, class, object, part, group, size_kb })
     }
 }
 
--- a/crates/simulator/src/arrivals/tests.rs
+++ b/crates/simulator/src/arrivals/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_same_seed_gives_the_same_requests_and_another_router_gets_others() {
+fn arrivals_are_reproducible_by_seed_and_differ_by_router() {
     let class = ClassSpec {
         name: "pages".into(),
         share: 1.0,
@@ -31,9 +31,9 @@
     assert_eq!(take(0), take(0));
     assert_ne!(take(0), take(1));
     let last = take(0).last().expect("one").at;
-    assert!((30_000.0..50_000.0).contains(&last), "50 a second: {last}");
-    let first = object(0, 0);
+    assert!((30_000.0..50_000.0).contains(&last), "at 50 requests a second: {last}");
+    let first = object_id(0, 0);
     let often = take(0).iter().filter(|a| a.object == first).count();
-    assert!(often > 200, "the first is asked most: {often}");
-    assert!(take(0).iter().all(|a| (10.0..=100.0).contains(&a.kb) && a.part < 3 && a.group < 16));
+    assert!(often > 200, "the object of rank 0 is the most popular: {often}");
+    assert!(take(0).iter().all(|a| (10.0..=100.0).contains(&a.size_kb) && a.part < 3 && a.group < 16));
 }
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -1,336 +1,335 @@
-//! The five rules, by what was sent and answered alone: nothing here knows how a router decides.
+//! Checks the five routing rules from requests, responses and notifications alone, without knowledge of how a router decides.
 
-use crate::fleet::NodeIx;
-use crate::spec::Rules;
+use crate::fleet::NodeIndex;
+use crate::spec::RuleLimits;
 use crate::Ms;
 use std::collections::{BTreeMap, HashMap};
 
-/// A rule.
+/// A routing rule. Its `Debug` name is printed in reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// One final answer in time, and nothing after it.
+    /// Every request gets one final answer in time, and no attempt starts after it.
     Lost,
-    /// No effect happens twice.
+    /// No write is executed twice.
     Twice,
-    /// Nothing to a draining or gone node after the grace.
+    /// No attempt names a draining or removed node once the grace period is over.
     Drain,
-    /// No cold node is pushed over.
+    /// No node that has just started is overloaded.
     Cold,
-    /// No copy older than a purge that was told longer ago than the grace.
+    /// No copy is served that is older than a purge received longer ago than the grace period.
     Purge,
 }
 
-/// Whether an attempt that is over has run.
+/// Whether the node executed an attempt that has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ran {
-    /// It provably did not.
-    Never,
-    /// It may have, or may still.
-    Maybe,
-    /// It did, and gave a copy that the archive gave out then (`None` for what is no copy).
-    Served(Option<Ms>),
+pub enum Execution {
+    /// The attempt was certainly not executed.
+    NotExecuted,
+    /// The attempt may have been executed, or may still be.
+    Unknown,
+    /// The attempt was executed and served.
+    Served {
+        /// When the origin served the copy; `None` if the response is no copy.
+        origin_time: Option<Ms>,
+    },
 }
 
-/// A final answer.
+/// A router's final answer to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
-    /// Served.
+pub enum ClientResult {
+    /// The request was served.
     Served,
-    /// Refused: trying again is harmless.
-    Refused,
-    /// Failed: nothing is promised.
+    /// The request was rejected before execution; a retry is safe.
+    Rejected,
+    /// The request failed and may have been executed.
     Failed,
 }
 
-/// A request of a router.
-pub type Key = (usize, u64);
+/// Identifies a client's request: the router's index and the request's number.
+pub type RequestKey = (usize, u64);
 
-/// What was sent, answered or told.
+/// An event of a run that the checker evaluates.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
-    /// A router has taken a request: which, whether it must not run twice, object, group, and by when an answer is due.
-    Taken(Key, bool, u64, u64, Ms),
-    /// It sends an attempt, by its number, to a node, perhaps with a source.
-    Sent(Key, usize, NodeIx, Option<NodeIx>),
-    /// An attempt is over.
-    Ended(Key, usize, Ran),
-    /// The client got its answer.
-    Answered(Key, Final),
-    /// The client has left.
-    Left(Key),
-    /// A router was told that a node drains or is gone (true), or is up.
-    Drained(usize, NodeIx, bool),
-    /// A router was told that an object, or without one a group, was purged at a time.
-    Purged(usize, Option<u64>, u64, Ms),
-    /// A write ran.
-    Effect(u64),
-    /// A cold node was brought down.
-    Fell(NodeIx),
+pub enum Observation {
+    /// A router received a client's request.
+    RequestAccepted {
+        /// The request.
+        request: RequestKey,
+        /// The request must not be executed twice.
+        non_idempotent: bool,
+        /// The requested object.
+        object: u64,
+        /// The object's group.
+        group: u64,
+        /// When the answer is due.
+        deadline: Ms,
+    },
+    /// A router started an attempt.
+    AttemptStarted {
+        /// The request.
+        request: RequestKey,
+        /// The number of the attempt, from 0.
+        attempt: usize,
+        /// The node that the attempt is sent to.
+        node: NodeIndex,
+        /// The source that the router named for a miss.
+        fill_source: Option<NodeIndex>,
+    },
+    /// An attempt ended.
+    AttemptEnded {
+        /// The request.
+        request: RequestKey,
+        /// The number of the attempt, from 0.
+        attempt: usize,
+        /// Whether the attempt was executed.
+        execution: Execution,
+    },
+    /// A client received the final answer.
+    ClientAnswered {
+        /// The request.
+        request: RequestKey,
+        /// The answer.
+        result: ClientResult,
+    },
+    /// A client gave up; no answer is owed.
+    ClientLeft {
+        /// The request.
+        request: RequestKey,
+    },
+    /// A router received a node's state in the endpoint list.
+    NodeListed {
+        /// The index of the router.
+        router: usize,
+        /// The node.
+        node: NodeIndex,
+        /// The node is up, neither draining nor removed.
+        up: bool,
+    },
+    /// A router received the purge of an object, or of a group if `object` is `None`.
+    PurgeReceived {
+        /// The index of the router.
+        router: usize,
+        /// The purged object.
+        object: Option<u64>,
+        /// The purged group.
+        group: u64,
+        /// When the purge was issued.
+        purged_at: Ms,
+    },
+    /// The origin executed a write.
+    WriteExecuted {
+        /// The number of the write.
+        write: u64,
+    },
+    /// A node that had just started was overloaded and went down.
+    ColdNodeOverloaded {
+        /// The node.
+        node: NodeIndex,
+    },
 }
 
-struct Open {
-    unsafe_: bool,
+struct OpenRequest {
+    non_idempotent: bool,
     object: u64,
     group: u64,
-    due: Ms,
+    deadline: Ms,
     answered: bool,
-    /// When sent, and how it came out.
-    attempts: Vec<(Ms, Option<Ran>)>,
+    attempts: Vec<CheckedAttempt>,
 }
 
-/// Purges that a router was told of one object or group: when told, when purged. The last ones are enough.
-type Told = Vec<(Ms, Ms)>;
-const KEPT: usize = 8;
+impl OpenRequest {
+    /// True if an attempt is still running or may have been executed.
+    fn may_have_run(&self) -> bool {
+        self.attempts.iter().any(|a| !matches!(a.execution, Some(Execution::NotExecuted)))
+    }
+}
 
-/// Watches a run.
+#[derive(Clone)]
+struct CheckedAttempt {
+    started_at: Ms,
+    /// `None` while the attempt is running.
+    execution: Option<Execution>,
+}
+
+/// A purge as one router knows it.
+struct ReceivedPurge {
+    received_at: Ms,
+    purged_at: Ms,
+}
+
+/// Purges that are kept for each router and object or group; older ones are superseded by newer ones.
+const MAX_PURGES: usize = 8;
+/// How long an answered request is kept past its deadline: its earlier attempts may still end and report a copy's age.
+const ANSWERED_REQUEST_RETENTION_MS: Ms = 2_000.0;
+
+/// Checks a run against the routing rules.
 pub struct Checker {
-    rules: Rules,
-    open: HashMap<Key, Open>,
-    drained: HashMap<(usize, NodeIx), Ms>,
-    objects: HashMap<(usize, u64), Told>,
-    groups: HashMap<(usize, u64), Told>,
-    effects: HashMap<u64, u32>,
-    broken: BTreeMap<Rule, (u64, String)>,
+    limits: RuleLimits,
+    requests: HashMap<RequestKey, OpenRequest>,
+    /// When a router first received that a node is draining or removed.
+    out_of_service: HashMap<(usize, NodeIndex), Ms>,
+    object_purges: HashMap<(usize, u64), Vec<ReceivedPurge>>,
+    group_purges: HashMap<(usize, u64), Vec<ReceivedPurge>>,
+    write_executions: HashMap<u64, u32>,
+    violations: BTreeMap<Rule, (u64, String)>,
 }
 
 impl Checker {
-    /// A checker for rules with these figures.
-    pub fn new(rules: &Rules) -> Self {
+    /// Creates a checker with the given tolerances.
+    pub fn new(limits: &RuleLimits) -> Self {
         Self {
-            rules: rules.clone(),
-            open: HashMap::new(),
-            drained: HashMap::new(),
-            objects: HashMap::new(),
-            groups: HashMap::new(),
-            effects: HashMap::new(),
-            broken: BTreeMap::new(),
+            limits: limits.clone(),
+            requests: HashMap::new(),
+            out_of_service: HashMap::new(),
+            object_purges: HashMap::new(),
+            group_purges: HashMap::new(),
+            write_executions: HashMap::new(),
+            violations: BTreeMap::new(),
         }
     }
 
-    fn broken(&mut self, rule: Rule, now: Ms, what: String) {
-        self.broken.entry(rule).or_insert_with(|| (0, format!("at {now:.1} ms: {what}"))).0 += 1;
+    fn record_violation(&mut self, rule: Rule, now: Ms, description: String) {
+        let entry = self.violations.entry(rule);
+        entry.or_insert_with(|| (0, format!("at {now:.1} ms: {description}"))).0 += 1;
     }
 
-    /// Takes in what happened, in order of time.
-    pub fn see(&mut self, now: Ms, seen: Seen) {
-        match seen {
-            Seen::Taken(key, unsafe_, object, group, due) => {
-                let open = Open { unsafe_, object, group, due, answered: false, attempts: Vec::new() };
-                self.open.insert(key, open);
+    /// Evaluates an event. Events have to come in order of time.
+    pub fn observe(&mut self, now: Ms, observation: Observation) {
+        match observation {
+            Observation::RequestAccepted { request, non_idempotent, object, group, deadline } => {
+                let attempts = Vec::new();
+                let open = OpenRequest { non_idempotent, object, group, deadline, answered: false, attempts };
+                self.requests.insert(request, open);
+            }
+            Observation::AttemptStarted { request, attempt, node, fill_source } => {
+                self.attempt_started(now, request, attempt, node, fill_source)
+            }
+            Observation::AttemptEnded { request, attempt, execution } => {
+                self.attempt_ended(now, request, attempt, execution)
             }
-            Seen::Sent(key, n, node, source) => self.sent(now, key, n, node, source),
-            Seen::Ended(key, n, ran) => self.ended(now, key, n, ran),
-            Seen::Answered(key, how) => self.answered(now, key, how),
-            Seen::Left(key) => self.open.get_mut(&key).into_iter().for_each(|o| o.answered = true),
-            Seen::Drained(router, node, true) => {
-                self.drained.entry((router, node)).or_insert(now);
+            Observation::ClientAnswered { request, result } => self.client_answered(now, request, result),
+            Observation::ClientLeft { request } => {
+                self.requests.get_mut(&request).into_iter().for_each(|r| r.answered = true)
             }
-            Seen::Drained(router, node, false) => {
-                self.drained.remove(&(router, node));
+            Observation::NodeListed { router, node, up: false } => {
+                self.out_of_service.entry((router, node)).or_insert(now);
             }
-            Seen::Purged(router, object, group, at) => {
-                let told = match object {
-                    Some(object) => self.objects.entry((router, object)).or_default(),
-                    None => self.groups.entry((router, group)).or_default(),
+            Observation::NodeListed { router, node, up: true } => {
+                self.out_of_service.remove(&(router, node));
+            }
+            Observation::PurgeReceived { router, object, group, purged_at } => {
+                let purges = match object {
+                    Some(object) => self.object_purges.entry((router, object)).or_default(),
+                    None => self.group_purges.entry((router, group)).or_default(),
                 };
-                told.push((now, at));
-                if told.len() > KEPT {
-                    told.remove(0);
+                purges.push(ReceivedPurge { received_at: now, purged_at });
+                if purges.len() > MAX_PURGES {
+                    purges.remove(0);
                 }
             }
-            Seen::Effect(effect) => {
-                let count = self.effects.entry(effect).or_insert(0);
+            Observation::WriteExecuted { write } => {
+                let count = self.write_executions.entry(write).or_insert(0);
                 *count += 1;
                 if *count > 1 {
-                    self.broken(Rule::Twice, now, format!("write {effect} ran again"));
+                    self.record_violation(Rule::Twice, now, format!("write {write} was executed again"));
                 }
             }
-            Seen::Fell(node) => self.broken(Rule::Cold, now, format!("node {} was pushed over", node.0)),
+            Observation::ColdNodeOverloaded { node } => {
+                let description = format!("node {} was overloaded while it was cold", node.0);
+                self.record_violation(Rule::Cold, now, description)
+            }
         }
     }
 
-    fn sent(&mut self, now: Ms, key: Key, n: usize, node: NodeIx, source: Option<NodeIx>) {
-        let grace = self.rules.drain_grace_ms;
-        for to in [Some(node), source].into_iter().flatten() {
-            if self.drained.get(&(key.0, to)).is_some_and(|told| now > told + grace) {
-                self.broken(Rule::Drain, now, format!("router {} names node {} that drains", key.0, to.0));
+    fn attempt_started(
+        &mut self,
+        now: Ms,
+        request: RequestKey,
+        attempt: usize,
+        node: NodeIndex,
+        fill_source: Option<NodeIndex>,
+    ) {
+        let grace = self.limits.drain_grace_ms;
+        for named in [Some(node), fill_source].into_iter().flatten() {
+            let since = self.out_of_service.get(&(request.0, named));
+            if since.is_some_and(|received_at| now > received_at + grace) {
+                let description = format!("router {} uses node {}, which is not up", request.0, named.0);
+                self.record_violation(Rule::Drain, now, description);
             }
         }
-        let Some(open) = self.open.get_mut(&key) else { return };
-        let not_proved = open.attempts.iter().any(|(_, ran)| !matches!(ran, Some(Ran::Never)));
-        let (after, twice) = (open.answered, open.unsafe_ && not_proved);
-        if open.attempts.len() <= n {
-            open.attempts.resize(n + 1, (now, None));
+        let Some(open) = self.requests.get_mut(&request) else { return };
+        let (answered, repeated) = (open.answered, open.non_idempotent && open.may_have_run());
+        if open.attempts.len() <= attempt {
+            open.attempts.resize(attempt + 1, CheckedAttempt { started_at: now, execution: None });
         }
-        if after {
-            self.broken(Rule::Lost, now, format!("request {key:?} is sent on after its answer"));
+        if answered {
+            let description = format!("request {request:?} starts an attempt after its answer");
+            self.record_violation(Rule::Lost, now, description);
         }
-        if twice {
-            self.broken(Rule::Twice, now, format!("request {key:?} is sent again though it may have run"));
+        if repeated {
+            let description = format!("request {request:?} is sent again though it may have been executed");
+            self.record_violation(Rule::Twice, now, description);
         }
     }
 
-    fn ended(&mut self, now: Ms, key: Key, n: usize, ran: Ran) {
-        let Some(open) = self.open.get_mut(&key) else { return };
-        let Some(attempt) = open.attempts.get_mut(n) else { return };
-        attempt.1 = Some(ran);
-        let (sent, object, group) = (attempt.0, open.object, open.group);
-        let Ran::Served(Some(born)) = ran else { return };
-        let grace = self.rules.purge_grace_ms;
-        let told = [self.objects.get(&(key.0, object)), self.groups.get(&(key.0, group))];
-        let old = told.into_iter().flatten().flatten().any(|(told, at)| sent > told + grace && born < *at);
-        if old {
-            self.broken(Rule::Purge, now, format!("request {key:?} is answered from a copy of {born:.1}"));
+    fn attempt_ended(&mut self, now: Ms, request: RequestKey, attempt: usize, execution: Execution) {
+        let Some(open) = self.requests.get_mut(&request) else { return };
+        let Some(attempt) = open.attempts.get_mut(attempt) else { return };
+        attempt.execution = Some(execution);
+        let (started_at, object, group) = (attempt.started_at, open.object, open.group);
+        let Execution::Served { origin_time: Some(origin_time) } = execution else { return };
+        let grace = self.limits.purge_grace_ms;
+        let purges =
+            [self.object_purges.get(&(request.0, object)), self.group_purges.get(&(request.0, group))];
+        let outdated = purges
+            .into_iter()
+            .flatten()
+            .flatten()
+            .any(|p| started_at > p.received_at + grace && origin_time < p.purged_at);
+        if outdated {
+            let description = format!("request {request:?} is served a purged copy from {origin_time:.1} ms");
+            self.record_violation(Rule::Purge, now, description);
         }
     }
 
-    fn answered(&mut self, now: Ms, key: Key, how: Final) {
-        let Some(open) = self.open.get_mut(&key) else {
-            return self.broken(Rule::Lost, now, format!("an answer to {key:?}, which nobody asked"));
+    fn client_answered(&mut self, now: Ms, request: RequestKey, result: ClientResult) {
+        let Some(open) = self.requests.get_mut(&request) else {
+            let description = format!("an answer to the unknown request {request:?}");
+            return self.record_violation(Rule::Lost, now, description);
         };
-        let (again, late) = (open.answered, now > open.due + self.rules.slack_ms);
-        let not_proved = open.attempts.iter().any(|(_, ran)| !matches!(ran, Some(Ran::Never)));
-        let refused = how == Final::Refused && open.unsafe_ && not_proved;
+        let (repeated, late) = (open.answered, now > open.deadline + self.limits.slack_ms);
+        let wrongly_rejected = result == ClientResult::Rejected && open.non_idempotent && open.may_have_run();
         open.answered = true;
-        if again {
-            self.broken(Rule::Lost, now, format!("a second answer to {key:?}"));
+        if repeated {
+            self.record_violation(Rule::Lost, now, format!("a second answer to request {request:?}"));
         }
         if late {
-            self.broken(Rule::Lost, now, format!("the answer to {key:?} comes too late"));
+            self.record_violation(Rule::Lost, now, format!("the answer to request {request:?} is too late"));
         }
-        if refused {
-            self.broken(Rule::Twice, now, format!("{key:?} is refused though it may have run"));
+        if wrongly_rejected {
+            let description = format!("request {request:?} is rejected though it may have been executed");
+            self.record_violation(Rule::Twice, now, description);
         }
     }
 
-    /// Requests that are done and whose time is over need not be watched any more; those unanswered are broken.
-    pub fn tidy(&mut self, now: Ms) {
-        let slack = self.rules.slack_ms;
-        let lost: Vec<Key> =
-            self.open.iter().filter(|(_, o)| !o.answered && now > o.due + slack).map(|(k, _)| *k).collect();
-        for key in lost {
-            self.broken(Rule::Lost, now, format!("no answer to {key:?}"));
-            self.open.remove(&key);
+    /// Drops finished requests whose deadline is over, and reports unanswered ones as violations.
+    pub fn expire(&mut self, now: Ms) {
+        let slack = self.limits.slack_ms;
+        let expired = |r: &OpenRequest| !r.answered && now > r.deadline + slack;
+        let unanswered: Vec<RequestKey> =
+            self.requests.iter().filter(|(_, r)| expired(r)).map(|(key, _)| *key).collect();
+        for request in unanswered {
+            self.record_violation(Rule::Lost, now, format!("no answer to request {request:?}"));
+            self.requests.remove(&request);
         }
-        // What was sent before may still end, and tell how old its copy was.
-        self.open.retain(|_, o| !o.answered || now < o.due + 2_000.0);
+        self.requests.retain(|_, r| !r.answered || now < r.deadline + ANSWERED_REQUEST_RETENTION_MS);
     }
 
-    /// What was broken: how often, and the first time in words.
-    pub fn report(&self) -> &BTreeMap<Rule, (u64, String)> {
-        &self.broken
+    /// Violations by rule: their number, and a description of the first.
+    pub fn violations(&self) -> &BTreeMap<Rule, (u64, String)> {
+        &self.violations
     }
 }
 
 #[cfg(test)]
-pub(crate) mod tests {
-    use super::*;
-    use crate::spec::ColdSpec;
-
-    pub fn rules() -> Rules {
-        let cold = ColdSpec { share: 0.25, span_ms: 10_000.0, multiple: 2.0, window_ms: 1_500.0 };
-        Rules {
-            slack_ms: 50.0,
-            drain_grace_ms: 250.0,
-            purge_grace_ms: 300.0,
-            purge_settles_ms: 3_000.0,
-            cold_edge: cold,
-            cold_parent: cold,
-        }
-    }
-
-    const KEY: Key = (0, 1);
-
-    /// Plays what was seen, at times, and gives the rules broken.
-    fn play(seen: Vec<(Ms, Seen)>) -> Vec<Rule> {
-        let mut c = Checker::new(&rules());
-        let mut last = 0.0;
-        for (at, what) in seen {
-            c.see(at, what);
-            last = at;
-        }
-        c.tidy(last);
-        c.report().keys().copied().collect()
-    }
-
-    fn taken(unsafe_: bool) -> (Ms, Seen) {
-        (0.0, Seen::Taken(KEY, unsafe_, 7, 3, 1_000.0))
-    }
-
-    fn sent(at: Ms, n: usize) -> (Ms, Seen) {
-        (at, Seen::Sent(KEY, n, NodeIx(4), Some(NodeIx(2))))
-    }
-
-    fn answered(at: Ms, how: Final) -> (Ms, Seen) {
-        (at, Seen::Answered(KEY, how))
-    }
-
-    #[test]
-    fn one_answer_in_time_and_nothing_after() {
-        let served = (20.0, Seen::Ended(KEY, 0, Ran::Served(Some(1.0))));
-        assert_eq!(play(vec![taken(false), sent(1.0, 0), served, answered(20.0, Final::Served)]), []);
-        assert_eq!(
-            play(vec![taken(false), answered(5.0, Final::Refused), answered(6.0, Final::Failed)]),
-            [Rule::Lost]
-        );
-        assert_eq!(play(vec![taken(false), answered(1_060.0, Final::Failed)]), [Rule::Lost]);
-        assert_eq!(play(vec![taken(false), answered(9.0, Final::Failed), sent(10.0, 0)]), [Rule::Lost]);
-        assert_eq!(play(vec![taken(false), (2_000.0, Seen::Effect(9))]), [Rule::Lost]);
-        assert_eq!(play(vec![taken(false), (900.0, Seen::Left(KEY)), (2_000.0, Seen::Effect(9))]), []);
-    }
-
-    #[test]
-    fn what_may_have_run_is_neither_sent_again_nor_refused() {
-        let over = |ran| (5.0, Seen::Ended(KEY, 0, ran));
-        assert_eq!(play(vec![taken(true), sent(1.0, 0), over(Ran::Never), sent(6.0, 1)]), []);
-        assert_eq!(play(vec![taken(true), sent(1.0, 0), over(Ran::Maybe), sent(6.0, 1)]), [Rule::Twice]);
-        assert_eq!(play(vec![taken(true), sent(1.0, 0), sent(6.0, 1)]), [Rule::Twice]);
-        assert_eq!(
-            play(vec![taken(true), sent(1.0, 0), over(Ran::Maybe), answered(9.0, Final::Refused)]),
-            [Rule::Twice]
-        );
-        assert_eq!(play(vec![taken(true), sent(1.0, 0), over(Ran::Maybe), answered(9.0, Final::Failed)]), []);
-        assert_eq!(
-            play(vec![
-                taken(false),
-                sent(1.0, 0),
-                over(Ran::Maybe),
-                sent(6.0, 1),
-                answered(7.0, Final::Refused)
-            ]),
-            []
-        );
-        assert_eq!(play(vec![(1.0, Seen::Effect(3)), (2.0, Seen::Effect(3))]), [Rule::Twice]);
-    }
-
-    #[test]
-    fn drains_are_kept_for_targets_and_sources_after_the_grace() {
-        let drained = |node| (0.0, Seen::Drained(0, NodeIx(node), true));
-        let end = answered(900.0, Final::Failed);
-        assert_eq!(play(vec![drained(4), taken(false), sent(240.0, 0), end.clone()]), []);
-        assert_eq!(play(vec![drained(4), taken(false), sent(260.0, 0), end.clone()]), [Rule::Drain]);
-        assert_eq!(play(vec![drained(2), taken(false), sent(260.0, 0), end.clone()]), [Rule::Drain]);
-        let back = (100.0, Seen::Drained(0, NodeIx(2), false));
-        assert_eq!(play(vec![drained(2), back, taken(false), sent(260.0, 0), end]), []);
-    }
-
-    #[test]
-    fn copies_are_as_new_as_the_purges_that_were_known_when_sent() {
-        let purged = |at| (50.0, Seen::Purged(0, Some(7), 0, at));
-        let group = |at| (50.0, Seen::Purged(0, None, 3, at));
-        let served = |born| (500.0, Seen::Ended(KEY, 0, Ran::Served(Some(born))));
-        let end = answered(500.0, Final::Served);
-        let play = |purge, at, born| play(vec![purge, taken(false), sent(at, 0), served(born), end.clone()]);
-        assert_eq!(play(purged(40.0), 360.0, 39.0), [Rule::Purge]);
-        assert_eq!(play(group(40.0), 360.0, 39.0), [Rule::Purge]);
-        assert_eq!(play(purged(40.0), 360.0, 41.0), []);
-        assert_eq!(play(purged(40.0), 340.0, 39.0), [], "within the grace");
-        assert_eq!(play((50.0, Seen::Purged(0, Some(8), 0, 40.0)), 360.0, 39.0), [], "another object");
-        assert_eq!(play((50.0, Seen::Purged(1, Some(7), 0, 40.0)), 360.0, 39.0), [], "another router");
-    }
-
-    #[test]
-    fn a_cold_node_that_is_pushed_over_is_a_break() {
-        assert_eq!(play(vec![(1.0, Seen::Fell(NodeIx(3)))]), [Rule::Cold]);
-    }
-}
+pub(crate) mod tests;
--- a/crates/simulator/src/cold.rs
+++ b/crates/simulator/src/cold.rs
@@ -1,63 +1,69 @@
-//! The rule on nodes that have just started, as a count: what reaches one within a window against what it can do.
+//! The overload limit of a node that has just started: its load within a sliding window against its present capacity.
 
 use crate::spec::ColdSpec;
 use crate::Ms;
 use std::collections::VecDeque;
 
-/// What reached a node since it started.
+/// The load of a node since its start.
 #[derive(Clone, Debug)]
-pub struct ColdCount {
+pub struct ColdLoad {
     rule: ColdSpec,
-    /// Sending time that it can do in a millisecond when warm.
-    capacity: f64,
+    /// The sending time in ms that the warm node can do per ms: its number of slots.
+    warm_capacity: f64,
     started: Ms,
-    reached: VecDeque<(Ms, f64)>,
-    sum: f64,
-    /// The largest share of the limit that was reached.
-    most: f64,
+    /// Time and weight of the requests within the window.
+    recent: VecDeque<(Ms, f64)>,
+    recent_weight: f64,
+    max_limit_share: f64,
 }
 
-impl ColdCount {
-    /// A node of that capacity that started then.
-    pub fn new(rule: ColdSpec, capacity: f64, started: Ms) -> Self {
-        Self { rule, capacity, started, reached: VecDeque::new(), sum: 0.0, most: 0.0 }
+impl ColdLoad {
+    /// Creates the load of a node that starts now.
+    pub fn new(rule: ColdSpec, warm_capacity: f64, started: Ms) -> Self {
+        Self {
+            rule,
+            warm_capacity,
+            started,
+            recent: VecDeque::new(),
+            recent_weight: 0.0,
+            max_limit_share: 0.0,
+        }
     }
 
-    /// True while the rule holds for it.
-    pub fn cold(&self, now: Ms) -> bool {
+    /// True while the limit applies.
+    pub fn is_cold(&self, now: Ms) -> bool {
         now - self.started < self.rule.span_ms
     }
 
-    /// The part of its capacity that it has at a time.
-    pub fn share(&self, now: Ms) -> f64 {
+    /// The share of the warm capacity that the node has now, rising linearly until it is warm.
+    pub fn capacity_share(&self, now: Ms) -> f64 {
         let age = ((now - self.started) / self.rule.span_ms).clamp(0.0, 1.0);
         self.rule.share + (1.0 - self.rule.share) * age
     }
 
-    /// So much reached it; true if that brings it down.
-    pub fn reached(&mut self, now: Ms, weight: f64) -> bool {
-        if !self.cold(now) {
-            self.reached.clear();
-            self.sum = 0.0;
+    /// Records a request by its sending time in ms; true if the load exceeds the limit.
+    pub fn record(&mut self, now: Ms, weight: f64) -> bool {
+        if !self.is_cold(now) {
+            self.recent.clear();
+            self.recent_weight = 0.0;
             return false;
         }
-        self.reached.push_back((now, weight));
-        self.sum += weight;
-        while let Some((at, old)) =
-            self.reached.front().copied().filter(|(at, _)| *at < now - self.rule.window_ms)
+        self.recent.push_back((now, weight));
+        self.recent_weight += weight;
+        while let Some((_, expired)) =
+            self.recent.front().copied().filter(|(at, _)| *at < now - self.rule.window_ms)
         {
-            let _ = at;
-            self.sum -= old;
-            self.reached.pop_front();
+            self.recent_weight -= expired;
+            self.recent.pop_front();
         }
-        let limit = self.rule.multiple * self.share(now) * self.capacity * self.rule.window_ms;
-        self.most = self.most.max(self.sum / limit);
-        self.sum > limit
+        let limit = self.rule.multiple * self.capacity_share(now) * self.warm_capacity * self.rule.window_ms;
+        self.max_limit_share = self.max_limit_share.max(self.recent_weight / limit);
+        self.recent_weight > limit
     }
 
-    /// The largest share of the limit that was reached.
-    pub fn most(&self) -> f64 {
-        self.most
+    /// The maximum load since the start, as a share of the limit.
+    pub fn max_limit_share(&self) -> f64 {
+        self.max_limit_share
     }
 }
 
--- a/crates/simulator/src/fleet/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -1,100 +1,104 @@
-//! Faults and restarts of nodes, and how purges reach them.
+//! Faults and restarts of nodes, and the purges they receive.
 
 use super::*;
 use crate::arrivals::group_of;
-use crate::cold::ColdCount;
+use crate::cold::ColdLoad;
 use crate::store::Store;
 use crate::Ms;
 use basaltgw::api::{AttemptResult, FillReport};
 use std::cmp::Reverse;
 
 impl Fleet {
-    /// A node's trouble begins.
-    pub fn trouble(&mut self, now: Ms, node: NodeIx, trouble: Trouble) {
+    /// Starts a fault of a node.
+    pub fn inject_fault(&mut self, now: Ms, node: NodeIndex, fault: NodeFault) {
         self.now = now;
         let n = &mut self.nodes[node.0];
-        match trouble {
-            Trouble::Crash => {
+        match fault {
+            NodeFault::Crash => {
                 n.up = false;
-                self.lost(node, true);
+                self.drop_pending(node, true);
             }
-            Trouble::Vanish => {
+            NodeFault::Vanish => {
                 (n.up, n.vanished) = (false, true);
-                self.lost(node, false);
+                self.drop_pending(node, false);
             }
-            Trouble::Hang(until) => {
-                n.hung = until;
-                self.silence(node);
+            NodeFault::Hang { until } => {
+                n.hung_until = until;
+                self.void_responses(node);
             }
-            Trouble::Slow(factor, until) => n.slow = (factor.max(1.0), until),
-            Trouble::RefuseFills(until) => n.refuses = until,
-            Trouble::LoseAnswers(share, until) => n.loses = (share, until),
-            Trouble::WrongSource(to, until) => n.wrong = Some((to, until)),
+            NodeFault::Slow { factor, until } => n.slowdown = Slowdown { factor: factor.max(1.0), until },
+            NodeFault::RefuseFills { until } => n.refuses_fills_until = until,
+            NodeFault::LoseAnswers { share, until } => {
+                n.response_loss = ResponseLoss { probability: share, until }
+            }
+            NodeFault::WrongSource { source, until } => n.wrong_source = Some((source, until)),
         }
     }
 
-    /// A node starts, cold and empty.
-    pub fn start(&mut self, now: Ms, node: NodeIx) {
+    /// Starts a node with an empty store and the reduced capacity of a cold node.
+    pub fn start(&mut self, now: Ms, node: NodeIndex) {
         self.now = now;
         let rules = &self.spec.rules;
         let rule = if self.nodes[node.0].info.tier == 3 { rules.cold_edge } else { rules.cold_parent };
         let n = &mut self.nodes[node.0];
-        (n.up, n.vanished, n.hung) = (true, false, 0.0);
+        (n.up, n.vanished, n.hung_until) = (true, false, 0.0);
         n.store = Store::new(n.info.machine.store_kb);
-        n.side.restart(now, &self.set);
+        n.selector.restart(now, &self.topology);
         n.shield.clear();
         n.fills.clear();
-        n.free = (0..n.info.machine.slots).map(|_| Reverse(0)).collect();
-        n.cold = Some(ColdCount::new(rule, n.info.machine.slots as f64, now));
+        n.slots_free_at = (0..n.info.machine.slots).map(|_| Reverse(0)).collect();
+        n.cold_load = Some(ColdLoad::new(rule, n.info.machine.slots as f64, now));
     }
 
-    // ---- Troubles ----
-
-    /// What was asked of a node that is lost: it is told where the connection ends, else nothing comes.
-    pub(super) fn lost(&mut self, node: NodeIx, told: bool) {
+    /// Drops the fills and requests at a node that went down. Requesters learn of it only if the node closes its connections.
+    pub(super) fn drop_pending(&mut self, node: NodeIndex, closes_connections: bool) {
         let n = &self.nodes[node.0];
         if (1..=2).contains(&n.info.tier) {
-            self.killed.extend(n.store.keys().chain(n.fills.keys().copied()));
+            self.lost_in_crash.extend(n.store.keys().chain(n.fills.keys().copied()));
         }
         self.nodes[node.0].fills.clear();
         self.nodes[node.0].shield.clear();
-        let there: Vec<u64> =
-            self.asks.iter().filter(|(_, a)| a.at == node && a.came <= self.now).map(|(n, _)| *n).collect();
-        for no in there {
-            if told {
-                self.send(
-                    no,
-                    Reply {
-                        end: AttemptResult::ConnectionLost,
-                        note: FillReport::NotReported,
-                        born: 0.0,
-                        waited: 0.0,
+        let pending: Vec<u64> = self
+            .requests
+            .iter()
+            .filter(|(_, r)| r.at == node && r.arrived_at <= self.now)
+            .map(|(number, _)| *number)
+            .collect();
+        for number in pending {
+            if closes_connections {
+                self.respond(
+                    number,
+                    NodeResponse {
+                        result: AttemptResult::ConnectionLost,
+                        fill_report: FillReport::NotReported,
+                        origin_time: 0.0,
+                        source_wait: 0.0,
                     },
                     0.0,
                 );
-            } else if let Some(ask) = self.asks.get_mut(&no) {
-                ask.token += 1;
+            } else if let Some(request) = self.requests.get_mut(&number) {
+                request.response_number += 1;
             }
         }
     }
 
-    /// Nothing of what is under way at a node comes.
-    pub(super) fn silence(&mut self, node: NodeIx) {
-        self.asks.values_mut().filter(|a| a.at == node).for_each(|a| a.token += 1);
+    /// Voids all responses of a node that have not arrived.
+    pub(super) fn void_responses(&mut self, node: NodeIndex) {
+        self.requests.values_mut().filter(|r| r.at == node).for_each(|r| r.response_number += 1);
     }
 
-    pub(super) fn hear_purge(&mut self, node: NodeIx, object: Option<u64>, group: u64, at: Ms) {
+    pub(super) fn purge_arrives(&mut self, node: NodeIndex, object: Option<u64>, group: u64, purged_at: Ms) {
         let n = &mut self.nodes[node.0];
         match object {
             Some(object) => {
-                n.purged.insert(object, at);
+                n.object_purges.insert(object, purged_at);
                 n.shield.forget_failures(object);
-                n.store.purge(at, |o| o == object);
+                n.store.purge(purged_at, |o| o == object);
             }
             None => {
-                n.purged_groups.insert(group, at);
+                n.group_purges.insert(group, purged_at);
                 let groups = self.groups;
-                n.store.purge(at, |o| group_of(o, groups) == group);
+                n.store.purge(purged_at, |o| group_of(o, groups) == group);
             }
         }
     }
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! Caches, the archive and the links between them: asks of routers go in, answers come out. Time is handed in.
+//! Caches, the origin and the links between them: routers' requests go in, responses come out. The caller passes the time.
 //!
-//! A request takes a place among a node's slots for its sending time; a miss is filled from the source that the router named (at an edge cache)
-//! or that the node's side of the plan names (above). Without a plan a parent asks the archive. Fills of one part are one, whoever asks.
+//! A response occupies one of the node's slots for its sending time. A miss is filled from the source that the router named, or, for
+//! requests of other nodes, from the source that the node's part of the plan names; without a plan, from the origin. A node runs at most
+//! one fill of a part, which all requests for the part share.
 
 mod faults;
 mod fills;
@@ -25,292 +26,308 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::sync::Arc;
 
+/// The sender of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asker {
-    Router(AskId),
-    Node(NodeIx, FillKey),
+enum Requester {
+    Router(NodeRequestId),
+    /// A node that fills this part.
+    Node(NodeIndex, FillKey),
 }
 
-/// An ask that has arrived at a node, or is on its way there.
-struct Inside {
-    asker: Asker,
-    at: NodeIx,
+/// A request that is on its way to a node or waits there for its response.
+struct PendingRequest {
+    requester: Requester,
+    at: NodeIndex,
     key: FillKey,
     group: u64,
-    kb: f64,
-    from: Option<NodeIx>,
+    size_kb: f64,
+    fill_source: Option<NodeIndex>,
     rank: Rank,
-    since: Ms,
-    /// An older one will do if it is renewed.
-    since_grace: Ms,
-    join: bool,
-    held_only: bool,
-    effect: Option<u64>,
+    /// The oldest copy that may be served, by the time at which the origin served it.
+    min_origin_time: Ms,
+    /// The oldest copy that may be served if it is revalidated in the background.
+    min_stale_origin_time: Ms,
+    join_fill: bool,
+    cached_only: bool,
+    write: Option<u64>,
     deadline: Ms,
-    /// The nodes that it has passed before this one, and how many times it went on.
-    trail: VisitedPath,
+    /// The nodes that the request and the fills behind it have visited before this node.
+    path: VisitedPath,
+    /// How many times the request was forwarded as a fill.
     hops: u32,
-    came: Ms,
-    /// Its answer that is under way, if it has this number.
-    token: u64,
+    /// Infinity while the request is on its way.
+    arrived_at: Ms,
+    /// The number of the latest response; earlier ones are void.
+    response_number: u64,
+    /// The request joined a fill that another one had started.
     joined: bool,
 }
 
-enum Ev {
-    Arrive(u64),
-    Reply(u64, u64, Reply),
-    FillLate(NodeIx, FillKey, u64),
-    Purge(NodeIx, Option<u64>, u64, Ms),
-    Plan(NodeIx, Arc<Plan>),
-    Overdue,
+enum Event {
+    RequestArrives { number: u64 },
+    ResponseArrives { number: u64, response_number: u64, response: NodeResponse },
+    FillTimeout { node: NodeIndex, key: FillKey, number: u64 },
+    PurgeArrives { node: NodeIndex, object: Option<u64>, group: u64, purged_at: Ms },
+    PlanArrives { node: NodeIndex, plan: Arc<Plan> },
+    ExpireWaiters,
 }
 
-/// How often waiters' deadlines are looked at.
-const OVERDUE_MS: Ms = 25.0;
-/// An ask that goes round ends after this, where nobody heeds trails.
-const MOST_HOPS: u32 = 32;
-/// A router calls a machine that says nothing unreachable after this.
-const CONNECT_MS: Ms = 400.0;
-/// What an answer without a body takes.
-const WORD_MS: Ms = 0.3;
+/// The interval at which requests that wait for a fill past their deadline are failed.
+const WAITER_EXPIRY_INTERVAL_MS: Ms = 25.0;
+/// A request that loops fails after this many hops when loop detection is off.
+const MAX_HOPS: u32 = 32;
+/// The timeout after which a router treats an unreachable machine as a failed connection.
+const CONNECT_TIMEOUT_MS: Ms = 400.0;
+/// The sending time of a response without a body.
+const EMPTY_RESPONSE_MS: Ms = 0.3;
 
-/// All caches and links of a run.
+/// All caches, the origin and all links of a run.
 pub struct Fleet {
     spec: FleetSpec,
-    set: Settings,
+    topology: Settings,
     nodes: Vec<Node>,
-    names: HashMap<NodeId, NodeIx>,
-    /// By zone: when its link is free.
-    links: Vec<Ms>,
-    asks: IndexMap<u64, Inside>,
-    /// A router's asks.
-    by_id: HashMap<AskId, u64>,
-    asks_ever: u64,
-    evs: HashMap<u64, Ev>,
+    node_ids: HashMap<NodeId, NodeIndex>,
+    /// When each zone's link becomes free.
+    link_free_at: Vec<Ms>,
+    /// Pending requests by number.
+    requests: IndexMap<u64, PendingRequest>,
+    /// The numbers of routers' pending requests.
+    request_numbers: HashMap<NodeRequestId, u64>,
+    last_request_number: u64,
+    events: HashMap<u64, Event>,
+    /// Times of events in microseconds, with the events' numbers.
     due: BinaryHeap<Reverse<(u64, u64)>>,
-    evs_ever: u64,
-    /// By object: purges, and the last one.
-    purges: HashMap<u64, (u32, Ms)>,
+    last_event_number: u64,
+    /// The number of purges and the time of the latest, by object.
+    object_purges: HashMap<u64, (u32, Ms)>,
+    /// Like `object_purges`, by group.
     group_purges: HashMap<u64, (u32, Ms)>,
     groups: u64,
-    /// When the archive last gave out a part, by how often it was purged before.
-    given: HashMap<(FillKey, u32), Ms>,
-    /// What was lost with hubs and districts since it was last given out.
-    killed: HashSet<FillKey>,
-    /// Nodes heed trails. Without it a loop goes round until it has gone on so often.
-    pub heeds_trails: bool,
+    /// When the origin last served a part for a fill, by the number of purges before.
+    last_origin_fill: HashMap<(FillKey, u32), Ms>,
+    /// Parts lost in crashes of hubs and districts that the origin has not served again since.
+    lost_in_crash: HashSet<FillKey>,
+    /// Nodes reject requests that have already visited them. Otherwise a request loops until it reaches the limit of hops.
+    pub loop_detection: bool,
     rng: Rng,
     now: Ms,
-    out: Vec<Told>,
+    output: Vec<FleetEvent>,
     /// Counts so far.
     pub counts: Counts,
 }
 
 impl Fleet {
-    /// A fleet at rest, all but spares up and warm.
-    pub fn new(spec: &FleetSpec, groups: u64, set: Settings, seed: u64) -> Self {
+    /// Creates an idle fleet with empty stores; all nodes but the spare ones are up and warm.
+    pub fn new(spec: &FleetSpec, groups: u64, topology: Settings, seed: u64) -> Self {
         let nodes: Vec<Node> = nodes(spec)
             .into_iter()
             .map(|info| Node {
                 up: !info.spare,
-                hung: 0.0,
+                hung_until: 0.0,
                 vanished: false,
-                slow: (1.0, 0.0),
-                refuses: 0.0,
-                loses: (0.0, 0.0),
-                wrong: None,
+                slowdown: Slowdown { factor: 1.0, until: 0.0 },
+                refuses_fills_until: 0.0,
+                response_loss: ResponseLoss { probability: 0.0, until: 0.0 },
+                wrong_source: None,
                 store: Store::new(info.machine.store_kb),
-                side: SourceSelector::new(info.id.clone()),
+                selector: SourceSelector::new(info.id.clone()),
                 shield: OriginShield::default(),
                 fills: IndexMap::new(),
-                free: (0..info.machine.slots).map(|_| Reverse(0)).collect(),
-                cold: None,
-                purged: HashMap::new(),
-                purged_groups: HashMap::new(),
+                slots_free_at: (0..info.machine.slots).map(|_| Reverse(0)).collect(),
+                cold_load: None,
+                object_purges: HashMap::new(),
+                group_purges: HashMap::new(),
                 info,
             })
             .collect();
-        let names = nodes.iter().enumerate().map(|(i, n)| (n.info.id.clone(), NodeIx(i))).collect();
+        let node_ids = nodes.iter().enumerate().map(|(i, n)| (n.info.id.clone(), NodeIndex(i))).collect();
         let mut fleet = Self {
-            links: vec![0.0; spec.zones + 1],
+            link_free_at: vec![0.0; spec.zones + 1],
             spec: spec.clone(),
-            set,
+            topology,
             nodes,
-            names,
-            asks: IndexMap::new(),
-            by_id: HashMap::new(),
-            asks_ever: 0,
-            evs: HashMap::new(),
+            node_ids,
+            requests: IndexMap::new(),
+            request_numbers: HashMap::new(),
+            last_request_number: 0,
+            events: HashMap::new(),
             due: BinaryHeap::new(),
-            evs_ever: 0,
-            purges: HashMap::new(),
+            last_event_number: 0,
+            object_purges: HashMap::new(),
             group_purges: HashMap::new(),
             groups,
-            given: HashMap::new(),
-            killed: HashSet::new(),
-            heeds_trails: true,
+            last_origin_fill: HashMap::new(),
+            lost_in_crash: HashSet::new(),
+            loop_detection: true,
             rng: rng(seed, 1),
             now: 0.0,
-            out: Vec::new(),
+            output: Vec::new(),
             counts: Counts::default(),
         };
-        fleet.at(OVERDUE_MS, Ev::Overdue);
+        fleet.schedule(WAITER_EXPIRY_INTERVAL_MS, Event::ExpireWaiters);
         fleet
     }
 
-    /// The node of a list's id.
-    pub fn find(&self, id: &NodeId) -> Option<NodeIx> {
-        self.names.get(id).copied()
+    /// The node with an id of the endpoint list.
+    pub fn node_by_id(&self, id: &NodeId) -> Option<NodeIndex> {
+        self.node_ids.get(id).copied()
     }
 
-    /// The node of a name for people.
-    pub fn named(&self, name: &str) -> Option<NodeIx> {
-        self.nodes.iter().position(|n| n.info.name == name).map(NodeIx)
+    /// The node with a name of the script.
+    pub fn node_by_name(&self, name: &str) -> Option<NodeIndex> {
+        self.nodes.iter().position(|n| n.info.name == name).map(NodeIndex)
     }
 
-    /// What a node is.
-    pub fn info(&self, node: NodeIx) -> &NodeInfo {
+    /// The description of a node.
+    pub fn info(&self, node: NodeIndex) -> &NodeInfo {
         &self.nodes[node.0].info
     }
 
-    /// How many nodes there are.
+    /// The number of nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// True without nodes.
+    /// True if there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// When something is due next.
+    /// The time of the next event.
     pub fn next_due(&self) -> Option<Ms> {
         self.due.peek().map(|Reverse((at, _))| *at as f64 / 1000.0)
     }
 
-    fn at(&mut self, at: Ms, ev: Ev) {
-        self.evs_ever += 1;
-        self.evs.insert(self.evs_ever, ev);
-        self.due.push(Reverse((micros(at), self.evs_ever)));
+    fn schedule(&mut self, at: Ms, event: Event) {
+        self.last_event_number += 1;
+        self.events.insert(self.last_event_number, event);
+        self.due.push(Reverse((micros(at), self.last_event_number)));
     }
 
-    /// One way from a zone to another.
-    fn way(&mut self, from: usize, to: usize) -> Ms {
+    /// Draws the one-way latency from one zone to another.
+    fn latency(&mut self, from: usize, to: usize) -> Ms {
         let base = if from == to && from != 0 { self.spec.net.near_ms } else { self.spec.net.far_ms };
         base * (1.0 + self.spec.net.jitter * self.rng.random::<f64>())
     }
 
-    // ---- From outside ----
+    // ---- Operations of the owner ----
 
-    /// A router asks a node, from its zone.
-    pub fn ask(&mut self, now: Ms, zone: usize, to: NodeIx, ask: Ask) {
+    /// Sends a request of a router in `zone` to a node.
+    pub fn send(&mut self, now: Ms, zone: usize, to: NodeIndex, request: NodeRequest) {
         self.now = now;
-        self.asks_ever += 1;
-        let no = self.asks_ever;
-        let since = ask.max_age.map_or(f64::NEG_INFINITY, |age| now - age);
-        self.by_id.insert(ask.id, no);
-        self.asks.insert(
-            no,
-            Inside {
-                asker: Asker::Router(ask.id),
+        self.last_request_number += 1;
+        let number = self.last_request_number;
+        let min_origin_time = request.max_age.map_or(f64::NEG_INFINITY, |age| now - age);
+        self.request_numbers.insert(request.id, number);
+        self.requests.insert(
+            number,
+            PendingRequest {
+                requester: Requester::Router(request.id),
                 at: to,
-                key: ask.key,
-                group: ask.group,
-                kb: ask.kb,
-                from: ask.from.filter(|f| *f != to),
-                rank: ask.rank,
-                since,
-                since_grace: since - ask.grace,
-                join: ask.join,
-                held_only: ask.held_only,
-                effect: ask.effect,
-                deadline: now + ask.wait,
-                trail: VisitedPath::default(),
+                key: request.key,
+                group: request.group,
+                size_kb: request.size_kb,
+                fill_source: request.fill_source.filter(|source| *source != to),
+                rank: request.rank,
+                min_origin_time,
+                min_stale_origin_time: min_origin_time - request.stale_for,
+                join_fill: request.join_fill,
+                cached_only: request.cached_only,
+                write: request.write,
+                deadline: now + request.timeout,
+                path: VisitedPath::default(),
                 hops: 0,
-                came: f64::INFINITY,
-                token: 0,
+                arrived_at: f64::INFINITY,
+                response_number: 0,
                 joined: false,
             },
         );
         let to_zone = self.nodes[to.0].info.zone;
-        let way = self.way(zone, to_zone);
-        self.at(now + way, Ev::Arrive(no));
+        let latency = self.latency(zone, to_zone);
+        self.schedule(now + latency, Event::RequestArrives { number });
     }
 
-    /// A router gives an ask up: nothing more comes of it, and a fill that it began runs on.
-    pub fn abort(&mut self, now: Ms, id: AskId) {
+    /// Cancels a router's request: no response is reported. A fill that the request started continues.
+    pub fn cancel(&mut self, now: Ms, id: NodeRequestId) {
         self.now = now;
-        if let Some(no) = self.by_id.remove(&id) {
-            if let Some(ask) = self.asks.swap_remove(&no) {
-                self.nodes[ask.at.0].shield.remove_waiter(ask.key, WaiterId(no));
+        if let Some(number) = self.request_numbers.remove(&id) {
+            if let Some(request) = self.requests.swap_remove(&number) {
+                self.nodes[request.at.0].shield.remove_waiter(request.key, WaiterId(number));
             }
         }
     }
 
-    /// A plan comes out: each node takes it over at its own moment.
-    pub fn plan(&mut self, now: Ms, plan: &Arc<Plan>, late: [f64; 2]) {
+    /// Publishes a plan; each node receives it after its own delay, drawn from `delay`.
+    pub fn distribute_plan(&mut self, now: Ms, plan: &Arc<Plan>, delay: [f64; 2]) {
         self.now = now;
         for i in 0..self.nodes.len() {
-            let after = self.between(late);
-            self.at(now + after, Ev::Plan(NodeIx(i), Arc::clone(plan)));
+            let after = self.draw_from(delay);
+            self.schedule(now + after, Event::PlanArrives { node: NodeIndex(i), plan: Arc::clone(plan) });
         }
     }
 
-    /// An object, or a group, is purged now; nodes hear of it later.
+    /// Purges an object, or without one a group, now; each node receives the purge after its own delay.
     pub fn purge(&mut self, now: Ms, object: Option<u64>, group: u64) {
         self.now = now;
         let count = match object {
-            Some(object) => self.purges.entry(object).or_insert((0, 0.0)),
+            Some(object) => self.object_purges.entry(object).or_insert((0, 0.0)),
             None => self.group_purges.entry(group).or_insert((0, 0.0)),
         };
         *count = (count.0 + 1, now);
-        let late = self.spec.news.cache_purge_ms;
+        let delay = self.spec.news.cache_purge_ms;
         for i in 1..self.nodes.len() {
-            let after = self.between(late);
-            self.at(now + after, Ev::Purge(NodeIx(i), object, group, now));
+            let after = self.draw_from(delay);
+            let event = Event::PurgeArrives { node: NodeIndex(i), object, group, purged_at: now };
+            self.schedule(now + after, event);
         }
     }
 
-    fn between(&mut self, [least, most]: [f64; 2]) -> Ms {
-        least + (most - least).max(0.0) * self.rng.random::<f64>()
+    /// Draws uniformly from a range.
+    fn draw_from(&mut self, [min, max]: [f64; 2]) -> Ms {
+        min + (max - min).max(0.0) * self.rng.random::<f64>()
     }
 
-    /// Does what is due by now; what is told is appended.
-    pub fn advance(&mut self, now: Ms, told: &mut Vec<Told>) {
-        while let Some(Reverse((at, no))) =
+    /// Processes all events until now and appends what the fleet reports to `output`.
+    pub fn advance(&mut self, now: Ms, output: &mut Vec<FleetEvent>) {
+        while let Some(Reverse((at, number))) =
             self.due.peek().copied().filter(|Reverse((at, _))| *at <= micros(now))
         {
             self.due.pop();
             self.now = self.now.max(at as f64 / 1000.0);
-            let Some(ev) = self.evs.remove(&no) else { continue };
-            match ev {
-                Ev::Arrive(ask) => self.arrive(ask),
-                Ev::Reply(ask, token, reply) => self.reply(ask, token, reply),
-                Ev::FillLate(node, key, ask) => {
-                    let current = self.nodes[node.0].fills.get(&key).is_some_and(|f| f.ask == ask);
-                    if current && self.asks.swap_remove(&ask).is_some() {
+            let Some(event) = self.events.remove(&number) else { continue };
+            match event {
+                Event::RequestArrives { number } => self.request_arrives(number),
+                Event::ResponseArrives { number, response_number, response } => {
+                    self.response_arrives(number, response_number, response)
+                }
+                Event::FillTimeout { node, key, number } => {
+                    let current =
+                        self.nodes[node.0].fills.get(&key).is_some_and(|f| f.request_number == number);
+                    if current && self.requests.swap_remove(&number).is_some() {
                         self.fill_failed(node, key, FillReport::SourceFailed, true);
                     }
                 }
-                Ev::Purge(node, object, group, at) => self.hear_purge(node, object, group, at),
-                Ev::Plan(node, plan) => {
-                    let (now, set) = (self.now, self.set);
-                    self.nodes[node.0].side.adopt(now, plan, &set);
+                Event::PurgeArrives { node, object, group, purged_at } => {
+                    self.purge_arrives(node, object, group, purged_at)
+                }
+                Event::PlanArrives { node, plan } => {
+                    let (now, topology) = (self.now, self.topology);
+                    self.nodes[node.0].selector.adopt(now, plan, &topology);
                 }
-                Ev::Overdue => {
-                    self.at(self.now + OVERDUE_MS, Ev::Overdue);
+                Event::ExpireWaiters => {
+                    self.schedule(self.now + WAITER_EXPIRY_INTERVAL_MS, Event::ExpireWaiters);
                     for i in 0..self.nodes.len() {
                         if self.nodes[i].shield.is_empty() {
                             continue;
                         }
-                        for w in self.nodes[i].shield.remove_expired(self.now) {
-                            self.word(w.0, AttemptResult::Error, FillReport::SourceFailed);
+                        for waiter in self.nodes[i].shield.remove_expired(self.now) {
+                            self.send_empty(waiter.0, AttemptResult::Error, FillReport::SourceFailed);
                         }
                     }
                 }
             }
         }
         self.now = self.now.max(now);
-        told.append(&mut self.out);
+        output.append(&mut self.output);
     }
 }
--- a/crates/simulator/src/fleet/node.rs
+++ b/crates/simulator/src/fleet/node.rs
@@ -1,7 +1,7 @@
 //! The nodes of the fleet: edge caches, parents and the origin.
 
 use super::fills::Fill;
-use crate::cold::ColdCount;
+use crate::cold::ColdLoad;
 use crate::spec::{FleetSpec, Machine};
 use crate::store::Store;
 use crate::Ms;
@@ -10,31 +10,31 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// A node's place in the fleet. The archive is the first.
+/// The index of a node in the fleet; the origin is the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct NodeIx(pub usize);
+pub struct NodeIndex(pub usize);
 
-/// The archive.
-pub const ARCHIVE: NodeIx = NodeIx(0);
+/// The origin.
+pub const ORIGIN: NodeIndex = NodeIndex(0);
 
-/// What a node is.
+/// The description of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeInfo {
-    /// Its id on the list.
+    /// The id in the endpoint list.
     pub id: NodeId,
-    /// Its name for people and scripts.
+    /// The name in scripts and messages.
     pub name: String,
-    /// Its tier: 0 the archive, 1 hubs, 2 districts, 3 edge caches.
+    /// The tier: 0 for the origin, 1 for hubs, 2 for districts, 3 for edge caches.
     pub tier: u8,
-    /// Its zone; 0 for all that are no edge caches.
+    /// The zone, from 1; 0 for all nodes but edge caches.
     pub zone: usize,
-    /// Not listed at the start.
+    /// The node is down and not listed at the start.
     pub spare: bool,
-    /// Its machine.
+    /// The machine that the node runs on.
     pub machine: Machine,
 }
 
-/// The nodes of a fleet: the archive, hubs, districts, edge caches by zone.
+/// The nodes of a fleet in order of their index: the origin, hubs, districts, edge caches by zone.
 pub fn nodes(spec: &FleetSpec) -> Vec<NodeInfo> {
     let mut all = Vec::new();
     let mut add = |name: String, tier: u8, zone: usize, spare: bool, machine: &Machine| {
@@ -54,23 +54,42 @@
     all
 }
 
+/// The effect of [`NodeFault::Slow`](super::NodeFault::Slow).
+pub(super) struct Slowdown {
+    pub(super) factor: f64,
+    pub(super) until: Ms,
+}
+
+/// The effect of [`NodeFault::LoseAnswers`](super::NodeFault::LoseAnswers).
+pub(super) struct ResponseLoss {
+    pub(super) probability: f64,
+    pub(super) until: Ms,
+}
+
 pub(super) struct Node {
     pub(super) info: NodeInfo,
     pub(super) up: bool,
-    pub(super) hung: Ms,
+    /// The node sends no response before this.
+    pub(super) hung_until: Ms,
+    /// The machine is unreachable: connections are neither accepted nor closed.
     pub(super) vanished: bool,
-    pub(super) slow: (f64, Ms),
-    pub(super) refuses: Ms,
-    pub(super) loses: (f64, Ms),
-    pub(super) wrong: Option<(NodeIx, Ms)>,
+    pub(super) slowdown: Slowdown,
+    /// The node accepts no new fills before this.
+    pub(super) refuses_fills_until: Ms,
+    pub(super) response_loss: ResponseLoss,
+    /// The wrong source that the node uses, and until when.
+    pub(super) wrong_source: Option<(NodeIndex, Ms)>,
     pub(super) store: Store,
-    pub(super) side: SourceSelector,
+    /// The node's part of the plan.
+    pub(super) selector: SourceSelector,
     pub(super) shield: OriginShield,
     pub(super) fills: IndexMap<FillKey, Fill>,
-    /// When each slot is free.
-    pub(super) free: BinaryHeap<Reverse<u64>>,
-    pub(super) cold: Option<ColdCount>,
-    /// Purges it has heard of: older copies are not kept.
-    pub(super) purged: HashMap<u64, Ms>,
-    pub(super) purged_groups: HashMap<u64, Ms>,
+    /// When each slot becomes free, in microseconds.
+    pub(super) slots_free_at: BinaryHeap<Reverse<u64>>,
+    /// The load since the last start; `None` for a node that is up from the start of the run.
+    pub(super) cold_load: Option<ColdLoad>,
+    /// When the latest purge that the node has received was issued, by object; older copies are not stored.
+    pub(super) object_purges: HashMap<u64, Ms>,
+    /// Like `object_purges`, by group.
+    pub(super) group_purges: HashMap<u64, Ms>,
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,15 +1,15 @@
-//! All that a router talks to, as state machines without I/O and without a clock: edge caches, parents, the archive, links, clients and
-//! the news of lists, purges and plans; with troubles that a script switches on.
+//! Simulates everything that a router communicates with, as state machines without I/O and without a clock: edge caches, parent caches,
+//! the origin, links, clients and notifications of endpoint lists, purges and plans, with faults from a script.
 //!
-//! - [`spec`]: how large a fleet is, what is asked of it, and what happens to it;
-//! - [`store`]: what a cache holds;
-//! - [`fleet`]: caches and links: asks in, answers out;
-//! - [`arrivals`]: who asks for what, and when;
-//! - [`cold`]: the rule on nodes that have just started, as a count;
-//! - [`checker`]: the five rules, by what was sent and answered alone;
-//! - [`sim`]: routers round the decision module, and everything above, in simulated time.
+//! - [`spec`]: the description of a fleet, its load and its script;
+//! - [`store`]: the store of a cache;
+//! - [`fleet`]: caches, the origin and links, from requests to responses;
+//! - [`arrivals`]: the clients' requests;
+//! - [`cold`]: the overload limit of nodes that have just started;
+//! - [`checker`]: checks the five routing rules from requests and responses alone;
+//! - [`sim`]: runs routers with their decision modules and all of the above in simulated time.
 //!
-//! The same seed and description give the same run to the last bit.
+//! Runs are deterministic: the same seed and description give bit-identical results.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -27,19 +27,19 @@
 /// The generator of a run's random numbers.
 pub type Rng = rand_pcg::Pcg64Mcg;
 
-/// A generator of its own for each user of a seed, so that one who draws more does not move the others.
-pub fn rng(seed: u64, user: u64) -> Rng {
+/// A separate generator for each stream of a seed, so that additional draws in one stream do not change the others.
+pub fn rng(seed: u64, stream: u64) -> Rng {
     use rand::SeedableRng;
-    Rng::seed_from_u64(basaltgw::hash::mix(seed, user))
+    Rng::seed_from_u64(basaltgw::hash::mix(seed, stream))
 }
 
-/// A number of 0 to 1, the latter excluded.
+/// A uniform random number in `[0, 1)`.
 pub fn draw(rng: &mut Rng) -> f64 {
     use rand::RngExt;
     rng.random()
 }
 
-/// Whole microseconds, by which events are ordered.
+/// A time in whole microseconds, the resolution in which events are ordered.
 pub(crate) fn micros(at: Ms) -> u64 {
     (at.max(0.0) * 1000.0).round() as u64
 }
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -1,21 +1,27 @@
-//! Routers round the decision module, and all that they talk to, in simulated time.
+//! Runs routers, each with its decision module, and everything that they communicate with in simulated time.
 
-mod days;
+mod events;
 mod requests;
 mod setup;
 
-use setup::TICK_MS;
-pub use setup::{plan, settings, ClassFigures, Figures, Setup, AIM_STRETCH};
+use setup::TOPOLOGY_TICK_MS;
+pub use setup::{
+    plan_spec, router_settings, ChangeStateEntry, ClassMetrics, RunMetrics, SecondMetrics, Setup,
+    LATENCY_OBJECTIVE_STRETCH,
+};
 
 use crate::arrivals::{Arrival, Arrivals};
-use crate::checker::{Checker, Final, Ran, Rule, Seen};
-use crate::fleet::{nodes, Ask, AskId, Counts, Fleet, NodeInfo, NodeIx, Reply, Told, Trouble, ARCHIVE};
-use crate::spec::{EffectSpec, FleetSpec, LoadSpec, Moment, PlanShape, What};
+use crate::checker::{Checker, ClientResult, Execution, Observation, Rule};
+use crate::fleet::{
+    nodes, Counts, Fleet, FleetEvent, NodeFault, NodeIndex, NodeInfo, NodeRequest, NodeRequestId,
+    NodeResponse, ORIGIN,
+};
+use crate::spec::{EffectSpec, FleetSpec, LoadSpec, PlanShape, ScriptAction, ScriptEvent};
 use crate::{micros, rng, Ms, Rng};
 use basaltgw::api::*;
 use basaltgw::routing::Router;
 use basaltgw_config::plan::table;
-use basaltgw_hierarchy as tree;
+use basaltgw_hierarchy as topology;
 use basaltgw_hierarchy::{FillKey, NodeId, NodeSpec, Plan, PlanSpec, Tier, TopologyManager, Version};
 use hdrhistogram::Histogram;
 use indexmap::IndexMap;
@@ -24,91 +30,97 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::sync::Arc;
 
-/// Whoever decides: the module, or one that is wrong on purpose.
-pub trait Decide {
-    /// Takes an event in and appends what is to be done.
-    fn handle(&mut self, now: Ms, event: Event, acts: &mut Vec<Action>);
+/// The decision module of a router: the real one, or a faulty one for tests of the checker.
+pub trait DecisionModule {
+    /// Handles an event and appends the resulting actions.
+    fn handle(&mut self, now: Ms, event: Event, actions: &mut Vec<Action>);
 }
 
-impl Decide for Router {
-    fn handle(&mut self, now: Ms, event: Event, acts: &mut Vec<Action>) {
-        Router::handle(self, now, event, acts);
+impl DecisionModule for Router {
+    fn handle(&mut self, now: Ms, event: Event, actions: &mut Vec<Action>) {
+        Router::handle(self, now, event, actions);
     }
 }
 
-enum Ev {
-    Arrive(usize),
-    Again(usize, Client),
-    Timer(usize, u64),
-    Late(usize, u64, usize),
-    Outcome(usize, Outcome),
-    List(usize, Vec<Endpoint>),
-    Purge(usize, Option<u64>, u64, Ms),
-    Offer(usize, PlanSpec),
-    TakeBack(usize),
-    Tick(usize),
-    Script(usize),
-    Start(NodeIx),
-    Purges,
-    Tidy,
+enum SimEvent {
+    Arrival { router: usize },
+    Retry { router: usize, client: Client },
+    Timer { router: usize, token: u64 },
+    AttemptTimeout { router: usize, number: u64, attempt: usize },
+    Outcome { router: usize, outcome: Outcome },
+    EndpointUpdate { router: usize, endpoints: Vec<Endpoint> },
+    Purge { router: usize, object: Option<u64>, group: u64, purged_at: Ms },
+    PlanOffer { router: usize, plan: PlanSpec },
+    PlanRollback { router: usize },
+    TopologyTick { router: usize },
+    Script { index: usize },
+    NodeStart { node: NodeIndex },
+    NextPurge,
+    ExpireRequests,
 }
 
-/// A member who asks, over all tries.
+/// A client with its request, over all retries.
 #[derive(Clone, Debug)]
 struct Client {
-    what: Arrival,
-    tries: u32,
+    arrival: Arrival,
+    retries: u32,
 }
 
 struct Attempt {
-    node: NodeIx,
-    source: Option<NodeIx>,
-    sent: Ms,
-    out: bool,
+    node: NodeIndex,
+    fill_source: Option<NodeIndex>,
+    started_at: Ms,
+    running: bool,
 }
 
-struct Open {
+struct OpenRequest {
     client: Client,
-    due: Ms,
+    deadline: Ms,
     answered: bool,
     attempts: Vec<Attempt>,
 }
 
-struct Seat {
-    decider: Box<dyn Decide>,
+struct RouterState {
+    decision_module: Box<dyn DecisionModule>,
     zone: usize,
     arrivals: Arrivals,
-    next: Option<Arrival>,
-    reshape: TopologyManager,
-    open: IndexMap<u64, Open>,
-    /// Its list is not told before this.
-    list_from: Ms,
+    next_arrival: Option<Arrival>,
+    topology: TopologyManager,
+    open_requests: IndexMap<u64, OpenRequest>,
+    /// The router receives no changes of the endpoint list before this.
+    list_updates_from: Ms,
 }
 
 struct Sim<'a> {
     setup: &'a Setup,
     nodes: Vec<NodeInfo>,
-    entries: Vec<Endpoint>,
-    by_id: HashMap<ServerId, NodeIx>,
+    endpoints: Vec<Endpoint>,
+    by_id: HashMap<ServerId, NodeIndex>,
     fleet: Fleet,
-    seats: Vec<Seat>,
+    routers: Vec<RouterState>,
     checker: Checker,
-    evs: HashMap<u64, Ev>,
+    events: HashMap<u64, SimEvent>,
+    /// Times of events in microseconds, with the events' numbers.
     due: BinaryHeap<Reverse<(u64, u64)>>,
-    evs_ever: u64,
-    requests_ever: u64,
-    version: u64,
-    current: usize,
-    before: usize,
+    last_event_number: u64,
+    last_request_number: u64,
+    plan_version: u64,
+    /// The indices of the current plan and the one before it.
+    current_plan: usize,
+    previous_plan: usize,
     rng: Rng,
     now: Ms,
-    figures: Figures,
-    waits: Histogram<u64>,
+    metrics: RunMetrics,
+    /// Latencies of served requests in microseconds.
+    latencies: Histogram<u64>,
 }
 
-/// Runs a setup with deciders that `make` makes for each router.
-pub fn run(setup: &Setup, make: impl Fn(usize, Settings, u64) -> Box<dyn Decide>) -> Result<Figures, String> {
-    let mut sim = Sim::new(setup, make)?;
+/// Runs a setup. `new_module` creates the decision module of a router from its index, settings and seed.
+pub fn run(
+    setup: &Setup,
+    new_module: impl Fn(usize, Settings, u64) -> Box<dyn DecisionModule>,
+) -> Result<RunMetrics, String> {
+    let mut sim = Sim::new(setup, new_module)?;
     sim.begin()?;
     let end =
         setup.length_ms + setup.load.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max) + 1_000.0;
@@ -116,7 +128,7 @@
     Ok(sim.finish())
 }
 
-fn entry(n: &NodeInfo, listed: EndpointState, started: Option<Ms>) -> Endpoint {
+fn endpoint(n: &NodeInfo, listed: EndpointState, started: Option<Ms>) -> Endpoint {
     Endpoint {
         id: ServerId(n.id.0.clone()),
         zone: ZoneId(n.zone),
@@ -133,110 +145,119 @@
 }
 
 impl<'a> Sim<'a> {
-    fn new(setup: &'a Setup, make: impl Fn(usize, Settings, u64) -> Box<dyn Decide>) -> Result<Self, String> {
-        let set =
-            if setup.staged { setup.tree } else { tree::Settings { handover_duration: 0.0, ..setup.tree } };
-        let mut fleet = Fleet::new(&setup.fleet, setup.load.groups, set, setup.seed);
-        fleet.heeds_trails = setup.trails;
+    fn new(
+        setup: &'a Setup,
+        new_module: impl Fn(usize, Settings, u64) -> Box<dyn DecisionModule>,
+    ) -> Result<Self, String> {
+        let topology_settings = if setup.staged {
+            setup.tree
+        } else {
+            topology::Settings { handover_duration: 0.0, ..setup.tree }
+        };
+        let mut fleet = Fleet::new(&setup.fleet, setup.load.groups, topology_settings, setup.seed);
+        fleet.loop_detection = setup.loop_detection;
         let nodes = nodes(&setup.fleet);
         let listed = |n: &NodeInfo| if n.spare { EndpointState::Removed } else { EndpointState::Up };
-        let entries: Vec<Endpoint> = nodes.iter().map(|n| entry(n, listed(n), None)).collect();
-        let by_id = entries.iter().enumerate().map(|(i, e)| (e.id.clone(), NodeIx(i))).collect();
-        let mut seats = Vec::new();
+        let endpoints: Vec<Endpoint> = nodes.iter().map(|n| endpoint(n, listed(n), None)).collect();
+        let by_id = endpoints.iter().enumerate().map(|(i, e)| (e.id.clone(), NodeIndex(i))).collect();
+        let mut routers = Vec::new();
         for zone in 1..=setup.fleet.zones {
             for _ in 0..setup.fleet.routers_per_zone {
-                let r = seats.len();
-                let of = settings(&setup.fleet, &setup.load, zone);
-                seats.push(Seat {
-                    decider: make(r, of, basaltgw::hash::mix(setup.seed, r as u64 + 7)),
+                let r = routers.len();
+                let settings = router_settings(&setup.fleet, &setup.load, zone);
+                routers.push(RouterState {
+                    decision_module: new_module(r, settings, basaltgw::hash::mix(setup.seed, r as u64 + 7)),
                     zone,
                     arrivals: Arrivals::new(&setup.load, setup.seed, r as u64),
-                    next: None,
-                    reshape: TopologyManager::new(setup.tree),
-                    open: IndexMap::new(),
-                    list_from: 0.0,
+                    next_arrival: None,
+                    topology: TopologyManager::new(setup.tree),
+                    open_requests: IndexMap::new(),
+                    list_updates_from: 0.0,
                 });
             }
         }
         let classes =
-            setup.load.classes.iter().map(|c| ClassFigures { name: c.name.clone(), ..Default::default() });
-        let figures = Figures {
+            setup.load.classes.iter().map(|c| ClassMetrics { name: c.name.clone(), ..Default::default() });
+        let metrics = RunMetrics {
             classes: classes.collect(),
-            worth: 0.0,
-            worth_late: 0.0,
-            seconds: vec![(0.0, 0.0); (setup.length_ms / 1000.0).ceil() as usize + 1],
+            weighted_in_time_share: 0.0,
+            weighted_answered_share: 0.0,
+            seconds: vec![SecondMetrics::default(); (setup.length_ms / 1000.0).ceil() as usize + 1],
             served: 0,
-            refused: 0,
+            rejected: 0,
             failed: 0,
             attempts: 0,
             decisions: 0,
-            p50: 0.0,
-            p99: 0.0,
+            latency_p50_ms: 0.0,
+            latency_p99_ms: 0.0,
             counts: Counts::default(),
-            broken: BTreeMap::new(),
-            states: Vec::new(),
-            refusals: Vec::new(),
+            violations: BTreeMap::new(),
+            change_states: Vec::new(),
+            rejected_plans: Vec::new(),
         };
-        let waits = Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|e| e.to_string())?;
+        let latencies = Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|e| e.to_string())?;
         Ok(Self {
             checker: Checker::new(&setup.fleet.rules),
             setup,
             nodes,
-            entries,
+            endpoints,
             by_id,
             fleet,
-            seats,
-            evs: HashMap::new(),
+            routers,
+            events: HashMap::new(),
             due: BinaryHeap::new(),
-            evs_ever: 0,
-            requests_ever: 0,
-            version: 0,
-            current: 0,
-            before: 0,
+            last_event_number: 0,
+            last_request_number: 0,
+            plan_version: 0,
+            current_plan: 0,
+            previous_plan: 0,
             rng: rng(setup.seed, 2),
             now: 0.0,
-            figures,
-            waits,
+            metrics,
+            latencies,
         })
     }
 
-    fn at(&mut self, at: Ms, ev: Ev) {
-        self.evs_ever += 1;
-        self.evs.insert(self.evs_ever, ev);
-        self.due.push(Reverse((micros(at), self.evs_ever)));
+    fn schedule(&mut self, at: Ms, event: SimEvent) {
+        self.last_event_number += 1;
+        self.events.insert(self.last_event_number, event);
+        self.due.push(Reverse((micros(at), self.last_event_number)));
     }
 
-    fn between(&mut self, [least, most]: [f64; 2]) -> Ms {
-        least + (most - least).max(0.0) * self.rng.random::<f64>()
+    /// Draws uniformly from a range.
+    fn draw_from(&mut self, [min, max]: [f64; 2]) -> Ms {
+        min + (max - min).max(0.0) * self.rng.random::<f64>()
     }
 
-    /// The nodes that routers of a zone are told of.
-    fn told_of(&self, zone: usize, i: usize) -> bool {
+    /// True if routers of the zone have the node in their endpoint list.
+    fn receives_node(&self, zone: usize, i: usize) -> bool {
         self.nodes[i].zone == 0 || self.nodes[i].zone == zone
     }
 
-    fn finish(mut self) -> Figures {
-        self.checker.tidy(self.now);
+    fn finish(mut self) -> RunMetrics {
+        self.checker.expire(self.now);
         let classes = &self.setup.load.classes;
-        let sum = |worth: &dyn Fn(&ClassFigures, &crate::spec::ClassSpec) -> f64| -> f64 {
-            self.figures.classes.iter().zip(classes).map(|(f, c)| worth(f, c) * c.worth).sum()
+        let weighted_sum = |figure: &dyn Fn(&ClassMetrics, &crate::spec::ClassSpec) -> f64| -> f64 {
+            self.metrics.classes.iter().zip(classes).map(|(f, c)| figure(f, c) * c.worth).sum()
         };
-        let asked = sum(&|f, _| f.asked as f64).max(f64::MIN_POSITIVE);
-        let (in_time, late) = (sum(&|f, _| f.in_time as f64), sum(&|f, c| f.late as f64 * c.late_worth));
-        self.figures.worth = in_time / asked;
-        self.figures.worth_late = (in_time + late) / asked;
-        self.figures.p50 = self.waits.value_at_quantile(0.5) as f64 / 1000.0;
-        self.figures.p99 = self.waits.value_at_quantile(0.99) as f64 / 1000.0;
-        self.figures.counts = self.fleet.counts.clone();
-        self.figures.broken.clone_from(self.checker.report());
-        self.figures
+        let requested = weighted_sum(&|f, _| f.requests as f64).max(f64::MIN_POSITIVE);
+        let (in_time, late) =
+            (weighted_sum(&|f, _| f.in_time as f64), weighted_sum(&|f, c| f.late as f64 * c.late_worth));
+        self.metrics.weighted_in_time_share = in_time / requested;
+        self.metrics.weighted_answered_share = (in_time + late) / requested;
+        self.metrics.latency_p50_ms = self.latencies.value_at_quantile(0.5) as f64 / 1000.0;
+        self.metrics.latency_p99_ms = self.latencies.value_at_quantile(0.99) as f64 / 1000.0;
+        self.metrics.counts = self.fleet.counts.clone();
+        self.metrics.violations.clone_from(self.checker.violations());
+        self.metrics
     }
 }
 
-fn ask_id(router: usize, no: u64, n: usize) -> AskId {
-    AskId { router, number: no << 4 | n.min(15) as u64 }
+/// The id of an attempt's request to a node: the client request's number and, in the lowest 4 bits, the attempt.
+fn node_request_id(router: usize, number: u64, attempt: usize) -> NodeRequestId {
+    NodeRequestId { router, number: number << 4 | attempt.min(15) as u64 }
 }
 
-fn number(id: &RequestId) -> Option<u64> {
+fn request_number(id: &RequestId) -> Option<u64> {
     id.0.parse().ok()
 }
--- a/crates/simulator/src/sim/requests.rs
+++ b/crates/simulator/src/sim/requests.rs
@@ -1,238 +1,304 @@
-//! Requests in a run, from a client to its answer.
+//! Clients' requests in a run, from the arrival to the final answer, and the events and actions of the routers.
 
 use super::*;
 
 impl Sim<'_> {
-    pub(super) fn list(&mut self, r: usize, mode: EndpointUpdate, entries: Vec<Endpoint>) {
+    /// Delivers an endpoint list or a change of it to a router.
+    pub(super) fn update_endpoints(&mut self, r: usize, update: EndpointUpdate, entries: Vec<Endpoint>) {
         for e in &entries {
             let node = self.by_id[&e.id];
-            self.checker.see(self.now, Seen::Drained(r, node, e.state != EndpointState::Up));
+            self.checker.observe(
+                self.now,
+                Observation::NodeListed { router: r, node, up: e.state == EndpointState::Up },
+            );
             let id = self.nodes[node.0].id.clone();
-            self.reshape(
+            self.topology_event(
                 r,
-                tree::Event::NodeListed { node: id, up: e.state == EndpointState::Up, started: e.started },
+                topology::Event::NodeListed {
+                    node: id,
+                    up: e.state == EndpointState::Up,
+                    started: e.started,
+                },
             );
         }
-        self.decide(r, Event::Endpoints { update: mode, entries });
+        self.handle_event(r, Event::Endpoints { update, entries });
     }
 
-    pub(super) fn reshape(&mut self, r: usize, event: tree::Event) {
-        let mut acts = Vec::new();
-        self.seats[r].reshape.handle(self.now, event, &mut acts);
-        for act in acts {
-            match act {
-                tree::Action::UseSources(of) => self.decide(r, Event::FillPlan(Some(Arc::new(table(&of))))),
-                tree::Action::StateEntered { version, state, .. } => {
-                    self.figures.states.push((r, self.now, version.0, state));
+    /// Delivers an event to a router's topology manager and carries out its actions.
+    pub(super) fn topology_event(&mut self, r: usize, event: topology::Event) {
+        let mut actions = Vec::new();
+        self.routers[r].topology.handle(self.now, event, &mut actions);
+        for action in actions {
+            match action {
+                topology::Action::UseSources(sources) => {
+                    self.handle_event(r, Event::FillPlan(Some(Arc::new(table(&sources)))))
+                }
+                topology::Action::StateEntered { version, state, .. } => {
+                    let entry = ChangeStateEntry { router: r, at: self.now, version: version.0, state };
+                    self.metrics.change_states.push(entry);
                 }
-                tree::Action::Rejected(why) => self.figures.refusals.push(why.to_string()),
-                tree::Action::PairDisabled { .. } => {}
+                topology::Action::Rejected(reason) => self.metrics.rejected_plans.push(reason.to_string()),
+                topology::Action::PairDisabled { .. } => {}
             }
         }
     }
 
-    pub(super) fn take(&mut self, r: usize, client: Client) {
-        self.requests_ever += 1;
-        let no = self.requests_ever;
-        let class = &self.setup.load.classes[client.what.class];
-        let what = &client.what;
-        let due = what.at + class.deadline_ms;
-        let unsafe_ = class.effect == EffectSpec::Unsafe;
-        self.checker.see(self.now, Seen::Taken((r, no), unsafe_, what.object, what.group, due));
+    /// Accepts a client's request at a router.
+    pub(super) fn accept(&mut self, r: usize, client: Client) {
+        self.last_request_number += 1;
+        let number = self.last_request_number;
+        let class = &self.setup.load.classes[client.arrival.class];
+        let arrival = &client.arrival;
+        let deadline = arrival.at + class.deadline_ms;
+        let non_idempotent = class.effect == EffectSpec::Unsafe;
+        self.checker.observe(
+            self.now,
+            Observation::RequestAccepted {
+                request: (r, number),
+                non_idempotent,
+                object: arrival.object,
+                group: arrival.group,
+                deadline,
+            },
+        );
         let request = Request {
-            id: RequestId(Arc::from(no.to_string())),
-            class: Some(ClassId(what.class)),
-            object: ObjectId(what.object),
-            part: Part(what.part),
-            group: GroupId(what.group),
-            size_kb: what.kb,
-            write: unsafe_,
-            budget: due - self.now,
+            id: RequestId(Arc::from(number.to_string())),
+            class: Some(ClassId(arrival.class)),
+            object: ObjectId(arrival.object),
+            part: Part(arrival.part),
+            group: GroupId(arrival.group),
+            size_kb: arrival.size_kb,
+            write: non_idempotent,
+            budget: deadline - self.now,
         };
-        self.seats[r].open.insert(no, Open { client, due, answered: false, attempts: Vec::new() });
-        self.decide(r, Event::Request(request));
+        self.routers[r]
+            .open_requests
+            .insert(number, OpenRequest { client, deadline, answered: false, attempts: Vec::new() });
+        self.handle_event(r, Event::Request(request));
     }
 
-    pub(super) fn decide(&mut self, r: usize, event: Event) {
-        let mut acts = Vec::new();
-        self.figures.decisions += 1;
-        self.seats[r].decider.handle(self.now, event, &mut acts);
-        for act in acts {
-            match act {
-                Action::StartAttempt(fetch) => self.fetch(r, fetch),
+    /// Delivers an event to a router's decision module and carries out its actions.
+    pub(super) fn handle_event(&mut self, r: usize, event: Event) {
+        let mut actions = Vec::new();
+        self.metrics.decisions += 1;
+        self.routers[r].decision_module.handle(self.now, event, &mut actions);
+        for action in actions {
+            match action {
+                Action::StartAttempt(spec) => self.start_attempt(r, spec),
                 Action::CancelAttempt { request, attempt: n } => {
-                    let Some(no) = number(&request) else { continue };
-                    let out =
-                        self.seats[r].open.get(&no).and_then(|o| o.attempts.get(n.0)).is_some_and(|a| a.out);
-                    if out {
-                        self.fleet.abort(self.now, ask_id(r, no, n.0));
-                        let called_off = Reply {
-                            end: AttemptResult::Cancelled,
-                            note: FillReport::NotReported,
-                            born: 0.0,
-                            waited: 0.0,
+                    let Some(number) = request_number(&request) else { continue };
+                    if self.is_running(r, number, n.0) {
+                        self.fleet.cancel(self.now, node_request_id(r, number, n.0));
+                        let cancelled = NodeResponse {
+                            result: AttemptResult::Cancelled,
+                            fill_report: FillReport::NotReported,
+                            origin_time: 0.0,
+                            source_wait: 0.0,
                         };
-                        self.ended(r, no, n.0, called_off, true);
+                        self.attempt_ended(r, number, n.0, cancelled, true);
                     }
                 }
-                Action::Reject { request, retry_after: stay } => {
-                    self.answer(r, &request, Final::Refused, stay)
+                Action::Reject { request, retry_after } => {
+                    self.answer_client(r, &request, ClientResult::Rejected, retry_after)
+                }
+                Action::Fail(request) => self.answer_client(r, &request, ClientResult::Failed, 0.0),
+                Action::Timer { delay, token } => {
+                    self.schedule(self.now + delay, SimEvent::Timer { router: r, token })
                 }
-                Action::Fail(request) => self.answer(r, &request, Final::Failed, 0.0),
-                Action::Timer { delay: after, token } => self.at(self.now + after, Ev::Timer(r, token)),
                 Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
     }
 
-    pub(super) fn fetch(&mut self, r: usize, fetch: AttemptSpec) {
-        let Some(no) = number(&fetch.request) else { return };
-        let (node, source) =
-            (self.by_id.get(&fetch.server).copied(), self.by_id.get(&fetch.fill_source).copied());
-        let Some(open) = self.seats[r].open.get_mut(&no) else { return };
+    /// True if the attempt was started and has not ended.
+    pub(super) fn is_running(&self, r: usize, number: u64, attempt: usize) -> bool {
+        let open = self.routers[r].open_requests.get(&number);
+        open.and_then(|o| o.attempts.get(attempt)).is_some_and(|a| a.running)
+    }
+
+    /// Sends an attempt to its node.
+    pub(super) fn start_attempt(&mut self, r: usize, spec: AttemptSpec) {
+        let Some(number) = request_number(&spec.request) else { return };
+        let (node, fill_source) =
+            (self.by_id.get(&spec.server).copied(), self.by_id.get(&spec.fill_source).copied());
+        let Some(open) = self.routers[r].open_requests.get_mut(&number) else { return };
         let n = open.attempts.len();
         let Some(node) = node else { return };
-        let source = source.filter(|s| *s != node);
-        let what = &open.client.what;
-        let class = &self.setup.load.classes[what.class];
-        let until = if fetch.timeout > 0.0 { (self.now + fetch.timeout).min(open.due) } else { open.due };
-        let fresh = Some(class.fresh_ms).filter(|f| *f > 0.0);
-        let grace = if fetch.max_age.is_none() && fetch.revalidate { class.grace_ms } else { 0.0 };
-        let ask = Ask {
-            id: ask_id(r, no, n),
-            key: FillKey { object: what.object, part: what.part },
-            group: what.group,
-            kb: what.kb,
-            from: source,
-            rank: fetch.rank,
-            max_age: fetch.max_age.or(fresh),
-            grace,
-            join: fetch.join_fill,
-            held_only: fetch.cached_only,
-            effect: (class.effect == EffectSpec::Unsafe).then_some(no),
-            wait: until - self.now,
+        let fill_source = fill_source.filter(|s| *s != node);
+        let arrival = &open.client.arrival;
+        let class = &self.setup.load.classes[arrival.class];
+        let until =
+            if spec.timeout > 0.0 { (self.now + spec.timeout).min(open.deadline) } else { open.deadline };
+        let fresh_for = Some(class.fresh_ms).filter(|f| *f > 0.0);
+        let stale_for = if spec.max_age.is_none() && spec.revalidate { class.grace_ms } else { 0.0 };
+        let request = NodeRequest {
+            id: node_request_id(r, number, n),
+            key: FillKey { object: arrival.object, part: arrival.part },
+            group: arrival.group,
+            size_kb: arrival.size_kb,
+            fill_source,
+            rank: spec.rank,
+            max_age: spec.max_age.or(fresh_for),
+            stale_for,
+            join_fill: spec.join_fill,
+            cached_only: spec.cached_only,
+            write: (class.effect == EffectSpec::Unsafe).then_some(number),
+            timeout: until - self.now,
         };
-        open.attempts.push(Attempt { node, source, sent: self.now, out: true });
-        self.figures.attempts += 1;
-        self.checker.see(self.now, Seen::Sent((r, no), n, node, source));
-        let zone = self.seats[r].zone;
-        self.fleet.ask(self.now, zone, node, ask);
-        self.at(until, Ev::Late(r, no, n));
+        open.attempts.push(Attempt { node, fill_source, started_at: self.now, running: true });
+        self.metrics.attempts += 1;
+        self.checker.observe(
+            self.now,
+            Observation::AttemptStarted { request: (r, number), attempt: n, node, fill_source },
+        );
+        let zone = self.routers[r].zone;
+        self.fleet.send(self.now, zone, node, request);
+        self.schedule(until, SimEvent::AttemptTimeout { router: r, number, attempt: n });
     }
 
-    pub(super) fn replied(&mut self, id: AskId, reply: Reply) {
-        let (no, n) = (id.number >> 4, (id.number & 15) as usize);
-        self.ended(id.router, no, n, reply, false);
+    pub(super) fn response_arrived(&mut self, id: NodeRequestId, response: NodeResponse) {
+        let (number, n) = (id.number >> 4, (id.number & 15) as usize);
+        self.attempt_ended(id.router, number, n, response, false);
     }
 
-    /// An attempt is over: the client gets what was served, and the module is told.
-    pub(super) fn ended(&mut self, r: usize, no: u64, n: usize, reply: Reply, later: bool) {
-        let Some(open) = self.seats[r].open.get_mut(&no) else { return };
-        let Some(attempt) = open.attempts.get_mut(n).filter(|a| a.out) else { return };
-        attempt.out = false;
-        let (node, source, sent) = (attempt.node, attempt.source, attempt.sent);
-        let object = open.client.what.object;
-        let unsafe_ = self.setup.load.classes[open.client.what.class].effect == EffectSpec::Unsafe;
-        let first = !open.answered;
-        let ran = match reply.end {
-            AttemptResult::Served => Ran::Served((!unsafe_).then_some(reply.born)),
+    /// Ends an attempt: a served copy goes to the client, and the decision module receives the outcome. The outcome is scheduled as an
+    /// event if `deferred`, for an attempt that the module itself cancels.
+    pub(super) fn attempt_ended(
+        &mut self,
+        r: usize,
+        number: u64,
+        n: usize,
+        response: NodeResponse,
+        deferred: bool,
+    ) {
+        let Some(open) = self.routers[r].open_requests.get_mut(&number) else { return };
+        let Some(attempt) = open.attempts.get_mut(n).filter(|a| a.running) else { return };
+        attempt.running = false;
+        let (node, fill_source, started_at) = (attempt.node, attempt.fill_source, attempt.started_at);
+        let object = open.client.arrival.object;
+        let non_idempotent = self.setup.load.classes[open.client.arrival.class].effect == EffectSpec::Unsafe;
+        let first_answer = !open.answered;
+        let execution = match response.result {
+            AttemptResult::Served => {
+                Execution::Served { origin_time: (!non_idempotent).then_some(response.origin_time) }
+            }
             AttemptResult::Rejected
             | AttemptResult::NoConnection
             | AttemptResult::NotSent
-            | AttemptResult::CacheMiss => Ran::Never,
+            | AttemptResult::CacheMiss => Execution::NotExecuted,
             AttemptResult::Error
             | AttemptResult::TimedOut
             | AttemptResult::ConnectionLost
-            | AttemptResult::Cancelled => Ran::Maybe,
+            | AttemptResult::Cancelled => Execution::Unknown,
         };
-        self.checker.see(self.now, Seen::Ended((r, no), n, ran));
-        if reply.end == AttemptResult::Served && first {
-            self.served(r, no);
+        self.checker
+            .observe(self.now, Observation::AttemptEnded { request: (r, number), attempt: n, execution });
+        if response.result == AttemptResult::Served && first_answer {
+            self.record_served(r, number);
         }
-        if let Some(source) = source {
-            let result = match (reply.end, reply.note) {
+        if let Some(source) = fill_source {
+            let result = match (response.result, response.fill_report) {
                 (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => {
-                    Some(tree::SourceResult::Filled)
+                    Some(topology::SourceResult::Filled)
                 }
-                (_, FillReport::SourceRejected) => Some(tree::SourceResult::Rejected),
-                (_, FillReport::SourceFailed) => Some(tree::SourceResult::Failed),
-                (_, FillReport::LoopDetected) => Some(tree::SourceResult::LoopDetected),
-                // Whose fault it is is not known; a newcomer gets no more while answers are late.
-                (AttemptResult::TimedOut, _) => Some(tree::SourceResult::Failed),
+                (_, FillReport::SourceRejected) => Some(topology::SourceResult::Rejected),
+                (_, FillReport::SourceFailed) => Some(topology::SourceResult::Failed),
+                (_, FillReport::LoopDetected) => Some(topology::SourceResult::LoopDetected),
+                // The timeout may be due to the node or its source. It counts against the source, so that a new source gets no more load while
+                // responses are late.
+                (AttemptResult::TimedOut, _) => Some(topology::SourceResult::Failed),
                 _ => None,
             };
-            let id = |ix: NodeIx| self.nodes[ix.0].id.clone();
-            if let Some(result) = result.filter(|_| source != ARCHIVE) {
-                self.reshape(
+            let id = |node: NodeIndex| self.nodes[node.0].id.clone();
+            if let Some(result) = result.filter(|_| source != ORIGIN) {
+                self.topology_event(
                     r,
-                    tree::Event::AttemptEnded { requester: id(node), source: id(source), object, result },
+                    topology::Event::AttemptEnded { requester: id(node), source: id(source), object, result },
                 );
             }
         }
         let outcome = Outcome {
-            request: RequestId(Arc::from(no.to_string())),
+            request: RequestId(Arc::from(number.to_string())),
             attempt: AttemptNo(n),
-            server: self.entries[node.0].id.clone(),
-            result: reply.end,
-            latency: self.now - sent,
-            completes_request: !first || reply.end == AttemptResult::Served,
-            fill_report: reply.note,
-            source_wait: reply.waited,
+            server: self.endpoints[node.0].id.clone(),
+            result: response.result,
+            latency: self.now - started_at,
+            completes_request: !first_answer || response.result == AttemptResult::Served,
+            fill_report: response.fill_report,
+            source_wait: response.source_wait,
             load: LoadReport::default(),
             body_complete: true,
         };
-        if later {
-            self.at(self.now, Ev::Outcome(r, outcome));
+        if deferred {
+            self.schedule(self.now, SimEvent::Outcome { router: r, outcome });
         } else {
-            self.decide(r, Event::Outcome(outcome));
+            self.handle_event(r, Event::Outcome(outcome));
         }
-        self.forget(r, no);
+        self.drop_if_finished(r, number);
     }
 
-    pub(super) fn forget(&mut self, r: usize, no: u64) {
-        let over = |o: &Open| o.answered && o.attempts.iter().all(|a| !a.out);
-        if self.seats[r].open.get(&no).is_some_and(over) {
-            self.seats[r].open.swap_remove(&no);
+    /// Drops an answered request once all its attempts have ended.
+    pub(super) fn drop_if_finished(&mut self, r: usize, number: u64) {
+        let finished = |o: &OpenRequest| o.answered && o.attempts.iter().all(|a| !a.running);
+        if self.routers[r].open_requests.get(&number).is_some_and(finished) {
+            self.routers[r].open_requests.swap_remove(&number);
         }
     }
 
-    pub(super) fn served(&mut self, r: usize, no: u64) {
-        let Some(open) = self.seats[r].open.get_mut(&no) else { return };
+    /// Records that a client was served.
+    pub(super) fn record_served(&mut self, r: usize, number: u64) {
+        let Some(open) = self.routers[r].open_requests.get_mut(&number) else { return };
         open.answered = true;
-        let what = &open.client.what;
-        let class = &self.setup.load.classes[what.class];
-        let took = self.now - what.at;
-        let aim = class.aim_ms + AIM_STRETCH * what.kb / self.setup.fleet.net.pace_kb_per_ms;
-        let figures = &mut self.figures.classes[what.class];
-        figures.answered_kb.push(what.kb);
-        if took <= aim {
-            figures.in_time += 1;
-            self.figures.seconds[(what.at / 1000.0) as usize].1 += class.worth;
+        let arrival = &open.client.arrival;
+        let class = &self.setup.load.classes[arrival.class];
+        let latency = self.now - arrival.at;
+        let objective =
+            class.aim_ms + LATENCY_OBJECTIVE_STRETCH * arrival.size_kb / self.setup.fleet.net.pace_kb_per_ms;
+        let metrics = &mut self.metrics.classes[arrival.class];
+        metrics.served_kb.push(arrival.size_kb);
+        if latency <= objective {
+            metrics.in_time += 1;
+            self.metrics.seconds[(arrival.at / 1000.0) as usize].in_time_weight += class.worth;
         } else {
-            figures.late += 1;
+            metrics.late += 1;
         }
-        self.figures.served += 1;
-        self.waits.saturating_record(micros(took).max(1));
-        self.checker.see(self.now, Seen::Answered((r, no), Final::Served));
+        self.metrics.served += 1;
+        self.latencies.saturating_record(micros(latency).max(1));
+        self.checker.observe(
+            self.now,
+            Observation::ClientAnswered { request: (r, number), result: ClientResult::Served },
+        );
     }
 
-    pub(super) fn answer(&mut self, r: usize, request: &RequestId, how: Final, stay: Ms) {
-        let Some(no) = number(request) else { return };
-        self.checker.see(self.now, Seen::Answered((r, no), how));
-        let Some(open) = self.seats[r].open.get_mut(&no).filter(|o| !o.answered) else { return };
+    /// Answers a client that was not served; the client may retry.
+    pub(super) fn answer_client(
+        &mut self,
+        r: usize,
+        request: &RequestId,
+        result: ClientResult,
+        retry_after: Ms,
+    ) {
+        let Some(number) = request_number(request) else { return };
+        self.checker.observe(self.now, Observation::ClientAnswered { request: (r, number), result });
+        let Some(open) = self.routers[r].open_requests.get_mut(&number).filter(|o| !o.answered) else {
+            return;
+        };
         open.answered = true;
-        match how {
-            Final::Refused => self.figures.refused += 1,
-            Final::Served | Final::Failed => self.figures.failed += 1,
+        match result {
+            ClientResult::Rejected => self.metrics.rejected += 1,
+            ClientResult::Served | ClientResult::Failed => self.metrics.failed += 1,
         }
         let mut client = open.client.clone();
-        let class = &self.setup.load.classes[client.what.class];
-        let again = self.now + self.setup.load.backoff_ms.max(stay);
-        let may = class.effect == EffectSpec::Safe || how == Final::Refused;
-        if may && client.tries < self.setup.load.retries && again < client.what.at + class.deadline_ms {
-            client.tries += 1;
-            self.at(again, Ev::Again(r, client));
+        let class = &self.setup.load.classes[client.arrival.class];
+        let retry_at = self.now + self.setup.load.backoff_ms.max(retry_after);
+        let may_retry = class.effect == EffectSpec::Safe || result == ClientResult::Rejected;
+        if may_retry
+            && client.retries < self.setup.load.retries
+            && retry_at < client.arrival.at + class.deadline_ms
+        {
+            client.retries += 1;
+            self.schedule(retry_at, SimEvent::Retry { router: r, client });
         }
-        self.forget(r, no);
+        self.drop_if_finished(r, number);
     }
 }
--- a/crates/simulator/src/sim/setup.rs
+++ b/crates/simulator/src/sim/setup.rs
@@ -1,95 +1,128 @@
-//! What a run is made of, and what comes of it.
+//! The setup of a run, its metrics, and the settings and plans derived from the setup.
 
 use super::*;
 
-/// A run.
+/// Everything that determines a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setup {
     /// The fleet.
     pub fleet: FleetSpec,
-    /// What is asked.
+    /// The clients' requests.
     pub load: LoadSpec,
-    /// What happens.
-    pub script: Vec<Moment>,
-    /// Plans by name; the first is in use from the start.
+    /// Faults, restarts, plan changes and purges, by time.
+    pub script: Vec<ScriptEvent>,
+    /// Plans by name; the first is active from the start.
     pub plans: Vec<PlanShape>,
-    /// How a reshape goes.
-    pub tree: tree::Settings,
-    /// How long requests come in.
+    /// Settings of topology changes.
+    pub tree: topology::Settings,
+    /// How long clients send new requests.
     pub length_ms: Ms,
-    /// Plans are taken over by portions; else all at once, and nobody asks an old home.
+    /// Routers apply a new plan in steps, with a handover from the old sources; otherwise at once and without a handover.
     pub staged: bool,
-    /// Nodes heed trails.
-    pub trails: bool,
-    /// The seed of everything.
+    /// Nodes reject requests that have already visited them.
+    pub loop_detection: bool,
+    /// The seed of every random draw.
     pub seed: u64,
 }
 
-/// A class's figures.
+/// Metrics of one request class.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ClassFigures {
-    /// Its name.
+pub struct ClassMetrics {
+    /// The name of the class.
     pub name: String,
-    /// Requests, clients' repeats aside.
-    pub asked: u64,
-    /// Answered within the aim, and after it.
+    /// Requests, without the clients' retries.
+    pub requests: u64,
+    /// Requests served within the latency objective.
     pub in_time: u64,
-    /// See `in_time`.
+    /// Requests served after the latency objective.
     pub late: u64,
-    /// Sizes in KB of what was asked, and of what was answered in time or late.
-    pub asked_kb: Vec<f64>,
-    /// See `asked_kb`.
-    pub answered_kb: Vec<f64>,
+    /// Sizes of the requested parts in KB.
+    pub requested_kb: Vec<f64>,
+    /// Sizes of the served parts in KB, in time or late.
+    pub served_kb: Vec<f64>,
 }
 
-/// What came of a run.
+/// The requests that arrived within one second, each weighted by its class's priority.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct SecondMetrics {
+    /// The weight of all requests.
+    pub requested_weight: f64,
+    /// The weight of the requests served within the latency objective.
+    pub in_time_weight: f64,
+}
+
+impl SecondMetrics {
+    /// The weighted share of requests served in time; NaN for a second without requests.
+    pub fn weighted_in_time_share(&self) -> f64 {
+        if self.requested_weight > 0.0 {
+            self.in_time_weight / self.requested_weight
+        } else {
+            f64::NAN
+        }
+    }
+}
+
+/// A state of a plan change that a router entered.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ChangeStateEntry {
+    /// The index of the router.
+    pub router: usize,
+    /// When the router entered the state.
+    pub at: Ms,
+    /// The version of the plan.
+    pub version: u64,
+    /// The state.
+    pub state: topology::ChangeState,
+}
+
+/// The metrics of a run.
 #[derive(Clone, Debug)]
-pub struct Figures {
-    /// By class.
-    pub classes: Vec<ClassFigures>,
-    /// Worth answered within its wanted time, over the worth asked.
-    pub worth: f64,
-    /// The same with late answers at their worth.
-    pub worth_late: f64,
-    /// By second of arrival: worth asked, worth in time.
-    pub seconds: Vec<(f64, f64)>,
-    /// Answers, refusals, failures as routers gave them.
+pub struct RunMetrics {
+    /// Metrics by class.
+    pub classes: Vec<ClassMetrics>,
+    /// The share of requests served within the latency objective, weighted by class.
+    pub weighted_in_time_share: f64,
+    /// Like `weighted_in_time_share`, with late answers counted at their class's share for late answers.
+    pub weighted_answered_share: f64,
+    /// Metrics by second of arrival.
+    pub seconds: Vec<SecondMetrics>,
+    /// Requests that were served.
     pub served: u64,
-    /// See `served`.
-    pub refused: u64,
-    /// See `served`.
+    /// Final answers that rejected the request, clients' retries included.
+    pub rejected: u64,
+    /// Final answers that reported a failure, clients' retries included.
     pub failed: u64,
-    /// Attempts.
+    /// Attempts started by routers.
     pub attempts: u64,
-    /// Events handed to deciders.
+    /// Events handled by decision modules.
     pub decisions: u64,
-    /// Time from the first try to the answer, in ms: the median and the 99th of a hundred.
-    pub p50: f64,
-    /// See `p50`.
-    pub p99: f64,
+    /// The median time from a client's first request to the answer.
+    pub latency_p50_ms: f64,
+    /// The 99th percentile of the time from a client's first request to the answer.
+    pub latency_p99_ms: f64,
     /// The fleet's counts.
     pub counts: Counts,
-    /// Rules broken: how often, and the first in words.
-    pub broken: BTreeMap<Rule, (u64, String)>,
-    /// States entered by routers, in order: router, when, version, state.
-    pub states: Vec<(usize, Ms, u64, tree::ChangeState)>,
-    /// Plans refused by routers.
-    pub refusals: Vec<String>,
+    /// Violations by rule: their number, and a description of the first.
+    pub violations: BTreeMap<Rule, (u64, String)>,
+    /// States of plan changes in the order in which routers entered them.
+    pub change_states: Vec<ChangeStateEntry>,
+    /// Why routers rejected plans.
+    pub rejected_plans: Vec<String>,
 }
 
-impl Figures {
-    /// Routers that are through with every change that they began.
-    pub fn settled(&self) -> bool {
-        let mut last: HashMap<usize, tree::ChangeState> = HashMap::new();
-        self.states.iter().for_each(|(router, _, _, state)| {
-            last.insert(*router, *state);
+impl RunMetrics {
+    /// True if every router has completed each plan change that it started.
+    pub fn all_changes_completed(&self) -> bool {
+        let mut last: HashMap<usize, topology::ChangeState> = HashMap::new();
+        self.change_states.iter().for_each(|entry| {
+            last.insert(entry.router, entry.state);
         });
-        last.values().all(|s| *s == tree::ChangeState::Completed)
+        last.values().all(|s| *s == topology::ChangeState::Completed)
     }
 }
 
-/// The settings that routers of a zone are started with.
-pub fn settings(fleet: &FleetSpec, load: &LoadSpec, zone: usize) -> Settings {
+/// The settings of a zone's routers.
+pub fn router_settings(fleet: &FleetSpec, load: &LoadSpec, zone: usize) -> Settings {
     let cold = |c: &crate::spec::ColdSpec| SlowStartPolicy {
         initial_share: c.share,
         ramp_duration: c.span_ms,
@@ -99,7 +132,7 @@
     let class = |c: &crate::spec::ClassSpec| Class {
         name: c.name.clone(),
         latency_objective: c.aim_ms,
-        latency_objective_stretch: AIM_STRETCH,
+        latency_objective_stretch: LATENCY_OBJECTIVE_STRETCH,
         deadline: c.deadline_ms,
         idempotency: if c.effect == EffectSpec::Safe {
             Idempotency::Idempotent
@@ -129,7 +162,7 @@
         cancel: true,
         retry_after: true,
         max_retry_after: 500.0,
-        max_attempts: MOST_ATTEMPTS,
+        max_attempts: MAX_ATTEMPTS,
         direct_to_parents: true,
         fill_joining: true,
         peer_fill: PeerFill::None,
@@ -141,16 +174,16 @@
     }
 }
 
-/// The aim is longer by this multiple of the request's own sending time.
-pub const AIM_STRETCH: f64 = 2.0;
-const MOST_ATTEMPTS: usize = 8;
-/// How often a router's reshape looks at the time.
-pub(super) const TICK_MS: Ms = 50.0;
+/// The latency objective is extended by this multiple of the response's sending time.
+pub const LATENCY_OBJECTIVE_STRETCH: f64 = 2.0;
+const MAX_ATTEMPTS: usize = 8;
+/// The interval of ticks to a router's topology manager.
+pub(super) const TOPOLOGY_TICK_MS: Ms = 50.0;
 
-/// A plan of a shape, under a version.
-pub fn plan(shape: &PlanShape, version: u64, all: &[NodeInfo]) -> PlanSpec {
-    let of = |tier: u8| all.iter().filter(move |n| n.tier == tier).map(|n| &n.id).collect::<Vec<_>>();
-    let (hubs, districts, edges) = (of(1), of(2), of(3));
+/// The plan of a shape, under a version.
+pub fn plan_spec(shape: &PlanShape, version: u64, all: &[NodeInfo]) -> PlanSpec {
+    let ids_of = |tier: u8| all.iter().filter(move |n| n.tier == tier).map(|n| &n.id).collect::<Vec<_>>();
+    let (hubs, districts, edges) = (ids_of(1), ids_of(2), ids_of(3));
     let node = |id: &NodeId, tier: u8, sources: Vec<NodeId>| NodeSpec {
         id: id.clone(),
         tier: Tier(tier),
@@ -160,9 +193,9 @@
         capacity: f64::INFINITY,
         sources,
     };
-    // Next to each other by place, so that neighbours share some.
-    let fan = |of: &[&NodeId], listed: &[usize], at: usize, fan: usize| -> Vec<NodeId> {
-        (0..fan.min(listed.len())).map(|k| of[listed[(at + k) % listed.len()]].clone()).collect()
+    // Consecutive sources from the node's own position on, so that neighbouring nodes share some of them.
+    let fan = |ids: &[&NodeId], listed: &[usize], at: usize, fan: usize| -> Vec<NodeId> {
+        (0..fan.min(listed.len())).map(|k| ids[listed[(at + k) % listed.len()]].clone()).collect()
     };
     let mut nodes = vec![node(&all[0].id, 0, Vec::new())];
     nodes.extend(shape.hubs.iter().map(|h| node(hubs[*h], 1, vec![all[0].id.clone()])));
--- a/crates/simulator/src/spec.rs
+++ b/crates/simulator/src/spec.rs
@@ -1,132 +1,132 @@
-//! How large a fleet is, what is asked of it, and what happens to it. All times are milliseconds, all sizes KB.
+//! The description of a fleet, its load and its script of faults, as experiment files have it. Times are in milliseconds, sizes in KB.
 
 use crate::Ms;
 use serde::Deserialize;
 
-/// A machine of one tier.
+/// The machines of one tier.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Answers that it sends at full pace at the same time.
+    /// Responses that a machine sends at full speed at the same time.
     pub slots: usize,
-    /// How long work may wait for a slot before it is turned away.
+    /// How long a response may wait for a slot before the request is rejected.
     pub queue_ms: Ms,
-    /// What it holds.
+    /// The capacity of the store.
     pub store_kb: f64,
-    /// Fills that it runs at the same time.
+    /// The maximum number of concurrent fills.
     pub fills: usize,
 }
 
-/// The net between machines.
+/// The network between machines.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Net {
-    /// One way between machines of a location.
+pub struct Network {
+    /// One-way latency between machines of a zone.
     pub near_ms: Ms,
-    /// One way between locations.
+    /// One-way latency between zones.
     pub far_ms: Ms,
-    /// Share by which a way is longer at most.
+    /// The maximum random addition to a latency, as a share of it.
     pub jitter: f64,
-    /// What one location's link carries, KB a millisecond.
+    /// The bandwidth of a zone's link, in KB per millisecond.
     pub link_kb_per_ms: f64,
-    /// What one answer takes at most, KB a millisecond.
+    /// The maximum rate of one response, in KB per millisecond.
     pub pace_kb_per_ms: f64,
-    /// A fill is given up when nothing has come for so long.
+    /// The timeout of a fill.
     pub fill_ms: Ms,
 }
 
-/// From least to most.
-pub type Span = [f64; 2];
+/// A range from minimum to maximum; values are drawn uniformly unless stated otherwise.
+pub type Range = [f64; 2];
 
-/// How late news is.
+/// Delays of notifications; each receiver has its own.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct News {
-    /// The list, at a router.
-    pub list_ms: Span,
-    /// A purge, at a router.
-    pub purge_ms: Span,
-    /// A purge, at a cache.
-    pub cache_purge_ms: Span,
-    /// A plan, at a router or cache.
-    pub plan_ms: Span,
+pub struct NotificationDelays {
+    /// Changes of the endpoint list, at a router.
+    pub list_ms: Range,
+    /// Purges, at a router.
+    pub purge_ms: Range,
+    /// Purges, at a cache.
+    pub cache_purge_ms: Range,
+    /// Plans, at a router or cache.
+    pub plan_ms: Range,
 }
 
-/// A cold rule's figures.
+/// The capacity of a node that has just started, and the load that takes it down.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ColdSpec {
-    /// Share of its capacity with which a node starts.
+    /// The share of its warm capacity with which a node starts.
     pub share: f64,
-    /// Time until it is warm.
+    /// Time from the start until the node is warm.
     pub span_ms: Ms,
-    /// Multiple of its present capacity that brings it down.
+    /// A node goes down when its load exceeds this multiple of its present capacity.
     pub multiple: f64,
-    /// Time over which that is counted.
+    /// The window over which the load is measured.
     pub window_ms: Ms,
 }
 
-/// The rules' figures.
+/// The tolerances of the routing rules.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Rules {
-    /// Answers may be so late.
+pub struct RuleLimits {
+    /// How long after its deadline an answer may come.
     pub slack_ms: Ms,
-    /// Sends to a draining node have to end within this.
+    /// How long after the notification a router may still start attempts at a draining or removed node.
     pub drain_grace_ms: Ms,
-    /// Purges have to be heeded within this.
+    /// How long after the notification a router may still serve a purged copy.
     pub purge_grace_ms: Ms,
-    /// Old copies are gone after this.
+    /// How long after a purge nodes may still hold older copies.
     pub purge_settles_ms: Ms,
-    /// Edge caches that have just started.
+    /// Limits of edge caches that have just started.
     pub cold_edge: ColdSpec,
-    /// Parents that have just started.
+    /// Limits of parent caches that have just started.
     pub cold_parent: ColdSpec,
 }
 
-/// A fleet: zones with edge caches and routers, districts and hubs above them, and the archive.
+/// A fleet: zones with edge caches and routers, two tiers of parent caches (districts and hubs), and the origin.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSpec {
-    /// Zones.
+    /// The number of zones.
     pub zones: usize,
-    /// Routers in each.
+    /// Routers in each zone.
     pub routers_per_zone: usize,
-    /// Edge caches in each.
+    /// Edge caches in each zone.
     pub edges_per_zone: usize,
-    /// District caches, parents of tier 2.
+    /// District caches: parents of tier 2.
     pub districts: usize,
-    /// Hubs, parents of tier 1.
+    /// Hubs: parents of tier 1.
     pub hubs: usize,
-    /// Of the districts and hubs, so many (the last ones) are not listed at the start.
+    /// How many districts (the last ones) are not listed at the start.
     #[serde(default)]
     pub spare_districts: usize,
-    /// See `spare_districts`.
+    /// How many hubs (the last ones) are not listed at the start.
     #[serde(default)]
     pub spare_hubs: usize,
-    /// Machines by tier.
+    /// The machines of edge caches.
     pub edge: Machine,
-    /// See `edge`.
+    /// The machines of districts.
     pub district: Machine,
-    /// See `edge`.
+    /// The machines of hubs.
     pub hub: Machine,
-    /// See `edge`; it holds everything.
+    /// The machine of the origin, which has every object.
     pub archive: Machine,
-    /// The net.
-    pub net: Net,
-    /// How late news is.
-    pub news: News,
-    /// The rules' figures.
-    pub rules: Rules,
+    /// The network.
+    pub net: Network,
+    /// Delays of notifications.
+    pub news: NotificationDelays,
+    /// The tolerances of the routing rules.
+    pub rules: RuleLimits,
 }
 
-/// What a repeat may do.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum EffectSpec {
-    /// May be repeated.
+    /// Idempotent: may be repeated.
     Safe,
-    /// Must never run twice; runs at the archive.
+    /// Non-idempotent: must never run twice; runs at the origin.
     Unsafe,
 }
 
@@ -134,129 +134,129 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Its share of the requests, beside the other classes'.
+    /// The share of the requests, relative to the other classes'.
     pub share: f64,
-    /// Objects that are asked for.
+    /// The number of objects.
     pub objects: u64,
-    /// The exponent by which some are asked for more often (0: all alike).
+    /// The exponent of the Zipf distribution of popularity (0: all objects alike).
     pub zipf: f64,
-    /// Parts of an object.
+    /// The number of parts of an object.
     pub parts: u64,
-    /// Size of a part, by object.
-    pub kb: Span,
-    /// Wanted within this, plus twice its own sending time.
+    /// The size of a part, log-uniform by object.
+    pub kb: Range,
+    /// The latency objective, which is extended by twice the response's own sending time.
     pub aim_ms: Ms,
-    /// Given up after this.
+    /// The deadline, from the client's first request on.
     pub deadline_ms: Ms,
-    /// Worth of an answer within the aim.
+    /// The priority weight of an answer within the latency objective.
     pub worth: f64,
-    /// The share of it that a late one has.
+    /// The share of `worth` that a late answer has.
     pub late_worth: f64,
-    /// What a repeat may do.
+    /// Whether a request may be repeated.
     pub effect: EffectSpec,
     /// How long a copy is fresh; 0 for no limit.
     #[serde(default)]
     pub fresh_ms: Ms,
-    /// How long past that it may be served while it is renewed.
+    /// How long past `fresh_ms` a copy may be served while it is revalidated in the background.
     #[serde(default)]
     pub grace_ms: Ms,
 }
 
-/// What is asked.
+/// The load from clients.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct LoadSpec {
-    /// Requests a second for each router.
+    /// Requests per second at each router.
     pub per_router: f64,
-    /// Classes.
+    /// The classes of requests.
     pub classes: Vec<ClassSpec>,
-    /// Repeats by a client of what was refused or failed and may be repeated.
+    /// The maximum number of a client's retries of a request that was rejected, or that failed and is idempotent.
     pub retries: u32,
-    /// How long it waits before one, at least what it was told.
+    /// The minimum delay before a retry; a longer retry-after of the router takes precedence.
     pub backoff_ms: Ms,
-    /// Groups that objects belong to.
+    /// The number of groups of objects.
     pub groups: u64,
-    /// Objects purged a second.
+    /// Objects purged per second.
     #[serde(default)]
     pub purges_per_s: f64,
 }
 
-/// What happens at a time.
+/// The action of a script event.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
-    /// The node's process dies; it starts again cold and empty after `for_ms` (0: never).
+pub enum ScriptAction {
+    /// The node's process dies; it starts again with an empty store after `for_ms` (0: never).
     Crash,
-    /// It takes everything and answers nothing for `for_ms`.
+    /// The node accepts requests and sends no response for `for_ms`.
     Hang,
-    /// Its machine vanishes without a word and comes back cold and empty after `for_ms`.
+    /// The node's machine is unreachable and its connections stay open; it starts again with an empty store after `for_ms`.
     Vanish,
-    /// It takes `factor` times as long for `for_ms`.
+    /// The node takes `factor` times as long to send for `for_ms`.
     Slow,
-    /// It refuses fills for `for_ms`.
+    /// The node rejects requests that need a new fill for `for_ms`.
     RefuseFills,
-    /// It loses `factor` (a share) of its answers for `for_ms`.
+    /// The node loses the share `factor` of its responses for `for_ms`.
     LoseAnswers,
-    /// It asks `to` for what it lacks, whatever its plan says, for `for_ms`.
+    /// The node fills misses from `to`, whatever its plan says, for `for_ms`.
     WrongSource,
-    /// A share `factor` of all groups is purged.
+    /// The share `factor` of all groups is purged.
     MassPurge,
-    /// Routers hear no news of the list for `for_ms`.
+    /// Routers receive no changes of the endpoint list for `for_ms`.
     StaleList,
-    /// It starts, cold and empty, and is listed.
+    /// The node starts with an empty store and is listed as up.
     Start,
-    /// It is listed as draining.
+    /// The node is listed as draining.
     Drain,
-    /// It is listed as gone and stops.
+    /// The node is listed as removed and stops.
     Stop,
-    /// A plan comes out: routers and caches take it over, each at its own moment.
+    /// The plan `plan` is published; each router and cache receives it after a delay of its own.
     Plan,
-    /// The plan's change is taken back at the routers, and caches get the version before again under a higher number.
+    /// Routers roll the latest plan change back, and caches receive the previous plan under a higher version.
     TakeBack,
 }
 
-/// A moment of the script.
+/// An event of the script.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Moment {
-    /// When.
+pub struct ScriptEvent {
+    /// The time of the event.
     pub at_ms: Ms,
-    /// What.
-    pub what: What,
-    /// Which node, by name.
+    /// The action.
+    pub what: ScriptAction,
+    /// The affected node, by name.
     #[serde(default)]
     pub node: Option<String>,
-    /// For how long.
+    /// The duration of a fault.
     #[serde(default)]
     pub for_ms: Ms,
-    /// How much.
+    /// The factor or share that the action applies.
     #[serde(default)]
     pub factor: f64,
-    /// Which other node, by name.
+    /// The wrong fill source, by name.
     #[serde(default)]
     pub to: Option<String>,
-    /// Which of the experiment's plans.
+    /// The published plan, by name.
     #[serde(default)]
     pub plan: Option<String>,
 }
 
-/// How the tree is planned: by tier, each node asks `fan` of the tier below, next to each other by place.
+/// The shape of a plan: each node has a number of consecutive sources in the next tier towards the origin.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct PlanShape {
-    /// Its name in the script.
+    /// The name of the plan in the script.
     pub name: String,
-    /// Hubs by number.
+    /// The hubs in the plan, by number.
     pub hubs: Vec<usize>,
-    /// Districts by number.
+    /// The districts in the plan, by number.
     pub districts: Vec<usize>,
-    /// Districts that an edge cache may ask.
+    /// The number of districts that are sources of an edge cache.
     pub edge_fan: usize,
-    /// Hubs that a district may ask.
+    /// The number of hubs that are sources of a district.
     pub district_fan: usize,
-    /// Districts that ask other districts first: `[from, to]` by number.
+    /// Districts that have another district as an additional source: `[from, to]` by number.
     #[serde(default)]
     pub laterals: Vec<[usize; 2]>,
 }
--- a/crates/simulator/src/store/tests.rs
+++ b/crates/simulator/src/store/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_lowest_rank_leaves_first_then_what_was_used_longest_ago() {
+fn the_lowest_rank_is_evicted_first_then_the_least_recently_used_copy() {
     let mut s = Store::new(30.0);
     s.put(key(1), 0.0, 10.0, Rank::Top);
     s.put(key(2), 0.0, 10.0, Rank::Low);
@@ -18,19 +18,19 @@
     s.put(key(5), 0.0, 10.0, Rank::Top);
     s.put(key(6), 0.0, 10.0, Rank::Top);
     s.put(key(7), 0.0, 10.0, Rank::Low);
-    assert!(s.get(key(7)).is_none(), "nothing leaves for a copy of lower rank");
+    assert!(s.get(key(7)).is_none(), "a copy evicts none of higher rank");
     assert_eq!(s.len(), 3);
     s.put(key(8), 0.0, 31.0, Rank::Top);
     assert!(s.get(key(8)).is_none() && s.len() == 3);
 }
 
 #[test]
-fn a_purge_drops_what_is_older_and_an_old_copy_never_takes_a_new_ones_place() {
+fn a_purge_drops_older_copies_and_an_older_copy_never_replaces_a_newer_one() {
     let mut s = Store::new(100.0);
     s.put(key(1), 5.0, 10.0, Rank::Low);
     s.put(key(2), 9.0, 10.0, Rank::Low);
     s.purge(7.0, |_| true);
     assert!(s.get(key(1)).is_none() && s.get(key(2)).is_some());
     s.put(key(2), 3.0, 10.0, Rank::Low);
-    assert_eq!(s.get(key(2)).map(|c| c.born), Some(9.0));
+    assert_eq!(s.get(key(2)).map(|c| c.origin_time), Some(9.0));
 }
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! A small fleet.
+//! A small fleet for the simulator's tests.
 #![allow(dead_code)]
 
 use basaltgw::routing::Router;
 use basaltgw_hierarchy::Settings;
-use basaltgw_simulator::sim::{run, Decide, Figures, Setup};
+use basaltgw_simulator::sim::{run, DecisionModule, RunMetrics, Setup};
 use basaltgw_simulator::spec::*;
 
 pub fn machine(slots: usize, store_kb: f64) -> Machine {
@@ -40,7 +40,7 @@
             district: machine(16, 400_000.0),
             hub: machine(24, 2_000_000.0),
             archive: machine(64, 0.0),
-            net: Net {
+            net: Network {
                 near_ms: 0.3,
                 far_ms: 4.0,
                 jitter: 0.2,
@@ -48,13 +48,13 @@
                 pace_kb_per_ms: 8.0,
                 fill_ms: 2_000.0,
             },
-            news: News {
+            news: NotificationDelays {
                 list_ms: [100.0, 900.0],
                 purge_ms: [50.0, 250.0],
                 cache_purge_ms: [50.0, 900.0],
                 plan_ms: [0.0, 1_500.0],
             },
-            rules: Rules {
+            rules: RuleLimits {
                 slack_ms: 8.0,
                 drain_grace_ms: 250.0,
                 purge_grace_ms: 300.0,
@@ -79,7 +79,7 @@
         tree: Settings { successes_per_step: 4, ..Settings::default() },
         length_ms: 20_000.0,
         staged: true,
-        trails: true,
+        loop_detection: true,
         seed,
     }
 }
@@ -95,18 +95,19 @@
     }
 }
 
-pub fn moment(at_ms: f64, what: What) -> Moment {
-    Moment { at_ms, what, node: None, for_ms: 0.0, factor: 0.0, to: None, plan: None }
+pub fn event(at_ms: f64, what: ScriptAction) -> ScriptEvent {
+    ScriptEvent { at_ms, what, node: None, for_ms: 0.0, factor: 0.0, to: None, plan: None }
 }
 
-pub fn on(node: &str, m: Moment) -> Moment {
-    Moment { node: Some(node.into()), ..m }
+pub fn on(node: &str, event: ScriptEvent) -> ScriptEvent {
+    ScriptEvent { node: Some(node.into()), ..event }
 }
 
-pub fn to_plan(at_ms: f64, plan: &str) -> Moment {
-    Moment { plan: Some(plan.into()), ..moment(at_ms, What::Plan) }
+pub fn to_plan(at_ms: f64, plan: &str) -> ScriptEvent {
+    ScriptEvent { plan: Some(plan.into()), ..event(at_ms, ScriptAction::Plan) }
 }
 
-pub fn play(setup: &Setup) -> Figures {
-    run(setup, |_, set, seed| Box::new(Router::new(set, seed)) as Box<dyn Decide>).expect("a run")
+pub fn run_setup(setup: &Setup) -> RunMetrics {
+    run(setup, |_, settings, seed| Box::new(Router::new(settings, seed)) as Box<dyn DecisionModule>)
+        .expect("a run")
 }
