--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -1,16 +1,16 @@
-//! Events that cross each other, in every order.
+//! Events that cross each other, in any order.
 
 use super::*;
 use crate::caches::ConnId;
 use crate::limits::SERVER_WRITE_TIMEOUT;
-use crate::outbox::{write_all, DeliveryState, SendConditions};
+use crate::outbox::{write_messages, DeliveryState, SendConditions};
 use crate::owner::attempts::InFlight;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Instant;
 
-/// Lists a server at another port.
+/// An endpoint list that has a server at another port.
 fn moved(owner: &Owner, id: &ServerId, port: u16) -> Input {
     let entry = Endpoint {
         id: id.clone(),
@@ -31,12 +31,12 @@
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
     let home = attempts(&owner, 1)[0].server.clone();
-    let news = moved(&owner, &home, 77);
-    owner.batch(&mut vec![news]);
+    let list = moved(&owner, &home, 77);
+    owner.batch(&mut vec![list]);
     let all = attempts(&owner, 1);
     assert!(
         all.len() == 2 && !all[0].in_flight && all[1].in_flight,
-        "it would go to the former address: {all:?}"
+        "the first attempt would go to the former address: {all:?}"
     );
     assert_eq!(owner.counters.attempts.not_sent.get(), 1);
 }
@@ -48,12 +48,12 @@
     owner.batch(&mut vec![first]);
     let home = attempts(&owner, 1)[0].server.clone();
     let port = owner.upstream.endpoints[&home].address.port();
-    let Input::WatchEvent(News::Servers { members: back, .. }) = moved(&owner, &home, port) else {
+    let Input::WatchEvent(News::Servers { members: listed_again, .. }) = moved(&owner, &home, port) else {
         panic!("a list")
     };
-    let mut gone = back.clone();
-    gone[0].entry.state = EndpointState::Removed;
-    let members = gone.into_iter().chain(back).collect();
+    let mut removed = listed_again.clone();
+    removed[0].entry.state = EndpointState::Removed;
+    let members = removed.into_iter().chain(listed_again).collect();
     owner.batch(&mut vec![Input::WatchEvent(News::Servers { whole: false, members })]);
     let all = attempts(&owner, 1);
     assert!(all.len() == 2 && !all[0].in_flight && all[1].in_flight, "{all:?}");
@@ -63,19 +63,19 @@
 fn message_whose_start_window_has_passed_is_not_written() {
     let meter = Rc::default();
     let (out, messages) = send_queue(&meter, &Rc::default());
-    let by = |at| SendConditions::unwatched(Some(at), None);
-    let late = out.make_held(b"late".to_vec(), by(Instant::now()));
-    let in_time = out.make_held(b"in time".to_vec(), by(Instant::now() + SERVER_WRITE_TIMEOUT));
-    [&late, &in_time].into_iter().for_each(|message| out.release(message));
+    let by = |at| SendConditions::without_invariant_checks(Some(at), None);
+    let late = out.prepare(b"late".to_vec(), by(Instant::now()));
+    let in_time = out.prepare(b"in time".to_vec(), by(Instant::now() + SERVER_WRITE_TIMEOUT));
+    [&late, &in_time].into_iter().for_each(|message| out.enqueue(message));
     drop(out);
     let mut socket = Vec::new();
-    futures_lite::future::block_on(write_all(&mut socket, messages, futures_lite::future::pending));
+    futures_lite::future::block_on(write_messages(&mut socket, messages, futures_lite::future::pending));
     assert_eq!(socket, b"in time");
     assert_eq!(
         (late.delivery_state(), in_time.delivery_state()),
         (DeliveryState::Recalled, DeliveryState::Written)
     );
-    assert!(late.recall() && !in_time.recall(), "what was not written may be reported as not sent");
+    assert!(late.recall() && !in_time.recall(), "a message that was not written may be reported as not sent");
 }
 
 #[test]
@@ -90,29 +90,35 @@
     let (first, second) = (connection(1), connection(2));
     let other = ConnId(first.0.max(second.0) + 1);
     let ok = |id: &str| {
-        let parts = [id, "ok", "ver=1,born=1,note=hit", "bytes"].map(|part| part.as_bytes().to_vec());
-        ServerAnswer::read(parts.to_vec(), &[]).expect("an answer")
+        let elements = [id, "ok", "ver=1,born=1,note=hit", "bytes"].map(|e| e.as_bytes().to_vec());
+        ServerAnswer::decode(elements.to_vec(), &[]).expect("an answer")
     };
-    // On a connection that is not its own, and under an id that no request has.
+    // An answer on another connection, and an answer with an id that no request has.
     owner.batch(&mut vec![
         Input::ServerAnswer(other, ok(&format!("{:016x}", 1))),
         Input::ServerAnswer(first, ok("00000000000000ff")),
     ]);
     assert_eq!((owner.counters.attempts.late_answers.get(), messages.len()), (2, 0));
-    // The same id again, while it is open: a client that breaks the protocol gets a failure, and the first goes on.
-    let Input::Client(client, ClientMessage::Request(_, again), at) = request(&owner, 1) else {
+    // The id of an open request again: that breaks the protocol and gets a failure, and the first request continues.
+    let Input::ClientMessage { client, message: ClientMessage::Request(_, again), received_at } =
+        request(&owner, 1)
+    else {
         panic!("a request")
     };
-    owner.batch(&mut vec![Input::Client(client, ClientMessage::Request(Tag(3), again), at)]);
+    owner.batch(&mut vec![Input::ClientMessage {
+        client,
+        message: ClientMessage::Request(Tag(3), again),
+        received_at,
+    }]);
     assert_eq!(
-        (owner.counters.clients.unreadable.get(), attempts(&owner, 1).len(), messages.len()),
+        (owner.counters.clients.malformed.get(), attempts(&owner, 1).len(), messages.len()),
         (1, 1, 1)
     );
     owner.batch(&mut vec![Input::ServerAnswer(first, ok(&format!("{:016x}", 1)))]);
     assert_eq!((owner.counters.clients.served.get(), messages.len()), (1, 2));
 }
 
-/// What may happen to the one request.
+/// An event that may happen to the request.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Established,
@@ -127,7 +133,7 @@
     AddressChanges,
     TimeOut,
     TimePasses,
-    /// What happened since the last batch goes into one.
+    /// The events since the last batch are handled in one batch.
     Batch,
 }
 
@@ -150,7 +156,7 @@
 /// The client's deadline, by which the final response is due.
 const DEADLINE_MS: Ms = 45.0;
 
-/// One request and what the test knows of it.
+/// An owner with one request, and the events so far.
 struct Scenario {
     class: &'static str,
     owner: Owner,
@@ -158,21 +164,27 @@
     inputs: Vec<Input>,
     established: BTreeSet<ConnId>,
     validated: BTreeSet<ConnId>,
-    /// Attempts that were written whole, unless their server answered that it did not execute them.
+    /// Attempts that were completely written, except those that their server answered without executing them.
     executed: BTreeSet<usize>,
 }
 
 impl Scenario {
     fn new(class: &'static str) -> Self {
         let (mut owner, responses) = owner();
-        let Input::Client(client, ClientMessage::Request(tag, mut request), at) = request(&owner, 1) else {
+        let Input::ClientMessage { client, message: ClientMessage::Request(tag, mut request), received_at } =
+            request(&owner, 1)
+        else {
             panic!("a request")
         };
         (request.class, request.deadline_ms) = (class.into(), DEADLINE_MS);
         if class == "loan" {
             request.body = b"borrow".to_vec();
         }
-        owner.batch(&mut vec![Input::Client(client, ClientMessage::Request(tag, request), at)]);
+        owner.batch(&mut vec![Input::ClientMessage {
+            client,
+            message: ClientMessage::Request(tag, request),
+            received_at,
+        }]);
         let (established, validated) = Default::default();
         let executed = BTreeSet::new();
         Self { class, owner, responses, inputs: Vec::new(), established, validated, executed }
@@ -187,8 +199,9 @@
 
     fn answer(&mut self, connection: ConnId, id: &str, result: &str) {
         let fields: &[u8] = if result == "ok" { b"ver=1,born=1,note=hit" } else { b"-" };
-        let parts = vec![id.as_bytes().to_vec(), result.as_bytes().to_vec(), fields.to_vec(), Vec::new()];
-        self.inputs.push(Input::ServerAnswer(connection, ServerAnswer::read(parts, &[]).expect("an answer")));
+        let elements = vec![id.as_bytes().to_vec(), result.as_bytes().to_vec(), fields.to_vec(), Vec::new()];
+        self.inputs
+            .push(Input::ServerAnswer(connection, ServerAnswer::decode(elements, &[]).expect("an answer")));
     }
 
     fn step(&mut self, step: Step) {
@@ -200,11 +213,7 @@
             return;
         }
         if let Step::ClientCancels = step {
-            return self.inputs.push(Input::Client(
-                CLIENT,
-                ClientMessage::Cancel(Tag(1)),
-                self.owner.time.now,
-            ));
+            return self.inputs.push(cancellation(self.owner.time.now));
         }
         let Some((n, InFlight { connection, message })) = self.in_flight() else { return };
         let server = self.owner.requests.get(RequestNo(1)).expect("open").attempts[n].server.clone();
@@ -222,7 +231,7 @@
                 if self.validated.contains(&connection)
                     && message.delivery_state() == DeliveryState::Queued =>
             {
-                message.write();
+                message.mark_written();
                 self.executed.insert(n);
             }
             Step::Answer(result) if message.delivery_state() == DeliveryState::Written => {
@@ -257,7 +266,7 @@
         }
     }
 
-    /// Handles everything so far in one batch, then checks the invariants.
+    /// Handles the inputs so far in one batch, then checks the invariants.
     fn batch(&mut self) {
         let mut inputs = std::mem::take(&mut self.inputs);
         self.owner.batch(&mut inputs);
@@ -266,12 +275,12 @@
 
     fn check(&self) {
         let clients = &self.owner.counters.clients;
-        let [served, refused, failed, left] =
-            [&clients.served, &clients.refused, &clients.failed, &clients.left].map(|c| c.get());
-        assert!(served + refused + failed + left <= 1, "{served} {refused} {failed} {left}");
-        assert_eq!(self.responses.len() as u64, served + refused + failed, "what the client gets");
+        let [served, rejected, failed, cancelled] =
+            [&clients.served, &clients.rejected, &clients.failed, &clients.cancelled].map(|c| c.get());
+        assert!(served + rejected + failed + cancelled <= 1, "{served} {rejected} {failed} {cancelled}");
+        assert_eq!(self.responses.len() as u64, served + rejected + failed, "responses to the client");
         let executed = self.class == "loan" && !self.executed.is_empty();
-        assert!(refused == 0 || !executed, "rejected, and it may have been executed");
+        assert!(rejected == 0 || !executed, "the request was rejected and may have been executed");
         let Some(pending) = self.owner.requests.get(RequestNo(1)) else { return };
         let in_flight = pending.attempts.iter().filter(|a| a.is_in_flight()).count();
         assert!(in_flight <= 1, "{in_flight} in flight at once");
@@ -296,11 +305,11 @@
         all in prop::collection::vec(steps(), 1..20),
     ) {
         let mut scenario = Scenario::new(class);
-        // How far the request gets before other events cross it.
+        // The progress of the request before other events cross it.
         let path = [Step::Established, Step::Validated, Step::Written].into_iter().take(progress);
         path.chain(all).for_each(|step| scenario.step(step));
         scenario.batch();
-        // The client's deadline passes; aborts are confirmed or not.
+        // The client's deadline passes, whether aborts are confirmed or not.
         let deadline = scenario.owner.time.now + DEADLINE_MS;
         while scenario.owner.time.clock.now() < deadline {
             std::thread::sleep(Duration::from_millis(5));
@@ -308,15 +317,15 @@
         scenario.batch();
         scenario.batch();
         let clients = &scenario.owner.counters.clients;
-        let answers = [&clients.served, &clients.refused, &clients.failed, &clients.left].map(|c| c.get());
-        prop_assert_eq!(answers.iter().sum::<u64>(), 1, "a response in time, whatever is still in flight");
+        let answers = [&clients.served, &clients.rejected, &clients.failed, &clients.cancelled].map(|c| c.get());
+        prop_assert_eq!(answers.iter().sum::<u64>(), 1, "one response in time, even with attempts in flight");
         scenario.owner.upstream.aborting.iter_mut().for_each(|a| a.since -= ABORT_CONFIRM_TIMEOUT_MS + 1.0);
         scenario.batch();
         scenario.batch();
         prop_assert!(scenario.owner.requests.is_empty() && scenario.owner.upstream.aborting.is_empty());
         let a = &scenario.owner.counters.attempts;
         let results = [
-            &a.served, &a.error, &a.full, &a.late, &a.no_connection, &a.broken, &a.cancelled, &a.not_sent, &a.miss,
+            &a.served, &a.error, &a.rejected, &a.timed_out, &a.no_connection, &a.connection_lost, &a.cancelled, &a.not_sent, &a.cache_miss,
         ];
         prop_assert_eq!(results.iter().map(|c| c.get()).sum::<u64>(), a.made.get());
     }
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -1,4 +1,5 @@
-//! The plan of the cache tree, where the project's own file has one: translates between the router's events and `basaltgw-hierarchy`.
+//! The plan of the cache tree, if the settings file has one: converts the router's events for `basaltgw-hierarchy`, and its actions to
+//! events of the decision module.
 
 use basaltgw::api::{AttemptResult, EndpointState, Event, FillReport, Ms, ObjectId, ServerId};
 use basaltgw_config::plan::table;
@@ -12,23 +13,23 @@
 /// Counters of plans.
 #[derive(Clone, Debug, Default)]
 pub struct TreeCounters {
-    /// Plans that were read.
-    pub offered: u64,
+    /// Plans read from the settings file.
+    pub plans: u64,
     /// Plans that were rejected.
-    pub refused: u64,
+    pub plans_rejected: u64,
     /// Topology changes that were completed.
-    pub ended: u64,
+    pub changes_completed: u64,
     /// Fill loops that caches detected.
     pub loops: u64,
     /// Pairs of cache and source that were disabled for a loop.
-    pub set_aside: u64,
+    pub pairs_disabled: u64,
 }
 
-/// A router's plan and the topology change in progress; without a plan it does nothing.
+/// A router's plan and the topology change in progress. Without a plan, events have no effect.
 #[derive(Default)]
 pub struct Tree {
     topology: Option<TopologyManager>,
-    /// Counters so far.
+    /// The counters of plans.
     pub counters: TreeCounters,
 }
 
@@ -37,9 +38,12 @@
 }
 
 impl Tree {
-    /// A tree without a plan; where there is one, it is offered once the endpoint list is known (see [`Tree::offer`]).
-    pub fn new(own: Option<&Hierarchy>) -> Self {
-        Self { topology: own.map(|h| TopologyManager::new(h.settings)), counters: TreeCounters::default() }
+    /// A tree without a plan yet; if the settings file has one, it is offered when the endpoint list is known (see [`Tree::offer`]).
+    pub fn new(section: Option<&Hierarchy>) -> Self {
+        Self {
+            topology: section.map(|h| TopologyManager::new(h.settings)),
+            counters: TreeCounters::default(),
+        }
     }
 
     /// Handles an event; returns the events for the decision module.
@@ -52,37 +56,38 @@
             match action {
                 Action::UseSources(sources) => events.push(Event::FillPlan(Some(Arc::new(table(&sources))))),
                 Action::StateEntered { version, state, reason } => {
-                    self.counters.ended += u64::from(state == ChangeState::Completed);
+                    self.counters.changes_completed += u64::from(state == ChangeState::Completed);
                     log::info!(version = version.0, state:% = state; "plan {version} is {state}: {reason}");
                 }
                 Action::Rejected(error) => {
-                    self.counters.refused += 1;
+                    self.counters.plans_rejected += 1;
                     log::error!("plan rejected, running plan unchanged: {error}");
                 }
                 Action::PairDisabled { requester, source } => {
-                    self.counters.set_aside += 1;
+                    self.counters.pairs_disabled += 1;
                     log::warn!(asker:% = requester, source:% = source; "fill loop between {requester} and {source}, pair disabled until the plan changes");
                 }
             }
         }
-        // The last table replaces those before it.
+        // Only the last fill plan matters, since each replaces the one before.
         events.drain(..events.len().saturating_sub(1));
         events
     }
 
-    /// Offers a plan, at the start or after a reload. The plan in use, while a change to another is in progress, rolls that change back.
-    pub fn offer(&mut self, now: Ms, own: &Hierarchy) -> Vec<Event> {
-        let topology = self.topology.get_or_insert_with(|| TopologyManager::new(own.settings));
-        topology.set_settings(own.settings);
-        let plan: &PlanSpec = &own.plan;
+    /// Offers a plan, at the start or after a reload. If it is the plan in use and a change to another plan is in progress, that change is
+    /// rolled back.
+    pub fn offer(&mut self, now: Ms, section: &Hierarchy) -> Vec<Event> {
+        let topology = self.topology.get_or_insert_with(|| TopologyManager::new(section.settings));
+        topology.set_settings(section.settings);
+        let plan: &PlanSpec = &section.plan;
         let in_use = topology.rollback_plan().is_some_and(|p| p.spec() == *plan);
-        self.counters.offered += 1;
+        self.counters.plans += 1;
         match (in_use, topology.change_status()) {
             (true, Some(ChangeStatus { rolling_back: false, .. })) => {
                 self.handle(now, hierarchy::Event::RollBack)
             }
             (true, _) => Vec::new(),
-            // The change in progress was read again.
+            // The plan is that of the change in progress.
             (false, Some(ChangeStatus { version, rolling_back: false, .. })) if version == plan.version => {
                 Vec::new()
             }
@@ -90,8 +95,8 @@
         }
     }
 
-    /// Handles an endpoint list; servers that a complete list omits are removed.
-    pub fn listed(&mut self, now: Ms, members: &[Member], left_out: &[ServerId]) -> Vec<Event> {
+    /// Handles an endpoint list; `left_out` are the servers that a complete list omits, which are removed.
+    pub fn on_endpoint_list(&mut self, now: Ms, members: &[Member], left_out: &[ServerId]) -> Vec<Event> {
         if self.topology.is_none() {
             return Vec::new();
         }
@@ -109,19 +114,20 @@
     }
 
     /// Handles the result of an attempt that named a source.
-    pub fn ended(
+    pub fn on_attempt_result(
         &mut self,
         now: Ms,
         (requester, source): (&ServerId, &ServerId),
         object: ObjectId,
-        (end, note): (AttemptResult, FillReport),
+        (attempt_result, fill_report): (AttemptResult, FillReport),
     ) -> Vec<Event> {
-        let result = match (end, note) {
+        let result = match (attempt_result, fill_report) {
             (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => {
                 SourceResult::Filled
             }
             (_, FillReport::SourceRejected) => SourceResult::Rejected,
-            // A time-out may be the fault of either; a source that is being introduced gets no more meanwhile.
+            // A timeout may be caused by the cache or by the source. It counts as a failure of the pair, so that the share of a source that
+            // is being introduced is not raised meanwhile.
             (_, FillReport::SourceFailed) | (AttemptResult::TimedOut, _) => SourceResult::Failed,
             (_, FillReport::LoopDetected) => SourceResult::LoopDetected,
             _ => return Vec::new(),
@@ -136,7 +142,7 @@
         self.handle(now, event)
     }
 
-    /// Handles the passage of time.
+    /// Handles the passage of time; called by the owner's maintenance.
     pub fn tick(&mut self, now: Ms) -> Vec<Event> {
         self.handle(now, hierarchy::Event::Tick)
     }
