--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -4,7 +4,7 @@
 use super::row::{Kind, Row};
 use super::side_by_side;
 use basaltgw_fleet_simulation::run::{Figures, Kind as Runs, Setup};
-use basaltgw_fleet_simulation::world::Log;
+use basaltgw_fleet_simulation::world::ChangeLogReach;
 use serde::Deserialize;
 
 /// Sizes at which the control part is measured.
@@ -137,11 +137,11 @@
 /// A quiet mesh, founded before anything is measured.
 fn quiet(sizes: &Sizes, routers: usize, seed: u64) -> Setup {
     let mut setup = Setup::mesh(routers, seed);
-    (setup.purges, setup.seconds, setup.cpu) = (PURGES, sizes.seconds, true);
-    setup.grown = Some(grown);
-    setup.net.far = FAR_MS;
+    (setup.purges_per_s, setup.measured_s, setup.measure_cpu) = (PURGES, sizes.seconds, true);
+    setup.allocation_meter = Some(grown);
+    setup.network.inter_region_delay_ms = FAR_MS;
     if let Runs::Mesh(mesh) = &mut setup.kind {
-        mesh.holds.min_backoff_ms = BACK_OFF_MS;
+        mesh.registers.min_backoff_ms = BACK_OFF_MS;
     }
     setup
 }
@@ -153,17 +153,17 @@
     for n in &sizes.mesh_routers {
         let axis = "routers in a mesh";
         all.push(((axis, *n, &FIGURES, founded), of(*n)));
-        all.push(((axis, *n, &AT_REST, None), Setup { purges: 0.0, ..of(*n) }));
+        all.push(((axis, *n, &AT_REST, None), Setup { purges_per_s: 0.0, ..of(*n) }));
         all.push(((axis, *n, &[], Some("mesh_founded_far")), far(*n, seed)));
         all.push(((axis, *n, &CHANGES, None), changing(sizes, of(*n), CHANGES_A_MINUTE)));
     }
     for n in &sizes.mesh_purges {
-        let setup = Setup { purges: *n as f64, ..of(ROUTERS) };
+        let setup = Setup { purges_per_s: *n as f64, ..of(ROUTERS) };
         all.push((("purges a second in a mesh", *n, &FIGURES, founded), setup));
     }
     for n in &sizes.mesh_restarts {
         let mut setup = of(ROUTERS);
-        setup.many.restarts = *n;
+        setup.random_faults.restarts = *n;
         all.push((("restarts in a mesh", *n, &FIGURES, founded), setup));
     }
     for n in &sizes.mesh_changes {
@@ -184,10 +184,10 @@
 
 /// The same with changes of the configuration, and without purges: what it takes more than at rest is theirs.
 fn changing(sizes: &Sizes, mut setup: Setup, per_minute: f64) -> Setup {
-    (setup.purges, setup.seconds) = (0.0, sizes.changes_seconds);
-    let (from, to) = (setup.settle * 1_000.0, (setup.settle + setup.seconds) * 1_000.0);
+    (setup.purges_per_s, setup.measured_s) = (0.0, sizes.changes_seconds);
+    let (from, to) = (setup.warm_up_s * 1_000.0, (setup.warm_up_s + setup.measured_s) * 1_000.0);
     if let Runs::Mesh(mesh) = &mut setup.kind {
-        mesh.changes = (per_minute, (from, to));
+        mesh.config_changes = (per_minute, (from, to));
     }
     setup
 }
@@ -195,23 +195,28 @@
 /// Routers as the processes of `basaltgw_emulator::rig::many` are: on one machine, and each told by a change log that looks for news every
 /// 50 ms, another time for each, and tells them all at once.
 fn as_processes(mut setup: Setup, purges: f64) -> Setup {
-    (setup.purges, setup.seconds) = (purges, PROCESSES_S);
-    (setup.net.site, setup.net.region, setup.net.far) = (LOOPBACK_MS, LOOPBACK_MS, LOOPBACK_MS);
-    (setup.log, setup.disk) = ((Log::Looks(LOOK_MS), (0.0, 0.0)), COMMIT_MS);
+    (setup.purges_per_s, setup.measured_s) = (purges, PROCESSES_S);
+    (
+        setup.network.same_site_delay_ms,
+        setup.network.same_region_delay_ms,
+        setup.network.inter_region_delay_ms,
+    ) = (LOOPBACK_MS, LOOPBACK_MS, LOOPBACK_MS);
+    (setup.change_log, setup.change_log_delay_ms, setup.commit_ms) =
+        (ChangeLogReach::Polling { interval_ms: LOOK_MS }, (0.0, 0.0), COMMIT_MS);
     setup
 }
 
 /// On the default lines and with the default back-off.
 fn far(routers: usize, seed: u64) -> Setup {
     let mut setup = Setup::mesh(routers, seed);
-    (setup.seconds, setup.rest) = (1.0, 1.0);
-    setup.settle = FOUNDED_S - setup.seconds - setup.rest;
+    (setup.measured_s, setup.drain_s) = (1.0, 1.0);
+    setup.warm_up_s = FOUNDED_S - setup.measured_s - setup.drain_s;
     setup
 }
 
 /// One of a run's figures.
 pub(super) fn figure(figures: &Figures, name: &str) -> Result<f64, String> {
-    figures.flat.get(name).copied().ok_or_else(|| format!("hollow routers give no figure {name}"))
+    figures.values.get(name).copied().ok_or_else(|| format!("hollow routers give no figure {name}"))
 }
 
 /// Those of a run's figures that become points.
--- a/crates/experiments/src/capacity/overlay.rs
+++ b/crates/experiments/src/capacity/overlay.rs
@@ -7,7 +7,7 @@
 use super::side_by_side;
 use super::troubles::{self, Wrong};
 use basaltgw_fleet_simulation::run::Setup;
-use basaltgw_fleet_simulation::world::Log;
+use basaltgw_fleet_simulation::world::ChangeLogReach;
 use serde::Deserialize;
 
 /// Seconds of an hour.
@@ -104,9 +104,9 @@
 ];
 
 /// The same where a word is heard by few, and the overlay has to take it to all others.
-const HEARD_BY: [(Log, [Named; 5]); 2] = [
+const HEARD_BY: [(ChangeLogReach, [Named; 5]); 2] = [
     (
-        Log::One,
+        ChangeLogReach::OneRouter,
         [
             ("wire_bytes_mean", "sparse_wire_heard_by_one", "bytes/s", Kind::Simulated),
             ("wire_bytes_worst_second", "sparse_wire_worst_second_heard_by_one", "bytes/s", Kind::Simulated),
@@ -116,7 +116,7 @@
         ],
     ),
     (
-        Log::Controls,
+        ChangeLogReach::ControlMachines,
         [
             ("wire_bytes_mean", "sparse_wire_heard_by_controls", "bytes/s", Kind::Simulated),
             (
@@ -164,7 +164,7 @@
     }
     for (log, names) in &HEARD_BY {
         let mut setup = of(sizes.purges_routers, most);
-        setup.log.0 = *log;
+        setup.change_log = *log;
         all.push((("routers in an overlay", sizes.purges_routers, names), setup));
     }
     for (axis, x, Stand { sites: s, zones, regions }) in sizes.places.along() {
@@ -175,8 +175,8 @@
     for n in &sizes.losses {
         let mut setup = of(sizes.purges_routers, most);
         // One half comes back with its disk, the other with an empty one.
-        (setup.many.restarts, setup.many.replaced) = (n.div_ceil(2), n / 2);
-        let an_hour = (*n as f64 * HOUR_S / setup.seconds).round() as usize;
+        (setup.random_faults.restarts, setup.random_faults.replaced) = (n.div_ceil(2), n / 2);
+        let an_hour = (*n as f64 * HOUR_S / setup.measured_s).round() as usize;
         all.push((("machines lost and restarted an hour in an overlay", an_hour, &FIGURES), setup));
     }
     all
@@ -184,9 +184,13 @@
 
 pub(super) fn setup(sizes: &Sizes, routers: usize, purges: f64, seed: u64) -> Setup {
     let mut setup = Setup::sparse(routers, seed);
-    (setup.purges, setup.seconds, setup.cpu) = (purges, sizes.seconds, true);
-    (setup.net.keepalive_ms, setup.net.silent_ms) = (sizes.keepalive_ms, sizes.silent_ms);
-    setup.log.0 = Log::Uneven { misses: sizes.misses, late: sizes.late, most: sizes.late_ms };
-    setup.grown = Some(grown);
+    (setup.purges_per_s, setup.measured_s, setup.measure_cpu) = (purges, sizes.seconds, true);
+    (setup.network.keepalive_ms, setup.network.peer_timeout_ms) = (sizes.keepalive_ms, sizes.silent_ms);
+    setup.change_log = ChangeLogReach::Uneven {
+        missed_share: sizes.misses,
+        late_share: sizes.late,
+        max_delay_ms: sizes.late_ms,
+    };
+    setup.allocation_meter = Some(grown);
     setup
 }
--- a/crates/experiments/src/capacity/overlay_tests.rs
+++ b/crates/experiments/src/capacity/overlay_tests.rs
@@ -2,8 +2,8 @@
 
 use super::overlay::{setup, Sizes};
 use super::troubles::{apart, happened, script, struck, Wrong};
+use basaltgw_fleet_simulation::fault::FaultKind;
 use basaltgw_fleet_simulation::run::run;
-use basaltgw_fleet_simulation::trouble::What;
 
 const SIZES: &str = r#"{"routers": [60], "purges": [10], "purges_routers": 60, "seconds": 4, "losses": [1],
     "places": {"usual": {"sites": 9, "zones": 6, "regions": 3}, "sites": [9], "zones": [6], "regions": [3]}, "keepalive_ms": 1250, "silent_ms": 4000,
@@ -16,13 +16,13 @@
     let sizes: Sizes = serde_json::from_str(SIZES).expect("sizes");
     let mut setup = setup(&sizes, 120, 10.0, 3);
     apart(&mut setup.shape);
-    setup.seconds = 10.0;
+    setup.measured_s = 10.0;
     let quiet = run(&setup).expect("a run");
     for wrong in sizes.troubles.clone() {
-        setup.script = script(wrong, &setup).expect("a script");
-        let many = setup.script.iter().map(|t| struck(&t.what)).sum();
+        setup.scripted_faults = script(wrong, &setup).expect("a script");
+        let many = setup.scripted_faults.iter().map(|t| struck(&t.kind)).sum();
         happened(wrong, many, &run(&setup).expect("a run"), &quiet).expect("a trouble");
-        setup.script.iter_mut().for_each(|t| t.at += 600_000_000);
+        setup.scripted_faults.iter_mut().for_each(|t| t.at += 600_000_000);
         let said = happened(wrong, many, &run(&setup).expect("a run"), &quiet).expect_err("none");
         assert!(said.contains("did not happen"), "{said}");
     }
@@ -38,5 +38,7 @@
     let many = |wrong| script(wrong, &setup).expect("a script").len();
     assert_eq!([Wrong::TwoControlLost, Wrong::AllControlLost, Wrong::ControlRestarted].map(many), [2, 9, 9]);
     let cut = script(Wrong::RegionCut, &setup).expect("a script");
-    assert!(cut.iter().all(|t| matches!(&t.what, What::Cut(who, ..) if who.len() > 1 && who.len() < 600)));
+    assert!(cut.iter().all(
+        |t| matches!(&t.kind, FaultKind::Cut { routers, .. } if routers.len() > 1 && routers.len() < 600)
+    ));
 }
--- a/crates/experiments/src/capacity/side_by_side.rs
+++ b/crates/experiments/src/capacity/side_by_side.rs
@@ -8,8 +8,8 @@
 
 /// How much there is to do, roughly: routers, seconds, words.
 fn work(setup: &Setup) -> u64 {
-    let seconds = setup.settle + setup.seconds + setup.rest;
-    (setup.shape.routers as f64 * (seconds + setup.seconds * setup.purges)) as u64
+    let seconds = setup.warm_up_s + setup.measured_s + setup.drain_s;
+    (setup.shape.routers as f64 * (seconds + setup.measured_s * setup.purges_per_s)) as u64
 }
 
 /// All of them, the longest first; their figures are in the order of the setups.
--- a/crates/experiments/src/capacity/side_by_side_tests.rs
+++ b/crates/experiments/src/capacity/side_by_side_tests.rs
@@ -8,13 +8,14 @@
 fn runs_side_by_side_are_the_same_as_one_after_the_other() {
     let one = |seed: u64| {
         let mut setup = Setup::sparse(60, seed);
-        (setup.settle, setup.seconds, setup.rest, setup.purges) = (5.0, 2.0 + seed as f64, 4.0, 20.0);
-        setup.grown = Some(grown);
+        (setup.warm_up_s, setup.measured_s, setup.drain_s, setup.purges_per_s) =
+            (5.0, 2.0 + seed as f64, 4.0, 20.0);
+        setup.allocation_meter = Some(grown);
         setup
     };
     let setups: Vec<Setup> = (1..=8).map(one).collect();
     let alone: Vec<_> = setups.iter().map(|s| run(s).expect("a run")).collect();
-    assert!(alone.iter().all(|f| f.flat["state_bytes_most"] > 1_000.0));
+    assert!(alone.iter().all(|f| f.values["state_bytes_most"] > 1_000.0));
     assert!(alone[0] != alone[1]);
     assert_eq!(all(&setups).expect("runs"), alone);
     let bad = Setup {
--- a/crates/experiments/src/capacity/troubles.rs
+++ b/crates/experiments/src/capacity/troubles.rs
@@ -2,12 +2,12 @@
 
 use super::control::figure;
 use super::row::{Kind, Row};
-use basaltgw_fleet_simulation::fleet::{Fleet, Part, Shape};
-use basaltgw_fleet_simulation::links::Ways;
+use basaltgw_fleet_simulation::fault::{Fault, FaultKind};
+use basaltgw_fleet_simulation::fleet::{FailureDomain, Fleet, Shape};
+use basaltgw_fleet_simulation::links::CutDirection;
 use basaltgw_fleet_simulation::run::{Figures, Setup};
-use basaltgw_fleet_simulation::sparse::{list, SparseSettings};
-use basaltgw_fleet_simulation::trouble::{Trouble, What};
-use basaltgw_fleet_simulation::{micros, No};
+use basaltgw_fleet_simulation::sparse::{router_list, SparseSettings};
+use basaltgw_fleet_simulation::{micros, RouterIndex};
 use serde::Deserialize;
 
 /// Troubles of different kinds, by number: nothing goes along this axis, so there are no curves.
@@ -70,9 +70,9 @@
 /// The setups of a quiet run and of all these troubles.
 pub fn setups(quiet: &Setup, troubles: &[Wrong]) -> Result<Vec<Setup>, String> {
     let mut quiet = quiet.clone();
-    quiet.seconds = TROUBLE_S;
+    quiet.measured_s = TROUBLE_S;
     apart(&mut quiet.shape);
-    let one = |wrong: &Wrong| Ok(Setup { script: script(*wrong, &quiet)?, ..quiet.clone() });
+    let one = |wrong: &Wrong| Ok(Setup { scripted_faults: script(*wrong, &quiet)?, ..quiet.clone() });
     let troubled = troubles.iter().map(one).collect::<Result<Vec<_>, String>>()?;
     Ok([quiet.clone()].into_iter().chain(troubled).collect())
 }
@@ -82,7 +82,7 @@
     let (Some(quiet), Some(of)) = (figures.first(), setups.get(1..)) else { return Ok(Vec::new()) };
     let mut rows = troubled(0, 0, quiet, quiet)?;
     for ((wrong, setup), figures) in troubles.iter().zip(of).zip(&figures[1..]) {
-        let struck = setup.script.iter().map(|t| struck(&t.what)).sum();
+        let struck = setup.scripted_faults.iter().map(|t| struck(&t.kind)).sum();
         happened(*wrong, struck, figures, quiet)?;
         rows.extend(troubled(*wrong as usize, struck, figures, quiet)?);
     }
@@ -91,52 +91,59 @@
 
 /// All control machines stand in regions of their own, as they do in a large fleet, and regions have as many zones and zones as many sites.
 pub(super) fn apart(shape: &mut Shape) {
-    shape.regions = shape.controls;
+    shape.regions = shape.control_machines;
     shape.zones = shape.zones.max(ZONES_A_REGION * shape.regions);
     shape.sites = shape.sites.max(SITES_A_ZONE * shape.zones);
 }
 
 /// What goes wrong, and when.
-pub(super) fn script(wrong: Wrong, setup: &Setup) -> Result<Vec<Trouble>, String> {
+pub(super) fn script(wrong: Wrong, setup: &Setup) -> Result<Vec<Fault>, String> {
     let fleet = Fleet::new(&setup.shape, setup.seed)?;
-    let list = list(&fleet, SparseSettings::default().shape)?;
-    let all = || 0..fleet.seats.len();
-    let controls: Vec<No> = all().filter(|no| fleet.seats[*no].control).collect();
-    let relay = all().find(|no| !fleet.seats[*no].control && list.is_relay(&fleet.seats[*no].router));
+    let list = router_list(&fleet, SparseSettings::default().shape)?;
+    let all = || 0..fleet.routers.len();
+    let controls: Vec<RouterIndex> = all().filter(|no| fleet.routers[*no].control).collect();
+    let relay = all().find(|no| !fleet.routers[*no].control && list.is_relay(&fleet.routers[*no].router));
     // Where no control machine stands, if there is such a place.
-    let of_control = |of: &dyn Fn(No) -> usize, at: usize| controls.iter().any(|no| of(*no) == at);
-    let (site, zone) = (|no: No| fleet.seats[no].site, |no: No| fleet.seats[no].zone);
-    let region = |no: No| fleet.seats[no].region;
-    let place = |of: &dyn Fn(No) -> usize| {
+    let of_control = |of: &dyn Fn(RouterIndex) -> usize, at: usize| controls.iter().any(|no| of(*no) == at);
+    let (site, zone) = (|no: RouterIndex| fleet.routers[no].site, |no: RouterIndex| fleet.routers[no].zone);
+    let region = |no: RouterIndex| fleet.routers[no].region;
+    let place = |of: &dyn Fn(RouterIndex) -> usize| {
         let apart = all().map(of).find(|at| !of_control(of, *at));
-        apart.unwrap_or_else(|| of(fleet.seats.len() - 1))
+        apart.unwrap_or_else(|| of(fleet.routers.len() - 1))
     };
-    let gone = |who: Vec<No>| who.into_iter().map(|no| What::Vanish(no, micros(GONE_MS))).collect();
-    let cut = |who: Vec<No>| vec![What::Cut(who, Ways::Both, micros(CUT_MS))];
-    let whats: Vec<What> = match wrong {
+    let gone = |who: Vec<RouterIndex>| {
+        who.into_iter().map(|no| FaultKind::Vanish { router: no, duration: micros(GONE_MS) }).collect()
+    };
+    let cut = |who: Vec<RouterIndex>| {
+        vec![FaultKind::Cut { routers: who, direction: CutDirection::Both, duration: micros(CUT_MS) }]
+    };
+    let whats: Vec<FaultKind> = match wrong {
         Wrong::RelayLost => gone(relay.into_iter().collect()),
-        Wrong::SiteLost => gone(fleet.within(Part::Site(place(&site)))),
-        Wrong::ZoneLost => gone(fleet.within(Part::Zone(place(&zone)))),
-        Wrong::SiteCut => cut(fleet.within(Part::Site(place(&site)))),
-        Wrong::RegionCut => cut(fleet.within(Part::Region(place(&region)))),
-        Wrong::ControlRegionCut => {
-            cut(controls.first().map_or_else(Vec::new, |no| fleet.within(Part::Region(region(*no)))))
-        }
-        Wrong::ControlRestarted => controls.iter().map(|no| What::Restart(*no, micros(RESTART_MS))).collect(),
+        Wrong::SiteLost => gone(fleet.routers_in(FailureDomain::Site(place(&site)))),
+        Wrong::ZoneLost => gone(fleet.routers_in(FailureDomain::Zone(place(&zone)))),
+        Wrong::SiteCut => cut(fleet.routers_in(FailureDomain::Site(place(&site)))),
+        Wrong::RegionCut => cut(fleet.routers_in(FailureDomain::Region(place(&region)))),
+        Wrong::ControlRegionCut => cut(controls
+            .first()
+            .map_or_else(Vec::new, |no| fleet.routers_in(FailureDomain::Region(region(*no))))),
+        Wrong::ControlRestarted => controls
+            .iter()
+            .map(|no| FaultKind::Restart { router: *no, duration: micros(RESTART_MS) })
+            .collect(),
         Wrong::TwoControlLost => gone(controls.iter().take(2).copied().collect()),
         Wrong::AllControlLost => gone(controls),
     };
-    let at = setup.settle * 1_000.0 + AFTER_MS;
+    let at = setup.warm_up_s * 1_000.0 + AFTER_MS;
     let apart = if wrong == Wrong::ControlRestarted { APART_MS } else { 0.0 };
-    let one = |(k, what)| Trouble { at: micros(at + k as f64 * apart), what };
+    let one = |(k, kind)| Fault { at: micros(at + k as f64 * apart), kind };
     Ok(whats.into_iter().enumerate().map(one).collect())
 }
 
 /// How many routers it strikes.
-pub(super) fn struck(what: &What) -> usize {
+pub(super) fn struck(what: &FaultKind) -> usize {
     match what {
-        What::Restart(..) | What::Replace(..) | What::Vanish(..) => 1,
-        What::Cut(who, ..) | What::Deaf(who, _) => who.len(),
+        FaultKind::Restart { .. } | FaultKind::Replace { .. } | FaultKind::Vanish { .. } => 1,
+        FaultKind::Cut { routers, .. } | FaultKind::ChangeLogOutage { routers, .. } => routers.len(),
     }
 }
 
--- a/crates/fleet_simulation/examples/measure.rs
+++ b/crates/fleet_simulation/examples/measure.rs
@@ -1,12 +1,13 @@
-//! Figures of one run, as `name<TAB>value` lines: `measure [NAME=VALUE]...`; `kind=sparse` first for an overlay. Simulated; processor time alone
-//! is the machine's. `trouble=NAME` adds a scripted one in the middle of the seconds measured, `lasts` milliseconds long (given before it).
+//! Prints the figures of one simulated run as `name<TAB>value` lines: `measure [NAME=VALUE]...`, with `kind=sparse` first for an overlay. Only
+//! processor time depends on the machine. `trouble=NAME` adds a scripted fault during the measured seconds, `lasts` milliseconds long and
+//! `after` milliseconds after the first purge (both given before it).
 
-use basaltgw_fleet_simulation::fleet::{Fleet, Part};
-use basaltgw_fleet_simulation::links::Ways;
+use basaltgw_fleet_simulation::fault::{Fault, FaultKind};
+use basaltgw_fleet_simulation::fleet::{FailureDomain, Fleet};
+use basaltgw_fleet_simulation::links::CutDirection;
 use basaltgw_fleet_simulation::run::{run, Kind, Setup};
-use basaltgw_fleet_simulation::trouble::{Trouble, What};
-use basaltgw_fleet_simulation::world::Log;
-use basaltgw_fleet_simulation::{micros, No};
+use basaltgw_fleet_simulation::world::ChangeLogReach;
+use basaltgw_fleet_simulation::{micros, RouterIndex};
 use cap::Cap;
 use std::alloc::System;
 use std::time::Instant;
@@ -14,41 +15,47 @@
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// A control machine after the other is restarted so far apart, ms.
-const APART_MS: f64 = 2_000.0;
+/// Time between the restarts of two control machines, ms.
+const RESTART_INTERVAL_MS: f64 = 2_000.0;
 
-/// A scripted trouble that begins at that time and lasts so long, in milliseconds.
-fn script(fleet: &Fleet, name: &str, at: f64, lasts: f64) -> Result<Vec<Trouble>, String> {
-    let controls: Vec<No> = (0..fleet.seats.len()).filter(|no| fleet.seats[*no].control).collect();
-    // Someone in the middle, who is no control machine as a rule.
-    let seat = &fleet.seats[fleet.seats.len() * 3 / 5];
-    let within = |part| fleet.within(part);
-    let vanish = |who: Vec<No>| who.into_iter().map(|no| What::Vanish(no, micros(lasts))).collect();
-    let whats: Vec<What> = match name {
-        "rack" => vanish(within(Part::Rack(seat.rack))),
-        "switch" => vec![What::Cut(within(Part::Switch(seat.switch)), Ways::Both, micros(lasts))],
-        "site" => vec![What::Cut(within(Part::Site(seat.site)), Ways::Both, micros(lasts))],
-        "zone" => vanish(within(Part::Zone(seat.zone))),
-        "region" => vec![What::Cut(within(Part::Region(seat.region)), Ways::Both, micros(lasts))],
-        "control_region" => vec![What::Cut(within(Part::Region(0)), Ways::Both, micros(lasts))],
-        "two" => vanish(controls.iter().take(2).copied().collect()),
-        "nine" => vanish(controls),
+/// The scripted faults of this name, which begin and last as given, in milliseconds.
+fn script(fleet: &Fleet, name: &str, at_ms: f64, duration_ms: f64) -> Result<Vec<Fault>, String> {
+    let (at, duration) = (micros(at_ms), micros(duration_ms));
+    let control_machines: Vec<RouterIndex> =
+        (0..fleet.routers.len()).filter(|index| fleet.routers[*index].control).collect();
+    // A router in the middle, usually not a control machine.
+    let place = &fleet.routers[fleet.routers.len() * 3 / 5];
+    let inside = |domain| fleet.routers_in(domain);
+    let vanish = |routers: Vec<RouterIndex>| {
+        routers.into_iter().map(|router| FaultKind::Vanish { router, duration }).collect()
+    };
+    let cut =
+        |domain| vec![FaultKind::Cut { routers: inside(domain), direction: CutDirection::Both, duration }];
+    let kinds: Vec<FaultKind> = match name {
+        "rack" => vanish(inside(FailureDomain::Rack(place.rack))),
+        "switch" => cut(FailureDomain::Switch(place.switch)),
+        "site" => cut(FailureDomain::Site(place.site)),
+        "zone" => vanish(inside(FailureDomain::Zone(place.zone))),
+        "region" => cut(FailureDomain::Region(place.region)),
+        "control_region" => cut(FailureDomain::Region(0)),
+        "two" => vanish(control_machines.iter().take(2).copied().collect()),
+        "nine" => vanish(control_machines),
         "rolling" => {
-            let one = |(k, no): (usize, &No)| Trouble {
-                at: micros(at + k as f64 * APART_MS),
-                what: What::Restart(*no, micros(lasts)),
+            let restart = |(number, router): (usize, &RouterIndex)| Fault {
+                at: micros(at_ms + number as f64 * RESTART_INTERVAL_MS),
+                kind: FaultKind::Restart { router: *router, duration },
             };
-            return Ok(controls.iter().enumerate().map(one).collect());
+            return Ok(control_machines.iter().enumerate().map(restart).collect());
         }
         _ => return Err(format!("unknown trouble: {name}")),
     };
-    Ok(whats.into_iter().map(|what| Trouble { at: micros(at), what }).collect())
+    Ok(kinds.into_iter().map(|kind| Fault { at, kind }).collect())
 }
 
 fn main() -> Result<(), String> {
     let mut routers = 10;
     let mut setup = Setup::mesh(routers, 1);
-    let (mut troubles, mut lasts, mut after) = (Vec::new(), 60_000.0, 5_000.0);
+    let (mut faults, mut duration_ms, mut after_ms) = (Vec::new(), 60_000.0, 5_000.0);
     for arg in std::env::args().skip(1) {
         let (name, value) = arg.split_once('=').ok_or(format!("expected NAME=VALUE, found {arg}"))?;
         let number: f64 = match name {
@@ -57,38 +64,41 @@
         };
         match (name, &mut setup.kind) {
             ("kind", kind) if value == "sparse" => *kind = Setup::sparse(routers, 1).kind,
-            ("trouble", _) => troubles.push((value.to_string(), after, lasts)),
-            ("lasts", _) => lasts = number,
-            // Milliseconds after the first word.
-            ("after", _) => after = number,
+            ("trouble", _) => faults.push((value.to_string(), after_ms, duration_ms)),
+            ("lasts", _) => duration_ms = number,
+            ("after", _) => after_ms = number,
             ("routers", _) => routers = number as usize,
-            ("purges", _) => setup.purges = number,
-            ("seconds", _) => setup.seconds = number,
-            ("settle", _) => setup.settle = number,
-            ("rest", _) => setup.rest = number,
+            ("purges", _) => setup.purges_per_s = number,
+            ("seconds", _) => setup.measured_s = number,
+            ("settle", _) => setup.warm_up_s = number,
+            ("rest", _) => setup.drain_s = number,
             ("seed", _) => setup.seed = number as u64,
-            // The longest way between regions, in milliseconds; the shortest is half of it.
-            ("far", _) => setup.net.far = (number / 2.0, number),
-            // All on one machine, and a way on it in milliseconds.
+            // The longest one-way delay between regions, ms; the shortest is half of it.
+            ("far", _) => setup.network.inter_region_delay_ms = (number / 2.0, number),
+            // All routers on one machine: the longest one-way delay, ms; the shortest is a fifth of it.
             ("loopback", _) => {
-                let way = (number / 5.0, number);
-                (setup.net.site, setup.net.region, setup.net.far) = (way, way, way);
+                let delay_ms = (number / 5.0, number);
+                (
+                    setup.network.same_site_delay_ms,
+                    setup.network.same_region_delay_ms,
+                    setup.network.inter_region_delay_ms,
+                ) = (delay_ms, delay_ms, delay_ms);
             }
-            // The longest commit, in milliseconds; the shortest is half of it.
-            ("disk", _) => setup.disk = (number / 2.0, number),
-            ("loss", _) => setup.net.loss = number,
-            ("keepalive", _) => setup.net.keepalive_ms = number,
-            ("silent", _) => setup.net.silent_ms = number,
-            ("again", Kind::Mesh(mesh)) => mesh.holds.retransmit_interval_ms = number,
-            ("back_off", Kind::Mesh(mesh)) => mesh.holds.min_backoff_ms = number,
-            // Of the configuration, a minute; after the seconds.
+            // The longest duration of a commit, ms; the shortest is half of it.
+            ("disk", _) => setup.commit_ms = (number / 2.0, number),
+            ("loss", _) => setup.network.loss_share = number,
+            ("keepalive", _) => setup.network.keepalive_ms = number,
+            ("silent", _) => setup.network.peer_timeout_ms = number,
+            ("again", Kind::Mesh(mesh)) => mesh.registers.retransmit_interval_ms = number,
+            ("back_off", Kind::Mesh(mesh)) => mesh.registers.min_backoff_ms = number,
+            // Changes of the configuration a minute, while purges are made; given after `settle` and `seconds`.
             ("changes", Kind::Mesh(mesh)) => {
-                let from = setup.settle * 1_000.0;
-                mesh.changes = (number, (from, from + setup.seconds * 1_000.0));
+                let from = setup.warm_up_s * 1_000.0;
+                mesh.config_changes = (number, (from, from + setup.measured_s * 1_000.0));
             }
-            ("members", Kind::Mesh(mesh)) => mesh.most_members = number as usize,
-            ("wide", Kind::Sparse(sparse)) => sparse.wide = number > 0.0,
-            ("alone", Kind::Sparse(sparse)) => sparse.alone = number > 0.0,
+            ("members", Kind::Mesh(mesh)) => mesh.max_members = number as usize,
+            ("wide", Kind::Sparse(sparse)) => sparse.full_size_purges = number > 0.0,
+            ("alone", Kind::Sparse(sparse)) => sparse.publish_immediately = number > 0.0,
             ("hold", Kind::Sparse(sparse)) => sparse.overlay.publisher_wait_ms = number,
             ("batch", Kind::Sparse(sparse)) => sparse.overlay.batch_ms = number,
             ("ask", Kind::Sparse(sparse)) => sparse.overlay.query_delay_ms = number,
@@ -99,38 +109,48 @@
             ("peer_batch", Kind::Sparse(sparse)) => sparse.overlay.peer_batch_ms = number,
             ("eager", Kind::Sparse(sparse)) => sparse.shape.control_eager = number as usize,
             ("budget", Kind::Sparse(sparse)) => sparse.overlay.budget_bytes_per_s = number,
-            ("restarts", _) => setup.many.restarts = number as usize,
-            ("replaced", _) => setup.many.replaced = number as usize,
-            ("vanished", _) => setup.many.vanished = number as usize,
-            ("zones", _) => setup.many.zones = number as usize,
-            ("log", _) if value == "one" => setup.log.0 = Log::One,
-            // Somebody in the middle.
-            ("log", _) if value == "only" => setup.log.0 = Log::Only(routers * 3 / 5),
-            ("log", _) if value == "controls" => setup.log.0 = Log::Controls,
-            ("log", _) if value == "everyone" => setup.log.0 = Log::Everyone(0.0),
-            ("log", _) if value == "looks" => setup.log.0 = Log::Looks(50.0),
+            ("restarts", _) => setup.random_faults.restarts = number as usize,
+            ("replaced", _) => setup.random_faults.replaced = number as usize,
+            ("vanished", _) => setup.random_faults.vanished = number as usize,
+            ("zones", _) => setup.random_faults.zones = number as usize,
+            ("log", _) if value == "one" => setup.change_log = ChangeLogReach::OneRouter,
+            // A router in the middle.
+            ("log", _) if value == "only" => setup.change_log = ChangeLogReach::Always(routers * 3 / 5),
+            ("log", _) if value == "controls" => setup.change_log = ChangeLogReach::ControlMachines,
+            ("log", _) if value == "everyone" => {
+                setup.change_log = ChangeLogReach::Everyone { missed_share: 0.0 }
+            }
+            ("log", _) if value == "looks" => {
+                setup.change_log = ChangeLogReach::Polling { interval_ms: 50.0 }
+            }
             ("log", _) if value == "uneven" => {
-                setup.log.0 = Log::Uneven { misses: 0.02, late: 0.02, most: 3_000.0 };
+                setup.change_log =
+                    ChangeLogReach::Uneven { missed_share: 0.02, late_share: 0.02, max_delay_ms: 3_000.0 };
             }
-            _ => return Err(format!("unknown: {arg}")),
+            _ => return Err(format!("unknown argument: {arg}")),
         }
     }
     setup.shape = Setup::mesh(routers, 1).shape;
     let fleet = Fleet::new(&setup.shape, setup.seed)?;
-    for (name, after, lasts) in troubles {
-        setup.script.extend(script(&fleet, &name, setup.settle * 1_000.0 + after, lasts)?);
+    for (name, after_ms, duration_ms) in faults {
+        setup.scripted_faults.extend(script(
+            &fleet,
+            &name,
+            setup.warm_up_s * 1_000.0 + after_ms,
+            duration_ms,
+        )?);
     }
-    setup.cpu = true;
-    setup.grown = Some(|work| {
+    setup.measure_cpu = true;
+    setup.allocation_meter = Some(|work| {
         let before = ALLOCATOR.allocated() as i64;
         work();
         ALLOCATOR.allocated() as i64 - before
     });
-    let begun = Instant::now();
+    let begin = Instant::now();
     let figures = run(&setup)?;
-    for (name, value) in &figures.flat {
+    for (name, value) in &figures.values {
         println!("{name}\t{value:.3}");
     }
-    println!("wall_s\t{:.2}", begun.elapsed().as_secs_f64());
+    println!("wall_s\t{:.2}", begin.elapsed().as_secs_f64());
     Ok(())
 }
--- a/crates/fleet_simulation/src/count.rs
+++ b/crates/fleet_simulation/src/count.rs
@@ -1,100 +1,100 @@
-//! What each router's control part costs, by the second: messages, bytes on the wire, processor time, state.
+//! The cost of each router's control plane by the second: messages, bytes on the wire, processor time and state.
 
-use crate::{Micros, No};
+use crate::{Micros, RouterIndex};
 use rustix::time::{clock_gettime, ClockId};
 
-/// Bytes of a TCP/IP header with timestamps, as Linux sends it over IPv4: 20 + 20 + 12.
-pub const HEADERS: usize = 52;
-/// Bytes of a segment's payload on an Ethernet line of 1,500.
-pub const SEGMENT: usize = 1_448;
-/// Bytes of a SYN, which carries more options.
-pub const SYN: usize = 60;
-
-/// Bytes on the line of that much payload written at once, and of the acknowledgements that come back: one for two segments at least. Where
-/// answers carry them they cost less: this is an upper bound. The line's own framing is not counted.
-pub fn on_wire(payload: usize) -> (usize, usize) {
-    let segments = payload.div_ceil(SEGMENT).max(1);
-    (payload + segments * HEADERS, segments.div_ceil(2) * HEADERS)
+/// Bytes of the TCP/IP headers of a segment with timestamps, as Linux sends it over IPv4: 20 + 20 + 12.
+pub const HEADER_BYTES: usize = 52;
+/// Payload bytes of a full segment on Ethernet with an MTU of 1,500 bytes.
+pub const SEGMENT_PAYLOAD_BYTES: usize = 1_448;
+/// Bytes of a SYN packet, which carries more options.
+pub const SYN_BYTES: usize = 60;
+
+/// Bytes on the wire for a payload written at once, and for the acknowledgements that return. The figure is an upper bound: one
+/// acknowledgement is counted for every two segments, although answers may carry them. The Ethernet framing is not counted.
+pub fn wire_bytes(payload: usize) -> (usize, usize) {
+    let segments = payload.div_ceil(SEGMENT_PAYLOAD_BYTES).max(1);
+    (payload + segments * HEADER_BYTES, segments.div_ceil(2) * HEADER_BYTES)
 }
 
-/// What one router did in one second.
+/// The cost of one router in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Second {
-    /// Frames of users out and in.
+    /// Messages sent by the control plane.
     pub frames_out: u32,
-    /// See `frames_out`.
+    /// Messages received by the control plane.
     pub frames_in: u32,
-    /// Their bodies.
+    /// Bytes of the bodies of the messages sent.
     pub payload_out: u64,
-    /// See `payload_out`.
+    /// Bytes of the bodies of the messages received.
     pub payload_in: u64,
-    /// Bytes on the line, headers and acknowledgements with them.
+    /// Bytes sent on the wire, with headers and acknowledgements.
     pub wire_out: u64,
-    /// See `wire_out`.
+    /// Bytes received on the wire, with headers and acknowledgements.
     pub wire_in: u64,
-    /// Signs of life written.
-    pub alive_out: u32,
-    /// Commits.
+    /// Keepalives sent.
+    pub keepalives_out: u32,
+    /// Durable commits.
     pub commits: u32,
-    /// Events handled.
+    /// Events handled by the control plane.
     pub events: u32,
-    /// Processor time, in nanoseconds.
-    pub cpu: u64,
+    /// Processor time, ns.
+    pub cpu_ns: u64,
 }
 
 impl Second {
-    /// Bytes on the line, both ways together.
+    /// Bytes sent and received on the wire.
     pub fn wire(&self) -> u64 {
         self.wire_out + self.wire_in
     }
 }
 
-/// What happened on the links, over the whole run.
+/// Counters of all links over a whole run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounts {
-    /// Connections asked of others, and those that failed.
-    pub dialled: u64,
-    /// See `dialled`.
-    pub dial_failed: u64,
-    /// Connections taken, and those closed at once since too many had not said who they are.
+    /// Connections dialled.
+    pub dialed: u64,
+    /// Dials that were refused or timed out.
+    pub dials_failed: u64,
+    /// Connections accepted.
     pub accepted: u64,
-    /// See `accepted`.
-    pub no_place: u64,
-    /// Ends that came up; ends that were closed as a second connection, without a hello in time, or before they were a link.
-    pub up: u64,
-    /// See `up`.
-    pub second: u64,
-    /// See `up`.
-    pub no_hello: u64,
-    /// See `up`.
-    pub unmet: u64,
-    /// Links closed over silence, broken, and replaced by another life.
-    pub silent: u64,
-    /// See `silent`.
+    /// Accepted connections closed at once because too many were in their handshake.
+    pub rejected_in_handshake: u64,
+    /// Ends of a connection that became a link.
+    pub links_up: u64,
+    /// Ends closed because another connection was the link already.
+    pub redundant: u64,
+    /// Ends closed because the handshake timed out.
+    pub handshake_timeouts: u64,
+    /// Ends closed by the peer before the connection became a link.
+    pub closed_in_handshake: u64,
+    /// Links closed because the peer timed out.
+    pub peer_timeouts: u64,
+    /// Links closed because the connection was lost.
     pub broken: u64,
-    /// See `silent`.
+    /// Links replaced by a link to a new process of the peer.
     pub replaced: u64,
-    /// Frames refused without a link, by a full lane, and those not written whole.
+    /// Messages refused because there was no link.
     pub unsent_no_link: u64,
-    /// See `unsent_no_link`.
+    /// Messages refused because their lane was full.
     pub unsent_full: u64,
-    /// See `unsent_no_link`.
+    /// Messages that still waited when their link ended.
     pub unsent_broken: u64,
 }
 
 impl LinkCounts {
-    /// All, by name.
+    /// All counters, by the names that they have in the figures.
     pub fn all(&self) -> [(&'static str, u64); 14] {
         [
-            ("dialled", self.dialled),
-            ("dial_failed", self.dial_failed),
+            ("dialled", self.dialed),
+            ("dial_failed", self.dials_failed),
             ("accepted", self.accepted),
-            ("no_place", self.no_place),
-            ("up", self.up),
-            ("second", self.second),
-            ("no_hello", self.no_hello),
-            ("unmet", self.unmet),
-            ("silent", self.silent),
+            ("no_place", self.rejected_in_handshake),
+            ("up", self.links_up),
+            ("second", self.redundant),
+            ("no_hello", self.handshake_timeouts),
+            ("unmet", self.closed_in_handshake),
+            ("silent", self.peer_timeouts),
             ("broken", self.broken),
             ("replaced", self.replaced),
             ("unsent_no_link", self.unsent_no_link),
@@ -104,36 +104,36 @@
     }
 }
 
-/// See the module.
+/// All costs of a run.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// By router and second.
+    /// Costs by router and second.
     pub seconds: Vec<Vec<Second>>,
-    /// Of the links.
+    /// Counters of the links.
     pub links: LinkCounts,
-    /// The most connections that a router had open at once.
-    pub most_open: Vec<usize>,
-    /// The bytes of each router's state now, and the most there were.
-    pub state: Vec<(i64, i64)>,
-    /// The most events that waited for a router.
-    pub most_waiting: Vec<usize>,
+    /// For each router, the largest number of connections open at once.
+    pub max_open_connections: Vec<usize>,
+    /// For each router, the current and the largest size of its state, bytes.
+    pub state_bytes: Vec<(i64, i64)>,
+    /// For each router, the largest number of events in its inbox.
+    pub max_inbox: Vec<usize>,
 }
 
 impl Counts {
-    /// Of so many routers.
+    /// Creates the counters of this number of routers.
     pub fn new(routers: usize) -> Self {
         Self {
             seconds: vec![Vec::new(); routers],
             links: LinkCounts::default(),
-            most_open: vec![0; routers],
-            state: vec![(0, 0); routers],
-            most_waiting: vec![0; routers],
+            max_open_connections: vec![0; routers],
+            state_bytes: vec![(0, 0); routers],
+            max_inbox: vec![0; routers],
         }
     }
 
-    /// A router's second.
-    pub fn at(&mut self, no: No, at: Micros) -> &mut Second {
-        let row = &mut self.seconds[no];
+    /// The counters of a router for the second that contains `at`.
+    pub fn at(&mut self, router: RouterIndex, at: Micros) -> &mut Second {
+        let row = &mut self.seconds[router];
         let second = (at / 1_000_000) as usize;
         if row.len() <= second {
             row.resize(second + 1, Second::default());
@@ -141,9 +141,9 @@
         &mut row[second]
     }
 
-    /// That much payload went from one to another; what never arrives is counted where it was written only.
-    pub fn written(&mut self, at: Micros, from: No, to: Option<No>, payload: usize) {
-        let (out, back) = on_wire(payload);
+    /// Counts a payload sent between two routers. Without a receiver it never arrives, and only the sender is charged.
+    pub fn payload_sent(&mut self, at: Micros, from: RouterIndex, to: Option<RouterIndex>, payload: usize) {
+        let (out, back) = wire_bytes(payload);
         self.at(from, at).wire_out += out as u64;
         if let Some(to) = to {
             let second = self.at(to, at);
@@ -153,50 +153,56 @@
         }
     }
 
-    /// A packet without payload went.
-    pub fn bare(&mut self, at: Micros, from: No, to: Option<No>, bytes: usize) {
+    /// Counts a packet without payload; without a receiver it never arrives.
+    pub fn empty_packet_sent(
+        &mut self,
+        at: Micros,
+        from: RouterIndex,
+        to: Option<RouterIndex>,
+        bytes: usize,
+    ) {
         self.at(from, at).wire_out += bytes as u64;
         if let Some(to) = to {
             self.at(to, at).wire_in += bytes as u64;
         }
     }
 
-    /// A router's state has grown, or shrunk, by so many bytes.
-    pub fn grown(&mut self, no: No, bytes: i64) {
-        let (now, most) = &mut self.state[no];
-        *now += bytes;
-        *most = (*most).max(*now);
+    /// Counts that the state of a router has grown by `bytes`, or shrunk if negative.
+    pub fn state_grew(&mut self, router: RouterIndex, bytes: i64) {
+        let (current, max) = &mut self.state_bytes[router];
+        *current += bytes;
+        *max = (*max).max(*current);
     }
 }
 
-/// Does a piece of work; gives by how many bytes more this thread has taken from the allocator than it has given back meanwhile. The
-/// allocator sits in the program.
-pub type Grown = fn(&mut dyn FnMut()) -> i64;
+/// Runs a piece of work and returns by how many bytes the memory allocated by this thread has grown. Supplied by the program, since the
+/// program defines the allocator.
+pub type AllocationMeter = fn(&mut dyn FnMut()) -> i64;
 
-/// How a run measures what is the machine's.
+/// Measures processor time and memory, the costs that depend on the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Meter {
-    /// Bytes held are counted.
-    pub grown: Option<Grown>,
-    /// Processor time is measured.
+    /// Measures memory, if present.
+    pub allocation: Option<AllocationMeter>,
+    /// Whether processor time is measured.
     pub cpu: bool,
 }
 
 impl Meter {
-    /// Does a piece of work; gives its processor time in nanoseconds, and the bytes by which what is held has grown.
+    /// Runs a piece of work; returns its processor time, ns, and the growth of allocated memory, bytes.
     pub fn work(&self, work: &mut dyn FnMut()) -> (u64, i64) {
-        let begun = self.time();
-        let grown = match self.grown {
-            Some(grown) => grown(work),
+        let begin = self.time();
+        let growth = match self.allocation {
+            Some(measure) => measure(work),
             None => {
                 work();
                 0
             }
         };
-        (self.time() - begun, grown)
+        (self.time() - begin, growth)
     }
 
-    /// The thread's processor time so far, in nanoseconds.
+    /// Processor time of the thread so far, ns; 0 if not measured.
     fn time(&self) -> u64 {
         if !self.cpu {
             return 0;
--- a/crates/fleet_simulation/src/disk.rs
+++ b/crates/fleet_simulation/src/disk.rs
@@ -1,20 +1,20 @@
-//! A router's disk: what was committed is there after the process has ended, what was not is lost.
+//! The disk of a simulated router: committed writes survive the end of the process, others are lost.
 
 use basaltgw_storage::{Space, Write};
 use std::collections::BTreeMap;
 
-/// See the module.
+/// The stored entries of one router.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     entries: BTreeMap<(u8, Vec<u8>), Vec<u8>>,
-    /// Commits taken.
+    /// Number of commits.
     pub commits: u64,
     /// Bytes of keys and values written.
     pub written: u64,
 }
 
 impl Disk {
-    /// Takes writes as one.
+    /// Applies writes atomically.
     pub fn commit(&mut self, writes: Vec<Write>) {
         self.commits += 1;
         for write in writes {
@@ -31,18 +31,18 @@
         }
     }
 
-    /// All of a space, in the order of keys.
+    /// All entries of a space, in the order of their keys.
     pub fn read(&self, space: Space) -> Vec<(Vec<u8>, Vec<u8>)> {
         let all = self.entries.range((space.0, Vec::new())..).take_while(|((s, _), _)| *s == space.0);
         all.map(|((_, key), value)| (key.clone(), value.clone())).collect()
     }
 
-    /// One entry.
+    /// The value of one key.
     pub fn get(&self, space: Space, key: &[u8]) -> Option<Vec<u8>> {
         self.entries.get(&(space.0, key.to_vec())).cloned()
     }
 
-    /// Nothing was ever written.
+    /// Whether the disk holds no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/fleet_simulation/src/fleet.rs
+++ b/crates/fleet_simulation/src/fleet.rs
@@ -1,139 +1,140 @@
-//! Where routers stand: racks, switches, sites, zones, regions, all drawn from a seed.
+//! The placement of routers in racks, behind switches, in sites, zones and regions, drawn from a seed.
 
-use crate::No;
+use crate::RouterIndex;
 use basaltgw_simulator::{draw, rng, Rng};
 use basaltgw_types::{Domain, RouterId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The user of the seed that places routers.
-const PLACES: u64 = 1;
+/// Random stream of the placement.
+const PLACEMENT_STREAM: u64 = 1;
 
-/// How large a fleet is.
+/// The size of a fleet and of its parts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shape {
-    /// Routers.
+    /// Number of routers, at most 65,535.
     pub routers: usize,
-    /// Sites, zones and regions among which they are spread.
+    /// Number of sites.
     pub sites: usize,
-    /// See `sites`.
+    /// Number of zones.
     pub zones: usize,
-    /// See `sites`.
+    /// Number of regions.
     pub regions: usize,
-    /// The least and the most routers of a rack.
-    pub rack: (usize, usize),
-    /// Racks behind one switch.
-    pub racks_a_switch: usize,
-    /// Control machines, each in a region of its own as far as there are regions.
-    pub controls: usize,
+    /// Smallest and largest number of routers in a rack.
+    pub routers_per_rack: (usize, usize),
+    /// Number of racks behind one switch.
+    pub racks_per_switch: usize,
+    /// Number of control machines, one in each of the first regions; fewer if there are fewer regions.
+    pub control_machines: usize,
 }
 
 impl Shape {
-    /// A fleet of so many routers, with sites, zones and regions in the proportions of 4,300 routers at 210 sites, 71 zones, 21 regions.
-    pub fn of(routers: usize) -> Self {
-        let part = |of: usize| (routers * of).div_ceil(4_300).clamp(1, of.max(1));
+    /// The shape for this number of routers, in the proportions of 4,300 routers at 210 sites, in 71 zones and 21 regions.
+    pub fn for_routers(routers: usize) -> Self {
+        let scaled = |count: usize| (routers * count).div_ceil(4_300).clamp(1, count.max(1));
         let (sites, zones, regions) = match routers {
-            // Few routers stand apart, as far as copies have to.
+            // A small fleet is spread as far as the copies of a register require.
             0..=200 => (routers.div_ceil(4).max(3), 3, 3),
-            _ => (part(210).max(9), part(71).max(6), part(21).max(3)),
+            _ => (scaled(210).max(9), scaled(71).max(6), scaled(21).max(3)),
         };
         Self {
             routers,
             sites: sites.min(routers.max(1)),
             zones: zones.min(sites),
             regions,
-            rack: (20, 40),
-            racks_a_switch: 2,
-            controls: 9,
+            routers_per_rack: (20, 40),
+            racks_per_switch: 2,
+            control_machines: 9,
         }
     }
 }
 
-/// One router's place.
+/// A router and its place.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seat {
-    /// Its name; names are in the order of places.
+pub struct FleetRouter {
+    /// The name; the fleet is sorted by it.
     pub router: RouterId,
-    /// Its domain: the site is the branch.
+    /// The failure domain used for placement; its branch is the site.
     pub domain: Domain,
-    /// Where it would listen.
+    /// The address on which the router would listen.
     pub address: SocketAddr,
-    /// Its rack, switch, site, zone and region, each counted through the whole fleet.
+    /// Number of the rack, counted through the whole fleet.
     pub rack: usize,
-    /// See `rack`.
+    /// Number of the switch, counted through the whole fleet.
     pub switch: usize,
-    /// See `rack`.
+    /// Number of the site, counted through the whole fleet.
     pub site: usize,
-    /// See `rack`.
+    /// Number of the zone, counted through the whole fleet.
     pub zone: usize,
-    /// See `rack`.
+    /// Number of the region, counted through the whole fleet.
     pub region: usize,
-    /// It is a control machine.
+    /// Whether the router is a control machine.
     pub control: bool,
 }
 
-/// What fails together.
+/// Routers that fail together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
-    /// A rack.
+pub enum FailureDomain {
+    /// The routers of a rack.
     Rack(usize),
-    /// All behind a switch.
+    /// The routers behind a switch.
     Switch(usize),
-    /// A site.
+    /// The routers of a site.
     Site(usize),
-    /// A zone.
+    /// The routers of a zone.
     Zone(usize),
-    /// A region.
+    /// The routers of a region.
     Region(usize),
 }
 
-/// All routers' places.
+/// All routers with their places.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// By place.
-    pub seats: Vec<Seat>,
-    names: BTreeMap<RouterId, No>,
+    /// Indexed by [`RouterIndex`].
+    pub routers: Vec<FleetRouter>,
+    index_by_name: BTreeMap<RouterId, RouterIndex>,
 }
 
 impl Fleet {
-    /// A fleet of that shape.
+    /// Places the routers of a fleet of this shape.
     ///
     /// # Errors
-    /// If the shape can't be filled.
+    /// If the shape is inconsistent.
     pub fn new(shape: &Shape, seed: u64) -> Result<Self, String> {
-        let Shape { routers, sites, zones, regions, rack: (least, most), racks_a_switch, .. } = *shape;
+        let Shape { routers, sites, zones, regions, routers_per_rack: (min, max), racks_per_switch, .. } =
+            *shape;
         let fits = routers >= sites && sites >= zones && zones >= regions && regions > 0;
-        if !fits || least == 0 || most < least || racks_a_switch == 0 || routers > 65_535 {
+        if !fits || min == 0 || max < min || racks_per_switch == 0 || routers > 65_535 {
             return Err(format!(
                 "shape: expected at most 65,535 routers >= sites >= zones >= regions > 0, and racks: {shape:?}"
             ));
         }
-        let mut rng = rng(seed, PLACES);
+        let mut rng = rng(seed, PLACEMENT_STREAM);
         let zone_region = spread(zones, regions, &mut rng);
         let site_zone = spread(sites, zones, &mut rng);
         let mut router_site = spread(routers, sites, &mut rng);
         router_site.sort_unstable();
-        let mut seats: Vec<Seat> = Vec::with_capacity(routers);
-        let (mut rack, mut switch, mut room, mut racks) = (0, 0, 0, 0);
-        for (no, site) in router_site.into_iter().enumerate() {
-            let another = seats.last().is_some_and(|s| s.site != site);
-            if no == 0 || another || room == 0 {
-                rack += usize::from(no > 0);
-                racks += 1;
-                if another || racks > racks_a_switch {
-                    (switch, racks) = (switch + 1, 1);
+        let mut placed: Vec<FleetRouter> = Vec::with_capacity(routers);
+        let (mut rack, mut switch, mut room, mut racks_behind_switch) = (0, 0, 0, 0);
+        for (index, site) in router_site.into_iter().enumerate() {
+            let new_site = placed.last().is_some_and(|s| s.site != site);
+            if index == 0 || new_site || room == 0 {
+                rack += usize::from(index > 0);
+                racks_behind_switch += 1;
+                if new_site || racks_behind_switch > racks_per_switch {
+                    (switch, racks_behind_switch) = (switch + 1, 1);
                 }
-                room = least + (draw(&mut rng) * (most - least + 1) as f64) as usize;
+                room = min + (draw(&mut rng) * (max - min + 1) as f64) as usize;
             }
             room -= 1;
             let zone = site_zone[site];
-            let [_, _, high, low] = (no as u32 + 1).to_be_bytes();
-            seats.push(Seat {
-                router: RouterId(Arc::from(format!("r{no:05}"))),
+            let [_, _, high, low] = (index as u32 + 1).to_be_bytes();
+            placed.push(FleetRouter {
+                router: RouterId(Arc::from(format!("r{index:05}"))),
                 domain: Domain {
                     branch: Arc::from(format!("s{site:03}")),
-                    machine: Arc::from(format!("m{no:05}")),
+                    machine: Arc::from(format!("m{index:05}")),
                 },
                 address: ([10, 0, high, low], 7100).into(),
                 rack,
@@ -144,42 +145,42 @@
                 control: false,
             });
         }
-        for region in 0..shape.controls.min(regions) {
-            let first = seats.iter_mut().find(|s| s.region == region);
+        for region in 0..shape.control_machines.min(regions) {
+            let first = placed.iter_mut().find(|s| s.region == region);
             first.into_iter().for_each(|s| s.control = true);
         }
-        let names = seats.iter().enumerate().map(|(no, s)| (s.router.clone(), no)).collect();
-        Ok(Self { seats, names })
+        let index_by_name = placed.iter().enumerate().map(|(index, s)| (s.router.clone(), index)).collect();
+        Ok(Self { routers: placed, index_by_name })
     }
 
-    /// The place of a name.
-    pub fn no(&self, router: &RouterId) -> Option<No> {
-        self.names.get(router).copied()
+    /// The index of the router with this name.
+    pub fn index_of(&self, router: &RouterId) -> Option<RouterIndex> {
+        self.index_by_name.get(router).copied()
     }
 
-    /// Who stands there.
-    pub fn within(&self, part: Part) -> Vec<No> {
-        let is = |s: &Seat| match part {
-            Part::Rack(no) => s.rack == no,
-            Part::Switch(no) => s.switch == no,
-            Part::Site(no) => s.site == no,
-            Part::Zone(no) => s.zone == no,
-            Part::Region(no) => s.region == no,
+    /// The routers of a failure domain, ascending.
+    pub fn routers_in(&self, domain: FailureDomain) -> Vec<RouterIndex> {
+        let is_inside = |r: &FleetRouter| match domain {
+            FailureDomain::Rack(number) => r.rack == number,
+            FailureDomain::Switch(number) => r.switch == number,
+            FailureDomain::Site(number) => r.site == number,
+            FailureDomain::Zone(number) => r.zone == number,
+            FailureDomain::Region(number) => r.region == number,
         };
-        self.seats.iter().enumerate().filter(|(_, s)| is(s)).map(|(no, _)| no).collect()
+        self.routers.iter().enumerate().filter(|(_, s)| is_inside(s)).map(|(index, _)| index).collect()
     }
 }
 
-/// To which of so many places each goes: one to each first, the rest unevenly, since sites are.
-fn spread(many: usize, places: usize, rng: &mut Rng) -> Vec<usize> {
+/// Assigns items to places: one to each place first, the rest by random weights, since real sites differ in size.
+fn spread(items: usize, places: usize, rng: &mut Rng) -> Vec<usize> {
     let weights: Vec<f64> = (0..places).map(|_| 0.5 + draw(rng)).collect();
-    let all: f64 = weights.iter().sum();
-    let pick = |mut at: f64| {
+    let total: f64 = weights.iter().sum();
+    let pick = |mut remaining: f64| {
         let found = weights.iter().position(|w| {
-            at -= w;
-            at < 0.0
+            remaining -= w;
+            remaining < 0.0
         });
         found.unwrap_or(places - 1)
     };
-    (0..many).map(|no| if no < places { no } else { pick(draw(rng) * all) }).collect()
+    (0..items).map(|item| if item < places { item } else { pick(draw(rng) * total) }).collect()
 }
--- a/crates/fleet_simulation/src/lib.rs
+++ b/crates/fleet_simulation/src/lib.rs
@@ -1,48 +1,49 @@
-//! Hollow routers: the control parts of hundreds or thousands of routers in one process, in simulated time.
+//! Hollow routers: the control planes of hundreds or thousands of routers in one process, in simulated time.
 //!
-//! What a router runs here is what `serve` runs ([`Party`], over `basaltgw_control::Control`); clients, caches and threads are left out. Where a
-//! part stands in for one of the system's (sockets, disk), its cost is not counted here: it is measured on real processes and added.
+//! A hollow router runs the same control plane as `serve` ([`ControlPlane`], over `basaltgw_control::Control`), without clients, caches and
+//! threads. The costs of the parts that are replaced here (sockets, disk) are not counted: they are measured on real processes and added.
 //!
-//! - [`fleet`]: where routers stand;
-//! - [`links`]: the rules of `crates/transport` without sockets, over lines with delay, loss and cuts;
-//! - [`party`]: what runs at a router; [`mesh`]: the control part with links to all that are listed; [`sparse`]: the overlay's few links;
-//! - [`world`]: time, processes, disks, troubles, the change log;
-//! - [`count`]: messages, bytes, processor time, state; [`check`]: what must hold of every word; [`changes`]: how changes of the
-//!   configuration get round;
+//! - [`fleet`]: the placement of routers in racks, sites, zones and regions;
+//! - [`links`]: the link protocol of `crates/transport` without sockets, over a network with delay, loss and partitions;
+//! - [`control_plane`]: what runs at a router; [`mesh`]: links to all listed routers; [`sparse`]: the few links of the overlay;
+//! - [`world`]: time, processes, disks, faults ([`fault`]) and the change log;
+//! - [`count`]: messages, bytes, processor time, state; [`checker`]: the delivery of purges; [`config_changes`]: the delivery of changes
+//!   of the configuration;
 //! - [`run`]: a whole run, and its figures.
 //!
-//! The same setup gives the same run to the last byte; only processor time is the machine's.
+//! Runs of the same setup are identical to the last byte, except for processor time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod changes;
-pub mod check;
+pub mod checker;
+pub mod config_changes;
+pub mod control_plane;
 pub mod count;
 pub mod disk;
+pub mod fault;
 pub mod fleet;
 pub mod links;
 pub mod mesh;
-pub mod party;
 mod queue;
 pub mod run;
 pub mod sparse;
-pub mod trouble;
+
 pub mod world;
 
-pub use party::{Party, PartyAction, PartyEvent};
+pub use control_plane::{ControlPlane, ControlPlaneAction, ControlPlaneEvent};
 
-/// A router by its place in the fleet's list, which is in the order of names.
-pub type No = usize;
+/// The index of a router in [`fleet::Fleet::routers`], which is in the order of names.
+pub type RouterIndex = usize;
 
-/// Whole microseconds from the start of the run; all order of events is by them.
+/// Simulated time since the start of the run, or a duration, in whole microseconds. Events are ordered by it.
 pub type Micros = u64;
 
-/// Microseconds of so many milliseconds.
+/// Converts milliseconds to microseconds; negative values become 0.
 pub fn micros(ms: f64) -> Micros {
     (ms.max(0.0) * 1000.0).round() as Micros
 }
 
-/// Milliseconds, as the decisions take them.
+/// Converts microseconds to milliseconds, the unit of the control planes.
 pub fn ms(at: Micros) -> f64 {
     at as f64 / 1000.0
 }
--- a/crates/fleet_simulation/src/links/arrive.rs
+++ b/crates/fleet_simulation/src/links/arrive.rs
@@ -1,186 +1,228 @@
-//! What arrives at an end: the hello, the word that a connection is the link, frames, the end.
+//! Frames that arrive at an end: hello, confirmation of the link, messages and close.
 
 use super::conn::{Frame, Greeting, Stage};
-use super::{span, Links};
-use crate::count::HEADERS;
+use super::{as_micros, Links};
+use crate::count::HEADER_BYTES;
 use crate::fleet::Fleet;
-use crate::queue::{Key, Line, Queue};
-use crate::{No, PartyEvent};
+use crate::queue::{ConnectionKey, LinkEvent, Queue};
+use crate::{ControlPlaneEvent, RouterIndex};
 use basaltgw_transport::limits::{HANDSHAKE_TIMEOUT, MAX_CONNECTIONS_IN_HANDSHAKE};
 use basaltgw_types::link::LinkError;
 
 impl Links {
-    /// A connect is answered, refused, or given up.
-    pub(super) fn connected(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, good: bool) {
+    /// A connect was accepted, refused, or timed out.
+    pub(super) fn connect_finished(
+        &mut self,
+        queue: &mut Queue,
+        fleet: &Fleet,
+        key: ConnectionKey,
+        accepted: bool,
+    ) {
         let Some(conn) = self.conn(key) else { return };
         let (from, to) = (conn.ends[0].router, conn.ends[1].router);
-        let open = conn.ends[0].stage == Stage::Opening;
-        if !open || !good || self.hosts[to].me.is_none() {
-            if open {
-                self.counts.links.dial_failed += 1;
+        let connecting = conn.ends[0].stage == Stage::Connecting;
+        if !connecting || !accepted || self.hosts[to].me.is_none() {
+            if connecting {
+                self.counts.links.dials_failed += 1;
             }
-            // The other end was never there.
+            // The accepting end never existed.
             if let Some(conn) = self.conn(key) {
                 conn.ends[1].stage = Stage::Closed;
             }
-            return self.shut(q, fleet, key, 0, LinkError::ConnectionLost, false);
+            return self.close_end(queue, fleet, key, 0, LinkError::ConnectionLost, false);
         }
-        self.counts.bare(q.now(), from, Some(to), HEADERS);
+        self.counts.empty_packet_sent(queue.now(), from, Some(to), HEADER_BYTES);
         if let Some(conn) = self.conn(key) {
-            conn.ends[0].stage = Stage::Greeting;
+            conn.ends[0].stage = Stage::AwaitingHello;
         }
-        self.hello(q, key, 0, false);
-        q.line(q.now() + span(HANDSHAKE_TIMEOUT), Line::Late(key, 0));
+        self.send_hello(queue, key, 0, false);
+        queue.put_link(
+            queue.now() + as_micros(HANDSHAKE_TIMEOUT),
+            LinkEvent::HandshakeTimeout { key, end: 0 },
+        );
     }
 
-    /// Says who an end's router is.
-    fn hello(&mut self, q: &mut Queue, key: Key, end: usize, go: bool) {
+    /// Writes the hello of the router at this end; `confirm` adds that the connection is the link.
+    fn send_hello(&mut self, queue: &mut Queue, key: ConnectionKey, end: usize, confirm: bool) {
         let Some(me) = self.conn(key).map(|c| c.ends[end].router) else { return };
         let body = self.hosts[me].me.as_ref().map(postcard::to_stdvec);
         if let Some(Ok(body)) = body {
-            self.write(q, key, end, Frame::Hello(body, go));
+            self.write(queue, key, end, Frame::Hello { body, confirm });
         }
     }
 
-    /// An end's time for the hello is up.
-    pub(super) fn late(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, end: usize) {
+    /// The time for the handshake of an end is up.
+    pub(super) fn handshake_timed_out(
+        &mut self,
+        queue: &mut Queue,
+        fleet: &Fleet,
+        key: ConnectionKey,
+        end: usize,
+    ) {
         let Some(conn) = self.conn(key) else { return };
         match conn.ends[end].stage {
-            Stage::Greeting | Stage::Going => {
-                self.counts.links.no_hello += 1;
-                self.shut(q, fleet, key, end, LinkError::ConnectionLost, true);
+            Stage::AwaitingHello | Stage::AwaitingConfirmation => {
+                self.counts.links.handshake_timeouts += 1;
+                self.close_end(queue, fleet, key, end, LinkError::ConnectionLost, true);
             }
-            Stage::Opening | Stage::Up(_) | Stage::Closed => {}
+            Stage::Connecting | Stage::Up(_) | Stage::Closed => {}
         }
     }
 
-    /// The next frame of that direction is there.
-    pub(super) fn arrive(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, way: usize) {
-        let end = 1 - way;
+    /// The next frame of a direction arrives.
+    pub(super) fn frame_arrived(
+        &mut self,
+        queue: &mut Queue,
+        fleet: &Fleet,
+        key: ConnectionKey,
+        direction: usize,
+    ) {
+        let end = 1 - direction;
         let Some(conn) = self.conn(key) else { return };
-        let Some((size, frame)) = conn.ways[way].frames.pop_front() else { return };
-        conn.ways[way].bytes -= size;
+        let Some((size, frame)) = conn.directions[direction].frames.pop_front() else { return };
+        conn.directions[direction].in_flight_bytes -= size;
         let (me, stage) = (conn.ends[end].router, conn.ends[end].stage);
         match (frame, stage) {
             (_, Stage::Closed) => {}
-            (Frame::Fin, Stage::Up(_)) => self.shut(q, fleet, key, end, LinkError::ConnectionLost, false),
-            (Frame::Fin, Stage::Opening | Stage::Greeting | Stage::Going) => {
-                self.counts.links.unmet += 1;
-                self.shut(q, fleet, key, end, LinkError::ConnectionLost, false);
+            (Frame::Fin, Stage::Up(_)) => {
+                self.close_end(queue, fleet, key, end, LinkError::ConnectionLost, false)
             }
-            (Frame::Hello(body, go), Stage::Opening) if end == 1 => self.accept(q, fleet, key, &body, go),
-            (Frame::Hello(body, go), Stage::Greeting) => self.greeted(q, fleet, key, 0, &body, go),
-            (Frame::Hello(..), Stage::Opening | Stage::Going | Stage::Up(_)) => {
-                self.shut(q, fleet, key, end, LinkError::MalformedFrame, true)
+            (Frame::Fin, Stage::Connecting | Stage::AwaitingHello | Stage::AwaitingConfirmation) => {
+                self.counts.links.closed_in_handshake += 1;
+                self.close_end(queue, fleet, key, end, LinkError::ConnectionLost, false);
             }
-            (Frame::Go, Stage::Going) => self.go(q, fleet, key, end),
-            (Frame::Table(body), Stage::Up(_)) => self.another_table(key, end, &body),
+            (Frame::Hello { body, confirm }, Stage::Connecting) if end == 1 => {
+                self.accept(queue, fleet, key, &body, confirm)
+            }
+            (Frame::Hello { body, confirm }, Stage::AwaitingHello) => {
+                self.hello_received(queue, fleet, key, 0, &body, confirm)
+            }
+            (Frame::Hello { .. }, Stage::Connecting | Stage::AwaitingConfirmation | Stage::Up(_)) => {
+                self.close_end(queue, fleet, key, end, LinkError::MalformedFrame, true)
+            }
+            (Frame::Confirm, Stage::AwaitingConfirmation) => self.confirmed(queue, fleet, key, end),
+            (Frame::Table(body), Stage::Up(_)) => self.peer_table_changed(key, end, &body),
             (Frame::Lane(lane, body), Stage::Up(_)) => {
-                let second = self.counts.at(me, q.now());
+                let second = self.counts.at(me, queue.now());
                 second.frames_in += 1;
                 second.payload_in += body.len() as u64;
                 let member = self.conn(key).and_then(|c| c.ends[end].peer.as_ref());
                 let from = member.map(|(hello, _)| hello.member.clone());
                 from.into_iter().for_each(|from| {
-                    self.told.push((me, PartyEvent::Got { from, lane, body: body.clone() }));
+                    self.events
+                        .push((me, ControlPlaneEvent::MessageReceived { from, lane, body: body.clone() }));
                 });
             }
-            (Frame::Go | Frame::Table(_) | Frame::Lane(..), Stage::Opening | Stage::Greeting) => {
-                self.shut(q, fleet, key, end, LinkError::MalformedFrame, true)
-            }
-            (Frame::Go, Stage::Up(_)) | (Frame::Table(_) | Frame::Lane(..), Stage::Going) => {
-                self.shut(q, fleet, key, end, LinkError::MalformedFrame, true)
+            (
+                Frame::Confirm | Frame::Table(_) | Frame::Lane(..),
+                Stage::Connecting | Stage::AwaitingHello,
+            ) => self.close_end(queue, fleet, key, end, LinkError::MalformedFrame, true),
+            (Frame::Confirm, Stage::Up(_))
+            | (Frame::Table(_) | Frame::Lane(..), Stage::AwaitingConfirmation) => {
+                self.close_end(queue, fleet, key, end, LinkError::MalformedFrame, true)
             }
         }
-        self.pump(q, key, way);
+        self.pump(queue, key, direction);
     }
 
-    /// A connection with its hello is there. More than so many that have not said who they are, are closed at once.
-    fn accept(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, body: &[u8], go: bool) {
+    /// Accepts a connection with its first hello. Beyond the limit of connections in handshake it is closed at once.
+    fn accept(&mut self, queue: &mut Queue, fleet: &Fleet, key: ConnectionKey, body: &[u8], confirm: bool) {
         let Some(conn) = self.conn(key) else { return };
         let me = conn.ends[1].router;
-        conn.ends[1].stage = Stage::Greeting;
+        conn.ends[1].stage = Stage::AwaitingHello;
         self.hosts[me].conns.insert(key.slot);
         let open = self.hosts[me].conns.len();
-        self.counts.most_open[me] = self.counts.most_open[me].max(open);
+        self.counts.max_open_connections[me] = self.counts.max_open_connections[me].max(open);
         self.counts.links.accepted += 1;
-        if self.hosts[me].me.is_none() || self.hosts[me].unknown >= MAX_CONNECTIONS_IN_HANDSHAKE {
-            self.counts.links.no_place += u64::from(self.hosts[me].me.is_some());
-            return self.shut(q, fleet, key, 1, LinkError::ConnectionLost, true);
+        if self.hosts[me].me.is_none() || self.hosts[me].in_handshake >= MAX_CONNECTIONS_IN_HANDSHAKE {
+            self.counts.links.rejected_in_handshake += u64::from(self.hosts[me].me.is_some());
+            return self.close_end(queue, fleet, key, 1, LinkError::ConnectionLost, true);
         }
-        self.hosts[me].unknown += 1;
+        self.hosts[me].in_handshake += 1;
         if let Some(conn) = self.conn(key) {
-            conn.ends[1].unknown = true;
+            conn.ends[1].in_handshake = true;
         }
-        q.line(q.now() + span(HANDSHAKE_TIMEOUT), Line::Late(key, 1));
-        self.greeted(q, fleet, key, 1, body, go);
+        queue.put_link(
+            queue.now() + as_micros(HANDSHAKE_TIMEOUT),
+            LinkEvent::HandshakeTimeout { key, end: 1 },
+        );
+        self.hello_received(queue, fleet, key, 1, body, confirm);
     }
 
-    /// An end has the other's hello. The router with the smaller name says by `Go` that this connection is the link; on one only.
-    fn greeted(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, end: usize, body: &[u8], go: bool) {
+    /// An end has the hello of its peer. The router with the smaller name confirms a single connection as the link.
+    fn hello_received(
+        &mut self,
+        queue: &mut Queue,
+        fleet: &Fleet,
+        key: ConnectionKey,
+        end: usize,
+        body: &[u8],
+        confirm: bool,
+    ) {
         let Ok(greeting) = postcard::from_bytes::<Greeting>(body) else {
-            return self.shut(q, fleet, key, end, LinkError::MalformedFrame, true);
+            return self.close_end(queue, fleet, key, end, LinkError::MalformedFrame, true);
         };
         let Some(conn) = self.conn(key) else { return };
         let (me, peer) = (conn.ends[end].router, conn.ends[1 - end].router);
-        let (name, other) = (&fleet.seats[me].router, greeting.0.member.router.clone());
-        let chooses = Self::chooses(name, &other);
+        let (name, other) = (&fleet.routers[me].router, greeting.0.member.router.clone());
+        let chooses_link = Self::chooses_link(name, &other);
         let start = greeting.1;
         conn.ends[end].peer = Some(greeting);
-        if chooses {
-            if self.has(me, peer, start) {
-                self.counts.links.second += 1;
-                return self.shut(q, fleet, key, end, LinkError::ConnectionLost, true);
+        if chooses_link {
+            if self.has_link_to(me, peer, start) {
+                self.counts.links.redundant += 1;
+                return self.close_end(queue, fleet, key, end, LinkError::ConnectionLost, true);
             }
-            self.known(key, end);
-            self.raise(q, fleet, key, end);
+            self.handshake_done(key, end);
+            self.link_up(queue, fleet, key, end);
             match end {
-                0 => self.write(q, key, end, Frame::Go),
-                _ => self.hello(q, key, end, true),
+                0 => self.write(queue, key, end, Frame::Confirm),
+                _ => self.send_hello(queue, key, end, true),
             }
             return;
         }
         if let Some(conn) = self.conn(key) {
-            conn.ends[end].stage = Stage::Going;
+            conn.ends[end].stage = Stage::AwaitingConfirmation;
         }
         if end == 1 {
-            self.hello(q, key, end, false);
+            self.send_hello(queue, key, end, false);
         }
-        if go {
-            self.go(q, fleet, key, end);
+        if confirm {
+            self.confirmed(queue, fleet, key, end);
         }
     }
 
-    fn go(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, end: usize) {
-        self.known(key, end);
-        self.raise(q, fleet, key, end);
+    /// The peer confirmed that this connection is the link.
+    fn confirmed(&mut self, queue: &mut Queue, fleet: &Fleet, key: ConnectionKey, end: usize) {
+        self.handshake_done(key, end);
+        self.link_up(queue, fleet, key, end);
     }
 
-    /// An end is not counted any more among those that have not said who they are.
-    fn known(&mut self, key: Key, end: usize) {
+    /// Stops counting an end among the connections in handshake.
+    fn handshake_done(&mut self, key: ConnectionKey, end: usize) {
         let Some(conn) = self.conn(key) else { return };
         let me = conn.ends[end].router;
-        if std::mem::take(&mut conn.ends[end].unknown) {
-            self.hosts[me].unknown -= 1;
+        if std::mem::take(&mut conn.ends[end].in_handshake) {
+            self.hosts[me].in_handshake -= 1;
         }
     }
 
-    /// Whether a link to that start of the router is up.
-    fn has(&mut self, me: No, peer: No, start: u64) -> bool {
+    /// Whether a link to this process start of the peer is up.
+    fn has_link_to(&mut self, me: RouterIndex, peer: RouterIndex, start: u64) -> bool {
         let Some(key) = self.hosts[me].up.get(&peer).copied() else { return false };
         let Some(conn) = self.conn(key) else { return false };
         conn.ends.iter().any(|e| e.router == me && e.peer.as_ref().is_some_and(|(_, s)| *s == start))
     }
 
-    /// The peer's table is another.
-    fn another_table(&mut self, key: Key, end: usize, body: &[u8]) {
+    /// The peer advertises another placement table.
+    fn peer_table_changed(&mut self, key: ConnectionKey, end: usize, body: &[u8]) {
         let Some(conn) = self.conn(key) else { return };
         let me = conn.ends[end].router;
         let Some((hello, _)) = &mut conn.ends[end].peer else { return };
         if let Ok(table) = postcard::from_bytes(body) {
             hello.table = table;
             let hello = hello.clone();
-            self.told.push((me, PartyEvent::Up(hello)));
+            self.events.push((me, ControlPlaneEvent::LinkUp(hello)));
         }
     }
 }
--- a/crates/fleet_simulation/src/links/conn.rs
+++ b/crates/fleet_simulation/src/links/conn.rs
@@ -1,99 +1,104 @@
-//! One connection: two ends, and what is under way in both directions.
+//! A simulated connection: its two ends, and the frames in flight in both directions.
 
 use super::lanes::Lanes;
-use crate::{Micros, No};
+use crate::{Micros, RouterIndex};
 use basaltgw_types::link::{Hello, Lane};
 use std::collections::VecDeque;
 
-/// How far an end is.
+/// How far an end of a connection has come in the handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Nothing has come of it yet.
-    Opening,
-    /// It has asked, and waits for the other's hello.
-    Greeting,
-    /// It waits for the other's word that this connection is the link.
-    Going,
-    /// It is the link, since then.
+    /// The connect has not been answered, or the first hello has not arrived.
+    Connecting,
+    /// The end waits for the hello of its peer.
+    AwaitingHello,
+    /// The end waits for its peer to confirm that this connection is the link.
+    AwaitingConfirmation,
+    /// The connection is the link since this time.
     Up(Micros),
-    /// It was closed.
     Closed,
 }
 
-/// The hello as it is written: whose, and which start of its process it is.
+/// The hello as it is written, with a number that differs at each start of the process.
 pub type Greeting = (Hello, u64);
 
 #[derive(Debug)]
 pub struct End {
-    pub router: No,
+    pub router: RouterIndex,
     pub stage: Stage,
     pub peer: Option<Greeting>,
-    /// It is counted among those that have not said who they are.
-    pub unknown: bool,
+    /// Whether this accepted end counts towards the connections in handshake of its router.
+    pub in_handshake: bool,
     pub lanes: Lanes,
 }
 
 #[derive(Debug)]
 pub enum Frame {
-    /// Who speaks; and that this connection is the link.
-    Hello(Vec<u8>, bool),
-    Go,
+    /// The hello of the sender.
+    Hello {
+        body: Vec<u8>,
+        /// A [`Frame::Confirm`] follows in the same write.
+        confirm: bool,
+    },
+    /// This connection is the link.
+    Confirm,
     Table(Vec<u8>),
     Lane(Lane, Vec<u8>),
     Fin,
 }
 
-/// What goes from one end to the other.
+/// One direction of a connection.
 #[derive(Debug)]
-pub struct Way {
+pub struct Direction {
     pub delay: Micros,
-    /// The last write, signs of life with them as far as they are accounted for.
-    pub wrote: Micros,
-    /// When the last of it is there, and when the line is free again.
-    pub there: Micros,
-    pub free: Micros,
-    /// Bytes that were written and are not there yet.
-    pub bytes: usize,
+    /// Time of the last write, including the keepalives counted so far.
+    pub last_write: Micros,
+    /// When the last write arrives.
+    pub last_arrival: Micros,
+    /// When the bandwidth is free for the next write.
+    pub free_at: Micros,
+    /// Bytes that were written and have not arrived.
+    pub in_flight_bytes: usize,
     pub frames: VecDeque<(usize, Frame)>,
-    /// Nothing gets through; since when something was lost by it.
+    /// Set while nothing passes, with the time of the first write that was lost.
     pub stalled: Option<Option<Micros>>,
-    /// The receiving end counts as having heard nothing from then on.
-    pub silent: Option<Micros>,
+    /// When the receiving end finds that its peer timed out.
+    pub peer_timeout_at: Option<Micros>,
 }
 
 #[derive(Debug)]
 pub struct Conn {
-    pub life: u32,
-    /// Who asked, and who was asked.
+    pub generation: u32,
+    /// The dialing end, and the accepting end.
     pub ends: [End; 2],
-    /// From the first end, and from the second.
-    pub ways: [Way; 2],
+    /// From the dialing end, and from the accepting end.
+    pub directions: [Direction; 2],
 }
 
 impl Conn {
-    pub fn new(life: u32, now: Micros, from: No, to: No, delay: Micros) -> Self {
+    pub fn new(generation: u32, now: Micros, from: RouterIndex, to: RouterIndex, delay: Micros) -> Self {
         let end = |router| End {
             router,
-            stage: Stage::Opening,
+            stage: Stage::Connecting,
             peer: None,
-            unknown: false,
+            in_handshake: false,
             lanes: Lanes::default(),
         };
-        let way = || Way {
+        let direction = || Direction {
             delay,
-            wrote: now,
-            there: now,
-            free: now,
-            bytes: 0,
+            last_write: now,
+            last_arrival: now,
+            free_at: now,
+            in_flight_bytes: 0,
             frames: VecDeque::new(),
             stalled: None,
-            silent: None,
+            peer_timeout_at: None,
         };
-        Self { life, ends: [end(from), end(to)], ways: [way(), way()] }
+        Self { generation, ends: [end(from), end(to)], directions: [direction(), direction()] }
     }
 
-    /// Both ends are closed, and nothing is under way.
-    pub fn over(&self) -> bool {
+    /// Whether both ends are closed.
+    pub fn is_closed(&self) -> bool {
         self.ends.iter().all(|e| e.stage == Stage::Closed)
     }
 }
--- a/crates/fleet_simulation/src/links/cuts.rs
+++ b/crates/fleet_simulation/src/links/cuts.rs
@@ -1,165 +1,187 @@
-//! What breaks lines and ends processes: cuts, their healing, processes and machines that go.
+//! Partitions and their healing, and the end of processes and machines.
 
 use super::conn::Stage;
-use super::net::{Ways, AGAIN};
+use super::net::{CutDirection, RETRANSMIT_US};
 use super::Links;
 use crate::fleet::Fleet;
-use crate::queue::{Key, Line, Queue};
-use crate::{Micros, No};
+use crate::queue::{ConnectionKey, LinkEvent, Queue};
+use crate::{Micros, RouterIndex};
 use basaltgw_types::link::LinkError;
 
 impl Links {
-    /// Cuts routers off from all others; the cut's number, unless there are too many.
-    pub fn cut(&mut self, q: &mut Queue, who: &[No], ways: Ways) -> Option<usize> {
-        let now = q.now();
-        let keys = self.around(who);
+    /// Begins a partition between these routers and all others; returns its number, or `None` if too many are active.
+    pub fn cut(
+        &mut self,
+        queue: &mut Queue,
+        routers: &[RouterIndex],
+        direction: CutDirection,
+    ) -> Option<usize> {
+        let now = queue.now();
+        let keys = self.connections_of(routers);
         for key in &keys {
-            (0..2).for_each(|end| self.alive(now, *key, end));
+            (0..2).for_each(|end| self.count_keepalives(now, *key, end));
         }
-        let cut = self.lines.begin(who, ways)?;
-        for (key, way) in keys.into_iter().flat_map(|key| [(key, 0), (key, 1)]) {
+        let cut = self.network.begin(routers, direction)?;
+        for (key, direction) in keys.into_iter().flat_map(|key| [(key, 0), (key, 1)]) {
             let Some(conn) = self.conn(key) else { continue };
-            let (from, to) = (conn.ends[way].router, conn.ends[1 - way].router);
-            let was = conn.ways[way].stalled.is_some();
-            if !was && self.lines.cut(from, to) {
-                self.stall(q, key, way);
+            let (from, to) = (conn.ends[direction].router, conn.ends[1 - direction].router);
+            let was_stalled = conn.directions[direction].stalled.is_some();
+            if !was_stalled && self.network.cut(from, to) {
+                self.stall(queue, key, direction);
             }
         }
         Some(cut)
     }
 
-    /// Ends a cut. What was lost by it is sent again when its sender's patience is up, unless one of the ends has given up before.
-    pub fn heal(&mut self, q: &mut Queue, cut: usize) {
-        let now = q.now();
-        self.lines.heal(cut);
-        let every = self.lines.keepalive();
-        let keys: Vec<Key> =
-            self.conns.iter().map(|(slot, c)| Key { slot: slot as u32, life: c.life }).collect();
-        for (key, way) in keys.into_iter().flat_map(|key| [(key, 0), (key, 1)]) {
+    /// Ends a partition. Frames lost in it arrive with the next retransmission, unless an end has closed the connection before.
+    pub fn heal(&mut self, queue: &mut Queue, cut: usize) {
+        let now = queue.now();
+        self.network.heal(cut);
+        let interval = self.network.keepalive();
+        let keys: Vec<ConnectionKey> = self
+            .conns
+            .iter()
+            .map(|(slot, c)| ConnectionKey { slot: slot as u32, generation: c.generation })
+            .collect();
+        for (key, direction) in keys.into_iter().flat_map(|key| [(key, 0), (key, 1)]) {
             let Some(conn) = self.conn(key) else { continue };
-            let Some(lost) = conn.ways[way].stalled else { continue };
-            let (from, to) = (conn.ends[way].router, conn.ends[1 - way].router);
-            if self.lines.cut(from, to) || !self.hosts[from].reachable || !self.hosts[to].reachable {
+            let Some(lost) = conn.directions[direction].stalled else { continue };
+            let (from, to) = (conn.ends[direction].router, conn.ends[1 - direction].router);
+            if self.network.cut(from, to) || !self.hosts[from].reachable || !self.hosts[to].reachable {
                 continue;
             }
             let Some(conn) = self.conn(key) else { continue };
-            let next = match conn.ends[way].stage {
-                Stage::Up(_) => conn.ways[way].wrote + every,
-                Stage::Opening | Stage::Greeting | Stage::Going | Stage::Closed => now,
+            let next = match conn.ends[direction].stage {
+                Stage::Up(_) => conn.directions[direction].last_write + interval,
+                Stage::Connecting | Stage::AwaitingHello | Stage::AwaitingConfirmation | Stage::Closed => now,
             };
             let first = lost.unwrap_or(next);
-            // Again after one wait, three, seven...
-            let mut wait = AGAIN;
+            // TCP doubles the timeout: retransmissions follow after 1, 3, 7... timeouts.
+            let mut timeout = RETRANSMIT_US;
             let mut at = first;
             while at < now {
-                at += wait;
-                wait *= 2;
+                at += timeout;
+                timeout *= 2;
             }
-            let delay = conn.ways[way].delay;
-            q.line(at + delay, Line::Resume(key, way));
+            let delay = conn.directions[direction].delay;
+            queue.put_link(at + delay, LinkEvent::Resumed { key, direction });
         }
     }
 
-    /// A direction that was cut carries again.
-    pub(super) fn resume(&mut self, q: &mut Queue, key: Key, way: usize) {
-        let now = q.now();
+    /// A stalled direction carries frames again.
+    pub(super) fn resumed(&mut self, queue: &mut Queue, key: ConnectionKey, direction: usize) {
+        let now = queue.now();
         let Some(conn) = self.conn(key) else { return };
-        let (from, to) = (conn.ends[way].router, conn.ends[1 - way].router);
-        if self.lines.cut(from, to) {
+        let (from, to) = (conn.ends[direction].router, conn.ends[1 - direction].router);
+        if self.network.cut(from, to) {
             return;
         }
-        self.alive(now, key, way);
+        self.count_keepalives(now, key, direction);
         let Some(conn) = self.conn(key) else { return };
-        if conn.ways[way].stalled.take().is_none() {
+        if conn.directions[direction].stalled.take().is_none() {
             return;
         }
-        conn.ways[way].silent = None;
-        conn.ways[way].there = now;
-        for _ in 0..conn.ways[way].frames.len() {
-            q.line(now, Line::Arrive(key, way));
+        conn.directions[direction].peer_timeout_at = None;
+        conn.directions[direction].last_arrival = now;
+        for _ in 0..conn.directions[direction].frames.len() {
+            queue.put_link(now, LinkEvent::FrameArrived { key, direction });
         }
     }
 
-    /// Nothing comes through in that direction from now on: the end that listens will find it silent.
-    fn stall(&mut self, q: &mut Queue, key: Key, way: usize) {
-        let now = q.now();
-        let silence = self.lines.silence();
+    /// Stalls a direction: nothing passes from now on, and the receiving end will time out.
+    fn stall(&mut self, queue: &mut Queue, key: ConnectionKey, direction: usize) {
+        let now = queue.now();
+        let peer_timeout = self.network.peer_timeout();
         let Some(conn) = self.conn(key) else { return };
-        conn.ways[way].stalled = Some(None);
-        if let Stage::Up(since) = conn.ends[1 - way].stage {
-            // What was written before is still there in time, its last sign of life with it.
-            let delay = conn.ways[way].delay;
-            let heard = conn.ways[way].there.max(conn.ways[way].wrote + delay).max(since);
-            let at = (heard + silence).max(now);
-            conn.ways[way].silent = Some(at);
-            q.line(at, Line::Silent(key, 1 - way));
+        conn.directions[direction].stalled = Some(None);
+        if let Stage::Up(since) = conn.ends[1 - direction].stage {
+            // What was written before the partition still arrives, including the last keepalive.
+            let delay = conn.directions[direction].delay;
+            let last_received = conn.directions[direction]
+                .last_arrival
+                .max(conn.directions[direction].last_write + delay)
+                .max(since);
+            let at = (last_received + peer_timeout).max(now);
+            conn.directions[direction].peer_timeout_at = Some(at);
+            queue.put_link(at, LinkEvent::PeerTimeout { key, end: 1 - direction });
         }
     }
 
-    /// An end has heard nothing for too long, unless something came since.
-    pub(super) fn silent(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, end: usize) {
-        let now = q.now();
+    /// An end has received nothing for the peer timeout, unless a frame has arrived since.
+    pub(super) fn peer_timed_out(
+        &mut self,
+        queue: &mut Queue,
+        fleet: &Fleet,
+        key: ConnectionKey,
+        end: usize,
+    ) {
+        let now = queue.now();
         let Some(conn) = self.conn(key) else { return };
-        if conn.ways[1 - end].silent == Some(now) && conn.ways[1 - end].stalled.is_some() {
-            self.shut(q, fleet, key, end, LinkError::PeerTimeout, true);
+        if conn.directions[1 - end].peer_timeout_at == Some(now) && conn.directions[1 - end].stalled.is_some()
+        {
+            self.close_end(queue, fleet, key, end, LinkError::PeerTimeout, true);
         }
     }
 
-    /// A router's process ends; its machine closes its connections, or is gone too (`gone`), and then nothing is said.
-    pub fn stop(&mut self, q: &mut Queue, fleet: &Fleet, no: No, gone: bool) {
-        let now = q.now();
-        let keys = self.around(&[no]);
+    /// The process of a router ends. Its machine closes the connections, unless it is lost too: then its peers are not told.
+    pub fn stop(&mut self, queue: &mut Queue, fleet: &Fleet, router: RouterIndex, machine_lost: bool) {
+        let now = queue.now();
+        let keys = self.connections_of(&[router]);
         for key in &keys {
-            (0..2).for_each(|end| self.alive(now, *key, end));
+            (0..2).for_each(|end| self.count_keepalives(now, *key, end));
         }
-        let host = &mut self.hosts[no];
+        let host = &mut self.hosts[router];
         host.me = None;
-        host.reachable = !gone;
-        host.diallers.clear();
+        host.reachable = !machine_lost;
+        host.dialers.clear();
         for key in keys {
             let Some(conn) = self.conn(key) else { continue };
-            let end = usize::from(conn.ends[1].router == no);
-            if gone && conn.ways[end].stalled.is_none() {
-                self.stall(q, key, end);
+            let end = usize::from(conn.ends[1].router == router);
+            if machine_lost && conn.directions[end].stalled.is_none() {
+                self.stall(queue, key, end);
             }
-            self.shut(q, fleet, key, end, LinkError::ConnectionLost, !gone);
+            self.close_end(queue, fleet, key, end, LinkError::ConnectionLost, !machine_lost);
         }
-        let host = &mut self.hosts[no];
+        let host = &mut self.hosts[router];
         host.up.clear();
-        host.unknown = 0;
-        // Nobody is left there to be told.
-        self.told.retain(|(to, _)| *to != no);
+        host.in_handshake = 0;
+        // No process is left to receive these events.
+        self.events.retain(|(to, _)| *to != router);
     }
 
-    /// A machine is back: connections that others still have to it break as soon as they write to it.
-    pub fn back(&mut self, q: &mut Queue, fleet: &Fleet, no: No) {
-        self.hosts[no].reachable = true;
-        for (slot, life) in self.conns.iter().map(|(s, c)| (s as u32, c.life)).collect::<Vec<_>>() {
-            let key = Key { slot, life };
+    /// A machine has returned: connections that others still hold to its former process break.
+    pub fn machine_returned(&mut self, queue: &mut Queue, fleet: &Fleet, router: RouterIndex) {
+        self.hosts[router].reachable = true;
+        for (slot, generation) in self.conns.iter().map(|(s, c)| (s as u32, c.generation)).collect::<Vec<_>>()
+        {
+            let key = ConnectionKey { slot, generation };
             let Some(conn) = self.conn(key) else { continue };
-            let Some(end) = conn.ends.iter().position(|e| e.router == no && e.stage == Stage::Closed) else {
+            let Some(end) = conn.ends.iter().position(|e| e.router == router && e.stage == Stage::Closed)
+            else {
                 continue;
             };
-            if conn.ways[end].stalled.is_some() {
-                self.shut(q, fleet, key, 1 - end, LinkError::ConnectionLost, false);
+            if conn.directions[end].stalled.is_some() {
+                self.close_end(queue, fleet, key, 1 - end, LinkError::ConnectionLost, false);
             }
         }
     }
 
-    /// The connections of which an end is at one of these.
-    fn around(&self, who: &[No]) -> Vec<Key> {
-        let mut slots: Vec<u32> = who.iter().flat_map(|no| self.hosts[*no].conns.iter().copied()).collect();
+    /// The connections with an open end at one of these routers, by slot.
+    fn connections_of(&self, routers: &[RouterIndex]) -> Vec<ConnectionKey> {
+        let mut slots: Vec<u32> =
+            routers.iter().flat_map(|router| self.hosts[*router].conns.iter().copied()).collect();
         slots.sort_unstable();
         slots.dedup();
-        let key = |slot: u32| Some(Key { slot, life: self.conns.get(slot as usize)?.life });
+        let key =
+            |slot: u32| Some(ConnectionKey { slot, generation: self.conns.get(slot as usize)?.generation });
         slots.into_iter().filter_map(key).collect()
     }
 
-    /// When a direction's last sign of life was written; for tests.
-    pub fn last_written(&mut self, now: Micros, from: No, to: No) -> Option<Micros> {
+    /// When a router last wrote on its link to another, keepalives included.
+    pub fn last_written(&mut self, now: Micros, from: RouterIndex, to: RouterIndex) -> Option<Micros> {
         let key = self.hosts[from].up.get(&to).copied()?;
         let end = self.conn(key).map(|c| usize::from(c.ends[1].router == from))?;
-        self.alive(now, key, end);
-        self.conn(key).map(|c| c.ways[end].wrote)
+        self.count_keepalives(now, key, end);
+        self.conn(key).map(|c| c.directions[end].last_write)
     }
 }
--- a/crates/fleet_simulation/src/links/lanes.rs
+++ b/crates/fleet_simulation/src/links/lanes.rs
@@ -1,4 +1,4 @@
-//! What waits at an end that can't write: the lanes' bounds and turns as `crates/transport` has them.
+//! Frames that wait for room in a socket buffer, with the bounds and quotas of the lanes of `crates/transport`.
 
 use basaltgw_transport::limits::LANE_QUOTAS;
 use basaltgw_transport::Limits;
@@ -6,25 +6,27 @@
 use std::collections::VecDeque;
 
 #[derive(Debug, PartialEq, Eq)]
-pub struct Waiting {
-    pub no: u64,
+pub struct QueuedFrame {
+    pub number: u64,
     pub lane: Lane,
     pub body: Vec<u8>,
 }
 
 #[derive(Debug, Default)]
 struct Queue {
-    frames: VecDeque<Waiting>,
+    frames: VecDeque<QueuedFrame>,
     bytes: usize,
-    turn: u32,
+    /// Frames that the lane may still write before all quotas are renewed.
+    quota_left: u32,
 }
 
+/// The queues of all lanes, in the order of priority.
 #[derive(Debug, Default)]
 pub struct Lanes([Queue; 4]);
 
 impl Lanes {
-    /// Takes a frame, or gives it back if its lane is full.
-    pub fn push(&mut self, frame: Waiting, limits: &Limits) -> Result<(), Waiting> {
+    /// Queues a frame, or returns it if its lane is full.
+    pub fn push(&mut self, frame: QueuedFrame, limits: &Limits) -> Result<(), QueuedFrame> {
         let queue = match frame.lane {
             Lane::Membership => &mut self.0[0],
             Lane::Registers => &mut self.0[1],
@@ -41,15 +43,15 @@
         Ok(())
     }
 
-    /// The next: the first lane that has something and a turn left; all get new turns once none has.
-    pub fn pop(&mut self) -> Option<Waiting> {
+    /// Removes the next frame: from the first lane that has a frame and quota left. All quotas are renewed when no such lane is left.
+    pub fn pop(&mut self) -> Option<QueuedFrame> {
         let ready = |q: &Queue| !q.frames.is_empty();
-        if !self.0.iter().any(|q| ready(q) && q.turn > 0) {
-            self.0.iter_mut().zip(LANE_QUOTAS).for_each(|(queue, turn)| queue.turn = turn);
+        if !self.0.iter().any(|q| ready(q) && q.quota_left > 0) {
+            self.0.iter_mut().zip(LANE_QUOTAS).for_each(|(queue, quota)| queue.quota_left = quota);
         }
-        let queue = self.0.iter_mut().find(|q| ready(q) && q.turn > 0)?;
+        let queue = self.0.iter_mut().find(|q| ready(q) && q.quota_left > 0)?;
         let frame = queue.frames.pop_front()?;
-        queue.turn -= 1;
+        queue.quota_left -= 1;
         queue.bytes -= frame.body.len();
         Some(frame)
     }
@@ -58,7 +60,8 @@
         self.0.iter().all(|q| q.frames.is_empty())
     }
 
-    pub fn take(&mut self) -> Vec<Waiting> {
+    /// Removes all frames, lane by lane.
+    pub fn take(&mut self) -> Vec<QueuedFrame> {
         self.0.iter_mut().flat_map(|q| std::mem::take(q).frames).collect()
     }
 }
--- a/crates/fleet_simulation/src/links/mod.rs
+++ b/crates/fleet_simulation/src/links/mod.rs
@@ -1,8 +1,9 @@
-//! The links of all routers: the rules of `crates/transport` (who dials, which connection is the link, signs of life, silence, bounded lanes) in
-//! simulated time.
+//! The links of all routers: the protocol of `crates/transport` (dialing, choice of the link among connections, keepalives, peer timeouts,
+//! bounded lanes) in simulated time.
 //!
-//! A sign of life on an idle link is no event: what was written since is reckoned from the time of the last write, exactly. Simplified: a
-//! frame's segments arrive together; a socket has room again once its bytes are there, not once that is acknowledged.
+//! A keepalive on an idle link is not an event: the keepalives written since the last write are computed exactly from its time. Two things
+//! are simplified: the segments of a frame arrive together, and a socket buffer has room again once its bytes arrive, not once they are
+//! acknowledged.
 
 mod arrive;
 mod conn;
@@ -11,305 +12,335 @@
 mod net;
 mod write;
 
-pub use net::{Net, Ways, AGAIN};
+pub use net::{CutDirection, Network, RETRANSMIT_US};
 
-use crate::count::{Counts, SYN};
+use crate::count::{Counts, SYN_BYTES};
 use crate::fleet::Fleet;
-use crate::queue::{Key, Line, Queue};
-use crate::{Micros, No, PartyEvent};
+use crate::queue::{ConnectionKey, LinkEvent, Queue};
+use crate::{ControlPlaneEvent, Micros, RouterIndex};
 use basaltgw_transport::limits::{CONNECT_TIMEOUT, MAX_DIAL_BACKOFF, MIN_DIAL_BACKOFF, STABLE_LINK_AGE};
 use basaltgw_transport::Limits;
 use basaltgw_types::link::{Hello, Lane, LinkError};
 use basaltgw_types::{Member, RouterId, TableHash, TableVersion};
 use conn::{Conn, Frame, Greeting, Stage};
-use lanes::Waiting;
-use net::Lines;
+use lanes::QueuedFrame;
+use net::NetworkState;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-fn span(of: Duration) -> Micros {
-    of.as_micros() as Micros
+fn as_micros(duration: Duration) -> Micros {
+    duration.as_micros() as Micros
 }
 
-/// What keeps a link to another router.
+/// State of a dialer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Dialling {
-    /// There is a link; it waits for its end.
+enum DialState {
+    /// A link is up.
     Linked,
-    /// It carries on that connection.
-    Busy(Key),
-    /// It pauses; the number tells pauses apart.
-    Resting(u32),
+    /// This connection is open or being opened.
+    Connecting(ConnectionKey),
+    /// Waiting to redial. Each back-off has its own number, so that the event of an earlier one is ignored.
+    BackingOff(u32),
 }
 
+/// Keeps a link to another router.
 #[derive(Debug)]
-struct Dialler {
-    wait: Micros,
-    is: Dialling,
+struct Dialer {
+    backoff: Micros,
+    state: DialState,
 }
 
-/// A router's process, as its links have it.
+/// The link state of one router.
 #[derive(Debug, Default)]
 struct Host {
-    /// The own hello; none while no process runs.
+    /// The local hello; `None` while no process runs.
     me: Option<Greeting>,
-    /// The machine answers, if only to refuse.
+    /// Whether the machine answers a connect, if only to refuse it.
     reachable: bool,
-    up: BTreeMap<No, Key>,
-    diallers: BTreeMap<No, Dialler>,
-    /// Connections in which it has an end that is not closed.
+    /// Connections that are the link to a peer.
+    up: BTreeMap<RouterIndex, ConnectionKey>,
+    dialers: BTreeMap<RouterIndex, Dialer>,
+    /// Slots of the connections whose local end is not closed.
     conns: BTreeSet<u32>,
-    unknown: usize,
-    rests: u32,
+    /// Number of accepted connections in their handshake.
+    in_handshake: usize,
+    /// Number of the last back-off.
+    backoffs: u32,
 }
 
-/// See the module.
+/// The links of all routers of a fleet.
 pub struct Links {
     limits: Limits,
-    lines: Lines,
+    network: NetworkState,
     conns: Slab<Conn>,
-    lives: u32,
+    last_generation: u32,
     hosts: Vec<Host>,
-    /// What routers are told, in order.
-    pub told: Vec<(No, PartyEvent)>,
-    /// What was counted.
+    /// Events for the routers, in order.
+    pub events: Vec<(RouterIndex, ControlPlaneEvent)>,
+    /// Costs and counters.
     pub counts: Counts,
 }
 
 impl Links {
-    /// Of a fleet whose processes have not started.
-    pub fn new(fleet: &Fleet, limits: Limits, net: Net, seed: u64) -> Self {
-        let many = fleet.seats.len();
+    /// Creates the links of a fleet whose processes have not started.
+    pub fn new(fleet: &Fleet, limits: Limits, network: Network, seed: u64) -> Self {
+        let routers = fleet.routers.len();
         Self {
             limits,
-            lines: Lines::new(net, many, seed),
+            network: NetworkState::new(network, routers, seed),
             conns: Slab::new(),
-            lives: 0,
-            hosts: (0..many).map(|_| Host { reachable: true, ..Host::default() }).collect(),
-            told: Vec::new(),
-            counts: Counts::new(many),
+            last_generation: 0,
+            hosts: (0..routers).map(|_| Host { reachable: true, ..Host::default() }).collect(),
+            events: Vec::new(),
+            counts: Counts::new(routers),
         }
     }
 
-    /// A router's process starts, and says this of itself; the draw is another at each start.
-    pub fn start(&mut self, no: No, hello: Hello, draw: u64) {
-        let host = &mut self.hosts[no];
-        (host.me, host.reachable) = (Some((hello, draw)), true);
+    /// Starts the process of a router with this hello; `start` differs at each start.
+    pub fn start(&mut self, router: RouterIndex, hello: Hello, start: u64) {
+        let host = &mut self.hosts[router];
+        (host.me, host.reachable) = (Some((hello, start)), true);
     }
 
-    /// Whether a link is up from one to another.
-    pub fn linked(&self, from: No, to: No) -> bool {
+    /// Whether a link is up between two routers.
+    pub fn linked(&self, from: RouterIndex, to: RouterIndex) -> bool {
         self.hosts[from].up.contains_key(&to)
     }
 
-    /// Links that are up at a router.
-    pub fn many(&self, no: No) -> usize {
-        self.hosts[no].up.len()
+    /// Number of links that are up at a router.
+    pub fn link_count(&self, router: RouterIndex) -> usize {
+        self.hosts[router].up.len()
     }
 
-    /// Whether some cut stands between a router and others.
-    pub fn is_cut(&self, no: No) -> bool {
-        self.lines.is_inside(no)
+    /// Whether a router is inside of any partition.
+    pub fn is_cut(&self, router: RouterIndex) -> bool {
+        self.network.is_inside(router)
     }
 
-    fn conn(&mut self, key: Key) -> Option<&mut Conn> {
-        self.conns.get_mut(key.slot as usize).filter(|c| c.life == key.life)
+    fn conn(&mut self, key: ConnectionKey) -> Option<&mut Conn> {
+        self.conns.get_mut(key.slot as usize).filter(|c| c.generation == key.generation)
     }
 
-    /// Keeps a link from one to another from now on.
-    pub fn dial(&mut self, q: &mut Queue, fleet: &Fleet, from: No, to: No) {
-        let first = Dialler { wait: span(MIN_DIAL_BACKOFF), is: Dialling::Linked };
+    /// Keeps a link from one router to another from now on.
+    pub fn dial(&mut self, queue: &mut Queue, fleet: &Fleet, from: RouterIndex, to: RouterIndex) {
+        let dialer = Dialer { backoff: as_micros(MIN_DIAL_BACKOFF), state: DialState::Linked };
         let host = &mut self.hosts[from];
-        if from != to && host.me.is_some() && !host.diallers.contains_key(&to) {
-            host.diallers.insert(to, first);
-            self.redial(q, fleet, from, to);
+        if from != to && host.me.is_some() && !host.dialers.contains_key(&to) {
+            host.dialers.insert(to, dialer);
+            self.redial(queue, fleet, from, to);
         }
     }
 
-    /// Keeps none any more.
-    pub fn close(&mut self, q: &mut Queue, fleet: &Fleet, from: No, to: No) {
-        self.hosts[from].diallers.remove(&to);
-        let is_to = |c: &Conn| c.ends.iter().any(|e| e.router == to);
+    /// Stops keeping a link, and closes its connections.
+    pub fn close(&mut self, queue: &mut Queue, fleet: &Fleet, from: RouterIndex, to: RouterIndex) {
+        self.hosts[from].dialers.remove(&to);
+        let leads_to = |c: &Conn| c.ends.iter().any(|e| e.router == to);
         let open: Vec<u32> = self.hosts[from].conns.iter().copied().collect();
         for slot in open {
-            let Some(conn) = self.conns.get(slot as usize).filter(|c| is_to(c)) else { continue };
-            let (key, end) = (Key { slot, life: conn.life }, usize::from(conn.ends[1].router == from));
-            self.shut(q, fleet, key, end, LinkError::ConnectionLost, true);
+            let Some(conn) = self.conns.get(slot as usize).filter(|c| leads_to(c)) else { continue };
+            let (key, end) = (
+                ConnectionKey { slot, generation: conn.generation },
+                usize::from(conn.ends[1].router == from),
+            );
+            self.close_end(queue, fleet, key, end, LinkError::ConnectionLost, true);
         }
     }
 
-    fn redial(&mut self, q: &mut Queue, fleet: &Fleet, from: No, to: No) {
+    fn redial(&mut self, queue: &mut Queue, fleet: &Fleet, from: RouterIndex, to: RouterIndex) {
         let linked = self.linked(from, to);
-        let Some(dialler) = self.hosts[from].diallers.get_mut(&to) else { return };
+        let Some(dialer) = self.hosts[from].dialers.get_mut(&to) else { return };
         if linked {
-            dialler.is = Dialling::Linked;
+            dialer.state = DialState::Linked;
             return;
         }
-        let now = q.now();
-        let delay = self.lines.delay(fleet, from, to);
-        self.lives += 1;
-        let slot = self.conns.insert(Conn::new(self.lives, now, from, to, delay)) as u32;
-        let key = Key { slot, life: self.lives };
-        dialler.is = Dialling::Busy(key);
+        let now = queue.now();
+        let delay = self.network.delay(fleet, from, to);
+        self.last_generation += 1;
+        let slot = self.conns.insert(Conn::new(self.last_generation, now, from, to, delay)) as u32;
+        let key = ConnectionKey { slot, generation: self.last_generation };
+        dialer.state = DialState::Connecting(key);
         self.hosts[from].conns.insert(slot);
         let open = self.hosts[from].conns.len();
-        self.counts.most_open[from] = self.counts.most_open[from].max(open);
-        self.counts.links.dialled += 1;
-        // A first packet that is lost is sent again after a second: by then the connect is given up.
-        let lost = self.lines.set.loss > 0.0 && self.lines.draw() < self.lines.set.loss;
-        let passes = !self.lines.cut(from, to) && !self.lines.cut(to, from) && !lost;
+        self.counts.max_open_connections[from] = self.counts.max_open_connections[from].max(open);
+        self.counts.links.dialed += 1;
+        // Linux sends a lost SYN again after one second; the connect has timed out by then.
+        let lost =
+            self.network.settings.loss_share > 0.0 && self.network.draw() < self.network.settings.loss_share;
+        let passes = !self.network.cut(from, to) && !self.network.cut(to, from) && !lost;
         let answers = passes && self.hosts[to].reachable;
-        self.counts.bare(now, from, answers.then_some(to), SYN);
+        self.counts.empty_packet_sent(now, from, answers.then_some(to), SYN_BYTES);
         if answers {
-            self.counts.bare(now + delay, to, Some(from), SYN);
+            self.counts.empty_packet_sent(now + delay, to, Some(from), SYN_BYTES);
         }
-        let good = answers && self.hosts[to].me.is_some();
-        let at = if answers { now + 2 * delay } else { now + span(CONNECT_TIMEOUT) };
-        q.line(at, Line::Connect(key, good));
+        let accepted = answers && self.hosts[to].me.is_some();
+        let at = if answers { now + 2 * delay } else { now + as_micros(CONNECT_TIMEOUT) };
+        queue.put_link(at, LinkEvent::ConnectFinished { key, accepted });
     }
 
-    /// The dialler's connection is over; it was a good one if it was the link for long enough.
-    fn rest(&mut self, q: &mut Queue, from: No, to: No, good: bool) {
-        let part = 0.5 + 0.5 * self.lines.draw();
+    /// Schedules the redial after a connection has closed. After a stable link the back-off starts anew.
+    fn back_off(&mut self, queue: &mut Queue, from: RouterIndex, to: RouterIndex, was_stable: bool) {
+        let share = 0.5 + 0.5 * self.network.draw();
         let host = &mut self.hosts[from];
-        host.rests += 1;
-        let rests = host.rests;
-        let Some(dialler) = host.diallers.get_mut(&to) else { return };
-        if good {
-            dialler.wait = span(MIN_DIAL_BACKOFF);
+        host.backoffs += 1;
+        let backoff = host.backoffs;
+        let Some(dialer) = host.dialers.get_mut(&to) else { return };
+        if was_stable {
+            dialer.backoff = as_micros(MIN_DIAL_BACKOFF);
         }
-        let wait = (dialler.wait as f64 * part) as Micros;
-        dialler.wait = (dialler.wait * 2).min(span(MAX_DIAL_BACKOFF));
-        dialler.is = Dialling::Resting(rests);
-        q.line(q.now() + wait, Line::Redial(from, to, rests));
+        let wait = (dialer.backoff as f64 * share) as Micros;
+        dialer.backoff = (dialer.backoff * 2).min(as_micros(MAX_DIAL_BACKOFF));
+        dialer.state = DialState::BackingOff(backoff);
+        queue.put_link(queue.now() + wait, LinkEvent::Redial { from, to, backoff });
     }
 
-    /// Something happens on the lines.
-    pub(crate) fn handle(&mut self, q: &mut Queue, fleet: &Fleet, line: Line) {
-        match line {
-            Line::Connect(key, good) => self.connected(q, fleet, key, good),
-            Line::Arrive(key, way) => self.arrive(q, fleet, key, way),
-            Line::Late(key, end) => self.late(q, fleet, key, end),
-            Line::Silent(key, end) => self.silent(q, fleet, key, end),
-            Line::Resume(key, way) => self.resume(q, key, way),
-            Line::Redial(from, to, rests) => {
-                let dialler = self.hosts[from].diallers.get(&to);
-                if dialler.is_some_and(|d| d.is == Dialling::Resting(rests)) {
-                    self.redial(q, fleet, from, to);
+    /// Processes an event of the network.
+    pub(crate) fn handle(&mut self, queue: &mut Queue, fleet: &Fleet, event: LinkEvent) {
+        match event {
+            LinkEvent::ConnectFinished { key, accepted } => {
+                self.connect_finished(queue, fleet, key, accepted)
+            }
+            LinkEvent::FrameArrived { key, direction } => self.frame_arrived(queue, fleet, key, direction),
+            LinkEvent::HandshakeTimeout { key, end } => self.handshake_timed_out(queue, fleet, key, end),
+            LinkEvent::PeerTimeout { key, end } => self.peer_timed_out(queue, fleet, key, end),
+            LinkEvent::Resumed { key, direction } => self.resumed(queue, key, direction),
+            LinkEvent::Redial { from, to, backoff } => {
+                let dialer = self.hosts[from].dialers.get(&to);
+                if dialer.is_some_and(|d| d.state == DialState::BackingOff(backoff)) {
+                    self.redial(queue, fleet, from, to);
                 }
             }
         }
     }
 
-    /// Carries a party's bytes; what can't be is told as unsent.
-    pub fn send(&mut self, q: &mut Queue, from: No, to: (No, &Member), frame: (u64, Lane, Vec<u8>)) {
+    /// Sends a message, or reports it as failed if there is no link or its lane is full.
+    pub fn send(
+        &mut self,
+        queue: &mut Queue,
+        from: RouterIndex,
+        to: (RouterIndex, &Member),
+        frame: (u64, Lane, Vec<u8>),
+    ) {
         let (to, member) = to;
-        let (no, lane, body) = frame;
+        let (number, lane, body) = frame;
         let key = self.hosts[from].up.get(&to).copied();
-        let socket = self.lines.set.socket;
+        let socket = self.network.settings.socket_buffer_bytes;
         let limits = self.limits;
-        let found = key.and_then(|key| {
+        let link = key.and_then(|key| {
             let conn = self.conn(key)?;
             let end = usize::from(conn.ends[1].router == from);
             let same = conn.ends[end].peer.as_ref().is_some_and(|(hello, _)| hello.member == *member);
             same.then_some((key, end))
         });
-        let Some((key, end)) = found else {
+        let Some((key, end)) = link else {
             self.counts.links.unsent_no_link += 1;
-            return self.told.push((from, PartyEvent::Unsent(no)));
+            return self.events.push((from, ControlPlaneEvent::SendFailed(number)));
         };
         let Some(conn) = self.conn(key) else { return };
-        if conn.ways[end].bytes < socket && conn.ends[end].lanes.is_empty() {
-            return self.write(q, key, end, Frame::Lane(lane, body));
+        if conn.directions[end].in_flight_bytes < socket && conn.ends[end].lanes.is_empty() {
+            return self.write(queue, key, end, Frame::Lane(lane, body));
         }
-        if let Err(frame) = conn.ends[end].lanes.push(Waiting { no, lane, body }, &limits) {
+        if let Err(frame) = conn.ends[end].lanes.push(QueuedFrame { number, lane, body }, &limits) {
             self.counts.links.unsent_full += 1;
-            self.told.push((from, PartyEvent::Unsent(frame.no)));
+            self.events.push((from, ControlPlaneEvent::SendFailed(frame.number)));
         }
     }
 
-    /// The own hello goes by another table from now on; all that are linked are told.
-    pub fn table(&mut self, q: &mut Queue, no: No, version: TableVersion, hash: TableHash) {
-        let Some((hello, _)) = &mut self.hosts[no].me else { return };
+    /// Changes the placement table in the local hello, and announces it on all links.
+    pub fn advertise_table(
+        &mut self,
+        queue: &mut Queue,
+        router: RouterIndex,
+        version: TableVersion,
+        hash: TableHash,
+    ) {
+        let Some((hello, _)) = &mut self.hosts[router].me else { return };
         hello.table = (version, hash);
         let Ok(body) = postcard::to_stdvec(&hello.table) else { return };
-        let links: Vec<Key> = self.hosts[no].up.values().copied().collect();
+        let links: Vec<ConnectionKey> = self.hosts[router].up.values().copied().collect();
         for key in links {
             let Some(conn) = self.conn(key) else { continue };
-            let end = usize::from(conn.ends[1].router == no);
-            self.write(q, key, end, Frame::Table(body.clone()));
+            let end = usize::from(conn.ends[1].router == router);
+            self.write(queue, key, end, Frame::Table(body.clone()));
         }
     }
 
-    /// A link is up at an end. One that was is gone: its peer began anew, or chose another connection.
-    fn raise(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, end: usize) {
-        let (now, silence) = (q.now(), self.lines.silence());
+    /// Makes a connection the link of one end. An earlier link is closed: its peer restarted, or chose another connection.
+    fn link_up(&mut self, queue: &mut Queue, fleet: &Fleet, key: ConnectionKey, end: usize) {
+        let (now, peer_timeout) = (queue.now(), self.network.peer_timeout());
         let Some(conn) = self.conn(key) else { return };
         let (me, peer) = (conn.ends[end].router, conn.ends[1 - end].router);
         let Some((hello, _)) = conn.ends[end].peer.clone() else { return };
         conn.ends[end].stage = Stage::Up(now);
-        conn.ways[end].wrote = now;
-        if conn.ways[1 - end].stalled.is_some() {
-            // It was cut off meanwhile.
-            let at = now + silence;
-            conn.ways[1 - end].silent = Some(at);
-            q.line(at, Line::Silent(key, end));
+        conn.directions[end].last_write = now;
+        if conn.directions[1 - end].stalled.is_some() {
+            // A partition began during the handshake.
+            let at = now + peer_timeout;
+            conn.directions[1 - end].peer_timeout_at = Some(at);
+            queue.put_link(at, LinkEvent::PeerTimeout { key, end });
         }
-        // In its place at once, so that nobody dials for want of one.
+        // Replaced at once, so that closing the earlier link starts no redial.
         let old = self.hosts[me].up.insert(peer, key);
-        let found = old.and_then(|old| {
+        let replaced = old.and_then(|old| {
             let conn = self.conn(old)?;
             let end = usize::from(conn.ends[1].router == me);
             Some((old, end, conn.ends[end].peer.as_ref().map(|(hello, _)| hello.member.clone())))
         });
-        if let Some((old, end, member)) = found {
-            let why = if member.as_ref() == Some(&hello.member) {
+        if let Some((old, end, member)) = replaced {
+            let reason = if member.as_ref() == Some(&hello.member) {
                 LinkError::ConnectionLost
             } else {
                 LinkError::Replaced
             };
-            self.shut(q, fleet, old, end, why, true);
+            self.close_end(queue, fleet, old, end, reason, true);
         }
-        self.counts.links.up += 1;
-        self.told.push((me, PartyEvent::Up(hello)));
+        self.counts.links.links_up += 1;
+        self.events.push((me, ControlPlaneEvent::LinkUp(hello)));
     }
 
-    /// An end is closed, once; the other is told, unless nothing of it is left to tell.
-    fn shut(&mut self, q: &mut Queue, fleet: &Fleet, key: Key, end: usize, why: LinkError, fin: bool) {
-        let now = q.now();
+    /// Closes an end, once. With `send_fin` the peer is told.
+    fn close_end(
+        &mut self,
+        queue: &mut Queue,
+        fleet: &Fleet,
+        key: ConnectionKey,
+        end: usize,
+        reason: LinkError,
+        send_fin: bool,
+    ) {
+        let now = queue.now();
         let Some(conn) = self.conn(key) else { return };
         let (me, peer, stage) = (conn.ends[end].router, conn.ends[1 - end].router, conn.ends[end].stage);
         if stage == Stage::Closed {
             return;
         }
-        self.alive(now, key, end);
-        if fin && stage != Stage::Opening {
-            self.write(q, key, end, Frame::Fin);
+        self.count_keepalives(now, key, end);
+        if send_fin && stage != Stage::Connecting {
+            self.write(queue, key, end, Frame::Fin);
         }
         let Some(conn) = self.conn(key) else { return };
         conn.ends[end].stage = Stage::Closed;
         if end == 0
-            && conn.ends[1].stage == Stage::Opening
-            && (stage == Stage::Opening || conn.ways[0].stalled.is_some())
+            && conn.ends[1].stage == Stage::Connecting
+            && (stage == Stage::Connecting || conn.directions[0].stalled.is_some())
         {
-            // The other will never hear of it.
+            // The accepting end never learns of this connection.
             conn.ends[1].stage = Stage::Closed;
         }
         let peer_name = conn.ends[end].peer.take().map(|(hello, _)| hello.member);
         let left = conn.ends[end].lanes.take();
-        let unknown = std::mem::take(&mut conn.ends[end].unknown);
-        let over = conn.over();
+        let in_handshake = std::mem::take(&mut conn.ends[end].in_handshake);
+        let is_closed = conn.is_closed();
         let host = &mut self.hosts[me];
         host.conns.remove(&key.slot);
-        host.unknown -= usize::from(unknown);
+        host.in_handshake -= usize::from(in_handshake);
         if let (Stage::Up(_), Some(member)) = (stage, peer_name) {
             if host.up.get(&peer) == Some(&key) {
                 host.up.remove(&peer);
             }
             let links = &mut self.counts.links;
-            match why {
-                LinkError::PeerTimeout => links.silent += 1,
+            match reason {
+                LinkError::PeerTimeout => links.peer_timeouts += 1,
                 LinkError::Replaced => links.replaced += 1,
                 LinkError::NotConnected
                 | LinkError::QueueFull
@@ -318,25 +349,27 @@
                 LinkError::RateExceeded | LinkError::PeerMismatch | LinkError::Idle => links.broken += 1,
             }
             links.unsent_broken += left.len() as u64;
-            self.told.push((me, PartyEvent::Down(member, why)));
-            left.into_iter().for_each(|frame| self.told.push((me, PartyEvent::Unsent(frame.no))));
+            self.events.push((me, ControlPlaneEvent::LinkDown(member, reason)));
+            left.into_iter()
+                .for_each(|frame| self.events.push((me, ControlPlaneEvent::SendFailed(frame.number))));
         }
-        if over {
+        if is_closed {
             self.conns.remove(key.slot as usize);
         }
-        let is = self.hosts[me].diallers.get(&peer).map(|d| d.is);
-        match is {
-            Some(Dialling::Busy(busy)) if busy == key => {
-                let good = matches!(stage, Stage::Up(since) if now >= since + span(STABLE_LINK_AGE));
-                self.rest(q, me, peer, good);
+        let state = self.hosts[me].dialers.get(&peer).map(|d| d.state);
+        match state {
+            Some(DialState::Connecting(current)) if current == key => {
+                let was_stable =
+                    matches!(stage, Stage::Up(since) if now >= since + as_micros(STABLE_LINK_AGE));
+                self.back_off(queue, me, peer, was_stable);
             }
-            Some(Dialling::Linked) if !self.linked(me, peer) => self.redial(q, fleet, me, peer),
-            Some(Dialling::Linked | Dialling::Busy(_) | Dialling::Resting(_)) | None => {}
+            Some(DialState::Linked) if !self.linked(me, peer) => self.redial(queue, fleet, me, peer),
+            Some(DialState::Linked | DialState::Connecting(_) | DialState::BackingOff(_)) | None => {}
         }
     }
 
-    /// Whether the first name is the smaller of the two: that router says which connection is the link.
-    fn chooses(me: &RouterId, peer: &RouterId) -> bool {
+    /// Whether `me` chooses which connection is the link: the router with the smaller name does.
+    fn chooses_link(me: &RouterId, peer: &RouterId) -> bool {
         me < peer
     }
 }
--- a/crates/fleet_simulation/src/links/net.rs
+++ b/crates/fleet_simulation/src/links/net.rs
@@ -1,150 +1,160 @@
-//! The lines between routers: delay by distance, loss, bandwidth, and who is cut from whom.
+//! The network between routers: delay by distance, loss, bandwidth and partitions.
 
 use crate::fleet::Fleet;
-use crate::{micros, Micros, No};
+use crate::{micros, Micros, RouterIndex};
 use basaltgw_simulator::{draw, rng, Rng};
 use basaltgw_transport::limits::{KEEPALIVE_INTERVAL, PEER_TIMEOUT};
 
-/// A lost segment is sent again after this: Linux's least wait.
-pub const AGAIN: Micros = 200_000;
-/// The user of the seed that draws what the lines do.
-const LINES: u64 = 2;
+/// Time until a lost segment is sent again, µs: Linux's shortest retransmission timeout.
+pub const RETRANSMIT_US: Micros = 200_000;
+/// Random stream of the network.
+const NETWORK_STREAM: u64 = 2;
 
-/// How the lines are.
+/// Delay, loss and bandwidth between routers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Net {
-    /// The least and the most milliseconds one way on one site, in one region, and between regions; each pair has its own.
-    pub site: (f64, f64),
-    /// See `site`.
-    pub region: (f64, f64),
-    /// See `site`.
-    pub far: (f64, f64),
-    /// Up to this part of it is added at random to each segment.
-    pub jitter: f64,
-    /// The part of writes that is lost, and comes [`AGAIN`] later.
-    pub loss: f64,
-    /// Bytes a second that a line carries in one direction; none: as many as come.
-    pub bytes_a_second: Option<u64>,
-    /// Bytes that the kernel takes ahead on a connection: beyond, frames wait on their lanes.
-    pub socket: usize,
-    /// Without anything else to write, a sign of life is written on a link each time, ms; as the links of `crates/transport` do.
+pub struct Network {
+    /// Shortest and longest one-way delay within a site, ms. Each pair of routers has its own fixed delay.
+    pub same_site_delay_ms: (f64, f64),
+    /// Shortest and longest one-way delay between sites of a region, ms.
+    pub same_region_delay_ms: (f64, f64),
+    /// Shortest and longest one-way delay between regions, ms.
+    pub inter_region_delay_ms: (f64, f64),
+    /// Each write takes longer by a random part of up to this share of the delay.
+    pub jitter_share: f64,
+    /// Share of writes that are lost, and arrive [`RETRANSMIT_US`] later.
+    pub loss_share: f64,
+    /// Bandwidth of a connection in each direction, bytes/s; unlimited if `None`.
+    pub bytes_per_s: Option<u64>,
+    /// Bytes that the kernel buffers for a connection. Beyond these, frames wait in their lanes.
+    pub socket_buffer_bytes: usize,
+    /// Time without another write after which a keepalive is sent, ms, as on the links of `crates/transport`.
     pub keepalive_ms: f64,
-    /// A link on which nothing came for so long is silent, ms; likewise.
-    pub silent_ms: f64,
+    /// Time without any arrival after which a link is closed, ms, as on the links of `crates/transport`.
+    pub peer_timeout_ms: f64,
 }
 
-impl Default for Net {
+impl Default for Network {
     fn default() -> Self {
         Self {
-            site: (0.2, 1.0),
-            region: (2.0, 10.0),
-            far: (20.0, 150.0),
-            jitter: 0.1,
-            loss: 0.0,
-            bytes_a_second: None,
-            socket: 256 << 10,
+            same_site_delay_ms: (0.2, 1.0),
+            same_region_delay_ms: (2.0, 10.0),
+            inter_region_delay_ms: (20.0, 150.0),
+            jitter_share: 0.1,
+            loss_share: 0.0,
+            bytes_per_s: None,
+            socket_buffer_bytes: 256 << 10,
             keepalive_ms: KEEPALIVE_INTERVAL.as_secs_f64() * 1_000.0,
-            silent_ms: PEER_TIMEOUT.as_secs_f64() * 1_000.0,
+            peer_timeout_ms: PEER_TIMEOUT.as_secs_f64() * 1_000.0,
         }
     }
 }
 
-/// Which direction a cut takes away, seen from those inside.
+/// The direction that a partition blocks, seen from the routers inside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ways {
+pub enum CutDirection {
     /// Nothing passes.
     Both,
-    /// Nothing that they say.
-    Out,
-    /// Nothing that is said to them.
-    In,
+    /// Nothing that the routers inside send passes.
+    Outbound,
+    /// Nothing that is sent to the routers inside passes.
+    Inbound,
 }
 
-/// Cuts that can be at once.
-const MOST_CUTS: usize = 64;
+/// Partitions that can be active at once: one bit each in a `u64`.
+const MAX_CUTS: usize = 64;
 
+/// The network with its active partitions.
 #[derive(Debug)]
-pub struct Lines {
-    pub set: Net,
+pub struct NetworkState {
+    pub settings: Network,
     seed: u64,
     rng: Rng,
-    /// The cuts that each router is inside of, a bit each.
+    /// For each router, a bit for each partition that it is inside of.
     inside: Vec<u64>,
-    /// The cuts that take away what goes out, and what goes in.
-    out: u64,
-    into: u64,
+    /// A bit for each partition that blocks the outbound direction.
+    outbound: u64,
+    /// A bit for each partition that blocks the inbound direction.
+    inbound: u64,
 }
 
-impl Lines {
-    pub fn new(set: Net, routers: usize, seed: u64) -> Self {
-        Self { set, seed, rng: rng(seed, LINES), inside: vec![0; routers], out: 0, into: 0 }
+impl NetworkState {
+    pub fn new(settings: Network, routers: usize, seed: u64) -> Self {
+        Self {
+            settings,
+            seed,
+            rng: rng(seed, NETWORK_STREAM),
+            inside: vec![0; routers],
+            outbound: 0,
+            inbound: 0,
+        }
     }
 
-    /// Between signs of life.
+    /// Time between keepalives on an idle link.
     pub fn keepalive(&self) -> Micros {
-        micros(self.set.keepalive_ms).max(1)
+        micros(self.settings.keepalive_ms).max(1)
     }
 
-    /// Until a link is silent.
-    pub fn silence(&self) -> Micros {
-        micros(self.set.silent_ms).max(1)
+    /// Time without any arrival after which a link is closed.
+    pub fn peer_timeout(&self) -> Micros {
+        micros(self.settings.peer_timeout_ms).max(1)
     }
 
     pub fn draw(&mut self) -> f64 {
         draw(&mut self.rng)
     }
 
-    /// The delay of a pair, alike both ways, without jitter.
-    pub fn delay(&self, fleet: &Fleet, a: No, b: No) -> Micros {
-        let (x, y) = (&fleet.seats[a], &fleet.seats[b]);
-        let (least, most) = match (x.site == y.site, x.region == y.region) {
-            (true, _) => self.set.site,
-            (false, true) => self.set.region,
-            (false, false) => self.set.far,
+    /// The one-way delay of a pair of routers, the same in both directions, without jitter.
+    pub fn delay(&self, fleet: &Fleet, a: RouterIndex, b: RouterIndex) -> Micros {
+        let (x, y) = (&fleet.routers[a], &fleet.routers[b]);
+        let (min, max) = match (x.site == y.site, x.region == y.region) {
+            (true, _) => self.settings.same_site_delay_ms,
+            (false, true) => self.settings.same_region_delay_ms,
+            (false, false) => self.settings.inter_region_delay_ms,
         };
         let (low, high) = (a.min(b) as u64, a.max(b) as u64);
-        let of = draw(&mut rng(self.seed ^ LINES, low << 32 | high));
-        micros(least + (most - least) * of)
+        let share = draw(&mut rng(self.seed ^ NETWORK_STREAM, low << 32 | high));
+        micros(min + (max - min) * share)
     }
 
-    /// What is added to the delay of one write.
-    pub fn extra(&mut self, delay: Micros) -> Micros {
-        let mut extra = (delay as f64 * self.set.jitter * self.draw()) as Micros;
-        while self.set.loss > 0.0 && self.draw() < self.set.loss {
-            extra += AGAIN;
+    /// The jitter and retransmissions that add to the delay of one write.
+    pub fn extra_delay(&mut self, delay: Micros) -> Micros {
+        let mut extra = (delay as f64 * self.settings.jitter_share * self.draw()) as Micros;
+        while self.settings.loss_share > 0.0 && self.draw() < self.settings.loss_share {
+            extra += RETRANSMIT_US;
         }
         extra
     }
 
-    /// Whether what one says does not reach the other.
-    pub fn cut(&self, from: No, to: No) -> bool {
+    /// Whether a partition blocks what `from` sends to `to`.
+    pub fn cut(&self, from: RouterIndex, to: RouterIndex) -> bool {
         let (a, b) = (self.inside[from], self.inside[to]);
-        (a & !b & self.out) | (b & !a & self.into) != 0
+        (a & !b & self.outbound) | (b & !a & self.inbound) != 0
     }
 
-    /// Whether the router is inside of any cut.
-    pub fn is_inside(&self, no: No) -> bool {
-        self.inside[no] & (self.out | self.into) != 0
+    /// Whether the router is inside of any partition.
+    pub fn is_inside(&self, router: RouterIndex) -> bool {
+        self.inside[router] & (self.outbound | self.inbound) != 0
     }
 
-    /// Begins a cut; its number, or `None` if there are too many.
-    pub fn begin(&mut self, who: &[No], ways: Ways) -> Option<usize> {
-        let used = self.out | self.into;
-        let no = (0..MOST_CUTS).find(|no| used & (1 << no) == 0)?;
-        who.iter().for_each(|r| self.inside[*r] |= 1 << no);
-        if ways != Ways::In {
-            self.out |= 1 << no;
+    /// Begins a partition; returns its number, or `None` if too many are active.
+    pub fn begin(&mut self, routers: &[RouterIndex], direction: CutDirection) -> Option<usize> {
+        let used = self.outbound | self.inbound;
+        let cut = (0..MAX_CUTS).find(|cut| used & (1 << cut) == 0)?;
+        routers.iter().for_each(|r| self.inside[*r] |= 1 << cut);
+        if direction != CutDirection::Inbound {
+            self.outbound |= 1 << cut;
         }
-        if ways != Ways::Out {
-            self.into |= 1 << no;
+        if direction != CutDirection::Outbound {
+            self.inbound |= 1 << cut;
         }
-        Some(no)
+        Some(cut)
     }
 
-    pub fn heal(&mut self, no: usize) {
-        let keep = !(1 << no);
-        self.inside.iter_mut().for_each(|r| *r &= keep);
-        self.out &= keep;
-        self.into &= keep;
+    /// Ends the partition with this number.
+    pub fn heal(&mut self, cut: usize) {
+        let others = !(1 << cut);
+        self.inside.iter_mut().for_each(|r| *r &= others);
+        self.outbound &= others;
+        self.inbound &= others;
     }
 }
--- a/crates/fleet_simulation/src/mesh.rs
+++ b/crates/fleet_simulation/src/mesh.rs
@@ -1,216 +1,245 @@
-//! A router with links to all that are listed: the control part as `serve` runs it.
+//! A router with links to all listed routers: the control plane as `serve` runs it.
 
-use crate::party::{Party, PartyAction, PartyEvent, Start, Word};
+use crate::control_plane::{ControlPlane, ControlPlaneAction, ControlPlaneEvent, Notification, StartContext};
 use basaltgw_config::fleet::FleetLimits;
 use basaltgw_control::{
     decode_purges, decode_table_register, Action, BootstrapMember, Control, ControlNotification,
     ControlParts, ControlRequest, Event, TableManager, TableManagerConfig, PURGES_SPACE, REGISTERS_SPACE,
     TABLE_SPACE,
 };
-use basaltgw_membership::{Membership, Presence, Settings as RosterSettings};
-use basaltgw_registers::{Registers, Settings as HoldSettings};
+use basaltgw_membership::{Membership, Presence, Settings as MembershipSettings};
+use basaltgw_registers::{Registers, Settings as RegisterSettings};
 use basaltgw_types::{Ms, TableHash, TableVersion};
 use std::collections::BTreeSet;
 
-/// At an orderly end what is being put down is waited for so long.
-const END_MS: Ms = 1_000.0;
+/// Time that an orderly shutdown waits for pending writes, ms.
+const SHUTDOWN_TIMEOUT_MS: Ms = 1_000.0;
 
-/// What the configuration of each router of a mesh says.
+/// Settings of each router of a mesh.
 #[derive(Clone, Debug)]
 pub struct MeshSettings {
-    /// Bounds and times.
+    /// Bounds and times of the control plane.
     pub limits: FleetLimits,
-    /// What the holds go by, where `limits` says nothing.
-    pub holds: HoldSettings,
-    /// Rules of placement.
+    /// Settings of the registers that `limits` does not determine.
+    pub registers: RegisterSettings,
+    /// Rules of placement, as configuration text.
     pub rules: String,
-    /// Time after which a purge has settled.
-    pub settles: Ms,
-    /// Routers that each has room for in its roster, with its own.
-    pub most_members: usize,
-    /// Changes of the configuration: as many a minute, between these milliseconds, all at the fleet's first router.
-    pub changes: (f64, (Ms, Ms)),
+    /// Time after which a purge has converged, ms.
+    pub convergence_ms: Ms,
+    /// Largest number of routers in the membership, the local one included.
+    pub max_members: usize,
+    /// Changes of the configuration a minute, with the first and the last time at which they are made, ms. The first router makes them all.
+    pub config_changes: (f64, (Ms, Ms)),
 }
 
 impl Default for MeshSettings {
     fn default() -> Self {
         Self {
             limits: FleetLimits::default(),
-            holds: HoldSettings::standard(),
+            registers: RegisterSettings::standard(),
             rules: "holds { shards 64 copies 3 spread machines }\nroot { copies 3 spread machines }\n".into(),
-            settles: 6_100.0,
-            most_members: RosterSettings::default().max_members,
-            changes: (0.0, (0.0, 0.0)),
+            convergence_ms: 6_100.0,
+            max_members: MembershipSettings::default().max_members,
+            config_changes: (0.0, (0.0, 0.0)),
         }
     }
 }
 
-/// A class whose rule differs from one change of the configuration to the next.
-const CHANGED: &str = "changed";
+/// The scatter-gather class whose rule differs from one change of the configuration to the next.
+const CHANGED_CLASS: &str = "changed";
 
-/// See the module.
+/// The next change of the configuration.
+struct NextChange {
+    /// When the change is made; infinite if there are no more.
+    at: Ms,
+    /// Number of changes made before.
+    made: usize,
+    interval_ms: Ms,
+}
+
+/// The control plane of a router with links to all listed routers.
 pub struct Mesh {
     control: Control,
-    acts: Vec<Action>,
+    actions: Vec<Action>,
     /// The rules without any change.
-    rules: String,
-    /// When the next change is made here, how many were made, how long it is from one to the next, and when there are no more.
-    change: (Ms, usize, Ms),
+    base_rules: String,
+    next_change: NextChange,
+    /// No change is made from this time on.
     changes_end: Ms,
 }
 
 impl Mesh {
-    /// Starts one: what `crates/node` does at the start of a process, with the hollow disk.
+    /// Starts the control plane from the simulated disk, as `crates/node` does at the start of a process.
     ///
     /// # Errors
-    /// If what is on the disk can't be read, or a setting can't be.
+    /// If the disk holds malformed data, or a setting is invalid.
     pub fn start(
-        set: &MeshSettings,
-        start: &Start,
-        out: &mut Vec<PartyAction>,
+        settings: &MeshSettings,
+        context: &StartContext,
+        out: &mut Vec<ControlPlaneAction>,
     ) -> Result<(Self, Option<(TableVersion, TableHash)>), String> {
-        let Start { now, no, me, old, fleet, disk, draw } = start;
-        let seat = fleet.seats.get(*no).ok_or("no such router")?;
-        let limits = &set.limits;
-        let hold_set = HoldSettings {
+        let StartContext { now, index, me, has_previous_data, fleet, disk, random } = context;
+        let place =
+            fleet.routers.get(*index).ok_or_else(|| format!("the fleet has no router with index {index}"))?;
+        let limits = &settings.limits;
+        let register_settings = RegisterSettings {
             max_open_requests: limits.open_asks,
             max_registers: limits.holds,
             max_bytes: limits.hold_bytes,
             max_outcome_bytes: limits.outcome_bytes,
             max_message_bytes: limits.frame_bytes,
-            purge_retention_ms: (2.0 * set.settles).max(1_000.0),
+            purge_retention_ms: (2.0 * settings.convergence_ms).max(1_000.0),
             sync_batch: limits.fill_portion,
             sync_pause_ms: limits.fill_pause_ms.max(1.0),
-            ..set.holds.clone()
+            ..settings.registers.clone()
         };
-        let seed = (*draw >> 64) as u64;
-        let holds = Registers::new(me.clone(), hold_set, disk.read(REGISTERS_SPACE), seed)
-            .map_err(|e| format!("holds: {e}"))?;
-        let purges = decode_purges(disk.read(PURGES_SPACE)).ok_or("a purge that can't be read")?;
-        let kept = match disk.get(TABLE_SPACE, &[]) {
-            Some(bytes) => Some(decode_table_register(&bytes).map_err(|e| format!("the table kept: {e}"))?),
+        let seed = (*random >> 64) as u64;
+        let registers = Registers::new(me.clone(), register_settings, disk.read(REGISTERS_SPACE), seed)
+            .map_err(|e| format!("registers: {e}"))?;
+        let purges = decode_purges(disk.read(PURGES_SPACE)).ok_or("the disk holds a malformed purge")?;
+        let stored_table = match disk.get(TABLE_SPACE, &[]) {
+            Some(bytes) => {
+                Some(decode_table_register(&bytes).map_err(|e| format!("placement table on the disk: {e}"))?)
+            }
             None => None,
         };
-        let founder =
-            |s: &crate::fleet::Seat| BootstrapMember { address: s.address, domain: s.domain.clone() };
-        let given = TableManagerConfig {
+        let bootstrap_member =
+            |s: &crate::fleet::FleetRouter| BootstrapMember { address: s.address, domain: s.domain.clone() };
+        let table_config = TableManagerConfig {
             me: me.clone(),
-            bootstrap_members: fleet.seats.iter().map(|s| (s.router.clone(), founder(s))).collect(),
+            bootstrap_members: fleet
+                .routers
+                .iter()
+                .map(|s| (s.router.clone(), bootstrap_member(s)))
+                .collect(),
             capacity: limits.holds as u64,
-            rules: vec![("rules".into(), set.rules.clone())],
+            rules: vec![("rules".into(), settings.rules.clone())],
             replace_after: limits.replace_after_ms,
         };
-        let table = TableManager::new(given, kept)?;
-        let at = table.version();
-        let listed: BTreeSet<_> =
-            fleet.seats.iter().filter(|s| s.router != seat.router).map(|s| s.router.clone()).collect();
-        for router in &listed {
-            out.push(PartyAction::Dial(router.clone()));
+        let table = TableManager::new(table_config, stored_table)?;
+        let advertised_table = table.version();
+        let listed_routers: BTreeSet<_> =
+            fleet.routers.iter().filter(|s| s.router != place.router).map(|s| s.router.clone()).collect();
+        for router in &listed_routers {
+            out.push(ControlPlaneAction::Dial(router.clone()));
         }
-        let presence = Presence { member: me.clone(), address: seat.address, domain: seat.domain.clone() };
-        let roster_set = RosterSettings {
-            listed_routers: listed,
-            max_members: set.most_members,
-            ..RosterSettings::default()
+        let presence = Presence { member: me.clone(), address: place.address, domain: place.domain.clone() };
+        let membership_settings = MembershipSettings {
+            listed_routers,
+            max_members: settings.max_members,
+            ..MembershipSettings::default()
         };
-        let roster = Membership::new(presence, roster_set, !seed).map_err(|e| format!("roster: {e}"))?;
+        let membership =
+            Membership::new(presence, membership_settings, !seed).map_err(|e| format!("membership: {e}"))?;
         let parts = ControlParts {
             me: me.clone(),
-            has_previous_data: *old,
-            registers: holds,
-            membership: roster,
+            has_previous_data: *has_previous_data,
+            registers,
+            membership,
             table,
             purges,
-            purge_convergence_time: set.settles,
-            shutdown_timeout: END_MS,
+            purge_convergence_time: settings.convergence_ms,
+            shutdown_timeout: SHUTDOWN_TIMEOUT_MS,
             scatter_gather_classes: None,
             overlay: None,
         };
-        let mut acts = Vec::new();
-        let control = Control::new(*now, parts, &mut acts);
-        let (per_minute, (from, to)) = set.changes;
-        let every = if per_minute > 0.0 { 60_000.0 / per_minute } else { Ms::INFINITY };
-        // Of an earlier life those were made that have been due.
-        let made = ((now - from) / every).ceil().max(0.0);
-        let next = if *no == 0 && every.is_finite() { from + made * every } else { Ms::INFINITY };
-        let (rules, change) = (set.rules.clone(), (next, made as usize, every));
-        let mut mesh = Self { control, acts, rules, change, changes_end: to };
-        mesh.pass(out);
-        Ok((mesh, at))
+        let mut actions = Vec::new();
+        let control = Control::new(*now, parts, &mut actions);
+        let (per_minute, (from, until)) = settings.config_changes;
+        let interval_ms = if per_minute > 0.0 { 60_000.0 / per_minute } else { Ms::INFINITY };
+        // An earlier process made the changes that were due by now.
+        let made = ((now - from) / interval_ms).ceil().max(0.0);
+        let next =
+            if *index == 0 && interval_ms.is_finite() { from + made * interval_ms } else { Ms::INFINITY };
+        let next_change = NextChange { at: next, made: made as usize, interval_ms };
+        let base_rules = settings.rules.clone();
+        let mut mesh = Self { control, actions, base_rules, next_change, changes_end: until };
+        mesh.translate_actions(out);
+        Ok((mesh, advertised_table))
     }
 
-    /// The control part, to look at.
+    /// The control plane inside, to inspect.
     pub fn control(&self) -> &Control {
         &self.control
     }
 
-    fn pass(&mut self, out: &mut Vec<PartyAction>) {
-        let mut table = false;
-        out.extend(self.acts.drain(..).map(|act| match act {
-            Action::Send { number: no, to, lane, body } => PartyAction::Send { no, to, lane, body },
-            Action::SetLinkWanted(router, true) => PartyAction::Dial(router),
-            Action::SetLinkWanted(router, false) => PartyAction::Close(router),
-            Action::AdvertiseTable(version, hash) => PartyAction::Table(version, hash),
-            Action::Commit(no, writes) => PartyAction::Store(no, writes),
-            Action::Notify(told) => PartyAction::Told(match told {
-                ControlNotification::Purge(purge) => Word::Purge(purge),
-                ControlNotification::PurgesKnown(known) => Word::PurgesKnown(known),
+    /// Translates the actions of the control plane into those of the simulation.
+    fn translate_actions(&mut self, out: &mut Vec<ControlPlaneAction>) {
+        let mut table_changed = false;
+        out.extend(self.actions.drain(..).map(|action| match action {
+            Action::Send { number, to, lane, body } => ControlPlaneAction::Send { number, to, lane, body },
+            Action::SetLinkWanted(router, true) => ControlPlaneAction::Dial(router),
+            Action::SetLinkWanted(router, false) => ControlPlaneAction::Close(router),
+            Action::AdvertiseTable(version, hash) => ControlPlaneAction::AdvertiseTable(version, hash),
+            Action::Commit(number, writes) => ControlPlaneAction::Commit(number, writes),
+            Action::Notify(notification) => ControlPlaneAction::Notify(match notification {
+                ControlNotification::Purge(purge) => Notification::Purge(purge),
+                ControlNotification::PurgesKnown(known) => Notification::PurgesKnown(known),
                 ControlNotification::Table(version, hash) => {
-                    table = true;
-                    Word::Table(version, hash)
+                    table_changed = true;
+                    Notification::Table(version, hash)
                 }
-                ControlNotification::PurgesMissed => Word::PurgesKnown(false),
+                ControlNotification::PurgesMissed => Notification::PurgesKnown(false),
                 ControlNotification::Response(..)
                 | ControlNotification::Policies(_)
-                | ControlNotification::Evidence(..) => Word::Other,
+                | ControlNotification::Evidence(..) => Notification::Other,
             }),
         }));
-        let needed = self
+        let applied_change = self
             .control
             .table()
             .table()
-            .and_then(|t| t.gather_rule(CHANGED)?.required_parts.first().copied());
-        out.extend(needed.filter(|_| table).map(|n| PartyAction::Told(Word::Change(n as usize))));
+            .and_then(|t| t.gather_rule(CHANGED_CLASS)?.required_parts.first().copied());
+        out.extend(
+            applied_change
+                .filter(|_| table_changed)
+                .map(|n| ControlPlaneAction::Notify(Notification::ConfigChangeApplied(n as usize))),
+        );
     }
 
-    /// The next change of the configuration, if it is due: rules that differ from the last ones by a number.
-    fn make_change(&mut self, now: Ms, out: &mut Vec<PartyAction>) {
-        let (at, made, every) = self.change;
+    /// Makes the next change of the configuration if it is due: rules that differ from the previous ones in one number.
+    fn make_change(&mut self, now: Ms, out: &mut Vec<ControlPlaneAction>) {
+        let NextChange { at, made, interval_ms } = self.next_change;
         if now < at {
             return;
         }
-        let next = at + every;
-        self.change = (if next < self.changes_end { next } else { Ms::INFINITY }, made + 1, every);
-        let text =
-            format!("{}gather class {CHANGED} {{ needs {made}  wait 100 ms  missing owed }}\n", self.rules);
-        out.push(PartyAction::Told(Word::ChangeMade));
+        let next = at + interval_ms;
+        let at = if next < self.changes_end { next } else { Ms::INFINITY };
+        self.next_change = NextChange { at, made: made + 1, interval_ms };
+        let text = format!(
+            "{}gather class {CHANGED_CLASS} {{ needs {made}  wait 100 ms  missing owed }}\n",
+            self.base_rules
+        );
+        out.push(ControlPlaneAction::Notify(Notification::ConfigChangeMade));
         let rules = Event::Request(ControlRequest::Rules("rules".into(), text));
-        self.control.handle(now, rules, &mut self.acts);
+        self.control.handle(now, rules, &mut self.actions);
     }
 }
 
-impl Party for Mesh {
-    fn handle(&mut self, now: Ms, event: PartyEvent, out: &mut Vec<PartyAction>) {
+impl ControlPlane for Mesh {
+    fn handle(&mut self, now: Ms, event: ControlPlaneEvent, out: &mut Vec<ControlPlaneAction>) {
         self.make_change(now, out);
         let event = match event {
-            PartyEvent::Up(hello) => Event::LinkUp(hello),
-            PartyEvent::Down(member, why) => Event::LinkDown(member, why),
-            PartyEvent::Got { from, lane, body } => Event::MessageReceived { from, lane, body },
-            PartyEvent::Unsent(no) => Event::SendFailed(no),
-            PartyEvent::Heard(purge) => Event::Request(ControlRequest::Purge(purge)),
-            PartyEvent::Due => Event::TimersDue,
-            PartyEvent::Settle => Event::Flush,
-            PartyEvent::Stored(no, done) => Event::CommitFinished(no, done),
+            ControlPlaneEvent::LinkUp(hello) => Event::LinkUp(hello),
+            ControlPlaneEvent::LinkDown(member, reason) => Event::LinkDown(member, reason),
+            ControlPlaneEvent::MessageReceived { from, lane, body } => {
+                Event::MessageReceived { from, lane, body }
+            }
+            ControlPlaneEvent::SendFailed(number) => Event::SendFailed(number),
+            ControlPlaneEvent::ChangeLogPurge(purge) => Event::Request(ControlRequest::Purge(purge)),
+            ControlPlaneEvent::TimersDue => Event::TimersDue,
+            ControlPlaneEvent::Flush => Event::Flush,
+            ControlPlaneEvent::CommitFinished(number, durable) => Event::CommitFinished(number, durable),
         };
-        self.control.handle(now, event, &mut self.acts);
-        self.pass(out);
+        self.control.handle(now, event, &mut self.actions);
+        self.translate_actions(out);
     }
 
-    fn due(&self) -> Ms {
-        self.control.next_timer().min(self.change.0)
+    fn next_timer(&self) -> Ms {
+        self.control.next_timer().min(self.next_change.at)
     }
 
-    fn counts(&self) -> Vec<(&'static str, u64)> {
-        self.control.state_sizes().into_iter().map(|(name, many)| (name, many as u64)).collect()
+    fn counters(&self) -> Vec<(&'static str, u64)> {
+        self.control.state_sizes().into_iter().map(|(name, size)| (name, size as u64)).collect()
     }
 }
--- a/crates/fleet_simulation/src/queue.rs
+++ b/crates/fleet_simulation/src/queue.rs
@@ -1,58 +1,65 @@
-//! What is to happen, in the order of time, and of being put in where the time is the same.
+//! The event queue: events are ordered by time, and by insertion where the time is the same.
 
-use crate::{Micros, No};
+use crate::{Micros, RouterIndex};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A connection, by its slot and which use of the slot it is.
+/// Identifies a connection by its slot and the number of its use of the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Key {
+pub struct ConnectionKey {
     pub slot: u32,
-    pub life: u32,
+    pub generation: u32,
 }
 
-/// Something that happens on the lines.
+/// An event of the simulated network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Line {
-    /// A connect is answered (`true`), or refused or given up.
-    Connect(Key, bool),
-    /// The next frame in that direction is there.
-    Arrive(Key, usize),
-    /// The time for an end's hello is up.
-    Late(Key, usize),
-    /// An end has heard nothing for too long.
-    Silent(Key, usize),
-    /// A direction that was cut carries again.
-    Resume(Key, usize),
-    /// A router's pause before it dials another is over; the number tells pauses apart.
-    Redial(No, No, u32),
+pub enum LinkEvent {
+    /// A connect was accepted, or was refused or timed out.
+    ConnectFinished { key: ConnectionKey, accepted: bool },
+    /// The next frame in a direction arrives.
+    FrameArrived { key: ConnectionKey, direction: usize },
+    /// The time for the handshake of an end is up.
+    HandshakeTimeout { key: ConnectionKey, end: usize },
+    /// An end has received nothing for the peer timeout.
+    PeerTimeout { key: ConnectionKey, end: usize },
+    /// A stalled direction carries frames again.
+    Resumed { key: ConnectionKey, direction: usize },
+    /// The back-off of a dialer is over. A later back-off has another number.
+    Redial { from: RouterIndex, to: RouterIndex, backoff: u32 },
 }
 
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
-    Line(Line),
-    /// A router has its turn.
-    Turn(No),
-    /// A router's commit is on the disk; of which start of its process.
-    Disk(No, u32),
-    /// A router hears a word of the change log.
-    Log(No, usize),
-    /// A purge is made.
-    Purge(usize),
-    /// A trouble begins or ends.
-    Trouble(usize),
+pub enum SimulationEvent {
+    Link(LinkEvent),
+    /// The process of a router has its turn.
+    Turn(RouterIndex),
+    /// A commit is durable, made by the process start with this number.
+    CommitFinished {
+        router: RouterIndex,
+        start: u32,
+    },
+    /// The change log delivers a purge to a router.
+    ChangeLogRead {
+        router: RouterIndex,
+        purge: usize,
+    },
+    /// The purge with this number is made.
+    PurgeMade(usize),
+    /// The fault with this number begins or ends.
+    Fault(usize),
 }
 
 #[derive(Debug)]
 struct Entry {
     at: Micros,
-    no: u64,
-    what: What,
+    number: u64,
+    event: SimulationEvent,
 }
 
 impl PartialEq for Entry {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.no) == (other.at, other.no)
+        (self.at, self.number) == (other.at, other.number)
     }
 }
 
@@ -65,17 +72,17 @@
 }
 
 impl Ord for Entry {
-    /// The heap gives the greatest first.
+    /// Reversed, since the heap returns the greatest entry first.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.no).cmp(&(self.at, self.no))
+        (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-/// See the module.
+/// Events that have not happened yet, and the time of the last one that has.
 #[derive(Debug, Default)]
 pub struct Queue {
     heap: BinaryHeap<Entry>,
-    ever: u64,
+    scheduled: u64,
     now: Micros,
 }
 
@@ -84,27 +91,28 @@
         self.now
     }
 
-    /// How many were put in.
-    pub fn ever(&self) -> u64 {
-        self.ever
+    /// Number of events scheduled so far.
+    pub fn scheduled(&self) -> u64 {
+        self.scheduled
     }
 
-    pub fn put(&mut self, at: Micros, what: What) {
-        self.ever += 1;
-        self.heap.push(Entry { at: at.max(self.now), no: self.ever, what });
+    /// Schedules an event, for now if `at` is in the past.
+    pub fn put(&mut self, at: Micros, event: SimulationEvent) {
+        self.scheduled += 1;
+        self.heap.push(Entry { at: at.max(self.now), number: self.scheduled, event });
     }
 
-    pub fn line(&mut self, at: Micros, line: Line) {
-        self.put(at, What::Line(line));
+    pub fn put_link(&mut self, at: Micros, event: LinkEvent) {
+        self.put(at, SimulationEvent::Link(event));
     }
 
-    /// The next, unless it is later than that.
-    pub fn next(&mut self, end: Micros) -> Option<What> {
+    /// Removes the next event and advances the time to it, unless it is later than `end`.
+    pub fn next(&mut self, end: Micros) -> Option<SimulationEvent> {
         if self.heap.peek()?.at > end {
             return None;
         }
         let entry = self.heap.pop()?;
         self.now = entry.at;
-        Some(entry.what)
+        Some(entry.event)
     }
 }
--- a/crates/fleet_simulation/src/run.rs
+++ b/crates/fleet_simulation/src/run.rs
@@ -1,14 +1,14 @@
-//! A whole run: a fleet that is founded, asked something, troubled, and judged; its figures.
+//! A whole run: founds a fleet, makes purges and faults, checks the delivery, and computes the figures.
 
-use crate::check::Findings;
-use crate::count::{Counts, Grown, Meter, Second};
+use crate::checker::Findings;
+use crate::control_plane::{ControlPlane, StartControlPlane};
+use crate::count::{AllocationMeter, Counts, Meter, Second};
+use crate::fault::{Fault, FaultCounts};
 use crate::fleet::{Fleet, Shape};
-use crate::links::Net;
+use crate::links::Network;
 use crate::mesh::{Mesh, MeshSettings};
-use crate::party::{Found, Party};
-use crate::sparse::{list, Sparse, SparseSettings};
-use crate::trouble::{Many, Trouble};
-use crate::world::{Log, World, WorldSettings};
+use crate::sparse::{router_list, Sparse, SparseSettings};
+use crate::world::{ChangeLogReach, World, WorldSettings};
 use crate::{micros, Micros};
 use basaltgw_config::fleet::FleetLimits;
 use basaltgw_transport::Limits;
@@ -17,9 +17,9 @@
 /// What runs at each router.
 #[derive(Clone, Debug)]
 pub enum Kind {
-    /// The control part with links to all that are listed.
+    /// The control plane with links to all listed routers.
     Mesh(MeshSettings),
-    /// The overlay, with links to a few.
+    /// The overlay, with links to a few routers.
     Sparse(SparseSettings),
 }
 
@@ -33,136 +33,141 @@
     }
 }
 
-/// A run.
+/// The setup of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// How large the fleet is.
+    /// The size of the fleet.
     pub shape: Shape,
-    /// All chance comes from it.
+    /// Seed of all randomness.
     pub seed: u64,
-    /// Seconds before the first word: founding.
-    pub settle: f64,
-    /// Seconds that are measured, from then on.
-    pub seconds: f64,
-    /// Seconds after them in which words may still get round.
-    pub rest: f64,
+    /// Seconds for founding, before the first purge.
+    pub warm_up_s: f64,
+    /// Seconds that are measured, after the warm-up.
+    pub measured_s: f64,
+    /// Seconds after the measured ones, in which purges may still reach routers.
+    pub drain_s: f64,
     /// Purges a second.
-    pub purges: f64,
-    /// Who hears them, and after how many milliseconds.
-    pub log: (Log, (f64, f64)),
-    /// Troubles of the seconds that are measured, and those of a script.
-    pub many: Many,
-    /// See `many`.
-    pub script: Vec<Trouble>,
-    /// What runs.
+    pub purges_per_s: f64,
+    /// Which routers read purges from the change log.
+    pub change_log: ChangeLogReach,
+    /// Shortest and longest time from a purge until the change log delivers it, ms.
+    pub change_log_delay_ms: (f64, f64),
+    /// Random faults during the measured seconds.
+    pub random_faults: FaultCounts,
+    /// Faults at given times.
+    pub scripted_faults: Vec<Fault>,
+    /// What runs at each router.
     pub kind: Kind,
-    /// The lines.
-    pub net: Net,
-    /// The least and the most milliseconds of a commit.
-    pub disk: (f64, f64),
-    /// Processor time, which is not the same in two runs, is measured.
-    pub cpu: bool,
-    /// The program's allocator, if it tells.
-    pub grown: Option<Grown>,
+    /// Delay, loss and bandwidth of the network.
+    pub network: Network,
+    /// Shortest and longest duration of a commit, ms.
+    pub commit_ms: (f64, f64),
+    /// Whether processor time is measured; the only figure that differs between two runs.
+    pub measure_cpu: bool,
+    /// Measures memory, if present.
+    pub allocation_meter: Option<AllocationMeter>,
 }
 
 impl Setup {
-    /// A quiet mesh of so many routers.
+    /// A mesh of this number of routers without purges and faults.
     pub fn mesh(routers: usize, seed: u64) -> Self {
         Self {
-            shape: Shape::of(routers),
+            shape: Shape::for_routers(routers),
             seed,
-            settle: 10.0,
-            seconds: 10.0,
-            rest: 7.0,
-            purges: 0.0,
-            log: (Log::Everyone(0.0), (5.0, 150.0)),
-            many: Many::default(),
-            script: Vec::new(),
+            warm_up_s: 10.0,
+            measured_s: 10.0,
+            drain_s: 7.0,
+            purges_per_s: 0.0,
+            change_log: ChangeLogReach::Everyone { missed_share: 0.0 },
+            change_log_delay_ms: (5.0, 150.0),
+            random_faults: FaultCounts::default(),
+            scripted_faults: Vec::new(),
             kind: Kind::Mesh(MeshSettings::default()),
-            net: Net::default(),
-            disk: (0.3, 3.0),
-            cpu: false,
-            grown: None,
+            network: Network::default(),
+            commit_ms: (0.3, 3.0),
+            measure_cpu: false,
+            allocation_meter: None,
         }
     }
 
-    /// A quiet fleet of so many routers with an overlay.
+    /// An overlay of this number of routers without purges and faults.
     pub fn sparse(routers: usize, seed: u64) -> Self {
         Self { kind: Kind::Sparse(SparseSettings::default()), ..Self::mesh(routers, seed) }
     }
 }
 
-/// What came of a run.
+/// The figures of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Figures {
-    /// By name; per router and second of those measured, unless the name says otherwise. Of control machines alone with `control_` before.
-    pub flat: BTreeMap<String, f64>,
-    /// By name, one for each second of the run: the mean over routers, or the most of any.
+    /// Figures by name, per router and measured second unless the name says otherwise. The prefix `control_` means control machines only.
+    pub values: BTreeMap<String, f64>,
+    /// Figures by name for each second of the run: the mean over routers (`_mean`), or the largest (`_most`).
     pub series: BTreeMap<String, Vec<f64>>,
 }
 
-/// Runs it.
+/// Runs a setup.
 ///
 /// # Errors
-/// If the setup can't be.
+/// If the setup is invalid, or a control plane can't be started.
 pub fn run(setup: &Setup) -> Result<Figures, String> {
-    let found: Box<Found> = match &setup.kind {
-        Kind::Mesh(mesh) => Box::new(|start, out| {
-            let (party, table) = Mesh::start(mesh, start, out)?;
-            Ok((Box::new(party) as Box<dyn Party>, table))
+    let start: Box<StartControlPlane> = match &setup.kind {
+        Kind::Mesh(mesh) => Box::new(|context, out| {
+            let (control_plane, table) = Mesh::start(mesh, context, out)?;
+            Ok((Box::new(control_plane) as Box<dyn ControlPlane>, table))
         }),
         Kind::Sparse(sparse) => {
-            let list = list(&Fleet::new(&setup.shape, setup.seed)?, sparse.shape)?;
-            Box::new(move |start, out| {
-                let party = Sparse::start(sparse, &list, start, out)?;
-                Ok((Box::new(party) as Box<dyn Party>, None))
+            let list = router_list(&Fleet::new(&setup.shape, setup.seed)?, sparse.shape)?;
+            Box::new(move |context, out| {
+                let control_plane = Sparse::start(sparse, &list, context, out)?;
+                Ok((Box::new(control_plane) as Box<dyn ControlPlane>, None))
             })
         }
     };
-    run_with(setup, &found).map(|(figures, _)| figures)
+    run_with(setup, &start).map(|(figures, _)| figures)
 }
 
-/// Runs other parties in the same way.
+/// Runs a setup with other control planes, and also returns what the checker found.
 ///
 /// # Errors
-/// If the setup can't be, or a party can't be started.
-pub fn run_with(setup: &Setup, found: &Found) -> Result<(Figures, Findings), String> {
+/// If the setup is invalid, or a control plane can't be started.
+pub fn run_with(setup: &Setup, start: &StartControlPlane) -> Result<(Figures, Findings), String> {
     let fleet = Fleet::new(&setup.shape, setup.seed)?;
     let limits = setup.kind.limits();
-    let (begin, seconds) = (setup.settle * 1_000.0, setup.seconds * 1_000.0);
-    let set = WorldSettings {
-        net: setup.net.clone(),
+    let (begin_ms, measured_ms) = (setup.warm_up_s * 1_000.0, setup.measured_s * 1_000.0);
+    let settings = WorldSettings {
+        network: setup.network.clone(),
         limits: Limits {
             max_queued_frames: limits.lane_frames,
             max_queued_bytes: limits.lane_bytes,
             max_frame_bytes: limits.frame_bytes,
             ring_entries: limits.ring,
         },
-        disk: setup.disk,
-        hop: 0.05,
-        begin: 1_000.0,
-        log: setup.log,
-        purges: (setup.purges, (begin, begin + seconds)),
-        within: 6_100.0,
+        commit_ms: setup.commit_ms,
+        thread_hop_ms: 0.05,
+        start_within_ms: 1_000.0,
+        change_log: setup.change_log,
+        change_log_delay_ms: setup.change_log_delay_ms,
+        purges: (setup.purges_per_s, (begin_ms, begin_ms + measured_ms)),
+        convergence_ms: 6_100.0,
     };
-    let span = (micros(begin), micros(begin + seconds));
-    let mut troubles = setup.many.draw(&fleet, setup.seed, span);
-    troubles.extend(setup.script.iter().cloned());
-    let meter = Meter { grown: setup.grown, cpu: setup.cpu };
-    let mut world = World::new(&fleet, &set, found, troubles, meter, setup.seed);
-    let end = micros(begin + seconds + setup.rest * 1_000.0);
+    let measured = (micros(begin_ms), micros(begin_ms + measured_ms));
+    let mut faults = setup.random_faults.draw(&fleet, setup.seed, measured);
+    faults.extend(setup.scripted_faults.iter().cloned());
+    let meter = Meter { allocation: setup.allocation_meter, cpu: setup.measure_cpu };
+    let mut world = World::new(&fleet, &settings, start, faults, meter, setup.seed);
+    let end = micros(begin_ms + measured_ms + setup.drain_s * 1_000.0);
     world.run(end)?;
     let findings = world.checker.findings(end);
     Ok((figures(setup, &world, &findings), findings))
 }
 
-/// A number that so many of 100 are no greater than.
-fn percentile(sorted: &[f64], part: f64) -> f64 {
-    let at = (sorted.len() as f64 * part / 100.0).ceil() as usize;
-    sorted.get(at.saturating_sub(1)).copied().unwrap_or(0.0)
+/// The percentile of sorted values; 0 if there are none.
+fn percentile(sorted: &[f64], percent: f64) -> f64 {
+    let rank = (sorted.len() as f64 * percent / 100.0).ceil() as usize;
+    sorted.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
 }
 
+/// A figure of each router and second: its name in the figures, and how it is read.
 type Column = (&'static str, fn(&Second) -> f64);
 
 const COLUMNS: [Column; 9] = [
@@ -170,85 +175,92 @@
     ("frames_in", |s| f64::from(s.frames_in)),
     ("payload_out", |s| s.payload_out as f64),
     ("wire_bytes", |s| s.wire() as f64),
-    ("alive_out", |s| f64::from(s.alive_out)),
+    ("alive_out", |s| f64::from(s.keepalives_out)),
     ("commits", |s| f64::from(s.commits)),
     ("events", |s| f64::from(s.events)),
-    ("cpu_ms", |s| s.cpu as f64 / 1e6),
+    ("cpu_ms", |s| s.cpu_ns as f64 / 1e6),
     ("wire_out", |s| s.wire_out as f64),
 ];
 
 fn figures(setup: &Setup, world: &World, findings: &Findings) -> Figures {
     let counts: &Counts = &world.links.counts;
-    let mut flat = BTreeMap::new();
+    let mut values = BTreeMap::new();
     let mut series = BTreeMap::new();
     let routers = counts.seconds.len();
-    let (first, last) = (setup.settle as usize, (setup.settle + setup.seconds) as usize);
-    let none = Second::default();
-    let whole = (setup.settle + setup.seconds + setup.rest) as usize;
+    let (begin, end) = (setup.warm_up_s as usize, (setup.warm_up_s + setup.measured_s) as usize);
+    let empty = Second::default();
+    let total_s = (setup.warm_up_s + setup.measured_s + setup.drain_s) as usize;
     let everyone: Vec<usize> = (0..routers).collect();
-    let controls: Vec<usize> = world.controls().collect();
-    for (prefix, who) in [("", &everyone), ("control_", &controls)] {
-        for (name, of) in COLUMNS {
-            let one = |no: usize, second: usize| of(counts.seconds[no].get(second).unwrap_or(&none));
-            let mean = |second| who.iter().map(|no| one(*no, second)).sum::<f64>() / who.len().max(1) as f64;
-            let most = |second| who.iter().map(|no| one(*no, second)).fold(0.0, f64::max);
-            let (means, mosts): (Vec<f64>, Vec<f64>) = (0..whole).map(|s| (mean(s), most(s))).unzip();
-            let within = |all: &[f64]| all.get(first..last).unwrap_or_default().to_vec();
+    let controls: Vec<usize> = world.control_machines().collect();
+    for (prefix, group) in [("", &everyone), ("control_", &controls)] {
+        for (name, value) in COLUMNS {
+            let value_at =
+                |router: usize, second: usize| value(counts.seconds[router].get(second).unwrap_or(&empty));
+            let mean = |second| {
+                group.iter().map(|router| value_at(*router, second)).sum::<f64>() / group.len().max(1) as f64
+            };
+            let most = |second| group.iter().map(|router| value_at(*router, second)).fold(0.0, f64::max);
+            let (means, mosts): (Vec<f64>, Vec<f64>) = (0..total_s).map(|s| (mean(s), most(s))).unzip();
+            let within = |all: &[f64]| all.get(begin..end).unwrap_or_default().to_vec();
             let (inner, peaks) = (within(&means), within(&mosts));
-            let founding = mosts.iter().take(first).copied().fold(0.0, f64::max);
-            let mut all: Vec<f64> = who.iter().flat_map(|no| (first..last).map(|s| one(*no, s))).collect();
+            let founding = mosts.iter().take(begin).copied().fold(0.0, f64::max);
+            let mut all: Vec<f64> =
+                group.iter().flat_map(|router| (begin..end).map(|s| value_at(*router, s))).collect();
             all.sort_by(f64::total_cmp);
-            let row = |no: &usize| (first..last).map(|s| one(*no, s)).sum::<f64>();
-            let busiest = who.iter().map(row).fold(0.0, f64::max) / (last - first).max(1) as f64;
+            let total = |router: &usize| (begin..end).map(|s| value_at(*router, s)).sum::<f64>();
+            let busiest = group.iter().map(total).fold(0.0, f64::max) / (end - begin).max(1) as f64;
             let name = format!("{prefix}{name}");
-            flat.insert(format!("{name}_mean"), inner.iter().sum::<f64>() / inner.len().max(1) as f64);
-            flat.insert(format!("{name}_p99"), percentile(&all, 99.0));
-            flat.insert(format!("{name}_busiest_mean"), busiest);
-            flat.insert(format!("{name}_worst_second"), peaks.into_iter().fold(0.0, f64::max));
-            flat.insert(format!("{name}_worst_founding"), founding);
+            values.insert(format!("{name}_mean"), inner.iter().sum::<f64>() / inner.len().max(1) as f64);
+            values.insert(format!("{name}_p99"), percentile(&all, 99.0));
+            values.insert(format!("{name}_busiest_mean"), busiest);
+            values.insert(format!("{name}_worst_second"), peaks.into_iter().fold(0.0, f64::max));
+            values.insert(format!("{name}_worst_founding"), founding);
             series.insert(format!("{name}_mean"), means);
             series.insert(format!("{name}_most"), mosts);
         }
-        let links: Vec<f64> = who.iter().map(|no| world.links.many(*no) as f64).collect();
-        let states = who.iter().map(|no| counts.state[*no].1 as f64).fold(0.0, f64::max);
-        flat.insert(format!("{prefix}links_mean"), links.iter().sum::<f64>() / links.len().max(1) as f64);
-        flat.insert(format!("{prefix}links_most"), links.into_iter().fold(0.0, f64::max));
-        flat.insert(format!("{prefix}state_bytes_most"), states);
+        let links: Vec<f64> = group.iter().map(|router| world.links.link_count(*router) as f64).collect();
+        let states = group.iter().map(|router| counts.state_bytes[*router].1 as f64).fold(0.0, f64::max);
+        values.insert(format!("{prefix}links_mean"), links.iter().sum::<f64>() / links.len().max(1) as f64);
+        values.insert(format!("{prefix}links_most"), links.into_iter().fold(0.0, f64::max));
+        values.insert(format!("{prefix}state_bytes_most"), states);
     }
-    let mut put = |name: &str, value: f64| _ = flat.insert(name.to_string(), value);
-    let tables: Vec<Micros> = world.tables().flatten().collect();
+    let mut put = |name: &str, value: f64| _ = values.insert(name.to_string(), value);
+    let tables: Vec<Micros> = world.first_tables().flatten().collect();
     put("routers", routers as f64);
     put("founded", tables.len() as f64);
     put("founded_last_ms", tables.iter().max().map_or(-1.0, |at| crate::ms(*at)));
-    put("state_bytes_mean", counts.state.iter().map(|(now, _)| *now as f64).sum::<f64>() / routers as f64);
-    put("connections_most", counts.most_open.iter().copied().max().unwrap_or(0) as f64);
-    put("links_least", (0..routers).map(|no| world.links.many(no)).min().unwrap_or(0) as f64);
-    put("waiting_most", counts.most_waiting.iter().copied().max().unwrap_or(0) as f64);
-    for (name, many) in counts.links.all() {
-        put(&format!("links_{name}"), many as f64);
+    put(
+        "state_bytes_mean",
+        counts.state_bytes.iter().map(|(now, _)| *now as f64).sum::<f64>() / routers as f64,
+    );
+    put("connections_most", counts.max_open_connections.iter().copied().max().unwrap_or(0) as f64);
+    put("links_least", (0..routers).map(|router| world.links.link_count(router)).min().unwrap_or(0) as f64);
+    put("waiting_most", counts.max_inbox.iter().copied().max().unwrap_or(0) as f64);
+    for (name, count) in counts.links.all() {
+        put(&format!("links_{name}"), count as f64);
     }
     put("events_in_all", world.events() as f64);
-    put("changes", findings.changes.made as f64);
-    put("changes_lost", findings.changes.lost() as f64);
-    put("changes_everywhere_median_ms", percentile(&findings.changes.everywhere, 50.0));
-    put("changes_everywhere_last_ms", percentile(&findings.changes.everywhere, 100.0));
-    put("words", findings.words as f64);
+    put("changes", findings.config_changes.made as f64);
+    put("changes_lost", findings.config_changes.lost() as f64);
+    put("changes_everywhere_median_ms", percentile(&findings.config_changes.completion_ms, 50.0));
+    put("changes_everywhere_last_ms", percentile(&findings.config_changes.completion_ms, 100.0));
+    put("words", findings.purges as f64);
     put("lost", findings.lost.len() as f64);
     let distinct = |all: BTreeSet<usize>| all.len() as f64;
-    put("lost_words", distinct(findings.lost.iter().map(|(word, _)| *word).collect()));
-    put("lost_routers", distinct(findings.lost.iter().map(|(_, no)| *no).collect()));
-    put("settled", findings.settled as f64);
-    put("twice", findings.twice as f64);
-    put("twice_old", findings.twice_old as f64);
+    put("lost_words", distinct(findings.lost.iter().map(|(purge, _)| *purge).collect()));
+    put("lost_routers", distinct(findings.lost.iter().map(|(_, router)| *router).collect()));
+    put("settled", findings.converged as f64);
+    put("twice", findings.duplicates as f64);
+    put("twice_old", findings.duplicates_after_convergence as f64);
     put("late", findings.late as f64);
-    put("late_settled", findings.late_settled as f64);
+    put("late_settled", findings.late_after_convergence as f64);
     put("unknown", findings.unknown as f64);
-    put("everywhere", findings.everywhere.len() as f64);
-    put("everywhere_median_ms", percentile(&findings.everywhere, 50.0));
-    put("everywhere_p99_ms", percentile(&findings.everywhere, 99.0));
-    put("everywhere_last_ms", percentile(&findings.everywhere, 100.0));
-    for (name, many) in world.party_counts().flatten() {
-        *flat.entry(format!("party_{name}_sum")).or_insert(0.0) += many as f64;
+    put("everywhere", findings.completion_ms.len() as f64);
+    put("everywhere_median_ms", percentile(&findings.completion_ms, 50.0));
+    put("everywhere_p99_ms", percentile(&findings.completion_ms, 99.0));
+    put("everywhere_last_ms", percentile(&findings.completion_ms, 100.0));
+    for (name, count) in world.control_plane_counters().flatten() {
+        *values.entry(format!("party_{name}_sum")).or_insert(0.0) += count as f64;
     }
-    Figures { flat, series }
+    Figures { values, series }
 }
--- a/crates/fleet_simulation/src/sparse.rs
+++ b/crates/fleet_simulation/src/sparse.rs
@@ -1,7 +1,7 @@
-//! A router with standing links to a few others: the overlay as `crates/overlay` decides it, for the purges of the change log.
+//! A router with permanent links to a few others: the overlay of `crates/overlay`, for the purges of the change log.
 
-use crate::fleet::{Fleet, Seat};
-use crate::party::{Party, PartyAction, PartyEvent, Start, Word};
+use crate::control_plane::{ControlPlane, ControlPlaneAction, ControlPlaneEvent, Notification, StartContext};
+use crate::fleet::{Fleet, FleetRouter};
 use basaltgw_config::fleet::FleetLimits;
 use basaltgw_control::{decode_purges, Purge, Purges, PURGES_SPACE};
 use basaltgw_overlay::{
@@ -13,51 +13,52 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A dial that brought no link in this time is given up, ms: one connect that nobody answers, and one more.
-const DIAL_MS: Ms = 1_500.0;
-/// Time after which a purge has settled, ms.
-const SETTLES_MS: Ms = 6_100.0;
-/// Flips bits of groups and objects, so that they take as many bytes as the hashes that they are in service.
-const WIDE: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The Unix time of a run's start, ms, where times take as many bytes as in service.
-const EPOCH: u64 = 1_780_000_000_000;
+/// Time after which a dial without a link is given up, ms: one connect that times out, and a second one.
+const DIAL_TIMEOUT_MS: Ms = 1_500.0;
+/// Time after which a purge has converged, ms.
+const CONVERGENCE_MS: Ms = 6_100.0;
+/// Flips bits of group and object numbers, so that they take as many bytes as the hashes of a real deployment.
+const WIDE_NUMBER_MASK: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Unix time of the start of a run, ms, so that times take as many bytes as in a real deployment.
+const EPOCH_MS: u64 = 1_780_000_000_000;
 
-/// What the configuration of each router says.
+/// Settings of each router of an overlay.
 #[derive(Clone, Debug)]
 pub struct SparseSettings {
     /// Times and bounds of the overlay.
     pub overlay: Settings,
-    /// How regions are put in tiers.
+    /// How regions are grouped into tiers.
     pub shape: Shape,
     /// Bounds of links.
     pub limits: FleetLimits,
-    /// Time after which a purge has settled, and is kept no more.
-    pub settles: Ms,
-    /// Purges take as many bytes as in service; otherwise as few as their small numbers do.
-    pub wide: bool,
-    /// What the change log says here is taken to be known here alone: it is said at once. Otherwise it is left to control machines first.
-    pub alone: bool,
+    /// Time after which a purge has converged and is no longer kept, ms.
+    pub convergence_ms: Ms,
+    /// Whether purges take as many bytes as in a real deployment; otherwise their small numbers take few.
+    pub full_size_purges: bool,
+    /// Whether a purge read from the change log is published at once, as if no other router had read it. Otherwise control machines publish it
+    /// first.
+    pub publish_immediately: bool,
 }
 
 impl Default for SparseSettings {
     fn default() -> Self {
         Self {
-            overlay: Settings { convergence_ms: SETTLES_MS + CATCH_UP_MS, ..Settings::default() },
+            overlay: Settings { convergence_ms: CONVERGENCE_MS + CATCH_UP_MS, ..Settings::default() },
             shape: Shape::default(),
             limits: FleetLimits::default(),
-            settles: SETTLES_MS,
-            wide: true,
-            alone: false,
+            convergence_ms: CONVERGENCE_MS,
+            full_size_purges: true,
+            publish_immediately: false,
         }
     }
 }
 
-/// The list that all routers share, of the fleet's places.
+/// The router list of the overlay, which all routers of the fleet share.
 ///
 /// # Errors
-/// If the shape can't be.
-pub fn list(fleet: &Fleet, shape: Shape) -> Result<Arc<RouterList>, String> {
-    let listed = |s: &Seat| RouterEntry {
+/// If the shape is invalid.
+pub fn router_list(fleet: &Fleet, shape: Shape) -> Result<Arc<RouterList>, String> {
+    let entry = |s: &FleetRouter| RouterEntry {
         router: s.router.clone(),
         region: format!("region{}", s.region).into(),
         zone: format!("zone{}", s.zone).into(),
@@ -65,89 +66,95 @@
         rack: format!("rack{}", s.rack).into(),
         control: s.control,
     };
-    let list = RouterList::new(1, shape, fleet.seats.iter().map(listed).collect());
+    let list = RouterList::new(1, shape, fleet.routers.iter().map(entry).collect());
     list.map(Arc::new).map_err(|e| e.to_string())
 }
 
-/// See the module.
+/// The overlay of one router, with the purges that it keeps.
 pub struct Sparse {
     overlay: Overlay,
     control: bool,
-    set: SparseSettings,
+    settings: SparseSettings,
     purges: Purges,
-    /// Links that the overlay wants, by when they were dialled; none once they are up.
+    /// Links that the overlay dials, with the time of the dial; `None` once they are up.
     dials: BTreeMap<RouterId, Option<Ms>>,
-    /// What is to be written.
+    /// Writes of the next commit.
     writes: Vec<Write>,
-    stores: u64,
-    /// Said that it is up to date, once.
-    founded: bool,
-    acts: Vec<Action>,
+    /// Number of the last commit.
+    commits: u64,
+    /// Whether this router has reported that it has caught up.
+    caught_up: bool,
+    actions: Vec<Action>,
 }
 
 impl Sparse {
-    /// Starts one; what was kept on the disk is known.
+    /// Starts the overlay with the purges on the disk.
     ///
     /// # Errors
-    /// If what is on the disk can't be read, or a setting can't be.
+    /// If the disk holds malformed data, or a setting is invalid.
     pub fn start(
-        set: &SparseSettings,
+        settings: &SparseSettings,
         list: &Arc<RouterList>,
-        start: &Start,
-        out: &mut Vec<PartyAction>,
+        context: &StartContext,
+        out: &mut Vec<ControlPlaneAction>,
     ) -> Result<Self, String> {
-        let overlay = Overlay::new(start.me.router.clone(), set.overlay.clone(), start.draw as u64);
+        let overlay =
+            Overlay::new(context.me.router.clone(), settings.overlay.clone(), context.random as u64);
         let mut sparse = Self {
             overlay: overlay.map_err(|e| e.to_string())?,
-            control: list.get(&start.me.router).is_some_and(|l| l.control),
-            set: set.clone(),
-            purges: decode_purges(start.disk.read(PURGES_SPACE)).ok_or("a purge that can't be read")?,
+            control: list.get(&context.me.router).is_some_and(|l| l.control),
+            settings: settings.clone(),
+            purges: decode_purges(context.disk.read(PURGES_SPACE))
+                .ok_or("the disk holds a malformed purge")?,
             dials: BTreeMap::new(),
             writes: Vec::new(),
-            stores: 0,
-            founded: false,
-            acts: Vec::new(),
+            commits: 0,
+            caught_up: false,
+            actions: Vec::new(),
         };
-        sparse.decide(start.now, Event::RouterListChanged(list.clone()), out);
+        sparse.handle_overlay_event(context.now, Event::RouterListChanged(list.clone()), out);
         Ok(sparse)
     }
 
-    /// The overlay, to look at.
+    /// The overlay inside, to inspect.
     pub fn overlay(&self) -> &Overlay {
         &self.overlay
     }
 
-    fn decide(&mut self, now: Ms, event: Event, out: &mut Vec<PartyAction>) {
-        self.overlay.handle(now, event, &mut self.acts);
-        for act in std::mem::take(&mut self.acts) {
-            match act {
+    /// Hands an event to the overlay and carries out its actions.
+    fn handle_overlay_event(&mut self, now: Ms, event: Event, out: &mut Vec<ControlPlaneAction>) {
+        self.overlay.handle(now, event, &mut self.actions);
+        for action in std::mem::take(&mut self.actions) {
+            match action {
                 Action::Dial(router) => {
                     self.dials.insert(router.clone(), Some(now));
-                    out.push(PartyAction::Dial(router));
+                    out.push(ControlPlaneAction::Dial(router));
                 }
                 Action::Close(member) => {
                     self.dials.remove(&member.router);
-                    out.push(PartyAction::Close(member.router));
+                    out.push(ControlPlaneAction::Close(member.router));
                 }
                 Action::Send(to, _, body) => {
-                    out.push(PartyAction::Send { no: 0, to, lane: Lane::Table, body })
+                    out.push(ControlPlaneAction::Send { number: 0, to, lane: Lane::Table, body })
                 }
                 Action::Deliver(Kind::Purge, bytes, _) => {
-                    let purge = postcard::from_bytes(&bytes).ok().map(|p| self.narrow(p));
-                    if let Some(purge) = purge.filter(|p| self.keep(now, *p)) {
-                        out.push(PartyAction::Told(Word::Purge(purge)));
+                    let purge = postcard::from_bytes(&bytes).ok().map(|p| self.from_wire_size(p));
+                    if let Some(purge) = purge.filter(|p| self.remember(now, *p)) {
+                        out.push(ControlPlaneAction::Notify(Notification::Purge(purge)));
                     }
                 }
                 Action::Deliver(Kind::Table | Kind::Evidence | Kind::Background, ..) => {}
-                Action::GapDetected { .. } => out.push(PartyAction::Told(Word::PurgesKnown(false))),
+                Action::GapDetected { .. } => {
+                    out.push(ControlPlaneAction::Notify(Notification::PurgesKnown(false)))
+                }
                 Action::Log(_) => {}
             }
         }
     }
 
-    /// True if it was not known. What has settled is told and not kept.
-    fn keep(&mut self, now: Ms, purge: Purge) -> bool {
-        if purge.time as f64 + self.set.settles <= now {
+    /// Returns whether a purge is new. A converged purge is not stored.
+    fn remember(&mut self, now: Ms, purge: Purge) -> bool {
+        if purge.time as f64 + self.settings.convergence_ms <= now {
             return !self.purges.contains((purge.group, purge.object));
         }
         let new = self.purges.observe(purge);
@@ -159,98 +166,112 @@
         new
     }
 
-    /// A purge as it goes over the wire, and back.
-    fn wide(&self, purge: Purge) -> Purge {
-        if !self.set.wide {
+    /// The purge as it is sent, with numbers of realistic size.
+    fn to_wire_size(&self, purge: Purge) -> Purge {
+        if !self.settings.full_size_purges {
             return purge;
         }
-        Purge { group: purge.group ^ WIDE, object: purge.object.map(|o| o ^ !WIDE), time: purge.time + EPOCH }
+        Purge {
+            group: purge.group ^ WIDE_NUMBER_MASK,
+            object: purge.object.map(|o| o ^ !WIDE_NUMBER_MASK),
+            time: purge.time + EPOCH_MS,
+        }
     }
 
-    fn narrow(&self, purge: Purge) -> Purge {
-        if !self.set.wide {
+    /// The reverse of [`Self::to_wire_size`].
+    fn from_wire_size(&self, purge: Purge) -> Purge {
+        if !self.settings.full_size_purges {
             return purge;
         }
-        let time = purge.time.saturating_sub(EPOCH);
-        Purge { group: purge.group ^ WIDE, object: purge.object.map(|o| o ^ !WIDE), time }
+        let time = purge.time.saturating_sub(EPOCH_MS);
+        Purge {
+            group: purge.group ^ WIDE_NUMBER_MASK,
+            object: purge.object.map(|o| o ^ !WIDE_NUMBER_MASK),
+            time,
+        }
     }
 
-    fn heard(&mut self, now: Ms, purge: Purge, out: &mut Vec<PartyAction>) {
-        if !self.keep(now, purge) {
+    /// Handles a purge from the change log.
+    fn change_log_purge(&mut self, now: Ms, purge: Purge, out: &mut Vec<ControlPlaneAction>) {
+        if !self.remember(now, purge) {
             return;
         }
-        if let Ok(bytes) = postcard::to_stdvec(&self.wide(purge)) {
-            let event = match self.set.alone {
+        if let Ok(bytes) = postcard::to_stdvec(&self.to_wire_size(purge)) {
+            let event = match self.settings.publish_immediately {
                 true => Event::Publish(Kind::Purge, bytes),
                 false => Event::AlreadyKnown(Kind::Purge, bytes),
             };
-            self.decide(now, event, out);
+            self.handle_overlay_event(now, event, out);
         }
     }
 
-    /// Dials that brought nothing are given up.
-    fn give_up(&mut self, now: Ms, out: &mut Vec<PartyAction>) {
-        let late = |(_, at): &(&RouterId, &Option<Ms>)| at.is_some_and(|at| now - at >= DIAL_MS);
-        let late: Vec<RouterId> = self.dials.iter().filter(late).map(|(r, _)| r.clone()).collect();
-        for router in late {
+    /// Gives up dials that have timed out.
+    fn give_up_dials(&mut self, now: Ms, out: &mut Vec<ControlPlaneAction>) {
+        let timed_out = |(_, at): &(&RouterId, &Option<Ms>)| at.is_some_and(|at| now - at >= DIAL_TIMEOUT_MS);
+        let timed_out: Vec<RouterId> = self.dials.iter().filter(timed_out).map(|(r, _)| r.clone()).collect();
+        for router in timed_out {
             self.dials.remove(&router);
-            out.push(PartyAction::Close(router.clone()));
-            self.decide(now, Event::DialFailed(router), out);
+            out.push(ControlPlaneAction::Close(router.clone()));
+            self.handle_overlay_event(now, Event::DialFailed(router), out);
         }
     }
 
-    /// What is due: the overlay's batch, and with it one commit.
-    fn tick(&mut self, now: Ms, out: &mut Vec<PartyAction>) {
-        self.give_up(now, out);
-        self.decide(now, Event::TimersDue, out);
-        for gone in self.purges.take_converged(now, self.set.settles) {
-            self.writes.extend(key(&gone).map(|key| Write::Remove(PURGES_SPACE, key)));
+    /// Runs the timers of the overlay, and commits the pending writes.
+    fn run_timers(&mut self, now: Ms, out: &mut Vec<ControlPlaneAction>) {
+        self.give_up_dials(now, out);
+        self.handle_overlay_event(now, Event::TimersDue, out);
+        for converged in self.purges.take_converged(now, self.settings.convergence_ms) {
+            self.writes.extend(key(&converged).map(|key| Write::Remove(PURGES_SPACE, key)));
         }
         if !self.writes.is_empty() {
-            self.stores += 1;
-            out.push(PartyAction::Store(self.stores, std::mem::take(&mut self.writes)));
+            self.commits += 1;
+            out.push(ControlPlaneAction::Commit(self.commits, std::mem::take(&mut self.writes)));
         }
-        if !self.founded && self.overlay.behind(now).age.is_some() {
-            self.founded = true;
-            out.push(PartyAction::Told(Word::Table(TableVersion(1), TableHash([0; 32]))));
+        if !self.caught_up && self.overlay.behind(now).age.is_some() {
+            self.caught_up = true;
+            out.push(ControlPlaneAction::Notify(Notification::Table(TableVersion(1), TableHash([0; 32]))));
         }
     }
 }
 
-/// The key under which a purge is kept.
+/// The storage key of a purge.
 fn key(purge: &Purge) -> Option<Vec<u8>> {
     postcard::to_stdvec(&(purge.group, purge.object)).ok()
 }
 
-impl Party for Sparse {
-    fn handle(&mut self, now: Ms, event: PartyEvent, out: &mut Vec<PartyAction>) {
+impl ControlPlane for Sparse {
+    fn handle(&mut self, now: Ms, event: ControlPlaneEvent, out: &mut Vec<ControlPlaneAction>) {
         match event {
-            PartyEvent::Up(hello) => {
+            ControlPlaneEvent::LinkUp(hello) => {
                 let dial = self.dials.get_mut(&hello.member.router);
                 let side = if dial.is_some() { Side::Local } else { Side::Remote };
                 dial.into_iter().for_each(|at| *at = None);
-                self.decide(now, Event::LinkUp(hello.member, side), out);
+                self.handle_overlay_event(now, Event::LinkUp(hello.member, side), out);
             }
-            PartyEvent::Down(member, _) => {
-                // The overlay says when it is to be dialled again, and whom instead.
+            ControlPlaneEvent::LinkDown(member, _) => {
+                // The overlay decides whether and when to dial this router again, or another one.
                 if self.dials.remove(&member.router).is_some() {
-                    out.push(PartyAction::Close(member.router.clone()));
+                    out.push(ControlPlaneAction::Close(member.router.clone()));
                 }
-                self.decide(now, Event::LinkDown(member), out);
+                self.handle_overlay_event(now, Event::LinkDown(member), out);
+            }
+            ControlPlaneEvent::MessageReceived { from, body, .. } => {
+                self.handle_overlay_event(now, Event::FrameReceived(from, body), out)
             }
-            PartyEvent::Got { from, body, .. } => self.decide(now, Event::FrameReceived(from, body), out),
-            PartyEvent::Heard(purge) => self.heard(now, purge, out),
-            PartyEvent::Due => self.tick(now, out),
-            // Digests find what was not written whole; a commit that was refused loses what would be fetched again.
-            PartyEvent::Unsent(_) | PartyEvent::Settle | PartyEvent::Stored(..) => {}
+            ControlPlaneEvent::ChangeLogPurge(purge) => self.change_log_purge(now, purge, out),
+            ControlPlaneEvent::TimersDue => self.run_timers(now, out),
+            // Digests reveal updates that were not sent completely; what a refused commit loses would be fetched again.
+            ControlPlaneEvent::SendFailed(_)
+            | ControlPlaneEvent::Flush
+            | ControlPlaneEvent::CommitFinished(..) => {}
         }
     }
 
-    fn due(&self) -> Ms {
+    fn next_timer(&self) -> Ms {
         self.overlay.next_timer()
     }
 
-    fn counts(&self) -> Vec<(&'static str, u64)> {
+    fn counters(&self) -> Vec<(&'static str, u64)> {
         let (c, s) = (self.overlay.counters(), self.overlay.state_sizes());
         vec![
             ("said", c.published),
@@ -267,7 +288,7 @@
             ("same", c.duplicate_contents),
             ("again", c.duplicate_numbers),
             ("got", c.received),
-            // From another region into this one; control machines have words from each other besides.
+            // Received from another region; counted apart for control machines, which also exchange updates with each other.
             ("crossed", if self.control { 0 } else { c.received_from_other_regions }),
             ("crossed_control", if self.control { c.received_from_other_regions } else { 0 }),
             ("sent", c.sent),
