--- a/crates/fleet_simulation/src/world/decide.rs
+++ b/crates/fleet_simulation/src/world/decide.rs
@@ -1,90 +1,106 @@
-//! A party decides: it is measured, and what it wants is done.
+//! Hands events to control planes, measures the work, and carries out the resulting actions.
 
 use super::World;
-use crate::party::{PartyAction, PartyEvent, Word};
-use crate::{ms, No};
+use crate::control_plane::{ControlPlaneAction, ControlPlaneEvent, Notification};
+use crate::{ms, RouterIndex};
 use basaltgw_control::Purge;
 use basaltgw_storage::Write;
 
 impl World<'_> {
-    /// Lets a party decide, measures it, and does what it wants.
-    pub(super) fn handle(&mut self, no: No, event: PartyEvent) {
+    /// Hands an event to a control plane, measures the work, and carries out the resulting actions.
+    pub(super) fn handle(&mut self, router: RouterIndex, event: ControlPlaneEvent) {
         let now = self.queue.now();
-        let Some(party) = &mut self.hosts[no].party else { return };
-        if let PartyEvent::Heard(Purge { object: Some(word), .. }) = &event {
-            // Not before: a word of another router may have come first, and is news then.
-            self.checker.heard(now, no, *word as usize);
+        let Some(control_plane) = &mut self.hosts[router].control_plane else { return };
+        if let ControlPlaneEvent::ChangeLogPurge(Purge { object: Some(purge), .. }) = &event {
+            // Recorded when processed, not when queued: a copy from another router may be processed first, and is then rightly new.
+            self.checker.read_from_log(now, router, *purge as usize);
         }
-        let (brought, room) = (brought(&event), self.out.capacity());
+        let (event_bytes, capacity) = (event_bytes(&event), self.out.capacity());
         let (mut event, out) = (Some(event), &mut self.out);
-        let mut work = || event.take().into_iter().for_each(|event| party.handle(ms(now), event, out));
+        let mut work =
+            || event.take().into_iter().for_each(|event| control_plane.handle(ms(now), event, out));
         let (time, bytes) = self.meter.work(&mut work);
-        let grown = bytes + brought - self.taken(room);
-        self.counted(no, time, grown);
-        self.act(no);
+        let growth = bytes + event_bytes - self.action_bytes(capacity);
+        self.count_work(router, time, growth);
+        self.apply_actions(router);
     }
 
-    /// Bytes of what goes out, which are not the party's any more.
-    pub(super) fn taken(&self, room: usize) -> i64 {
-        let mut bytes = (self.out.capacity() - room) * size_of::<PartyAction>();
-        for act in &self.out {
-            bytes += match act {
-                PartyAction::Send { body, .. } => body.capacity(),
-                PartyAction::Store(_, writes) => {
-                    let of = |w: &Write| match w {
+    /// Bytes of the pending actions, which no longer belong to the state of the control plane.
+    pub(super) fn action_bytes(&self, old_capacity: usize) -> i64 {
+        let mut bytes = (self.out.capacity() - old_capacity) * size_of::<ControlPlaneAction>();
+        for action in &self.out {
+            bytes += match action {
+                ControlPlaneAction::Send { body, .. } => body.capacity(),
+                ControlPlaneAction::Commit(_, writes) => {
+                    let write_bytes = |w: &Write| match w {
                         Write::Put(_, key, value) => key.capacity() + value.capacity(),
                         Write::Remove(_, key) => key.capacity(),
                     };
-                    writes.capacity() * size_of::<Write>() + writes.iter().map(of).sum::<usize>()
+                    writes.capacity() * size_of::<Write>() + writes.iter().map(write_bytes).sum::<usize>()
                 }
-                PartyAction::Dial(_) | PartyAction::Close(_) | PartyAction::Table(..) => 0,
-                PartyAction::Told(_) => 0,
+                ControlPlaneAction::Dial(_)
+                | ControlPlaneAction::Close(_)
+                | ControlPlaneAction::AdvertiseTable(..) => 0,
+                ControlPlaneAction::Notify(_) => 0,
             };
         }
         bytes as i64
     }
 
-    pub(super) fn counted(&mut self, no: No, time: u64, grown: i64) {
-        let second = self.links.counts.at(no, self.queue.now());
-        second.cpu += time;
+    /// Counts one event with its processor time, ns, and the growth of the state, bytes.
+    pub(super) fn count_work(&mut self, router: RouterIndex, cpu_ns: u64, growth: i64) {
+        let second = self.links.counts.at(router, self.queue.now());
+        second.cpu_ns += cpu_ns;
         second.events += 1;
-        self.links.counts.grown(no, grown);
+        self.links.counts.state_grew(router, growth);
     }
 
-    pub(super) fn act(&mut self, no: No) {
+    /// Carries out the pending actions of a router.
+    pub(super) fn apply_actions(&mut self, router: RouterIndex) {
         let now = self.queue.now();
-        for act in std::mem::take(&mut self.out) {
-            match act {
-                PartyAction::Dial(to) => {
-                    let to = self.fleet.no(&to);
-                    to.into_iter().for_each(|to| self.links.dial(&mut self.queue, self.fleet, no, to));
+        for action in std::mem::take(&mut self.out) {
+            match action {
+                ControlPlaneAction::Dial(to) => {
+                    let to = self.fleet.index_of(&to);
+                    to.into_iter().for_each(|to| self.links.dial(&mut self.queue, self.fleet, router, to));
                 }
-                PartyAction::Close(to) => {
-                    let to = self.fleet.no(&to);
-                    to.into_iter().for_each(|to| self.links.close(&mut self.queue, self.fleet, no, to));
+                ControlPlaneAction::Close(to) => {
+                    let to = self.fleet.index_of(&to);
+                    to.into_iter().for_each(|to| self.links.close(&mut self.queue, self.fleet, router, to));
                 }
-                PartyAction::Send { no: number, to, lane, body } => match self.fleet.no(&to.router) {
-                    Some(at) => self.links.send(&mut self.queue, no, (at, &to), (number, lane, body)),
-                    None => self.links.told.push((no, PartyEvent::Unsent(number))),
-                },
-                PartyAction::Table(version, hash) => self.links.table(&mut self.queue, no, version, hash),
-                PartyAction::Store(number, writes) => self.hosts[no].stores.push_back((number, writes)),
-                PartyAction::Told(word) => {
-                    if let Word::Table(..) = word {
-                        self.hosts[no].table.get_or_insert(now);
+                ControlPlaneAction::Send { number, to, lane, body } => {
+                    match self.fleet.index_of(&to.router) {
+                        Some(index) => {
+                            self.links.send(&mut self.queue, router, (index, &to), (number, lane, body))
+                        }
+                        None => self.links.events.push((router, ControlPlaneEvent::SendFailed(number))),
                     }
-                    self.checker.told(now, no, &word);
+                }
+                ControlPlaneAction::AdvertiseTable(version, hash) => {
+                    self.links.advertise_table(&mut self.queue, router, version, hash)
+                }
+                ControlPlaneAction::Commit(number, writes) => {
+                    self.hosts[router].pending_commits.push_back((number, writes))
+                }
+                ControlPlaneAction::Notify(notification) => {
+                    if let Notification::Table(..) = notification {
+                        self.hosts[router].first_table_at.get_or_insert(now);
+                    }
+                    self.checker.notified(now, router, &notification);
                 }
             }
         }
     }
 }
 
-/// Bytes that an event brings, which are the party's from now on.
-fn brought(event: &PartyEvent) -> i64 {
+/// Bytes of an event, which belong to the state of the control plane from now on.
+fn event_bytes(event: &ControlPlaneEvent) -> i64 {
     match event {
-        PartyEvent::Got { body, .. } => body.capacity() as i64,
-        PartyEvent::Up(_) | PartyEvent::Down(..) | PartyEvent::Unsent(_) | PartyEvent::Heard(_) => 0,
-        PartyEvent::Due | PartyEvent::Settle | PartyEvent::Stored(..) => 0,
+        ControlPlaneEvent::MessageReceived { body, .. } => body.capacity() as i64,
+        ControlPlaneEvent::LinkUp(_)
+        | ControlPlaneEvent::LinkDown(..)
+        | ControlPlaneEvent::SendFailed(_)
+        | ControlPlaneEvent::ChangeLogPurge(_) => 0,
+        ControlPlaneEvent::TimersDue | ControlPlaneEvent::Flush | ControlPlaneEvent::CommitFinished(..) => 0,
     }
 }
--- a/crates/fleet_simulation/src/world/happen.rs
+++ b/crates/fleet_simulation/src/world/happen.rs
@@ -1,124 +1,136 @@
-//! What happens to a fleet from outside: purges, their log, troubles.
+//! External events of a simulation: purges, the change log and faults.
 
-use super::{Log, World, GROUPS};
-use crate::party::PartyEvent;
-use crate::queue::What;
-use crate::trouble::{Trouble, What as Wrong};
-use crate::{micros, ms, Micros, No};
+use super::{ChangeLogReach, World, GROUPS};
+use crate::control_plane::ControlPlaneEvent;
+use crate::fault::{Fault, FaultKind};
+use crate::queue::SimulationEvent;
+use crate::{micros, ms, Micros, RouterIndex};
 use basaltgw_control::Purge;
 use basaltgw_simulator::Rng;
 use rand::RngExt;
 
 impl World<'_> {
-    pub(super) fn purge(&mut self, word: usize) {
+    /// Makes a purge, and schedules when the change log delivers it to which routers.
+    pub(super) fn make_purge(&mut self, number: usize) {
         let now = self.queue.now();
-        let (rate, (_, to)) = self.set.purges;
+        let (rate, (_, until)) = self.settings.purges;
         let next = now + (1_000_000.0 / rate) as Micros;
-        if next < micros(to) {
-            self.queue.put(next, What::Purge(word + 1));
+        if next < micros(until) {
+            self.queue.put(next, SimulationEvent::PurgeMade(number + 1));
         }
-        let (group, time) = (word as u64 % GROUPS, ms(now) as u64);
-        self.purges.push(Purge { group, object: Some(word as u64), time });
-        self.checker.made(now);
-        let (log, (least, most)) = self.set.log;
-        let later = |rng: &mut Rng| now + micros(least + (most - least) * rng.random::<f64>());
-        let many = self.hosts.len();
-        match log {
-            Log::Everyone(misses) => {
-                for no in 0..many {
-                    let at = later(&mut self.rng);
-                    if self.rng.random::<f64>() >= misses {
-                        self.queue.put(at, What::Log(no, word));
+        let (group, time) = (number as u64 % GROUPS, ms(now) as u64);
+        self.purges.push(Purge { group, object: Some(number as u64), time });
+        self.checker.purge_made(now);
+        let (min, max) = self.settings.change_log_delay_ms;
+        let arrival = |rng: &mut Rng| now + micros(min + (max - min) * rng.random::<f64>());
+        let read = |router| SimulationEvent::ChangeLogRead { router, purge: number };
+        let routers = self.hosts.len();
+        match self.settings.change_log {
+            ChangeLogReach::Everyone { missed_share } => {
+                for router in 0..routers {
+                    let at = arrival(&mut self.rng);
+                    if self.rng.random::<f64>() >= missed_share {
+                        self.queue.put(at, read(router));
                     }
                 }
             }
-            Log::Uneven { misses, late, most } => {
-                for no in 0..many {
-                    let (at, part) = (later(&mut self.rng), self.rng.random::<f64>());
-                    let after =
-                        if part < misses + late { micros(most * self.rng.random::<f64>()) } else { 0 };
-                    if part >= misses {
-                        self.queue.put(at + after, What::Log(no, word));
+            ChangeLogReach::Uneven { missed_share, late_share, max_delay_ms } => {
+                for router in 0..routers {
+                    let (at, share) = (arrival(&mut self.rng), self.rng.random::<f64>());
+                    let late = share < missed_share + late_share;
+                    let delay = if late { micros(max_delay_ms * self.rng.random::<f64>()) } else { 0 };
+                    if share >= missed_share {
+                        self.queue.put(at + delay, read(router));
                     }
                 }
             }
-            Log::Only(no) => {
-                let at = later(&mut self.rng);
-                self.queue.put(at, What::Log(no.min(many - 1), word));
+            ChangeLogReach::Always(router) => {
+                let at = arrival(&mut self.rng);
+                self.queue.put(at, read(router.min(routers - 1)));
             }
-            Log::Looks(every) => {
-                let every = micros(every).max(1);
-                for (no, part) in self.feeds.iter().enumerate() {
-                    let phase = (part * every as f64) as Micros;
-                    let look = (now + every - phase).div_ceil(every) * every + phase - every;
-                    self.queue.put(look.max(now) + micros(least), What::Log(no, word));
+            ChangeLogReach::Polling { interval_ms } => {
+                let interval = micros(interval_ms).max(1);
+                for (router, offset) in self.poll_offsets.iter().enumerate() {
+                    let phase = (offset * interval as f64) as Micros;
+                    let poll = (now + interval - phase).div_ceil(interval) * interval + phase - interval;
+                    self.queue.put(poll.max(now) + micros(min), read(router));
                 }
             }
-            Log::Controls => {
-                for no in self.controls().collect::<Vec<_>>() {
-                    let at = later(&mut self.rng);
-                    self.queue.put(at, What::Log(no, word));
+            ChangeLogReach::ControlMachines => {
+                for router in self.control_machines().collect::<Vec<_>>() {
+                    let at = arrival(&mut self.rng);
+                    self.queue.put(at, read(router));
                 }
             }
-            Log::One => {
-                let fits = |no: &No| self.hosts[*no].party.is_some() && !self.links.is_cut(*no);
-                let from = self.rng.random_range(0..many);
-                let one = (from..many).chain(0..from).find(fits).unwrap_or(from);
-                let at = later(&mut self.rng);
-                self.queue.put(at, What::Log(one, word));
+            ChangeLogReach::OneRouter => {
+                let reachable = |router: &RouterIndex| {
+                    self.hosts[*router].control_plane.is_some() && !self.links.is_cut(*router)
+                };
+                let first = self.rng.random_range(0..routers);
+                let router = (first..routers).chain(0..first).find(reachable).unwrap_or(first);
+                let at = arrival(&mut self.rng);
+                self.queue.put(at, read(router));
             }
         }
     }
 
-    pub(super) fn log(&mut self, no: No, word: usize) {
-        let host = &mut self.hosts[no];
-        if host.party.is_none() || host.deaf > 0 {
+    /// The change log delivers a purge to a router.
+    pub(super) fn read_change_log(&mut self, router: RouterIndex, number: usize) {
+        let host = &mut self.hosts[router];
+        if host.control_plane.is_none() || host.change_log_outages > 0 {
             return;
         }
-        let Some(purge) = self.purges.get(word).copied() else { return };
-        host.inbox.push_back(PartyEvent::Heard(purge));
-        self.wake(no);
+        let Some(purge) = self.purges.get(number).copied() else { return };
+        host.inbox.push_back(ControlPlaneEvent::ChangeLogPurge(purge));
+        self.wake(router);
     }
 
-    pub(super) fn trouble(&mut self, no: usize) {
+    /// Begins or ends a fault.
+    pub(super) fn fault(&mut self, number: usize) {
         let now = self.queue.now();
-        let Some((Trouble { at, what }, cut)) = self.troubles.get(no).cloned() else { return };
+        let Some((Fault { at, kind }, cut)) = self.faults.get(number).cloned() else { return };
         let begins = now == at;
-        let mut again = |lasts: Micros| self.queue.put(now + lasts.max(1), What::Trouble(no));
-        match what {
-            Wrong::Restart(router, lasts) | Wrong::Replace(router, lasts) | Wrong::Vanish(router, lasts)
+        let mut schedule_end =
+            |duration: Micros| self.queue.put(now + duration.max(1), SimulationEvent::Fault(number));
+        match kind {
+            FaultKind::Restart { router, duration }
+            | FaultKind::Replace { router, duration }
+            | FaultKind::Vanish { router, duration }
                 if begins =>
             {
-                again(lasts);
-                let (gone, wiped) = (!matches!(what, Wrong::Restart(..)), matches!(what, Wrong::Replace(..)));
-                self.stop(router, gone, wiped);
+                schedule_end(duration);
+                let machine_lost = !matches!(kind, FaultKind::Restart { .. });
+                let disk_lost = matches!(kind, FaultKind::Replace { .. });
+                self.stop(router, machine_lost, disk_lost);
             }
-            Wrong::Restart(router, _) | Wrong::Replace(router, _) | Wrong::Vanish(router, _) => {
-                self.links.back(&mut self.queue, self.fleet, router);
-                if self.hosts[router].party.is_none() {
-                    self.hosts[router].next = now;
-                    self.queue.put(now, What::Turn(router));
+            FaultKind::Restart { router, .. }
+            | FaultKind::Replace { router, .. }
+            | FaultKind::Vanish { router, .. } => {
+                self.links.machine_returned(&mut self.queue, self.fleet, router);
+                if self.hosts[router].control_plane.is_none() {
+                    self.hosts[router].next_turn = now;
+                    self.queue.put(now, SimulationEvent::Turn(router));
                 }
             }
-            Wrong::Cut(who, ways, lasts) if begins => {
-                again(lasts);
-                self.troubles[no].1 = self.links.cut(&mut self.queue, &who, ways);
-                who.into_iter().for_each(|router| self.checker.unclear(router));
+            FaultKind::Cut { routers, direction, duration } if begins => {
+                schedule_end(duration);
+                self.faults[number].1 = self.links.cut(&mut self.queue, &routers, direction);
+                routers.into_iter().for_each(|router| self.checker.unreachable(router));
             }
-            Wrong::Cut(who, ..) => {
+            FaultKind::Cut { routers, .. } => {
                 cut.into_iter().for_each(|cut| self.links.heal(&mut self.queue, cut));
-                for router in who {
-                    if self.hosts[router].party.is_some() && !self.links.is_cut(router) {
-                        self.checker.clear(now, router);
+                for router in routers {
+                    if self.hosts[router].control_plane.is_some() && !self.links.is_cut(router) {
+                        self.checker.reachable(now, router);
                     }
                 }
             }
-            Wrong::Deaf(who, lasts) if begins => {
-                again(lasts);
-                who.into_iter().for_each(|router| self.hosts[router].deaf += 1);
+            FaultKind::ChangeLogOutage { routers, duration } if begins => {
+                schedule_end(duration);
+                routers.into_iter().for_each(|router| self.hosts[router].change_log_outages += 1);
             }
-            Wrong::Deaf(who, _) => {
-                who.into_iter().for_each(|router| self.hosts[router].deaf -= 1);
+            FaultKind::ChangeLogOutage { routers, .. } => {
+                routers.into_iter().for_each(|router| self.hosts[router].change_log_outages -= 1);
             }
         }
     }
--- a/crates/fleet_simulation/src/world/mod.rs
+++ b/crates/fleet_simulation/src/world/mod.rs
@@ -1,18 +1,18 @@
-//! Time, processes, disks, troubles and the change log round the parties of a fleet.
+//! Time, processes, disks, faults and the change log around the control planes of a fleet.
 
 mod decide;
 mod happen;
 mod process;
 
-use crate::check::Checker;
+use crate::checker::Checker;
+use crate::control_plane::{ControlPlane, ControlPlaneAction, ControlPlaneEvent, StartControlPlane};
 use crate::count::Meter;
 use crate::disk::Disk;
+use crate::fault::Fault;
 use crate::fleet::Fleet;
-use crate::links::{Links, Net};
-use crate::party::{Found, Party, PartyAction, PartyEvent};
-use crate::queue::{Queue, What};
-use crate::trouble::Trouble;
-use crate::{micros, Micros, No};
+use crate::links::{Links, Network};
+use crate::queue::{Queue, SimulationEvent};
+use crate::{micros, Micros, RouterIndex};
 use basaltgw_control::Purge;
 use basaltgw_simulator::{draw, rng, Rng};
 use basaltgw_storage::Write;
@@ -21,215 +21,224 @@
 use rand::RngExt;
 use std::collections::VecDeque;
 
-/// Events that a process takes in one turn, as the copies' thread takes them from its ring.
-const TURN: usize = 256;
-/// The user of the seed that draws when feeds look for news.
-const FEEDS: u64 = 5;
-/// The user of the seed that draws what processes, disks and the change log do.
-const WORLD: u64 = 4;
-/// The fleet's name.
+/// Events that a process takes from its queue in one turn, as the control thread does.
+const EVENTS_PER_TURN: usize = 256;
+/// Random stream of the poll offsets of change log readers.
+const POLL_STREAM: u64 = 5;
+/// Random stream of processes, disks and the change log.
+const WORLD_STREAM: u64 = 4;
+/// The name of the fleet.
 const CLUSTER: &str = "hollow";
-/// Groups among which purges are spread.
+/// Groups over which purges are spread.
 const GROUPS: u64 = 1_000;
 
-/// Who hears a purge from the change log.
+/// Which routers read a purge from the change log.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Log {
-    /// Every router, but each word misses this part of them.
-    Everyone(f64),
-    /// One router, another for each word.
-    One,
-    /// The same router for all words.
-    Only(No),
-    /// Every router, but each word misses a part of them, and a part hears it up to so many milliseconds late.
+pub enum ChangeLogReach {
+    /// Every router, except a random share for each purge.
+    Everyone {
+        /// Share of routers that never read the purge.
+        missed_share: f64,
+    },
+    /// One router, chosen anew for each purge.
+    OneRouter,
+    /// The same router for all purges.
+    Always(RouterIndex),
+    /// Every router, except that for each purge a random share never reads it and another share reads it late.
     Uneven {
-        /// Who never hears it.
-        misses: f64,
-        /// Who hears it late.
-        late: f64,
-        /// How late at the most, ms.
-        most: f64,
+        /// Share of routers that never read the purge.
+        missed_share: f64,
+        /// Share of routers that read the purge late.
+        late_share: f64,
+        /// The longest extra delay, ms.
+        max_delay_ms: f64,
     },
     /// The control machines.
-    Controls,
-    /// Every router, by a feed of its own that looks for news each so many milliseconds and tells them all at once. When it first looks is
-    /// drawn.
-    Looks(f64),
+    ControlMachines,
+    /// Every router polls the change log and reads all new purges at once. The time of its first poll is random.
+    Polling {
+        /// Time from poll to poll, ms.
+        interval_ms: f64,
+    },
 }
 
-/// How the world is.
+/// Settings of a simulation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorldSettings {
-    /// The lines.
-    pub net: Net,
+    /// Delay, loss and bandwidth of the network.
+    pub network: Network,
     /// Bounds of links.
     pub limits: Limits,
-    /// The least and the most milliseconds of a commit.
-    pub disk: (f64, f64),
-    /// Milliseconds from a thread to the next within a process.
-    pub hop: f64,
-    /// Processes begin within so many milliseconds.
-    pub begin: f64,
-    /// Who hears purges, and between how many milliseconds after they were made.
-    pub log: (Log, (f64, f64)),
-    /// Purges a second, and between which milliseconds.
+    /// Shortest and longest duration of a commit, ms.
+    pub commit_ms: (f64, f64),
+    /// Delay of an event between two threads of a process, ms.
+    pub thread_hop_ms: f64,
+    /// Processes start at random times up to this one, ms.
+    pub start_within_ms: f64,
+    /// Which routers read purges from the change log.
+    pub change_log: ChangeLogReach,
+    /// Shortest and longest time from a purge until the change log delivers it, ms.
+    pub change_log_delay_ms: (f64, f64),
+    /// Purges a second, with the first and the last time at which purges are made, ms.
     pub purges: (f64, (f64, f64)),
-    /// Purges are to be everywhere within so many milliseconds.
-    pub within: f64,
+    /// Time within which a purge has to reach all routers, ms.
+    pub convergence_ms: f64,
 }
 
 struct Host {
-    party: Option<Box<dyn Party>>,
-    lives: u32,
+    control_plane: Option<Box<dyn ControlPlane>>,
+    /// Number of process starts so far.
+    starts: u32,
     incarnation: Option<Incarnation>,
     disk: Disk,
-    inbox: VecDeque<PartyEvent>,
-    /// The turn that is to come.
-    next: Micros,
-    /// Commits that are not on the disk yet; it waits for the first.
-    stores: VecDeque<(u64, Vec<Write>)>,
-    waits: bool,
-    /// Hears nothing of the change log, so many times over.
-    deaf: usize,
-    /// Has a table since.
-    table: Option<Micros>,
+    inbox: VecDeque<ControlPlaneEvent>,
+    next_turn: Micros,
+    /// Commits that are not durable yet.
+    pending_commits: VecDeque<(u64, Vec<Write>)>,
+    /// Whether the process is blocked on its first pending commit.
+    committing: bool,
+    /// Number of change log outages that affect this router now.
+    change_log_outages: usize,
+    first_table_at: Option<Micros>,
 }
 
-/// See the module.
+/// The simulation: time, processes, disks, faults and the change log around the control planes of a fleet.
 pub struct World<'a> {
     fleet: &'a Fleet,
-    set: &'a WorldSettings,
-    found: &'a Found<'a>,
+    settings: &'a WorldSettings,
+    start_control_plane: &'a StartControlPlane<'a>,
     meter: Meter,
     queue: Queue,
-    /// The links, with what was counted.
+    /// The links of all routers, with their counters.
     pub links: Links,
-    /// What must hold.
+    /// Checks the delivery of purges and configuration changes.
     pub checker: Checker,
     hosts: Vec<Host>,
-    troubles: Vec<(Trouble, Option<usize>)>,
+    /// The faults, each with the number of its partition while one is active.
+    faults: Vec<(Fault, Option<usize>)>,
     purges: Vec<Purge>,
-    /// By router: when its feed looks for news, as a part of the time from look to look.
-    feeds: Vec<f64>,
+    /// For each router, the offset of its change log polls as a share of the interval.
+    poll_offsets: Vec<f64>,
     rng: Rng,
-    out: Vec<PartyAction>,
+    out: Vec<ControlPlaneAction>,
 }
 
 impl<'a> World<'a> {
-    /// Before its first event.
+    /// Creates the simulation before its first event.
     pub fn new(
         fleet: &'a Fleet,
-        set: &'a WorldSettings,
-        found: &'a Found<'a>,
-        troubles: Vec<Trouble>,
+        settings: &'a WorldSettings,
+        start_control_plane: &'a StartControlPlane<'a>,
+        faults: Vec<Fault>,
         meter: Meter,
         seed: u64,
     ) -> Self {
-        let many = fleet.seats.len();
-        let mut of_feeds = rng(seed, FEEDS);
-        let mut rng = rng(seed, WORLD);
+        let routers = fleet.routers.len();
+        let mut poll_rng = rng(seed, POLL_STREAM);
+        let mut rng = rng(seed, WORLD_STREAM);
         let mut queue = Queue::default();
-        for (no, trouble) in troubles.iter().enumerate() {
-            queue.put(trouble.at, What::Trouble(no));
+        for (number, fault) in faults.iter().enumerate() {
+            queue.put(fault.at, SimulationEvent::Fault(number));
         }
-        let mut hosts = Vec::with_capacity(many);
-        for no in 0..many {
-            let begins = micros(set.begin * rng.random::<f64>());
-            queue.put(begins, What::Turn(no));
+        let mut hosts = Vec::with_capacity(routers);
+        for router in 0..routers {
+            let start = micros(settings.start_within_ms * rng.random::<f64>());
+            queue.put(start, SimulationEvent::Turn(router));
             hosts.push(Host {
-                party: None,
-                lives: 0,
+                control_plane: None,
+                starts: 0,
                 incarnation: None,
                 disk: Disk::default(),
                 inbox: VecDeque::new(),
-                next: begins,
-                stores: VecDeque::new(),
-                waits: false,
-                deaf: 0,
-                table: None,
+                next_turn: start,
+                pending_commits: VecDeque::new(),
+                committing: false,
+                change_log_outages: 0,
+                first_table_at: None,
             });
         }
-        if set.purges.0 > 0.0 {
-            queue.put(micros(set.purges.1 .0), What::Purge(0));
+        if settings.purges.0 > 0.0 {
+            queue.put(micros(settings.purges.1 .0), SimulationEvent::PurgeMade(0));
         }
         Self {
             fleet,
-            set,
-            found,
+            settings,
+            start_control_plane,
             meter,
             queue,
-            links: Links::new(fleet, set.limits, set.net.clone(), seed),
-            checker: Checker::new(many, micros(set.within)),
+            links: Links::new(fleet, settings.limits, settings.network.clone(), seed),
+            checker: Checker::new(routers, micros(settings.convergence_ms)),
             hosts,
-            troubles: troubles.into_iter().map(|t| (t, None)).collect(),
+            faults: faults.into_iter().map(|fault| (fault, None)).collect(),
             purges: Vec::new(),
-            feeds: (0..many).map(|_| draw(&mut of_feeds)).collect(),
+            poll_offsets: (0..routers).map(|_| draw(&mut poll_rng)).collect(),
             rng,
             out: Vec::new(),
         }
     }
 
-    /// Goes on until then.
+    /// Runs the simulation until `end`.
     ///
     /// # Errors
-    /// If a party can't be started.
+    /// If a control plane can't be started.
     pub fn run(&mut self, end: Micros) -> Result<(), String> {
-        while let Some(what) = self.queue.next(end) {
-            match what {
-                What::Line(line) => self.links.handle(&mut self.queue, self.fleet, line),
-                What::Turn(no) => self.turn(no)?,
-                What::Disk(no, life) => self.stored(no, life),
-                What::Log(no, word) => self.log(no, word),
-                What::Purge(word) => self.purge(word),
-                What::Trouble(no) => self.trouble(no),
+        while let Some(event) = self.queue.next(end) {
+            match event {
+                SimulationEvent::Link(event) => self.links.handle(&mut self.queue, self.fleet, event),
+                SimulationEvent::Turn(router) => self.turn(router)?,
+                SimulationEvent::CommitFinished { router, start } => self.commit_finished(router, start),
+                SimulationEvent::ChangeLogRead { router, purge } => self.read_change_log(router, purge),
+                SimulationEvent::PurgeMade(number) => self.make_purge(number),
+                SimulationEvent::Fault(number) => self.fault(number),
             }
-            self.pass_on();
+            self.deliver_link_events();
         }
-        self.links.settle(end);
+        self.links.count_keepalives_until(end);
         Ok(())
     }
 
-    /// Events that were put in so far.
+    /// Number of events scheduled so far.
     pub fn events(&self) -> u64 {
-        self.queue.ever()
+        self.queue.scheduled()
     }
 
-    /// When each router first had a table.
-    pub fn tables(&self) -> impl Iterator<Item = Option<Micros>> + '_ {
-        self.hosts.iter().map(|h| h.table)
+    /// For each router, when it first had a placement table.
+    pub fn first_tables(&self) -> impl Iterator<Item = Option<Micros>> + '_ {
+        self.hosts.iter().map(|h| h.first_table_at)
     }
 
-    /// What the parties that run count.
-    pub fn party_counts(&self) -> impl Iterator<Item = Vec<(&'static str, u64)>> + '_ {
-        self.hosts.iter().filter_map(|h| h.party.as_ref()).map(|p| p.counts())
+    /// The counters of the running control planes.
+    pub fn control_plane_counters(&self) -> impl Iterator<Item = Vec<(&'static str, u64)>> + '_ {
+        self.hosts.iter().filter_map(|h| h.control_plane.as_ref()).map(|p| p.counters())
     }
 
-    /// The control machines.
-    pub fn controls(&self) -> impl Iterator<Item = No> + '_ {
-        self.fleet.seats.iter().enumerate().filter(|(_, s)| s.control).map(|(no, _)| no)
+    /// The control machines of the fleet.
+    pub fn control_machines(&self) -> impl Iterator<Item = RouterIndex> + '_ {
+        self.fleet.routers.iter().enumerate().filter(|(_, s)| s.control).map(|(router, _)| router)
     }
 
-    /// A router's disk.
-    pub fn disk(&self, no: No) -> &Disk {
-        &self.hosts[no].disk
+    /// The disk of a router.
+    pub fn disk(&self, router: RouterIndex) -> &Disk {
+        &self.hosts[router].disk
     }
 
-    /// Carries what the links tell into the routers' rings.
-    fn pass_on(&mut self) {
-        for (no, event) in std::mem::take(&mut self.links.told) {
-            self.hosts[no].inbox.push_back(event);
-            self.wake(no);
+    /// Moves the events of the links into the inboxes of their routers.
+    fn deliver_link_events(&mut self) {
+        for (router, event) in std::mem::take(&mut self.links.events) {
+            self.hosts[router].inbox.push_back(event);
+            self.wake(router);
         }
     }
 
-    fn wake(&mut self, no: No) {
-        let at = self.queue.now() + micros(self.set.hop);
-        let host = &mut self.hosts[no];
-        let waiting = &mut self.links.counts.most_waiting[no];
-        *waiting = (*waiting).max(host.inbox.len());
-        if host.party.is_some() && !host.waits && host.next > at {
-            host.next = at;
-            self.queue.put(at, What::Turn(no));
+    /// Schedules a turn of a process that has a new event, unless it is blocked or has an earlier turn.
+    fn wake(&mut self, router: RouterIndex) {
+        let at = self.queue.now() + micros(self.settings.thread_hop_ms);
+        let host = &mut self.hosts[router];
+        let max_inbox = &mut self.links.counts.max_inbox[router];
+        *max_inbox = (*max_inbox).max(host.inbox.len());
+        if host.control_plane.is_some() && !host.committing && host.next_turn > at {
+            host.next_turn = at;
+            self.queue.put(at, SimulationEvent::Turn(router));
         }
     }
 }
--- a/crates/fleet_simulation/src/world/process.rs
+++ b/crates/fleet_simulation/src/world/process.rs
@@ -1,133 +1,144 @@
-//! A router's process: its start, its turns, its disk, its end.
+//! The process of a router: start, turns, commits and end.
 
-use super::{World, CLUSTER, TURN};
+use super::{World, CLUSTER, EVENTS_PER_TURN};
+use crate::control_plane::{ControlPlaneEvent, StartContext};
 use crate::disk::Disk;
-use crate::party::{PartyEvent, Start};
-use crate::queue::What;
-use crate::{micros, ms, Micros, No};
+use crate::queue::SimulationEvent;
+use crate::{micros, ms, Micros, RouterIndex};
 use basaltgw_types::link::{Hello, PROTOCOL_VERSION};
 use basaltgw_types::{Incarnation, Member, TableHash, TableVersion};
 use rand::RngExt;
 use std::sync::Arc;
 
 impl World<'_> {
-    /// A turn of a process: what waits, what is due, and what has to last by then.
-    pub(super) fn turn(&mut self, no: No) -> Result<(), String> {
+    /// Runs one turn of a process: its queued events, its timers, and the flush of its writes.
+    pub(super) fn turn(&mut self, router: RouterIndex) -> Result<(), String> {
         let now = self.queue.now();
-        let host = &mut self.hosts[no];
-        if host.next != now || host.waits {
+        let host = &mut self.hosts[router];
+        if host.next_turn != now || host.committing {
             return Ok(());
         }
-        host.next = Micros::MAX;
-        if host.party.is_none() {
-            return self.start(no);
+        host.next_turn = Micros::MAX;
+        if host.control_plane.is_none() {
+            return self.start(router);
         }
-        for _ in 0..TURN {
-            let Some(event) = self.hosts[no].inbox.pop_front() else { break };
-            self.handle(no, event);
+        for _ in 0..EVENTS_PER_TURN {
+            let Some(event) = self.hosts[router].inbox.pop_front() else { break };
+            self.handle(router, event);
         }
-        if self.hosts[no].party.as_ref().is_some_and(|p| p.due() <= ms(now)) {
-            self.handle(no, PartyEvent::Due);
+        if self.hosts[router].control_plane.as_ref().is_some_and(|p| p.next_timer() <= ms(now)) {
+            self.handle(router, ControlPlaneEvent::TimersDue);
         }
-        self.handle(no, PartyEvent::Settle);
-        self.after(no);
+        self.handle(router, ControlPlaneEvent::Flush);
+        self.schedule_next(router);
         Ok(())
     }
 
-    /// What comes next at a process: its disk, what waits, or what is due.
-    fn after(&mut self, no: No) {
+    /// Schedules what comes next at a process: the end of its commit, or its next turn.
+    fn schedule_next(&mut self, router: RouterIndex) {
         let now = self.queue.now();
-        let (least, most) = self.set.disk;
-        let host = &mut self.hosts[no];
-        let Some(party) = &host.party else { return };
-        if !host.stores.is_empty() {
-            host.waits = true;
-            let takes = micros(least + (most - least) * self.rng.random::<f64>());
-            return self.queue.put(now + takes, What::Disk(no, host.lives));
+        let (min, max) = self.settings.commit_ms;
+        let host = &mut self.hosts[router];
+        let Some(control_plane) = &host.control_plane else { return };
+        if !host.pending_commits.is_empty() {
+            host.committing = true;
+            let duration = micros(min + (max - min) * self.rng.random::<f64>());
+            return self
+                .queue
+                .put(now + duration, SimulationEvent::CommitFinished { router, start: host.starts });
         }
-        let due = match host.inbox.is_empty() {
-            true => (party.due() * 1_000.0).ceil().min(1e15) as Micros,
+        let next_timer = match host.inbox.is_empty() {
+            true => (control_plane.next_timer() * 1_000.0).ceil().min(1e15) as Micros,
             false => now,
         };
-        let at = due.max(now + 1);
-        if host.next > at {
-            host.next = at;
-            self.queue.put(at, What::Turn(no));
+        let at = next_timer.max(now + 1);
+        if host.next_turn > at {
+            host.next_turn = at;
+            self.queue.put(at, SimulationEvent::Turn(router));
         }
     }
 
-    pub(super) fn stored(&mut self, no: No, life: u32) {
-        let host = &mut self.hosts[no];
-        if host.lives != life || host.party.is_none() {
+    /// The first pending commit of a process is durable, unless another process has started since.
+    pub(super) fn commit_finished(&mut self, router: RouterIndex, start: u32) {
+        let host = &mut self.hosts[router];
+        if host.starts != start || host.control_plane.is_none() {
             return;
         }
-        let Some((number, writes)) = host.stores.pop_front() else { return };
+        let Some((number, writes)) = host.pending_commits.pop_front() else { return };
         host.disk.commit(writes);
-        host.waits = false;
-        self.links.counts.at(no, self.queue.now()).commits += 1;
-        self.handle(no, PartyEvent::Stored(number, true));
+        host.committing = false;
+        self.links.counts.at(router, self.queue.now()).commits += 1;
+        self.handle(router, ControlPlaneEvent::CommitFinished(number, true));
         let now = self.queue.now();
-        let host = &mut self.hosts[no];
-        if host.stores.is_empty() {
-            // The next turn: what came meanwhile, and what the commit has set free.
-            host.next = now + 1;
-            self.queue.put(now + 1, What::Turn(no));
+        let host = &mut self.hosts[router];
+        if host.pending_commits.is_empty() {
+            // The next turn handles the events that arrived meanwhile and what the commit unblocked.
+            host.next_turn = now + 1;
+            self.queue.put(now + 1, SimulationEvent::Turn(router));
         } else {
-            self.after(no);
+            self.schedule_next(router);
         }
     }
 
-    /// A process starts.
-    fn start(&mut self, no: No) -> Result<(), String> {
+    /// Starts a process.
+    fn start(&mut self, router: RouterIndex) -> Result<(), String> {
         let now = self.queue.now();
-        let host = &mut self.hosts[no];
-        let old = host.incarnation.is_some();
+        let host = &mut self.hosts[router];
+        let has_previous_data = host.incarnation.is_some();
         let incarnation = *host.incarnation.get_or_insert_with(|| Incarnation(self.rng.random()));
-        host.lives += 1;
-        let seat = &self.fleet.seats[no];
-        let me = Member { router: seat.router.clone(), incarnation };
-        let draw: u128 = self.rng.random();
-        let disk = &self.hosts[no].disk;
-        let start = Start { now: ms(now), no, me: me.clone(), old, fleet: self.fleet, disk, draw };
-        let room = self.out.capacity();
-        let (found, out) = (self.found, &mut self.out);
-        let mut begun = Err(String::new());
-        let (time, bytes) = self.meter.work(&mut || begun = found(&start, out));
-        let (party, table) = begun?;
-        self.links.counts.state[no].0 = 0;
-        let grown = bytes - self.taken(room);
-        self.counted(no, time, grown);
+        host.starts += 1;
+        let place = &self.fleet.routers[router];
+        let me = Member { router: place.router.clone(), incarnation };
+        let random: u128 = self.rng.random();
+        let disk = &self.hosts[router].disk;
+        let start = StartContext {
+            now: ms(now),
+            index: router,
+            me: me.clone(),
+            has_previous_data,
+            fleet: self.fleet,
+            disk,
+            random,
+        };
+        let capacity = self.out.capacity();
+        let (start_control_plane, out) = (self.start_control_plane, &mut self.out);
+        let mut started = Err(String::new());
+        let (time, bytes) = self.meter.work(&mut || started = start_control_plane(&start, out));
+        let (control_plane, table) = started?;
+        self.links.counts.state_bytes[router].0 = 0;
+        let growth = bytes - self.action_bytes(capacity);
+        self.count_work(router, time, growth);
         let hello = Hello {
             protocol: PROTOCOL_VERSION,
             cluster: Arc::from(CLUSTER),
             member: me,
-            domain: seat.domain.clone(),
+            domain: place.domain.clone(),
             table: table.unwrap_or((TableVersion(0), TableHash([0; 32]))),
         };
-        self.links.start(no, hello, draw as u64);
-        self.hosts[no].party = Some(party);
-        self.checker.life(no);
-        if !self.links.is_cut(no) {
-            self.checker.clear(now, no);
+        self.links.start(router, hello, random as u64);
+        self.hosts[router].control_plane = Some(control_plane);
+        self.checker.process_started(router);
+        if !self.links.is_cut(router) {
+            self.checker.reachable(now, router);
         }
-        self.act(no);
-        self.after(no);
+        self.apply_actions(router);
+        self.schedule_next(router);
         Ok(())
     }
 
-    /// A process ends, at once: what its disk had not taken is lost.
-    pub(super) fn stop(&mut self, no: No, gone: bool, wiped: bool) {
-        let host = &mut self.hosts[no];
-        let life = host.party.take().is_some();
+    /// Kills a process. Commits that are not durable are lost; with `disk_lost` so is the disk.
+    pub(super) fn stop(&mut self, router: RouterIndex, machine_lost: bool, disk_lost: bool) {
+        let host = &mut self.hosts[router];
+        let was_running = host.control_plane.take().is_some();
         host.inbox.clear();
-        host.stores.clear();
-        (host.waits, host.next) = (false, Micros::MAX);
-        if wiped {
+        host.pending_commits.clear();
+        (host.committing, host.next_turn) = (false, Micros::MAX);
+        if disk_lost {
             (host.disk, host.incarnation) = (Disk::default(), None);
         }
-        self.checker.unclear(no);
-        if life {
-            self.links.stop(&mut self.queue, self.fleet, no, gone);
+        self.checker.unreachable(router);
+        if was_running {
+            self.links.stop(&mut self.queue, self.fleet, router, machine_lost);
         }
     }
 }
--- a/crates/fleet_simulation/tests/checker.rs
+++ b/crates/fleet_simulation/tests/checker.rs
@@ -1,10 +1,12 @@
 //! The checker catches broken parties: one that swallows, one that tells twice, one that is late; and lets a sound one pass.
 
 use basaltgw_control::Purge;
-use basaltgw_fleet_simulation::check::Findings;
-use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent, Start, Word};
+use basaltgw_fleet_simulation::checker::Findings;
+use basaltgw_fleet_simulation::control_plane::{
+    ControlPlane, ControlPlaneAction, ControlPlaneEvent, Notification, StartContext,
+};
 use basaltgw_fleet_simulation::run::{run_with, Setup};
-use basaltgw_fleet_simulation::world::Log;
+use basaltgw_fleet_simulation::world::ChangeLogReach;
 use basaltgw_types::link::Lane;
 use basaltgw_types::{Member, Ms};
 use std::collections::BTreeSet;
@@ -29,7 +31,7 @@
 }
 
 impl Gossip {
-    fn hears(&mut self, now: Ms, purge: Purge, out: &mut Vec<PartyAction>) {
+    fn hears(&mut self, now: Ms, purge: Purge, out: &mut Vec<ControlPlaneAction>) {
         if !self.heard.insert(purge) {
             return;
         }
@@ -37,55 +39,60 @@
         match self.how {
             Broken::Swallows if seventh => {}
             Broken::Twice if seventh => {
-                out.extend([0, 0].map(|_| PartyAction::Told(Word::Purge(purge))));
+                out.extend([0, 0].map(|_| ControlPlaneAction::Notify(Notification::Purge(purge))));
             }
             Broken::Late(by) => self.waits.push((now + by, purge)),
             Broken::Nothing | Broken::Swallows | Broken::Twice => {
-                out.push(PartyAction::Told(Word::Purge(purge)));
+                out.push(ControlPlaneAction::Notify(Notification::Purge(purge)));
             }
         }
     }
 }
 
-impl Party for Gossip {
-    fn handle(&mut self, now: Ms, event: PartyEvent, out: &mut Vec<PartyAction>) {
+impl ControlPlane for Gossip {
+    fn handle(&mut self, now: Ms, event: ControlPlaneEvent, out: &mut Vec<ControlPlaneAction>) {
         match event {
-            PartyEvent::Up(hello) => _ = self.links.insert(hello.member),
-            PartyEvent::Down(member, _) => _ = self.links.remove(&member),
-            PartyEvent::Heard(purge) => {
+            ControlPlaneEvent::LinkUp(hello) => _ = self.links.insert(hello.member),
+            ControlPlaneEvent::LinkDown(member, _) => _ = self.links.remove(&member),
+            ControlPlaneEvent::ChangeLogPurge(purge) => {
                 self.heard.insert(purge);
                 for to in self.links.iter().cloned() {
                     let body = postcard::to_stdvec(&purge).expect("bytes");
-                    out.push(PartyAction::Send { no: 0, to, lane: Lane::Table, body });
+                    out.push(ControlPlaneAction::Send { number: 0, to, lane: Lane::Table, body });
                 }
             }
-            PartyEvent::Got { body, .. } => {
+            ControlPlaneEvent::MessageReceived { body, .. } => {
                 let purge = postcard::from_bytes(&body).expect("a purge");
                 self.hears(now, purge, out);
             }
-            PartyEvent::Due => {
+            ControlPlaneEvent::TimersDue => {
                 let (due, left): (Vec<_>, Vec<_>) = self.waits.drain(..).partition(|(at, _)| *at <= now);
                 self.waits = left;
-                out.extend(due.into_iter().map(|(_, purge)| PartyAction::Told(Word::Purge(purge))));
+                out.extend(
+                    due.into_iter().map(|(_, purge)| ControlPlaneAction::Notify(Notification::Purge(purge))),
+                );
             }
-            PartyEvent::Unsent(_) | PartyEvent::Settle | PartyEvent::Stored(..) => {}
+            ControlPlaneEvent::SendFailed(_)
+            | ControlPlaneEvent::Flush
+            | ControlPlaneEvent::CommitFinished(..) => {}
         }
     }
 
-    fn due(&self) -> Ms {
+    fn next_timer(&self) -> Ms {
         self.waits.iter().map(|(at, _)| *at).fold(f64::INFINITY, f64::min)
     }
 }
 
 fn findings(how: Broken) -> Findings {
     let mut setup = Setup::mesh(12, 5);
-    (setup.settle, setup.seconds, setup.purges, setup.log.0) = (3.0, 5.0, 20.0, Log::One);
-    setup.rest = 20.0;
-    let start = move |start: &Start, out: &mut Vec<PartyAction>| {
-        let others = start.fleet.seats.iter().filter(|s| s.router != start.me.router);
-        out.extend(others.map(|s| PartyAction::Dial(s.router.clone())));
+    (setup.warm_up_s, setup.measured_s, setup.purges_per_s, setup.change_log) =
+        (3.0, 5.0, 20.0, ChangeLogReach::OneRouter);
+    setup.drain_s = 20.0;
+    let start = move |start: &StartContext, out: &mut Vec<ControlPlaneAction>| {
+        let others = start.fleet.routers.iter().filter(|s| s.router != start.me.router);
+        out.extend(others.map(|s| ControlPlaneAction::Dial(s.router.clone())));
         let (links, heard) = (BTreeSet::new(), BTreeSet::new());
-        Ok((Box::new(Gossip { how, links, heard, waits: Vec::new() }) as Box<dyn Party>, None))
+        Ok((Box::new(Gossip { how, links, heard, waits: Vec::new() }) as Box<dyn ControlPlane>, None))
     };
     run_with(&setup, &start).expect("a run").1
 }
@@ -93,7 +100,7 @@
 #[test]
 fn a_sound_party_passes() {
     let found = findings(Broken::Nothing);
-    assert_eq!((found.words, found.everywhere.len(), found.twice, found.late), (100, 100, 0, 0));
+    assert_eq!((found.purges, found.completion_ms.len(), found.duplicates, found.late), (100, 100, 0, 0));
     assert!(found.lost.is_empty() && found.unknown == 0, "{found:?}");
 }
 
@@ -101,21 +108,21 @@
 fn a_party_that_swallows_is_caught() {
     let found = findings(Broken::Swallows);
     // Fifteen of a hundred words, at all but the one that heard of it.
-    assert_eq!((found.lost.len(), found.twice, found.late), (15 * 11, 0, 0));
+    assert_eq!((found.lost.len(), found.duplicates, found.late), (15 * 11, 0, 0));
     assert!(found.lost.iter().all(|(word, _)| word % 7 == 0));
 }
 
 #[test]
 fn a_party_that_tells_twice_is_caught() {
     let found = findings(Broken::Twice);
-    assert_eq!((found.lost.len(), found.twice, found.late), (0, 15 * 11, 0));
+    assert_eq!((found.lost.len(), found.duplicates, found.late), (0, 15 * 11, 0));
 }
 
 #[test]
 fn a_party_that_is_late_is_caught() {
     let found = findings(Broken::Late(6_200.0));
-    assert_eq!((found.lost.len(), found.twice, found.late), (0, 0, 100 * 11));
-    assert!(found.everywhere.iter().all(|ms| *ms > 6_100.0));
+    assert_eq!((found.lost.len(), found.duplicates, found.late), (0, 0, 100 * 11));
+    assert!(found.completion_ms.iter().all(|ms| *ms > 6_100.0));
     let found = findings(Broken::Late(5_000.0));
     assert_eq!((found.lost.len(), found.late), (0, 0), "in time");
 }
--- a/crates/fleet_simulation/tests/links.rs
+++ b/crates/fleet_simulation/tests/links.rs
@@ -1,9 +1,12 @@
 //! The links' rules, by what a party sees of them.
 
-use basaltgw_fleet_simulation::links::Ways;
-use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent, Start};
+use basaltgw_fleet_simulation::control_plane::{
+    ControlPlane, ControlPlaneAction, ControlPlaneEvent, StartContext,
+};
+use basaltgw_fleet_simulation::fault::{Fault, FaultKind};
+use basaltgw_fleet_simulation::links::CutDirection;
 use basaltgw_fleet_simulation::run::{run_with, Figures, Setup};
-use basaltgw_fleet_simulation::trouble::{Trouble, What};
+use basaltgw_fleet_simulation::Micros;
 use basaltgw_types::link::{Lane, LinkError};
 use basaltgw_types::{Member, Ms};
 use std::cell::RefCell;
@@ -31,19 +34,19 @@
     }
 }
 
-impl Party for Notes {
-    fn handle(&mut self, now: Ms, event: PartyEvent, out: &mut Vec<PartyAction>) {
+impl ControlPlane for Notes {
+    fn handle(&mut self, now: Ms, event: ControlPlaneEvent, out: &mut Vec<ControlPlaneAction>) {
         match event {
-            PartyEvent::Up(hello) => {
+            ControlPlaneEvent::LinkUp(hello) => {
                 self.note(now, format!("up {}", hello.member.router));
                 self.links.insert(hello.member, 0);
             }
-            PartyEvent::Down(member, why) => {
+            ControlPlaneEvent::LinkDown(member, why) => {
                 self.note(now, format!("down {} {why:?}", member.router));
                 self.links.remove(&member);
                 self.got.remove(&member);
             }
-            PartyEvent::Got { from, body, .. } => {
+            ControlPlaneEvent::MessageReceived { from, body, .. } => {
                 let number: u64 = postcard::from_bytes(&body).expect("a number");
                 let before = self.got.insert(from.clone(), number);
                 // Where a lane refuses frames, those are missing; the order is kept all the same.
@@ -53,33 +56,40 @@
                     "{number} of {from}, expected {next}"
                 );
             }
-            PartyEvent::Due => {
+            ControlPlaneEvent::TimersDue => {
                 self.next = now + self.every.unwrap_or(f64::INFINITY);
                 for (to, number) in &mut self.links {
                     *number += 1;
                     let body = postcard::to_stdvec(number).expect("bytes");
-                    out.push(PartyAction::Send { no: 7, to: to.clone(), lane: Lane::Registers, body });
+                    out.push(ControlPlaneAction::Send {
+                        number: 7,
+                        to: to.clone(),
+                        lane: Lane::Registers,
+                        body,
+                    });
                 }
             }
-            PartyEvent::Unsent(no) => self.note(now, format!("unsent {no}")),
-            PartyEvent::Heard(_) | PartyEvent::Settle | PartyEvent::Stored(..) => {}
+            ControlPlaneEvent::SendFailed(no) => self.note(now, format!("unsent {no}")),
+            ControlPlaneEvent::ChangeLogPurge(_)
+            | ControlPlaneEvent::Flush
+            | ControlPlaneEvent::CommitFinished(..) => {}
         }
     }
 
-    fn due(&self) -> Ms {
+    fn next_timer(&self) -> Ms {
         self.next
     }
 }
 
 fn go(setup: &Setup, every: Option<Ms>) -> (Figures, Vec<(Ms, String, String)>) {
     let seen = Seen::default();
-    let start = |start: &Start, out: &mut Vec<PartyAction>| {
-        let others = start.fleet.seats.iter().filter(|s| s.router != start.me.router);
-        out.extend(others.map(|s| PartyAction::Dial(s.router.clone())));
+    let start = |start: &StartContext, out: &mut Vec<ControlPlaneAction>| {
+        let others = start.fleet.routers.iter().filter(|s| s.router != start.me.router);
+        out.extend(others.map(|s| ControlPlaneAction::Dial(s.router.clone())));
         let (me, next) = (start.me.router.to_string(), every.map_or(f64::INFINITY, |e| start.now + e));
         let (links, got, seen) = (BTreeMap::new(), BTreeMap::new(), seen.clone());
-        let refused = setup.net.bytes_a_second.is_some();
-        Ok((Box::new(Notes { me, every, next, links, got, seen, refused }) as Box<dyn Party>, None))
+        let refused = setup.network.bytes_per_s.is_some();
+        Ok((Box::new(Notes { me, every, next, links, got, seen, refused }) as Box<dyn ControlPlane>, None))
     };
     let figures = run_with(setup, &start).expect("a run").0;
     let seen = seen.borrow().clone();
@@ -88,18 +98,18 @@
 
 fn setup(routers: usize) -> Setup {
     let mut setup = Setup::mesh(routers, 9);
-    (setup.settle, setup.seconds, setup.rest) = (5.0, 10.0, 0.0);
+    (setup.warm_up_s, setup.measured_s, setup.drain_s) = (5.0, 10.0, 0.0);
     setup
 }
 
-fn cut(at: u64, lasts: u64, ways: Ways) -> Trouble {
-    Trouble { at, what: What::Cut(vec![0], ways, lasts) }
+fn cut(at: Micros, duration: Micros, direction: CutDirection) -> Fault {
+    Fault { at, kind: FaultKind::Cut { routers: vec![0], direction, duration } }
 }
 
 #[test]
 fn each_pair_has_one_link_and_idle_ones_show_four_signs_of_life_a_second() {
     let (figures, seen) = go(&setup(6), None);
-    let is = |name: &str| figures.flat.get(name).copied().unwrap_or(-1.0);
+    let is = |name: &str| figures.values.get(name).copied().unwrap_or(-1.0);
     assert_eq!((is("links_least"), is("links_up"), is("links_broken")), (5.0, 30.0, 0.0), "{seen:?}");
     assert_eq!((is("alive_out_mean"), is("frames_out_mean")), (20.0, 0.0));
     // Out and in, each of 9 bytes with headers, and what acknowledges it.
@@ -109,23 +119,23 @@
 #[test]
 fn a_link_that_is_written_to_needs_no_signs_of_life() {
     let (figures, _) = go(&setup(4), Some(100.0));
-    assert_eq!(figures.flat["alive_out_mean"], 0.0);
-    assert_eq!(figures.flat["frames_out_mean"], 30.0);
+    assert_eq!(figures.values["alive_out_mean"], 0.0);
+    assert_eq!(figures.values["frames_out_mean"], 30.0);
 }
 
 #[test]
 fn frames_come_once_and_in_order_also_where_segments_are_lost() {
     let mut lossy = setup(4);
-    (lossy.net.loss, lossy.net.jitter) = (0.05, 1.0);
+    (lossy.network.loss_share, lossy.network.jitter_share) = (0.05, 1.0);
     // The party itself looks at the order.
     let (figures, _) = go(&lossy, Some(5.0));
-    assert!(figures.flat["frames_in_mean"] > 0.95 * figures.flat["frames_out_mean"]);
+    assert!(figures.values["frames_in_mean"] > 0.95 * figures.values["frames_out_mean"]);
 }
 
 #[test]
 fn silence_is_found_a_second_after_the_last_sign_of_life_and_the_link_comes_back() {
     let mut troubled = setup(3);
-    troubled.script = vec![cut(6_000_000, 4_000_000, Ways::Both)];
+    troubled.scripted_faults = vec![cut(6_000_000, 4_000_000, CutDirection::Both)];
     let (_, seen) = go(&troubled, None);
     let silent: Vec<_> = seen.iter().filter(|(_, _, what)| what.ends_with("PeerTimeout")).collect();
     assert_eq!(silent.len(), 4, "{seen:?}");
@@ -139,10 +149,10 @@
 #[test]
 fn a_short_cut_breaks_nothing_and_what_was_lost_comes_after_it() {
     let mut troubled = setup(3);
-    troubled.script = vec![cut(6_000_000, 300_000, Ways::Both)];
+    troubled.scripted_faults = vec![cut(6_000_000, 300_000, CutDirection::Both)];
     let (figures, seen) = go(&troubled, Some(10.0));
     assert!(!seen.iter().any(|(_, _, what)| what.starts_with("down")), "{seen:?}");
-    assert!(figures.flat["frames_in_mean"] > 0.99 * figures.flat["frames_out_mean"]);
+    assert!(figures.values["frames_in_mean"] > 0.99 * figures.values["frames_out_mean"]);
 }
 
 #[test]
@@ -150,7 +160,7 @@
     let mut troubled = setup(2);
     troubled.shape.zones = 1;
     troubled.shape.regions = 1;
-    troubled.script = vec![cut(6_000_000, 4_000_000, Ways::Out)];
+    troubled.scripted_faults = vec![cut(6_000_000, 4_000_000, CutDirection::Outbound)];
     let (_, seen) = go(&troubled, None);
     let down: Vec<_> = seen.iter().filter(|(_, _, what)| what.starts_with("down")).collect();
     // Whoever hears nothing closes; what it says then still passes.
@@ -162,9 +172,9 @@
 #[test]
 fn a_process_that_ends_is_seen_at_once_and_a_machine_that_vanishes_after_a_second() {
     let mut troubled = setup(3);
-    troubled.script = vec![
-        Trouble { at: 6_000_000, what: What::Restart(1, 1_000_000) },
-        Trouble { at: 10_000_000, what: What::Vanish(1, 3_000_000) },
+    troubled.scripted_faults = vec![
+        Fault { at: 6_000_000, kind: FaultKind::Restart { router: 1, duration: 1_000_000 } },
+        Fault { at: 10_000_000, kind: FaultKind::Vanish { router: 1, duration: 3_000_000 } },
     ];
     let (_, seen) = go(&troubled, None);
     let down = |why: LinkError| {
@@ -181,8 +191,8 @@
 #[test]
 fn a_lane_is_full_where_the_line_carries_too_little() {
     let mut slow = setup(3);
-    (slow.net.bytes_a_second, slow.net.socket) = (Some(2_000), 1_000);
+    (slow.network.bytes_per_s, slow.network.socket_buffer_bytes) = (Some(2_000), 1_000);
     let (figures, seen) = go(&slow, Some(1.0));
-    assert!(figures.flat["links_unsent_full"] > 0.0);
+    assert!(figures.values["links_unsent_full"] > 0.0);
     assert!(seen.iter().any(|(_, _, what)| what == "unsent 7"));
 }
--- a/crates/fleet_simulation/tests/process.rs
+++ b/crates/fleet_simulation/tests/process.rs
@@ -1,9 +1,11 @@
 //! Processes, disks, and where routers stand.
 
-use basaltgw_fleet_simulation::fleet::{Fleet, Part, Shape};
-use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent, Start};
+use basaltgw_fleet_simulation::control_plane::{
+    ControlPlane, ControlPlaneAction, ControlPlaneEvent, StartContext,
+};
+use basaltgw_fleet_simulation::fault::{Fault, FaultKind};
+use basaltgw_fleet_simulation::fleet::{FailureDomain, Fleet, Shape};
 use basaltgw_fleet_simulation::run::{run_with, Setup};
-use basaltgw_fleet_simulation::trouble::{Trouble, What};
 use basaltgw_storage::{Space, Write};
 use basaltgw_types::Ms;
 use std::cell::RefCell;
@@ -17,25 +19,28 @@
     stored: Rc<RefCell<u32>>,
 }
 
-impl Party for Writer {
-    fn handle(&mut self, now: Ms, event: PartyEvent, out: &mut Vec<PartyAction>) {
+impl ControlPlane for Writer {
+    fn handle(&mut self, now: Ms, event: ControlPlaneEvent, out: &mut Vec<ControlPlaneAction>) {
         match event {
-            PartyEvent::Due => {
+            ControlPlaneEvent::TimersDue => {
                 self.next = now + 1.0;
                 self.last += 1;
                 let write = Write::Put(Space(1), vec![1], self.last.to_be_bytes().to_vec());
-                out.push(PartyAction::Store(u64::from(self.last), vec![write]));
+                out.push(ControlPlaneAction::Commit(u64::from(self.last), vec![write]));
             }
-            PartyEvent::Stored(no, done) => {
+            ControlPlaneEvent::CommitFinished(no, done) => {
                 assert!(done);
                 *self.stored.borrow_mut() = no as u32;
             }
-            PartyEvent::Up(_) | PartyEvent::Down(..) | PartyEvent::Got { .. } | PartyEvent::Unsent(_) => {}
-            PartyEvent::Heard(_) | PartyEvent::Settle => {}
+            ControlPlaneEvent::LinkUp(_)
+            | ControlPlaneEvent::LinkDown(..)
+            | ControlPlaneEvent::MessageReceived { .. }
+            | ControlPlaneEvent::SendFailed(_) => {}
+            ControlPlaneEvent::ChangeLogPurge(_) | ControlPlaneEvent::Flush => {}
         }
     }
 
-    fn due(&self) -> Ms {
+    fn next_timer(&self) -> Ms {
         self.next
     }
 }
@@ -43,21 +48,21 @@
 #[test]
 fn what_was_committed_is_there_after_a_kill_and_nothing_after_a_wipe() {
     let mut setup = Setup::mesh(3, 1);
-    (setup.settle, setup.seconds, setup.rest) = (1.0, 10.0, 0.0);
-    setup.script = vec![
-        Trouble { at: 3_000_000, what: What::Restart(1, 500_000) },
-        Trouble { at: 6_000_000, what: What::Replace(1, 500_000) },
+    (setup.warm_up_s, setup.measured_s, setup.drain_s) = (1.0, 10.0, 0.0);
+    setup.scripted_faults = vec![
+        Fault { at: 3_000_000, kind: FaultKind::Restart { router: 1, duration: 500_000 } },
+        Fault { at: 6_000_000, kind: FaultKind::Replace { router: 1, duration: 500_000 } },
     ];
     let stored = Rc::new(RefCell::new(0));
     let starts = RefCell::new(Vec::new());
-    let start = |start: &Start, _: &mut Vec<PartyAction>| {
-        let own = if start.no == 1 { stored.clone() } else { Rc::default() };
+    let start = |start: &StartContext, _: &mut Vec<ControlPlaneAction>| {
+        let own = if start.index == 1 { stored.clone() } else { Rc::default() };
         let found = start.disk.get(Space(1), &[1]).map(|b| u32::from_be_bytes(b.try_into().expect("4")));
-        if start.no == 1 {
-            starts.borrow_mut().push((start.old, found, *own.borrow(), start.me.incarnation));
+        if start.index == 1 {
+            starts.borrow_mut().push((start.has_previous_data, found, *own.borrow(), start.me.incarnation));
         }
         let writer = Writer { next: start.now, last: found.unwrap_or(0), stored: own };
-        Ok((Box::new(writer) as Box<dyn Party>, None))
+        Ok((Box::new(writer) as Box<dyn ControlPlane>, None))
     };
     run_with(&setup, &start).expect("a run");
     let starts = starts.borrow();
@@ -72,23 +77,23 @@
 
 #[test]
 fn the_whole_fleet_has_its_shape() {
-    let shape = Shape::of(4_300);
-    assert_eq!((shape.sites, shape.zones, shape.regions, shape.controls), (210, 71, 21, 9));
+    let shape = Shape::for_routers(4_300);
+    assert_eq!((shape.sites, shape.zones, shape.regions, shape.control_machines), (210, 71, 21, 9));
     let fleet = Fleet::new(&shape, 7).expect("a fleet");
-    assert_eq!(fleet.seats.len(), 4_300);
-    let many = |of: fn(&basaltgw_fleet_simulation::fleet::Seat) -> usize| {
-        fleet.seats.iter().map(of).collect::<BTreeSet<_>>().len()
+    assert_eq!(fleet.routers.len(), 4_300);
+    let many = |of: fn(&basaltgw_fleet_simulation::fleet::FleetRouter) -> usize| {
+        fleet.routers.iter().map(of).collect::<BTreeSet<_>>().len()
     };
     assert_eq!((many(|s| s.site), many(|s| s.zone), many(|s| s.region)), (210, 71, 21));
-    let controls: Vec<usize> = fleet.seats.iter().filter(|s| s.control).map(|s| s.region).collect();
+    let controls: Vec<usize> = fleet.routers.iter().filter(|s| s.control).map(|s| s.region).collect();
     assert_eq!((controls.len(), controls.iter().collect::<BTreeSet<_>>().len()), (9, 9));
     for rack in 0..many(|s| s.rack) {
-        let within = fleet.within(Part::Rack(rack));
+        let within = fleet.routers_in(FailureDomain::Rack(rack));
         assert!((1..=40).contains(&within.len()));
-        let sites: BTreeSet<usize> = within.iter().map(|no| fleet.seats[*no].site).collect();
+        let sites: BTreeSet<usize> = within.iter().map(|no| fleet.routers[*no].site).collect();
         assert_eq!(sites.len(), 1);
     }
     assert_eq!(fleet, Fleet::new(&shape, 7).expect("a fleet"));
     assert!(fleet != Fleet::new(&shape, 8).expect("a fleet"));
-    assert_eq!(fleet.no(&fleet.seats[4_299].router), Some(4_299));
+    assert_eq!(fleet.index_of(&fleet.routers[4_299].router), Some(4_299));
 }
--- a/crates/fleet_simulation/tests/sparse.rs
+++ b/crates/fleet_simulation/tests/sparse.rs
@@ -1,11 +1,11 @@
 //! Worlds of real overlays.
 
+use basaltgw_fleet_simulation::control_plane::{ControlPlane, ControlPlaneAction, ControlPlaneEvent};
+use basaltgw_fleet_simulation::fault::{Fault, FaultKind};
 use basaltgw_fleet_simulation::fleet::Fleet;
-use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent};
 use basaltgw_fleet_simulation::run::{run, run_with, Figures, Kind, Setup};
-use basaltgw_fleet_simulation::sparse::{list, Sparse, SparseSettings};
-use basaltgw_fleet_simulation::trouble::{Trouble, What};
-use basaltgw_fleet_simulation::world::Log;
+use basaltgw_fleet_simulation::sparse::{router_list, Sparse, SparseSettings};
+use basaltgw_fleet_simulation::world::ChangeLogReach;
 use basaltgw_overlay::CATCH_UP_MS;
 use basaltgw_types::Ms;
 
@@ -14,14 +14,14 @@
 /// More than a router dials and takes, whatever it is: two above and eight below, nine control machines and ten relays.
 const MOST_LINKS: f64 = 19.0;
 
-fn setup(seed: u64, log: Log) -> Setup {
+fn setup(seed: u64, log: ChangeLogReach) -> Setup {
     let mut setup = Setup::sparse(ROUTERS, seed);
-    (setup.settle, setup.seconds, setup.purges, setup.log.0) = (8.0, 6.0, 10.0, log);
+    (setup.warm_up_s, setup.measured_s, setup.purges_per_s, setup.change_log) = (8.0, 6.0, 10.0, log);
     setup
 }
 
 fn is(figures: &Figures, name: &str) -> f64 {
-    figures.flat.get(name).copied().unwrap_or(-1.0)
+    figures.values.get(name).copied().unwrap_or(-1.0)
 }
 
 fn whole(figures: &Figures, words: f64, what: &str) {
@@ -33,8 +33,10 @@
 
 #[test]
 fn every_word_is_everywhere_once_in_a_quiet_fleet() {
-    let uneven = Log::Uneven { misses: 0.02, late: 0.02, most: 3_000.0 };
-    for (seed, log) in SEEDS.into_iter().zip([uneven, Log::One, Log::Controls]) {
+    let uneven = ChangeLogReach::Uneven { missed_share: 0.02, late_share: 0.02, max_delay_ms: 3_000.0 };
+    for (seed, log) in
+        SEEDS.into_iter().zip([uneven, ChangeLogReach::OneRouter, ChangeLogReach::ControlMachines])
+    {
         let figures = run(&setup(seed, log)).expect("a run");
         whole(&figures, 60.0, &format!("{seed} {log:?}"));
         assert_eq!(is(&figures, "founded"), ROUTERS as f64);
@@ -44,14 +46,14 @@
 #[test]
 fn every_word_is_everywhere_once_when_a_relay_is_gone_or_restarts() {
     for seed in SEEDS {
-        let mut setup = setup(seed, Log::Controls);
+        let mut setup = setup(seed, ChangeLogReach::ControlMachines);
         let fleet = Fleet::new(&setup.shape, seed).expect("a fleet");
-        let list = list(&fleet, SparseSettings::default().shape).expect("a list");
-        let mut relays = (0..ROUTERS).filter(|no| list.is_relay(&fleet.seats[*no].router));
+        let list = router_list(&fleet, SparseSettings::default().shape).expect("a list");
+        let mut relays = (0..ROUTERS).filter(|no| list.is_relay(&fleet.routers[*no].router));
         let mut relay = || relays.next().expect("a relay");
-        setup.script = vec![
-            Trouble { at: 10_000_000, what: What::Vanish(relay(), 600_000_000) },
-            Trouble { at: 11_000_000, what: What::Restart(relay(), 500_000) },
+        setup.scripted_faults = vec![
+            Fault { at: 10_000_000, kind: FaultKind::Vanish { router: relay(), duration: 600_000_000 } },
+            Fault { at: 11_000_000, kind: FaultKind::Restart { router: relay(), duration: 500_000 } },
         ];
         whole(&run(&setup).expect("a run"), 60.0, &format!("{seed}"));
     }
@@ -60,8 +62,8 @@
 #[test]
 fn who_restarts_is_given_all_that_had_not_settled_as_it_came_back() {
     for seed in SEEDS {
-        let mut setup = setup(seed, Log::Controls);
-        (setup.purges, setup.seconds, setup.many.restarts) = (100.0, 12.0, 16);
+        let mut setup = setup(seed, ChangeLogReach::ControlMachines);
+        (setup.purges_per_s, setup.measured_s, setup.random_faults.restarts) = (100.0, 12.0, 16);
         let figures = run(&setup).expect("a run");
         assert_eq!([is(&figures, "lost"), is(&figures, "late"), is(&figures, "twice")], [0.0; 3], "{seed}");
         // Without time to catch up some of it has settled before it is asked for.
@@ -74,9 +76,9 @@
 
 #[test]
 fn the_same_seed_is_the_same_run() {
-    let mut setup = setup(5, Log::One);
-    setup.many.restarts = 3;
-    setup.many.regions = 1;
+    let mut setup = setup(5, ChangeLogReach::OneRouter);
+    setup.random_faults.restarts = 3;
+    setup.random_faults.regions = 1;
     let first = run(&setup).expect("a run");
     assert_eq!(first, run(&setup).expect("a run"));
     setup.seed = 6;
@@ -86,33 +88,39 @@
 /// An overlay that reads nothing.
 struct Deaf(Sparse);
 
-impl Party for Deaf {
-    fn handle(&mut self, now: Ms, event: PartyEvent, out: &mut Vec<PartyAction>) {
+impl ControlPlane for Deaf {
+    fn handle(&mut self, now: Ms, event: ControlPlaneEvent, out: &mut Vec<ControlPlaneAction>) {
         match event {
-            PartyEvent::Got { .. } => {}
-            PartyEvent::Up(_) | PartyEvent::Down(..) | PartyEvent::Unsent(_) | PartyEvent::Heard(_) => {
+            ControlPlaneEvent::MessageReceived { .. } => {}
+            ControlPlaneEvent::LinkUp(_)
+            | ControlPlaneEvent::LinkDown(..)
+            | ControlPlaneEvent::SendFailed(_)
+            | ControlPlaneEvent::ChangeLogPurge(_) => {
                 self.0.handle(now, event, out);
             }
-            PartyEvent::Due | PartyEvent::Settle | PartyEvent::Stored(..) => self.0.handle(now, event, out),
+            ControlPlaneEvent::TimersDue
+            | ControlPlaneEvent::Flush
+            | ControlPlaneEvent::CommitFinished(..) => self.0.handle(now, event, out),
         }
     }
 
-    fn due(&self) -> Ms {
-        self.0.due()
+    fn next_timer(&self) -> Ms {
+        self.0.next_timer()
     }
 }
 
 #[test]
 fn a_router_that_reads_nothing_is_found() {
-    let setup = setup(1, Log::Controls);
+    let setup = setup(1, ChangeLogReach::ControlMachines);
     let fleet = Fleet::new(&setup.shape, setup.seed).expect("a fleet");
     let set = SparseSettings::default();
-    let list = list(&fleet, set.shape).expect("a list");
-    let deaf = (0..ROUTERS).rfind(|no| !fleet.seats[*no].control).expect("another");
+    let list = router_list(&fleet, set.shape).expect("a list");
+    let deaf = (0..ROUTERS).rfind(|no| !fleet.routers[*no].control).expect("another");
     let found = run_with(&setup, &|start, out| {
         let sparse = Sparse::start(&set, &list, start, out)?;
-        let party: Box<dyn Party> = if start.no == deaf { Box::new(Deaf(sparse)) } else { Box::new(sparse) };
-        Ok((party, None))
+        let control_plane: Box<dyn ControlPlane> =
+            if start.index == deaf { Box::new(Deaf(sparse)) } else { Box::new(sparse) };
+        Ok((control_plane, None))
     });
     let (figures, findings) = found.expect("a run");
     assert_eq!((is(&figures, "lost"), is(&figures, "lost_routers")), (60.0, 1.0));
--- a/crates/fleet_simulation/tests/state.rs
+++ b/crates/fleet_simulation/tests/state.rs
@@ -1,6 +1,8 @@
 //! State is what a party keeps, and not what it sends, is sent, or has committed. Alone in its program: the allocator counts all threads.
 
-use basaltgw_fleet_simulation::party::{Party, PartyAction, PartyEvent, Start};
+use basaltgw_fleet_simulation::control_plane::{
+    ControlPlane, ControlPlaneAction, ControlPlaneEvent, StartContext,
+};
 use basaltgw_fleet_simulation::run::{run_with, Setup};
 use basaltgw_storage::{Space, Write};
 use basaltgw_types::link::Lane;
@@ -25,28 +27,32 @@
     links: Vec<Member>,
 }
 
-impl Party for Keeper {
-    fn handle(&mut self, now: Ms, event: PartyEvent, out: &mut Vec<PartyAction>) {
+impl ControlPlane for Keeper {
+    fn handle(&mut self, now: Ms, event: ControlPlaneEvent, out: &mut Vec<ControlPlaneAction>) {
         match event {
-            PartyEvent::Up(hello) => self.links.push(hello.member),
-            PartyEvent::Due => {
+            ControlPlaneEvent::LinkUp(hello) => self.links.push(hello.member),
+            ControlPlaneEvent::TimersDue => {
                 self.next = now + 1.0;
                 if self.kept.len() < TIMES {
                     self.kept.push(vec![0; GROWS]);
                 }
                 let put = Write::Put(Space(1), vec![1], vec![0; PASSES]);
-                out.push(PartyAction::Store(1, vec![put]));
+                out.push(ControlPlaneAction::Commit(1, vec![put]));
                 for to in self.links.iter().cloned() {
                     let body = vec![0; PASSES];
-                    out.push(PartyAction::Send { no: 0, to, lane: Lane::Registers, body });
+                    out.push(ControlPlaneAction::Send { number: 0, to, lane: Lane::Registers, body });
                 }
             }
-            PartyEvent::Down(..) | PartyEvent::Got { .. } | PartyEvent::Unsent(_) => {}
-            PartyEvent::Heard(_) | PartyEvent::Settle | PartyEvent::Stored(..) => {}
+            ControlPlaneEvent::LinkDown(..)
+            | ControlPlaneEvent::MessageReceived { .. }
+            | ControlPlaneEvent::SendFailed(_) => {}
+            ControlPlaneEvent::ChangeLogPurge(_)
+            | ControlPlaneEvent::Flush
+            | ControlPlaneEvent::CommitFinished(..) => {}
         }
     }
 
-    fn due(&self) -> Ms {
+    fn next_timer(&self) -> Ms {
         self.next
     }
 }
@@ -54,19 +60,19 @@
 #[test]
 fn state_is_what_a_party_keeps() {
     let mut setup = Setup::mesh(3, 1);
-    (setup.settle, setup.seconds, setup.rest) = (1.0, 4.0, 0.0);
-    setup.grown = Some(|work| {
+    (setup.warm_up_s, setup.measured_s, setup.drain_s) = (1.0, 4.0, 0.0);
+    setup.allocation_meter = Some(|work| {
         let before = ALLOCATOR.allocated() as i64;
         work();
         ALLOCATOR.allocated() as i64 - before
     });
-    let start = |start: &Start, out: &mut Vec<PartyAction>| {
-        let others = start.fleet.seats.iter().filter(|s| s.router != start.me.router);
-        out.extend(others.map(|s| PartyAction::Dial(s.router.clone())));
+    let start = |start: &StartContext, out: &mut Vec<ControlPlaneAction>| {
+        let others = start.fleet.routers.iter().filter(|s| s.router != start.me.router);
+        out.extend(others.map(|s| ControlPlaneAction::Dial(s.router.clone())));
         let keeper = Keeper { next: start.now, kept: Vec::with_capacity(TIMES), links: Vec::new() };
-        Ok((Box::new(keeper) as Box<dyn Party>, None))
+        Ok((Box::new(keeper) as Box<dyn ControlPlane>, None))
     };
-    let figures = run_with(&setup, &start).expect("a run").0.flat;
+    let figures = run_with(&setup, &start).expect("a run").0.values;
     let kept = (TIMES * GROWS + TIMES * size_of::<Vec<u8>>()) as f64;
     for name in ["state_bytes_mean", "state_bytes_most"] {
         // Itself and its list of links are a few hundred bytes.
