--- a/crates/node/tests/reader.rs
+++ b/crates/node/tests/reader.rs
@@ -4,11 +4,11 @@
 use async_io::{block_on, Async, Timer};
 use basaltgw_node::clients::{ClientId, ClientMessage, Tag};
 use basaltgw_node::connection::{ClientLiveness, CloseReason};
-use basaltgw_node::inbox::{read_all, DecodedMessage};
+use basaltgw_node::inbox::{read_messages, DecodedMessage};
 use basaltgw_node::limits::{CLIENT_READ_LIMITS, READ_AHEAD_BYTES, READ_BYTES};
 use basaltgw_node::outbox::{BufferMeter, BufferedBytes};
 use basaltgw_node::resp::encode;
-use basaltgw_node::{Input, Shared};
+use basaltgw_node::{ConnectionContext, Input};
 use futures_lite::{future, AsyncWriteExt};
 use proptest::prelude::*;
 use std::cell::{Cell, RefCell};
@@ -22,7 +22,7 @@
 struct ReaderHarness {
     near: Async<TcpStream>,
     far: Async<TcpStream>,
-    shared: Shared,
+    context: ConnectionContext,
     inputs: async_channel::Receiver<Input>,
     liveness: Rc<ClientLiveness>,
     /// Bytes of the words that were decoded.
@@ -36,19 +36,19 @@
         let far = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
         let near = listener.accept().expect("the connection").0;
         let (queue, inputs) = async_channel::bounded(queue_capacity);
-        let shared = Shared {
+        let context = ConnectionContext {
             executor: Rc::new(LocalExecutor::new()),
             queue,
             clock: basaltgw_node::clock::Clock::default(),
             meter: Rc::default(),
             invariants: Rc::default(),
-            stalls: Rc::default(),
+            pause_detector: Rc::default(),
             buffer_limit_bytes: MEMORY_LIMIT_BYTES,
         };
         Self {
             near: Async::new(near).expect("a socket"),
             far: Async::new(far).expect("a socket"),
-            shared,
+            context,
             inputs,
             liveness: Rc::default(),
             decoded_bytes: Cell::new(0),
@@ -58,14 +58,14 @@
 
     async fn read(&self) -> CloseReason {
         let decode = |decoded: DecodedMessage| {
-            let bytes = decoded.words.iter().map(Vec::len).sum::<usize>();
+            let bytes = decoded.elements.iter().map(Vec::len).sum::<usize>();
             self.decoded_bytes.set(self.decoded_bytes.get() + bytes);
-            let message = ClientMessage::decode(decoded.words)?;
+            let message = ClientMessage::decode(decoded.elements)?;
             self.liveness.observe(&message);
-            Some(Input::Client(ClientId(1), message, decoded.read_at))
+            Some(Input::ClientMessage { client: ClientId(1), message, received_at: decoded.received_at })
         };
         let paused = || self.paused.get();
-        let reason = read_all(&self.near, CLIENT_READ_LIMITS, &self.shared, paused, decode, None).await;
+        let reason = read_messages(&self.near, CLIENT_READ_LIMITS, &self.context, paused, decode, None).await;
         self.liveness.disconnect();
         reason
     }
@@ -85,7 +85,7 @@
 
     /// Memory that other connections use.
     fn use_memory(&self, bytes: usize) -> BufferedBytes {
-        let meter: &Rc<BufferMeter> = &self.shared.meter;
+        let meter: &Rc<BufferMeter> = &self.context.meter;
         BufferedBytes::new(vec![0; bytes], &[meter])
     }
 }
@@ -112,7 +112,7 @@
 /// The message of an input, without its time.
 fn message(input: Input) -> ClientMessage {
     match input {
-        Input::Client(_, message, _) => message,
+        Input::ClientMessage { message, .. } => message,
         _ => panic!("a client's message"),
     }
 }
@@ -129,7 +129,7 @@
         memory_full in any::<bool>(),
     ) {
         let all: Vec<u8> = parts.concat();
-        let mut decoder = basaltgw_node::resp::Decoder::new(CLIENT_READ_LIMITS.bounds);
+        let mut decoder = basaltgw_node::resp::Decoder::new(CLIENT_READ_LIMITS.message_limits);
         decoder.feed(&all);
         let mut expected = Vec::new();
         let mut malformed = false;
@@ -256,7 +256,7 @@
         let (first, rest) = whole.split_at(9);
         let held_up = async {
             (&harness.far).write_all(first).await.expect("written");
-            Timer::after(CLIENT_READ_LIMITS.message + Duration::from_millis(300)).await;
+            Timer::after(CLIENT_READ_LIMITS.message_timeout + Duration::from_millis(300)).await;
             harness.paused.set(false);
             (&harness.far).write_all(rest).await.expect("written");
             let input = harness.inputs.recv().await.expect("an input");
