--- a/crates/simulator/src/fleet/fills.rs
+++ b/crates/simulator/src/fleet/fills.rs
@@ -49,20 +49,20 @@
         }
     }
 
-    /// Requests a part from the named source, or else from the next source that the node's part of the plan names.
-    pub(super) fn fill(
-        &mut self,
+    /// The source of a fill with its `cached_only`, or `None` if there is no further source; and the number of loops avoided by the choice.
+    fn choose_source(
+        &self,
         at: NodeIndex,
         key: FillKey,
-        spec: FillSpec,
-        (path, hops): (VisitedPath, u32),
-        tried: Vec<NodeId>,
+        spec: &FillSpec,
+        path: &VisitedPath,
+        tried: &[NodeId],
         named: Option<NodeIndex>,
-    ) {
+    ) -> (Option<(NodeIndex, bool)>, u64) {
         let (now, node) = (self.now, &self.nodes[at.0]);
         let empty_path = VisitedPath::default();
         let mut loops_detected = 0;
-        let checked_path = if self.loop_detection { &path } else { &empty_path };
+        let checked_path = if self.loop_detection { path } else { &empty_path };
         let id = |node: NodeIndex| &self.nodes[node.0].info.id;
         // A node that waits for this fill must not be its source.
         let waiting = node.shield.waiting_nodes(key).filter(|_| self.loop_detection);
@@ -75,7 +75,7 @@
                     Some(_) => {
                         let next = node.selector.next_source(now, key.object, checked_path, &excluded)?;
                         // A loop is detected before sending where the plan alone would name a node on the path.
-                        let unchecked = node.selector.next_source(now, key.object, &empty_path, &tried);
+                        let unchecked = node.selector.next_source(now, key.object, &empty_path, tried);
                         loops_detected = u64::from(
                             self.loop_detection && unchecked.is_some_and(|u| path.contains(&u.node)),
                         );
@@ -85,6 +85,21 @@
                 }
             }),
         };
+        (next, loops_detected)
+    }
+
+    /// Requests a part from the named source, or else from the next source that the node's part of the plan names.
+    pub(super) fn fill(
+        &mut self,
+        at: NodeIndex,
+        key: FillKey,
+        spec: FillSpec,
+        (path, hops): (VisitedPath, u32),
+        tried: Vec<NodeId>,
+        named: Option<NodeIndex>,
+    ) {
+        let now = self.now;
+        let (next, loops_detected) = self.choose_source(at, key, &spec, &path, &tried, named);
         let Some((source, cached_only)) = next else {
             let waiters = self.nodes[at.0].shield.abandon(key);
             waiters
@@ -148,21 +163,7 @@
                 let (source, started_at, spec) = (fill.source, fill.started_at, fill.spec);
                 n.fills.swap_remove(&key);
                 self.counts.cached_only_hits += u64::from(cached_only);
-                let purges = [n.object_purges.get(&key.object), n.group_purges.get(&spec.group)];
-                let latest_purge = purges.into_iter().flatten().fold(f64::NEG_INFINITY, |a, b| a.max(*b));
-                if response.origin_time >= latest_purge {
-                    n.store.put(key, response.origin_time, spec.size_kb, spec.rank);
-                }
-                let completed = n.shield.complete(key, response.origin_time);
-                let from_origin = source == ORIGIN || response.fill_report == FillReport::FilledByOrigin;
-                let fill_report =
-                    if from_origin { FillReport::FilledByOrigin } else { FillReport::FilledBySource };
-                for waiter in completed.served {
-                    let joined = self.requests.get(&waiter.0).is_some_and(|r| r.joined);
-                    let fill_report = if joined { FillReport::Joined } else { fill_report };
-                    self.serve(waiter.0, response.origin_time, fill_report, self.now - started_at);
-                }
-                completed.outdated.into_iter().for_each(|waiter| self.miss(waiter.0));
+                self.fill_served(at, key, source, started_at, spec, response);
             }
             (AttemptResult::CacheMiss, FillReport::LoopDetected | FillReport::SourceMiss)
                 if !fill.spec.source_named =>
@@ -198,6 +199,33 @@
         }
     }
 
+    /// Stores a copy that a source served and serves it to the waiters.
+    fn fill_served(
+        &mut self,
+        at: NodeIndex,
+        key: FillKey,
+        source: NodeIndex,
+        started_at: Ms,
+        spec: FillSpec,
+        response: NodeResponse,
+    ) {
+        let n = &mut self.nodes[at.0];
+        let purges = [n.object_purges.get(&key.object), n.group_purges.get(&spec.group)];
+        let latest_purge = purges.into_iter().flatten().fold(f64::NEG_INFINITY, |a, b| a.max(*b));
+        if response.origin_time >= latest_purge {
+            n.store.put(key, response.origin_time, spec.size_kb, spec.rank);
+        }
+        let completed = n.shield.complete(key, response.origin_time);
+        let from_origin = source == ORIGIN || response.fill_report == FillReport::FilledByOrigin;
+        let fill_report = if from_origin { FillReport::FilledByOrigin } else { FillReport::FilledBySource };
+        for waiter in completed.served {
+            let joined = self.requests.get(&waiter.0).is_some_and(|r| r.joined);
+            let fill_report = if joined { FillReport::Joined } else { fill_report };
+            self.serve(waiter.0, response.origin_time, fill_report, self.now - started_at);
+        }
+        completed.outdated.into_iter().for_each(|waiter| self.miss(waiter.0));
+    }
+
     /// Ends a failed attempt at a fill: tries the next source if `may_retry`, or else fails the waiters.
     pub(super) fn fill_failed(
         &mut self,
--- a/crates/simulator/src/fleet/message.rs
+++ b/crates/simulator/src/fleet/message.rs
@@ -57,6 +57,13 @@
     pub source_wait: Ms,
 }
 
+impl NodeResponse {
+    /// A response without a copy.
+    pub(crate) fn without_copy(result: AttemptResult, fill_report: FillReport) -> Self {
+        Self { result, fill_report, origin_time: 0.0, source_wait: 0.0 }
+    }
+}
+
 /// A fault of one node. `until` is the simulated time at which the fault ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeFault {
--- a/crates/simulator/src/fleet/requests.rs
+++ b/crates/simulator/src/fleet/requests.rs
@@ -21,12 +21,8 @@
             if !n.vanished {
                 self.send_empty(number, AttemptResult::NoConnection, FillReport::NotReported);
             } else if matches!(requester, Requester::Router(_)) {
-                let no_connection = NodeResponse {
-                    result: AttemptResult::NoConnection,
-                    fill_report: FillReport::NotReported,
-                    origin_time: 0.0,
-                    source_wait: 0.0,
-                };
+                let no_connection =
+                    NodeResponse::without_copy(AttemptResult::NoConnection, FillReport::NotReported);
                 self.respond(number, no_connection, CONNECT_TIMEOUT_MS);
             }
             return;
@@ -116,14 +112,8 @@
         let me = self.nodes[at.0].info.id.clone();
         // No request waits for this fill.
         let (waiter, deadline) = (WaiterId(0), f64::INFINITY);
-        let fill_request = FillRequest {
-            me: &me,
-            waiter,
-            deadline,
-            min_origin_time: min_origin_time,
-            path: &path,
-            cached_only: false,
-        };
+        let fill_request =
+            FillRequest { me: &me, waiter, deadline, min_origin_time, path: &path, cached_only: false };
         let spec = self.fill_spec(number, min_origin_time);
         if self.nodes[at.0].shield.request(self.now, key, fill_request, &self.topology)
             == Admission::StartFill
@@ -162,15 +152,11 @@
             me: &me,
             waiter: WaiterId(number),
             deadline: request.deadline,
-            min_origin_time: min_origin_time,
+            min_origin_time,
             path: &request.path,
-            cached_only: cached_only,
-        };
-        let requester_id = match request.requester {
-            Requester::Router(_) => None,
-            Requester::Node(node, _) => Some(self.nodes[node.0].info.id.clone()),
+            cached_only,
         };
-        let path = request.path.clone();
+        let (requester, path) = (request.requester, request.path.clone());
         match self.nodes[at.0].shield.request(self.now, key, fill_request, &self.topology) {
             Admission::StartFill => {
                 let path = self.nodes[at.0].selector.visit(&path).unwrap_or(path);
@@ -183,9 +169,10 @@
                 }
             }
             Admission::Miss if cached_only => {
-                requester_id
-                    .into_iter()
-                    .for_each(|id| self.nodes[at.0].selector.record_handover(key.object, &id));
+                if let Requester::Node(node, _) = requester {
+                    let id = self.nodes[node.0].info.id.clone();
+                    self.nodes[at.0].selector.record_handover(key.object, &id);
+                }
                 self.send_empty(number, AttemptResult::CacheMiss, FillReport::SourceMiss);
             }
             Admission::Miss => {
@@ -203,11 +190,7 @@
 
     /// Sends a response without a body.
     pub(super) fn send_empty(&mut self, number: u64, result: AttemptResult, fill_report: FillReport) {
-        self.respond(
-            number,
-            NodeResponse { result, fill_report, origin_time: 0.0, source_wait: 0.0 },
-            EMPTY_RESPONSE_MS,
-        );
+        self.respond(number, NodeResponse::without_copy(result, fill_report), EMPTY_RESPONSE_MS);
     }
 
     /// Sends a copy: it occupies a slot of the node and, to an edge cache, the link of the requester's zone.
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -160,41 +160,8 @@
         let listed = |n: &NodeInfo| if n.spare { EndpointState::Removed } else { EndpointState::Up };
         let endpoints: Vec<Endpoint> = nodes.iter().map(|n| endpoint(n, listed(n), None)).collect();
         let by_id = endpoints.iter().enumerate().map(|(i, e)| (e.id.clone(), NodeIndex(i))).collect();
-        let mut routers = Vec::new();
-        for zone in 1..=setup.fleet.zones {
-            for _ in 0..setup.fleet.routers_per_zone {
-                let r = routers.len();
-                let settings = router_settings(&setup.fleet, &setup.load, zone);
-                routers.push(RouterState {
-                    decision_module: new_module(r, settings, basaltgw::hash::mix(setup.seed, r as u64 + 7)),
-                    zone,
-                    arrivals: Arrivals::new(&setup.load, setup.seed, r as u64),
-                    next_arrival: None,
-                    topology: TopologyManager::new(setup.tree),
-                    open_requests: IndexMap::new(),
-                    list_updates_from: 0.0,
-                });
-            }
-        }
-        let classes =
-            setup.load.classes.iter().map(|c| ClassMetrics { name: c.name.clone(), ..Default::default() });
-        let metrics = RunMetrics {
-            classes: classes.collect(),
-            weighted_in_time_share: 0.0,
-            weighted_answered_share: 0.0,
-            seconds: vec![SecondMetrics::default(); (setup.length_ms / 1000.0).ceil() as usize + 1],
-            served: 0,
-            rejected: 0,
-            failed: 0,
-            attempts: 0,
-            decisions: 0,
-            latency_p50_ms: 0.0,
-            latency_p99_ms: 0.0,
-            counts: Counts::default(),
-            violations: BTreeMap::new(),
-            change_states: Vec::new(),
-            rejected_plans: Vec::new(),
-        };
+        let routers = new_routers(setup, new_module);
+        let metrics = RunMetrics::new(setup);
         let latencies = Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|e| e.to_string())?;
         Ok(Self {
             checker: Checker::new(&setup.fleet.rules),
@@ -253,6 +220,29 @@
     }
 }
 
+fn new_routers(
+    setup: &Setup,
+    new_module: impl Fn(usize, Settings, u64) -> Box<dyn DecisionModule>,
+) -> Vec<RouterState> {
+    let mut routers = Vec::new();
+    for zone in 1..=setup.fleet.zones {
+        for _ in 0..setup.fleet.routers_per_zone {
+            let r = routers.len();
+            let settings = router_settings(&setup.fleet, &setup.load, zone);
+            routers.push(RouterState {
+                decision_module: new_module(r, settings, basaltgw::hash::mix(setup.seed, r as u64 + 7)),
+                zone,
+                arrivals: Arrivals::new(&setup.load, setup.seed, r as u64),
+                next_arrival: None,
+                topology: TopologyManager::new(setup.tree),
+                open_requests: IndexMap::new(),
+                list_updates_from: 0.0,
+            });
+        }
+    }
+    routers
+}
+
 /// The id of an attempt's request to a node: the client request's number and, in the lowest 4 bits, the attempt.
 fn node_request_id(router: usize, number: u64, attempt: usize) -> NodeRequestId {
     NodeRequestId { router, number: number << 4 | attempt.min(15) as u64 }
--- a/crates/simulator/src/sim/events.rs
+++ b/crates/simulator/src/sim/events.rs
@@ -64,8 +64,8 @@
                         FleetEvent::Response { request, response } => {
                             self.response_arrived(request, response)
                         }
-                        FleetEvent::WriteExecuted { write: effect } => {
-                            self.checker.observe(self.now, Observation::WriteExecuted { write: effect })
+                        FleetEvent::WriteExecuted { write } => {
+                            self.checker.observe(self.now, Observation::WriteExecuted { write })
                         }
                         FleetEvent::ColdNodeOverloaded { node } => {
                             self.checker.observe(self.now, Observation::ColdNodeOverloaded { node })
@@ -96,23 +96,7 @@
             }
             SimEvent::Retry { router: r, client } => self.accept(r, client),
             SimEvent::Timer { router: r, token } => self.handle_event(r, Event::Timer(token)),
-            SimEvent::AttemptTimeout { router: r, number, attempt: n } => {
-                if self.is_running(r, number, n) {
-                    self.fleet.cancel(self.now, node_request_id(r, number, n));
-                    self.attempt_ended(
-                        r,
-                        number,
-                        n,
-                        NodeResponse {
-                            result: AttemptResult::TimedOut,
-                            fill_report: FillReport::NotReported,
-                            origin_time: 0.0,
-                            source_wait: 0.0,
-                        },
-                        false,
-                    );
-                }
-            }
+            SimEvent::AttemptTimeout { router: r, number, attempt: n } => self.time_out_attempt(r, number, n),
             SimEvent::Outcome { router: r, outcome } => self.handle_event(r, Event::Outcome(outcome)),
             SimEvent::EndpointUpdate { router: r, endpoints } => {
                 let until = self.routers[r].list_updates_from;
@@ -147,17 +131,7 @@
             }
             SimEvent::Script { index: i } => self.run_script_event(i)?,
             SimEvent::NodeStart { node } => self.start_node(node),
-            SimEvent::NextPurge => {
-                let class = self.rng.random_range(0..self.setup.load.classes.len());
-                let spec = &self.setup.load.classes[class];
-                let rank = self.rng.random_range(0..spec.objects.clamp(1, 200));
-                self.purge(Some(crate::arrivals::object_id(class, rank)), 0);
-                let gap: f64 = self.rng.random();
-                let next = self.now - (1.0 - gap).ln() * 1000.0 / self.setup.load.purges_per_s;
-                if next < self.setup.length_ms {
-                    self.schedule(next, SimEvent::NextPurge);
-                }
-            }
+            SimEvent::NextPurge => self.purge_random_object(),
             SimEvent::ExpireRequests => {
                 self.checker.expire(self.now);
                 self.schedule(self.now + 1_000.0, SimEvent::ExpireRequests);
@@ -166,13 +140,30 @@
         Ok(())
     }
 
+    fn time_out_attempt(&mut self, r: usize, number: u64, attempt: usize) {
+        if self.is_running(r, number, attempt) {
+            self.fleet.cancel(self.now, node_request_id(r, number, attempt));
+            let timed_out = NodeResponse::without_copy(AttemptResult::TimedOut, FillReport::NotReported);
+            self.attempt_ended(r, number, attempt, timed_out, false);
+        }
+    }
+
+    /// Purges one of the 200 most popular objects of a random class and schedules the next purge.
+    fn purge_random_object(&mut self) {
+        let class = self.rng.random_range(0..self.setup.load.classes.len());
+        let spec = &self.setup.load.classes[class];
+        let rank = self.rng.random_range(0..spec.objects.clamp(1, 200));
+        self.purge(Some(crate::arrivals::object_id(class, rank)), 0);
+        let gap: f64 = self.rng.random();
+        let next = self.now - (1.0 - gap).ln() * 1000.0 / self.setup.load.purges_per_s;
+        if next < self.setup.length_ms {
+            self.schedule(next, SimEvent::NextPurge);
+        }
+    }
+
     /// Runs the script event with index `i`.
     pub(super) fn run_script_event(&mut self, i: usize) -> Result<(), String> {
         let event = self.setup.script[i].clone();
-        let find = |name: &Option<String>, fleet: &Fleet| {
-            let name = name.as_deref().ok_or_else(|| format!("script[{i}]: expected a node"))?;
-            fleet.node_by_name(name).ok_or_else(|| format!("script[{i}]: unknown node {name}"))
-        };
         let (now, until) = (self.now, self.now + event.for_ms);
         match event.what {
             ScriptAction::MassPurge => {
@@ -184,32 +175,11 @@
                 let name = event.plan.as_deref().unwrap_or_default();
                 let found = self.setup.plans.iter().position(|p| p.name == name);
                 let at = found.ok_or_else(|| format!("script[{i}]: unknown plan {name:?}"))?;
-                (self.previous_plan, self.current_plan) = (self.current_plan, at);
-                self.plan_version += 1;
-                let spec = plan_spec(&self.setup.plans[at], self.plan_version, &self.nodes);
-                self.distribute_plan(&spec)?;
-                for r in 0..self.routers.len() {
-                    let after = self.draw_from(self.setup.fleet.news.plan_ms);
-                    self.schedule(now + after, SimEvent::PlanOffer { router: r, plan: spec.clone() });
-                }
-            }
-            ScriptAction::TakeBack => {
-                std::mem::swap(&mut self.previous_plan, &mut self.current_plan);
-                self.plan_version += 1;
-                let spec = plan_spec(&self.setup.plans[self.current_plan], self.plan_version, &self.nodes);
-                self.distribute_plan(&spec)?;
-                for r in 0..self.routers.len() {
-                    let after = self.draw_from(self.setup.fleet.news.plan_ms);
-                    let event = if self.setup.staged {
-                        SimEvent::PlanRollback { router: r }
-                    } else {
-                        SimEvent::PlanOffer { router: r, plan: spec.clone() }
-                    };
-                    self.schedule(now + after, event);
-                }
+                self.publish_plan(at)?;
             }
+            ScriptAction::TakeBack => self.roll_back_plan()?,
             ScriptAction::Crash | ScriptAction::Vanish => {
-                let node = find(&event.node, &self.fleet)?;
+                let node = self.script_node(i, &event.node)?;
                 let fault =
                     if event.what == ScriptAction::Crash { NodeFault::Crash } else { NodeFault::Vanish };
                 self.fleet.inject_fault(now, node, fault);
@@ -219,42 +189,77 @@
                 }
             }
             ScriptAction::Start => {
-                let node = find(&event.node, &self.fleet)?;
+                let node = self.script_node(i, &event.node)?;
                 self.start_node(node);
             }
             ScriptAction::Drain => {
-                let node = find(&event.node, &self.fleet)?;
+                let node = self.script_node(i, &event.node)?;
                 self.list_node(node, EndpointState::Draining, None);
             }
             ScriptAction::Stop => {
-                let node = find(&event.node, &self.fleet)?;
+                let node = self.script_node(i, &event.node)?;
                 self.list_node(node, EndpointState::Removed, None);
                 self.fleet.inject_fault(now, node, NodeFault::Crash);
             }
-            ScriptAction::Hang => {
-                self.fleet.inject_fault(now, find(&event.node, &self.fleet)?, NodeFault::Hang { until })
-            }
-            ScriptAction::Slow => self.fleet.inject_fault(
-                now,
-                find(&event.node, &self.fleet)?,
-                NodeFault::Slow { factor: event.factor, until },
-            ),
-            ScriptAction::RefuseFills => self.fleet.inject_fault(
-                now,
-                find(&event.node, &self.fleet)?,
-                NodeFault::RefuseFills { until },
-            ),
-            ScriptAction::LoseAnswers => {
-                self.fleet.inject_fault(
-                    now,
-                    find(&event.node, &self.fleet)?,
-                    NodeFault::LoseAnswers { share: event.factor, until },
-                );
-            }
+            ScriptAction::Hang
+            | ScriptAction::Slow
+            | ScriptAction::RefuseFills
+            | ScriptAction::LoseAnswers
+            | ScriptAction::WrongSource => self.inject_temporary_fault(i, &event)?,
+        }
+        Ok(())
+    }
+
+    /// The node that a script event names.
+    fn script_node(&self, i: usize, name: &Option<String>) -> Result<NodeIndex, String> {
+        let name = name.as_deref().ok_or_else(|| format!("script[{i}]: expected a node"))?;
+        self.fleet.node_by_name(name).ok_or_else(|| format!("script[{i}]: unknown node {name}"))
+    }
+
+    /// Injects the fault of a script event that ends by itself.
+    fn inject_temporary_fault(&mut self, i: usize, event: &ScriptEvent) -> Result<(), String> {
+        let node = self.script_node(i, &event.node)?;
+        let (factor, until) = (event.factor, self.now + event.for_ms);
+        let fault = match event.what {
+            ScriptAction::Slow => NodeFault::Slow { factor, until },
+            ScriptAction::RefuseFills => NodeFault::RefuseFills { until },
+            ScriptAction::LoseAnswers => NodeFault::LoseAnswers { share: factor, until },
             ScriptAction::WrongSource => {
-                let (node, to) = (find(&event.node, &self.fleet)?, find(&event.to, &self.fleet)?);
-                self.fleet.inject_fault(now, node, NodeFault::WrongSource { source: to, until });
+                NodeFault::WrongSource { source: self.script_node(i, &event.to)?, until }
             }
+            _ => NodeFault::Hang { until },
+        };
+        self.fleet.inject_fault(self.now, node, fault);
+        Ok(())
+    }
+
+    /// Publishes the plan with index `at` to nodes and routers.
+    fn publish_plan(&mut self, at: usize) -> Result<(), String> {
+        (self.previous_plan, self.current_plan) = (self.current_plan, at);
+        self.plan_version += 1;
+        let spec = plan_spec(&self.setup.plans[at], self.plan_version, &self.nodes);
+        self.distribute_plan(&spec)?;
+        for r in 0..self.routers.len() {
+            let after = self.draw_from(self.setup.fleet.news.plan_ms);
+            self.schedule(self.now + after, SimEvent::PlanOffer { router: r, plan: spec.clone() });
+        }
+        Ok(())
+    }
+
+    /// Rolls the routers' latest change back and publishes the previous plan to nodes.
+    fn roll_back_plan(&mut self) -> Result<(), String> {
+        std::mem::swap(&mut self.previous_plan, &mut self.current_plan);
+        self.plan_version += 1;
+        let spec = plan_spec(&self.setup.plans[self.current_plan], self.plan_version, &self.nodes);
+        self.distribute_plan(&spec)?;
+        for r in 0..self.routers.len() {
+            let after = self.draw_from(self.setup.fleet.news.plan_ms);
+            let event = if self.setup.staged {
+                SimEvent::PlanRollback { router: r }
+            } else {
+                SimEvent::PlanOffer { router: r, plan: spec.clone() }
+            };
+            self.schedule(self.now + after, event);
         }
         Ok(())
     }
--- a/crates/simulator/src/sim/requests.rs
+++ b/crates/simulator/src/sim/requests.rs
@@ -89,12 +89,8 @@
                     let Some(number) = request_number(&request) else { continue };
                     if self.is_running(r, number, n.0) {
                         self.fleet.cancel(self.now, node_request_id(r, number, n.0));
-                        let cancelled = NodeResponse {
-                            result: AttemptResult::Cancelled,
-                            fill_report: FillReport::NotReported,
-                            origin_time: 0.0,
-                            source_wait: 0.0,
-                        };
+                        let cancelled =
+                            NodeResponse::without_copy(AttemptResult::Cancelled, FillReport::NotReported);
                         self.attempt_ended(r, number, n.0, cancelled, true);
                     }
                 }
@@ -197,25 +193,7 @@
             self.record_served(r, number);
         }
         if let Some(source) = fill_source {
-            let result = match (response.result, response.fill_report) {
-                (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => {
-                    Some(topology::SourceResult::Filled)
-                }
-                (_, FillReport::SourceRejected) => Some(topology::SourceResult::Rejected),
-                (_, FillReport::SourceFailed) => Some(topology::SourceResult::Failed),
-                (_, FillReport::LoopDetected) => Some(topology::SourceResult::LoopDetected),
-                // The timeout may be due to the node or its source. It counts against the source, so that a new source gets no more load while
-                // responses are late.
-                (AttemptResult::TimedOut, _) => Some(topology::SourceResult::Failed),
-                _ => None,
-            };
-            let id = |node: NodeIndex| self.nodes[node.0].id.clone();
-            if let Some(result) = result.filter(|_| source != ORIGIN) {
-                self.topology_event(
-                    r,
-                    topology::Event::AttemptEnded { requester: id(node), source: id(source), object, result },
-                );
-            }
+            self.report_source_result(r, (node, source), object, &response);
         }
         let outcome = Outcome {
             request: RequestId(Arc::from(number.to_string())),
@@ -237,6 +215,33 @@
         self.drop_if_finished(r, number);
     }
 
+    /// Tells the router's topology manager how an attempt's fill source behaved.
+    fn report_source_result(
+        &mut self,
+        r: usize,
+        (node, source): (NodeIndex, NodeIndex),
+        object: u64,
+        response: &NodeResponse,
+    ) {
+        let result = match (response.result, response.fill_report) {
+            (AttemptResult::Served, FillReport::FilledBySource | FillReport::FilledByOrigin) => {
+                Some(topology::SourceResult::Filled)
+            }
+            (_, FillReport::SourceRejected) => Some(topology::SourceResult::Rejected),
+            (_, FillReport::SourceFailed) => Some(topology::SourceResult::Failed),
+            (_, FillReport::LoopDetected) => Some(topology::SourceResult::LoopDetected),
+            // The timeout may be due to the node or its source. It counts against the source, so that a new source gets no more load
+            // while responses are late.
+            (AttemptResult::TimedOut, _) => Some(topology::SourceResult::Failed),
+            _ => None,
+        };
+        let id = |node: NodeIndex| self.nodes[node.0].id.clone();
+        if let Some(result) = result.filter(|_| source != ORIGIN) {
+            let (requester, source) = (id(node), id(source));
+            self.topology_event(r, topology::Event::AttemptEnded { requester, source, object, result });
+        }
+    }
+
     /// Drops an answered request once all its attempts have ended.
     pub(super) fn drop_if_finished(&mut self, r: usize, number: u64) {
         let finished = |o: &OpenRequest| o.answered && o.attempts.iter().all(|a| !a.running);
--- a/crates/simulator/src/sim/setup.rs
+++ b/crates/simulator/src/sim/setup.rs
@@ -111,6 +111,29 @@
 }
 
 impl RunMetrics {
+    /// The metrics of a run that has not begun.
+    pub(super) fn new(setup: &Setup) -> Self {
+        let classes =
+            setup.load.classes.iter().map(|c| ClassMetrics { name: c.name.clone(), ..Default::default() });
+        Self {
+            classes: classes.collect(),
+            weighted_in_time_share: 0.0,
+            weighted_answered_share: 0.0,
+            seconds: vec![SecondMetrics::default(); (setup.length_ms / 1000.0).ceil() as usize + 1],
+            served: 0,
+            rejected: 0,
+            failed: 0,
+            attempts: 0,
+            decisions: 0,
+            latency_p50_ms: 0.0,
+            latency_p99_ms: 0.0,
+            counts: Counts::default(),
+            violations: BTreeMap::new(),
+            change_states: Vec::new(),
+            rejected_plans: Vec::new(),
+        }
+    }
+
     /// True if every router has completed each plan change that it started.
     pub fn all_changes_completed(&self) -> bool {
         let mut last: HashMap<usize, topology::ChangeState> = HashMap::new();
--- a/crates/simulator/src/store.rs
+++ b/crates/simulator/src/store.rs
@@ -45,8 +45,8 @@
         Some(*copy)
     }
 
-    /// Stores a copy if evicting copies of no higher rank makes enough room. It replaces an older copy of the same part, and is dropped
-    /// where the stored copy is newer.
+    /// Stores a copy if evicting copies of no higher rank makes enough room. A copy of the same part is removed first,
+    /// unless it is newer: then the new one is discarded.
     pub fn put(&mut self, key: FillKey, origin_time: Ms, size_kb: f64, rank: Rank) {
         if rank == Rank::None
             || size_kb > self.capacity_kb
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -10,8 +10,46 @@
     Machine { slots, queue_ms: 400.0, store_kb, fills: 64 }
 }
 
-pub fn setup(seed: u64) -> Setup {
+pub fn fleet() -> FleetSpec {
     let cold = ColdSpec { share: 0.25, span_ms: 6_000.0, multiple: 2.5, window_ms: 1_500.0 };
+    FleetSpec {
+        zones: 3,
+        routers_per_zone: 1,
+        edges_per_zone: 4,
+        districts: 4,
+        hubs: 3,
+        spare_districts: 0,
+        spare_hubs: 1,
+        edge: machine(6, 60_000.0),
+        district: machine(16, 400_000.0),
+        hub: machine(24, 2_000_000.0),
+        archive: machine(64, 0.0),
+        net: Network {
+            near_ms: 0.3,
+            far_ms: 4.0,
+            jitter: 0.2,
+            link_kb_per_ms: 60.0,
+            pace_kb_per_ms: 8.0,
+            fill_ms: 2_000.0,
+        },
+        news: NotificationDelays {
+            list_ms: [100.0, 900.0],
+            purge_ms: [50.0, 250.0],
+            cache_purge_ms: [50.0, 900.0],
+            plan_ms: [0.0, 1_500.0],
+        },
+        rules: RuleLimits {
+            slack_ms: 8.0,
+            drain_grace_ms: 250.0,
+            purge_grace_ms: 300.0,
+            purge_settles_ms: 3_000.0,
+            cold_edge: cold,
+            cold_parent: cold,
+        },
+    }
+}
+
+pub fn setup(seed: u64) -> Setup {
     let class = |name: &str, share, objects, effect| ClassSpec {
         name: name.into(),
         share,
@@ -28,41 +66,7 @@
         grace_ms: 0.0,
     };
     Setup {
-        fleet: FleetSpec {
-            zones: 3,
-            routers_per_zone: 1,
-            edges_per_zone: 4,
-            districts: 4,
-            hubs: 3,
-            spare_districts: 0,
-            spare_hubs: 1,
-            edge: machine(6, 60_000.0),
-            district: machine(16, 400_000.0),
-            hub: machine(24, 2_000_000.0),
-            archive: machine(64, 0.0),
-            net: Network {
-                near_ms: 0.3,
-                far_ms: 4.0,
-                jitter: 0.2,
-                link_kb_per_ms: 60.0,
-                pace_kb_per_ms: 8.0,
-                fill_ms: 2_000.0,
-            },
-            news: NotificationDelays {
-                list_ms: [100.0, 900.0],
-                purge_ms: [50.0, 250.0],
-                cache_purge_ms: [50.0, 900.0],
-                plan_ms: [0.0, 1_500.0],
-            },
-            rules: RuleLimits {
-                slack_ms: 8.0,
-                drain_grace_ms: 250.0,
-                purge_grace_ms: 300.0,
-                purge_settles_ms: 3_000.0,
-                cold_edge: cold,
-                cold_parent: cold,
-            },
-        },
+        fleet: fleet(),
         load: LoadSpec {
             per_router: 60.0,
             classes: vec![
