--- a/crates/fleet_simulation/examples/measure.rs
+++ b/crates/fleet_simulation/examples/measure.rs
@@ -6,6 +6,7 @@
 use basaltgw_fleet_simulation::fleet::{FailureDomain, Fleet};
 use basaltgw_fleet_simulation::links::CutDirection;
 use basaltgw_fleet_simulation::run::{run, Kind, Setup};
+use basaltgw_fleet_simulation::sparse::SparseSettings;
 use basaltgw_fleet_simulation::world::ChangeLogReach;
 use basaltgw_fleet_simulation::{micros, RouterIndex};
 use cap::Cap;
@@ -52,7 +53,54 @@
     Ok(kinds.into_iter().map(|kind| Fault { at, kind }).collect())
 }
 
-fn main() -> Result<(), String> {
+fn unknown(arg: &str) -> String {
+    format!("unknown argument: {arg}")
+}
+
+/// Which routers read purges, for a value of the argument `log`.
+fn change_log(value: &str, routers: usize) -> Option<ChangeLogReach> {
+    Some(match value {
+        "one" => ChangeLogReach::OneRouter,
+        // A router in the middle.
+        "only" => ChangeLogReach::Always(routers * 3 / 5),
+        "controls" => ChangeLogReach::ControlMachines,
+        "everyone" => ChangeLogReach::Everyone { missed_share: 0.0 },
+        "looks" => ChangeLogReach::Polling { interval_ms: 50.0 },
+        "uneven" => ChangeLogReach::Uneven { missed_share: 0.02, late_share: 0.02, max_delay_ms: 3_000.0 },
+        _ => return None,
+    })
+}
+
+/// Applies an argument of the overlay; returns `None` if there is none of this name.
+fn set_overlay(sparse: &mut SparseSettings, name: &str, number: f64) -> Option<()> {
+    match name {
+        "wide" => sparse.full_size_purges = number > 0.0,
+        "alone" => sparse.publish_immediately = number > 0.0,
+        "hold" => sparse.overlay.publisher_wait_ms = number,
+        "batch" => sparse.overlay.batch_ms = number,
+        "ask" => sparse.overlay.query_delay_ms = number,
+        "again" => sparse.overlay.query_retry_ms = number,
+        "settle_words" => sparse.overlay.convergence_ms = number,
+        "announce" => sparse.overlay.announce_ms = number,
+        "late" => sparse.overlay.late_ms = number,
+        "peer_batch" => sparse.overlay.peer_batch_ms = number,
+        "eager" => sparse.shape.control_eager = number as usize,
+        "budget" => sparse.overlay.budget_bytes_per_s = number,
+        _ => return None,
+    }
+    Some(())
+}
+
+/// A scripted fault of the command line.
+struct ScriptedFault {
+    name: String,
+    /// Time after the first purge, ms.
+    after_ms: f64,
+    duration_ms: f64,
+}
+
+/// The setup that the arguments describe, and their scripted faults.
+fn parse_arguments() -> Result<(Setup, Vec<ScriptedFault>), String> {
     let mut routers = 10;
     let mut setup = Setup::mesh(routers, 1);
     let (mut faults, mut duration_ms, mut after_ms) = (Vec::new(), 60_000.0, 5_000.0);
@@ -64,7 +112,7 @@
         };
         match (name, &mut setup.kind) {
             ("kind", kind) if value == "sparse" => *kind = Setup::sparse(routers, 1).kind,
-            ("trouble", _) => faults.push((value.to_string(), after_ms, duration_ms)),
+            ("trouble", _) => faults.push(ScriptedFault { name: value.to_string(), after_ms, duration_ms }),
             ("lasts", _) => duration_ms = number,
             ("after", _) => after_ms = number,
             ("routers", _) => routers = number as usize,
@@ -97,42 +145,23 @@
                 mesh.config_changes = (number, (from, from + setup.measured_s * 1_000.0));
             }
             ("members", Kind::Mesh(mesh)) => mesh.max_members = number as usize,
-            ("wide", Kind::Sparse(sparse)) => sparse.full_size_purges = number > 0.0,
-            ("alone", Kind::Sparse(sparse)) => sparse.publish_immediately = number > 0.0,
-            ("hold", Kind::Sparse(sparse)) => sparse.overlay.publisher_wait_ms = number,
-            ("batch", Kind::Sparse(sparse)) => sparse.overlay.batch_ms = number,
-            ("ask", Kind::Sparse(sparse)) => sparse.overlay.query_delay_ms = number,
-            ("again", Kind::Sparse(sparse)) => sparse.overlay.query_retry_ms = number,
-            ("settle_words", Kind::Sparse(sparse)) => sparse.overlay.convergence_ms = number,
-            ("announce", Kind::Sparse(sparse)) => sparse.overlay.announce_ms = number,
-            ("late", Kind::Sparse(sparse)) => sparse.overlay.late_ms = number,
-            ("peer_batch", Kind::Sparse(sparse)) => sparse.overlay.peer_batch_ms = number,
-            ("eager", Kind::Sparse(sparse)) => sparse.shape.control_eager = number as usize,
-            ("budget", Kind::Sparse(sparse)) => sparse.overlay.budget_bytes_per_s = number,
             ("restarts", _) => setup.random_faults.restarts = number as usize,
             ("replaced", _) => setup.random_faults.replaced = number as usize,
             ("vanished", _) => setup.random_faults.vanished = number as usize,
             ("zones", _) => setup.random_faults.zones = number as usize,
-            ("log", _) if value == "one" => setup.change_log = ChangeLogReach::OneRouter,
-            // A router in the middle.
-            ("log", _) if value == "only" => setup.change_log = ChangeLogReach::Always(routers * 3 / 5),
-            ("log", _) if value == "controls" => setup.change_log = ChangeLogReach::ControlMachines,
-            ("log", _) if value == "everyone" => {
-                setup.change_log = ChangeLogReach::Everyone { missed_share: 0.0 }
-            }
-            ("log", _) if value == "looks" => {
-                setup.change_log = ChangeLogReach::Polling { interval_ms: 50.0 }
-            }
-            ("log", _) if value == "uneven" => {
-                setup.change_log =
-                    ChangeLogReach::Uneven { missed_share: 0.02, late_share: 0.02, max_delay_ms: 3_000.0 };
-            }
-            _ => return Err(format!("unknown argument: {arg}")),
+            ("log", _) => setup.change_log = change_log(value, routers).ok_or_else(|| unknown(&arg))?,
+            (_, Kind::Sparse(sparse)) => set_overlay(sparse, name, number).ok_or_else(|| unknown(&arg))?,
+            _ => return Err(unknown(&arg)),
         }
     }
     setup.shape = Setup::mesh(routers, 1).shape;
+    Ok((setup, faults))
+}
+
+fn main() -> Result<(), String> {
+    let (mut setup, faults) = parse_arguments()?;
     let fleet = Fleet::new(&setup.shape, setup.seed)?;
-    for (name, after_ms, duration_ms) in faults {
+    for ScriptedFault { name, after_ms, duration_ms } in faults {
         setup.scripted_faults.extend(script(
             &fleet,
             &name,
--- a/crates/fleet_simulation/src/checker.rs
+++ b/crates/fleet_simulation/src/checker.rs
@@ -29,7 +29,7 @@
     pub purges: usize,
     /// Purges and routers, where the router was never notified although it was reachable for long enough.
     pub lost: Vec<(usize, RouterIndex)>,
-    /// Like `lost`, but the router was only reachable again once the purge had converged: nobody has to know it any more.
+    /// Like `lost`, but the router was only reachable again once the purge had converged: by then no router needs it.
     pub converged: usize,
     /// How often a process was notified of a purge that it knew.
     pub duplicates: usize,
--- a/crates/fleet_simulation/src/count.rs
+++ b/crates/fleet_simulation/src/count.rs
@@ -1,6 +1,7 @@
 //! The cost of each router's control plane by the second: messages, bytes on the wire, processor time and state.
 
 use crate::{Micros, RouterIndex};
+use basaltgw_types::link::LinkError;
 use rustix::time::{clock_gettime, ClockId};
 
 /// Bytes of the TCP/IP headers of a segment with timestamps, as Linux sends it over IPv4: 20 + 20 + 12.
@@ -83,6 +84,19 @@
 }
 
 impl LinkCounts {
+    /// Counts a link that closed for this reason.
+    pub fn link_closed(&mut self, reason: LinkError) {
+        match reason {
+            LinkError::PeerTimeout => self.peer_timeouts += 1,
+            LinkError::Replaced => self.replaced += 1,
+            LinkError::NotConnected
+            | LinkError::QueueFull
+            | LinkError::ConnectionLost
+            | LinkError::MalformedFrame => self.broken += 1,
+            LinkError::RateExceeded | LinkError::PeerMismatch | LinkError::Idle => self.broken += 1,
+        }
+    }
+
     /// All counters, by the names that they have in the figures.
     pub fn all(&self) -> [(&'static str, u64); 14] {
         [
--- a/crates/fleet_simulation/src/links/mod.rs
+++ b/crates/fleet_simulation/src/links/mod.rs
@@ -339,15 +339,7 @@
                 host.up.remove(&peer);
             }
             let links = &mut self.counts.links;
-            match reason {
-                LinkError::PeerTimeout => links.peer_timeouts += 1,
-                LinkError::Replaced => links.replaced += 1,
-                LinkError::NotConnected
-                | LinkError::QueueFull
-                | LinkError::ConnectionLost
-                | LinkError::MalformedFrame => links.broken += 1,
-                LinkError::RateExceeded | LinkError::PeerMismatch | LinkError::Idle => links.broken += 1,
-            }
+            links.link_closed(reason);
             links.unsent_broken += left.len() as u64;
             self.events.push((me, ControlPlaneEvent::LinkDown(member, reason)));
             left.into_iter()
--- a/crates/fleet_simulation/src/mesh.rs
+++ b/crates/fleet_simulation/src/mesh.rs
@@ -1,6 +1,7 @@
 //! A router with links to all listed routers: the control plane as `serve` runs it.
 
 use crate::control_plane::{ControlPlane, ControlPlaneAction, ControlPlaneEvent, Notification, StartContext};
+use crate::fleet::FleetRouter;
 use basaltgw_config::fleet::FleetLimits;
 use basaltgw_control::{
     decode_purges, decode_table_register, Action, BootstrapMember, Control, ControlNotification,
@@ -81,42 +82,12 @@
         let StartContext { now, index, me, has_previous_data, fleet, disk, random } = context;
         let place =
             fleet.routers.get(*index).ok_or_else(|| format!("the fleet has no router with index {index}"))?;
-        let limits = &settings.limits;
-        let register_settings = RegisterSettings {
-            max_open_requests: limits.open_asks,
-            max_registers: limits.holds,
-            max_bytes: limits.hold_bytes,
-            max_outcome_bytes: limits.outcome_bytes,
-            max_message_bytes: limits.frame_bytes,
-            purge_retention_ms: (2.0 * settings.convergence_ms).max(1_000.0),
-            sync_batch: limits.fill_portion,
-            sync_pause_ms: limits.fill_pause_ms.max(1.0),
-            ..settings.registers.clone()
-        };
         let seed = (*random >> 64) as u64;
-        let registers = Registers::new(me.clone(), register_settings, disk.read(REGISTERS_SPACE), seed)
-            .map_err(|e| format!("registers: {e}"))?;
+        let registers =
+            Registers::new(me.clone(), register_settings(settings), disk.read(REGISTERS_SPACE), seed)
+                .map_err(|e| format!("registers: {e}"))?;
         let purges = decode_purges(disk.read(PURGES_SPACE)).ok_or("the disk holds a malformed purge")?;
-        let stored_table = match disk.get(TABLE_SPACE, &[]) {
-            Some(bytes) => {
-                Some(decode_table_register(&bytes).map_err(|e| format!("placement table on the disk: {e}"))?)
-            }
-            None => None,
-        };
-        let bootstrap_member =
-            |s: &crate::fleet::FleetRouter| BootstrapMember { address: s.address, domain: s.domain.clone() };
-        let table_config = TableManagerConfig {
-            me: me.clone(),
-            bootstrap_members: fleet
-                .routers
-                .iter()
-                .map(|s| (s.router.clone(), bootstrap_member(s)))
-                .collect(),
-            capacity: limits.holds as u64,
-            rules: vec![("rules".into(), settings.rules.clone())],
-            replace_after: limits.replace_after_ms,
-        };
-        let table = TableManager::new(table_config, stored_table)?;
+        let table = table_manager(settings, context)?;
         let advertised_table = table.version();
         let listed_routers: BTreeSet<_> =
             fleet.routers.iter().filter(|s| s.router != place.router).map(|s| s.router.clone()).collect();
@@ -216,6 +187,42 @@
     }
 }
 
+/// The settings of the registers of a router.
+fn register_settings(settings: &MeshSettings) -> RegisterSettings {
+    let limits = &settings.limits;
+    RegisterSettings {
+        max_open_requests: limits.open_asks,
+        max_registers: limits.holds,
+        max_bytes: limits.hold_bytes,
+        max_outcome_bytes: limits.outcome_bytes,
+        max_message_bytes: limits.frame_bytes,
+        purge_retention_ms: (2.0 * settings.convergence_ms).max(1_000.0),
+        sync_batch: limits.fill_portion,
+        sync_pause_ms: limits.fill_pause_ms.max(1.0),
+        ..settings.registers.clone()
+    }
+}
+
+/// The table manager of a router, with the placement table on its disk.
+fn table_manager(settings: &MeshSettings, context: &StartContext) -> Result<TableManager, String> {
+    let stored_table = match context.disk.get(TABLE_SPACE, &[]) {
+        Some(bytes) => {
+            Some(decode_table_register(&bytes).map_err(|e| format!("placement table on the disk: {e}"))?)
+        }
+        None => None,
+    };
+    let bootstrap_member = |r: &FleetRouter| BootstrapMember { address: r.address, domain: r.domain.clone() };
+    let members = context.fleet.routers.iter().map(|r| (r.router.clone(), bootstrap_member(r)));
+    let table_config = TableManagerConfig {
+        me: context.me.clone(),
+        bootstrap_members: members.collect(),
+        capacity: settings.limits.holds as u64,
+        rules: vec![("rules".into(), settings.rules.clone())],
+        replace_after: settings.limits.replace_after_ms,
+    };
+    Ok(TableManager::new(table_config, stored_table)?)
+}
+
 impl ControlPlane for Mesh {
     fn handle(&mut self, now: Ms, event: ControlPlaneEvent, out: &mut Vec<ControlPlaneAction>) {
         self.make_change(now, out);
--- a/crates/fleet_simulation/src/run.rs
+++ b/crates/fleet_simulation/src/run.rs
@@ -218,21 +218,15 @@
             series.insert(format!("{name}_mean"), means);
             series.insert(format!("{name}_most"), mosts);
         }
-        let links: Vec<f64> = group.iter().map(|router| world.links.link_count(*router) as f64).collect();
-        let states = group.iter().map(|router| counts.state_bytes[*router].1 as f64).fold(0.0, f64::max);
-        values.insert(format!("{prefix}links_mean"), links.iter().sum::<f64>() / links.len().max(1) as f64);
-        values.insert(format!("{prefix}links_most"), links.into_iter().fold(0.0, f64::max));
-        values.insert(format!("{prefix}state_bytes_most"), states);
+        values.extend(links_and_state(world, prefix, group));
     }
     let mut put = |name: &str, value: f64| _ = values.insert(name.to_string(), value);
     let tables: Vec<Micros> = world.first_tables().flatten().collect();
     put("routers", routers as f64);
     put("founded", tables.len() as f64);
     put("founded_last_ms", tables.iter().max().map_or(-1.0, |at| crate::ms(*at)));
-    put(
-        "state_bytes_mean",
-        counts.state_bytes.iter().map(|(now, _)| *now as f64).sum::<f64>() / routers as f64,
-    );
+    let states = counts.state_bytes.iter().map(|(current, _)| *current as f64);
+    put("state_bytes_mean", states.sum::<f64>() / routers as f64);
     put("connections_most", counts.max_open_connections.iter().copied().max().unwrap_or(0) as f64);
     put("links_least", (0..routers).map(|router| world.links.link_count(router)).min().unwrap_or(0) as f64);
     put("waiting_most", counts.max_inbox.iter().copied().max().unwrap_or(0) as f64);
@@ -240,27 +234,48 @@
         put(&format!("links_{name}"), count as f64);
     }
     put("events_in_all", world.events() as f64);
-    put("changes", findings.config_changes.made as f64);
-    put("changes_lost", findings.config_changes.lost() as f64);
-    put("changes_everywhere_median_ms", percentile(&findings.config_changes.completion_ms, 50.0));
-    put("changes_everywhere_last_ms", percentile(&findings.config_changes.completion_ms, 100.0));
-    put("words", findings.purges as f64);
-    put("lost", findings.lost.len() as f64);
-    let distinct = |all: BTreeSet<usize>| all.len() as f64;
-    put("lost_words", distinct(findings.lost.iter().map(|(purge, _)| *purge).collect()));
-    put("lost_routers", distinct(findings.lost.iter().map(|(_, router)| *router).collect()));
-    put("settled", findings.converged as f64);
-    put("twice", findings.duplicates as f64);
-    put("twice_old", findings.duplicates_after_convergence as f64);
-    put("late", findings.late as f64);
-    put("late_settled", findings.late_after_convergence as f64);
-    put("unknown", findings.unknown as f64);
-    put("everywhere", findings.completion_ms.len() as f64);
-    put("everywhere_median_ms", percentile(&findings.completion_ms, 50.0));
-    put("everywhere_p99_ms", percentile(&findings.completion_ms, 99.0));
-    put("everywhere_last_ms", percentile(&findings.completion_ms, 100.0));
+    for (name, value) in delivery(findings) {
+        put(name, value);
+    }
     for (name, count) in world.control_plane_counters().flatten() {
         *values.entry(format!("party_{name}_sum")).or_insert(0.0) += count as f64;
     }
     Figures { values, series }
 }
+
+/// The figures of the delivery of purges and configuration changes.
+fn delivery(findings: &Findings) -> [(&'static str, f64); 18] {
+    let distinct = |all: BTreeSet<usize>| all.len() as f64;
+    [
+        ("changes", findings.config_changes.made as f64),
+        ("changes_lost", findings.config_changes.lost() as f64),
+        ("changes_everywhere_median_ms", percentile(&findings.config_changes.completion_ms, 50.0)),
+        ("changes_everywhere_last_ms", percentile(&findings.config_changes.completion_ms, 100.0)),
+        ("words", findings.purges as f64),
+        ("lost", findings.lost.len() as f64),
+        ("lost_words", distinct(findings.lost.iter().map(|(purge, _)| *purge).collect())),
+        ("lost_routers", distinct(findings.lost.iter().map(|(_, router)| *router).collect())),
+        ("settled", findings.converged as f64),
+        ("twice", findings.duplicates as f64),
+        ("twice_old", findings.duplicates_after_convergence as f64),
+        ("late", findings.late as f64),
+        ("late_settled", findings.late_after_convergence as f64),
+        ("unknown", findings.unknown as f64),
+        ("everywhere", findings.completion_ms.len() as f64),
+        ("everywhere_median_ms", percentile(&findings.completion_ms, 50.0)),
+        ("everywhere_p99_ms", percentile(&findings.completion_ms, 99.0)),
+        ("everywhere_last_ms", percentile(&findings.completion_ms, 100.0)),
+    ]
+}
+
+/// The figures of the links and the state of a group of routers.
+fn links_and_state(world: &World, prefix: &str, group: &[usize]) -> [(String, f64); 3] {
+    let links: Vec<f64> = group.iter().map(|router| world.links.link_count(*router) as f64).collect();
+    let state_bytes = &world.links.counts.state_bytes;
+    let max_state = group.iter().map(|router| state_bytes[*router].1 as f64).fold(0.0, f64::max);
+    [
+        (format!("{prefix}links_mean"), links.iter().sum::<f64>() / links.len().max(1) as f64),
+        (format!("{prefix}links_most"), links.into_iter().fold(0.0, f64::max)),
+        (format!("{prefix}state_bytes_most"), max_state),
+    ]
+}
--- a/crates/fleet_simulation/src/sparse.rs
+++ b/crates/fleet_simulation/src/sparse.rs
@@ -138,7 +138,7 @@
                     out.push(ControlPlaneAction::Send { number: 0, to, lane: Lane::Table, body })
                 }
                 Action::Deliver(Kind::Purge, bytes, _) => {
-                    let purge = postcard::from_bytes(&bytes).ok().map(|p| self.from_wire_size(p));
+                    let purge = postcard::from_bytes(&bytes).ok().map(|p| self.with_small_numbers(p));
                     if let Some(purge) = purge.filter(|p| self.remember(now, *p)) {
                         out.push(ControlPlaneAction::Notify(Notification::Purge(purge)));
                     }
@@ -166,8 +166,8 @@
         new
     }
 
-    /// The purge as it is sent, with numbers of realistic size.
-    fn to_wire_size(&self, purge: Purge) -> Purge {
+    /// The purge as it is sent, with numbers as large as in a real deployment.
+    fn with_wide_numbers(&self, purge: Purge) -> Purge {
         if !self.settings.full_size_purges {
             return purge;
         }
@@ -178,8 +178,8 @@
         }
     }
 
-    /// The reverse of [`Self::to_wire_size`].
-    fn from_wire_size(&self, purge: Purge) -> Purge {
+    /// The reverse of [`Self::with_wide_numbers`].
+    fn with_small_numbers(&self, purge: Purge) -> Purge {
         if !self.settings.full_size_purges {
             return purge;
         }
@@ -196,7 +196,7 @@
         if !self.remember(now, purge) {
             return;
         }
-        if let Ok(bytes) = postcard::to_stdvec(&self.to_wire_size(purge)) {
+        if let Ok(bytes) = postcard::to_stdvec(&self.with_wide_numbers(purge)) {
             let event = match self.settings.publish_immediately {
                 true => Event::Publish(Kind::Purge, bytes),
                 false => Event::AlreadyKnown(Kind::Purge, bytes),
--- a/crates/fleet_simulation/src/world/happen.rs
+++ b/crates/fleet_simulation/src/world/happen.rs
@@ -45,8 +45,7 @@
                 }
             }
             ChangeLogReach::Always(router) => {
-                let at = arrival(&mut self.rng);
-                self.queue.put(at, read(router.min(routers - 1)));
+                self.queue.put(arrival(&mut self.rng), read(router.min(routers - 1)));
             }
             ChangeLogReach::Polling { interval_ms } => {
                 let interval = micros(interval_ms).max(1);
@@ -58,8 +57,7 @@
             }
             ChangeLogReach::ControlMachines => {
                 for router in self.control_machines().collect::<Vec<_>>() {
-                    let at = arrival(&mut self.rng);
-                    self.queue.put(at, read(router));
+                    self.queue.put(arrival(&mut self.rng), read(router));
                 }
             }
             ChangeLogReach::OneRouter => {
@@ -68,8 +66,7 @@
                 };
                 let first = self.rng.random_range(0..routers);
                 let router = (first..routers).chain(0..first).find(reachable).unwrap_or(first);
-                let at = arrival(&mut self.rng);
-                self.queue.put(at, read(router));
+                self.queue.put(arrival(&mut self.rng), read(router));
             }
         }
     }
--- a/crates/fleet_simulation/tests/checker.rs
+++ b/crates/fleet_simulation/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker catches broken parties: one that swallows, one that tells twice, one that is late; and lets a sound one pass.
+//! The checker detects faulty control planes that drop, duplicate or delay purges, and accepts a correct one.
 
 use basaltgw_control::Purge;
 use basaltgw_fleet_simulation::checker::Findings;
@@ -12,37 +12,37 @@
 use std::collections::BTreeSet;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Broken {
-    Nothing,
-    /// Every seventh word is not told.
-    Swallows,
-    /// Every seventh word is told twice.
-    Twice,
-    /// What it hears from others it tells this much later.
-    Late(Ms),
+enum Defect {
+    None,
+    /// No notification for every seventh purge.
+    Drops,
+    /// Two notifications for every seventh purge.
+    Duplicates,
+    /// Notifications of purges from other routers are this late.
+    Delays(Ms),
 }
 
-/// Passes on what it hears from the log to all that it is linked to, and no further.
+/// Forwards purges from the change log over all links; purges from links are not forwarded.
 struct Gossip {
-    how: Broken,
+    defect: Defect,
     links: BTreeSet<Member>,
-    heard: BTreeSet<Purge>,
-    waits: Vec<(Ms, Purge)>,
+    known: BTreeSet<Purge>,
+    delayed: Vec<(Ms, Purge)>,
 }
 
 impl Gossip {
-    fn hears(&mut self, now: Ms, purge: Purge, out: &mut Vec<ControlPlaneAction>) {
-        if !self.heard.insert(purge) {
+    fn notify(&mut self, now: Ms, purge: Purge, out: &mut Vec<ControlPlaneAction>) {
+        if !self.known.insert(purge) {
             return;
         }
         let seventh = purge.object.is_some_and(|o| o % 7 == 0);
-        match self.how {
-            Broken::Swallows if seventh => {}
-            Broken::Twice if seventh => {
+        match self.defect {
+            Defect::Drops if seventh => {}
+            Defect::Duplicates if seventh => {
                 out.extend([0, 0].map(|_| ControlPlaneAction::Notify(Notification::Purge(purge))));
             }
-            Broken::Late(by) => self.waits.push((now + by, purge)),
-            Broken::Nothing | Broken::Swallows | Broken::Twice => {
+            Defect::Delays(by) => self.delayed.push((now + by, purge)),
+            Defect::None | Defect::Drops | Defect::Duplicates => {
                 out.push(ControlPlaneAction::Notify(Notification::Purge(purge)));
             }
         }
@@ -55,7 +55,7 @@
             ControlPlaneEvent::LinkUp(hello) => _ = self.links.insert(hello.member),
             ControlPlaneEvent::LinkDown(member, _) => _ = self.links.remove(&member),
             ControlPlaneEvent::ChangeLogPurge(purge) => {
-                self.heard.insert(purge);
+                self.known.insert(purge);
                 for to in self.links.iter().cloned() {
                     let body = postcard::to_stdvec(&purge).expect("bytes");
                     out.push(ControlPlaneAction::Send { number: 0, to, lane: Lane::Table, body });
@@ -63,11 +63,11 @@
             }
             ControlPlaneEvent::MessageReceived { body, .. } => {
                 let purge = postcard::from_bytes(&body).expect("a purge");
-                self.hears(now, purge, out);
+                self.notify(now, purge, out);
             }
             ControlPlaneEvent::TimersDue => {
-                let (due, left): (Vec<_>, Vec<_>) = self.waits.drain(..).partition(|(at, _)| *at <= now);
-                self.waits = left;
+                let (due, left): (Vec<_>, Vec<_>) = self.delayed.drain(..).partition(|(at, _)| *at <= now);
+                self.delayed = left;
                 out.extend(
                     due.into_iter().map(|(_, purge)| ControlPlaneAction::Notify(Notification::Purge(purge))),
                 );
@@ -79,11 +79,11 @@
     }
 
     fn next_timer(&self) -> Ms {
-        self.waits.iter().map(|(at, _)| *at).fold(f64::INFINITY, f64::min)
+        self.delayed.iter().map(|(at, _)| *at).fold(f64::INFINITY, f64::min)
     }
 }
 
-fn findings(how: Broken) -> Findings {
+fn findings(defect: Defect) -> Findings {
     let mut setup = Setup::mesh(12, 5);
     (setup.warm_up_s, setup.measured_s, setup.purges_per_s, setup.change_log) =
         (3.0, 5.0, 20.0, ChangeLogReach::OneRouter);
@@ -91,38 +91,38 @@
     let start = move |start: &StartContext, out: &mut Vec<ControlPlaneAction>| {
         let others = start.fleet.routers.iter().filter(|s| s.router != start.me.router);
         out.extend(others.map(|s| ControlPlaneAction::Dial(s.router.clone())));
-        let (links, heard) = (BTreeSet::new(), BTreeSet::new());
-        Ok((Box::new(Gossip { how, links, heard, waits: Vec::new() }) as Box<dyn ControlPlane>, None))
+        let (links, known) = (BTreeSet::new(), BTreeSet::new());
+        Ok((Box::new(Gossip { defect, links, known, delayed: Vec::new() }) as Box<dyn ControlPlane>, None))
     };
     run_with(&setup, &start).expect("a run").1
 }
 
 #[test]
-fn a_sound_party_passes() {
-    let found = findings(Broken::Nothing);
+fn a_correct_control_plane_passes() {
+    let found = findings(Defect::None);
     assert_eq!((found.purges, found.completion_ms.len(), found.duplicates, found.late), (100, 100, 0, 0));
     assert!(found.lost.is_empty() && found.unknown == 0, "{found:?}");
 }
 
 #[test]
-fn a_party_that_swallows_is_caught() {
-    let found = findings(Broken::Swallows);
-    // Fifteen of a hundred words, at all but the one that heard of it.
+fn a_control_plane_that_drops_purges_is_reported() {
+    let found = findings(Defect::Drops);
+    // Fifteen of a hundred purges, at all routers but the one that read it from the change log.
     assert_eq!((found.lost.len(), found.duplicates, found.late), (15 * 11, 0, 0));
-    assert!(found.lost.iter().all(|(word, _)| word % 7 == 0));
+    assert!(found.lost.iter().all(|(purge, _)| purge % 7 == 0));
 }
 
 #[test]
-fn a_party_that_tells_twice_is_caught() {
-    let found = findings(Broken::Twice);
+fn a_control_plane_that_duplicates_notifications_is_reported() {
+    let found = findings(Defect::Duplicates);
     assert_eq!((found.lost.len(), found.duplicates, found.late), (0, 15 * 11, 0));
 }
 
 #[test]
-fn a_party_that_is_late_is_caught() {
-    let found = findings(Broken::Late(6_200.0));
+fn a_control_plane_that_delays_notifications_is_reported() {
+    let found = findings(Defect::Delays(6_200.0));
     assert_eq!((found.lost.len(), found.duplicates, found.late), (0, 0, 100 * 11));
     assert!(found.completion_ms.iter().all(|ms| *ms > 6_100.0));
-    let found = findings(Broken::Late(5_000.0));
+    let found = findings(Defect::Delays(5_000.0));
     assert_eq!((found.lost.len(), found.late), (0, 0), "in time");
 }
--- a/crates/fleet_simulation/tests/mesh.rs
+++ b/crates/fleet_simulation/tests/mesh.rs
@@ -1,9 +1,9 @@
-//! Worlds of real control parts.
+//! Simulations of real control planes with links to all routers.
 
 use basaltgw_fleet_simulation::fault::FaultCounts;
 use basaltgw_fleet_simulation::run::{run, Setup};
 
-/// A small fleet on lines on which it can be founded.
+/// A small fleet with delays that allow founding.
 fn setup(routers: usize) -> Setup {
     let mut setup = Setup::mesh(routers, 3);
     setup.network.inter_region_delay_ms = (5.0, 20.0);
@@ -12,17 +12,17 @@
 }
 
 #[test]
-fn a_fleet_is_founded_and_hears_every_purge() {
+fn a_fleet_is_founded_and_receives_every_purge() {
     let figures = run(&setup(8)).expect("a run").values;
-    let is = |name: &str| figures.get(name).copied().unwrap_or(-1.0);
-    assert_eq!((is("founded"), is("links_least"), is("words")), (8.0, 7.0, 20.0), "{figures:#?}");
-    assert_eq!((is("lost"), is("late"), is("everywhere")), (0.0, 0.0, 20.0), "{figures:#?}");
-    assert!(is("commits_mean") > 0.0 && is("wire_bytes_mean") > 0.0);
+    let figure = |name: &str| figures.get(name).copied().unwrap_or(-1.0);
+    assert_eq!((figure("founded"), figure("links_least"), figure("words")), (8.0, 7.0, 20.0), "{figures:#?}");
+    assert_eq!((figure("lost"), figure("late"), figure("everywhere")), (0.0, 0.0, 20.0), "{figures:#?}");
+    assert!(figure("commits_mean") > 0.0 && figure("wire_bytes_mean") > 0.0);
 }
 
-/// On these lines a round takes longer than founders that ask at once wait for each other.
+/// With these delays a round takes longer than founders that propose at the same time wait for each other.
 #[test]
-fn founders_far_apart_found_their_fleet() {
+fn distant_founders_found_their_fleet() {
     for seed in [1, 2] {
         let mut setup = Setup::mesh(6, seed);
         setup.network.inter_region_delay_ms = (75.0, 150.0);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_same_seed_is_the_same_run_also_with_troubles() {
+fn the_same_seed_gives_the_same_run_with_faults() {
     let mut troubled = setup(9);
     troubled.random_faults = FaultCounts {
         restarts: 2,
--- a/crates/fleet_simulation/tests/process.rs
+++ b/crates/fleet_simulation/tests/process.rs
@@ -1,4 +1,4 @@
-//! Processes, disks, and where routers stand.
+//! Processes, disks and the placement of routers.
 
 use basaltgw_fleet_simulation::control_plane::{
     ControlPlane, ControlPlaneAction, ControlPlaneEvent, StartContext,
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Writes a new number each millisecond, as one commit each, and notes the numbers that are on the disk.
+/// Commits a new number each millisecond, and records the last one that became durable.
 struct Writer {
     next: Ms,
     last: u32,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_was_committed_is_there_after_a_kill_and_nothing_after_a_wipe() {
+fn commits_survive_a_restart_but_not_a_replacement_of_the_machine() {
     let mut setup = Setup::mesh(3, 1);
     (setup.warm_up_s, setup.measured_s, setup.drain_s) = (1.0, 10.0, 0.0);
     setup.scripted_faults = vec![
@@ -66,12 +66,12 @@
     };
     run_with(&setup, &start).expect("a run");
     let starts = starts.borrow();
-    let [(false, None, 0, first), (true, Some(found), told, again), (false, None, _, new)] = starts[..]
+    let [(false, None, 0, first), (true, Some(found), notified, again), (false, None, _, new)] = starts[..]
     else {
         panic!("{starts:?}")
     };
-    // It was told of each commit that is there, and of none that is not.
-    assert!(found == told && found > 100, "{starts:?}");
+    // The process was notified of exactly the commits that are on the disk.
+    assert!(found == notified && found > 100, "{starts:?}");
     assert!(first == again && new != first);
 }
 
--- a/crates/fleet_simulation/tests/sparse.rs
+++ b/crates/fleet_simulation/tests/sparse.rs
@@ -1,4 +1,4 @@
-//! Worlds of real overlays.
+//! Simulations of real overlays.
 
 use basaltgw_fleet_simulation::control_plane::{ControlPlane, ControlPlaneAction, ControlPlaneEvent};
 use basaltgw_fleet_simulation::fault::{Fault, FaultKind};
@@ -11,8 +11,8 @@
 
 const ROUTERS: usize = 70;
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// More than a router dials and takes, whatever it is: two above and eight below, nine control machines and ten relays.
-const MOST_LINKS: f64 = 19.0;
+/// At least as many links as a router of any role dials and accepts: two above and eight below, nine control machines and ten relays.
+const MAX_LINKS: f64 = 19.0;
 
 fn setup(seed: u64, log: ChangeLogReach) -> Setup {
     let mut setup = Setup::sparse(ROUTERS, seed);
@@ -20,31 +20,31 @@
     setup
 }
 
-fn is(figures: &Figures, name: &str) -> f64 {
+fn figure(figures: &Figures, name: &str) -> f64 {
     figures.values.get(name).copied().unwrap_or(-1.0)
 }
 
-fn whole(figures: &Figures, words: f64, what: &str) {
+fn assert_complete(figures: &Figures, purges: f64, context: &str) {
     let names = ["words", "everywhere", "lost", "late", "twice", "unknown"];
-    let found = names.map(|name| is(figures, name));
-    assert_eq!(found, [words, words, 0.0, 0.0, 0.0, 0.0], "{what}: {names:?}");
-    assert!(is(figures, "links_most") <= MOST_LINKS && is(figures, "links_mean") > 2.0, "{what}");
+    let found = names.map(|name| figure(figures, name));
+    assert_eq!(found, [purges, purges, 0.0, 0.0, 0.0, 0.0], "{context}: {names:?}");
+    assert!(figure(figures, "links_most") <= MAX_LINKS && figure(figures, "links_mean") > 2.0, "{context}");
 }
 
 #[test]
-fn every_word_is_everywhere_once_in_a_quiet_fleet() {
+fn every_purge_reaches_all_routers_once_without_faults() {
     let uneven = ChangeLogReach::Uneven { missed_share: 0.02, late_share: 0.02, max_delay_ms: 3_000.0 };
     for (seed, log) in
         SEEDS.into_iter().zip([uneven, ChangeLogReach::OneRouter, ChangeLogReach::ControlMachines])
     {
         let figures = run(&setup(seed, log)).expect("a run");
-        whole(&figures, 60.0, &format!("{seed} {log:?}"));
-        assert_eq!(is(&figures, "founded"), ROUTERS as f64);
+        assert_complete(&figures, 60.0, &format!("{seed} {log:?}"));
+        assert_eq!(figure(&figures, "founded"), ROUTERS as f64);
     }
 }
 
 #[test]
-fn every_word_is_everywhere_once_when_a_relay_is_gone_or_restarts() {
+fn every_purge_reaches_all_routers_once_when_relays_vanish_or_restart() {
     for seed in SEEDS {
         let mut setup = setup(seed, ChangeLogReach::ControlMachines);
         let fleet = Fleet::new(&setup.shape, seed).expect("a fleet");
@@ -55,27 +55,34 @@
             Fault { at: 10_000_000, kind: FaultKind::Vanish { router: relay(), duration: 600_000_000 } },
             Fault { at: 11_000_000, kind: FaultKind::Restart { router: relay(), duration: 500_000 } },
         ];
-        whole(&run(&setup).expect("a run"), 60.0, &format!("{seed}"));
+        assert_complete(&run(&setup).expect("a run"), 60.0, &format!("{seed}"));
     }
 }
 
 #[test]
-fn who_restarts_is_given_all_that_had_not_settled_as_it_came_back() {
+fn a_restarted_router_receives_all_purges_that_had_not_converged() {
     for seed in SEEDS {
         let mut setup = setup(seed, ChangeLogReach::ControlMachines);
         (setup.purges_per_s, setup.measured_s, setup.random_faults.restarts) = (100.0, 12.0, 16);
         let figures = run(&setup).expect("a run");
-        assert_eq!([is(&figures, "lost"), is(&figures, "late"), is(&figures, "twice")], [0.0; 3], "{seed}");
-        // Without time to catch up some of it has settled before it is asked for.
+        assert_eq!(
+            [figure(&figures, "lost"), figure(&figures, "late"), figure(&figures, "twice")],
+            [0.0; 3],
+            "{seed}"
+        );
+        // Without the catch-up time some updates converge before the router queries them.
         if let Kind::Sparse(sparse) = &mut setup.kind {
             sparse.overlay.convergence_ms -= CATCH_UP_MS;
         }
-        assert!(is(&run(&setup).expect("a run"), "lost") > 0.0, "{seed}: nothing was shown");
+        assert!(
+            figure(&run(&setup).expect("a run"), "lost") > 0.0,
+            "{seed}: no purge was lost without the catch-up time"
+        );
     }
 }
 
 #[test]
-fn the_same_seed_is_the_same_run() {
+fn the_same_seed_gives_the_same_run() {
     let mut setup = setup(5, ChangeLogReach::OneRouter);
     setup.random_faults.restarts = 3;
     setup.random_faults.regions = 1;
@@ -85,10 +92,10 @@
     assert!(first != run(&setup).expect("a run"));
 }
 
-/// An overlay that reads nothing.
-struct Deaf(Sparse);
+/// An overlay that ignores all received messages.
+struct IgnoresMessages(Sparse);
 
-impl ControlPlane for Deaf {
+impl ControlPlane for IgnoresMessages {
     fn handle(&mut self, now: Ms, event: ControlPlaneEvent, out: &mut Vec<ControlPlaneAction>) {
         match event {
             ControlPlaneEvent::MessageReceived { .. } => {}
@@ -110,19 +117,19 @@
 }
 
 #[test]
-fn a_router_that_reads_nothing_is_found() {
+fn a_router_that_ignores_messages_is_reported() {
     let setup = setup(1, ChangeLogReach::ControlMachines);
     let fleet = Fleet::new(&setup.shape, setup.seed).expect("a fleet");
-    let set = SparseSettings::default();
-    let list = router_list(&fleet, set.shape).expect("a list");
-    let deaf = (0..ROUTERS).rfind(|no| !fleet.routers[*no].control).expect("another");
+    let settings = SparseSettings::default();
+    let list = router_list(&fleet, settings.shape).expect("a list");
+    let ignoring = (0..ROUTERS).rfind(|no| !fleet.routers[*no].control).expect("another");
     let found = run_with(&setup, &|start, out| {
-        let sparse = Sparse::start(&set, &list, start, out)?;
+        let sparse = Sparse::start(&settings, &list, start, out)?;
         let control_plane: Box<dyn ControlPlane> =
-            if start.index == deaf { Box::new(Deaf(sparse)) } else { Box::new(sparse) };
+            if start.index == ignoring { Box::new(IgnoresMessages(sparse)) } else { Box::new(sparse) };
         Ok((control_plane, None))
     });
     let (figures, findings) = found.expect("a run");
-    assert_eq!((is(&figures, "lost"), is(&figures, "lost_routers")), (60.0, 1.0));
-    assert!(findings.lost.iter().all(|(_, no)| *no == deaf));
+    assert_eq!((figure(&figures, "lost"), figure(&figures, "lost_routers")), (60.0, 1.0));
+    assert!(findings.lost.iter().all(|(_, no)| *no == ignoring));
 }
--- a/crates/fleet_simulation/tests/state.rs
+++ b/crates/fleet_simulation/tests/state.rs
@@ -1,4 +1,5 @@
-//! State is what a party keeps, and not what it sends, is sent, or has committed. Alone in its program: the allocator counts all threads.
+//! The state size covers what a control plane holds, not messages and commits in flight. The only test of its program, because the
+//! allocator counts the memory of all threads.
 
 use basaltgw_fleet_simulation::control_plane::{
     ControlPlane, ControlPlaneAction, ControlPlaneEvent, StartContext,
@@ -13,33 +14,33 @@
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// Bytes that it keeps more of each millisecond.
-const GROWS: usize = 1_000;
-/// Milliseconds in which it does.
-const TIMES: usize = 500;
+/// Bytes that the state grows each millisecond.
+const GROWTH_BYTES: usize = 1_000;
+/// Milliseconds during which the state grows.
+const GROWTH_MS: usize = 500;
 /// Bytes of each message and each commit.
-const PASSES: usize = 10_000;
+const TRANSIENT_BYTES: usize = 10_000;
 
-/// Keeps something each millisecond for a while, and goes on sending and committing more than that.
-struct Keeper {
+/// Grows its state each millisecond for a while, and keeps sending and committing more bytes than that.
+struct GrowingState {
     next: Ms,
-    kept: Vec<Vec<u8>>,
+    held: Vec<Vec<u8>>,
     links: Vec<Member>,
 }
 
-impl ControlPlane for Keeper {
+impl ControlPlane for GrowingState {
     fn handle(&mut self, now: Ms, event: ControlPlaneEvent, out: &mut Vec<ControlPlaneAction>) {
         match event {
             ControlPlaneEvent::LinkUp(hello) => self.links.push(hello.member),
             ControlPlaneEvent::TimersDue => {
                 self.next = now + 1.0;
-                if self.kept.len() < TIMES {
-                    self.kept.push(vec![0; GROWS]);
+                if self.held.len() < GROWTH_MS {
+                    self.held.push(vec![0; GROWTH_BYTES]);
                 }
-                let put = Write::Put(Space(1), vec![1], vec![0; PASSES]);
+                let put = Write::Put(Space(1), vec![1], vec![0; TRANSIENT_BYTES]);
                 out.push(ControlPlaneAction::Commit(1, vec![put]));
                 for to in self.links.iter().cloned() {
-                    let body = vec![0; PASSES];
+                    let body = vec![0; TRANSIENT_BYTES];
                     out.push(ControlPlaneAction::Send { number: 0, to, lane: Lane::Registers, body });
                 }
             }
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn state_is_what_a_party_keeps() {
+fn the_state_size_is_what_a_control_plane_holds() {
     let mut setup = Setup::mesh(3, 1);
     (setup.warm_up_s, setup.measured_s, setup.drain_s) = (1.0, 4.0, 0.0);
     setup.allocation_meter = Some(|work| {
@@ -69,19 +70,20 @@
     let start = |start: &StartContext, out: &mut Vec<ControlPlaneAction>| {
         let others = start.fleet.routers.iter().filter(|s| s.router != start.me.router);
         out.extend(others.map(|s| ControlPlaneAction::Dial(s.router.clone())));
-        let keeper = Keeper { next: start.now, kept: Vec::with_capacity(TIMES), links: Vec::new() };
-        Ok((Box::new(keeper) as Box<dyn ControlPlane>, None))
+        let control_plane =
+            GrowingState { next: start.now, held: Vec::with_capacity(GROWTH_MS), links: Vec::new() };
+        Ok((Box::new(control_plane) as Box<dyn ControlPlane>, None))
     };
     let figures = run_with(&setup, &start).expect("a run").0.values;
-    let kept = (TIMES * GROWS + TIMES * size_of::<Vec<u8>>()) as f64;
+    let held_bytes = (GROWTH_MS * GROWTH_BYTES + GROWTH_MS * size_of::<Vec<u8>>()) as f64;
     for name in ["state_bytes_mean", "state_bytes_most"] {
-        // Itself and its list of links are a few hundred bytes.
-        let is = figures[name];
+        // The control plane and its list of links add a few hundred bytes.
+        let value = figures[name];
         assert!(
-            (kept..kept + 1_000.0).contains(&is),
-            "{name}: {is}, expected {kept} and a little\n{figures:#?}"
+            (held_bytes..held_bytes + 1_000.0).contains(&value),
+            "{name}: {value}, expected {held_bytes} and a little\n{figures:#?}"
         );
     }
-    // A commit holds it up for 0.3 to 3 ms: some 380 turns a second, with two messages each.
+    // A commit blocks the process for 0.3 to 3 ms: some 380 turns a second, with two messages each.
     assert!(figures["frames_in_mean"] > 500.0 && figures["commits_mean"] > 250.0, "{figures:#?}");
 }
