--- a/crates/control/src/table/proposals.rs
+++ b/crates/control/src/table/proposals.rs
@@ -124,8 +124,8 @@
     /// An earlier report of this term may have been lost. A stalled adoption is reported to all.
     fn repeat_progress_report(&self, term: u64, is_stalled: bool) -> Option<TableAction> {
         let me = &self.config.me;
-        let (durable, synced) = self.adoption.member_progress();
-        let report = match (durable.contains(me), synced.contains(me)) {
+        let progress = self.adoption.member_progress();
+        let report = match (progress.durable.contains(me), progress.synced.contains(me)) {
             (_, true) => progress_report(term, true),
             (true, false) => progress_report(term, false),
             (false, false) => return None,
--- a/crates/node/src/clients/mod.rs
+++ b/crates/node/src/clients/mod.rs
@@ -100,7 +100,7 @@
         return;
     }
     let read = async {
-        let paused = || buffered.bytes() > CLIENT_UNSENT_MAX_BYTES;
+        let is_peer_slow = || buffered.bytes() > CLIENT_UNSENT_MAX_BYTES;
         let decode = |decoded: DecodedMessage| {
             let message = ClientMessage::decode(decoded.elements)?;
             state.liveness().observe(&message);
@@ -108,7 +108,8 @@
             Some(Input::ClientMessage { client: id, message, received_at: decoded.received_at })
         };
         let client = ClientReader { state: &state, waiting_since };
-        let reason = read_messages(&socket, CLIENT_READ_LIMITS, &context, paused, decode, Some(client)).await;
+        let reason =
+            read_messages(&socket, CLIENT_READ_LIMITS, &context, is_peer_slow, decode, Some(client)).await;
         log::debug!("client {}: reading stopped: {reason:?}", id.0);
         state.apply(ConnectionEvent::ReadStopped);
         let lingers = reason != CloseReason::PeerClosed;
--- a/crates/node/src/connection/state.rs
+++ b/crates/node/src/connection/state.rs
@@ -71,8 +71,10 @@
                 Open { queued, close_requested: close_requested.or(Some(reason)) }
             }
             (Open { queued, close_requested }, E::FoundIdle) => {
-                let permission =
-                    may_close(&CloseState { wanted: close_requested.is_some(), queued_messages: queued });
+                let permission = may_close(&CloseState {
+                    close_requested: close_requested.is_some(),
+                    queued_messages: queued,
+                });
                 if permission.is_ok() || broken(Break::CloseOverRequest) {
                     Closing
                 } else {
--- a/crates/node/src/fleet/handle.rs
+++ b/crates/node/src/fleet/handle.rs
@@ -18,8 +18,8 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// The most changes and purges that wait for capacity in the ring. There are no more than leased requests, and no request is leased while
-/// one waits.
+/// The most changes and purges that wait for capacity in the ring. They are no more than the leased requests, since no request is leased
+/// while one of them waits.
 const MAX_BACKLOG: usize = 65_536;
 /// How often the ring is polled for capacity during shutdown.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(1);
--- a/crates/node/src/fleet/replication_thread.rs
+++ b/crates/node/src/fleet/replication_thread.rs
@@ -171,6 +171,7 @@
         self.perform_actions(now)
     }
 
+    /// Performs the control plane's actions; true if something was committed.
     fn perform_actions(&mut self, now: Ms) -> bool {
         let mut actions = std::mem::take(&mut self.actions);
         let mut commits = Vec::new();
--- a/crates/node/src/fleet/start.rs
+++ b/crates/node/src/fleet/start.rs
@@ -52,18 +52,18 @@
 ///
 /// # Errors
 /// If the folder can't be used, the listen address for peers can't be bound, or a thread can't be started.
-pub fn start(set: &FleetConfig, config: &NodeConfig, clock: Clock) -> io::Result<Fleet> {
-    let folder = Folder::open(set)?;
+pub fn start(fleet: &FleetConfig, config: &NodeConfig, clock: Clock) -> io::Result<Fleet> {
+    let folder = Folder::open(fleet)?;
     let me = folder.member.clone();
-    let recovered = Recovered::read(set, config, &folder)?;
-    let membership = membership(set, &me)?;
-    let (rings, thread_rings) = rings(set.limits.ring);
+    let recovered = Recovered::read(fleet, config, &folder)?;
+    let membership = membership(fleet, &me)?;
+    let (rings, thread_rings) = rings(fleet.limits.ring);
     let thread_wakeup = ThreadWakeup::default();
-    let hello = hello(set, &me, &recovered.table);
-    let links = start_links(set, hello, &thread_rings.owner_wakeup, &thread_wakeup)?;
+    let hello = hello(fleet, &me, &recovered.table);
+    let links = start_links(fleet, hello, &thread_rings.owner_wakeup, &thread_wakeup)?;
     let (owner_port, replication_port, transport) = links.split();
     let published_counts: Arc<Mutex<FleetCounts>> = Arc::default();
-    let scatter_gather = set.gather.then(|| scatter_gather_config(set, config));
+    let scatter_gather = fleet.gather.then(|| scatter_gather_config(fleet, config));
     let retry_after = recovered.min_retry_after.max(MIN_RETRY_AFTER_MS);
     let control = ControlParts {
         me: me.clone(),
@@ -75,7 +75,7 @@
         purge_convergence_time: config.settings.purge_convergence_time,
         shutdown_timeout: shutdown_timeout(config),
         scatter_gather_classes: scatter_gather.as_ref().map(class_names),
-        overlay: overlay::parts(set, config.settings.purge_convergence_time, random_u128() as u64)
+        overlay: overlay::parts(fleet, config.settings.purge_convergence_time, random_u128() as u64)
             .map_err(io_error)?,
     };
     let io = ThreadIo {
@@ -92,7 +92,7 @@
     thread_wakeup.set(replication.thread());
     Ok(Fleet::new(FleetParts {
         me,
-        settings: fleet_settings(set, config, retry_after),
+        settings: fleet_settings(fleet, config, retry_after),
         rings,
         threads: Some(FleetThreads { replication, transport }),
         port: owner_port,
@@ -111,21 +111,21 @@
 }
 
 impl Folder {
-    fn open(set: &FleetConfig) -> io::Result<Self> {
-        let limits = &set.limits;
+    fn open(fleet: &FleetConfig) -> io::Result<Self> {
+        let limits = &fleet.limits;
         let store_limits = StoreLimits {
             max_entries: limits.holds as u64 * ENTRIES_PER_REGISTER + MAX_PURGES as u64,
             max_bytes: limits.hold_bytes as u64 + EXTRA_STORE_BYTES,
             max_entry_bytes: limits.frame_bytes,
         };
-        let (store, found) = Store::open(&set.folder, store_limits, random_u128()).map_err(io_error)?;
+        let (store, found) = Store::open(&fleet.folder, store_limits, random_u128()).map_err(io_error)?;
         let (incarnation, has_previous_data) = match found {
             FolderState::New(incarnation) => (incarnation, false),
             FolderState::Existing(incarnation) => (incarnation, true),
         };
-        let member = Member { router: set.name.clone(), incarnation };
+        let member = Member { router: fleet.name.clone(), incarnation };
         let folder = if has_previous_data { "with data of an earlier process" } else { "empty" };
-        log::info!("router {member} of fleet {}: data folder {folder}", set.cluster);
+        log::info!("router {member} of fleet {}: data folder {folder}", fleet.cluster);
         Ok(Self { store, member, has_previous_data })
     }
 }
@@ -139,22 +139,22 @@
 }
 
 impl Recovered {
-    fn read(set: &FleetConfig, config: &NodeConfig, folder: &Folder) -> io::Result<Self> {
+    fn read(fleet: &FleetConfig, config: &NodeConfig, folder: &Folder) -> io::Result<Self> {
         let (store, me) = (&folder.store, &folder.member);
-        let settings = register_settings(set, config);
+        let settings = register_settings(fleet, config);
         let min_retry_after = settings.min_retry_after_ms;
         let records = store.read(REGISTERS_SPACE).map_err(io_error)?;
         let registers =
             Registers::new(me.clone(), settings, records, random_u128() as u64).map_err(io_error)?;
-        let unreadable = || io_error(format!("{}: a stored purge can't be decoded", set.folder.display()));
+        let unreadable = || io_error(format!("{}: a stored purge can't be decoded", fleet.folder.display()));
         let purges = decode_purges(store.read(PURGES_SPACE).map_err(io_error)?).ok_or_else(unreadable)?;
-        let table = table(set, me, store)?;
+        let table = table(fleet, me, store)?;
         Ok(Self { registers, min_retry_after, purges, table })
     }
 }
 
-fn register_settings(set: &FleetConfig, config: &NodeConfig) -> RegisterSettings {
-    let limits = &set.limits;
+fn register_settings(fleet: &FleetConfig, config: &NodeConfig) -> RegisterSettings {
+    let limits = &fleet.limits;
     let longest_repeat =
         config.settings.classes.iter().map(|c| c.deadline.max(c.key_window)).fold(0.0, f64::max);
     let standard = RegisterSettings::standard();
@@ -175,45 +175,45 @@
 
 /// The manager of the placement table, with the stored register of the table if there is one, else with the configuration's bootstrap
 /// members.
-fn table(set: &FleetConfig, me: &Member, store: &Store) -> io::Result<TableManager> {
-    let mut bootstrap_members: BTreeMap<_, _> = set
+fn table(fleet: &FleetConfig, me: &Member, store: &Store) -> io::Result<TableManager> {
+    let mut bootstrap_members: BTreeMap<_, _> = fleet
         .peers
         .iter()
         .map(|p| (p.name.clone(), BootstrapMember { address: p.address, domain: p.domain.clone() }))
         .collect();
     bootstrap_members
-        .insert(set.name.clone(), BootstrapMember { address: set.listen, domain: set.domain.clone() });
+        .insert(fleet.name.clone(), BootstrapMember { address: fleet.listen, domain: fleet.domain.clone() });
     let unreadable =
-        |e| io_error(format!("{}: the stored table can't be decoded: {e}", set.folder.display()));
+        |e| io_error(format!("{}: the stored table can't be decoded: {e}", fleet.folder.display()));
     let stored = store.get(TABLE_SPACE, &[]).map_err(io_error)?;
     let register = stored.map(|bytes| decode_table_register(&bytes)).transpose().map_err(unreadable)?;
     let config = TableManagerConfig {
         me: me.clone(),
         bootstrap_members,
-        capacity: set.limits.holds as u64,
-        rules: placement_rules(set),
-        replace_after: set.limits.replace_after_ms,
+        capacity: fleet.limits.holds as u64,
+        rules: placement_rules(fleet),
+        replace_after: fleet.limits.replace_after_ms,
     };
     TableManager::new(config, register).map_err(io_error)
 }
 
 /// The placement rules as file name and text: those of the rules file, or those that the settings of the section `fleet` imply.
-pub fn placement_rules(set: &FleetConfig) -> Vec<(String, String)> {
-    match &set.rules {
+pub fn placement_rules(fleet: &FleetConfig) -> Vec<(String, String)> {
+    match &fleet.rules {
         Some(rules) => vec![(rules.file.display().to_string(), rules.text.clone())],
         None => {
             let text = format!(
                 "holds {{ shards {} copies {} spread machines }}\nroot {{ copies {} spread machines }}\n",
-                set.shards, set.copies, set.copies
+                fleet.shards, fleet.copies, fleet.copies
             );
             vec![("the section fleet".to_string(), text)]
         }
     }
 }
 
-fn membership(set: &FleetConfig, me: &Member) -> io::Result<Membership> {
-    let presence = Presence { member: me.clone(), address: set.listen, domain: set.domain.clone() };
-    let listed = set.peers.iter().map(|p| p.name.clone()).collect();
+fn membership(fleet: &FleetConfig, me: &Member) -> io::Result<Membership> {
+    let presence = Presence { member: me.clone(), address: fleet.listen, domain: fleet.domain.clone() };
+    let listed = fleet.peers.iter().map(|p| p.name.clone()).collect();
     let settings = MembershipSettings { listed_routers: listed, ..MembershipSettings::default() };
     Membership::new(presence, settings, random_u128() as u64).map_err(io_error)
 }
@@ -251,18 +251,18 @@
     }
 }
 
-fn hello(set: &FleetConfig, me: &Member, table: &TableManager) -> Hello {
+fn hello(fleet: &FleetConfig, me: &Member, table: &TableManager) -> Hello {
     Hello {
         protocol: PROTOCOL_VERSION,
-        cluster: Arc::clone(&set.cluster),
+        cluster: Arc::clone(&fleet.cluster),
         member: me.clone(),
-        domain: set.domain.clone(),
+        domain: fleet.domain.clone(),
         table: table.version().unwrap_or((TableVersion(0), TableHash([0; 32]))),
     }
 }
 
 fn start_links(
-    set: &FleetConfig,
+    fleet: &FleetConfig,
     hello: Hello,
     owner_wakeup: &async_channel::Sender<()>,
     thread_wakeup: &ThreadWakeup,
@@ -283,21 +283,21 @@
         address: p.address,
         domain: p.domain.clone(),
     };
-    let peers = set.peers.iter().map(peer).collect();
+    let peers = fleet.peers.iter().map(peer).collect();
     let limits = LinkLimits {
-        max_queued_frames: set.limits.lane_frames,
-        max_queued_bytes: set.limits.lane_bytes,
-        max_frame_bytes: set.limits.frame_bytes,
-        ring_entries: set.limits.ring,
+        max_queued_frames: fleet.limits.lane_frames,
+        max_queued_bytes: fleet.limits.lane_bytes,
+        max_frame_bytes: fleet.limits.frame_bytes,
+        ring_entries: fleet.limits.ring,
     };
-    let settings = (limits, overlay::link_settings(set));
-    basaltgw_transport::start(hello, set.listen, peers, settings, random_u128() as u64, users)
+    let settings = (limits, overlay::link_settings(fleet));
+    basaltgw_transport::start(hello, fleet.listen, peers, settings, random_u128() as u64, users)
 }
 
-fn scatter_gather_config(set: &FleetConfig, config: &NodeConfig) -> ScatterGatherConfig {
-    let domains = set.peers.iter().map(|p| &p.domain).chain([&set.domain]);
+fn scatter_gather_config(fleet: &FleetConfig, config: &NodeConfig) -> ScatterGatherConfig {
+    let domains = fleet.peers.iter().map(|p| &p.domain).chain([&fleet.domain]);
     ScatterGatherConfig {
-        branch: Arc::clone(&set.domain.branch),
+        branch: Arc::clone(&fleet.domain.branch),
         branches: domains.map(|d| Arc::clone(&d.branch)).collect(),
         seed: random_u128(),
         purge_convergence_time: config.settings.purge_convergence_time,
@@ -322,13 +322,13 @@
     std::thread::Builder::new().name(REPLICATION_THREAD_NAME.into()).spawn(run)
 }
 
-fn fleet_settings(set: &FleetConfig, config: &NodeConfig, retry_after: Ms) -> FleetSettings {
+fn fleet_settings(fleet: &FleetConfig, config: &NodeConfig, retry_after: Ms) -> FleetSettings {
     FleetSettings {
-        replicate_executions: set.holds.effects,
-        replicate_purges: set.holds.purges,
-        lease_timeout: set.limits.promise_ms,
+        replicate_executions: fleet.holds.effects,
+        replicate_purges: fleet.holds.purges,
+        lease_timeout: fleet.limits.promise_ms,
         retry_after,
-        max_outcome_bytes: set.limits.outcome_bytes,
+        max_outcome_bytes: fleet.limits.outcome_bytes,
         idempotency: config.settings.classes.iter().map(|c| c.idempotency).collect(),
     }
 }
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -63,7 +63,8 @@
     QueueFull,
 }
 
-/// Runs a connection's reader and writer until one of them ends; returns why the connection is closed.
+/// Runs a connection's reader and writer until one of them ends; returns why the connection is closed. The writer's result, whether it wrote all
+/// messages, makes no difference.
 pub async fn run_reader_and_writer(
     read: impl Future<Output = CloseReason>,
     write: impl Future<Output = bool>,
@@ -77,13 +78,13 @@
 
 /// Reads messages until the connection ends, sends what can't be decoded, or exceeds a time limit; returns why it stops.
 ///
-/// While `paused` returns true, reading pauses. `decode` converts a message to an input, or returns `None` if the protocol has no such
+/// While `is_peer_slow` returns true, since too many bytes wait to be written to the peer, reading pauses. `decode` converts a message to an input, or returns `None` if the protocol has no such
 /// message; it is called for all messages of a read before the first of them is queued. `client` is given for a client's connection.
 pub async fn read_messages(
     socket: &Async<TcpStream>,
     limits: ReadLimits,
     context: &ConnectionContext,
-    paused: impl Fn() -> bool,
+    is_peer_slow: impl Fn() -> bool,
     decode: impl Fn(DecodedMessage) -> Option<Input>,
     client: Option<ClientReader<'_>>,
 ) -> CloseReason {
@@ -109,7 +110,7 @@
         buffered: BufferReservation::new(&context.meter),
     };
     loop {
-        if let Err(reason) = reader.read_and_enqueue(&paused).await {
+        if let Err(reason) = reader.read_and_enqueue(&is_peer_slow).await {
             return reason;
         }
         // Other connections run between two reads, even if the peer sends without a pause.
@@ -128,6 +129,7 @@
     chunk: Vec<u8>,
     /// Decoded messages that are not yet in the owner's queue: those of one read, and those read ahead.
     pending: VecDeque<Input>,
+    /// Bytes of the messages decoded since `pending` was last empty.
     pending_bytes: usize,
     /// Why the reader stops once `pending` is empty.
     failure: Option<CloseReason>,
@@ -143,8 +145,8 @@
 
 impl<D: Fn(DecodedMessage) -> Option<Input>> Reader<'_, D> {
     /// Reads once and queues the complete messages.
-    async fn read_and_enqueue(&mut self, paused: &impl Fn() -> bool) -> Result<(), CloseReason> {
-        while let Some(reason) = self.pause_reason(paused) {
+    async fn read_and_enqueue(&mut self, is_peer_slow: &impl Fn() -> bool) -> Result<(), CloseReason> {
+        while let Some(reason) = self.pause_reason(is_peer_slow) {
             // Cancellations use no memory and free that of their requests.
             while self.pending.front().is_some_and(is_cancellation) && !self.context.queue.is_full() {
                 self.enqueue(1).await?;
@@ -163,11 +165,11 @@
         }
     }
 
-    fn pause_reason(&self, paused: &impl Fn() -> bool) -> Option<PauseReason> {
+    fn pause_reason(&self, is_peer_slow: &impl Fn() -> bool) -> Option<PauseReason> {
         if self.context.meter.bytes() > self.context.buffer_limit_bytes {
             return Some(PauseReason::Memory);
         }
-        paused().then_some(PauseReason::SlowPeer)
+        is_peer_slow().then_some(PauseReason::SlowPeer)
     }
 
     /// Reads once, within the time limits; returns the number of bytes, 0 if a close request lapsed.
@@ -301,13 +303,14 @@
     /// amount is read ahead.
     async fn wait_paused(&mut self, reason: PauseReason) -> Result<(), CloseReason> {
         let since = Instant::now();
-        let read_ahead = READ_AHEAD_BYTES.saturating_sub(self.pending_bytes + self.decoder.buffered_bytes());
-        let reads_ahead = self.limits.watch_while_paused
+        let read_ahead_bytes =
+            READ_AHEAD_BYTES.saturating_sub(self.pending_bytes + self.decoder.buffered_bytes());
+        let may_read_ahead = self.limits.watch_while_paused
             && self.failure.is_none()
             && self.pending.len() < READ_AHEAD_MESSAGES
-            && read_ahead > 0;
-        if reads_ahead {
-            self.read_ahead(read_ahead).await?;
+            && read_ahead_bytes > 0;
+        if may_read_ahead {
+            self.read_ahead(read_ahead_bytes).await?;
         } else if self.limits.watch_while_paused && peer_closed(self.socket) {
             return Err(CloseReason::PeerClosed);
         } else {
--- a/crates/node/src/outbox/mod.rs
+++ b/crates/node/src/outbox/mod.rs
@@ -10,6 +10,7 @@
 pub use buffered::{BufferMeter, BufferReservation, BufferedBytes};
 pub use send_conditions::{AttemptRoute, AttemptTimes, DrainedSince, EncodeTimeout, SendConditions};
 
+use crate::caches::AttemptKey;
 use crate::permissions::may_send;
 use crate::socket;
 use async_channel::{Receiver, Sender};
@@ -71,8 +72,8 @@
         if let Some(conditions) = &self.conditions {
             let recalled = self.delivery_state.get() == DeliveryState::Recalled;
             if let Err(refusal) = may_send(&conditions.send_state(now, recalled)) {
-                let (request, attempt) = conditions.ids;
-                log::debug!("request {request}, attempt {attempt}: not sent: {refusal}");
+                let AttemptKey { request, attempt } = conditions.key;
+                log::debug!("request {}, attempt {}: not sent: {refusal}", request.0, attempt.0);
                 self.recall();
             }
         }
--- a/crates/node/src/outbox/send_conditions.rs
+++ b/crates/node/src/outbox/send_conditions.rs
@@ -3,12 +3,13 @@
 
 use super::BufferedBytes;
 use crate::breaks::{broken, Break};
+use crate::caches::{AttemptKey, RequestNo};
 use crate::connection::RequestLiveness;
 use crate::invariants::{FetchStart, Invariants, Violation};
 use crate::pause_detector::PauseDetector;
 use crate::permissions::SendState;
 use crate::slow_start_watch::{Exceeded, SlowStartWatch};
-use basaltgw::api::{Ms, ServerId};
+use basaltgw::api::{AttemptNo, Ms, ServerId};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -48,8 +49,8 @@
     pub drained: DrainedSince,
     /// How long after the notification of a drain a send to the server is not a violation.
     pub drain_grace: Duration,
-    /// The number of the request and that of the attempt.
-    pub ids: (u64, usize),
+    /// The attempt.
+    pub key: AttemptKey,
     /// The invariant checker.
     pub invariants: Rc<Invariants>,
     /// The detector of pauses of the process.
@@ -78,7 +79,7 @@
             times: None,
             drained: Rc::default(),
             drain_grace: Duration::ZERO,
-            ids: (0, 0),
+            key: AttemptKey { request: RequestNo(0), attempt: AttemptNo(0) },
             invariants: Rc::default(),
             pause_detector: Rc::default(),
             route: None,
@@ -107,27 +108,29 @@
             timeout_ms,
             client_time_left_ms: millis(time.client_deadline.saturating_duration_since(now)),
         };
-        let (request, attempt) = self.ids;
-        self.invariants.check_fetch(&fetch, format_args!("request {request}, attempt {attempt}"));
+        let AttemptKey { request, attempt } = self.key;
+        self.invariants.check_fetch(&fetch, format_args!("request {}, attempt {}", request.0, attempt.0));
         self.count_send(now);
         bytes
     }
 
     /// Counts an attempt whose last byte is written.
     pub(super) fn on_last_byte(&self) {
-        self.route.iter().for_each(|route| route.watch.record_written(self.ids));
+        self.route.iter().for_each(|route| route.watch.record_written(self.key));
     }
 
     fn count_send(&self, now: Instant) {
-        let Some(AttemptRoute { servers, class, watch }) = &self.route else { return };
-        let exceeded = watch.count_fetch(now, *class, [servers[0].as_ref(), servers[1].as_ref()]);
+        let Some(AttemptRoute { servers: [server, fill_source], class, watch }) = &self.route else {
+            return;
+        };
+        let exceeded = watch.count_attempt(now, *class, server.as_ref(), fill_source.as_ref());
         if let Some(Exceeded { server, sent, bound }) = exceeded {
-            let (request, attempt) = self.ids;
+            let AttemptKey { request, attempt } = self.key;
             self.invariants.violated(
                 Violation::SlowStartExceeded,
                 format_args!(
-                    "request {request}, attempt {attempt}: {} was sent {sent:.1} of {bound:.1}",
-                    server.0
+                    "request {}, attempt {}: {} was sent {sent:.1} of {bound:.1}",
+                    request.0, attempt.0, server.0
                 ),
             );
         }
--- a/crates/node/src/owner/attempts/start.rs
+++ b/crates/node/src/owner/attempts/start.rs
@@ -153,7 +153,7 @@
             }),
             drained: Rc::default(),
             drain_grace: duration(self.config.drain_grace),
-            ids: (new.key.request.0, new.key.attempt.0),
+            key: new.key,
             invariants: Rc::clone(&self.monitors.invariants),
             pause_detector: Rc::clone(&self.monitors.pause_detector),
             route: pending.class.map(|class| AttemptRoute {
--- a/crates/node/src/owner/clients.rs
+++ b/crates/node/src/owner/clients.rs
@@ -184,10 +184,10 @@
         Delivered::ToClient
     }
 
-    /// Requests the close of connections that have been idle for this long. A message that crosses the close request cancels it.
-    pub(super) fn close_idle(&self, now: Ms, idle: Ms, reason: IdleReason) {
-        let breaks = broken(Break::CloseOverRequest);
-        let is_idle = |c: &Client| breaks || (c.is_idle() && now - c.last_active >= idle);
+    /// Requests the close of connections that have been idle for `min_idle` milliseconds. A message that crosses the close request cancels it.
+    pub(super) fn close_idle(&self, now: Ms, min_idle: Ms, reason: IdleReason) {
+        let ignores_activity = broken(Break::CloseOverRequest);
+        let is_idle = |c: &Client| ignores_activity || (c.is_idle() && now - c.last_active >= min_idle);
         for client in self.connected.values().filter(|c| !c.is_closing() && is_idle(c)) {
             client.connection.apply(ConnectionEvent::CloseRequested(reason));
         }
--- a/crates/node/src/owner/inputs.rs
+++ b/crates/node/src/owner/inputs.rs
@@ -7,7 +7,7 @@
 use crate::clients::Reply;
 use crate::connection::CloseCounts;
 use crate::Input;
-use basaltgw::api::{Action, AttemptNo, Event};
+use basaltgw::api::{Action, Event};
 use basaltgw_config::Hierarchy;
 
 impl Owner {
@@ -55,9 +55,8 @@
 
     /// Tells the decision module which attempts were completely written since the last batch.
     pub(super) fn dispatch_written(&mut self) {
-        for (request, attempt) in self.monitors.slow_start.take_written() {
-            let (request, attempt) = (request_id(RequestNo(request)), AttemptNo(attempt));
-            self.dispatch(Event::RequestWritten { request, attempt });
+        for AttemptKey { request, attempt } in self.monitors.slow_start.take_written() {
+            self.dispatch(Event::RequestWritten { request: request_id(request), attempt });
         }
     }
 
--- a/crates/node/src/owner/scatter_gather/peer_messages.rs
+++ b/crates/node/src/owner/scatter_gather/peer_messages.rs
@@ -118,9 +118,9 @@
     /// Ends the part requests to a lost peer, and cancels the peer's part requests here.
     fn on_peer_lost(&mut self, member: &Member) {
         let Some(state) = &mut self.scatter_gather else { return };
-        let LostPeer { unanswered, unwanted } = state.peers.remove_peer(member);
+        let LostPeer { unanswered, without_requester } = state.peers.remove_peer(member);
         unanswered.into_iter().for_each(|key| self.on_sub_request_failed(key, EndCause::Unreachable));
-        unwanted.into_iter().for_each(|number| self.on_requester_left(number));
+        without_requester.into_iter().for_each(|number| self.on_requester_left(number));
     }
 
     fn on_part_request_unsent(&mut self, number: u64) {
@@ -221,9 +221,10 @@
         }
     }
 
-    /// Records the number under which another router's part request was admitted.
-    pub(in crate::owner) fn on_peer_request_admitted(&mut self, served: u64, number: RequestNo) {
-        let served = self.scatter_gather.as_mut().and_then(|state| state.peers.served_mut(served));
+    /// Records the request number under which another router's part request, given by its `served_number` in [`super::peers::Peers`], was
+    /// admitted.
+    pub(in crate::owner) fn on_peer_request_admitted(&mut self, served_number: u64, number: RequestNo) {
+        let served = self.scatter_gather.as_mut().and_then(|state| state.peers.served_mut(served_number));
         if let Some(served) = served {
             served.admitted_as = Some(number);
         }
@@ -232,13 +233,13 @@
     /// Sends the answer to another router's part request.
     pub(in crate::owner) fn on_peer_request_answered(
         &mut self,
-        served: u64,
+        served_number: u64,
         reply: Reply<'_>,
         copy: Option<CopyTag>,
     ) {
         let now = self.time.now;
         let Some(state) = &mut self.scatter_gather else { return };
-        let Some(served) = state.peers.remove_served(served) else { return };
+        let Some(served) = state.peers.remove_served(served_number) else { return };
         let purges = state.purges_of(served.group, served.object);
         let result = part_result(reply, copy);
         state.counters.parts_served += u64::from(matches!(result, PartResult::Served { .. }));
--- a/crates/node/src/owner/scatter_gather/peers.rs
+++ b/crates/node/src/owner/scatter_gather/peers.rs
@@ -43,7 +43,7 @@
     /// Sub-requests of this router that the peer will not answer.
     pub(super) unanswered: Vec<SubRequestKey>,
     /// Requests of this router for parts that the peer requested.
-    pub(super) unwanted: Vec<RequestNo>,
+    pub(super) without_requester: Vec<RequestNo>,
 }
 
 /// Other routers, and the parts in flight between them and this one.
@@ -154,9 +154,9 @@
         let requested: Vec<u64> = self.requested.keys().filter(is_requested).copied().collect();
         let is_served = |(_, part): &(&u64, &ServedPart)| part.peer_request.peer == *member;
         let served: Vec<u64> = self.served.iter().filter(is_served).map(|(number, _)| *number).collect();
-        let unwanted =
+        let without_requester =
             served.into_iter().filter_map(|number| self.remove_served(number)?.admitted_as).collect();
         let removed = requested.into_iter().filter_map(|number| self.requested.remove(&number));
-        LostPeer { unanswered: removed.map(|from| from.key).collect(), unwanted }
+        LostPeer { unanswered: removed.map(|from| from.key).collect(), without_requester }
     }
 }
--- a/crates/node/src/permissions.rs
+++ b/crates/node/src/permissions.rs
@@ -172,7 +172,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CloseState {
     /// The owner has requested the close, and no message has crossed the request.
-    pub wanted: bool,
+    pub close_requested: bool,
     /// Messages that were read and are queued for the owner.
     pub queued_messages: u32,
 }
@@ -181,7 +181,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseRefusal {
     /// The close request has lapsed: the client sent a message after it was made.
-    NotWanted,
+    RequestLapsed,
     /// A message is queued for the owner.
     MessageQueued,
 }
@@ -193,7 +193,7 @@
 pub fn may_close(state: &CloseState) -> Result<(), CloseRefusal> {
     match state {
         CloseState { queued_messages: 1.., .. } => Err(CloseRefusal::MessageQueued),
-        CloseState { wanted: false, .. } => Err(CloseRefusal::NotWanted),
+        CloseState { close_requested: false, .. } => Err(CloseRefusal::RequestLapsed),
         CloseState { .. } => Ok(()),
     }
 }
@@ -268,7 +268,7 @@
 impl fmt::Display for CloseRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::NotWanted => "the client sent a message after the close was requested",
+            Self::RequestLapsed => "the client sent a message after the close was requested",
             Self::MessageQueued => "a message is queued for the owner",
         })
     }
--- a/crates/node/src/permissions/tests.rs
+++ b/crates/node/src/permissions/tests.rs
@@ -77,9 +77,15 @@
 
 #[test]
 fn connection_closes_and_process_ends_only_with_nothing_pending() {
-    assert_eq!(may_close(&CloseState { wanted: true, queued_messages: 0 }), Ok(()));
-    assert_eq!(may_close(&CloseState { wanted: true, queued_messages: 1 }), Err(CloseRefusal::MessageQueued));
-    assert_eq!(may_close(&CloseState { wanted: false, queued_messages: 0 }), Err(CloseRefusal::NotWanted));
+    assert_eq!(may_close(&CloseState { close_requested: true, queued_messages: 0 }), Ok(()));
+    assert_eq!(
+        may_close(&CloseState { close_requested: true, queued_messages: 1 }),
+        Err(CloseRefusal::MessageQueued)
+    );
+    assert_eq!(
+        may_close(&CloseState { close_requested: false, queued_messages: 0 }),
+        Err(CloseRefusal::RequestLapsed)
+    );
     let may_end = ExitState { accepts: false, connections_open: false, quiet: true };
     assert_eq!(may_exit(&may_end), Ok(()));
     assert_eq!(may_exit(&ExitState { accepts: true, ..may_end }), Err(ExitRefusal::Accepting));
--- a/crates/node/src/slow_start_watch.rs
+++ b/crates/node/src/slow_start_watch.rs
@@ -8,28 +8,26 @@
 #[cfg(test)]
 mod tests;
 
+use crate::caches::AttemptKey;
 use basaltgw::api::{Endpoint, EndpointState, Ms, ObjectId, Role, ServerId, Settings, SlowStartPolicy};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// The most objects whose shortest response time is stored.
+/// The most objects whose shortest response time is stored; all are dropped before one more is stored.
 const MAX_TRACKED_OBJECTS: usize = 4_096;
 /// The least weight of a response in its class's mean cost, an exponential moving average.
-const MEAN_WEIGHT: f64 = 0.05;
+const MIN_RESPONSE_WEIGHT: f64 = 0.05;
 /// A class's mean cost is used after this many responses for objects that were served before.
 const MIN_SAMPLES: u32 = 20;
 /// A window that allows fewer requests than this has a wider tolerance, since random variation has more effect there.
 const LARGE_WINDOW_REQUESTS: f64 = 30.0;
 /// The most completely written attempts that are stored until the owner takes them; more than are ever open.
-const MAX_WRITTEN_FETCHES: usize = 100_000;
+const MAX_WRITTEN_ATTEMPTS: usize = 100_000;
 /// Two listed start times that differ by no more than this are the same start; differences come from rounding and from the time since the
 /// batch began.
 const SAME_START_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// The number of a request, and the number of one of its attempts.
-pub type FetchIds = (u64, usize);
-
 /// Whether the endpoint list shows a new start of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedStart {
@@ -88,7 +86,7 @@
     /// The mean cost of each class, by its index in the settings.
     costs: RefCell<Vec<ClassCost>>,
     /// Completely written attempts that the owner has not yet taken.
-    written: RefCell<Vec<FetchIds>>,
+    written: RefCell<Vec<AttemptKey>>,
     highest_share: Cell<f64>,
 }
 
@@ -181,27 +179,29 @@
         *shortest = shortest.min(elapsed);
         if let Some(cost) = self.costs.borrow_mut().get_mut(class) {
             cost.samples = cost.samples.saturating_add(1);
-            cost.mean += MEAN_WEIGHT.max(1.0 / f64::from(cost.samples)) * (*shortest - cost.mean);
+            cost.mean += MIN_RESPONSE_WEIGHT.max(1.0 / f64::from(cost.samples)) * (*shortest - cost.mean);
         }
     }
 
     /// Counts an attempt whose first byte is written, for its server and for its fill source; returns the first of the two whose limit is
     /// exceeded.
-    pub fn count_fetch(
+    pub fn count_attempt(
         &self,
         now: Instant,
         class: usize,
-        servers: [Option<&ServerId>; 2],
+        server: Option<&ServerId>,
+        fill_source: Option<&ServerId>,
     ) -> Option<Exceeded> {
-        let exceeded = servers.into_iter().flatten().map(|server| self.count_request(now, server, class));
+        let servers = server.into_iter().chain(fill_source);
+        let exceeded = servers.map(|server| self.count_request(now, server, class));
         exceeded.fold(None, |first, next| first.or(next))
     }
 
     /// Records an attempt whose last byte is written, for [`Self::take_written`].
-    pub fn record_written(&self, ids: FetchIds) {
+    pub fn record_written(&self, attempt: AttemptKey) {
         let mut written = self.written.borrow_mut();
-        if written.len() < MAX_WRITTEN_FETCHES {
-            written.push(ids);
+        if written.len() < MAX_WRITTEN_ATTEMPTS {
+            written.push(attempt);
         }
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// Takes the attempts that were completely written since the last call.
-    pub fn take_written(&self) -> Vec<FetchIds> {
+    pub fn take_written(&self) -> Vec<AttemptKey> {
         self.written.take()
     }
 
--- a/crates/node/src/slow_start_watch/tests.rs
+++ b/crates/node/src/slow_start_watch/tests.rs
@@ -1,7 +1,8 @@
 //! Attempts written to servers that are warming up, compared with the limit.
 
 use super::*;
-use basaltgw::api::ZoneId;
+use crate::caches::RequestNo;
+use basaltgw::api::{AttemptNo, ZoneId};
 use std::sync::Arc;
 
 const WINDOW_MS: Ms = 1_000.0;
@@ -36,7 +37,7 @@
 fn write_attempts(watch: &SlowStartWatch, from: Instant, count: u64) -> usize {
     let id = endpoint().id;
     let at = |n: u64| from + Duration::from_millis(n);
-    (0..count).filter(|n| watch.count_fetch(at(*n), 0, [Some(&id), None]).is_some()).count()
+    (0..count).filter(|n| watch.count_attempt(at(*n), 0, Some(&id), None).is_some()).count()
 }
 
 #[test]
@@ -46,8 +47,9 @@
     assert_eq!(write_attempts(&watch, now, 122), 0, "100 are allowed, and the tolerance is 22");
     assert!((0.95..=1.0).contains(&watch.highest_share()));
     assert!(write_attempts(&watch, now + Duration::from_millis(200), 10) > 0);
-    watch.record_written((7, 0));
-    assert_eq!((watch.take_written(), watch.take_written()), (vec![(7, 0)], Vec::new()));
+    let written = AttemptKey { request: RequestNo(7), attempt: AttemptNo(0) };
+    watch.record_written(written);
+    assert_eq!((watch.take_written(), watch.take_written()), (vec![written], Vec::new()));
 }
 
 #[test]
--- a/crates/placement/src/adoption.rs
+++ b/crates/placement/src/adoption.rs
@@ -8,7 +8,6 @@
 use crate::register::{MemberProgress, Proposal, ProposalError, Register, Stage};
 use crate::table::Table;
 use basaltgw_types::{Member, QuorumGroup, Shard, ShardMap, TableHash};
-use std::collections::BTreeSet;
 use std::sync::Arc;
 
 /// Number of a proposal, chosen by the caller and returned with the outcome.
@@ -254,8 +253,8 @@
         self.progress = MemberProgress { term: register.term(), ..MemberProgress::default() };
         let is_member = |group: &QuorumGroup| group.members.contains(&self.me);
         // A previous replica of the shard syncs too: it may lack what a majority of the others stores, and would count among the new replicas.
-        let assigned = register.changing_groups().into_iter().filter(|(_, _, to)| is_member(to));
-        let shards: Vec<Shard> = assigned.filter_map(|(shard, ..)| shard).collect();
+        let assigned = register.changing_groups().into_iter().filter(|group| is_member(&group.to));
+        let shards: Vec<Shard> = assigned.filter_map(|group| group.shard).collect();
         let term = register.term();
         actions.push(AdoptionAction::ReportProgress { term, synced: shards.is_empty() });
         if !shards.is_empty() {
@@ -339,8 +338,8 @@
         }
     }
 
-    /// Members at which the present term is durable, and members that have synced their shards of it.
-    pub fn member_progress(&self) -> (&BTreeSet<Member>, &BTreeSet<Member>) {
-        (&self.progress.durable, &self.progress.synced)
+    /// The members' reported progress in the present term.
+    pub fn member_progress(&self) -> &MemberProgress {
+        &self.progress
     }
 }
--- a/crates/placement/src/adoption_model_tests.rs
+++ b/crates/placement/src/adoption_model_tests.rs
@@ -78,7 +78,7 @@
         }
         let last = &registers[registers.len() - 1];
         let moving =
-            last.changing_groups().into_iter().find_map(|(s, from, to)| Some((s?, mask(&from), mask(&to))));
+            last.changing_groups().into_iter().find_map(|g| Some((g.shard?, mask(&g.from), mask(&g.to))));
         let second = registers.iter().filter(|r| r.table().version().0 == 2);
         let mut adopted: Vec<TableHash> = second.map(|r| r.table().hash()).collect();
         adopted.dedup();
--- a/crates/placement/src/assignment.rs
+++ b/crates/placement/src/assignment.rs
@@ -1,6 +1,7 @@
 //! Assigns shards to routers: replicas of the previous table stay where they may, and as few shards as possible move.
 //!
-//! Every router has a quota by its capacity ([`quotas`]). Free places go by the highest random weight (Thaler and Ravishankar 1998), first to routers
+//! Every router has a quota by its capacity, a least and a largest number of shards ([`quotas`]). A shard that lacks a replica has a free place. Free
+//! places go by the highest random weight (Thaler and Ravishankar 1998), first to routers
 //! below their quota; then shards move from routers above their quota to routers below theirs. Whole numbers only, so that every machine
 //! computes the same assignment.
 
@@ -61,9 +62,12 @@
     a.exclusions.iter().any(|e| operand_of_b(e.rule).is_some_and(|operand| operand != e.operand))
 }
 
+/// Makes the scores of routers for shards independent of other uses of [`mix`]: the ASCII text `shards`.
+const SHARD_SALT: u64 = 0x7368_6172_6473;
+
 /// Random weight of a router for a shard, the same on every machine. The highest wins.
 pub(crate) fn score(shard: usize, name_hash: u64) -> u64 {
-    mix(mix(shard as u64, 0x7368_6172_6473), name_hash)
+    mix(mix(shard as u64, SHARD_SALT), name_hash)
 }
 
 impl Assignment<'_> {
@@ -247,7 +251,7 @@
     }
 }
 
-/// Bounds the search for the replicas of one shard. Rules that need a longer search are of no practical use.
+/// Most routers tried in the search for the replicas of one shard, repeated tries included. Rules that need a longer search are of no practical use.
 const MAX_SEARCH_STEPS: usize = 200_000;
 
 /// The first replicas of one shard, in the order of `order`, that rules permit together; `None` if there are none.
--- a/crates/placement/src/compile.rs
+++ b/crates/placement/src/compile.rs
@@ -25,7 +25,7 @@
 pub const MAX_RULES: usize = 1024;
 /// Largest number of routers in an inventory.
 pub const MAX_ROUTERS: usize = 4096;
-/// Largest number of caches in an inventory: their indexes have 16 bits.
+/// Largest number of caches in an inventory: their indexes in a table have 16 bits, which this is well below.
 pub const MAX_CACHES: usize = 16_384;
 /// Largest number of routers that bootstrap a fleet, since each of them must agree.
 pub const MAX_BOOTSTRAP_ROUTERS: usize = 64;
@@ -177,6 +177,7 @@
     let routers = &resolver.inventory.routers;
     let mut load = vec![0u64; indexes.len()];
     assigned.iter().flatten().for_each(|c| load[*c] += 1);
+    // Shards are whole: a router's last shard may exceed its capacity in part, and a router with one shard always fits.
     let is_overloaded = |c: &usize| {
         load[*c].saturating_sub(1).saturating_mul(room.node) >= routers[indexes[*c]].capacity.max(1)
     };
@@ -277,6 +278,7 @@
     }
     let assigned = assign_all(&holds, &root, &exclusions, shards, previous, &mut resolver);
     let Some(assigned) = assigned else { return Err(resolver.diagnostics) };
+    // A fleet is bootstrapped only if all routers of its first table agree.
     let founders: Vec<usize> = match previous {
         None => (0..inventory.routers.len()).collect(),
         Some(_) => Vec::new(),
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -48,7 +48,7 @@
 #[cfg(any(test, feature = "broken"))]
 pub use register::InjectedBug;
 pub use register::{
-    InvalidRegister, MemberProgress, Proposal, ProposalError, ProposedTable, Register, Stage,
+    ChangingGroup, InvalidRegister, MemberProgress, Proposal, ProposalError, ProposedTable, Register, Stage,
     MAX_REGISTER_BYTES,
 };
 pub use steps::{adoption_maps, shard_moves, MovedShard, ShardMoves};
--- a/crates/placement/src/register.rs
+++ b/crates/placement/src/register.rs
@@ -177,6 +177,17 @@
     pub synced: BTreeSet<Member>,
 }
 
+/// Replicas of a shard before and after the present joint step.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ChangingGroup {
+    /// The shard; `None` for the root.
+    pub shard: Option<Shard>,
+    /// The replicas that it leaves.
+    pub from: QuorumGroup,
+    /// The replicas that it goes to.
+    pub to: QuorumGroup,
+}
+
 /// A bug injected on purpose, which the checkers of the tests must detect.
 #[cfg(any(test, feature = "broken"))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -191,7 +202,7 @@
         Self { term: 1, epoch: 1, table, proposed: None, stage: Stage::Idle }
     }
 
-    /// Number of changes of the content, from 1. This is the register's serial.
+    /// Number of changes of the content, from 1; `crates/registers` stores it as the serial of the register's record.
     pub fn term(&self) -> u64 {
         self.term
     }
@@ -327,16 +338,19 @@
         }
     }
 
-    /// For each shard that moves in the present joint step (`None` for the root): the replicas before and after it.
-    pub fn changing_groups(&self) -> Vec<(Option<Shard>, QuorumGroup, QuorumGroup)> {
+    /// The replicas of each shard that moves in the present joint step, and of the root; empty in other stages.
+    pub fn changing_groups(&self) -> Vec<ChangingGroup> {
         let (Some(proposed), Stage::Joint { withdrawing, .. }) = (&self.proposed, &self.stage) else {
             return Vec::new();
         };
         let (from, to) =
             if *withdrawing { (&proposed.table, &self.table) } else { (&self.table, &proposed.table) };
-        let groups = |s: Shard| Some((Some(s), from.replicas(s)?.clone(), to.replicas(s)?.clone()));
+        let groups = |shard: Shard| {
+            let (from, to) = (from.replicas(shard)?.clone(), to.replicas(shard)?.clone());
+            Some(ChangingGroup { shard: Some(shard), from, to })
+        };
         let mut all: Vec<_> = self.moving_shards().into_iter().filter_map(groups).collect();
-        all.push((None, from.root(), to.root()));
+        all.push(ChangingGroup { shard: None, from: from.root(), to: to.root() });
         all
     }
 
@@ -349,9 +363,11 @@
                 proposed.table.routers().all(|(m, _)| progress.durable.contains(m))
             }
             (Stage::Durable, Some(_)) => true,
-            (Stage::Joint { .. }, Some(_)) => self.changing_groups().iter().all(|(_, from, to)| {
-                count(from, &progress.durable) >= from.quorum && count(to, &progress.synced) >= to.quorum
-            }),
+            (Stage::Joint { .. }, Some(_)) => {
+                self.changing_groups().iter().all(|ChangingGroup { from, to, .. }| {
+                    count(from, &progress.durable) >= from.quorum && count(to, &progress.synced) >= to.quorum
+                })
+            }
             (Stage::Idle, _) | (Stage::Proposed | Stage::Durable | Stage::Joint { .. }, None) => false,
         }
     }
--- a/crates/placement/tests/adoption.rs
+++ b/crates/placement/tests/adoption.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use basaltgw_placement::{
-    shard_moves, Adoption, AdoptionAction, AdoptionEvent, Inventory, MemberProgress, Proposal, ProposalError,
-    ProposalNumber, ProposalOutcome, Register, Stage, Table,
+    shard_moves, Adoption, AdoptionAction, AdoptionEvent, ChangingGroup, Inventory, MemberProgress, Proposal,
+    ProposalError, ProposalNumber, ProposalOutcome, Register, Stage, Table,
 };
 use basaltgw_types::{Member, RouterId, Shard};
 use common::{fleet, router, table};
@@ -189,7 +189,7 @@
         .iter()
         .all(|s| map.shards[usize::from(s.0)].groups == [old.replicas(*s).expect("a shard").clone()]));
     // The group that is being left comes first; the members of the other one are to sync.
-    for (shard, from, to) in register.changing_groups() {
+    for ChangingGroup { shard, from, to } in register.changing_groups() {
         let set = shard.map_or(&map.root, |s| &map.shards[usize::from(s.0)]);
         let groups: Vec<_> = set.groups.iter().map(|g| &g.members).collect();
         let is_unchanged_root = shard.is_none() && groups.len() == 1;
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -165,7 +165,9 @@
 
 /// Encodes an array of these bulk strings.
 pub fn encode(elements: &[&[u8]]) -> Vec<u8> {
-    let capacity = elements.iter().map(|e| e.len() + 16).sum::<usize>() + 16;
+    /// Capacity for a header (type byte, length, CRLF) and a CRLF after the element; more than any message within its limits needs.
+    const FRAMING_BYTES: usize = 16;
+    let capacity = elements.iter().map(|e| e.len() + FRAMING_BYTES).sum::<usize>() + FRAMING_BYTES;
     let mut bytes = Vec::with_capacity(capacity);
     bytes.extend_from_slice(format!("*{}\r\n", elements.len()).as_bytes());
     for element in elements {
--- a/crates/structures/src/hash.rs
+++ b/crates/structures/src/hash.rs
@@ -19,12 +19,13 @@
     -weight / unit_interval(mix(key, server)).ln()
 }
 
-/// Maps a hash to a number between 0 and 1, both excluded. The low 11 bits are ignored: a mantissa has 53.
+/// Maps a hash to a number between 0 and 1, both excluded. The low 11 of the 64 bits are ignored, since the mantissa of an `f64` has 53.
 pub fn unit_interval(hash: u64) -> f64 {
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// Makes the hash for shares independent of that for placement; else a server's share would depend on the scores of its objects.
+/// Makes the hash for shares independent of that for placement; else a server's share would depend on the scores of its objects. Any
+/// fixed number will do; this is the upper half of the offset basis of 128-bit FNV.
 const SHARE_SALT: u64 = 0x6c62_272e_07bb_0142;
 
 /// Whether an object belongs to the share (0 to 1) that a server takes of its objects. An object within a share is within every larger one,
--- a/crates/structures/src/rendezvous.rs
+++ b/crates/structures/src/rendezvous.rs
@@ -1,7 +1,7 @@
 //! The rendezvous order of servers for a key, computed lazily: one server at a time.
 //!
 //! Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998: every server has a score for a key, and the highest
-//! wins, each with a probability in proportion to its weight. Sorting all servers costs a logarithm for each and n log n comparisons,
+//! wins; each wins with a probability in proportion to its weight. Sorting all servers costs a logarithm for each and n log n comparisons,
 //! though the first server alone is nearly always enough. Here servers of equal weight form a group: within it the order of scores is the
 //! order of the mixed hashes, so the best of each group is found by comparing integers, and only the groups' best need a logarithm.
 //!
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -92,15 +92,15 @@
 /// The replicas of a shard: one group, or two while the shard moves, when a change needs a quorum of both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaSet {
-    /// The groups, the older one first; never empty.
+    /// The groups, the one that the shard leaves first; never empty.
     pub groups: Vec<QuorumGroup>,
 }
 
 /// The replicas of all shards under one version of the placement table. `crates/placement` makes it; `crates/registers` uses it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardMap {
-    /// Raised with each change of replicas, twice for each version of the table: when the groups of both versions count, and when those of
-    /// the new version alone do.
+    /// Raised with each change of replicas. A new version of the table raises it once for each portion of shards that moves, when the groups of
+    /// both versions count for that portion, and once more when those of the new version alone count for all shards.
     pub epoch: u64,
     /// The table's version; while the groups of two versions count, the older one.
     pub version: TableVersion,
@@ -118,6 +118,7 @@
     }
 }
 
+/// Writes the first 8 of 32 hexadecimal digits, enough to tell a router's incarnations apart in a log.
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:08x}", self.0 >> 96)
@@ -130,6 +131,7 @@
     }
 }
 
+/// Writes the first 8 of 64 hexadecimal digits, enough to tell tables apart in a log.
 impl fmt::Display for TableHash {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().take(4).try_for_each(|b| write!(f, "{b:02x}"))
