--- a/crates/hierarchy/src/origin_shield.rs
+++ b/crates/hierarchy/src/origin_shield.rs
@@ -24,7 +24,7 @@
     StartFill,
     /// The request waits for the fill in progress.
     Joined,
-    /// Respond that there is no copy: the request accepts only cached copies, or the fill in progress waits for the requester itself.
+    /// Respond that there is no copy: the request is for a cached copy only, or the fill in progress waits for the requester itself.
     Miss,
     /// Reject the request, which had no effect: the limit of fills or of waiters is reached.
     LimitReached,
@@ -96,7 +96,7 @@
     pub min_origin_time: Ms,
     /// The nodes that the request has visited before this one.
     pub path: &'a VisitedPath,
-    /// The request accepts a cached copy or a fill in progress, and starts no fill.
+    /// The request starts no fill: it accepts a cached copy, or a fill in progress whose source never waits.
     pub cached_only: bool,
 }
 
@@ -246,17 +246,20 @@
     }
 }
 
-/// True if a request that joined the fill would wait for a fill that waits for the request, and so forever.
+/// True if a request that joined the fill might wait for a fill that waits for the request, and so forever.
 fn would_wait_for_itself(fill: &Fill, request: &FillRequest<'_>) -> bool {
     match &fill.source {
         // Any request may wait for a source that never waits: an old home that requests from the new one, while the new one
         // requests its cached copies, must not lead both of them to the origin.
         Some(FillSource { never_waits: true, .. }) => false,
+        // The requester of a cached copy relies on a response that waits for no other node's fill: see
+        // `OriginShield::set_source`.
         Some(_) if request.cached_only => true,
         // Of two nodes that request from each other at the same time one rejects, the same one in either order of arrival;
         // otherwise both would go to the origin.
         Some(source) if request.path.last() == Some(&source.node) => *request.me < source.node,
         Some(source) => request.path.contains(&source.node),
+        // No source is selected, so it may be one that waits.
         None => request.cached_only,
     }
 }
--- a/crates/hierarchy/src/source_selector.rs
+++ b/crates/hierarchy/src/source_selector.rs
@@ -4,9 +4,9 @@
 use indexmap::IndexMap;
 use std::sync::Arc;
 
-/// Earlier versions whose homes still receive requests for cached copies.
+/// Greatest number of earlier plans whose homes still receive requests for cached copies.
 const MAX_EARLIER_PLANS: usize = 4;
-/// Objects of which a node remembers the handover to a new home.
+/// Greatest number of objects of which a node remembers the handover to a new home; the oldest is forgotten first.
 const MAX_HANDOVERS: usize = 4_096;
 
 /// The node that a fill is requested from next.
@@ -20,16 +20,16 @@
     pub is_origin: bool,
 }
 
-/// Selects the sources of one cache. Caches learn of a new version at different times, so this one may be behind others.
+/// Selects the sources of one cache. Caches learn of a new version at different times, so this cache may be behind others.
 #[derive(Clone, Debug)]
 pub struct SourceSelector {
     me: NodeId,
     plan: Option<Arc<Plan>>,
-    /// Earlier versions, latest first, and until when their homes receive requests.
+    /// Earlier plans, latest first, and until when their homes receive requests for cached copies.
     earlier: Vec<(Arc<Plan>, Ms)>,
-    /// Until then after a restart, copies may exist at the node that replaced this one as home.
+    /// After a restart: until when the node that replaced this one as home receives requests for cached copies.
     restart_window_end: Ms,
-    /// Objects whose new home has taken over their fills.
+    /// By object: the new home that has taken over its fills.
     handovers: IndexMap<u64, NodeId>,
 }
 
--- a/crates/hierarchy/src/steps.rs
+++ b/crates/hierarchy/src/steps.rs
@@ -12,7 +12,7 @@
 type SourceLists = Vec<Option<Vec<NodeIndex>>>;
 
 /// Splits a change into consecutive plans, of which the last is `new`, so that no mixture of `max_versions_behind` + 1 consecutive
-/// plans has a cycle. Most changes need one step.
+/// plans has a cycle. Most changes need one step. All steps have the version of `new`.
 ///
 /// # Errors
 /// [`PlanError::Cycle`] if no split avoids a cycle, [`PlanError::TooManySteps`], or [`PlanError::InvalidNode`] if the origin changes.
@@ -161,6 +161,7 @@
     }
 }
 
+/// The source lists of a plan, by the indexes in `nodes`.
 fn source_lists(plan: &Plan, nodes: &mut NodeIndexes) -> SourceLists {
     let ids = nodes.ids.clone();
     let mut indexes = |n: &NodeSpec| n.sources.iter().map(|s| nodes.index(s)).collect();
@@ -169,6 +170,7 @@
 
 /// The nodes of a plan without a cycle, each after all of its sources.
 fn sources_first(lists: &SourceLists) -> Vec<NodeIndex> {
+    // By node: how many of its sources are not in the order yet.
     let mut missing: Vec<usize> = lists.iter().map(|s| s.as_ref().map_or(usize::MAX, Vec::len)).collect();
     let mut requesters: Vec<Vec<NodeIndex>> = vec![Vec::new(); lists.len()];
     for (n, sources) in lists.iter().enumerate() {
--- a/crates/hierarchy/src/topology/mod.rs
+++ b/crates/hierarchy/src/topology/mod.rs
@@ -1,4 +1,5 @@
-//! A router's side of a topology change: the change from one plan to the next in steps, each entered by what this router observed.
+//! A router's side of a topology change: the change from one plan to the next in steps, of which each is
+//! complete once this router's observations say so.
 //!
 //! During a change an edge cache may name the sources of both plans. A source that only the new plan permits to it is a newcomer,
 //! one that only the old plan permits a leaver. Each has a share of its objects (see
@@ -31,7 +32,7 @@
 use std::sync::Arc;
 use transfer::{ShareTransfer, SHARES};
 
-/// Pairs of requester and source whose loops are counted.
+/// Greatest number of pairs of requester and source whose loops are counted; the oldest is forgotten first.
 const MAX_LOOP_PAIRS: usize = 1_024;
 
 /// A node's entry on the endpoint list.
@@ -67,7 +68,7 @@
     highest_offered: Option<Version>,
     /// The nodes on the endpoint list.
     listed: HashMap<NodeId, ListedNode>,
-    /// Loops by requester and source.
+    /// Number of loops by requester and source, in that order.
     loops: IndexMap<(NodeId, NodeId), u32>,
 }
 
--- a/crates/hierarchy/tests/interleavings.rs
+++ b/crates/hierarchy/tests/interleavings.rs
@@ -86,14 +86,20 @@
     Crash(usize),
 }
 
+/// What a model's nodes do besides requests and the change.
+struct Options {
+    /// One node of tier 1 crashes at any point.
+    may_crash: bool,
+    /// The new home requests cached copies from the old one.
+    hands_over: bool,
+}
+
 struct ChangeModel {
     plans: [Arc<Plan>; 2],
     /// The part's object, whose home moves from node 0 to node 1.
     object: u64,
     settings: Settings,
-    may_crash: bool,
-    /// The new home requests cached copies from the old one.
-    hands_over: bool,
+    options: Options,
 }
 
 fn id(node: usize) -> NodeId {
@@ -129,16 +135,16 @@
 }
 
 impl ChangeModel {
-    fn new(may_crash: bool, hands_over: bool) -> Self {
+    fn new(options: Options) -> Self {
         let plans = [plan(1, 1.0), plan(2, 50.0)];
         let moves = |o: &u64| plans[0].home(*o) == Some(&id(0)) && plans[1].home(*o) == Some(&id(1));
         let object = (0..).find(moves).expect("an object");
-        let handover_duration = if hands_over { 1000.0 } else { 0.0 };
+        let handover_duration = if options.hands_over { 1000.0 } else { 0.0 };
         let settings = Settings { handover_duration, ..Settings::default() };
-        Self { plans, object, settings, may_crash, hands_over }
+        Self { plans, object, settings, options }
     }
 
-    /// A node requests its fill from the next source; without one it reports a failure to its waiters.
+    /// A node requests its fill from the next source; if no source is left, it reports a failure to its waiters.
     fn request_fill(&self, s: &mut State, me: usize, visited: Vec<usize>, tried: Vec<usize>) {
         let waiting = s.nodes[me].shield.waiting_nodes(KEY).cloned();
         let excluded: Vec<NodeId> = ids(&tried).into_iter().chain(waiting).collect();
@@ -307,7 +313,7 @@
         let has_old_plan = |n: &usize| s.nodes[*n].selector.plan().is_some_and(|p| p.version() == Version(1));
         steps.extend((0..NODES).filter(has_old_plan).map(Step::AdoptPlan));
         steps.extend(s.messages.iter().cloned().map(Step::Deliver));
-        if self.may_crash && s.crashes == 0 {
+        if self.options.may_crash && s.crashes == 0 {
             steps.extend((0..TIER_1_NODES).map(Step::Crash));
         }
     }
@@ -356,22 +362,24 @@
 
 #[test]
 fn change_without_a_crash_takes_one_fill_and_answers_every_request() {
-    let checker = ChangeModel::new(false, true).checker().threads(4).spawn_bfs().join();
+    let model = ChangeModel::new(Options { may_crash: false, hands_over: true });
+    let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
 fn crash_during_a_change_costs_at_most_one_more_fill() {
-    let checker = ChangeModel::new(true, true).checker().threads(4).spawn_bfs().join();
+    let model = ChangeModel::new(Options { may_crash: true, hands_over: true });
+    let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
 
 #[test]
 fn without_handover_a_part_is_fetched_twice() {
-    let model = ChangeModel::new(false, false);
-    assert!(!model.hands_over);
+    let model = ChangeModel::new(Options { may_crash: false, hands_over: false });
+    assert!(!model.options.hands_over);
     let checker = model.checker().threads(4).spawn_bfs().join();
     assert!(checker.discovery("one fill at the origin, and one more for a crash").is_some());
 }
--- a/crates/scatter_gather/src/engine/completion.rs
+++ b/crates/scatter_gather/src/engine/completion.rs
@@ -27,7 +27,7 @@
     WaitUntil(Ms),
 }
 
-/// The decision, and the hedged sub-request that is worth its price.
+/// The decision, and the hedged sub-request that is worth sending, if any.
 struct EvaluationResult {
     decision: Decision,
     hedge: Option<HedgeTarget>,
@@ -100,7 +100,7 @@
         let verdict = if request.policy_allows(selection) {
             self.answer_verdict(gather, selection, retry_after)
         } else {
-            self.rejection_verdict(gather, retry_after)
+            self.verdict_without_answer(gather, retry_after)
         };
         let Some(verdict) = verdict else { return };
         let used = match &verdict {
@@ -137,8 +137,9 @@
         Some(Verdict::Partial { used, missing, store_continuation, retry_after })
     }
 
-    /// Failure once the time is over or all attempts have failed; rejection with `Retry-After` before.
-    fn rejection_verdict(&mut self, gather: GatherNo, retry_after: Ms) -> Option<Verdict> {
+    /// The verdict without an answer: failure once the deadline has passed, or after a failed attempt if none is in
+    /// flight any more; else rejection with `Retry-After`.
+    fn verdict_without_answer(&mut self, gather: GatherNo, retry_after: Ms) -> Option<Verdict> {
         let request = self.pending.get(&gather)?;
         if self.now >= request.deadline_at {
             self.counters.failed_at_deadline += 1;
--- a/crates/scatter_gather/src/pending_request.rs
+++ b/crates/scatter_gather/src/pending_request.rs
@@ -41,7 +41,7 @@
     pub purge_floor: u64,
     /// Attempts at each site, probes excluded; the preferred site is first.
     pub attempts_by_site: Vec<usize>,
-    /// When the first of the part's sites accepts attempts again, while all reject them.
+    /// The first end of a `Retry-After` among the part's sites, while none of them admits a retry.
     pub retry_at: Option<Ms>,
     pub required: bool,
     /// No further attempt is made for the part.
@@ -62,6 +62,7 @@
 /// What a selection lacks for the minimum shares of the policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Shortfall {
+    /// Number of parts.
     pub count: usize,
     /// Priority weight.
     pub weight: f64,
@@ -76,8 +77,11 @@
 /// The received parts of one version of an object.
 #[derive(Default)]
 struct VersionCandidate {
+    /// Indexes of the parts in the request.
     parts: BTreeSet<usize>,
+    /// Sum of the parts' priority weights, in which a required part counts more than all others together.
     weight: f64,
+    /// The latest origin time of the parts.
     origin_time: u64,
 }
 
@@ -93,12 +97,13 @@
     pub objective_at: Ms,
     /// An answer that is decided later is worth nothing.
     pub deadline_at: Ms,
-    /// Value of an answer between objective and deadline, 0 to 1.
+    /// Value of an answer just after the objective, as a share of that of one at the objective, 0 to 1.
     pub late_weight_share: f64,
     /// Sum of all parts' priority weights.
     pub total_weight: f64,
     /// Since when the policy allows a partial answer.
     pub answerable_since: Option<Ms>,
+    /// When the request is evaluated next, at the latest.
     pub next_evaluation: Ms,
     /// An attempt failed, as opposed to being rejected or not sent.
     pub attempt_failed: bool,
--- a/crates/scatter_gather/src/site_state.rs
+++ b/crates/scatter_gather/src/site_state.rs
@@ -81,17 +81,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
     Admitted,
+    /// Neither a sub-request nor a probe: the site is excluded or too slow for the time left, its `Retry-After` is not
+    /// over, or the part is outside its share of parts.
     Excluded,
-    /// Excluded, but a probe is due.
+    /// Excluded or too slow for the time left, but a probe is due.
     ProbeOnly,
 }
 
 /// Random numbers for one decision, each from 0 to 1.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Draws {
-    /// For the share of parts that is admitted, and the length of a ramp's step.
+    /// A part is admitted if this is below the site's share of parts. It also lengthens the step of a ramp that
+    /// restarts.
     pub share: f64,
-    /// For the time of the next probe.
+    /// Jitter of the time of the next probe.
     pub probe: f64,
 }
 
@@ -247,6 +250,7 @@
         self.failure.combined(now, settings)
     }
 
+    /// Whether a probe may be sent now: one is scheduled, and the site's `Retry-After` is over.
     pub fn probe_is_due(&self, now: Ms) -> bool {
         self.probes.is_due(now) && now >= self.retry_after_until
     }
@@ -266,7 +270,7 @@
         self.probes.restart(context.now, context.settings, context.routers, context.draws.probe);
     }
 
-    /// Halves the share of a site that is ramping up. Below half of the initial share, the site is excluded again.
+    /// Halves the share of a site that is ramping up. Below half of `initial_ramp_share`, the site is excluded again.
     fn reduce_share(&mut self, share: f64, context: &DecisionContext) {
         self.ramp.restart(context.now, share / 2.0, context.draws.share, context.settings);
         if self.ramp.initial_share() < context.settings.initial_ramp_share / 2.0 {
--- a/crates/scatter_gather/src/wait_decision.rs
+++ b/crates/scatter_gather/src/wait_decision.rs
@@ -115,6 +115,7 @@
             .request
             .in_flight_with_probes(part_index)
             .filter_map(|(_, attempt)| self.pending_attempt(&attempt.site, attempt.sent_at));
+        // The retry may go to any of the part's sites; the forecast takes the preferred one.
         let retry = part.retry_at.and_then(|at| self.pending_attempt(&part.spec.preferred_site, at));
         MissingPart {
             weight: part.spec.priority_weight,
@@ -214,8 +215,8 @@
         best
     }
 
-    /// The hedged sub-request with the highest weighted gain by `at`, if its gain is above the price and waiting with
-    /// it is worth more than `value_now`.
+    /// The hedged sub-request with the highest weighted gain by `at`, if its gain is above `min_hedge_gain` of the
+    /// settings and waiting with it is worth more than `value_now`.
     pub fn best_hedge(&self, at: Ms, value_now: f64) -> Option<HedgeTarget> {
         let candidates = self.missing_parts.iter().flat_map(|part| self.hedge_candidates(part, at));
         let worthwhile = candidates.filter(|candidate| candidate.gain > self.settings.min_hedge_gain);
--- a/crates/scatter_gather/tests/decisions.rs
+++ b/crates/scatter_gather/tests/decisions.rs
@@ -8,10 +8,12 @@
 };
 use basaltgw_types::RouterId;
 
-/// Time of the simulated sites until their answer, in milliseconds.
+/// Time from a sub-request to the answer of its simulated site, in milliseconds.
 const LATENCY_MS: f64 = 20.0;
 /// The part of [`LATENCY_MS`] that is processing time, in milliseconds.
 const PROCESSING_MS: f64 = 4.0;
+/// Origin time of the simulated sites' parts, in Unix milliseconds.
+const ORIGIN_TIME_MS: u64 = 5;
 
 fn site(name: &str) -> Site {
     Site(name.into())
@@ -113,7 +115,7 @@
             gather,
             attempt,
             version: "v".into(),
-            origin_time_ms: 5,
+            origin_time_ms: ORIGIN_TIME_MS,
             complete: true,
             size_bytes: 1,
             processing_time: PROCESSING_MS,
@@ -164,9 +166,9 @@
     duplicate.parts[1].part = PartNo(0);
     let actions = harness.handle(Event::Request(duplicate));
     assert_eq!(actions, rejection(2, InvalidRequest::DuplicatePart(PartNo(0))));
-    let mut without_objective = request(3, &["a"]);
-    without_objective.budget.latency_objective = f64::NAN;
-    let Some(Verdict::Invalid(reason)) = verdict(harness.handle(Event::Request(without_objective))) else {
+    let mut invalid_objective = request(3, &["a"]);
+    invalid_objective.budget.latency_objective = f64::NAN;
+    let Some(Verdict::Invalid(reason)) = verdict(harness.handle(Event::Request(invalid_objective))) else {
         panic!("a request with an invalid latency objective was admitted")
     };
     assert!(reason.to_string().starts_with("gather.aim: expected 0 to the deadline"), "{reason}");
@@ -272,7 +274,7 @@
 #[test]
 fn time_budget_of_a_sub_request_excludes_network_delay_and_assembly() {
     const ASSEMBLY_MS: f64 = 10.0;
-    /// Default of the settings.
+    /// Default of `reserved_time_ms` in the settings.
     const RESERVED_MS: f64 = 1.0;
     let mut harness = Harness::new();
     harness.complete_requests(&["a"], 100);
@@ -291,7 +293,7 @@
     harness.handle(Event::Request(continuation));
     assert_eq!(verdict(harness.respond(GatherNo(1), AttemptNo(0))), None);
     assert_eq!(harness.engine.counters().other_version_responses, 1);
-    let purges = vec![Purge { group: 1, object: Some(1), time: 5 }];
+    let purges = vec![Purge { group: 1, object: Some(1), time: ORIGIN_TIME_MS }];
     harness.handle(Event::Request(GatherRequest { purges, ..request(2, &["a"]) }));
     assert_eq!(verdict(harness.respond(GatherNo(2), AttemptNo(0))), None);
     assert_eq!(harness.engine.counters().purged_responses, 1);
--- a/src/routing/concurrency_limit.rs
+++ b/src/routing/concurrency_limit.rs
@@ -21,20 +21,23 @@
 pub(super) const TIMEOUT_FACTOR: f64 = 0.5;
 /// Least time between two decreases.
 const DECREASE_INTERVAL_MS: Ms = 150.0;
-/// Least limit after a decrease.
+/// Least limit after a decrease while many requests are in flight. A limit below it applies to the mean
+/// number in flight.
 const MIN_LIMIT: f64 = 4.0;
-/// Requests in flight, of all routers, below which the routers are not the cause of latency.
+/// Requests in flight, of all routers, below which the routers are not the cause of latency. A router that
+/// has this number in flight itself has many, one with fewer has few.
 const MIN_IN_FLIGHT_FOR_CONGESTION: f64 = 6.0;
-/// Time constant of the mean number in flight.
+/// Time constant of the mean number in flight and of the sample rate.
 const IN_FLIGHT_WINDOW_MS: Ms = 1000.0;
 /// Least number of responses between two decreases where few requests are in flight.
 const MIN_RESPONSES: u32 = 3;
-/// Time within which the mean latency ratio follows even a few responses.
+/// Time constant with which the mean latency ratio follows the responses where they are rare.
 const SPARSE_WINDOW_MS: Ms = 1500.0;
 /// Exponent of the latency threshold where responses are so few that the mean needs longer than
 /// `SPARSE_WINDOW_MS`: a lower threshold finds congestion with fewer responses.
 const SPARSE_THRESHOLD_EXPONENT: f64 = 0.75;
-/// Least limit on the mean number in flight.
+/// Least limit after a decrease while few requests are in flight, so that the limit applies to their mean
+/// number.
 const MIN_MEAN_LIMIT: f64 = 0.1;
 /// Largest increase by one response, as a share of the limit.
 const MAX_RELATIVE_INCREASE: f64 = 0.1;
@@ -55,7 +58,7 @@
     last_sample_at: Ms,
     /// Samples per millisecond, each with its weight in the mean.
     sample_rate: DecayingRate,
-    /// Mean number of requests in flight: the sum of their durations over the time.
+    /// Mean number of requests in flight: the sum of their durations, divided by the time.
     mean_in_flight: DecayingRate,
     /// Number of routers that share the cache, the source or the link.
     senders: f64,
@@ -91,7 +94,8 @@
         self.mean_latency_ratio_log.get()
     }
 
-    /// Whether one more request is admitted. A low limit applies to the mean number in flight as well.
+    /// Whether one more request is admitted: with it, the number in flight is within the limit, or the limit
+    /// is below `MIN_LIMIT` and the mean number in flight is within it.
     pub fn permits(&self, now: Ms, in_flight: f64, headroom_factor: f64) -> bool {
         let mean = self.mean_in_flight.rate(now);
         in_flight + 1.0 <= self.limit * headroom_factor
@@ -129,9 +133,9 @@
         }
     }
 
-    /// Sets the limit to `factor` times the smaller of itself and the requests in flight, but not below the
-    /// least limit; at most once in each interval, and only if the limit is used and the routers' requests
-    /// can be the cause of the congestion.
+    /// Sets the limit to `factor` times the smaller of itself and the requests in flight (their mean number
+    /// where few are in flight), but not below the least limit; at most once in each interval, and only if
+    /// the limit is used and the routers' requests can be the cause of the congestion.
     pub fn decrease(&mut self, now: Ms, in_flight: f64, factor: f64) {
         self.responses_since_decrease += 1;
         let mean = self.mean_in_flight.rate(now);
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -227,7 +227,7 @@
         for index in route.servers() {
             let server = &mut self[index];
             server.in_flight += 1;
-            server.outlier.begin_probe();
+            server.outlier.record_send();
         }
     }
 
--- a/src/routing/outlier_ejection.rs
+++ b/src/routing/outlier_ejection.rs
@@ -2,9 +2,10 @@
 //!
 //! Inputs: outcomes of attempts, and the time in milliseconds that attempts have been in flight. A server is
 //! ejected when too many connections to it are refused, or when it is silent: attempts at it are overdue and
-//! it has not responded since they were sent. Single errors, rejections and timeouts do not eject it,
-//! since the request's next attempt goes elsewhere and the server may serve everything else well. An ejected
-//! server is probed with one attempt at a time after a backoff that doubles with each failed probe.
+//! it has not responded since they were sent. Errors, rejections and timeouts do not eject a healthy server,
+//! however many, since the request's next attempt goes elsewhere and the server may serve everything else
+//! well. An ejected server is probed with one attempt at a time after a backoff that doubles with each failed
+//! probe.
 
 use super::endpoints::ServerIndex;
 use super::request::{FinishedAttempt, PendingRequest, Route};
@@ -14,8 +15,8 @@
 
 /// Weight of a served request in a server's share of refused connections.
 const SERVED_SAMPLE_WEIGHT: f64 = 0.05;
-/// Weight of a refused connection in a server's share of refused connections. It is higher, because a refusal
-/// concerns the whole process.
+/// Weight of a refused connection in a server's share of refused connections. It is higher than that of a
+/// served request, because a refusal concerns the whole process.
 const REFUSED_SAMPLE_WEIGHT: f64 = 0.3;
 /// Share of refused connections above which a server is ejected.
 const MAX_REFUSED_SHARE: f64 = 0.45;
@@ -24,8 +25,8 @@
 const OVERDUE_DEVIATIONS: f64 = 5.0;
 /// Number of responses of a class from which on its mean delay, and not its deadline, makes attempts overdue.
 const MIN_DELAY_SAMPLES: u32 = 20;
-/// Evidence of silence by one overdue attempt at a cache; at 1 the cache counts as silent, so that one lost
-/// response is not enough.
+/// Evidence of silence each time that an attempt at a server is overdue; at 1 the server counts as silent. It
+/// takes three times, so that one lost response is not enough.
 const OVERDUE_EVIDENCE: f64 = 0.34;
 /// Least time without a response before a server counts as silent, so that short pauses pass.
 const MIN_SILENCE_MS: Ms = 350.0;
@@ -69,9 +70,9 @@
 pub(super) struct OutlierState {
     pub health: Health,
     consecutive_ejections: u32,
-    /// Whether the server was unreachable or silent when it was ejected, so that it may recover with an
-    /// empty cache.
-    unreachable: bool,
+    /// Whether the server refused connections or was silent when it was ejected, so that it may recover as
+    /// a new process with an empty cache.
+    may_have_restarted: bool,
     /// Decayed share of refused connections.
     refused_share: f64,
     /// When the server's present silence began: at its last response, or, if nothing was in flight, at the
@@ -87,7 +88,7 @@
         Self {
             health: Health::Healthy,
             consecutive_ejections: 0,
-            unreachable: false,
+            may_have_restarted: false,
             refused_share: 0.0,
             silent_since: now,
             silence_evidence: 0.0,
@@ -103,8 +104,9 @@
         }
     }
 
-    /// Records that an attempt is sent; one to an ejected server is its first probe.
-    pub fn begin_probe(&mut self) {
+    /// Records that an attempt is sent that has the server in its route; if the server is ejected, that
+    /// attempt is its first probe.
+    pub fn record_send(&mut self) {
         if let Health::Ejected { .. } = self.health {
             self.health = Health::Probing { successes: 0 };
         }
@@ -125,29 +127,29 @@
     }
 
     /// Ejects the server and returns for how many milliseconds.
-    fn eject(&mut self, now: Ms, unreachable: bool) -> Ms {
+    fn eject(&mut self, now: Ms, may_have_restarted: bool) -> Ms {
         let doublings = self.consecutive_ejections.min(MAX_DOUBLINGS);
         let duration = (BASE_EJECTION_MS * f64::from(1u32 << doublings)).min(MAX_EJECTION_MS);
         self.health = Health::Ejected { until: now + duration };
         self.consecutive_ejections += 1;
-        self.unreachable |= unreachable;
+        self.may_have_restarted |= may_have_restarted;
         duration
     }
 
     /// Ends the ejection and returns whether the server may have been replaced by a new process.
     fn recover(&mut self) -> bool {
         (self.health, self.consecutive_ejections, self.refused_share) = (Health::Healthy, 0, 0.0);
-        std::mem::take(&mut self.unreachable)
+        std::mem::take(&mut self.may_have_restarted)
     }
 }
 
-/// An attempt that is overdue once more.
+/// An attempt in flight that is overdue for the first time, or for one time more.
 struct OverdueAttempt {
     request: RequestId,
     number: AttemptNo,
 }
 
-/// The server that an overdue attempt waits for.
+/// A server that may be silent: an overdue attempt waits for it.
 struct Silence {
     server: ServerIndex,
     /// How much the attempt adds to the server's evidence of silence, 0 to 1.
@@ -239,13 +241,13 @@
         let outlier = &mut server.outlier;
         outlier.update_refused_share(signal);
         let failed = signal != HealthSignal::Served;
-        let unreachable = signal == HealthSignal::ConnectionRefused;
+        let may_have_restarted = signal == HealthSignal::ConnectionRefused;
         match outlier.health {
             Health::Healthy if outlier.refused_share > MAX_REFUSED_SHARE => {
-                self.eject(index, unreachable, "refuses connections", actions);
+                self.eject(index, may_have_restarted, "refuses connections", actions);
             }
             Health::Probing { successes: 0 } if failed => {
-                self.eject(index, unreachable, "failed a probe", actions);
+                self.eject(index, may_have_restarted, "failed a probe", actions);
             }
             Health::Probing { successes } if failed => {
                 outlier.health = Health::Probing { successes: successes - 1 };
@@ -265,9 +267,15 @@
         }
     }
 
-    fn eject(&mut self, index: ServerIndex, unreachable: bool, reason: &str, actions: &mut Vec<Action>) {
+    fn eject(
+        &mut self,
+        index: ServerIndex,
+        may_have_restarted: bool,
+        reason: &str,
+        actions: &mut Vec<Action>,
+    ) {
         let server = &mut self.endpoints[index];
-        let duration = server.outlier.eject(self.now, unreachable);
+        let duration = server.outlier.eject(self.now, may_have_restarted);
         let text = format!("{} ejected for {duration:.0} ms: {reason}", server.entry.id.0);
         self.log(actions, text);
     }
@@ -288,13 +296,15 @@
             let Some(silence) = self.record_overdue(&request, number) else { continue };
             self.endpoints[silence.server].outlier.silence_evidence += silence.evidence;
             if self.may_eject_as_silent(silence.server) {
-                self.eject(silence.server, true, "silent", actions);
+                let may_have_restarted = true;
+                self.eject(silence.server, may_have_restarted, "silent", actions);
                 self.cancel_attempts_on(silence.server, actions);
             }
         }
     }
 
-    /// Attempts that are overdue, once in each overdue time that passes.
+    /// Attempts in flight that have become overdue once more: each is listed after one, two, three times
+    /// [`Self::overdue_after`] and so on.
     fn overdue_attempts(&self) -> Vec<OverdueAttempt> {
         let mut overdue = Vec::new();
         for (_, pending) in self.requests.unanswered() {
@@ -309,8 +319,9 @@
         overdue
     }
 
-    /// Records that an attempt is overdue, and finds the server that has not responded since it was sent: its
-    /// cache, else its source.
+    /// Records that an attempt is overdue, and finds the server that has not responded since the attempt was
+    /// sent: the one that it was sent to, else its source. The request's further attempts exclude that
+    /// server; if there is none, this attempt excludes no server.
     fn record_overdue(&mut self, request: &RequestId, number: AttemptNo) -> Option<Silence> {
         let endpoints = &self.endpoints;
         let attempt = &mut self.requests.get_mut(request)?.attempts[number.0];
@@ -339,6 +350,8 @@
         let outlier = &server.outlier;
         let is_silent = match outlier.health {
             Health::Healthy => outlier.silence_evidence >= 1.0,
+            // Attempts are rare, since the server is probed with one at a time: one that is overdue is
+            // enough.
             Health::Probing { .. } => true,
             Health::Ejected { .. } => false,
         };
--- a/src/routing/selection.rs
+++ b/src/routing/selection.rs
@@ -115,6 +115,7 @@
                 && !pending.excludes(*server)
                 && self.has_slow_start_capacity(*server, fill_cost)
         };
+        // Without a selected cache, the sources that the plan names for the first one that is up.
         let edge = edge.or(self.endpoints.up(Role::Edge).first().copied());
         let plan = edge.and_then(|edge| self.fill_sources.for_edge(edge));
         let key = mix(object, 0);
@@ -132,7 +133,8 @@
         parent.or_else(|| origin.filter(|origin| self.is_usable(*origin)))
     }
 
-    /// The route of a request that is executed at the origin: directly, else by a parent or an edge cache.
+    /// The route of a request that is executed at the origin: directly, else through a parent; through an
+    /// edge cache if parents and the origin take no requests directly.
     fn select_origin_route(&self, index: RequestIndex) -> Option<Route> {
         let pending = &self.requests[index];
         let untried = |server: &ServerIndex| !pending.attempts.iter().any(|a| a.route.server == *server);
--- a/src/routing/weight_penalty.rs
+++ b/src/routing/weight_penalty.rs
@@ -13,11 +13,12 @@
 use crate::api::*;
 use crate::averages::{sorted, MovingAverage};
 
-/// Weight of a response in a server's latency ratio.
+/// Weight of a response in a server's mean latency ratio.
 const RATIO_SAMPLE_WEIGHT: f64 = 0.2;
-/// Largest change of a penalty by one response.
+/// Largest change of a penalty by one latency ratio.
 const PENALTY_STEP_LOG: f64 = 0.3;
-/// A latency ratio that exceeds the usual one by less than this makes the penalty smaller.
+/// A latency ratio that exceeds the usual one by less than this gives weight back to the server, one that
+/// exceeds it by more takes weight away.
 const TOLERATED_EXCESS_LOG: f64 = 0.25;
 /// Least share of the listed weight that a server keeps.
 const MIN_WEIGHT_SHARE: f64 = 0.05;
@@ -144,6 +145,7 @@
                 self.adjust_served(source, ratio_log - server_excess);
             }
             (_, FillReport::SourceRejected | FillReport::SourceFailed, Some(source)) => {
+                // An infinite ratio lowers the weight by the largest step.
                 self.adjust_penalty(source, f64::INFINITY);
             }
             (AttemptResult::TimedOut, ..) => self.attribute_latency(&attempt.route, ratio_log),
@@ -166,8 +168,8 @@
         self.endpoints[server].penalty.adjust(usual_log, ratio_log);
     }
 
-    /// The usual latency ratio that a server is compared with; the sample itself while its role has none. It
-    /// is finite, so that an infinite sample moves the penalty by one step and not to NaN.
+    /// The usual latency ratio that a server is compared with; the sample itself while its role has none. The
+    /// result is finite, so that an infinite sample moves the penalty by one step and not to NaN.
     fn comparable_ratio_log(&self, server: ServerIndex, ratio_log: f64) -> f64 {
         self.usual_ratio_log(self.endpoints[server].entry.role).unwrap_or(ratio_log).min(f64::MAX)
     }
--- a/tests/failure_handling.rs
+++ b/tests/failure_handling.rs
@@ -120,7 +120,7 @@
     assert_eq!(count_log_lines(&actions, "parent"), 0, "{actions:?}");
 }
 
-/// A cache that fails requests quickly is not ejected, and each failed request is retried at once.
+/// A cache whose attempts all end with an error is not ejected, and each failed request is retried at once.
 #[test]
 fn request_that_fails_at_a_cache_is_retried_at_another() {
     let mut driver = Driver::new(settings(), fleet());
@@ -150,20 +150,21 @@
 #[test]
 fn overloaded_home_spreads_parts_whatever_the_unit_of_weights() {
     let servers_of_parts = |weight: f64| {
-        let mut servers = fleet();
-        servers.iter_mut().for_each(|s| s.weight = weight);
-        let mut driver = Driver::new(settings(), servers);
-        let mut homes: Vec<ServerId> = Vec::new();
+        let mut listed = fleet();
+        listed.iter_mut().for_each(|s| s.weight = weight);
+        let mut driver = Driver::new(settings(), listed);
+        let mut servers: Vec<ServerId> = Vec::new();
         for n in 0..24 {
             let request = Request { part: Part(n as u64), ..request(n, IDEMPOTENT, 5, 4000.0) };
-            homes.push(first_attempt(&driver.handle(Event::Request(request))).expect("an attempt").server);
+            servers.push(first_attempt(&driver.handle(Event::Request(request))).expect("an attempt").server);
         }
-        homes
+        servers
     };
-    let homes = servers_of_parts(1.0);
-    assert_eq!(homes, servers_of_parts(50.0));
-    let at_home = homes.iter().filter(|server| **server == homes[0]).count();
-    assert!((6..18).contains(&at_home), "{at_home} of 24 parts at one cache");
+    let servers = servers_of_parts(1.0);
+    assert_eq!(servers, servers_of_parts(50.0));
+    // No cache has load when the first part is requested, so that part is at the object's home.
+    let at_home = servers.iter().filter(|server| **server == servers[0]).count();
+    assert!((6..18).contains(&at_home), "{at_home} of 24 parts at the object's home");
 }
 
 /// A zone whose caches have all restarted gets requests within their slow-start budgets.
