--- a/crates/node/src/owner/inputs.rs
+++ b/crates/node/src/owner/inputs.rs
@@ -3,7 +3,7 @@
 use super::attempts::{CancelResults, Delivery};
 use super::timers::TimerKind;
 use super::{request_id, request_no, Owner};
-use crate::caches::{AttemptKey, PoolCounts, RequestNo};
+use crate::caches::{AttemptKey, PoolCounts};
 use crate::clients::Reply;
 use crate::connection::CloseCounts;
 use crate::Input;
--- a/crates/placement/src/assignment.rs
+++ b/crates/placement/src/assignment.rs
@@ -1,9 +1,8 @@
 //! Assigns shards to routers: replicas of the previous table stay where they may, and as few shards as possible move.
 //!
 //! Every router has a quota by its capacity, a least and a largest number of shards ([`quotas`]). A shard that lacks a replica has a free place. Free
-//! places go by the highest random weight (Thaler and Ravishankar 1998), first to routers
-//! below their quota; then shards move from routers above their quota to routers below theirs. Whole numbers only, so that every machine
-//! computes the same assignment.
+//! places go by the highest random weight (Thaler and Ravishankar 1998), first to routers below their quota; then shards move from routers above
+//! their quota to routers below theirs. Whole numbers only, so that every machine computes the same assignment.
 
 use crate::quotas::{quotas, Quota};
 use basaltgw_structures::hash::mix;
--- a/crates/placement/src/compile.rs
+++ b/crates/placement/src/compile.rs
@@ -25,7 +25,7 @@
 pub const MAX_RULES: usize = 1024;
 /// Largest number of routers in an inventory.
 pub const MAX_ROUTERS: usize = 4096;
-/// Largest number of caches in an inventory: their indexes in a table have 16 bits, which this is well below.
+/// Largest number of caches in an inventory: their indexes in a table have 16 bits, of which this needs 14.
 pub const MAX_CACHES: usize = 16_384;
 /// Largest number of routers that bootstrap a fleet, since each of them must agree.
 pub const MAX_BOOTSTRAP_ROUTERS: usize = 64;
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// Writes the first 8 of 32 hexadecimal digits, enough to tell a router's incarnations apart in a log.
+/// Writes the first 8 of 32 hexadecimal digits.
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:08x}", self.0 >> 96)
@@ -131,7 +131,7 @@
     }
 }
 
-/// Writes the first 8 of 64 hexadecimal digits, enough to tell tables apart in a log.
+/// Writes the first 8 of 64 hexadecimal digits.
 impl fmt::Display for TableHash {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.iter().take(4).try_for_each(|b| write!(f, "{b:02x}"))
