--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -26,6 +26,7 @@
 mod parser;
 mod quotas;
 mod register;
+mod register_display;
 mod register_encoding;
 mod replica_constraints;
 mod replica_rules;
--- a/crates/placement/src/register.rs
+++ b/crates/placement/src/register.rs
@@ -11,7 +11,6 @@
 use crate::table_body::MAX_TABLE_BYTES;
 use basaltgw_types::{Member, QuorumGroup, RouterId, Shard, ShardMap, TableHash, TableVersion};
 use std::collections::BTreeSet;
-use std::fmt;
 use std::sync::Arc;
 
 /// Largest encoded register in bytes: two tables, and the state of the adoption.
@@ -386,19 +385,3 @@
         false => Err(ProposalError::ShardCountChanged { proposed, expected }),
     }
 }
-
-impl fmt::Display for Register {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "version {} (hash {}) is in effect", self.table.version().0, self.table.hash())?;
-        let Some(ProposedTable { table, proposer, steps }) = &self.proposed else { return Ok(()) };
-        write!(f, "; version {} (hash {}) by {proposer} is ", table.version().0, table.hash())?;
-        match self.stage {
-            Stage::Idle | Stage::Proposed => f.write_str("proposed"),
-            Stage::Durable => f.write_str("durable at all members"),
-            Stage::Joint { step, withdrawing } => {
-                let action = if withdrawing { "withdrawn" } else { "adopted" };
-                write!(f, "{action}, joint step {} of {steps}", step + 1)
-            }
-        }
-    }
-}
