--- a/crates/node/tests/command_line.rs
+++ b/crates/node/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The commands of the program: their output, exit codes and usage errors.
 
 mod common;
 
@@ -30,18 +30,18 @@
 fn check_config_reports_faults() {
     let out = run(&["check-config"], None);
     assert!(!out.status.success() && text(&out.stderr).contains("field GW_CONFIG:"));
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let file = dir.path().join("router.json");
     let path = file.display().to_string();
     let mut config = configuration(&[], ChangeLog::start().address);
-    std::fs::write(&file, config.to_string()).expect("a file");
-    let good = run(&["check-config"], Some(&path));
+    std::fs::write(&file, config.to_string()).expect("the configuration is written");
+    let valid = run(&["check-config"], Some(&path));
     config["limits"]["sockets"] = "many".into();
-    std::fs::write(&file, config.to_string()).expect("a file");
-    let (bad, serve) = (run(&["check-config"], Some(&path)), run(&["serve"], Some(&path)));
-    assert!(good.status.success());
-    assert_eq!(text(&good.stdout), "n1: 1 events known, listens at 127.0.0.1:0\n");
-    for out in [bad, serve] {
+    std::fs::write(&file, config.to_string()).expect("the configuration is written");
+    let (checked, served) = (run(&["check-config"], Some(&path)), run(&["serve"], Some(&path)));
+    assert!(valid.status.success());
+    assert_eq!(text(&valid.stdout), "n1: 1 events known, listens at 127.0.0.1:0\n");
+    for out in [checked, served] {
         assert!(!out.status.success());
         assert!(text(&out.stderr).contains(".json: field limits.sockets:"), "{}", text(&out.stderr));
     }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The router that is tested, as a process before the emulator's stand-ins.
+//! Starts the tested router as a process between the emulator's stand-ins of clients, caches and the change log.
 #![allow(dead_code, unused_imports)]
 
 pub use basaltgw_emulator::process::Process;
@@ -11,36 +11,38 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// The program.
+/// The path of the router program.
 pub fn binary() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_basaltgw"))
 }
 
+/// Starts a router and waits until it listens.
 pub fn router(config: &Value) -> Process {
     router_by(config, "exec \"$0\" serve")
 }
 
-/// Starts it by a line of shell, in which `$0` is the program.
-pub fn router_by(config: &Value, line: &str) -> Process {
-    Process::start_by(binary(), config, line).expect("a router that listens")
+/// Starts a router by a shell command, in which `$0` is the program.
+pub fn router_by(config: &Value, command: &str) -> Process {
+    Process::start_by(binary(), config, command).expect("the router listens")
 }
 
-/// An address that refuses connections while its socket is kept, unless a router is told to listen there: no other program is given the
-/// port.
+/// An address that refuses connections while the returned socket exists, since no other program gets its port. A router may still listen
+/// there.
 pub fn refused_address() -> (OwnedFd, SocketAddr) {
-    let held = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
-    // Whoever listens sets this too; ports that the system chooses are not shared all the same.
-    set_socket_reuseaddr(&held, true).expect("a socket");
-    bind(&held, &SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("a port");
-    let address = getsockname(&held).expect("an address").try_into().expect("an address with a port");
-    (held, address)
+    let reserved = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
+    // A router that listens here sets this too; a port that the system chose is not given to another program in spite of it.
+    set_socket_reuseaddr(&reserved, true).expect("the socket takes the option");
+    bind(&reserved, &SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("a free port");
+    let address =
+        getsockname(&reserved).expect("a local address").try_into().expect("an address with a port");
+    (reserved, address)
 }
 
-/// As `until`, with something to do in between.
-pub fn until_polling(what: &str, mut holds: impl FnMut() -> bool) {
+/// As `until`, without a pause between checks, for a condition that acts and waits itself.
+pub fn until_polling(description: &str, mut condition: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never: {what}");
+    while !condition() {
+        assert!(start.elapsed() < PATIENCE, "timed out waiting until {description}");
     }
 }
 
@@ -51,10 +53,10 @@
     config.into_iter().for_each(|c| {
         command.env("GW_CONFIG", c);
     });
-    command.output().expect("the program")
+    command.output().expect("the program runs")
 }
 
-/// What it said.
+/// Output of the program as text.
 pub fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
--- a/crates/node/tests/connection_state.rs
+++ b/crates/node/tests/connection_state.rs
@@ -1,4 +1,4 @@
-//! The state of a client's connection under any order of events of its reader, its writer and the owner.
+//! The state of a client connection under any order of events of its reader, its writer and the owner.
 
 use basaltgw_node::connection::{
     CloseReason, ConnectionEvent, ConnectionPhase, ConnectionSlots, ConnectionState, IdleReason,
@@ -8,26 +8,28 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An event, as the reader, the writer or the owner causes it.
+/// An action of the reader, the writer or the owner.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A complete message came: the reader queues it if it still may.
+    /// The reader received a complete message, and queues it unless it has stopped.
     Message,
-    /// A partial message came, this many milliseconds ago.
+    /// The reader received a partial message this many milliseconds ago.
     PartialMessage(u64),
     /// The partial message was completed.
     PartialCompleted,
     /// The reader decides a close request.
     CheckClose,
-    /// Malformed bytes came.
+    /// The reader received malformed bytes.
     MalformedBytes,
     /// The owner takes a message from the queue.
-    OwnerTakes,
-    OwnerAsksClose(IdleReason),
-    OwnerDrops,
-    /// The owner has dropped the queue; the writer shuts our side down.
-    WriterShutsDown,
-    /// The peer closes, or a bound is reached.
+    Dequeue,
+    /// The owner requests a close for this reason.
+    RequestClose(IdleReason),
+    /// The owner drops the connection and its queue.
+    Drop,
+    /// The owner has dropped the queue; the writer shuts the router's side down.
+    ShutDownWrite,
+    /// The peer closes the connection, or a time limit is reached.
     Closed,
 }
 
@@ -40,16 +42,17 @@
         1 => Just(Step::PartialCompleted),
         4 => Just(Step::CheckClose),
         1 => Just(Step::MalformedBytes),
-        4 => Just(Step::OwnerTakes),
-        4 => reason.prop_map(Step::OwnerAsksClose),
-        1 => Just(Step::OwnerDrops),
-        1 => Just(Step::WriterShutsDown),
+        4 => Just(Step::Dequeue),
+        4 => reason.prop_map(Step::RequestClose),
+        1 => Just(Step::Drop),
+        1 => Just(Step::ShutDownWrite),
         1 => Just(Step::Closed),
     ];
     prop::collection::vec(step, 0..60)
 }
 
-fn rank(phase: ConnectionPhase) -> u8 {
+/// The order of the phases, which never decreases.
+fn phase_order(phase: ConnectionPhase) -> u8 {
     match phase {
         ConnectionPhase::Open { .. } => 0,
         ConnectionPhase::Closing => 1,
@@ -63,7 +66,7 @@
     fn idle_close_never_overtakes_a_message(steps in steps()) {
         let connection = ConnectionState::new(&Rc::default());
         // Queued messages, the undecided close request, and the age of a partial message.
-        let (mut queued, mut asked, mut partial) = (0u32, None, None::<Duration>);
+        let (mut queued, mut close_requested, mut partial) = (0u32, None, None::<Duration>);
         for step in steps {
             let before = connection.phase();
             match step {
@@ -75,44 +78,44 @@
                 Step::PartialMessage(ms) => partial = Some(Duration::from_millis(ms)),
                 Step::PartialCompleted => partial = None,
                 Step::CheckClose if before.reads() && connection.close_reason().is_some() => {
-                    let over = connection.decide_close(partial);
-                    let late = asked == Some(IdleReason::Shutdown) && partial.is_some_and(|t| t >= PARTIAL_MESSAGE_AT_SHUTDOWN);
-                    let crossed = queued > 0 || (partial.is_some() && !late);
-                    prop_assert_eq!(over, asked.filter(|_| !crossed).map(CloseReason::IdleClose));
-                    asked = None;
+                    let close = connection.decide_close(partial);
+                    let timed_out = close_requested == Some(IdleReason::Shutdown) && partial.is_some_and(|t| t >= PARTIAL_MESSAGE_AT_SHUTDOWN);
+                    let crossed = queued > 0 || (partial.is_some() && !timed_out);
+                    prop_assert_eq!(close, close_requested.filter(|_| !crossed).map(CloseReason::IdleClose));
+                    close_requested = None;
                 }
                 Step::CheckClose => prop_assert_eq!(connection.decide_close(partial).is_none(), before.reads()),
                 Step::MalformedBytes => {
                     connection.apply(ConnectionEvent::ReadStopped);
                 }
-                Step::OwnerTakes if queued > 0 => {
+                Step::Dequeue if queued > 0 => {
                     queued -= 1;
-                    asked = None;
+                    close_requested = None;
                     connection.apply(ConnectionEvent::Dequeued);
                 }
-                Step::OwnerTakes => {}
-                Step::OwnerAsksClose(why) => {
-                    asked = asked.or(Some(why)).filter(|_| before.reads());
-                    connection.apply(ConnectionEvent::CloseRequested(why));
+                Step::Dequeue => {}
+                Step::RequestClose(reason) => {
+                    close_requested = close_requested.or(Some(reason)).filter(|_| before.reads());
+                    connection.apply(ConnectionEvent::CloseRequested(reason));
                 }
-                Step::OwnerDrops => {
+                Step::Drop => {
                     connection.apply(ConnectionEvent::Dropped);
                 }
-                Step::WriterShutsDown if !before.reads() => {
+                Step::ShutDownWrite if !before.reads() => {
                     connection.apply(ConnectionEvent::WriteShutdown);
                 }
-                Step::WriterShutsDown => {}
+                Step::ShutDownWrite => {}
                 Step::Closed => {
                     connection.apply(ConnectionEvent::Closed);
                 }
             }
             let after = connection.phase();
-            prop_assert!(rank(after) >= rank(before), "{before:?} {step:?} {after:?}");
-            if let ConnectionPhase::Open { queued: in_queue, close_requested } = after {
-                prop_assert_eq!((in_queue, close_requested), (queued, asked));
+            prop_assert!(phase_order(after) >= phase_order(before), "{before:?} {step:?} {after:?}");
+            if let ConnectionPhase::Open { queued: actual_queued, close_requested: actual_request } = after {
+                prop_assert_eq!((actual_queued, actual_request), (queued, close_requested));
             }
-            let half_closed = rank(after) >= 2 && rank(before) < 2;
-            prop_assert!(!half_closed || matches!(step, Step::WriterShutsDown | Step::Closed));
+            let half_closed = phase_order(after) >= 2 && phase_order(before) < 2;
+            prop_assert!(!half_closed || matches!(step, Step::ShutDownWrite | Step::Closed));
         }
     }
 }
@@ -123,7 +126,7 @@
     let connection = ConnectionState::new(&slots);
     assert!(connection.enqueue());
     connection.apply(ConnectionEvent::CloseRequested(IdleReason::SlotNeeded));
-    assert_eq!(connection.decide_close(None), None, "queued messages go first");
+    assert_eq!(connection.decide_close(None), None, "queued messages are handled before the close");
     connection.apply(ConnectionEvent::Dequeued);
     connection.apply(ConnectionEvent::CloseRequested(IdleReason::IdleTimeout));
     connection.apply(ConnectionEvent::CloseRequested(IdleReason::Shutdown));
--- a/crates/node/tests/reader.rs
+++ b/crates/node/tests/reader.rs
@@ -1,4 +1,4 @@
-//! The reader of a client's connection: chunks of any size, and pauses.
+//! The reader of a client connection: chunks of any size, a full queue, and pauses of reading.
 
 use async_executor::LocalExecutor;
 use async_io::{block_on, Async, Timer};
@@ -18,23 +18,24 @@
 
 const MEMORY_LIMIT_BYTES: usize = 1_000_000;
 
-/// A connection and the parts of a router that read it.
+/// A loopback connection and the parts of a router that read from it.
 struct ReaderHarness {
-    near: Async<TcpStream>,
-    far: Async<TcpStream>,
+    router_side: Async<TcpStream>,
+    client_side: Async<TcpStream>,
     context: ConnectionContext,
     inputs: async_channel::Receiver<Input>,
     liveness: Rc<ClientLiveness>,
-    /// Bytes of the words that were decoded.
+    /// Bytes of the message elements decoded so far.
     decoded_bytes: Cell<usize>,
     paused: Cell<bool>,
 }
 
 impl ReaderHarness {
     fn new(queue_capacity: usize) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let far = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-        let near = listener.accept().expect("the connection").0;
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let client_side =
+            TcpStream::connect(listener.local_addr().expect("a local address")).expect("a connection");
+        let router_side = listener.accept().expect("an accepted connection").0;
         let (queue, inputs) = async_channel::bounded(queue_capacity);
         let context = ConnectionContext {
             executor: Rc::new(LocalExecutor::new()),
@@ -46,8 +47,8 @@
             buffer_limit_bytes: MEMORY_LIMIT_BYTES,
         };
         Self {
-            near: Async::new(near).expect("a socket"),
-            far: Async::new(far).expect("a socket"),
+            router_side: Async::new(router_side).expect("a non-blocking socket"),
+            client_side: Async::new(client_side).expect("a non-blocking socket"),
             context,
             inputs,
             liveness: Rc::default(),
@@ -56,6 +57,7 @@
         }
     }
 
+    /// Reads until the connection is to be closed.
     async fn read(&self) -> CloseReason {
         let decode = |decoded: DecodedMessage| {
             let bytes = decoded.elements.iter().map(Vec::len).sum::<usize>();
@@ -65,25 +67,26 @@
             Some(Input::ClientMessage { client: ClientId(1), message, received_at: decoded.received_at })
         };
         let paused = || self.paused.get();
-        let reason = read_messages(&self.near, CLIENT_READ_LIMITS, &self.context, paused, decode, None).await;
+        let reason =
+            read_messages(&self.router_side, CLIENT_READ_LIMITS, &self.context, paused, decode, None).await;
         self.liveness.disconnect();
         reason
     }
 
-    /// Reads until a condition holds.
-    async fn until(&self, what: &str, holds: impl Fn() -> bool) -> Option<CloseReason> {
-        let seen = async {
+    /// Reads until the condition is true, or the connection is to be closed; returns the reason of the close.
+    async fn read_until(&self, description: &str, condition: impl Fn() -> bool) -> Option<CloseReason> {
+        let wait = async {
             let start = Instant::now();
-            while !holds() {
-                assert!(start.elapsed() < Duration::from_secs(20), "never: {what}");
+            while !condition() {
+                assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting until {description}");
                 Timer::after(Duration::from_millis(1)).await;
             }
             None
         };
-        future::or(async { Some(self.read().await) }, seen).await
+        future::or(async { Some(self.read().await) }, wait).await
     }
 
-    /// Memory that other connections use.
+    /// Charges bytes to the shared memory meter, as other connections do, until the result is dropped.
     fn use_memory(&self, bytes: usize) -> BufferedBytes {
         let meter: &Rc<BufferMeter> = &self.context.meter;
         BufferedBytes::new(vec![0; bytes], &[meter])
@@ -95,7 +98,7 @@
 }
 
 /// A message of a client, or malformed bytes.
-fn bytes() -> impl Strategy<Value = Vec<u8>> {
+fn message_or_malformed_bytes() -> impl Strategy<Value = Vec<u8>> {
     let tag = 1..40u64;
     prop_oneof![
         4 => tag.clone().prop_map(|tag| encode_message("PING", tag)),
@@ -109,22 +112,23 @@
     ]
 }
 
-/// The message of an input, without its time.
-fn message(input: Input) -> ClientMessage {
+/// The message of an input, without its arrival time.
+fn client_message(input: Input) -> ClientMessage {
     match input {
         Input::ClientMessage { message, .. } => message,
-        _ => panic!("a client's message"),
+        _ => panic!("the input is not a client message"),
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// All that is whole before the first fault is handed reason, in order, in whatever pieces it comes and however slowly it is taken.
+    /// All complete messages before the first malformed byte are queued in order, however the bytes are split and however slowly the
+    /// queue is emptied.
     #[test]
     fn bytes_in_any_chunks_decode_as_in_one_read(
-        parts in proptest::collection::vec(bytes(), 1..60),
-        cuts in proptest::collection::vec(1..3_000usize, 1..8),
+        parts in proptest::collection::vec(message_or_malformed_bytes(), 1..60),
+        chunk_lengths in proptest::collection::vec(1..3_000usize, 1..8),
         queue_capacity in 1..20usize,
         memory_full in any::<bool>(),
     ) {
@@ -135,7 +139,7 @@
         let mut malformed = false;
         loop {
             match decoder.next_message() {
-                Ok(Some(words)) => match ClientMessage::decode(words) {
+                Ok(Some(elements)) => match ClientMessage::decode(elements) {
                     Some(message) => expected.push(message),
                     None => { malformed = true; break }
                 },
@@ -149,22 +153,22 @@
         let reason = block_on(future::or(async { Some(harness.read().await) }, async {
             let writes = async {
                 let mut rest = &all[..];
-                let mut cuts = cuts.iter().cycle();
+                let mut chunk_lengths = chunk_lengths.iter().cycle();
                 while !rest.is_empty() {
-                    let n = rest.len().min(*cuts.next().expect("a cut"));
-                    if (&harness.far).write_all(&rest[..n]).await.is_err() {
+                    let length = rest.len().min(*chunk_lengths.next().expect("the cycle of chunk lengths has no end"));
+                    if (&harness.client_side).write_all(&rest[..length]).await.is_err() {
                         break;
                     }
-                    rest = &rest[n..];
+                    rest = &rest[length..];
                     future::yield_now().await;
                 }
                 future::pending::<()>().await
             };
-            let takes = async {
+            let receives = async {
                 drop(memory);
                 while received.borrow().len() < expected.len() {
                     let Ok(input) = harness.inputs.recv().await else { break };
-                    received.borrow_mut().push(message(input));
+                    received.borrow_mut().push(client_message(input));
                     if received.borrow().len() % 3 == 0 {
                         future::yield_now().await;
                     }
@@ -173,17 +177,17 @@
                     future::pending::<()>().await;
                 }
             };
-            future::or(writes, takes).await;
+            future::or(writes, receives).await;
             None
         }));
         while let Ok(input) = harness.inputs.try_recv() {
-            received.borrow_mut().push(message(input));
+            received.borrow_mut().push(client_message(input));
         }
         prop_assert_eq!(&*received.borrow(), &expected);
         prop_assert_eq!(matches!(reason, Some(CloseReason::Malformed(_))), malformed, "{:?}", reason);
     }
 
-    /// Messages that the owner does not take stay in the socket, except for one read and the read-ahead.
+    /// While the owner takes no messages, the reader leaves all bytes in the socket except for one read and the read-ahead.
     #[test]
     fn paused_reader_buffers_at_most_one_read_and_the_read_ahead(queue_capacity in 1..300usize, memory_full in any::<bool>(), paused in any::<bool>()) {
         let harness = ReaderHarness::new(queue_capacity);
@@ -192,22 +196,22 @@
         block_on(async {
             let flood: Vec<u8> = (1..4_000).flat_map(|n| encode_message("PING", n)).collect();
             let writes = async {
-                let _ = (&harness.far).write_all(&flood).await;
+                let _ = (&harness.client_side).write_all(&flood).await;
                 future::pending::<()>().await;
             };
-            let still = async {
+            let observe = async {
                 let start = Instant::now();
                 while start.elapsed() < Duration::from_millis(60) {
                     Timer::after(Duration::from_millis(10)).await;
                 }
             };
             let reads = async { let _ = harness.read().await; };
-            future::or(reads, future::or(writes, still)).await;
+            future::or(reads, future::or(writes, observe)).await;
         });
-        // A PING's words have 8 bytes at the most, and its encoding 21 more.
+        // The elements of a PING have at most 8 bytes, and its encoding adds 21.
         let queued = 29 * queue_capacity;
-        let kept = if memory_full || paused { READ_AHEAD_BYTES } else { READ_BYTES + READ_AHEAD_BYTES + queued };
-        prop_assert!(harness.decoded_bytes.get() <= kept, "{} bytes decoded", harness.decoded_bytes.get());
+        let limit = if memory_full || paused { READ_AHEAD_BYTES } else { READ_BYTES + READ_AHEAD_BYTES + queued };
+        prop_assert!(harness.decoded_bytes.get() <= limit, "{} bytes decoded", harness.decoded_bytes.get());
         drop(memory);
     }
 }
@@ -223,8 +227,9 @@
     ]
     .concat();
     block_on(async {
-        (&harness.far).write_all(&bytes).await.expect("written");
-        let reason = harness.until("it is seen", || !harness.liveness.is_waiting(Tag(9))).await;
+        (&harness.client_side).write_all(&bytes).await.expect("the socket takes the bytes");
+        let reason =
+            harness.read_until("the cancellation is read", || !harness.liveness.is_waiting(Tag(9))).await;
         assert_eq!(reason, None);
     });
     assert!(harness.liveness.is_waiting(Tag(8)));
@@ -234,13 +239,18 @@
 
 #[test]
 fn close_is_seen_while_the_queue_is_full_behind_more_than_is_read_ahead() {
-    for many in [10, 4_000] {
+    for message_count in [10, 4_000] {
         let harness = ReaderHarness::new(1);
-        let bytes: Vec<u8> = (1..=many).flat_map(|n| encode_message("PING", n)).collect();
+        let bytes: Vec<u8> = (1..=message_count).flat_map(|n| encode_message("PING", n)).collect();
         block_on(async {
-            (&harness.far).write_all(&bytes).await.expect("written");
-            harness.far.get_ref().shutdown(std::net::Shutdown::Write).expect("closed");
-            let reason = harness.until("it is seen", || !harness.liveness.is_waiting(Tag(9_999))).await;
+            (&harness.client_side).write_all(&bytes).await.expect("the socket takes the bytes");
+            harness
+                .client_side
+                .get_ref()
+                .shutdown(std::net::Shutdown::Write)
+                .expect("the client closes its side");
+            let reason =
+                harness.read_until("the close is read", || !harness.liveness.is_waiting(Tag(9_999))).await;
             assert_eq!(reason, Some(CloseReason::PeerClosed));
         });
     }
@@ -248,23 +258,23 @@
 
 #[test]
 fn partial_message_times_out_under_memory_pressure_and_not_for_a_slow_peer() {
-    for slow in [true, false] {
+    for slow_peer in [true, false] {
         let harness = ReaderHarness::new(8);
-        let memory = (!slow).then(|| harness.use_memory(MEMORY_LIMIT_BYTES + 1));
-        harness.paused.set(slow);
-        let whole = encode_message("PING", 7);
-        let (first, rest) = whole.split_at(9);
-        let held_up = async {
-            (&harness.far).write_all(first).await.expect("written");
+        let memory = (!slow_peer).then(|| harness.use_memory(MEMORY_LIMIT_BYTES + 1));
+        harness.paused.set(slow_peer);
+        let message = encode_message("PING", 7);
+        let (first, rest) = message.split_at(9);
+        let delayed_write = async {
+            (&harness.client_side).write_all(first).await.expect("the socket takes the bytes");
             Timer::after(CLIENT_READ_LIMITS.message_timeout + Duration::from_millis(300)).await;
             harness.paused.set(false);
-            (&harness.far).write_all(rest).await.expect("written");
-            let input = harness.inputs.recv().await.expect("an input");
-            assert_eq!(message(input), ClientMessage::Probe(Tag(7)));
+            (&harness.client_side).write_all(rest).await.expect("the socket takes the bytes");
+            let input = harness.inputs.recv().await.expect("the reader queued a message");
+            assert_eq!(client_message(input), ClientMessage::Probe(Tag(7)));
             None
         };
-        let reason = block_on(future::or(async { Some(harness.read().await) }, held_up));
-        assert_eq!(reason, if slow { None } else { Some(CloseReason::IncompleteMessage) });
+        let reason = block_on(future::or(async { Some(harness.read().await) }, delayed_write));
+        assert_eq!(reason, if slow_peer { None } else { Some(CloseReason::IncompleteMessage) });
         drop(memory);
     }
 }
