--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -16,4 +16,6 @@
 pub mod standin;
 pub mod world;
 
-pub use world::{run, run_soak, Invariant, Planned, SoakFault, SoakLimits, SoakReport, Sockets};
+pub use world::{
+    run, run_soak, Invariant, PlannedFault, SoakFault, SoakLimits, SoakReport, SocketRunMetrics,
+};
--- a/crates/emulator/src/process.rs
+++ b/crates/emulator/src/process.rs
@@ -1,7 +1,7 @@
-//! Routers as processes: their files, signals, and what they say.
+//! A router process: its files, its signals and its log.
 
 use crate::faults::Faults;
-use crate::standin::{comes, until, Client, PATIENCE};
+use crate::standin::{wait_until, wait_up_to, Client, WAIT_LIMIT};
 use rustix::process::{getrlimit, kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -14,163 +14,180 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Bytes that are kept of what a process says: a thousand times what one says in a test.
-const MOST_SAID: usize = 16 * 1024 * 1024;
-/// How often a process is looked at.
-const LOOK: Duration = Duration::from_millis(5);
-
-/// A router's process; killed when dropped.
+/// The most bytes of a process's log that are retained: a thousand times what a test's process logs.
+const MAX_LOG_BYTES: usize = 16 * 1024 * 1024;
+/// The time between two checks of the state of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The text before a router's address in its log.
+const LISTENING: &str = "listens at ";
+/// The text before the counters that a router logs when it ends.
+const ENDED: &str = "ended: ";
+/// The start of a counter that every line of counters contains.
+const COUNTERS_LINE: &str = "clients_now=";
+
+/// A router process; killed when dropped.
 pub struct Process {
     child: Child,
     files: Files,
-    said: Arc<Mutex<String>>,
-    /// Whether what it says is read.
-    reads: Arc<AtomicBool>,
-    /// Where clients connect.
+    log: Arc<Mutex<String>>,
+    /// Whether the log is read.
+    reads_log: Arc<AtomicBool>,
+    /// The address at which it accepts clients.
     pub address: SocketAddr,
 }
 
-/// What it was started from.
+/// The files that a process is started with.
 struct Files {
-    config: PathBuf,
-    own: PathBuf,
-    /// A folder that goes with the process.
+    configuration: PathBuf,
+    settings: PathBuf,
+    /// A directory that is removed with the process.
     _dir: Option<TempDir>,
 }
 
+impl Files {
+    /// The files of router `number` in a directory that outlives the process.
+    fn in_dir(dir: &Path, number: usize) -> Self {
+        let file = |extension: &str| dir.join(format!("router-{number}.{extension}"));
+        Self { configuration: file("json"), settings: file("yaml"), _dir: None }
+    }
+
+    /// Files in a directory of their own.
+    fn temporary() -> Result<Self, String> {
+        let dir = TempDir::new().map_err(|e| e.to_string())?;
+        let (configuration, settings) = (dir.path().join("json"), dir.path().join("yaml"));
+        Ok(Self { configuration, settings, _dir: Some(dir) })
+    }
+}
+
 impl Process {
-    /// Starts one and waits until it listens; `own` is the text of its own settings.
+    /// Starts router `number` with its files in `dir` and waits until it listens; `settings` is the text of its settings file, if it
+    /// has one.
     pub fn start(
         binary: &Path,
         dir: &Path,
         number: usize,
         config: &Value,
-        own: Option<&str>,
+        settings: Option<&str>,
     ) -> Result<Self, String> {
-        let file = |what: &str| dir.join(format!("router-{number}.{what}"));
-        let files = Files { config: file("json"), own: file("yaml"), _dir: None };
+        let files = Files::in_dir(dir, number);
         let mut line = "exec \"$0\" serve".to_string();
-        if let Some(own) = own {
-            write(&files.own, own)?;
-            line = format!("{line} --with '{}'", files.own.display());
+        if let Some(settings) = settings {
+            write(&files.settings, settings)?;
+            line = format!("{line} --with '{}'", files.settings.display());
         }
-        Self::begin(binary, files, config, &line)
+        Self::start_process(binary, files, config, &line, &[])
     }
 
-    /// Starts one with a folder of its own, by a line of shell in which `$0` is the program.
-    pub fn start_by(binary: &Path, config: &Value, line: &str) -> Result<Self, String> {
-        let dir = TempDir::new().map_err(|e| e.to_string())?;
-        let file = |what: &str| dir.path().join(what);
-        let (config_file, own) = (file("json"), file("yaml"));
-        Self::begin(binary, Files { config: config_file, own, _dir: Some(dir) }, config, line)
+    /// Starts a router in a temporary directory by a line of shell, in which `$0` is the program.
+    pub fn start_with_shell_line(binary: &Path, config: &Value, line: &str) -> Result<Self, String> {
+        Self::start_process(binary, Files::temporary()?, config, line, &[])
     }
 
-    /// Starts one in a folder by a line of shell, with the files that it finds there.
-    pub fn start_in(
+    /// Starts router `number` with a settings file in a directory that may contain files of an earlier process. It ignores SIGXFSZ, so
+    /// that [`Process::limit_file_size`] fails its writes without ending it.
+    pub fn start_in_dir(
         binary: &Path,
         dir: &Path,
         number: usize,
         config: &Value,
-        own: &str,
+        settings: &str,
     ) -> Result<Self, String> {
-        let file = |what: &str| dir.join(format!("router-{number}.{what}"));
-        let files = Files { config: file("json"), own: file("yaml"), _dir: None };
-        write(&files.own, own)?;
-        let line = format!("trap '' XFSZ; exec \"$0\" serve --with '{}'", files.own.display());
-        Self::begin(binary, files, config, &line)
+        let files = Files::in_dir(dir, number);
+        write(&files.settings, settings)?;
+        let line = format!("trap '' XFSZ; exec \"$0\" serve --with '{}'", files.settings.display());
+        Self::start_process(binary, files, config, &line, &[])
     }
 
-    /// Starts one with a folder of its own, under fault injection.
-    pub fn start_under(binary: &Path, config: &Value, faults: &Faults) -> Result<Self, String> {
-        let dir = TempDir::new().map_err(|e| e.to_string())?;
-        let (config_file, own) = (dir.path().join("json"), dir.path().join("yaml"));
-        let files = Files { config: config_file, own, _dir: Some(dir) };
-        Self::begin_with(binary, files, config, "exec \"$0\" serve", &faults.environment())
+    /// Starts a router in a temporary directory under fault injection.
+    pub fn start_with_faults(binary: &Path, config: &Value, faults: &Faults) -> Result<Self, String> {
+        let files = Files::temporary()?;
+        Self::start_process(binary, files, config, "exec \"$0\" serve", &faults.environment())
     }
 
-    /// Starts one with files in a folder and these variables set.
-    pub fn start_with(
+    /// Starts router `number` with its files in `dir` and with these environment variables.
+    pub fn start_with_environment(
         binary: &Path,
         dir: &Path,
         number: usize,
         config: &Value,
         environment: &[(String, PathBuf)],
     ) -> Result<Self, String> {
-        let file = |what: &str| dir.join(format!("router-{number}.{what}"));
-        let files = Files { config: file("json"), own: file("yaml"), _dir: None };
-        Self::begin_with(binary, files, config, "exec \"$0\" serve", environment)
-    }
-
-    fn begin(binary: &Path, files: Files, config: &Value, line: &str) -> Result<Self, String> {
-        Self::begin_with(binary, files, config, line, &[])
+        let files = Files::in_dir(dir, number);
+        Self::start_process(binary, files, config, "exec \"$0\" serve", environment)
     }
 
-    /// Starts one, with these variables set.
-    fn begin_with(
+    fn start_process(
         binary: &Path,
         files: Files,
         config: &Value,
         line: &str,
         environment: &[(String, PathBuf)],
     ) -> Result<Self, String> {
-        write(&files.config, &config.to_string())?;
+        write(&files.configuration, &config.to_string())?;
         let mut command = Command::new("/bin/sh");
         command.args(["-c", line]).arg(binary);
         command.envs(environment.iter().map(|(name, value)| (name, value)));
-        command.env("GW_CONFIG", &files.config).env_remove("GW_LISTEN").env_remove("GW_NAME");
+        command.env("GW_CONFIG", &files.configuration).env_remove("GW_LISTEN").env_remove("GW_NAME");
         let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
         let mut child = child.map_err(|e| format!("{}: {e}", binary.display()))?;
-        let said: Arc<Mutex<String>> = Arc::default();
-        let reads = Arc::new(AtomicBool::new(true));
+        let log: Arc<Mutex<String>> = Arc::default();
+        let reads_log = Arc::new(AtomicBool::new(true));
         if let Some(stderr) = child.stderr.take() {
-            let (into, reads) = (Arc::clone(&said), Arc::clone(&reads));
-            std::thread::spawn(move || listen(stderr, &into, &reads));
+            let (log, reads_log) = (Arc::clone(&log), Arc::clone(&reads_log));
+            std::thread::spawn(move || read_log(stderr, &log, &reads_log));
         }
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut process = Self { child, files, said, reads, address: nowhere };
-        let begun = Instant::now();
+        let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
+        let mut process = Self { child, files, log, reads_log, address: unknown };
+        process.wait_until_listening()?;
+        Ok(process)
+    }
+
+    fn wait_until_listening(&mut self) -> Result<(), String> {
+        let start = Instant::now();
         loop {
-            let ended = process.child.try_wait().ok().flatten();
-            if ended.is_some() {
-                process.has_said_all();
+            let status = self.child.try_wait().ok().flatten();
+            if status.is_some() {
+                self.wait_for_log_end();
             }
-            let text = process.text();
-            if let Some(at) = text.lines().find_map(|l| l.split_once("listens at ")?.1.trim().parse().ok()) {
-                process.address = at;
-                return Ok(process);
+            let text = self.log_text();
+            let address = text.lines().find_map(|line| line.split_once(LISTENING)?.1.trim().parse().ok());
+            if let Some(address) = address {
+                self.address = address;
+                return Ok(());
             }
-            if begun.elapsed() > PATIENCE || ended.is_some() {
-                let last = text.lines().last().unwrap_or("it said nothing");
-                let how =
-                    ended.map_or_else(|| "runs still".to_string(), |status| format!("ended by {status}"));
-                let own = process.files.own.display();
-                return Err(format!("a router does not listen and {how} ({own}): {last}"));
+            if start.elapsed() > WAIT_LIMIT || status.is_some() {
+                let state = status.map_or_else(
+                    || format!("is not listening after {WAIT_LIMIT:?}"),
+                    |status| format!("ended before it was listening, {status}"),
+                );
+                let last_line = text.lines().last().unwrap_or("nothing was logged");
+                return Err(format!("the router {state} ({}): {last_line}", self.files.settings.display()));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Whether what it logs is read from now on; what is not read fills its pipe.
-    pub fn read_log(&self, reads: bool) {
-        self.reads.store(reads, Ordering::SeqCst);
+    /// Sets whether the log is read from now on. While it isn't, it fills its pipe.
+    pub fn set_log_reading(&self, reads: bool) {
+        self.reads_log.store(reads, Ordering::SeqCst);
     }
 
-    /// The kernel's number of the process.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// All whole lines that it has said so far.
-    pub fn text(&self) -> String {
-        self.said.lock().map(|said| said.clone()).unwrap_or_default()
+    /// The complete lines logged so far.
+    pub fn log_text(&self) -> String {
+        self.log.lock().map(|log| log.clone()).unwrap_or_default()
     }
 
-    /// Whether it has said this.
-    pub fn said(&self, text: &str) -> bool {
-        self.text().lines().any(|l| l.contains(text))
+    /// Whether a line of the log contains `text`.
+    pub fn has_logged(&self, text: &str) -> bool {
+        self.log_text().lines().any(|line| line.contains(text))
     }
 
-    /// Sends it a signal by name, as in `HUP`.
+    /// Sends a signal by its name without `SIG`, such as `HUP`.
     pub fn signal(&self, name: &str) {
         let signal = match name {
             "HUP" => Signal::HUP,
@@ -179,125 +196,126 @@
             "KILL" => Signal::KILL,
             "STOP" => Signal::STOP,
             "CONT" => Signal::CONT,
-            other => panic!("no signal {other} is sent to routers"),
+            other => panic!("signal {other} is not supported"),
         };
-        let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        if let Some(e) = pid.and_then(|pid| kill_process(pid, signal).err()) {
-            log::warn!("a router was not reached by a signal: {e}");
+        if let Some(e) = self.pid().and_then(|pid| kill_process(pid, signal).err()) {
+            log::warn!("SIG{name} was not sent to router process {}: {e}", self.id());
         }
     }
 
-    /// From now on no file of its may grow beyond so many bytes, as on a full disk; `None` lifts that. The program has to be started
-    /// with the signal for it ignored, as [`Process::start_in`] does.
-    pub fn files_up_to(&self, bytes: Option<u64>) {
-        let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
+    fn pid(&self) -> Option<Pid> {
+        i32::try_from(self.child.id()).ok().and_then(Pid::from_raw)
+    }
+
+    /// Limits the size to which the process can extend a file, so that longer writes fail as on a full disk; `None` lifts the limit.
+    /// The process has to ignore SIGXFSZ, as one started by [`Process::start_in_dir`] does.
+    pub fn limit_file_size(&self, bytes: Option<u64>) {
         let limit = Rlimit { current: bytes, maximum: None };
-        if let Some(e) = pid.and_then(|pid| prlimit(Some(pid), Resource::Fsize, limit).err()) {
-            log::warn!("a router's files were not limited: {e}");
+        if let Some(e) = self.pid().and_then(|pid| prlimit(Some(pid), Resource::Fsize, limit).err()) {
+            log::warn!("file size limit of router process {} not set: {e}", self.id());
         }
     }
 
-    /// From now on it may hold no more descriptors than so many, with what it holds already; `None` for as many as at first.
-    pub fn descriptors_up_to(&self, most: Option<u64>) {
-        let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        let Some(pid) = pid else { return };
+    /// Limits the number of open descriptors, those already open included; `None` restores the limit of this process.
+    pub fn limit_descriptors(&self, max: Option<u64>) {
+        let Some(pid) = self.pid() else { return };
         let own = getrlimit(Resource::Nofile);
-        let limit = Rlimit { current: most.or(own.current), maximum: own.maximum };
+        let limit = Rlimit { current: max.or(own.current), maximum: own.maximum };
         if let Err(e) = prlimit(Some(pid), Resource::Nofile, limit) {
-            log::warn!("a router's descriptors were not limited: {e}");
+            log::warn!("descriptor limit of router process {} not set: {e}", self.id());
         }
     }
 
-    /// Replaces its own settings' file and has it read.
-    pub fn plan(&self, text: &str) -> Result<(), String> {
-        write(&self.files.own, text)?;
+    /// Replaces the settings file and has the router reload it.
+    pub fn reload_settings(&self, text: &str) -> Result<(), String> {
+        write(&self.files.settings, text)?;
         self.signal("HUP");
         Ok(())
     }
 
-    /// Replaces the configuration file; a router hears of it by SIGHUP.
-    pub fn rewrite(&self, text: &str) {
-        write(&self.files.config, text).expect("a configuration file");
+    /// Replaces the configuration file; the router reads it at the next SIGHUP.
+    pub fn write_configuration(&self, text: &str) {
+        write(&self.files.configuration, text).expect("write the configuration file");
     }
 
-    /// Asks it to end.
-    pub fn end(&self) {
+    /// Requests a graceful shutdown by SIGTERM.
+    pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Ends it without a word.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
-        self.read_log(true);
-        if self.child.try_wait().is_ok_and(|s| s.is_none()) {
+        self.set_log_reading(true);
+        if self.is_running() {
             let _ = self.child.kill();
             let _ = self.child.wait();
         }
     }
 
-    /// Whether it still runs (or is stopped).
-    pub fn runs(&mut self) -> bool {
-        self.child.try_wait().is_ok_and(|s| s.is_none())
+    /// Whether the process has not ended; a stopped process has not.
+    pub fn is_running(&mut self) -> bool {
+        self.child.try_wait().is_ok_and(|status| status.is_none())
     }
 
-    /// Waits for its end and for all that it said until then; `None` if that never came.
-    pub fn over(&mut self) -> Option<ExitStatus> {
-        let begun = Instant::now();
+    /// Waits until the process has ended and its log is read; `None` if it hasn't ended within [`WAIT_LIMIT`].
+    pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
+        let start = Instant::now();
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
-                self.has_said_all();
+                self.wait_for_log_end();
                 return Some(status);
             }
-            if begun.elapsed() > PATIENCE {
+            if start.elapsed() > WAIT_LIMIT {
                 return None;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits for its end, which has to come.
-    pub fn ended(&mut self) -> ExitStatus {
-        self.over().expect("the router's end")
+    /// Waits until the process has ended; panics if it doesn't within [`WAIT_LIMIT`].
+    pub fn expect_exit(&mut self) -> ExitStatus {
+        self.wait_for_exit().expect("the router process ends")
     }
 
-    /// The counters that it printed at its end, by name, once all that it said is read; for a process that has ended.
-    pub fn last_counters(&self) -> HashMap<String, f64> {
-        self.has_said_all();
-        let text = self.text();
-        let last = text.lines().rev().find_map(|l| l.split_once("ended: ")).map(|(_, c)| c);
-        numbers(last.unwrap_or_default())
+    /// The counters, by name, that an ended process logged at its end.
+    pub fn exit_counters(&self) -> HashMap<String, f64> {
+        self.wait_for_log_end();
+        let text = self.log_text();
+        let last = text.lines().rev().find_map(|line| line.split_once(ENDED)).map(|(_, counters)| counters);
+        parse_counters(last.unwrap_or_default())
     }
 
-    /// Waits until all that a process that has ended said is read.
-    fn has_said_all(&self) {
-        // Who reads it has the other hold on the text until the end of what was said.
-        comes(PATIENCE, || Arc::strong_count(&self.said) == 1);
+    /// Waits until the log of an ended process is read completely.
+    fn wait_for_log_end(&self) {
+        // The reading thread owns the second reference to the log until the end of the pipe.
+        wait_up_to(WAIT_LIMIT, || Arc::strong_count(&self.log) == 1);
     }
 
-    /// Its counters, printed on request; none if it says nothing in that time.
-    pub fn counters(&self, patience: Duration) -> Option<HashMap<String, f64>> {
-        let printed = |l: &&str| l.contains("clients_now=");
-        let before = self.text().lines().filter(printed).count();
+    /// Requests the counters by SIGUSR1 and returns them by name; `None` if they are not logged within `timeout`.
+    pub fn counters(&self, timeout: Duration) -> Option<HashMap<String, f64>> {
+        let has_counters = |line: &&str| line.contains(COUNTERS_LINE);
+        let before = self.log_text().lines().filter(has_counters).count();
         self.signal("USR1");
-        if !comes(patience, || self.text().lines().filter(printed).count() > before) {
+        if !wait_up_to(timeout, || self.log_text().lines().filter(has_counters).count() > before) {
             return None;
         }
-        self.text().lines().rfind(printed).map(numbers)
+        self.log_text().lines().rfind(has_counters).map(parse_counters)
     }
 
-    /// A counter, printed on request, which has to come.
+    /// The current value of a counter; panics if the router doesn't log it.
     pub fn counter(&self, name: &str) -> u64 {
-        let all = self.counters(PATIENCE).expect("counters are printed");
-        *all.get(name).unwrap_or_else(|| panic!("no counter {name}")) as u64
+        let counters = self.counters(WAIT_LIMIT).expect("the router logs its counters");
+        *counters.get(name).unwrap_or_else(|| panic!("the router has no counter {name}")) as u64
     }
 
-    /// Waits until a counter is at least so much.
-    pub fn reaches(&self, name: &str, least: u64) {
-        until(&format!("{name} is {least}"), || self.counter(name) >= least);
+    /// Waits until a counter is at least `min`.
+    pub fn wait_for_counter(&self, name: &str, min: u64) {
+        wait_until(&format!("counter {name} is at least {min}"), || self.counter(name) >= min);
     }
 
-    /// A client connected to it.
+    /// Connects a client.
     pub fn client(&self) -> Client {
-        Client::new(TcpStream::connect(self.address).expect("a connection"))
+        Client::new(TcpStream::connect(self.address).expect("connect to the router"))
     }
 }
 
@@ -307,18 +325,19 @@
     }
 }
 
-/// Keeps whole lines; of very many, the later half.
-fn listen(stderr: impl Read, into: &Mutex<String>, reads: &AtomicBool) {
+/// Appends complete lines to the log; past [`MAX_LOG_BYTES`] the older half is dropped.
+fn read_log(stderr: impl Read, log: &Mutex<String>, reads: &AtomicBool) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         while !reads.load(Ordering::SeqCst) {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        let Ok(mut said) = into.lock() else { return };
-        said.push_str(&line);
-        said.push('\n');
-        if said.len() > MOST_SAID {
-            let later = said[said.len() / 2..].find('\n').map_or(0, |end| said.len() / 2 + end + 1);
-            said.drain(..later);
+        let Ok(mut log) = log.lock() else { return };
+        log.push_str(&line);
+        log.push('\n');
+        if log.len() > MAX_LOG_BYTES {
+            let half = log.len() / 2;
+            let dropped = log[half..].find('\n').map_or(0, |end| half + end + 1);
+            log.drain(..dropped);
         }
     }
 }
@@ -327,7 +346,8 @@
     std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn numbers(line: &str) -> HashMap<String, f64> {
-    let pairs = line.split_whitespace().filter_map(|p| p.split_once('='));
-    pairs.filter_map(|(n, v)| Some((n.to_string(), v.parse().ok()?))).collect()
+/// The `name=number` pairs of a line.
+fn parse_counters(line: &str) -> HashMap<String, f64> {
+    let pairs = line.split_whitespace().filter_map(|pair| pair.split_once('='));
+    pairs.filter_map(|(name, value)| Some((name.to_string(), value.parse().ok()?))).collect()
 }
--- a/crates/emulator/src/rig/archive.rs
+++ b/crates/emulator/src/rig/archive.rs
@@ -1,7 +1,7 @@
 //! The archive behind the stand-in caches: every effect that arrives anywhere runs here and is counted by its id; objects have copies.
 
 use super::history::{History, Seen};
-use crate::standin::{unix_ms, Cache, Do, Seen as Fetch};
+use crate::standin::{unix_ms, Cache, FetchBehaviour, ReceivedFetch};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -57,7 +57,7 @@
         Cache::start(move |fetch| archive.answer(fetch))
     }
 
-    fn answer(&self, fetch: &Fetch) -> Do {
+    fn answer(&self, fetch: &ReceivedFetch) -> FetchBehaviour {
         let now = unix_ms();
         if fetch.field("c") == Some(CHECKOUT) {
             let run = {
@@ -69,7 +69,11 @@
             self.history.see(Seen::Ran(fetch.id.clone()));
             let body = format!("receipt {} run {run}", fetch.id).into_bytes();
             let ms = self.effect_ms.load(Ordering::SeqCst);
-            return Do::OkWith(ms, format!("ver=1,born={now},note=via_origin,waited=0"), body);
+            return FetchBehaviour::OkWithFields {
+                delay_ms: ms,
+                fields: format!("ver=1,born={now},note=via_origin,waited=0"),
+                body,
+            };
         }
         let object = fetch.field("k").unwrap_or("?").to_string();
         let key = format!("{object}/{}", fetch.field("p").unwrap_or("?"));
@@ -84,7 +88,7 @@
         };
         let ms = self.read_ms.load(Ordering::SeqCst);
         let fields = format!("ver={born:x},born={born},note=hit,waited=0");
-        Do::OkWith(ms, fields, copy(&key, born))
+        FetchBehaviour::OkWithFields { delay_ms: ms, fields, body: copy(&key, born) }
     }
 }
 
--- a/crates/emulator/src/rig/caller.rs
+++ b/crates/emulator/src/rig/caller.rs
@@ -2,7 +2,7 @@
 
 use super::archive::{CHECKOUT, READ};
 use super::history::{About, Ask, Final, History, Seen};
-use crate::standin::{comes, WIDE};
+use crate::standin::{wait_up_to, MESSAGE_LIMITS};
 use basaltgw_resp::{encode, Decoder, Fields};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -62,7 +62,7 @@
         if socket.write_all(&encode(&[b"PING", PING.to_string().as_bytes(), b""])).is_err() {
             return false;
         }
-        comes(patience, || locked(&self.open).serving || self.over()) && locked(&self.open).serving
+        wait_up_to(patience, || locked(&self.open).serving || self.over()) && locked(&self.open).serving
     }
 
     /// Presents a checkout of that id, for a client that waits so many milliseconds.
@@ -124,7 +124,7 @@
 }
 
 fn read(mut socket: TcpStream, open: &Mutex<Open>, history: &History) {
-    let mut decoder = Decoder::new(WIDE);
+    let mut decoder = Decoder::new(MESSAGE_LIMITS);
     let mut room = [0; 16 * 1024];
     while let Ok(n @ 1..) = socket.read(&mut room) {
         decoder.feed(&room[..n]);
--- a/crates/emulator/src/rig/faults/dark.rs
+++ b/crates/emulator/src/rig/faults/dark.rs
@@ -2,7 +2,7 @@
 
 use super::{Player, MENDED};
 use crate::rig::{Final, Limits, Rig};
-use crate::standin::comes;
+use crate::standin::wait_up_to;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         let told = self.rig.history.now();
         if self.rig.spec.fleet && before.is_some() {
             let rig = &*self.rig;
-            if !comes(MENDED, || kept(rig) > before) {
+            if !wait_up_to(MENDED, || kept(rig) > before) {
                 self.unmended.push(format!("router {a} does not keep a purge"));
             }
         }
--- a/crates/emulator/src/rig/many.rs
+++ b/crates/emulator/src/rig/many.rs
@@ -15,7 +15,9 @@
 use super::files::{own, Place, Spec};
 use super::seat::configured;
 use crate::process::Process;
-use crate::standin::{comes, unix_ms, Cache, ChangeLog, Do, Listed, EDGE, ORIGIN, PARENT};
+use crate::standin::{
+    unix_ms, wait_up_to, Cache, ChangeLog, FetchBehaviour, ListedServer, EDGE, ORIGIN, PARENT,
+};
 use serde_json::json;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -136,7 +138,8 @@
         let dir = TempDir::new().map_err(|e| format!("a folder for the run: {e}"))?;
         let (row, claim) = row(many.seed)?;
         // What is asked of a copy's age is what the answer says: a purge that is heeded shows in it.
-        let cache = || Cache::start(|fetch| Do::Ok(fetch.field("oldest").unwrap_or("any").into()));
+        let cache =
+            || Cache::start(|fetch| FetchBehaviour::Ok(fetch.field("oldest").unwrap_or("any").into()));
         let mut crowd = Self {
             routers: Vec::new(),
             logs: [ChangeLog::start(), ChangeLog::start()],
@@ -166,7 +169,7 @@
             let counters = p.counters(COUNTERS).unwrap_or_default();
             !many.fleet || counters.get("peers_up").is_some_and(|up| *up as usize + 1 >= n)
         };
-        if !comes(COUNTERS * 3, || crowd.routers.iter().all(joined)) {
+        if !wait_up_to(COUNTERS * 3, || crowd.routers.iter().all(joined)) {
             return Err("the routers do not all reach each other".into());
         }
         let joined = begun.elapsed().as_secs_f64() * 1000.0;
@@ -197,15 +200,18 @@
         let at = |r: usize| SocketAddr::from((Ipv4Addr::new(one, two, three, r as u8 + 1), PORT));
         let kinds = [(EDGE, "box"), (PARENT, "parent"), (ORIGIN, "origin")];
         let begin = |r: usize| {
-            let listed: Vec<Listed> =
-                kinds.iter().zip(&self._caches).map(|((id, kind), c)| Listed(*id, c.address, kind)).collect();
+            let listed: Vec<ListedServer> = kinds
+                .iter()
+                .zip(&self._caches)
+                .map(|((id, kind), c)| ListedServer { id: *id, address: c.address, kind })
+                .collect();
             let log = &self.logs[usize::from(r > 0)];
             let config = configured(&spec, r, &listed, log.address);
             let peers: Vec<(usize, SocketAddr)> = (0..n).filter(|p| *p != r).map(|p| (p, at(p))).collect();
             let folder = self.dir.path().join(format!("lasting-{r}"));
             std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
             let text = own(&spec, r, at(r), &folder, None, &peers);
-            Process::start_in(&spec.binary, self.dir.path(), r, &config, &text)
+            Process::start_in_dir(&spec.binary, self.dir.path(), r, &config, &text)
         };
         let mut routers = Vec::new();
         for group in (0..n).collect::<Vec<_>>().chunks(GROUP) {
@@ -227,7 +233,7 @@
             let counters = p.counters(COUNTERS).unwrap_or_default();
             !many.fleet || counters.get("table_version").is_some_and(|version| *version > 0.0)
         };
-        match comes(COUNTERS * 3, || self.routers.iter().all(goes)) {
+        match wait_up_to(COUNTERS * 3, || self.routers.iter().all(goes)) {
             true => Ok(()),
             false => Err("the routers do not all go by a table".into()),
         }
@@ -238,10 +244,10 @@
         let (logs, on) = (self.logs.clone(), Arc::clone(&self.beating));
         thread::spawn(move || {
             while on.load(Ordering::SeqCst) {
-                logs.iter().for_each(|log| log.beats.store(true, Ordering::SeqCst));
+                logs.iter().for_each(|log| log.heartbeats.store(true, Ordering::SeqCst));
                 // The stand-in looks every 50 ms: one sign or two.
                 thread::sleep(Duration::from_millis(55));
-                logs.iter().for_each(|log| log.beats.store(false, Ordering::SeqCst));
+                logs.iter().for_each(|log| log.heartbeats.store(false, Ordering::SeqCst));
                 thread::sleep(beat.saturating_sub(Duration::from_millis(55)));
             }
         });
@@ -254,7 +260,7 @@
         for log in logs {
             // The start's configuration knows the first event.
             let number = log.frames.lock().map_or(0, |f| f.len() as u64) + 2;
-            log.tell(number, 3, &payload);
+            log.publish(number, 3, &payload);
         }
         object
     }
@@ -328,9 +334,9 @@
 
     /// Ends all in order, and waits for that; whoever does not end is killed.
     pub fn end(&mut self) {
-        self.routers.iter().for_each(Process::end);
+        self.routers.iter().for_each(Process::terminate);
         self.routers.iter_mut().for_each(|p| {
-            p.over();
+            p.wait_for_exit();
         });
         self.routers.clear();
     }
--- a/crates/emulator/src/rig/many/heeded.rs
+++ b/crates/emulator/src/rig/many/heeded.rs
@@ -56,9 +56,9 @@
     let mut tag = 0;
     while begun.elapsed() < LATEST {
         tag += 1;
-        client.ask(tag, "pages", object, "", b"");
+        client.send_request(tag, "pages", object, "", b"");
         let Some(got) = client.next() else { return latest };
-        if got.word == "200" && got.body != b"any" {
+        if got.status == "200" && got.body != b"any" {
             return begun.elapsed().as_secs_f64() * 1000.0;
         }
         thread::sleep(LOOK);
--- a/crates/emulator/src/rig/mod.rs
+++ b/crates/emulator/src/rig/mod.rs
@@ -346,7 +346,7 @@
             self.told[*r] += 1;
             let payload = [object.to_be_bytes(), unix.to_be_bytes()].concat();
             self.history.see(Seen::Purged { router: *r, object, unix });
-            self.logs[*r].tell(self.told[*r], 3, &payload);
+            self.logs[*r].publish(self.told[*r], 3, &payload);
         }
         unix
     }
--- a/crates/emulator/src/rig/seat.rs
+++ b/crates/emulator/src/rig/seat.rs
@@ -3,7 +3,7 @@
 use super::files::{own, Spec};
 use super::relay::Relay;
 use crate::process::Process;
-use crate::standin::{self, Listed, EDGE, ORIGIN, PARENT};
+use crate::standin::{self, ListedServer, EDGE, ORIGIN, PARENT};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -13,7 +13,7 @@
 /// A port may be taken by another process between its choice and the router's start: so often another one is tried.
 const TRIES: usize = 3;
 /// A router's counters are waited for so long.
-const COUNTERS: Duration = standin::PATIENCE;
+const COUNTERS: Duration = standin::WAIT_LIMIT;
 
 /// A router's seat.
 pub struct Seat {
@@ -45,7 +45,7 @@
 }
 
 /// A router's configuration before these servers.
-pub(super) fn configured(spec: &Spec, number: usize, listed: &[Listed], log: SocketAddr) -> Value {
+pub(super) fn configured(spec: &Spec, number: usize, listed: &[ListedServer], log: SocketAddr) -> Value {
     let mut config = standin::configuration(listed, log);
     config["name"] = json!(super::files::name(number));
     config["settings"]["peers-total"] = json!(spec.places.len());
@@ -70,8 +70,11 @@
         spec: &Spec,
     ) -> Result<Self, String> {
         let kinds = [(EDGE, "box"), (PARENT, "parent"), (ORIGIN, "origin")];
-        let listed: Vec<Listed> =
-            servers.iter().zip(kinds).map(|(relay, (id, kind))| Listed(id, relay.address, kind)).collect();
+        let listed: Vec<ListedServer> = servers
+            .iter()
+            .zip(kinds)
+            .map(|(relay, (id, kind))| ListedServer { id, address: relay.address, kind })
+            .collect();
         let config = configured(spec, number, &listed, log);
         let folder_path = home.join("lasting");
         folder(&home)?;
@@ -108,12 +111,12 @@
 
     /// Whether the process has said this.
     pub fn said(&self, text: &str) -> bool {
-        self.process.as_ref().is_some_and(|p| p.said(text))
+        self.process.as_ref().is_some_and(|p| p.has_logged(text))
     }
 
     /// All that the process has said.
     pub fn text(&self) -> String {
-        self.process.as_ref().map(Process::text).unwrap_or_default()
+        self.process.as_ref().map(Process::log_text).unwrap_or_default()
     }
 
     /// Starts its process.
@@ -128,7 +131,7 @@
         self.process = loop {
             tries += 1;
             let text = own(spec, self.number, self.listen, &self.folder, self.rules.as_deref(), &peers);
-            match Process::start_in(&spec.binary, &self.home, self.number, &self.config, &text) {
+            match Process::start_in_dir(&spec.binary, &self.home, self.number, &self.config, &text) {
                 Ok(process) => break Some(process),
                 Err(e) if tries < TRIES && e.contains("in use") => self.listen = port()?,
                 Err(e) => return Err(format!("router {}: {e}", self.number)),
@@ -146,7 +149,7 @@
 
     /// Asks its process to end in order.
     pub(super) fn asked_to_end(&self) {
-        self.process.iter().for_each(Process::end);
+        self.process.iter().for_each(Process::terminate);
     }
 
     /// Ends its process in order, and waits for that.
@@ -157,14 +160,14 @@
     /// As [`Seat::end`]; gives all that the process has said.
     pub fn ends(&mut self) -> String {
         let Some(mut process) = self.process.take() else { return String::new() };
-        process.end();
-        process.over();
-        process.text()
+        process.terminate();
+        process.wait_for_exit();
+        process.log_text()
     }
 
     pub(super) fn full(&self, full: bool) {
         if let Some(process) = &self.process {
-            process.files_up_to(full.then_some(0));
+            process.limit_file_size(full.then_some(0));
         }
     }
 
--- a/crates/emulator/src/rig/tables.rs
+++ b/crates/emulator/src/rig/tables.rs
@@ -2,7 +2,7 @@
 
 use super::faults::{Moment, Player, What};
 use super::Rig;
-use crate::standin::comes;
+use crate::standin::wait_up_to;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         let before = read(self);
         self.seats[router].reload();
         let rig = &*self;
-        if comes(READ, || read(rig) > before) {
+        if wait_up_to(READ, || read(rig) > before) {
             Ok(())
         } else {
             Err(format!("router {router} does not read its files again"))
@@ -42,7 +42,7 @@
 
     /// Waits until all routers go by one table later than this version.
     fn all_later(&self, than: u64) -> bool {
-        comes(ADOPTED, || {
+        wait_up_to(ADOPTED, || {
             let versions = self.versions();
             let different: BTreeSet<u64> = versions.values().copied().collect();
             versions.len() == self.len() && different.len() == 1 && different.iter().all(|v| *v > than)
@@ -69,7 +69,7 @@
             self.len() - versions.values().filter(|v| Some(**v) == last).count()
         };
         if self.spec.fleet {
-            comes(ADOPTED, || behind() == 0);
+            wait_up_to(ADOPTED, || behind() == 0);
         }
         all.insert("routers_behind".into(), behind() as f64);
         all.insert("tables_last".into(), self.versions().into_values().max().unwrap_or(0) as f64);
@@ -127,7 +127,7 @@
         let rig = &*self.rig;
         if !rig.spec.fleet {
             lasts(m);
-        } else if !comes(TAKEN_BACK, || rig.tables("tables_taken_back") > before) {
+        } else if !wait_up_to(TAKEN_BACK, || rig.tables("tables_taken_back") > before) {
             self.unmended.push(format!("the table that router {a} offered is not taken back"));
         }
         if stops {
--- a/crates/emulator/src/rig/whole.rs
+++ b/crates/emulator/src/rig/whole.rs
@@ -2,7 +2,7 @@
 
 use super::relay::Shape;
 use super::{Rig, Seen};
-use crate::standin::comes;
+use crate::standin::wait_up_to;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
     pub fn joined(&self) -> bool {
         let running: Vec<usize> = (0..self.len()).filter(|r| self.seats[*r].goes_on()).collect();
         let up = |r: &usize| self.count(*r, "peers_up") as usize + 1 >= running.len();
-        !self.spec.fleet || comes(JOINED, || running.iter().all(up))
+        !self.spec.fleet || wait_up_to(JOINED, || running.iter().all(up))
     }
 
     /// Waits until what a router's lost disk had is made up again, since a time when the tables' versions were such: all go by a later table, which
@@ -62,7 +62,7 @@
         let was = before.values().max().copied().unwrap_or(0);
         let running = || (0..self.len()).filter(|r| self.seats[*r].goes_on());
         let later = || running().all(|r| self.versions().get(&r).is_some_and(|v| *v > was));
-        let made_up = !self.spec.fleet || comes(MADE_UP, later);
+        let made_up = !self.spec.fleet || wait_up_to(MADE_UP, later);
         if made_up {
             self.away(router, false);
         }
@@ -77,7 +77,7 @@
         let all = || {
             (0..self.len()).filter(|r| self.seats[*r].goes_on()).all(|r| self.count(r, "table_version") > 0.0)
         };
-        if !self.spec.fleet || comes(patience, all) {
+        if !self.spec.fleet || wait_up_to(patience, all) {
             return Ok(());
         }
         Err(format!("the fleet is not founded after {patience:?}, versions by router: {:?}", self.versions()))
--- a/crates/emulator/src/standin/cache.rs
+++ b/crates/emulator/src/standin/cache.rs
@@ -1,268 +1,340 @@
-//! A cache, parent or origin that does what it is told with each fetch.
+//! The stand-in for a server: an edge cache, a parent cache or the origin, whose behaviour a test chooses for each fetch.
 
-use super::{unix_ms, LOOK, WIDE};
+use super::{unix_ms, wait_until, MESSAGE_LIMITS, POLL_INTERVAL};
 use basaltgw_resp::{encode, Decoder};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::ops::ControlFlow;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
 
-/// A fetch as a stand-in received it.
+/// The fields of an answer that serves a copy from memory.
+const HIT_FIELDS: &str = "ver=1,born=1,note=hit,waited=0";
+/// A request id that no router sends.
+const UNKNOWN_ID: &[u8] = b"0123456789abcdef";
+/// The body of the answer that [`FetchBehaviour::TruncatedAnswer`] cuts.
+const TRUNCATED_BODY: [u8; 5000] = [b'x'; 5000];
+/// Bytes of that answer that are written, header included.
+const TRUNCATED_AT: usize = 2500;
+
+/// A fetch that a stand-in received.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// The connection, counted from 1.
-    pub conn: usize,
-    /// The request's id.
+pub struct ReceivedFetch {
+    /// The number of its connection, counted from 1.
+    pub connection: usize,
+    /// The request id.
     pub id: String,
-    /// Its fields.
+    /// The fields of the request.
     pub fields: BTreeMap<String, String>,
-    /// Its body.
+    /// The body of the request.
     pub body: Vec<u8>,
-    /// When it came, in Unix milliseconds.
-    pub at: u64,
+    /// When the fetch was received, in Unix milliseconds.
+    pub received_ms: u64,
 }
 
-impl Seen {
-    /// A field by name.
+impl ReceivedFetch {
+    /// The value of the field `name`.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 }
 
-/// What a stand-in does with a fetch.
-pub enum Do {
-    /// `ok` with these fields and bytes, after a time in milliseconds.
-    OkWith(u64, String, Vec<u8>),
-    /// `ok` with these bytes.
+/// How a stand-in reacts to a fetch.
+pub enum FetchBehaviour {
+    /// It answers `ok` with this body at once.
     Ok(Vec<u8>),
-    /// The same, after a time.
-    Later(u64, Vec<u8>),
-    /// `ok` with these bytes, once this is set.
-    Once(Arc<AtomicBool>, Vec<u8>),
-    /// An answer of this word, with these fields.
-    Word(&'static str, &'static str),
-    /// These bytes, whatever they are.
-    Raw(&'static [u8]),
-    /// `ok` with these bytes, twice over.
-    Twice(Vec<u8>),
-    /// The same once, behind an answer under an id that nobody asked for.
-    Ahead(Vec<u8>),
-    /// An answer of this word, twice over.
-    TwiceWord(&'static str),
-    /// Nothing.
-    Silent,
-    /// Nothing is said or read on the connection until the stand-in is let go on; then `ok` with these bytes.
-    Held(Vec<u8>),
-    /// The same, and then the connection is reset and nothing is said.
-    Reset,
-    /// Half of an answer, then the connection ends.
-    Half,
+    /// It answers `ok` after a delay.
+    OkAfter {
+        /// The delay, in milliseconds.
+        delay_ms: u64,
+        /// The body of the answer.
+        body: Vec<u8>,
+    },
+    /// It answers `ok` with chosen fields after a delay.
+    OkWithFields {
+        /// The delay, in milliseconds.
+        delay_ms: u64,
+        /// The fields of the answer.
+        fields: String,
+        /// The body of the answer.
+        body: Vec<u8>,
+    },
+    /// It answers `ok` once a flag is set; meanwhile the connection is read on.
+    OkOnRelease {
+        /// The flag.
+        released: Arc<AtomicBool>,
+        /// The body of the answer.
+        body: Vec<u8>,
+    },
+    /// It answers `ok` with this body twice.
+    OkTwice(Vec<u8>),
+    /// It answers `ok` with this body, after an answer to a request id that was never sent.
+    OkAfterUnknownId(Vec<u8>),
+    /// It answers with a status and fields, and without a body.
+    Answer {
+        /// The status, such as `error`.
+        status: &'static str,
+        /// The fields.
+        fields: &'static str,
+    },
+    /// It answers with a status twice, without fields and body.
+    AnswerTwice {
+        /// The status.
+        status: &'static str,
+    },
+    /// It writes these bytes, well-formed or not.
+    Bytes(&'static [u8]),
+    /// It writes a part of an answer and closes the connection.
+    TruncatedAnswer,
+    /// It doesn't answer.
+    NoAnswer,
+    /// It reads and writes nothing on the connection until [`Cache::resume`] is set; then it answers `ok` with this body.
+    BlockThenOk(Vec<u8>),
+    /// It reads and writes nothing on the connection until [`Cache::resume`] is set; then it resets the connection.
+    BlockThenReset,
 }
 
-/// What a stand-in does when it is asked `alive`.
+/// How a stand-in reacts to the probe `alive` of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Proof {
-    /// It says `yes`.
+pub enum ProbeBehaviour {
+    /// It answers `yes`.
     Yes,
-    /// It says nothing.
-    Mute,
-    /// It says `yes` once the stand-in is let go on.
-    Held,
-    /// It says `yes` after this time, and reads nothing meanwhile: a connection that comes up late.
-    Late(Duration),
-    /// It ends the connection.
-    Cut,
+    /// It answers `yes` after a delay and reads nothing meanwhile, as a connection that is established late.
+    YesAfter(Duration),
+    /// It reads and writes nothing on the connection until [`Cache::resume`] is set; then it answers `yes`.
+    BlockThenYes,
+    /// It doesn't answer.
+    NoAnswer,
+    /// It closes the connection.
+    Disconnect,
 }
 
-type Behaviour = dyn Fn(&Seen) -> Do + Send + Sync;
+type Behaviour = dyn Fn(&ReceivedFetch) -> FetchBehaviour + Send + Sync;
+type Writer = Arc<Mutex<TcpStream>>;
 
-/// A server of any role.
+/// A stand-in for a server of any role.
 pub struct Cache {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// Fetches, as they came.
-    pub seen: Arc<Mutex<Vec<Seen>>>,
-    /// Ids that were given up.
-    pub aborted: Arc<Mutex<Vec<String>>>,
-    /// Connections taken so far.
-    pub conns: Arc<AtomicUsize>,
-    /// What is held back (`Proof::Held`, `Do::Held`, `Do::Reset`) waits for this.
-    pub go_on: Arc<AtomicBool>,
+    /// The ids of the requests that routers cancelled.
+    pub aborted_ids: Arc<Mutex<Vec<String>>>,
+    /// The number of connections accepted so far.
+    pub connections: Arc<AtomicUsize>,
+    /// Ends the blocking of connections by `BlockThenOk`, `BlockThenReset` and `BlockThenYes`.
+    pub resume: Arc<AtomicBool>,
+    fetches: Arc<Mutex<Vec<ReceivedFetch>>>,
 }
 
 impl Cache {
-    /// One that does this with fetches.
-    pub fn start(behaviour: impl Fn(&Seen) -> Do + Send + Sync + 'static) -> Self {
-        Self::start_as(|_| Proof::Yes, behaviour)
+    /// Starts a stand-in that answers each probe and reacts to each fetch by `behaviour`.
+    pub fn start(behaviour: impl Fn(&ReceivedFetch) -> FetchBehaviour + Send + Sync + 'static) -> Self {
+        Self::start_with_probes(|_| ProbeBehaviour::Yes, behaviour)
     }
 
-    /// One that takes `alive` in another way on some connections.
-    pub fn start_as(
-        proves: impl Fn(usize) -> Proof + Send + Sync + 'static,
-        behaviour: impl Fn(&Seen) -> Do + Send + Sync + 'static,
+    /// Starts a stand-in that reacts to the probes of a connection by `probes`, which is given the number of the connection.
+    pub fn start_with_probes(
+        probes: impl Fn(usize) -> ProbeBehaviour + Send + Sync + 'static,
+        behaviour: impl Fn(&ReceivedFetch) -> FetchBehaviour + Send + Sync + 'static,
     ) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (seen, aborted, conns, go_on) = Default::default();
-        let cache = Self { address, seen, aborted, conns, go_on };
-        let (seen, aborted, conns) =
-            (Arc::clone(&cache.seen), Arc::clone(&cache.aborted), Arc::clone(&cache.conns));
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
+        let cache = Self {
+            address: listener.local_addr().expect("address of the listener"),
+            aborted_ids: Arc::default(),
+            connections: Arc::default(),
+            resume: Arc::default(),
+            fetches: Arc::default(),
+        };
         let behaviour: Arc<Behaviour> = Arc::new(behaviour);
-        let go_on = Arc::clone(&cache.go_on);
+        let connections = Arc::clone(&cache.connections);
+        let (fetches, aborted_ids) = (Arc::clone(&cache.fetches), Arc::clone(&cache.aborted_ids));
+        let resume = Arc::clone(&cache.resume);
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let conn = conns.fetch_add(1, Ordering::SeqCst) + 1;
-                let (seen, aborted, behaviour) =
-                    (Arc::clone(&seen), Arc::clone(&aborted), Arc::clone(&behaviour));
-                let (proves, go_on) = (proves(conn), Arc::clone(&go_on));
-                thread::spawn(move || serve(conn, socket, (proves, &go_on), &seen, &aborted, &*behaviour));
+                let number = connections.fetch_add(1, Ordering::SeqCst) + 1;
+                let probe = probes(number);
+                let (behaviour, resume) = (Arc::clone(&behaviour), Arc::clone(&resume));
+                let (fetches, aborted_ids) = (Arc::clone(&fetches), Arc::clone(&aborted_ids));
+                thread::spawn(move || {
+                    let writer = Arc::new(Mutex::new(socket.try_clone().expect("duplicate the socket")));
+                    Connection { number, probe, behaviour, socket, writer, fetches, aborted_ids, resume }
+                        .serve();
+                });
             }
         });
         cache
     }
 
-    /// One that holds everything: the bytes tell the object and part.
-    pub fn full() -> Self {
-        Self::start(|seen| Do::Ok(content(seen)))
+    /// Starts a stand-in that serves every part of every object; the body names both.
+    pub fn with_all_objects() -> Self {
+        Self::start(|fetch| FetchBehaviour::Ok(part_body(fetch)))
     }
 
-    /// Fetches so far.
-    pub fn count(&self) -> usize {
-        self.seen.lock().expect("lock").len()
+    /// The number of fetches received so far.
+    pub fn fetch_count(&self) -> usize {
+        self.fetches.lock().expect("lock").len()
     }
 
-    /// All fetches so far.
-    pub fn all(&self) -> Vec<Seen> {
-        self.seen.lock().expect("lock").clone()
+    /// The fetches received so far, in order.
+    pub fn fetches(&self) -> Vec<ReceivedFetch> {
+        self.fetches.lock().expect("lock").clone()
     }
 }
 
-/// The bytes of an object's part.
-pub fn content(seen: &Seen) -> Vec<u8> {
-    format!("{}/{}", seen.field("k").unwrap_or("?"), seen.field("p").unwrap_or("?")).into_bytes()
+/// The body that a stand-in serves for the fetched part: `OBJECT/PART`.
+pub fn part_body(fetch: &ReceivedFetch) -> Vec<u8> {
+    format!("{}/{}", fetch.field("k").unwrap_or("?"), fetch.field("p").unwrap_or("?")).into_bytes()
 }
 
-fn serve(
-    conn: usize,
-    mut socket: TcpStream,
-    (proves, go_on): (Proof, &AtomicBool),
-    seen: &Mutex<Vec<Seen>>,
-    aborted: &Mutex<Vec<String>>,
-    behaviour: &Behaviour,
-) {
-    let writer = Arc::new(Mutex::new(socket.try_clone().expect("a socket")));
-    let mut decoder = Decoder::new(WIDE);
-    let mut piece = [0; 65536];
-    loop {
-        let n = match socket.read(&mut piece) {
-            Ok(n) if n > 0 => n,
-            _ => return,
-        };
-        decoder.feed(&piece[..n]);
-        // A router writes well-formed messages; a relay before it may break them, which ends the connection.
-        while let Some(words) = match decoder.next_message() {
-            Ok(words) => words,
-            Err(_) => return,
-        } {
-            let Some(id) = words.get(1).and_then(|id| String::from_utf8(id.clone()).ok()) else { return };
-            if words[0] == b"alive" {
-                let yes = encode(&[&words[1], b"yes"]);
-                if proves == Proof::Held {
-                    wait_for(go_on);
-                }
-                if let Proof::Late(by) = proves {
-                    thread::sleep(by);
-                }
-                match proves {
-                    Proof::Yes | Proof::Held | Proof::Late(_)
-                        if writer.lock().expect("lock").write_all(&yes).is_ok() =>
-                    {
-                        continue
-                    }
-                    Proof::Mute => continue,
-                    Proof::Yes | Proof::Held | Proof::Late(_) | Proof::Cut => return,
+/// A connection from a router.
+struct Connection {
+    number: usize,
+    probe: ProbeBehaviour,
+    behaviour: Arc<Behaviour>,
+    socket: TcpStream,
+    writer: Writer,
+    fetches: Arc<Mutex<Vec<ReceivedFetch>>>,
+    aborted_ids: Arc<Mutex<Vec<String>>>,
+    resume: Arc<AtomicBool>,
+}
+
+impl Connection {
+    /// Handles messages until either side closes the connection.
+    fn serve(&self) {
+        let mut decoder = Decoder::new(MESSAGE_LIMITS);
+        let mut chunk = [0; 65536];
+        loop {
+            let n = match (&self.socket).read(&mut chunk) {
+                Ok(n) if n > 0 => n,
+                _ => return,
+            };
+            decoder.feed(&chunk[..n]);
+            // A router writes well-formed messages; a relay in between may damage them, which ends the connection.
+            while let Some(elements) = match decoder.next_message() {
+                Ok(elements) => elements,
+                Err(_) => return,
+            } {
+                if self.handle(elements).is_break() {
+                    return;
                 }
             }
-            if words[0] == b"abort" {
-                aborted.lock().expect("lock").push(id);
-                continue;
+        }
+    }
+
+    /// Handles a message; `Break` ends the connection.
+    fn handle(&self, mut elements: Vec<Vec<u8>>) -> ControlFlow<()> {
+        let Some(id) = elements.get(1).and_then(|id| String::from_utf8(id.clone()).ok()) else {
+            return ControlFlow::Break(());
+        };
+        match (elements[0].as_slice(), elements.len()) {
+            (b"alive", _) => self.handle_probe(&id),
+            (b"abort", _) => {
+                self.aborted_ids.lock().expect("lock").push(id);
+                ControlFlow::Continue(())
             }
-            let ([b'f', b'e', b't', b'c', b'h'], 4) = (words[0].as_slice(), words.len()) else { return };
-            let Ok(fields) = String::from_utf8(words[2].clone()) else { return };
-            let fields = fields.split(',').filter_map(|p| p.split_once('='));
-            let fields = fields.map(|(n, v)| (n.to_string(), v.to_string())).collect();
-            let fetch = Seen { conn, id: id.clone(), fields, body: words[3].clone(), at: unix_ms() };
-            let act = behaviour(&fetch);
-            seen.lock().expect("lock").push(fetch);
-            let ok = |body: &[u8]| encode(&[id.as_bytes(), b"ok", b"ver=1,born=1,note=hit,waited=0", body]);
-            let answer = match act {
-                Do::Silent => continue,
-                Do::Held(body) => {
-                    wait_for(go_on);
-                    ok(&body)
-                }
-                Do::Reset => {
-                    wait_for(go_on);
-                    let _ = rustix::net::sockopt::set_socket_linger(&socket, Some(Duration::ZERO));
-                    return;
-                }
-                Do::Ok(body) => ok(&body),
-                Do::Word(word, fields) => encode(&[id.as_bytes(), word.as_bytes(), fields.as_bytes(), b""]),
-                Do::Raw(bytes) => bytes.to_vec(),
-                Do::Twice(body) => ok(&body).repeat(2),
-                Do::Ahead(body) => {
-                    let other = encode(&[b"0123456789abcdef", b"ok", b"ver=1,born=1,note=hit", b"other"]);
-                    [other, ok(&body)].concat()
-                }
-                Do::TwiceWord(word) => encode(&[id.as_bytes(), word.as_bytes(), b"-", b""]).repeat(2),
-                Do::Half => {
-                    let whole = ok(&[b'x'; 5000]);
-                    let _ = writer.lock().expect("lock").write_all(&whole[..2500]);
-                    return;
-                }
-                Do::Later(ms, body) => {
-                    later(&writer, ms, ok(&body));
-                    continue;
-                }
-                Do::Once(released, body) => {
-                    held(&writer, released, ok(&body));
-                    continue;
-                }
-                Do::OkWith(ms, fields, body) => {
-                    later(&writer, ms, encode(&[id.as_bytes(), b"ok", fields.as_bytes(), &body]));
-                    continue;
-                }
-            };
-            if writer.lock().expect("lock").write_all(&answer).is_err() {
-                return;
+            (b"fetch", 4) => {
+                let body = std::mem::take(&mut elements[3]);
+                let Ok(fields) = String::from_utf8(std::mem::take(&mut elements[2])) else {
+                    return ControlFlow::Break(());
+                };
+                self.handle_fetch(id, &fields, body)
             }
+            _ => ControlFlow::Break(()),
         }
     }
-}
 
-fn wait_for(flag: &AtomicBool) {
-    while !flag.load(Ordering::SeqCst) {
-        thread::sleep(LOOK);
+    fn handle_probe(&self, id: &str) -> ControlFlow<()> {
+        match self.probe {
+            ProbeBehaviour::Yes => {}
+            ProbeBehaviour::YesAfter(delay) => thread::sleep(delay),
+            ProbeBehaviour::BlockThenYes => self.block(),
+            ProbeBehaviour::NoAnswer => return ControlFlow::Continue(()),
+            ProbeBehaviour::Disconnect => return ControlFlow::Break(()),
+        }
+        self.write(&encode(&[id.as_bytes(), b"yes"]))
     }
-}
 
-/// Writes an answer after a time.
-fn later(writer: &Arc<Mutex<TcpStream>>, ms: u64, answer: Vec<u8>) {
-    let writer = Arc::clone(writer);
-    thread::spawn(move || {
-        thread::sleep(Duration::from_millis(ms));
-        let _ = writer.lock().expect("lock").write_all(&answer);
-    });
-}
+    fn handle_fetch(&self, id: String, fields: &str, body: Vec<u8>) -> ControlFlow<()> {
+        let fields = fields.split(',').filter_map(|field| field.split_once('='));
+        let fields = fields.map(|(name, value)| (name.to_string(), value.to_string())).collect();
+        let fetch =
+            ReceivedFetch { connection: self.number, id: id.clone(), fields, body, received_ms: unix_ms() };
+        let behaviour = (self.behaviour)(&fetch);
+        self.fetches.lock().expect("lock").push(fetch);
+        self.react(id.as_bytes(), behaviour)
+    }
 
-/// Writes an answer once it is released.
-fn held(writer: &Arc<Mutex<TcpStream>>, released: Arc<AtomicBool>, answer: Vec<u8>) {
-    let writer = Arc::clone(writer);
-    thread::spawn(move || {
-        super::until("a held answer is released", || released.load(Ordering::SeqCst));
-        let _ = writer.lock().expect("lock").write_all(&answer);
-    });
+    fn react(&self, id: &[u8], behaviour: FetchBehaviour) -> ControlFlow<()> {
+        let ok = |body: &[u8]| encode(&[id, b"ok", HIT_FIELDS.as_bytes(), body]);
+        match behaviour {
+            FetchBehaviour::Ok(body) => self.write(&ok(&body)),
+            FetchBehaviour::OkAfter { delay_ms, body } => self.write_after(delay_ms, ok(&body)),
+            FetchBehaviour::OkWithFields { delay_ms, fields, body } => {
+                self.write_after(delay_ms, encode(&[id, b"ok", fields.as_bytes(), &body]))
+            }
+            FetchBehaviour::OkOnRelease { released, body } => self.write_on_release(released, ok(&body)),
+            FetchBehaviour::OkTwice(body) => self.write(&ok(&body).repeat(2)),
+            FetchBehaviour::OkAfterUnknownId(body) => {
+                let unknown = encode(&[UNKNOWN_ID, b"ok", b"ver=1,born=1,note=hit", b"other"]);
+                self.write(&[unknown, ok(&body)].concat())
+            }
+            FetchBehaviour::Answer { status, fields } => {
+                self.write(&encode(&[id, status.as_bytes(), fields.as_bytes(), b""]))
+            }
+            FetchBehaviour::AnswerTwice { status } => {
+                self.write(&encode(&[id, status.as_bytes(), b"-", b""]).repeat(2))
+            }
+            FetchBehaviour::Bytes(bytes) => self.write(bytes),
+            FetchBehaviour::TruncatedAnswer => {
+                let _ = self.write(&ok(&TRUNCATED_BODY)[..TRUNCATED_AT]);
+                ControlFlow::Break(())
+            }
+            FetchBehaviour::NoAnswer => ControlFlow::Continue(()),
+            FetchBehaviour::BlockThenOk(body) => {
+                self.block();
+                self.write(&ok(&body))
+            }
+            FetchBehaviour::BlockThenReset => {
+                self.block();
+                let _ = rustix::net::sockopt::set_socket_linger(&self.socket, Some(Duration::ZERO));
+                ControlFlow::Break(())
+            }
+        }
+    }
+
+    /// Waits for [`Cache::resume`].
+    fn block(&self) {
+        while !self.resume.load(Ordering::SeqCst) {
+            thread::sleep(POLL_INTERVAL);
+        }
+    }
+
+    fn write(&self, bytes: &[u8]) -> ControlFlow<()> {
+        match self.writer.lock().expect("lock").write_all(bytes) {
+            Ok(()) => ControlFlow::Continue(()),
+            Err(_) => ControlFlow::Break(()),
+        }
+    }
+
+    /// Writes an answer after a delay; the connection is read on meanwhile.
+    fn write_after(&self, delay_ms: u64, answer: Vec<u8>) -> ControlFlow<()> {
+        let writer = Arc::clone(&self.writer);
+        thread::spawn(move || {
+            thread::sleep(Duration::from_millis(delay_ms));
+            let _ = writer.lock().expect("lock").write_all(&answer);
+        });
+        ControlFlow::Continue(())
+    }
+
+    /// Writes an answer once it is released; the connection is read on meanwhile.
+    fn write_on_release(&self, released: Arc<AtomicBool>, answer: Vec<u8>) -> ControlFlow<()> {
+        let writer = Arc::clone(&self.writer);
+        thread::spawn(move || {
+            wait_until("the test releases a withheld answer", || released.load(Ordering::SeqCst));
+            let _ = writer.lock().expect("lock").write_all(&answer);
+        });
+        ControlFlow::Continue(())
+    }
 }
--- a/crates/emulator/src/standin/changelog.rs
+++ b/crates/emulator/src/standin/changelog.rs
@@ -1,4 +1,4 @@
-//! The change log: it tells whoever connects what came after the number that it names.
+//! The stand-in for the change log: it sends each connection the events after the position that the router names.
 
 pub use crate::net::frame;
 use std::io::{ErrorKind, Read, Write};
@@ -8,130 +8,149 @@
 use std::thread;
 use std::time::Duration;
 
-/// Frames by number.
+/// The kind of a heartbeat frame.
+const HEARTBEAT: u8 = 0;
+/// The time between two heartbeats, and between two checks for new events.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
+/// The time between two checks whether a silent connection may be written to again.
+const SILENT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Encoded events with their numbers.
 type Frames = Vec<(u64, Vec<u8>)>;
 
-/// The change log: frames by number, sent to whoever connects; the numbers it was asked to go on from.
+/// A change log whose delivery a test can disturb.
 #[derive(Clone)]
 pub struct ChangeLog {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// What it has to tell.
+    /// The published events.
     pub frames: Arc<Mutex<Frames>>,
-    /// The numbers after which routers asked it to go on.
-    pub asked: Arc<Mutex<Vec<u64>>>,
-    /// The next frame of this number is left out once.
-    pub skip: Arc<Mutex<Option<u64>>>,
-    /// The next frame of this number is cut in the middle, with its connection.
-    pub cut: Arc<Mutex<Option<u64>>>,
-    /// The next frame of this number is cut after so many bytes, with its connection.
-    pub cut_at: Arc<Mutex<Option<(u64, usize)>>>,
-    /// Empty frames are sent.
-    pub beats: Arc<AtomicBool>,
-    /// Empty frames have the number of the last event that there is, told on that connection or not.
-    pub names_last: Arc<AtomicBool>,
-    /// While this is set, connections are ended at once: it is down.
+    /// The event number after which each connection resumed, in order of the connections.
+    pub resume_positions: Arc<Mutex<Vec<u64>>>,
+    /// The number of an event that is left out once.
+    pub skip_once: Arc<Mutex<Option<u64>>>,
+    /// The number of an event whose frame is cut in the middle once, by closing the connection.
+    pub cut_in_half: Arc<Mutex<Option<u64>>>,
+    /// The number of an event whose frame is cut once after the given bytes, by closing the connection.
+    pub cut_after: Arc<Mutex<Option<(u64, usize)>>>,
+    /// Whether heartbeats are sent.
+    pub heartbeats: Arc<AtomicBool>,
+    /// Whether heartbeats carry the number of the newest published event, even if the connection was not sent that event.
+    pub heartbeats_carry_newest: Arc<AtomicBool>,
+    /// Whether the change log is down: it closes connections at once.
     pub down: Arc<AtomicBool>,
-    /// Connections, counted from 1, up to this one are told no event any more, only empty frames.
-    pub starved: Arc<AtomicUsize>,
-    /// Connections up to this one stay open and are told nothing at all any more.
-    pub mute: Arc<AtomicUsize>,
-    /// The highest number that was written whole.
-    pub told: Arc<AtomicU64>,
+    /// Connections up to this number, counted from 1, are sent heartbeats and no more events.
+    pub events_withheld_up_to: Arc<AtomicUsize>,
+    /// Connections up to this number, counted from 1, stay open and are sent nothing more.
+    pub silent_up_to: Arc<AtomicUsize>,
+    /// The highest number of an event that was written completely.
+    pub written_up_to: Arc<AtomicU64>,
 }
 
 impl ChangeLog {
-    /// One that has nothing to tell yet.
+    /// Starts a change log without events.
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a loopback port");
         let log = Self {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("address of the listener"),
             frames: Arc::default(),
-            asked: Arc::default(),
-            skip: Arc::default(),
-            cut: Arc::default(),
-            cut_at: Arc::default(),
-            beats: Arc::new(AtomicBool::new(true)),
-            names_last: Arc::default(),
+            resume_positions: Arc::default(),
+            skip_once: Arc::default(),
+            cut_in_half: Arc::default(),
+            cut_after: Arc::default(),
+            heartbeats: Arc::new(AtomicBool::new(true)),
+            heartbeats_carry_newest: Arc::default(),
             down: Arc::default(),
-            starved: Arc::default(),
-            mute: Arc::default(),
-            told: Arc::default(),
+            events_withheld_up_to: Arc::default(),
+            silent_up_to: Arc::default(),
+            written_up_to: Arc::default(),
         };
-        let of = log.clone();
-        thread::spawn(move || {
-            for mut socket in listener.incoming().flatten() {
-                if of.down.load(Ordering::SeqCst) {
-                    continue;
-                }
-                let mut from = [0; 8];
-                if socket.read_exact(&mut from).is_err() {
-                    continue;
-                }
-                let last = u64::from_be_bytes(from);
-                let conn = {
-                    let mut asked = of.asked.lock().expect("lock");
-                    asked.push(last);
-                    asked.len()
-                };
-                let of = of.clone();
-                thread::spawn(move || of.serve(conn, last, socket));
-            }
-        });
+        let acceptor = log.clone();
+        thread::spawn(move || acceptor.accept(&listener));
         log
     }
 
-    /// Tells one connection what it has, until that or the router's side of it is over.
-    fn serve(&self, conn: usize, mut last: u64, mut socket: TcpStream) {
+    /// Accepts connections, and serves each on its own thread.
+    fn accept(&self, listener: &TcpListener) {
+        for mut socket in listener.incoming().flatten() {
+            if self.down.load(Ordering::SeqCst) {
+                continue;
+            }
+            let mut position = [0; 8];
+            if socket.read_exact(&mut position).is_err() {
+                continue;
+            }
+            let position = u64::from_be_bytes(position);
+            let connection = {
+                let mut positions = self.resume_positions.lock().expect("lock");
+                positions.push(position);
+                positions.len()
+            };
+            let log = self.clone();
+            thread::spawn(move || log.serve(connection, position, socket));
+        }
+    }
+
+    /// Sends events and heartbeats to a connection until the change log is down or the router closes it.
+    fn serve(&self, connection: usize, mut position: u64, mut socket: TcpStream) {
         while !self.down.load(Ordering::SeqCst) {
-            if conn <= self.mute.load(Ordering::SeqCst) {
-                thread::sleep(Duration::from_millis(5));
+            if connection <= self.silent_up_to.load(Ordering::SeqCst) {
+                thread::sleep(SILENT_POLL_INTERVAL);
                 continue;
             }
-            if conn > self.starved.load(Ordering::SeqCst) && self.news(&mut last, &mut socket).is_err() {
+            let withheld = connection <= self.events_withheld_up_to.load(Ordering::SeqCst);
+            if !withheld && self.send_events(&mut position, &mut socket).is_err() {
                 return;
             }
-            let beat = if self.names_last.load(Ordering::SeqCst) { self.last().max(last) } else { last };
-            if self.beats.load(Ordering::SeqCst) && socket.write_all(&frame(beat, 0, &[])).is_err() {
+            let carry_newest = self.heartbeats_carry_newest.load(Ordering::SeqCst);
+            let number = if carry_newest { self.newest().max(position) } else { position };
+            let heartbeats = self.heartbeats.load(Ordering::SeqCst);
+            if heartbeats && socket.write_all(&frame(number, HEARTBEAT, &[])).is_err() {
                 return;
             }
-            thread::sleep(Duration::from_millis(50));
+            thread::sleep(HEARTBEAT_INTERVAL);
         }
     }
 
-    fn last(&self) -> u64 {
-        self.frames.lock().expect("lock").iter().map(|f| f.0).max().unwrap_or(0)
+    /// The number of the newest published event.
+    fn newest(&self) -> u64 {
+        self.frames.lock().expect("lock").iter().map(|(number, _)| *number).max().unwrap_or(0)
     }
 
-    /// Tells the events after the last one; an error once the connection is to end.
-    fn news(&self, last: &mut u64, socket: &mut TcpStream) -> std::io::Result<()> {
-        let news: Vec<_> =
-            self.frames.lock().expect("lock").iter().filter(|f| f.0 > *last).cloned().collect();
-        for (number, bytes) in news {
-            *last = number;
-            let half = self.cut.lock().expect("lock").take_if(|c| *c == number).map(|_| bytes.len() / 2);
-            let cut = self.cut_at.lock().expect("lock").take_if(|(c, _)| *c == number).map(|(_, at)| at);
-            if let Some(at) = half.or(cut) {
-                socket.write_all(&bytes[..at])?;
+    /// Sends the events after `position`; an error ends the connection.
+    fn send_events(&self, position: &mut u64, socket: &mut TcpStream) -> std::io::Result<()> {
+        let events: Vec<_> =
+            self.frames.lock().expect("lock").iter().filter(|f| f.0 > *position).cloned().collect();
+        for (number, bytes) in events {
+            *position = number;
+            if let Some(length) = self.cut_length(number, bytes.len()) {
+                socket.write_all(&bytes[..length])?;
                 return Err(ErrorKind::BrokenPipe.into());
             }
-            if self.skip.lock().expect("lock").take_if(|s| *s == number).is_none() {
+            if self.skip_once.lock().expect("lock").take_if(|s| *s == number).is_none() {
                 socket.write_all(&bytes)?;
-                self.told.fetch_max(number, Ordering::SeqCst);
+                self.written_up_to.fetch_max(number, Ordering::SeqCst);
             }
         }
         Ok(())
     }
 
-    /// Tells an event.
-    pub fn tell(&self, number: u64, kind: u8, payload: &[u8]) {
+    /// The bytes of this event's frame that are sent if it is to be cut.
+    fn cut_length(&self, number: u64, frame_bytes: usize) -> Option<usize> {
+        let half = self.cut_in_half.lock().expect("lock").take_if(|cut| *cut == number);
+        let after = self.cut_after.lock().expect("lock").take_if(|(cut, _)| *cut == number);
+        half.map(|_| frame_bytes / 2).or(after.map(|(_, bytes)| bytes))
+    }
+
+    /// Publishes an event.
+    pub fn publish(&self, number: u64, kind: u8, payload: &[u8]) {
         self.frames.lock().expect("lock").push((number, frame(number, kind, payload)));
     }
 }
 
-/// A record of the server list; the address is an IPv4 one.
+/// A server's record in an event of the endpoint list; the address has to be an IPv4 address.
 pub fn record(id: u32, address: SocketAddr, state: u8, kind: u8) -> Vec<u8> {
-    let SocketAddr::V4(v4) = address else { panic!("an IPv4 address") };
+    let SocketAddr::V4(v4) = address else { panic!("{address} is not an IPv4 address") };
     let mut bytes = id.to_be_bytes().to_vec();
     bytes.extend_from_slice(&v4.ip().octets());
     bytes.extend_from_slice(&v4.port().to_be_bytes());
--- a/crates/emulator/src/standin/client.rs
+++ b/crates/emulator/src/standin/client.rs
@@ -1,127 +1,151 @@
-//! A client on one connection.
+//! The stand-in for a client with one connection to a router.
 
-use super::{PATIENCE, WIDE};
+use super::{MESSAGE_LIMITS, WAIT_LIMIT};
 use basaltgw_resp::{encode, Decoder, Fields};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// An answer to a client.
+/// The deadline of a request, in milliseconds, unless a test chooses one.
+const DEADLINE_MS: u64 = 5000;
+/// The tag of the `PING` that [`Client::answers_before_pong`] sends.
+const PING_TAG: u64 = 999_999;
+
+/// A router's answer to a client.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Got {
-    /// The request's tag.
+pub struct ClientAnswer {
+    /// The tag of the request.
     pub tag: u64,
-    /// `200`, `503` or another.
-    pub word: String,
-    /// Its fields, as they came.
+    /// The status, such as `200` or `503`.
+    pub status: String,
+    /// The encoded fields.
     pub fields: String,
-    /// Its bytes.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-impl Got {
-    /// A field by name.
+impl ClientAnswer {
+    /// The value of the field `name`.
     pub fn field(&self, name: &str) -> Option<String> {
-        Fields::parse(self.fields.as_bytes()).expect("fields").get(name).map(str::to_string)
+        let fields = Fields::parse(self.fields.as_bytes()).expect("well-formed fields in the answer");
+        fields.get(name).map(str::to_string)
     }
 }
 
-static IDS: AtomicUsize = AtomicUsize::new(1);
+/// The number of the next request id.
+static NEXT_ID: AtomicUsize = AtomicUsize::new(1);
+
+fn next_id() -> String {
+    format!("{:016x}", NEXT_ID.fetch_add(1, Ordering::SeqCst))
+}
 
-/// A client's connection.
+/// A client with one connection.
 pub struct Client {
-    /// Its socket.
+    /// The socket of the connection.
     pub socket: TcpStream,
     decoder: Decoder,
 }
 
 impl Client {
-    /// A client on this connection.
+    /// Creates a client on a connected socket.
     pub fn new(socket: TcpStream) -> Self {
-        socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        Self { socket, decoder: Decoder::new(WIDE) }
+        socket.set_read_timeout(Some(WAIT_LIMIT)).expect("set the read timeout");
+        Self { socket, decoder: Decoder::new(MESSAGE_LIMITS) }
     }
 
-    /// Writes bytes as they are.
+    /// Writes bytes unchanged.
     pub fn write(&mut self, bytes: &[u8]) {
-        self.socket.write_all(bytes).expect("written");
+        self.socket.write_all(bytes).expect("write to the router");
     }
 
-    /// Sends a request; gives its id.
-    pub fn ask(&mut self, tag: u64, class: &str, object: u64, more: &str, body: &[u8]) -> String {
-        self.ask_for(5000, tag, class, object, more, body)
+    /// Sends a request with the usual deadline; returns its id. `more` is appended to the encoded fields.
+    pub fn send_request(&mut self, tag: u64, class: &str, object: u64, more: &str, body: &[u8]) -> String {
+        self.send_request_with_deadline(DEADLINE_MS, tag, class, object, more, body)
     }
 
-    /// The same, for a client that waits so many milliseconds.
-    pub fn ask_for(
+    /// Sends a request with a deadline in milliseconds; returns its id.
+    pub fn send_request_with_deadline(
         &mut self,
-        wait: u64,
+        deadline_ms: u64,
         tag: u64,
         class: &str,
         object: u64,
         more: &str,
         body: &[u8],
     ) -> String {
-        let id = format!("{:016x}", IDS.fetch_add(1, Ordering::SeqCst));
-        let fields = format!("i={id},d={wait},o={object:016x},nth=0,batch=17{more}");
-        let tag = tag.to_string();
-        self.write(&encode(&[b"DO", tag.as_bytes(), class.as_bytes(), fields.as_bytes(), body]));
+        let id = next_id();
+        self.write(&encode_request(&id, deadline_ms, tag, class, object, more, body));
         id
     }
 
-    /// Sends a request on a connection that the router may have closed.
-    pub fn try_ask(&mut self, tag: u64, class: &str, object: u64, more: &str) {
-        let (id, tag) = (format!("{:016x}", IDS.fetch_add(1, Ordering::SeqCst)), tag.to_string());
-        let fields = format!("i={id},d=5000,o={object:016x},nth=0,batch=17{more}");
-        let bytes = encode(&[b"DO", tag.as_bytes(), class.as_bytes(), fields.as_bytes(), b""]);
-        let _ = self.socket.write_all(&bytes);
+    /// Sends a request on a connection that the router may have closed; a failure to write is ignored.
+    pub fn try_send_request(&mut self, tag: u64, class: &str, object: u64, more: &str) {
+        let _ =
+            self.socket.write_all(&encode_request(&next_id(), DEADLINE_MS, tag, class, object, more, b""));
     }
 
-    /// Sends a word without a request.
-    pub fn say(&mut self, verb: &str, tag: u64) {
-        self.write(&encode(&[verb.as_bytes(), tag.to_string().as_bytes(), b""]));
+    /// Sends a message of a name and a tag, such as `PING`.
+    pub fn send_message(&mut self, name: &str, tag: u64) {
+        self.write(&encode(&[name.as_bytes(), tag.to_string().as_bytes(), b""]));
     }
 
-    /// The next answer, which has to come.
-    pub fn must(&mut self) -> Got {
-        self.next().expect("an answer")
+    /// Waits for the next answer; panics if the router closes the connection or doesn't answer in time.
+    pub fn expect_answer(&mut self) -> ClientAnswer {
+        self.next().expect("the router closed the connection without an answer")
     }
 
-    /// All answers up to the one to a `PING`, which is sent now: what is not among them never came.
-    pub fn settle(&mut self) -> Vec<Got> {
-        self.say("PING", 999_999);
-        let mut all = Vec::new();
+    /// Sends a `PING` and returns the answers that arrive before its own: all that the router had written until then.
+    pub fn answers_before_pong(&mut self) -> Vec<ClientAnswer> {
+        self.send_message("PING", PING_TAG);
+        let mut answers = Vec::new();
         loop {
-            let got = self.must();
-            if got.tag == 999_999 {
-                return all;
+            let answer = self.expect_answer();
+            if answer.tag == PING_TAG {
+                return answers;
             }
-            all.push(got);
+            answers.push(answer);
         }
     }
 }
 
 impl Iterator for Client {
-    type Item = Got;
+    type Item = ClientAnswer;
 
-    /// The next answer; `None` once the connection is over.
-    fn next(&mut self) -> Option<Got> {
+    /// Waits for the next answer; `None` once the connection is closed.
+    fn next(&mut self) -> Option<ClientAnswer> {
         loop {
-            if let Some(words) = self.decoder.next_message().expect("an answer that can be read") {
-                let word = |i: usize| words.get(i).cloned().unwrap_or_default();
-                let text = |i: usize| String::from_utf8(word(i)).expect("text");
-                let tag = text(0).parse().expect("a tag");
-                return Some(Got { tag, word: text(1), fields: text(2), body: word(3) });
+            if let Some(elements) = self.decoder.next_message().expect("a well-formed answer") {
+                return Some(decode_answer(&elements));
             }
-            let mut piece = [0; 65536];
-            match self.socket.read(&mut piece) {
+            let mut chunk = [0; 65536];
+            match self.socket.read(&mut chunk) {
                 Ok(0) => return None,
-                Ok(n) => self.decoder.feed(&piece[..n]),
+                Ok(n) => self.decoder.feed(&chunk[..n]),
                 Err(e) if matches!(e.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe) => {
                     return None
                 }
-                Err(e) => panic!("no answer: {e}"),
+                Err(e) => panic!("no answer from the router: {e}"),
             }
         }
     }
 }
+
+fn encode_request(
+    id: &str,
+    deadline_ms: u64,
+    tag: u64,
+    class: &str,
+    object: u64,
+    more: &str,
+    body: &[u8],
+) -> Vec<u8> {
+    let fields = format!("i={id},d={deadline_ms},o={object:016x},nth=0,batch=17{more}");
+    encode(&[b"DO", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), body])
+}
+
+fn decode_answer(elements: &[Vec<u8>]) -> ClientAnswer {
+    let element = |i: usize| elements.get(i).cloned().unwrap_or_default();
+    let text = |i: usize| String::from_utf8(element(i)).expect("UTF-8 text in the answer");
+    let tag = text(0).parse().expect("a decimal tag in the answer");
+    ClientAnswer { tag, status: text(1), fields: text(2), body: element(3) }
+}
--- a/crates/emulator/src/standin/config.rs
+++ b/crates/emulator/src/standin/config.rs
@@ -1,17 +1,24 @@
-//! Configurations of routers before stand-ins.
+//! Configurations of a router whose servers and change log are stand-ins.
 
 use super::Cache;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// A server of the list at the router's start: number, address, kind.
-pub struct Listed(pub u32, pub SocketAddr, pub &'static str);
+/// A server in the endpoint list with which a router starts.
+pub struct ListedServer {
+    /// The number in the server's id.
+    pub id: u32,
+    /// The address at which it listens.
+    pub address: SocketAddr,
+    /// The name of its kind: `box`, `parent` or `origin`.
+    pub kind: &'static str,
+}
 
-/// A router's configuration before these servers.
-pub fn configuration(servers: &[Listed], log: SocketAddr) -> Value {
+/// The configuration of a router that starts with these servers and reads this change log.
+pub fn configuration(servers: &[ListedServer], change_log: SocketAddr) -> Value {
     let members: Vec<Value> = servers
         .iter()
-        .map(|Listed(id, address, kind)| {
+        .map(|ListedServer { id, address, kind }| {
             json!({"id": format!("s-{id:08x}"), "host_port": address.to_string(), "flavor": kind,
                    "locality": if *kind == "box" { "edge-1" } else { "hub" }, "cell": 0,
                    "phase": "SERVING", "size": 1, "up_since_ms": 0})
@@ -20,7 +27,7 @@
     json!({
         "name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "changelog": log.to_string(),
+        "changelog": change_log.to_string(),
         "known": {"seq": 1, "results": [
             {"seq": 1, "fleet": {"revision": 1, "complete": true, "members": members}}]},
         "settings": {
@@ -41,29 +48,29 @@
     })
 }
 
-/// The numbers of the usual servers.
+/// The id of the edge cache of [`edge_parent_origin`].
 pub const EDGE: u32 = 0x0a;
-/// See [`EDGE`].
+/// The id of the edge cache of [`add_second_edge`].
 pub const EDGE_2: u32 = 0x0b;
-/// See [`EDGE`].
+/// The id of the parent cache of [`edge_parent_origin`].
 pub const PARENT: u32 = 0x0c;
-/// See [`EDGE`].
+/// The id of the origin of [`edge_parent_origin`].
 pub const ORIGIN: u32 = 0x0d;
 
-/// An edge cache, a parent and the origin.
-pub fn three(edge: &Cache, parent: &Cache, origin: &Cache) -> [Listed; 3] {
+/// Lists an edge cache, a parent cache and the origin.
+pub fn edge_parent_origin(edge: &Cache, parent: &Cache, origin: &Cache) -> [ListedServer; 3] {
     [
-        Listed(EDGE, edge.address, "box"),
-        Listed(PARENT, parent.address, "parent"),
-        Listed(ORIGIN, origin.address, "origin"),
+        ListedServer { id: EDGE, address: edge.address, kind: "box" },
+        ListedServer { id: PARENT, address: parent.address, kind: "parent" },
+        ListedServer { id: ORIGIN, address: origin.address, kind: "origin" },
     ]
 }
 
-/// Adds a second edge cache to a configuration, since a read that failed at one goes to another.
-pub fn with_second(config: &mut Value, second: &Cache) {
+/// Adds a second edge cache to a configuration; a read that fails at one edge cache is retried at another.
+pub fn add_second_edge(config: &mut Value, second: &Cache) {
     let members = &mut config["known"]["results"][0]["fleet"]["members"];
     let mut member = members[0].clone();
     member["id"] = json!(format!("s-{EDGE_2:08x}"));
     member["host_port"] = json!(second.address.to_string());
-    members.as_array_mut().expect("members").push(member);
+    members.as_array_mut().expect("members is an array").push(member);
 }
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -34,8 +34,8 @@
                 Ev::Arrive(r) => {
                     if let Some(what) = self.seats[r].next.take() {
                         let worth = self.setup.load.classes[what.class].worth;
-                        self.out.asked += 1;
-                        self.out.seconds[(what.at / 1000.0) as usize].0 += worth;
+                        self.metrics.requests += 1;
+                        self.metrics.seconds[(what.at / 1000.0) as usize].requested_weight += worth;
                         self.lags.saturating_record(((now - what.at).max(0.0) * 1000.0) as u64 + 1);
                         self.take(now, r, Member { what, tries: 0 }).await;
                     }
@@ -72,7 +72,7 @@
                 Ev::Fault(i) => self.fault(now, i).await,
                 Ev::FaultOver(i) => self.fault_over(now, i),
                 Ev::Seat(r) => self.look_at_seat(now, r).await,
-                Ev::Hup(r, text) => self.seats[r].process.plan(&text)?,
+                Ev::Hup(r, text) => self.seats[r].process.reload_settings(&text)?,
                 Ev::Start(node) => self.started(now, node),
                 Ev::Talk(node) => self.statuses[node.0].talks.set(true),
                 Ev::Purges => {
@@ -199,23 +199,23 @@
         let took = now - what.at;
         match how {
             ClientResult::Served => {
-                self.out.served += 1;
+                self.metrics.served += 1;
                 let whole = class.effect == EffectSpec::Unsafe
                     || words
                         .get(3)
                         .is_some_and(|b| *b == body(FillKey { object: what.object, part: what.part }));
-                self.out.wrong += u64::from(!whole);
+                self.metrics.wrong_bodies += u64::from(!whole);
                 self.waits.saturating_record((took.max(0.0) * 1000.0) as u64 + 1);
                 let aim = class.aim_ms
                     + LATENCY_OBJECTIVE_STRETCH * what.size_kb / self.setup.fleet.net.pace_kb_per_ms;
                 let worth = class.worth * if took <= aim { 1.0 } else { class.late_worth };
-                self.out.worth_late += worth;
+                self.metrics.weighted_answered_share += worth;
                 if took <= aim {
-                    self.out.seconds[(what.at / 1000.0) as usize].1 += class.worth;
+                    self.metrics.seconds[(what.at / 1000.0) as usize].in_time_weight += class.worth;
                 }
             }
-            ClientResult::Rejected => self.out.refused += 1,
-            ClientResult::Failed => self.out.failed += 1,
+            ClientResult::Rejected => self.metrics.rejected += 1,
+            ClientResult::Failed => self.metrics.failed += 1,
         }
         let stay = Fields::parse(words.get(2).map_or(&[][..], Vec::as_slice))
             .and_then(|f| f.decimal("w"))
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -21,13 +21,13 @@
     nodes, Counts, Fleet, FleetEvent, NodeFault, NodeIndex, NodeInfo, NodeRequest, NodeRequestId,
     NodeResponse,
 };
-use basaltgw_simulator::sim::{plan_spec, Setup, LATENCY_OBJECTIVE_STRETCH};
+use basaltgw_simulator::sim::{plan_spec, SecondMetrics, Setup, LATENCY_OBJECTIVE_STRETCH};
 use basaltgw_simulator::spec::{EffectSpec, RuleLimits, ScriptAction};
 use basaltgw_simulator::{rng, Ms, Rng};
 use futures_lite::future;
 use hdrhistogram::Histogram;
 use serde_json::Value;
-pub use soak::{Invariant, Planned, SoakFault, SoakLimits, SoakReport};
+pub use soak::{Invariant, PlannedFault, SoakFault, SoakLimits, SoakReport};
 use soak::{Soak, IMPATIENT_ONE_IN, PATIENCE_MS};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -49,38 +49,38 @@
 /// What a client's leaving may cross on its way.
 const CROSSING_MS: Ms = 200.0;
 
-/// What came of a run on sockets.
-pub struct Sockets {
-    /// Worth in time over worth asked.
-    pub worth: f64,
-    /// The same with late answers at their worth.
-    pub worth_late: f64,
-    /// Requests, members' repeats aside.
-    pub asked: u64,
-    /// Answers as clients got them.
+/// The metrics of a run on sockets.
+pub struct SocketRunMetrics {
+    /// The share of requests that were served within their latency objective, weighted by the priority of their class.
+    pub weighted_in_time_share: f64,
+    /// Like `weighted_in_time_share`, with late answers counted at their class's share for late answers.
+    pub weighted_answered_share: f64,
+    /// Clients' requests, retries not included.
+    pub requests: u64,
+    /// Final answers that served the request.
     pub served: u64,
-    /// See `served`.
-    pub refused: u64,
-    /// See `served`.
+    /// Final answers that rejected the request, clients' retries included.
+    pub rejected: u64,
+    /// Final answers that reported a failure, clients' retries included.
     pub failed: u64,
     /// Fetches that arrived at nodes.
     pub attempts: u64,
-    /// Answers whose bytes were not those of the part.
-    pub wrong: u64,
-    /// By second of arrival: worth asked, worth in time.
-    pub seconds: Vec<(f64, f64)>,
-    /// From the intended time to the answer: the median and the 99th of a hundred, in ms.
-    pub p50: f64,
-    /// See `p50`.
-    pub p99: f64,
-    /// How late the generator was, the 99th of a hundred, in ms: the machine's, not the router's.
-    pub late_p99: f64,
+    /// Served requests whose body was not that of the requested part.
+    pub wrong_bodies: u64,
+    /// Metrics by second of arrival.
+    pub seconds: Vec<SecondMetrics>,
+    /// The median time from a request's scheduled arrival to the answer.
+    pub latency_p50_ms: f64,
+    /// The 99th percentile of the time from a request's scheduled arrival to the answer.
+    pub latency_p99_ms: f64,
+    /// The 99th percentile of the time by which requests were sent late: a figure of the machine, not of the routers.
+    pub generator_late_p99_ms: f64,
     /// The fleet's counts.
     pub counts: Counts,
-    /// Rules broken: how often, and the first in words.
-    pub broken: BTreeMap<Rule, (u64, String)>,
-    /// The routers' own counters, added up.
-    pub routers: HashMap<String, f64>,
+    /// Violations of the checker's rules: their number, and a description of the first.
+    pub violations: BTreeMap<Rule, (u64, String)>,
+    /// The sums of the routers' own counters, by name.
+    pub router_counters: HashMap<String, f64>,
 }
 
 #[derive(Clone)]
@@ -174,33 +174,33 @@
     shapes: [usize; 2],
     /// Faults, where some are planned.
     soak: Option<Soak>,
-    out: Sockets,
+    metrics: SocketRunMetrics,
     waits: Histogram<u64>,
     lags: Histogram<u64>,
 }
 
 /// Plays a setup on sockets, with routers of that program; their files are kept in `dir`.
-pub fn run(setup: &Setup, binary: &Path, dir: &Path) -> Result<Sockets, String> {
+pub fn run(setup: &Setup, binary: &Path, dir: &Path) -> Result<SocketRunMetrics, String> {
     play(setup, None, binary, dir).map(|(sockets, _)| sockets)
 }
 
 /// Plays a setup likewise, with faults.
 pub fn run_soak(
     setup: &Setup,
-    plan: &[Planned],
+    plan: &[PlannedFault],
     limits: &SoakLimits,
     binary: &Path,
     dir: &Path,
-) -> Result<(Sockets, SoakReport), String> {
+) -> Result<(SocketRunMetrics, SoakReport), String> {
     play(setup, Some((plan, limits)), binary, dir)
 }
 
 fn play(
     setup: &Setup,
-    plan: Option<(&[Planned], &SoakLimits)>,
+    plan: Option<(&[PlannedFault], &SoakLimits)>,
     binary: &Path,
     dir: &Path,
-) -> Result<(Sockets, SoakReport), String> {
+) -> Result<(SocketRunMetrics, SoakReport), String> {
     std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
     let executor = Rc::new(LocalExecutor::new());
     let (queue, inputs) = async_channel::bounded(8_192);
@@ -274,24 +274,26 @@
         least + (most - least).max(0.0) * draw(&mut self.rng)
     }
 
-    fn finish(mut self) -> (Sockets, SoakReport) {
+    fn finish(mut self) -> (SocketRunMetrics, SoakReport) {
         let now = self.now();
         self.soak_ends();
-        self.seats.iter().for_each(|s| s.process.end());
+        self.seats.iter().for_each(|s| s.process.terminate());
         for r in 0..self.seats.len() {
-            self.seats[r].process.over();
+            self.seats[r].process.wait_for_exit();
             self.last_words(r);
         }
         self.soak_over();
         self.checker.expire(now);
-        let asked: f64 = self.out.seconds.iter().map(|s| s.0).sum::<f64>().max(f64::MIN_POSITIVE);
-        self.out.worth = self.out.seconds.iter().map(|s| s.1).sum::<f64>() / asked;
-        self.out.worth_late /= asked;
-        self.out.p50 = self.waits.value_at_quantile(0.5) as f64 / 1000.0;
-        self.out.p99 = self.waits.value_at_quantile(0.99) as f64 / 1000.0;
-        self.out.late_p99 = self.lags.value_at_quantile(0.99) as f64 / 1000.0;
-        self.out.counts = self.fleet.counts.clone();
-        self.out.broken.clone_from(self.checker.violations());
-        (self.out, self.soak.map(|soak| soak.report).unwrap_or_default())
+        let asked: f64 =
+            self.metrics.seconds.iter().map(|s| s.requested_weight).sum::<f64>().max(f64::MIN_POSITIVE);
+        self.metrics.weighted_in_time_share =
+            self.metrics.seconds.iter().map(|s| s.in_time_weight).sum::<f64>() / asked;
+        self.metrics.weighted_answered_share /= asked;
+        self.metrics.latency_p50_ms = self.waits.value_at_quantile(0.5) as f64 / 1000.0;
+        self.metrics.latency_p99_ms = self.waits.value_at_quantile(0.99) as f64 / 1000.0;
+        self.metrics.generator_late_p99_ms = self.lags.value_at_quantile(0.99) as f64 / 1000.0;
+        self.metrics.counts = self.fleet.counts.clone();
+        self.metrics.violations.clone_from(self.checker.violations());
+        (self.metrics, self.soak.map(|soak| soak.report).unwrap_or_default())
     }
 }
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -30,7 +30,7 @@
         };
         let attempt = request.attempts;
         request.attempts += 1;
-        self.out.attempts += 1;
+        self.metrics.attempts += 1;
         let what = &request.member.what;
         let class = &self.setup.load.classes[what.class];
         let mode: Vec<&str> = fields.get("mode").unwrap_or_default().split('+').collect();
--- a/crates/emulator/src/world/soak.rs
+++ b/crates/emulator/src/world/soak.rs
@@ -111,7 +111,7 @@
 
 /// A fault at a time, at a router.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlannedFault {
     /// When.
     pub at_ms: Ms,
     /// For how long, where that means something.
@@ -129,8 +129,8 @@
     pub connect_timeout_ms: Ms,
     /// Requests that a connection to a cache carries.
     pub max_streams: u64,
-    /// Attempts for one request.
-    pub attempts: u64,
+    /// The most attempts of one request.
+    pub max_attempts: u64,
 }
 
 /// What is judged beyond the checker's rules.
@@ -154,15 +154,15 @@
     Inside,
 }
 
-/// What a soak run gives beside the figures of [`Sockets`].
+/// What a soak run gives beside the figures of [`SocketRunMetrics`].
 #[derive(Clone, Debug, Default)]
 pub struct SoakReport {
     /// Violations: how often, and the first few in words.
     pub violations: BTreeMap<Invariant, (u64, Vec<String>)>,
     /// Faults that were planned, by name.
     pub planned: BTreeMap<&'static str, u64>,
-    /// Faults that came about, by name.
-    pub happened: BTreeMap<&'static str, u64>,
+    /// Faults that were triggered, by name.
+    pub triggered: BTreeMap<&'static str, u64>,
     /// Answers that could not be judged since the harness was late.
     pub unjudged: u64,
     /// Router processes that ran.
@@ -170,9 +170,9 @@
 }
 
 impl SoakReport {
-    /// Faults that were planned and never came about.
-    pub fn missed(&self) -> Vec<&'static str> {
-        self.planned.keys().filter(|name| !self.happened.contains_key(*name)).copied().collect()
+    /// The names of faults that were planned and never triggered.
+    pub fn untriggered(&self) -> Vec<&'static str> {
+        self.planned.keys().filter(|name| !self.triggered.contains_key(*name)).copied().collect()
     }
 }
 
@@ -220,7 +220,7 @@
 
 /// What a soak run needs beside the world.
 pub(super) struct Soak {
-    pub plan: Vec<Planned>,
+    pub plan: Vec<PlannedFault>,
     pub seats: Vec<SoakSeat>,
     /// Where each node is listed, and since when its process runs, in Unix time.
     pub listing: Vec<(EndpointState, u64)>,
@@ -241,7 +241,7 @@
 
 impl Soak {
     pub(super) fn new(
-        plan: &[Planned],
+        plan: &[PlannedFault],
         limits: &SoakLimits,
         nodes: &[NodeInfo],
         binary: &Path,
@@ -297,7 +297,7 @@
     }
 
     fn happened(&mut self, fault: &SoakFault) {
-        *self.report.happened.entry(fault.name()).or_default() += 1;
+        *self.report.triggered.entry(fault.name()).or_default() += 1;
     }
 
     /// The client of a request is gone, or has taken it back.
@@ -357,7 +357,7 @@
         let environment = self.seats[router].faults.as_ref().map(Faults::environment).unwrap_or_default();
         let (tell, told) = mpsc::channel();
         std::thread::spawn(move || {
-            let _ = tell.send(Process::start_with(&binary, &dir, router, &config, &environment));
+            let _ = tell.send(Process::start_with_environment(&binary, &dir, router, &config, &environment));
         });
         SeatState::Starting(told)
     }
--- a/crates/emulator/src/world/soak/inject.rs
+++ b/crates/emulator/src/world/soak/inject.rs
@@ -24,7 +24,7 @@
         match planned.fault {
             SoakFault::Terminate => {
                 soak.seats[r].state = SeatState::Ending(now);
-                self.seats[r].process.end();
+                self.seats[r].process.terminate();
                 self.at(now + SEAT_LOOK_MS, Ev::Seat(r));
             }
             SoakFault::Kill => {
@@ -63,7 +63,7 @@
                 soak.seats[r].log.down_until.set(Some(Instant::now() + span(planned.for_ms)))
             }
             SoakFault::LogUnread => {
-                self.seats[r].process.read_log(false);
+                self.seats[r].process.set_log_reading(false);
                 self.at(until, Ev::FaultOver(index));
             }
             SoakFault::ClientsLeave => self.clients_leave(now, r),
@@ -79,7 +79,7 @@
                 for _ in 0..many {
                     let Some(mut what) = self.seats[r].arrivals.next() else { break };
                     what.at = now;
-                    self.out.asked += 1;
+                    self.metrics.requests += 1;
                     self.take(now, r, Member { what, tries: 0 }).await;
                 }
             }
@@ -125,7 +125,7 @@
                 self.seats[r].process.signal("CONT");
             }
             SoakFault::Calls(fault, _) => self.set_fault(r, fault, 0),
-            SoakFault::LogUnread => self.seats[r].process.read_log(true),
+            SoakFault::LogUnread => self.seats[r].process.set_log_reading(true),
             SoakFault::CacheMute if now >= soak.mute_until => {
                 self.statuses.iter().for_each(|s| s.talks.set(true));
             }
@@ -182,7 +182,7 @@
             for fault in Fault::ALL {
                 let hits = faults.hits(fault).unwrap_or(0);
                 if hits > 0 && fault != Fault::WallClock {
-                    *soak.report.happened.entry(SoakFault::Calls(fault, 0).name()).or_default() += hits;
+                    *soak.report.triggered.entry(SoakFault::Calls(fault, 0).name()).or_default() += hits;
                 }
             }
         }
--- a/crates/emulator/src/world/soak/seats.rs
+++ b/crates/emulator/src/world/soak/seats.rs
@@ -13,10 +13,10 @@
         let Some(soak) = &mut self.soak else { return };
         match &soak.seats[r].state {
             SeatState::Up => return,
-            SeatState::Ending(_) if !self.seats[r].process.runs() => {
+            SeatState::Ending(_) if !self.seats[r].process.is_running() => {
                 // Else all that it said would be waited for.
-                self.seats[r].process.read_log(true);
-                let status = self.seats[r].process.over();
+                self.seats[r].process.set_log_reading(true);
+                let status = self.seats[r].process.wait_for_exit();
                 if !status.is_some_and(|s| s.success()) {
                     soak.violated(now, Invariant::Crashed, format!("router {r} ended by {status:?}"));
                 }
@@ -60,7 +60,7 @@
 
     /// Takes in what a process that has ended counted.
     pub(in crate::world) fn last_words(&mut self, r: usize) {
-        let counters = self.seats[r].process.last_counters();
+        let counters = self.seats[r].process.exit_counters();
         self.keep_log(r);
         let inside: Vec<String> = counters
             .iter()
@@ -68,11 +68,11 @@
             .map(|(name, value)| format!("{name}={value}"))
             .collect();
         for (name, value) in counters {
-            *self.out.routers.entry(name).or_insert(0.0) += value;
+            *self.metrics.router_counters.entry(name).or_insert(0.0) += value;
         }
         let Some(soak) = &mut self.soak else { return };
         if !inside.is_empty() {
-            let said = self.seats[r].process.text();
+            let said = self.seats[r].process.log_text();
             let first =
                 said.lines().find(|l| l.contains("invariant violated")).unwrap_or_default().to_string();
             let now = self.begun.elapsed().as_secs_f64() * 1000.0;
@@ -84,7 +84,7 @@
     pub(super) fn keep_log(&self, r: usize) {
         let Some(soak) = &self.soak else { return };
         let file = soak.dir.join(format!("router-{r}.{}.log", soak.seats[r].generation));
-        if let Err(e) = std::fs::write(&file, self.seats[r].process.text()) {
+        if let Err(e) = std::fs::write(&file, self.seats[r].process.log_text()) {
             log::warn!("{}: {e}", file.display());
         }
     }
@@ -116,14 +116,14 @@
     /// Takes in what is planned, and starts the routers anew under the fault injection library.
     pub(in crate::world) fn plan_soak(
         &mut self,
-        plan: &[Planned],
+        plan: &[PlannedFault],
         limits: &SoakLimits,
         binary: &Path,
         dir: &Path,
     ) -> Result<(), String> {
         let routers = self.seats.len();
-        let plan: Vec<Planned> =
-            plan.iter().map(|p| Planned { router: p.router % routers.max(1), ..*p }).collect();
+        let plan: Vec<PlannedFault> =
+            plan.iter().map(|p| PlannedFault { router: p.router % routers.max(1), ..*p }).collect();
         let mut soak = Soak::new(&plan, limits, &self.nodes, binary, dir);
         for r in 0..routers {
             let faults = Faults::new(&dir.join(format!("faults-{r}"))).map_err(|e| e.to_string())?;
@@ -143,7 +143,7 @@
             let Some(soak) = &self.soak else { return Ok(()) };
             let (config, last) = self.configuration_now(r, log_at, soak);
             let environment = soak.seats[r].faults.as_ref().map(Faults::environment).unwrap_or_default();
-            let process = Process::start_with(binary, dir, r, &config, &environment)?;
+            let process = Process::start_with_environment(binary, dir, r, &config, &environment)?;
             (self.seats[r].process, self.seats[r].frames, self.seats[r].told) = (process, frames, last);
             if let Some(soak) = &mut self.soak {
                 soak.seats[r].log = status;
@@ -179,7 +179,7 @@
         let limits = &mut config["settings"]["limits"];
         limits["connect-timeout"] = json!(soak.limits.connect_timeout_ms);
         limits["max-streams"] = json!(soak.limits.max_streams);
-        limits["try-limit"] = json!(soak.limits.attempts);
+        limits["try-limit"] = json!(soak.limits.max_attempts);
         let mut last = 1;
         let events = &mut config["known"]["results"];
         for (member, i) in near.iter().enumerate() {
@@ -227,9 +227,9 @@
     pub(in crate::world) fn look_at_all(&mut self, now: Ms) {
         for r in 0..self.seats.len() {
             let up = self.soak.as_ref().is_some_and(|s| matches!(s.seats[r].state, SeatState::Up));
-            if up && !self.seats[r].process.runs() {
-                let status = self.seats[r].process.over();
-                let text = self.seats[r].process.text();
+            if up && !self.seats[r].process.is_running() {
+                let status = self.seats[r].process.wait_for_exit();
+                let text = self.seats[r].process.log_text();
                 let last = text.lines().rev().take(3).collect::<Vec<_>>().join(" | ");
                 let what = format!("router {r} ended by itself, {status:?}: {last}");
                 self.soak.iter_mut().for_each(|soak| soak.violated(now, Invariant::Crashed, what.clone()));
@@ -243,9 +243,9 @@
         let Some(soak) = &mut self.soak else { return };
         for (seat, of) in self.seats.iter_mut().zip(&mut soak.seats) {
             seat.process.signal("CONT");
-            seat.process.read_log(true);
+            seat.process.set_log_reading(true);
             if let SeatState::Starting(told) = &of.state {
-                if let Ok(Ok(process)) = told.recv_timeout(crate::standin::PATIENCE) {
+                if let Ok(Ok(process)) = told.recv_timeout(crate::standin::WAIT_LIMIT) {
                     seat.process = process;
                 }
             }
--- a/crates/emulator/src/world/start.rs
+++ b/crates/emulator/src/world/start.rs
@@ -65,22 +65,23 @@
             ..r.clone()
         };
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0);
-        let out = Sockets {
-            worth: 0.0,
-            worth_late: 0.0,
-            asked: 0,
+        let seconds = (setup.length_ms / 1000.0).ceil() as usize + 1;
+        let metrics = SocketRunMetrics {
+            weighted_in_time_share: 0.0,
+            weighted_answered_share: 0.0,
+            requests: 0,
             served: 0,
-            refused: 0,
+            rejected: 0,
             failed: 0,
             attempts: 0,
-            wrong: 0,
-            seconds: vec![(0.0, 0.0); (setup.length_ms / 1000.0).ceil() as usize + 1],
-            p50: 0.0,
-            p99: 0.0,
-            late_p99: 0.0,
+            wrong_bodies: 0,
+            seconds: vec![SecondMetrics::default(); seconds],
+            latency_p50_ms: 0.0,
+            latency_p99_ms: 0.0,
+            generator_late_p99_ms: 0.0,
             counts: Counts::default(),
-            broken: BTreeMap::new(),
-            routers: HashMap::new(),
+            violations: BTreeMap::new(),
+            router_counters: HashMap::new(),
         };
         if let Some(spec) = first {
             let checked = Plan::from_spec(spec).map_err(|e| e.to_string())?;
@@ -108,7 +109,7 @@
             texts: [text.clone(), text],
             shapes: [0, 0],
             soak: None,
-            out,
+            metrics,
             waits: histogram()?,
             lags: histogram()?,
         })
--- a/crates/emulator/tests/relay.rs
+++ b/crates/emulator/tests/relay.rs
@@ -1,12 +1,12 @@
 //! What relays do to bytes, one fault at a time, before a stand-in that sends everything back.
 
 use basaltgw_emulator::rig::relay::{Carried, Flow, Once, Relay, Relays};
-use basaltgw_emulator::standin::{until, PATIENCE};
+use basaltgw_emulator::standin::{wait_until, WAIT_LIMIT};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Long enough that what does not come within it was held back; what has to come has [`PATIENCE`].
+/// Long enough that what does not come within it was held back; what has to come has [`WAIT_LIMIT`].
 const QUIET: Duration = Duration::from_millis(150);
 
 fn echo() -> std::net::SocketAddr {
@@ -43,7 +43,7 @@
     }
 
     fn hears(&mut self, text: &str) {
-        self.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        self.socket.set_read_timeout(Some(WAIT_LIMIT)).expect("a time-out");
         let mut got = vec![0; text.len()];
         self.socket.read_exact(&mut got).expect("bytes");
         assert_eq!(String::from_utf8_lossy(&got), text);
@@ -72,7 +72,7 @@
     line.hears("two");
     line.relay.back.cut(true);
     line.say("three");
-    until("it arrives", || line.forth().bytes == 11);
+    wait_until("it arrives", || line.forth().bytes == 11);
     line.silent();
     line.relay.back.cut(false);
     line.hears("three");
@@ -93,7 +93,7 @@
     line.hears("come up");
     line.relay.forth.shape(|s| s.hole = true);
     line.say("gone");
-    until("it vanished", || line.forth().dropped == 4);
+    wait_until("it vanished", || line.forth().dropped == 4);
     line.relay.forth.shape(|s| s.hole = false);
     line.relay.forth.once(Once::Repeat);
     line.say("ab");
@@ -128,12 +128,12 @@
     line.say("one");
     line.hears("one");
     line.relay.back.reset();
-    line.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    line.socket.set_read_timeout(Some(WAIT_LIMIT)).expect("a time-out");
     let over = line.socket.read(&mut [0; 8]);
     assert!(over.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset));
     line.relay.leads_to(None);
     let mut nowhere = TcpStream::connect(line.relay.address).expect("a connection");
-    nowhere.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    nowhere.set_read_timeout(Some(WAIT_LIMIT)).expect("a time-out");
     assert!(nowhere.read(&mut [0; 8]).is_err(), "reset at once");
     line.relay.leads_to(Some(echo()));
     line.socket = TcpStream::connect(line.relay.address).expect("a connection");
--- a/crates/experiments/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -3,7 +3,7 @@
 use crate::experiment::{Experiment, Must, On, Variant};
 use basaltgw::api::{Action, Event, Ms, Settings};
 use basaltgw::routing::Router;
-use basaltgw_emulator::Sockets;
+use basaltgw_emulator::SocketRunMetrics;
 use basaltgw_simulator::checker::Rule;
 use basaltgw_simulator::fleet::Counts;
 use basaltgw_simulator::sim::{run, DecisionModule, RunMetrics, SecondMetrics, Setup};
@@ -86,43 +86,42 @@
         let begun = Instant::now();
         let sockets = basaltgw_emulator::run(setup, &binary, dir.path())?;
         tries += 1;
-        if sockets.late_p99 <= LATE_MS {
+        if sockets.generator_late_p99_ms <= LATE_MS {
             break (sockets, begun.elapsed());
         }
         if tries == 2 {
             return Err(format!(
                 "the machine was late by {:.0} ms, twice; this does not count",
-                sockets.late_p99
+                sockets.generator_late_p99_ms
             ));
         }
     };
     let mut row = of_sockets(&sockets);
     row.insert("wall_s".into(), wall.as_secs_f64());
-    let seconds =
-        sockets.seconds.iter().map(|(asked, got)| if *asked > 0.0 { got / asked } else { f64::NAN });
+    let seconds = sockets.seconds.iter().map(SecondMetrics::weighted_in_time_share);
     let routers = setup.fleet.zones * setup.fleet.routers_per_zone;
-    Ok(Done { routers, variant, row, seconds: seconds.collect(), words: broken_words(&sockets.broken) })
+    Ok(Done { routers, variant, row, seconds: seconds.collect(), words: broken_words(&sockets.violations) })
 }
 
 fn broken_words(broken: &BTreeMap<Rule, (u64, String)>) -> Vec<String> {
     broken.iter().map(|(rule, (n, first))| format!("{rule:?} broken {n} times, first {first}")).collect()
 }
 
-fn of_sockets(s: &Sockets) -> Row {
-    let router = |name: &str| s.routers.get(name).copied().unwrap_or(f64::NAN);
+fn of_sockets(s: &SocketRunMetrics) -> Row {
+    let router = |name: &str| s.router_counters.get(name).copied().unwrap_or(f64::NAN);
     let own = [
-        ("worth", s.worth),
-        ("worth_with_late", s.worth_late),
-        ("asked", s.asked as f64),
+        ("worth", s.weighted_in_time_share),
+        ("worth_with_late", s.weighted_answered_share),
+        ("asked", s.requests as f64),
         ("served", s.served as f64),
-        ("refused", s.refused as f64),
+        ("refused", s.rejected as f64),
         ("failed", s.failed as f64),
         ("attempts", s.attempts as f64),
-        ("wrong_bytes", s.wrong as f64),
-        ("p50_ms", s.p50),
-        ("p99_ms", s.p99),
-        ("generator_late_ms", s.late_p99),
-        ("rules_broken", s.broken.values().map(|b| b.0).sum::<u64>() as f64),
+        ("wrong_bytes", s.wrong_bodies as f64),
+        ("p50_ms", s.latency_p50_ms),
+        ("p99_ms", s.latency_p99_ms),
+        ("generator_late_ms", s.generator_late_p99_ms),
+        ("rules_broken", s.violations.values().map(|b| b.0).sum::<u64>() as f64),
         ("plans_refused", router("plans_refused") + router("reloads_refused")),
         ("plans_ended", router("plans_ended")),
         ("loops_told", router("loops")),
--- a/crates/experiments/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -6,7 +6,7 @@
 use crate::out::Origin;
 use crate::runs::binary;
 use basaltgw_config::yaml::{schema, BadFile, Document};
-use basaltgw_emulator::{run_soak, SoakReport, Sockets};
+use basaltgw_emulator::{run_soak, SoakReport, SocketRunMetrics};
 use basaltgw_simulator::spec::{FleetSpec, LoadSpec};
 use serde::Deserialize;
 use std::fmt::Write;
@@ -87,34 +87,37 @@
 /// What came of a seed.
 struct Played {
     seed: u64,
-    sockets: Sockets,
+    sockets: SocketRunMetrics,
     report: SoakReport,
 }
 
 impl Played {
     /// Whether a rule or an invariant was broken.
     fn violated(&self) -> bool {
-        !self.sockets.broken.is_empty() || !self.report.violations.is_empty()
+        !self.sockets.violations.is_empty() || !self.report.violations.is_empty()
     }
 
     /// What did not hold, in words.
     fn faults(&self) -> Vec<String> {
         let mut all: Vec<String> = Vec::new();
-        for (rule, (count, first)) in &self.sockets.broken {
+        for (rule, (count, first)) in &self.sockets.violations {
             all.push(format!("rule {rule:?} broken {count} times, first {first}"));
         }
         for (invariant, (count, told)) in &self.report.violations {
             all.push(format!("invariant {invariant:?} violated {count} times"));
             all.extend(told.iter().map(|t| format!("    {t}")));
         }
-        let missed = self.report.missed();
+        let missed = self.report.untriggered();
         if !missed.is_empty() {
             all.push(format!("planned and never came about: {}", missed.join(", ")));
         }
-        if self.sockets.late_p99 > LATE_MS {
-            all.push(format!("the machine was late by {:.0} ms: this does not count", self.sockets.late_p99));
+        if self.sockets.generator_late_p99_ms > LATE_MS {
+            all.push(format!(
+                "the machine was late by {:.0} ms: this does not count",
+                self.sockets.generator_late_p99_ms
+            ));
         }
-        let unjudged = self.report.unjudged as f64 / self.sockets.asked.max(1) as f64;
+        let unjudged = self.report.unjudged as f64 / self.sockets.requests.max(1) as f64;
         if unjudged > UNJUDGED_MOST {
             all.push(format!("{:.1}% of the answers could not be judged", unjudged * 100.0));
         }
@@ -153,9 +156,9 @@
         "  seed {:6}: {} {} requests, {} served, {} refused, {} failed, {} attempts, {} processes, {} faults, {} unjudged",
         p.seed,
         if faults == 0 { "held  " } else { "FAILED" },
-        s.asked,
+        s.requests,
         s.served,
-        s.refused,
+        s.rejected,
         s.failed,
         s.attempts,
         p.report.processes,
@@ -166,7 +169,7 @@
 
 fn csv(all: &[Played], origin: &Origin, quick: bool) -> String {
     let kinds: std::collections::BTreeSet<&str> =
-        all.iter().flat_map(|p| p.report.happened.keys().copied()).collect();
+        all.iter().flat_map(|p| p.report.triggered.keys().copied()).collect();
     let mut text =
         "seed,form,commit,cores,held,asked,served,refused,failed,attempts,processes,late_p99_ms,unjudged,\
                     rules_broken,invariants_violated"
@@ -185,19 +188,19 @@
             origin.commit,
             origin.cores,
             u8::from(p.faults().is_empty()),
-            s.asked,
+            s.requests,
             s.served,
-            s.refused,
+            s.rejected,
             s.failed,
             s.attempts,
             p.report.processes,
-            s.late_p99,
+            s.generator_late_p99_ms,
             p.report.unjudged,
-            s.broken.values().map(|b| b.0).sum::<u64>(),
+            s.violations.values().map(|b| b.0).sum::<u64>(),
             p.report.violations.values().map(|v| v.0).sum::<u64>(),
         );
         for kind in &kinds {
-            let _ = write!(text, ",{}", p.report.happened.get(kind).copied().unwrap_or(0));
+            let _ = write!(text, ",{}", p.report.triggered.get(kind).copied().unwrap_or(0));
         }
         text.push('\n');
     }
@@ -310,7 +313,7 @@
         std::fs::write(dir.join(format!("soak-{form}.csv")), table).map_err(say)?;
     }
     let held = all.iter().filter(|p| p.faults().is_empty()).count();
-    let asked_in_all: u64 = all.iter().map(|p| p.sockets.asked).sum();
+    let asked_in_all: u64 = all.iter().map(|p| p.sockets.requests).sum();
     let faults: u64 = all.iter().map(|p| p.report.planned.values().sum::<u64>()).sum();
     println!("{}: {held} of {} held; requests {asked_in_all}, faults {faults}", experiment.name, all.len());
     Ok(held == all.len())
--- a/crates/experiments/src/soak/draw.rs
+++ b/crates/experiments/src/soak/draw.rs
@@ -2,7 +2,7 @@
 
 use super::Size;
 use basaltgw_emulator::faults::Fault;
-use basaltgw_emulator::{Planned, SoakFault, SoakLimits};
+use basaltgw_emulator::{PlannedFault, SoakFault, SoakLimits};
 use basaltgw_simulator::sim::Setup;
 use basaltgw_simulator::spec::{FleetSpec, LoadSpec, ScriptAction, ScriptEvent};
 use basaltgw_simulator::{draw as unit, rng, Rng};
@@ -22,7 +22,7 @@
     /// Fleet, load, script.
     pub setup: Setup,
     /// Faults.
-    pub plan: Vec<Planned>,
+    pub plan: Vec<PlannedFault>,
     /// Limits of the routers' settings.
     pub limits: SoakLimits,
 }
@@ -54,7 +54,7 @@
     let limits = SoakLimits {
         connect_timeout_ms: pick(&mut rng, &[400.0, 1_000.0, 150.0]),
         max_streams: pick(&mut rng, &[100, 4, 1]),
-        attempts: pick(&mut rng, &[8, 3, 2]),
+        max_attempts: pick(&mut rng, &[8, 3, 2]),
     };
     let plan = plan(&mut rng, size);
     let script = script(&mut rng, &fleet, size);
@@ -77,7 +77,7 @@
 }
 
 /// Faults in groups of two or three, most of a group at one router.
-fn plan(rng: &mut Rng, size: Size) -> Vec<Planned> {
+fn plan(rng: &mut Rng, size: Size) -> Vec<PlannedFault> {
     let routers = size.zones * size.routers_per_zone;
     let span = size.length_ms - QUIET_START_MS - QUIET_END_MS;
     let mut plan = Vec::new();
@@ -89,7 +89,7 @@
             let router = if same { router } else { index(rng, routers) };
             let at_ms = begins + between(rng, 0.0, GROUP_MS);
             let (fault, for_ms) = fault(rng);
-            plan.push(Planned { at_ms, for_ms, router, fault });
+            plan.push(PlannedFault { at_ms, for_ms, router, fault });
         }
     }
     plan
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -22,7 +22,7 @@
 
 /// Starts it by a line of shell, in which `$0` is the program.
 pub fn router_by(config: &Value, line: &str) -> Process {
-    Process::start_by(binary(), config, line).expect("a router that listens")
+    Process::start_with_shell_line(binary(), config, line).expect("a router that listens")
 }
 
 /// An address that refuses connections while its socket is kept, unless a router is told to listen there: no other program is given the
@@ -36,11 +36,11 @@
     (held, address)
 }
 
-/// As `until`, with something to do in between.
+/// As `wait_until`, with something to do in between.
 pub fn until_polling(what: &str, mut holds: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never: {what}");
+        assert!(start.elapsed() < WAIT_LIMIT, "never: {what}");
     }
 }
 
--- a/crates/node/tests/crossing/closing/end.rs
+++ b/crates/node/tests/crossing/closing/end.rs
@@ -8,7 +8,7 @@
 /// when it wakes. `None` if it was too late for that.
 fn pause_over_shutdown<T>(rig: &Rig, meanwhile: impl FnOnce() -> Option<T>) -> Option<T> {
     rig.router.signal("TERM");
-    until("it is told", || rig.router.said("shutdown requested"));
+    wait_until("it is told", || rig.router.has_logged("shutdown requested"));
     rig.router.signal("STOP");
     let done = meanwhile();
     thread::sleep(Duration::from_millis(900));
@@ -23,7 +23,7 @@
 
 fn run_arrivals_at_shutdown() {
     for _ in 0..5 {
-        let mut rig = rig(Cache::full());
+        let mut rig = rig(Cache::with_all_objects());
         let (mut rests, mut half) = (rig.router.client(), rig.router.client());
         assert_served(&mut rests, 1);
         assert_served(&mut half, 1);
@@ -42,20 +42,20 @@
             if !is_open(&rests) || !is_open(&half) {
                 return None;
             }
-            new.ask(1, "pages", 3, "", b"");
-            rests.ask(2, "pages", 2, "", b"");
+            new.send_request(1, "pages", 3, "", b"");
+            rests.send_request(2, "pages", 2, "", b"");
             half.write(rest);
             Some(new)
         });
         let Some(mut new) = asked else { continue };
         for (client, tag) in [(&mut rests, 2), (&mut half, 2), (&mut new, 1)] {
-            let got = client.must();
-            assert_eq!((got.tag, got.word.as_str()), (tag, "200"));
+            let got = client.expect_answer();
+            assert_eq!((got.tag, got.status.as_str()), (tag, "200"));
             assert_eq!(read_to_close(client), Ok(0));
         }
         drop((rests, half, new));
-        assert!(rig.router.ended().success());
-        let counted = rig.router.last_counters();
+        assert!(rig.router.expect_exit().success());
+        let counted = rig.router.exit_counters();
         assert_eq!((counted["requests"], counted["served"]), (5.0, 5.0));
         return;
     }
@@ -66,28 +66,28 @@
 fn backlog_at_shutdown_is_answered_while_all_slots_are_taken() {
     for _ in 0..5 {
         // Six places and two caches: with six and more out to one of them the module refuses some where a busy machine is slow to answer.
-        let second = Cache::full();
-        let mut rig = rig_of(Cache::full(), |c| {
+        let second = Cache::with_all_objects();
+        let mut rig = rig_of(Cache::with_all_objects(), |c| {
             c["limits"]["sockets"] = json!(32);
-            with_second(c, &second);
+            add_second_edge(c, &second);
         });
         let mut rest: Vec<Client> = (0..5).map(|_| rig.router.client()).collect();
         rest.iter_mut().for_each(|c| assert_served(c, 1));
         let asked = pause_over_shutdown(&rig, || {
             let new = (0..30).map(|object| {
                 let mut new = Client::new(TcpStream::connect(rig.router.address).ok()?);
-                new.ask(1, "pages", object, "", b"");
+                new.send_request(1, "pages", object, "", b"");
                 Some(new)
             });
             new.collect::<Option<Vec<_>>>()
         });
         let Some(mut new) = asked else { continue };
         for client in &mut new {
-            let got = client.must();
-            assert_eq!(got.word, "200", "{got:?} {}", rig.router.text());
+            let got = client.expect_answer();
+            assert_eq!(got.status, "200", "{got:?} {}", rig.router.log_text());
             assert_eq!(read_to_close(client), Ok(0));
         }
-        assert!(rig.router.ended().success());
+        assert!(rig.router.expect_exit().success());
         return;
     }
     panic!("the router was never stopped in time");
@@ -104,21 +104,21 @@
         let (edge, released) = held_cache();
         let mut rig = rig(edge);
         let mut client = rig.router.client();
-        client.ask(1, "pages", 1, "", b"");
+        client.send_request(1, "pages", 1, "", b"");
         let written = Instant::now();
         client.write(b"*5\r\n$2\r\nDO\r\n$1\r\n2\r\n");
-        until("it is open", || rig.router.counter("requests") == 1);
+        wait_until("it is open", || rig.router.counter("requests") == 1);
         rig.router.signal("TERM");
-        until("nobody is accepted", || !has_listener(rig.router.address));
+        wait_until("nobody is accepted", || !has_listener(rig.router.address));
         released.store(true, Ordering::SeqCst);
-        assert_eq!(client.must().tag, 1);
+        assert_eq!(client.expect_answer().tag, 1);
         assert_eq!(read_to_close(&mut client), Ok(0));
         // Where the machine was that slow, it may have been closed for the time that a message has.
         if written.elapsed() >= CLIENT_READ_LIMITS.message_timeout {
             continue;
         }
-        assert!(rig.router.ended().success());
-        let counted = rig.router.last_counters();
+        assert!(rig.router.expect_exit().success());
+        let counted = rig.router.exit_counters();
         assert_eq!(counted["requests"], 1.0);
         let closed = (counted["closed_at_end"], counted["closed_unfinished"]);
         assert_eq!(closed, (1.0, 0.0), "by the end, not by the time for a whole message");
@@ -132,22 +132,22 @@
     let (edge, released) = held_cache();
     let mut rig = rig(edge);
     let mut client = rig.router.client();
-    client.ask(1, "pages", 1, "", b"");
-    until("it is open", || rig.router.counter("requests") == 1);
+    client.send_request(1, "pages", 1, "", b"");
+    wait_until("it is open", || rig.router.counter("requests") == 1);
     tell(&rig);
-    until("nobody is accepted", || TcpStream::connect(rig.router.address).is_err());
+    wait_until("nobody is accepted", || TcpStream::connect(rig.router.address).is_err());
     released.store(true, Ordering::SeqCst);
-    let got = client.must();
-    assert_eq!((got.tag, got.word.as_str()), (1, "200"));
+    let got = client.expect_answer();
+    assert_eq!((got.tag, got.status.as_str()), (1, "200"));
     assert_eq!(read_to_close(&mut client), Ok(0));
-    assert!(rig.router.ended().success());
+    assert!(rig.router.expect_exit().success());
 }
 
 #[test]
 fn repeated_sigterm_is_one_shutdown() {
     run_shutdown_with_open_request(|rig| {
         rig.router.signal("TERM");
-        until("it is told", || rig.router.said("shutdown requested"));
+        wait_until("it is told", || rig.router.has_logged("shutdown requested"));
         rig.router.signal("TERM");
     });
 }
@@ -155,7 +155,7 @@
 #[test]
 fn sigterm_during_a_reload_takes_effect() {
     run_shutdown_with_open_request(|rig| {
-        rig.router.rewrite(&rig.config.to_string());
+        rig.router.write_configuration(&rig.config.to_string());
         rig.router.signal("HUP");
         rig.router.signal("TERM");
         rig.router.signal("HUP");
@@ -166,34 +166,34 @@
 fn router_shuts_down_gracefully_while_discovery_is_down() {
     run_shutdown_with_open_request(|rig| {
         rig.log.down.store(true, Ordering::SeqCst);
-        until("it is lost", || rig.router.counter("log_lost") > 0);
+        wait_until("it is lost", || rig.router.counter("log_lost") > 0);
         rig.router.signal("TERM");
     });
 }
 
 #[test]
 fn router_without_a_list_answers_and_shuts_down() {
-    let edge = Cache::full();
+    let edge = Cache::with_all_objects();
     let nothing = |c: &mut Value| c["known"] = json!({"seq": 0, "results": []});
     let mut rig = rig_of(edge, nothing);
     let mut client = rig.router.client();
-    client.ask(1, "pages", 1, "", b"");
+    client.send_request(1, "pages", 1, "", b"");
     rig.router.signal("TERM");
-    assert!(client.must().word != "200");
+    assert!(client.expect_answer().status != "200");
     assert_eq!(read_to_close(&mut client), Ok(0));
-    assert!(rig.router.ended().success());
+    assert!(rig.router.expect_exit().success());
 }
 
 #[test]
 fn clients_that_never_close_delay_shutdown_up_to_the_bound() {
-    let mut rig = rig(Cache::full());
+    let mut rig = rig(Cache::with_all_objects());
     let mut all: Vec<Client> = (0..20).map(|_| rig.router.client()).collect();
     all.iter_mut().for_each(|c| assert_served(c, 1));
     let asked = Instant::now();
     rig.router.signal("TERM");
-    assert!(rig.router.ended().success());
+    assert!(rig.router.expect_exit().success());
     assert!(asked.elapsed() < Duration::from_secs(5), "{:?}", asked.elapsed());
-    let counted = rig.router.last_counters();
+    let counted = rig.router.exit_counters();
     assert_eq!((counted["closed_at_end"], counted["closes_lingered"]), (20.0, 20.0));
     // They find out whenever they look.
     all.iter_mut().for_each(|c| assert_eq!(read_to_close(c), Ok(0)));
@@ -201,18 +201,20 @@
 
 #[test]
 fn client_that_reads_no_answers_does_not_delay_shutdown() {
-    let mut rig = rig(Cache::start(|_| Do::Ok(vec![b'x'; 240_000])));
+    let mut rig = rig(Cache::start(|_| FetchBehaviour::Ok(vec![b'x'; 240_000])));
     let (mut slow, mut good) = (slow_reader(&rig.router), rig.router.client());
     for tag in 1..=30 {
-        slow.ask(tag, "pages", tag, "", b"");
+        slow.send_request(tag, "pages", tag, "", b"");
     }
     // Where a busy machine is slow to answer so many at once, the module refuses some; that is an answer too.
-    until("they are all answered", || rig.router.counter("served") + rig.router.counter("refused") == 30);
+    wait_until("they are all answered", || {
+        rig.router.counter("served") + rig.router.counter("refused") == 30
+    });
     assert!(rig.router.counter("held") > 1_000_000, "more than the system takes");
-    good.ask(1, "pages", 99, "", b"");
+    good.send_request(1, "pages", 99, "", b"");
     rig.router.signal("TERM");
-    assert_eq!(good.must().body.len(), 240_000);
-    assert!(rig.router.ended().success());
-    assert_eq!(rig.router.last_counters()["closed_stalled"], 1.0);
+    assert_eq!(good.expect_answer().body.len(), 240_000);
+    assert!(rig.router.expect_exit().success());
+    assert_eq!(rig.router.exit_counters()["closed_stalled"], 1.0);
     drop(slow);
 }
--- a/crates/node/tests/crossing/cold.rs
+++ b/crates/node/tests/crossing/cold.rs
@@ -23,7 +23,11 @@
 
 /// A server that takes so long for each answer.
 fn at_work() -> Cache {
-    Cache::start(|s| Do::OkWith(WORK, "ver=1,born=1,note=hit,waited=0".into(), content(s)))
+    Cache::start(|s| FetchBehaviour::OkWithFields {
+        delay_ms: WORK,
+        fields: "ver=1,born=1,note=hit,waited=0".into(),
+        body: part_body(s),
+    })
 }
 
 /// Routers before three warm caches and one that starts later.
@@ -51,16 +55,16 @@
         thread::spawn(move || {
             let Ok(socket) = TcpStream::connect(address) else { return };
             let mut client = Client::new(socket);
-            (1..=at_once).for_each(|tag| client.try_ask(tag, "pages", from + tag, ""));
+            (1..=at_once).for_each(|tag| client.try_send_request(tag, "pages", from + tag, ""));
             let mut tag = at_once;
             while let Some(got) = client.next().filter(|_| !stop.load(Ordering::SeqCst)) {
-                if got.word == "200" {
+                if got.status == "200" {
                     served.fetch_add(1, Ordering::SeqCst);
                 } else {
                     thread::sleep(Duration::from_millis(20));
                 }
                 tag += 1;
-                client.try_ask(tag, "pages", from + tag % 40, "");
+                client.try_send_request(tag, "pages", from + tag % 40, "");
             }
         });
         load
@@ -77,7 +81,8 @@
     /// So many routers, with clients who have all been served for a while; `each` is a router's share in requests, at first.
     fn of(routers: usize, each: f64) -> Self {
         let size = each * routers as f64 * WORK as f64 / (MULTIPLE * SHARE * WINDOW as f64);
-        let (warm, behind) = (std::array::from_fn(|_| at_work()), [Cache::full(), Cache::full()]);
+        let (warm, behind) =
+            (std::array::from_fn(|_| at_work()), [Cache::with_all_objects(), Cache::with_all_objects()]);
         let (log, cold) = (ChangeLog::start(), at_work());
         let mut site = Self { cold, warm, behind, log, each, size, routers: Vec::new(), loads: Vec::new() };
         site.start(routers, None);
@@ -87,10 +92,11 @@
     fn configuration(&self, routers: usize, number: usize, cold_since: Option<u64>) -> Value {
         let listed =
             [(EDGE, &self.warm[0]), (EDGE_2, &self.warm[1]), (0x0f, &self.warm[2]), (COLD, &self.cold)];
-        let mut servers: Vec<Listed> = listed.iter().map(|(id, c)| Listed(*id, c.address, "box")).collect();
-        servers.push(Listed(PARENT, self.behind[0].address, "parent"));
-        servers.push(Listed(ORIGIN, self.behind[1].address, "origin"));
-        servers.retain(|s| s.0 != COLD || cold_since.is_some());
+        let mut servers: Vec<ListedServer> =
+            listed.iter().map(|(id, c)| ListedServer { id: *id, address: c.address, kind: "box" }).collect();
+        servers.push(ListedServer { id: PARENT, address: self.behind[0].address, kind: "parent" });
+        servers.push(ListedServer { id: ORIGIN, address: self.behind[1].address, kind: "origin" });
+        servers.retain(|s| s.id != COLD || cold_since.is_some());
         let mut config = configuration(&servers, self.log.address);
         // Turns are by seed, and no two processes have the same.
         config["seed"] = json!(format!("{:x}", 0x8c1f_30d2_7a5b * (number as u64 + 1)));
@@ -121,7 +127,7 @@
         let loads = self.routers.iter().enumerate();
         self.loads = loads.map(|(n, r)| Load::start(r.address, at_once(n), 7919 * n as u64)).collect();
         let served = |l: &Load| l.served.load(Ordering::SeqCst) >= 10;
-        until("each router has learnt what work takes", || self.loads.iter().all(served));
+        wait_until("each router has learnt what work takes", || self.loads.iter().all(served));
     }
 
     /// The cache starts, and all are told.
@@ -131,7 +137,7 @@
         let at = record.len();
         record[at - 12..at - 8].copy_from_slice(&((self.size * 1000.0) as u32).to_be_bytes());
         record[at - 8..].copy_from_slice(&started.to_be_bytes());
-        self.log.tell(2, 2, &record);
+        self.log.publish(2, 2, &record);
         started
     }
 
@@ -143,7 +149,7 @@
 
     /// No window has more than that and chance.
     fn keeps_to_it(&self, started: u64) {
-        let mut all: Vec<u64> = self.cold.all().iter().map(|s| s.at).collect();
+        let mut all: Vec<u64> = self.cold.fetches().iter().map(|s| s.received_ms).collect();
         all.sort_unstable();
         let mut highest = 0f64;
         for (n, at) in all.iter().enumerate() {
@@ -158,7 +164,7 @@
     }
 
     fn got(&self, least: f64, why: &str) {
-        until(why, || self.cold.count() as f64 >= least);
+        wait_until(why, || self.cold.fetch_count() as f64 >= least);
     }
 }
 
@@ -175,7 +181,7 @@
     site.got(0.8 * site.allowed(0.0), "most of its first window's work");
     site.routers.iter_mut().for_each(Process::kill);
     site.start(routers, Some(started));
-    let before = site.cold.count() as f64;
+    let before = site.cold.fetch_count() as f64;
     site.got(before + 0.75 * site.allowed(0.0), "work from the new processes");
     site.keeps_to_it(started);
 }
--- a/crates/node/tests/crossing/leaving.rs
+++ b/crates/node/tests/crossing/leaving.rs
@@ -45,7 +45,7 @@
         match self {
             Self::Closes => None,
             Self::TakesBack => {
-                client.say("UNDO", tag);
+                client.send_message("UNDO", tag);
                 Some(client)
             }
         }
@@ -65,18 +65,22 @@
 
 impl Rig {
     fn start(edge: Cache, change: impl FnOnce(&mut Value)) -> Self {
-        Self::before([edge, Cache::full(), Cache::full(), Cache::full()], false, change)
+        Self::before(
+            [edge, Cache::with_all_objects(), Cache::with_all_objects(), Cache::with_all_objects()],
+            false,
+            change,
+        )
     }
 
     /// With a second edge cache, where a read goes that failed at the first. All servers do the same.
-    fn alike(act: impl Fn(&Seen) -> Do + Clone + Send + Sync + 'static) -> Self {
+    fn alike(act: impl Fn(&ReceivedFetch) -> FetchBehaviour + Clone + Send + Sync + 'static) -> Self {
         let little = |c: &mut Value| c["limits"]["memory_mb"] = json!(1);
         Self::before([0; 4].map(|_| Cache::start(act.clone())), true, little)
     }
 
     fn before(all: [Cache; 4], two: bool, change: impl FnOnce(&mut Value)) -> Self {
         let ([edge, second, parent, origin], log) = (all, ChangeLog::start());
-        let mut config = configuration(&three(&edge, &parent, &origin), log.address);
+        let mut config = configuration(&edge_parent_origin(&edge, &parent, &origin), log.address);
         let set = &mut config["settings"];
         // Servers here are held on purpose, and none may be taken for silent for it: a class's deadline is when the module does so.
         set["limits"]["connect-timeout"] = json!(60_000.0);
@@ -86,7 +90,7 @@
             .iter_mut()
             .for_each(|c| c["deadline"] = json!(WAITS));
         if two {
-            with_second(&mut config, &second);
+            add_second_edge(&mut config, &second);
         }
         change(&mut config);
         Self { router: router(&config), edge, others: [second, parent, origin], _log: log }
@@ -101,7 +105,7 @@
 
     /// Ids of all fetches that came anywhere.
     fn fetched(&self) -> Vec<String> {
-        self.others.iter().chain([&self.edge]).flat_map(Cache::all).map(|s| s.id).collect()
+        self.others.iter().chain([&self.edge]).flat_map(Cache::fetches).map(|s| s.id).collect()
     }
 
     /// Another client's requests are served until the edge cache has had one: on the one connection to it, what waited before that
@@ -111,11 +115,11 @@
         let (mut tag, mut ids) = (0, Vec::new());
         until_polling("the edge cache is asked", || {
             tag += 1;
-            ids.push(other.ask_for(WAITS, tag, "pages", 100 + tag, "", b""));
-            assert_eq!(other.must().word, "200");
-            self.edge.all().iter().any(|s| ids.contains(&s.id))
+            ids.push(other.send_request_with_deadline(WAITS, tag, "pages", 100 + tag, "", b""));
+            assert_eq!(other.expect_answer().status, "200");
+            self.edge.fetches().iter().any(|s| ids.contains(&s.id))
         });
-        assert_eq!(other.settle(), []);
+        assert_eq!(other.answers_before_pong(), []);
     }
 }
 
@@ -128,9 +132,9 @@
     let held = gate.clone();
     let waits = move |_| {
         held.pass();
-        Proof::Yes
+        ProbeBehaviour::Yes
     };
-    Cache::start_as(waits, |s| Do::Ok(content(s)))
+    Cache::start_with_probes(waits, |s| FetchBehaviour::Ok(part_body(s)))
 }
 
 /// Fills a listener's backlog, until no connection comes up any more.
@@ -152,14 +156,14 @@
         let rig = Rig::start(edge, |c| c["settings"]["limits"]["cancel"] = json!(may));
         let (mut clients, ids) = clients_with_one_request(&rig, 1);
         let kept = clients.pop().and_then(|client| way.go(client, 1));
-        until("it has left", || rig.router.counter("left") == 1);
+        wait_until("it has left", || rig.router.counter("left") == 1);
         drop(fillers);
         gate.open();
         rig.edge_serves();
         assert!(!rig.fetched().contains(&ids[0]), "{way:?}, cancelling allowed: {may}");
-        kept.into_iter().for_each(|mut c| assert_eq!(c.settle(), []));
+        kept.into_iter().for_each(|mut c| assert_eq!(c.answers_before_pong(), []));
         assert_eq!(
-            rig.edge.aborted.lock().expect("lock").len(),
+            rig.edge.aborted_ids.lock().expect("lock").len(),
             0,
             "nothing is called off that was never sent"
         );
@@ -208,7 +212,7 @@
 /// Waits until all that clients left behind has come to the stopped router, whose only clients they are.
 fn wait_until_received(rig: &Rig, way: Way) {
     let port = Some(rig.router.address.port());
-    until("all is there that was left behind", || match way {
+    wait_until("all is there that was left behind", || match way {
         Way::Closes => socket_table(port, None).iter().all(|row| row.ended),
         Way::TakesBack => queued_bytes(None, port).iter().all(|(sent, _)| *sent == 0),
     });
@@ -241,11 +245,11 @@
 fn clients_with_one_request(rig: &Rig, many: u64) -> (Vec<Client>, Vec<String>) {
     let one = |n: u64| {
         let mut client = rig.client();
-        let id = client.ask_for(WAITS, 1, "pages", 1 + n, "", b"");
+        let id = client.send_request_with_deadline(WAITS, 1, "pages", 1 + n, "", b"");
         (client, id)
     };
     let all = (0..many).map(one).unzip();
-    until("an attempt is made for each", || rig.router.counter("attempts") == many);
+    wait_until("an attempt is made for each", || rig.router.counter("attempts") == many);
     all
 }
 
@@ -256,15 +260,15 @@
         let rig = Rig::start(cache_behind_gate(&gate), |_| {});
         let edge = rig.edge.address.port();
         let (clients, ids) = clients_with_one_request(&rig, 8);
-        until("the edge cache is asked whether its connections work", || {
+        wait_until("the edge cache is asked whether its connections work", || {
             let asked = unread_bytes(Some(edge), None);
             !asked.is_empty() && asked.iter().all(|n| *n > 0)
         });
         let kept = disconnect_all(&rig, clients, way, || {
             gate.open();
-            until("its answers are there", || unread_bytes(None, Some(edge)).iter().all(|n| *n > 0));
+            wait_until("its answers are there", || unread_bytes(None, Some(edge)).iter().all(|n| *n > 0));
         });
-        until("all have left", || rig.router.counter("left") == 8);
+        wait_until("all have left", || rig.router.counter("left") == 8);
         rig.edge_serves();
         let sent: Vec<String> = rig.fetched().into_iter().filter(|id| ids.contains(id)).collect();
         assert_eq!(sent, [""; 0], "{way:?}");
@@ -274,7 +278,7 @@
 
 /// All attempts that were made are over.
 fn all_attempts_ended(router: &Process) -> bool {
-    let all = router.counters(PATIENCE).expect("counters");
+    let all = router.counters(WAIT_LIMIT).expect("counters");
     let ends =
         ["served", "error", "full", "late", "no_connection", "broken", "cancelled", "not_sent", "miss"];
     ends.iter().map(|end| all[&format!("attempts_{end}")]).sum::<f64>() == all["attempts"]
@@ -282,15 +286,18 @@
 
 #[test]
 fn failed_attempt_is_not_retried_after_its_client_left() {
-    let fails: [fn() -> Do; 2] = [|| Do::Word("nothing", "note=src_lacks"), || Do::Half];
+    let fails: [fn() -> FetchBehaviour; 2] = [
+        || FetchBehaviour::Answer { status: "nothing", fields: "note=src_lacks" },
+        || FetchBehaviour::TruncatedAnswer,
+    ];
     for (fails, crowd) in [(fails[0], false), (fails[1], false), (fails[0], true), (fails[1], true)] {
         for way in WAYS {
             let gate = Gate::default();
             let (held, came) = (gate.clone(), Gate::default());
             let seen = came.clone();
-            let act = move |s: &Seen| {
+            let act = move |s: &ReceivedFetch| {
                 if held.is_open() {
-                    return Do::Ok(content(s));
+                    return FetchBehaviour::Ok(part_body(s));
                 }
                 seen.open();
                 held.pass();
@@ -299,21 +306,21 @@
             let rig = Rig::alike(act);
             let ports = [rig.edge.address.port(), rig.others[0].address.port()];
             let (mut clients, ids) = clients_with_one_request(&rig, 1);
-            until("a cache has it", || came.is_open());
+            wait_until("a cache has it", || came.is_open());
             let kept = if crowd {
                 disconnect_all(&rig, clients, way, || {
                     gate.open();
                     let answers = || ports.iter().flat_map(|at| unread_bytes(None, Some(*at))).any(|n| n > 0);
-                    until("its answer is there", answers);
+                    wait_until("its answer is there", answers);
                 })
             } else {
                 let kept = clients.pop().and_then(|c| way.go(c, 1)).into_iter().collect();
-                until("it has left", || rig.router.counter("left") == 1);
+                wait_until("it has left", || rig.router.counter("left") == 1);
                 gate.open();
                 kept
             };
-            until("it has left", || rig.router.counter("left") == 1);
-            until("its attempt is over", || all_attempts_ended(&rig.router));
+            wait_until("it has left", || rig.router.counter("left") == 1);
+            wait_until("its attempt is over", || all_attempts_ended(&rig.router));
             rig.edge_serves();
             let fetched = rig.fetched().iter().filter(|id| **id == ids[0]).count();
             assert_eq!(fetched, 1, "{way:?}, behind a crowd: {crowd}");
@@ -325,9 +332,9 @@
 #[test]
 fn requests_followed_by_their_cancellation_are_not_accepted() {
     for way in WAYS {
-        let rig = Rig::start(Cache::full(), |_| {});
+        let rig = Rig::start(Cache::with_all_objects(), |_| {});
         let mut clients: Vec<Client> = (0..20).map(|_| rig.client()).collect();
-        until("all are connected", || rig.router.counter("clients") == 20);
+        wait_until("all are connected", || rig.router.counter("clients") == 20);
         rig.edge_serves();
         rig.router.signal("STOP");
         for (n, client) in clients.iter_mut().enumerate() {
@@ -348,12 +355,12 @@
         wait_until_received(&rig, way);
         rig.router.signal("CONT");
         match way {
-            Way::TakesBack => until("all of it is heard", || rig.router.counter("left_early") == 600),
-            Way::Closes => until("all have left", || rig.router.counter("clients_now") == 0),
+            Way::TakesBack => wait_until("all of it is heard", || rig.router.counter("left_early") == 600),
+            Way::Closes => wait_until("all have left", || rig.router.counter("clients_now") == 0),
         }
         rig.edge_serves();
         let sent = rig.fetched().into_iter().filter(|id| id.starts_with("000000000f0")).count();
         assert_eq!((sent, rig.router.counter("unreadable")), (0, 0), "{way:?}");
-        kept.into_iter().for_each(|mut client| assert_eq!(client.settle(), []));
+        kept.into_iter().for_each(|mut client| assert_eq!(client.answers_before_pong(), []));
     }
 }
--- a/crates/node/tests/crossing/settings.rs
+++ b/crates/node/tests/crossing/settings.rs
@@ -9,8 +9,11 @@
 /// A kiosk's router: no parents and no origin, a long tick, and requests that wait for no longer than a blink, as each says itself. By
 /// the settings nothing is late: a server that a busy machine lets wait for some 30 ms refused no connection, and for 0.4 s is not silent.
 fn kiosk_configuration(edges: &[&Cache], log: &ChangeLog) -> Value {
-    let listed: Vec<Listed> =
-        edges.iter().zip(EDGE..).map(|(cache, id)| Listed(id, cache.address, "box")).collect();
+    let listed: Vec<ListedServer> = edges
+        .iter()
+        .zip(EDGE..)
+        .map(|(cache, id)| ListedServer { id, address: cache.address, kind: "box" })
+        .collect();
     let mut config = configuration(&listed, log.address);
     let set = &mut config["settings"];
     set["granularity"] = json!(20.0);
@@ -32,11 +35,17 @@
 fn held_cache() -> (Cache, Arc<AtomicBool>) {
     let released = Arc::new(AtomicBool::new(false));
     let gate = Arc::clone(&released);
-    (Cache::start(move |s| Do::Once(Arc::clone(&gate), content(s))), released)
+    (
+        Cache::start(move |s| FetchBehaviour::OkOnRelease {
+            released: Arc::clone(&gate),
+            body: part_body(s),
+        }),
+        released,
+    )
 }
 
 fn assert_settled(client: &mut Client) {
-    assert_eq!(client.settle(), [], "an answer after the answer");
+    assert_eq!(client.answers_before_pong(), [], "an answer after the answer");
 }
 
 #[test]
@@ -46,30 +55,31 @@
     let router = router(&kiosk_configuration(&[&one, &two], &log));
     let mut client = router.client();
     for (tag, wait) in [(1, 60), (2, 100), (3, 150), (4, 30)] {
-        client.ask_for(wait, tag, "fares", tag, "", b"");
+        client.send_request_with_deadline(wait, tag, "fares", tag, "", b"");
     }
-    client.ask_for(150, 5, "tap", 5, "", b"");
-    client.ask_for(150, 6, "pay", 6, "", b"pay");
+    client.send_request_with_deadline(150, 5, "tap", 5, "", b"");
+    client.send_request_with_deadline(150, 6, "pay", 6, "", b"pay");
     // Both stand-ins hold what they have: all six are answered without them.
-    let answers: BTreeMap<u64, String> = (0..6).map(|_| client.must()).map(|g| (g.tag, g.word)).collect();
+    let answers: BTreeMap<u64, String> =
+        (0..6).map(|_| client.expect_answer()).map(|g| (g.tag, g.status)).collect();
     assert!(!first.load(Ordering::SeqCst) && !second.load(Ordering::SeqCst));
     for tag in [1, 2, 3, 4] {
         assert_eq!(answers[&tag], "503", "{answers:?}");
     }
     // What may have run of a narrow group, or may run once, is failed where it had gone out. The server may read it only later.
-    let went = |class| [&one, &two].iter().any(|c| c.all().iter().any(|s| s.field("c") == Some(class)));
+    let went = |class| [&one, &two].iter().any(|c| c.fetches().iter().any(|s| s.field("c") == Some(class)));
     let effects = [(5, "tap"), (6, "pay")];
     for (tag, class) in effects {
         assert!(["500", "503"].contains(&answers[&tag].as_str()), "{answers:?}");
-        until("what failed had gone out", || answers[&tag] != "500" || went(class));
+        wait_until("what failed had gone out", || answers[&tag] != "500" || went(class));
     }
     first.store(true, Ordering::SeqCst);
     second.store(true, Ordering::SeqCst);
     assert_settled(&mut client);
     // Nothing of it is left over, and what is asked next is served, given the time.
-    until("all is over", || router.counter("held") == 0);
-    client.ask_for(20_000, 7, "fares", 7, "", b"");
-    assert_eq!(client.must().word, "200");
+    wait_until("all is over", || router.counter("held") == 0);
+    client.send_request_with_deadline(20_000, 7, "fares", 7, "", b"");
+    assert_eq!(client.expect_answer().status, "200");
     assert_settled(&mut client);
     assert_eq!(router.counter("requests"), 7);
     for (tag, class) in effects {
@@ -84,13 +94,15 @@
     // Each request is turned away once, which proves that it never ran; then it ends in a way that proves nothing.
     let act = {
         let seen = Arc::clone(&seen);
-        move |s: &Seen| {
+        move |s: &ReceivedFetch| {
             let mut seen = seen.lock().expect("lock");
             let words = seen.entry(s.id.clone()).or_default();
             words.push(if words.is_empty() { "refused" } else { "error" });
             match (s.field("c"), words.len()) {
-                (Some("fares"), 3..) => Do::Ok(content(s)),
-                (_, n) => Do::Word(if n == 1 { "refused" } else { "error" }, "-"),
+                (Some("fares"), 3..) => FetchBehaviour::Ok(part_body(s)),
+                (_, n) => {
+                    FetchBehaviour::Answer { status: if n == 1 { "refused" } else { "error" }, fields: "-" }
+                }
             }
         }
     };
@@ -100,12 +112,12 @@
     config["settings"]["services"][1]["window"] = json!(20_000.0);
     let router = router(&config);
     let mut client = router.client();
-    let id = client.ask_for(20_000, 1, "fares", 1, "", b"");
-    assert_eq!(client.must().word, "200", "a read goes on until it is served");
+    let id = client.send_request_with_deadline(20_000, 1, "fares", 1, "", b"");
+    assert_eq!(client.expect_answer().status, "200", "a read goes on until it is served");
     assert_eq!(seen.lock().expect("lock")[&id].len(), 3);
     for (tag, class) in [(2, "tap"), (3, "pay")] {
-        let id = client.ask_for(20_000, tag, class, tag, "", b"once");
-        assert_eq!(client.must().word, "500", "{class}");
+        let id = client.send_request_with_deadline(20_000, tag, class, tag, "", b"once");
+        assert_eq!(client.expect_answer().status, "500", "{class}");
         assert_eq!(seen.lock().expect("lock")[&id], ["refused", "error"], "{class}");
     }
     assert_settled(&mut client);
@@ -114,7 +126,7 @@
 #[test]
 fn refused_connection_leaves_a_short_deadline_time_for_a_retry() {
     let log = ChangeLog::start();
-    let good = Cache::full();
+    let good = Cache::with_all_objects();
     let (_port, gone) = refused_address();
     let mut config = kiosk_configuration(&[&good], &log);
     let members = &mut config["known"]["results"][0]["fleet"]["members"];
@@ -124,9 +136,16 @@
     let router = router(&config);
     let mut client = router.client();
     for tag in 1..=20 {
-        client.ask_for(20_000, tag, ["fares", "tap", "pay"][tag as usize % 3], tag, "", b"");
-        let got = client.must();
-        assert_eq!((got.tag, got.word.as_str()), (tag, "200"), "nothing ran there, so all classes go on");
+        client.send_request_with_deadline(
+            20_000,
+            tag,
+            ["fares", "tap", "pay"][tag as usize % 3],
+            tag,
+            "",
+            b"",
+        );
+        let got = client.expect_answer();
+        assert_eq!((got.tag, got.status.as_str()), (tag, "200"), "nothing ran there, so all classes go on");
     }
     assert_settled(&mut client);
     assert!(router.counter("attempts_no_connection") > 0, "some of them were sent there first");
@@ -139,11 +158,11 @@
     let open: Arc<Mutex<BTreeMap<usize, usize>>> = Arc::default();
     let act = {
         let (gate, open) = (Arc::clone(&released), Arc::clone(&open));
-        move |s: &Seen| {
-            *open.lock().expect("lock").entry(s.conn).or_default() += 1;
+        move |s: &ReceivedFetch| {
+            *open.lock().expect("lock").entry(s.connection).or_default() += 1;
             match gate.load(Ordering::SeqCst) {
-                true => Do::Ok(content(s)),
-                false => Do::Once(Arc::clone(&gate), content(s)),
+                true => FetchBehaviour::Ok(part_body(s)),
+                false => FetchBehaviour::OkOnRelease { released: Arc::clone(&gate), body: part_body(s) },
             }
         }
     };
@@ -157,24 +176,24 @@
     let router = router(&config);
     let (mut client, most) = (router.client(), 16);
     for tag in 1..=most {
-        client.ask_for(60_000, tag, "fares", tag, "", b"");
+        client.send_request_with_deadline(60_000, tag, "fares", tag, "", b"");
     }
-    until("all connections are in use", || edge.count() as u64 == most);
+    wait_until("all connections are in use", || edge.fetch_count() as u64 == most);
     assert!(open.lock().expect("lock").values().all(|n| *n == 1), "each carries one at a time");
     // There is no connection for these: they are refused at once, since nobody else could serve them.
     for tag in most + 1..=most + 8 {
-        client.ask_for(60_000, tag, "fares", tag, "", b"");
-        let got = client.must();
-        assert_eq!((got.tag, got.word.as_str()), (tag, "503"));
+        client.send_request_with_deadline(60_000, tag, "fares", tag, "", b"");
+        let got = client.expect_answer();
+        assert_eq!((got.tag, got.status.as_str()), (tag, "503"));
     }
-    assert_eq!(edge.count() as u64, most);
-    assert!(!router.said("refuses connections"), "the server is well:\n{}", router.text());
+    assert_eq!(edge.fetch_count() as u64, most);
+    assert!(!router.has_logged("refuses connections"), "the server is well:\n{}", router.log_text());
     released.store(true, Ordering::SeqCst);
-    let mut tags: Vec<u64> = (0..most).map(|_| client.must()).map(|g| g.tag).collect();
+    let mut tags: Vec<u64> = (0..most).map(|_| client.expect_answer()).map(|g| g.tag).collect();
     tags.sort_unstable();
     assert_eq!(tags, (1..=most).collect::<Vec<_>>());
-    client.ask_for(60_000, 99, "fares", 99, "", b"");
-    assert_eq!(client.must().word, "200");
+    client.send_request_with_deadline(60_000, 99, "fares", 99, "", b"");
+    assert_eq!(client.expect_answer().status, "200");
     assert_settled(&mut client);
     assert_eq!(router.counter("attempts_not_sent"), 8);
 }
--- a/crates/node/tests/crossing/slow_start.rs
+++ b/crates/node/tests/crossing/slow_start.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy)]
 struct Fault {
     /// How a new connection proves that it works.
-    proof: Proof,
+    proof: ProbeBehaviour,
     /// The cache answers nothing for so long from its start, in milliseconds.
     pause_ms: u64,
     /// Of ten requests so many are of clients that hold the copy: the answer is `current`, at once, with no bytes.
@@ -40,7 +40,7 @@
     window_ms: u64,
 }
 
-const NONE: Fault = Fault { proof: Proof::Yes, pause_ms: 0, copies_of_ten: 0, window_ms: 1_500 };
+const NONE: Fault = Fault { proof: ProbeBehaviour::Yes, pause_ms: 0, copies_of_ten: 0, window_ms: 1_500 };
 
 /// Clients that ask on one connection as fast as they are answered.
 struct Load {
@@ -57,12 +57,12 @@
             let mut client = Client::new(socket);
             let ask = |client: &mut Client, tag: u64| {
                 let copy = if tag % 10 < copies_of_ten { ",got=1" } else { "" };
-                client.try_ask(tag, "pages", first_object + tag * 7 % OBJECTS_EACH, copy);
+                client.try_send_request(tag, "pages", first_object + tag * 7 % OBJECTS_EACH, copy);
             };
             (1..=OPEN_EACH).for_each(|tag| ask(&mut client, tag));
             let mut tag = OPEN_EACH;
             while let Some(answer) = client.next().filter(|_| !stop.load(Ordering::SeqCst)) {
-                if answer.word == "200" {
+                if answer.status == "200" {
                     served.fetch_add(1, Ordering::SeqCst);
                 } else {
                     thread::sleep(Duration::from_millis(20));
@@ -82,15 +82,21 @@
 }
 
 /// A cache whose answers take the mean work, but for copies that clients hold; it answers nothing while paused.
-fn cache(proof: Proof, paused_until: &Arc<AtomicU64>) -> Cache {
+fn cache(proof: ProbeBehaviour, paused_until: &Arc<AtomicU64>) -> Cache {
     let paused_until = Arc::clone(paused_until);
-    Cache::start_as(
+    Cache::start_with_probes(
         move |_| proof,
         move |seen| {
-            let pause = paused_until.load(Ordering::SeqCst).saturating_sub(seen.at);
+            let pause = paused_until.load(Ordering::SeqCst).saturating_sub(seen.received_ms);
             match seen.field("seen") {
-                Some(_) if pause == 0 => Do::Word("current", "ver=1,born=1,note=hit,waited=0"),
-                _ => Do::OkWith(WORK_MS.max(pause), "ver=1,born=1,note=hit,waited=0".into(), content(seen)),
+                Some(_) if pause == 0 => {
+                    FetchBehaviour::Answer { status: "current", fields: "ver=1,born=1,note=hit,waited=0" }
+                }
+                _ => FetchBehaviour::OkWithFields {
+                    delay_ms: WORK_MS.max(pause),
+                    fields: "ver=1,born=1,note=hit,waited=0".into(),
+                    body: part_body(seen),
+                },
             }
         },
     )
@@ -118,7 +124,7 @@
     let end = record.len();
     record[end - 12..end - 8].copy_from_slice(&((listed_size(window_ms) * 1000.0) as u32).to_be_bytes());
     record[end - 8..].copy_from_slice(&started.to_be_bytes());
-    log.tell(2, 2, &record);
+    log.publish(2, 2, &record);
     started
 }
 
@@ -134,8 +140,8 @@
 }
 
 /// The most that any window had, as a share of the bound.
-fn highest_share(fetches: &[Seen], started: u64, window_ms: u64) -> f64 {
-    let mut arrived: Vec<u64> = fetches.iter().map(|fetch| fetch.at).collect();
+fn highest_share(fetches: &[ReceivedFetch], started: u64, window_ms: u64) -> f64 {
+    let mut arrived: Vec<u64> = fetches.iter().map(|fetch| fetch.received_ms).collect();
     arrived.sort_unstable();
     let shares = arrived.iter().enumerate().map(|(last, at)| {
         let in_window = arrived[..=last].iter().filter(|other| **other + window_ms > *at).count();
@@ -147,17 +153,17 @@
 /// Plays a restart under a fault for three windows and the fault; gives the highest share of the bound.
 fn play(name: &str, fault: Fault) -> f64 {
     let never = Arc::new(AtomicU64::new(0));
-    let warm: [Cache; 3] = std::array::from_fn(|_| cache(Proof::Yes, &never));
-    let behind = [Cache::full(), Cache::full()];
+    let warm: [Cache; 3] = std::array::from_fn(|_| cache(ProbeBehaviour::Yes, &never));
+    let behind = [Cache::with_all_objects(), Cache::with_all_objects()];
     let paused_until = Arc::new(AtomicU64::new(0));
     let restarted = cache(fault.proof, &paused_until);
     let log = ChangeLog::start();
     let listed = [
-        Listed(EDGE, warm[0].address, "box"),
-        Listed(EDGE_2, warm[1].address, "box"),
-        Listed(0x0f, warm[2].address, "box"),
-        Listed(PARENT, behind[0].address, "parent"),
-        Listed(ORIGIN, behind[1].address, "origin"),
+        ListedServer { id: EDGE, address: warm[0].address, kind: "box" },
+        ListedServer { id: EDGE_2, address: warm[1].address, kind: "box" },
+        ListedServer { id: 0x0f, address: warm[2].address, kind: "box" },
+        ListedServer { id: PARENT, address: behind[0].address, kind: "parent" },
+        ListedServer { id: ORIGIN, address: behind[1].address, kind: "origin" },
     ];
     let mut config = configuration(&listed, log.address);
     settings(&mut config, fault.window_ms);
@@ -165,19 +171,19 @@
     let loads: Vec<Load> =
         (0..CONNECTIONS).map(|n| Load::start(router.address, 7_919 * n, fault.copies_of_ten)).collect();
     let served = || loads.iter().map(|load| load.served.load(Ordering::SeqCst)).sum::<usize>();
-    until("the router has learnt what work takes", || served() >= 2_000);
+    wait_until("the router has learnt what work takes", || served() >= 2_000);
     paused_until.store(unix_ms() + fault.pause_ms, Ordering::SeqCst);
     let started = tell_of_start(&log, restarted.address, fault.window_ms);
     thread::sleep(Duration::from_millis(3 * fault.window_ms + fault.pause_ms));
-    let highest = highest_share(&restarted.all(), started, fault.window_ms);
-    println!("{name}: {} fetches, {highest:.2} of the bound", restarted.count());
+    let highest = highest_share(&restarted.fetches(), started, fault.window_ms);
+    println!("{name}: {} fetches, {highest:.2} of the bound", restarted.fetch_count());
     assert!(highest * bound(0.0) >= LEAST_USED * FIRST_BUDGET, "{name}: no budget was used: {highest:.2}");
     highest
 }
 
 #[test]
 fn restarted_cache_is_sent_at_most_its_slow_start_budget_under_faults() {
-    let late = Fault { proof: Proof::Late(Duration::from_millis(150)), window_ms: 250, ..NONE };
+    let late = Fault { proof: ProbeBehaviour::YesAfter(Duration::from_millis(150)), window_ms: 250, ..NONE };
     let paused = Fault { pause_ms: 1_200, window_ms: 3_000, ..NONE };
     let copies = Fault { copies_of_ten: 3, ..NONE };
     let plays = [
--- a/crates/node/tests/crossing/stops.rs
+++ b/crates/node/tests/crossing/stops.rs
@@ -12,16 +12,17 @@
 const WAIT_MS: u64 = 4_000;
 
 /// A router before caches that do this when they are asked whether a connection works.
-fn router_before_caches(proof: Proof) -> (Process, [Cache; 3]) {
-    let all = [(); 3].map(|()| Cache::start_as(move |_| proof, |s| Do::Ok(content(s))));
+fn router_before_caches(proof: ProbeBehaviour) -> (Process, [Cache; 3]) {
+    let all =
+        [(); 3].map(|()| Cache::start_with_probes(move |_| proof, |s| FetchBehaviour::Ok(part_body(s))));
     let log = ChangeLog::start();
-    let mut config = configuration(&three(&all[0], &all[1], &all[2]), log.address);
+    let mut config = configuration(&edge_parent_origin(&all[0], &all[1], &all[2]), log.address);
     config["settings"]["limits"]["connect-timeout"] = json!(20_000.0);
     (router(&config), all)
 }
 
-fn all_fetches(all: &[Cache]) -> Vec<Seen> {
-    all.iter().flat_map(Cache::all).collect()
+fn all_fetches(all: &[Cache]) -> Vec<ReceivedFetch> {
+    all.iter().flat_map(Cache::fetches).collect()
 }
 
 /// What each fetch was told is what its client had left, who asked at that time.
@@ -30,52 +31,52 @@
     assert!(!fetches.is_empty());
     for fetch in fetches {
         let told: u64 = fetch.field("w").expect("a wait").parse().expect("whole milliseconds");
-        let left = (asked + WAIT_MS).saturating_sub(fetch.at);
+        let left = (asked + WAIT_MS).saturating_sub(fetch.received_ms);
         assert!(told <= left + SLACK_MS, "told {told} ms, its client has {left} ms left");
     }
 }
 
 #[test]
 fn deadline_of_a_request_received_during_a_pause_counts_from_its_arrival() {
-    let (router, all) = router_before_caches(Proof::Yes);
+    let (router, all) = router_before_caches(ProbeBehaviour::Yes);
     let mut client = router.client();
-    assert_eq!(client.settle(), []);
+    assert_eq!(client.answers_before_pong(), []);
     router.signal("STOP");
     let asked = unix_ms();
-    client.ask_for(WAIT_MS, 1, "pages", 1, "", b"");
+    client.send_request_with_deadline(WAIT_MS, 1, "pages", 1, "", b"");
     std::thread::sleep(STOPPED);
     router.signal("CONT");
-    assert_eq!(client.must().tag, 1);
+    assert_eq!(client.expect_answer().tag, 1);
     assert_remaining_deadline(&all, asked);
 }
 
 #[test]
 fn deadline_of_an_attempt_that_waited_for_its_connection_is_reduced_by_the_wait() {
-    let (router, all) = router_before_caches(Proof::Held);
+    let (router, all) = router_before_caches(ProbeBehaviour::BlockThenYes);
     let mut client = router.client();
     let asked = unix_ms();
-    client.ask_for(WAIT_MS, 1, "pages", 1, "", b"");
-    until("it waits for its connection", || router.counter("attempts") == 1);
+    client.send_request_with_deadline(WAIT_MS, 1, "pages", 1, "", b"");
+    wait_until("it waits for its connection", || router.counter("attempts") == 1);
     std::thread::sleep(STOPPED);
-    all.iter().for_each(|cache| cache.go_on.store(true, std::sync::atomic::Ordering::SeqCst));
-    assert_eq!(client.must().tag, 1);
+    all.iter().for_each(|cache| cache.resume.store(true, std::sync::atomic::Ordering::SeqCst));
+    assert_eq!(client.expect_answer().tag, 1);
     assert_remaining_deadline(&all, asked);
 }
 
 #[test]
 fn request_whose_client_left_during_a_pause_is_not_sent() {
     for _ in 0..3 {
-        let (router, all) = router_before_caches(Proof::Held);
+        let (router, all) = router_before_caches(ProbeBehaviour::BlockThenYes);
         let mut client = router.client();
-        client.ask_for(WAIT_MS, 1, "pages", 1, "", b"");
-        until("it waits for its connection", || router.counter("attempts") == 1);
+        client.send_request_with_deadline(WAIT_MS, 1, "pages", 1, "", b"");
+        wait_until("it waits for its connection", || router.counter("attempts") == 1);
         router.signal("STOP");
-        all.iter().for_each(|cache| cache.go_on.store(true, std::sync::atomic::Ordering::SeqCst));
+        all.iter().for_each(|cache| cache.resume.store(true, std::sync::atomic::Ordering::SeqCst));
         std::thread::sleep(Duration::from_millis(300));
         drop(client);
         std::thread::sleep(Duration::from_millis(300));
         router.signal("CONT");
-        until("the router hears that its client left", || router.counter("left") == 1);
+        wait_until("the router hears that its client left", || router.counter("left") == 1);
         assert_eq!(all_fetches(&all).len(), 0, "an attempt began though its client had left");
     }
 }
--- a/crates/node/tests/crossing/watches.rs
+++ b/crates/node/tests/crossing/watches.rs
@@ -19,8 +19,9 @@
 }
 
 fn rig_of(log: ChangeLog, change: impl FnOnce(&mut Value)) -> Rig {
-    let (edge, origin) = (Cache::full(), Cache::full());
-    let mut config = configuration(&three(&edge, &Cache::full(), &origin), log.address);
+    let (edge, origin) = (Cache::with_all_objects(), Cache::with_all_objects());
+    let mut config =
+        configuration(&edge_parent_origin(&edge, &Cache::with_all_objects(), &origin), log.address);
     // On a busy machine a connection takes its time.
     config["settings"]["limits"]["connect-timeout"] = json!(20_000.0);
     change(&mut config);
@@ -38,54 +39,54 @@
 
 /// How often it was asked.
 fn connection_count(log: &ChangeLog) -> usize {
-    log.asked.lock().expect("lock").len()
+    log.resume_positions.lock().expect("lock").len()
 }
 
 #[test]
 fn missing_event_named_by_empty_frames_is_requested_again() {
     let rig = rig();
-    until("it is followed", || connection_count(&rig.log) == 1);
-    rig.log.names_last.store(true, Ordering::SeqCst);
-    rig.log.starved.store(1, Ordering::SeqCst);
-    rig.log.tell(2, 3, &purge(77));
-    until("the event is told", || rig.router.counter("purges") == 1);
+    wait_until("it is followed", || connection_count(&rig.log) == 1);
+    rig.log.heartbeats_carry_newest.store(true, Ordering::SeqCst);
+    rig.log.events_withheld_up_to.store(1, Ordering::SeqCst);
+    rig.log.publish(2, 3, &purge(77));
+    wait_until("the event is told", || rig.router.counter("purges") == 1);
     assert_eq!((connection_count(&rig.log), rig.router.counter("log_behind")), (2, 1));
     assert_eq!(
-        rig.log.asked.lock().expect("lock")[..],
+        rig.log.resume_positions.lock().expect("lock")[..],
         [1, 1],
         "asked for what comes after the last that is known"
     );
     // The one that was asked runs from now on, and tells what comes.
-    rig.log.tell(3, 3, &purge(78));
-    until("the next is told", || rig.router.counter("purges") == 2);
+    rig.log.publish(3, 3, &purge(78));
+    wait_until("the next is told", || rig.router.counter("purges") == 2);
 }
 
 #[test]
 fn rechecks_for_an_event_that_never_comes_back_off() {
     let start = Instant::now();
     let rig = rig();
-    until("it is followed", || connection_count(&rig.log) == 1);
-    rig.log.names_last.store(true, Ordering::SeqCst);
-    rig.log.starved.store(usize::MAX, Ordering::SeqCst);
-    rig.log.tell(2, 3, &purge(77));
+    wait_until("it is followed", || connection_count(&rig.log) == 1);
+    rig.log.heartbeats_carry_newest.store(true, Ordering::SeqCst);
+    rig.log.events_withheld_up_to.store(usize::MAX, Ordering::SeqCst);
+    rig.log.publish(2, 3, &purge(77));
     // After 0.1, 0.2, 0.4, 0.8 and 1.6 s more.
-    until("it is asked some times", || connection_count(&rig.log) >= 6);
+    wait_until("it is asked some times", || connection_count(&rig.log) >= 6);
     assert!(start.elapsed() >= Duration::from_millis(3100), "{:?}", start.elapsed());
     assert_eq!(rig.router.counter("purges"), 0);
     let asked = connection_count(&rig.log);
-    rig.log.starved.store(0, Ordering::SeqCst);
-    until("what it then tells is heard", || rig.router.counter("purges") == 1);
+    rig.log.events_withheld_up_to.store(0, Ordering::SeqCst);
+    wait_until("what it then tells is heard", || rig.router.counter("purges") == 1);
     assert!(connection_count(&rig.log) <= asked + 1, "on a connection that was open");
 }
 
 #[test]
 fn silent_reconnect_is_replaced_by_another_connection() {
     let rig = rig();
-    until("it is followed", || connection_count(&rig.log) == 1);
+    wait_until("it is followed", || connection_count(&rig.log) == 1);
     let stopped = Instant::now();
-    rig.log.mute.store(2, Ordering::SeqCst);
-    rig.log.tell(2, 3, &purge(77));
-    until("the event is told", || rig.router.counter("purges") == 1);
+    rig.log.silent_up_to.store(2, Ordering::SeqCst);
+    rig.log.publish(2, 3, &purge(77));
+    wait_until("the event is told", || rig.router.counter("purges") == 1);
     // A watch that stopped counts as told after 4 s.
     assert!(stopped.elapsed() < Duration::from_secs(4), "{:?}", stopped.elapsed());
     assert_eq!((connection_count(&rig.log), rig.router.counter("log_quiet")), (3, 2));
@@ -97,15 +98,15 @@
 fn reload(rig: &mut Rig, at: SocketAddr) {
     let before = rig.router.counter("reloads");
     rig.config["changelog"] = json!(at.to_string());
-    rig.router.rewrite(&rig.config.to_string());
+    rig.router.write_configuration(&rig.config.to_string());
     rig.router.signal("HUP");
-    until("it is read", || rig.router.counter("reloads") == before + 1);
+    wait_until("it is read", || rig.router.counter("reloads") == before + 1);
 }
 
 #[test]
 fn reload_in_the_middle_of_a_frame_loses_and_repeats_no_event() {
     let mut rig = rig();
-    until("it is followed", || connection_count(&rig.log) == 1);
+    wait_until("it is followed", || connection_count(&rig.log) == 1);
     // The next one begins event 3, and then nothing more comes of it.
     let half = TcpListener::bind("127.0.0.1:0").expect("a port");
     reload(&mut rig, half.local_addr().expect("an address"));
@@ -122,14 +123,14 @@
     assert_eq!(u64::from_be_bytes(from), 1);
     let third = frame(3, 3, &purge(3));
     socket.write_all(&[&frame(2, 3, &purge(2)), &third[..third.len() - 1]].concat()).expect("written");
-    until("event 2 is told", || rig.router.counter("purges") == 1);
-    (2..=4).for_each(|n| rig.log.tell(n, 3, &purge(n)));
+    wait_until("event 2 is told", || rig.router.counter("purges") == 1);
+    (2..=4).for_each(|n| rig.log.publish(n, 3, &purge(n)));
     let back = rig.log.address;
     reload(&mut rig, back);
-    until("the rest is told", || rig.router.counter("purges") == 3);
-    assert_eq!(rig.log.asked.lock().expect("lock")[..], [1, 2], "from the last whole event on");
+    wait_until("the rest is told", || rig.router.counter("purges") == 3);
+    assert_eq!(rig.log.resume_positions.lock().expect("lock")[..], [1, 2], "from the last whole event on");
     // The connection is left, not kept for what may still come on it.
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    socket.set_read_timeout(Some(WAIT_LIMIT)).expect("a time-out");
     assert!(matches!(socket.read(&mut from), Ok(0) | Err(_)));
     assert_eq!(rig.router.counter("purges"), 3);
 }
@@ -137,19 +138,19 @@
 #[test]
 fn event_on_a_connection_being_replaced_is_notified_once() {
     let mut rig = rig();
-    until("it is followed", || connection_count(&rig.log) == 1);
+    wait_until("it is followed", || connection_count(&rig.log) == 1);
     let other = ChangeLog::start();
-    (2..=5).for_each(|n| other.tell(n, 3, &purge(n)));
+    (2..=5).for_each(|n| other.publish(n, 3, &purge(n)));
     // All in one moment: two events on the old connection, and that it is to be left.
     rig.router.signal("STOP");
-    (2..=3).for_each(|n| rig.log.tell(n, 3, &purge(n)));
-    until("they are written", || rig.log.told.load(Ordering::SeqCst) == 3);
+    (2..=3).for_each(|n| rig.log.publish(n, 3, &purge(n)));
+    wait_until("they are written", || rig.log.written_up_to.load(Ordering::SeqCst) == 3);
     rig.config["changelog"] = json!(other.address.to_string());
-    rig.router.rewrite(&rig.config.to_string());
+    rig.router.write_configuration(&rig.config.to_string());
     rig.router.signal("HUP");
     rig.router.signal("CONT");
-    until("all is told", || rig.router.counter("purges") >= 4);
-    until("it is read", || rig.router.counter("reloads") == 1);
+    wait_until("all is told", || rig.router.counter("purges") >= 4);
+    wait_until("it is read", || rig.router.counter("reloads") == 1);
     assert_eq!((rig.router.counter("purges"), connection_count(&other)), (4, 1));
 }
 
@@ -173,7 +174,7 @@
 #[test]
 fn reload_takes_effect_during_connect_and_during_backoff() {
     let mut rig = rig();
-    until("it is followed", || connection_count(&rig.log) == 1);
+    wait_until("it is followed", || connection_count(&rig.log) == 1);
     let (back, silent) = (rig.log.address, full());
     let (_port, gone) = refused_address();
     for (round, elsewhere) in [silent.address, gone].into_iter().enumerate() {
@@ -181,60 +182,60 @@
         reload(&mut rig, elsewhere);
         // It has left, and goes from try to try without an end.
         let lost = rig.router.counter("log_lost");
-        until("tries fail", || rig.router.counter("log_lost") >= lost + 2);
-        rig.log.tell(2 + round, 3, &purge(round));
+        wait_until("tries fail", || rig.router.counter("log_lost") >= lost + 2);
+        rig.log.publish(2 + round, 3, &purge(round));
         let asked = connection_count(&rig.log);
         reload(&mut rig, back);
-        until("the event is told", || rig.router.counter("purges") == 1 + round);
-        assert_eq!(rig.log.asked.lock().expect("lock")[asked..], [1 + round]);
+        wait_until("the event is told", || rig.router.counter("purges") == 1 + round);
+        assert_eq!(rig.log.resume_positions.lock().expect("lock")[asked..], [1 + round]);
     }
 }
 
 #[test]
 fn concurrent_reloads_end_at_the_last_address() {
     let mut rig = rig();
-    until("it is followed", || connection_count(&rig.log) == 1);
+    wait_until("it is followed", || connection_count(&rig.log) == 1);
     let (back, silent) = (rig.log.address, full());
     let mut quickest = Duration::MAX;
     for round in 0..5 {
         let start = Instant::now();
         reload(&mut rig, silent.address);
-        rig.log.tell(2 + round, 3, &purge(round));
+        rig.log.publish(2 + round, 3, &purge(round));
         reload(&mut rig, back);
-        until("the event is told", || rig.router.counter("purges") == 1 + round);
+        wait_until("the event is told", || rig.router.counter("purges") == 1 + round);
         quickest = quickest.min(start.elapsed());
     }
-    assert_eq!(rig.log.asked.lock().expect("lock")[..], [1, 1, 2, 3, 4, 5]);
+    assert_eq!(rig.log.resume_positions.lock().expect("lock")[..], [1, 1, 2, 3, 4, 5]);
     assert!(quickest < Duration::from_secs(1), "no try at the other address is waited for: {quickest:?}");
 }
 
 #[test]
 fn frame_cut_at_any_byte_is_notified_once_by_the_next_connection() {
     let rig = rig();
-    until("it is followed", || connection_count(&rig.log) == 1);
+    wait_until("it is followed", || connection_count(&rig.log) == 1);
     let whole = frame(2, 3, &purge(2)).len();
     for at in 0..whole {
         let number = 2 + at as u64;
-        *rig.log.cut_at.lock().expect("lock") = Some((number, at));
-        rig.log.tell(number, 3, &purge(number));
-        until("it is told", || rig.router.counter("purges") == 1 + at as u64);
+        *rig.log.cut_after.lock().expect("lock") = Some((number, at));
+        rig.log.publish(number, 3, &purge(number));
+        wait_until("it is told", || rig.router.counter("purges") == 1 + at as u64);
     }
     assert_eq!(rig.router.counter("log_lost"), whole as u64);
     let after: Vec<u64> = (0..=whole as u64).map(|n| n.max(1)).collect();
-    assert_eq!(rig.log.asked.lock().expect("lock")[1..], after[1..]);
+    assert_eq!(rig.log.resume_positions.lock().expect("lock")[1..], after[1..]);
 }
 
 /// Asks for some objects; each gets one answer. Gives how many were served.
 fn request_objects(client: &mut Client, from: u64) -> usize {
     (from..from + 20).for_each(|t| {
-        client.ask(t, "pages", t * 7919, "", b"");
+        client.send_request(t, "pages", t * 7919, "", b"");
     });
-    let answers: Vec<Got> = (0..20).map(|_| client.must()).collect();
+    let answers: Vec<ClientAnswer> = (0..20).map(|_| client.expect_answer()).collect();
     let mut tags: Vec<u64> = answers.iter().map(|g| g.tag).collect();
     tags.sort_unstable();
     assert_eq!(tags, (from..from + 20).collect::<Vec<_>>());
-    assert_eq!(client.settle(), []);
-    answers.iter().filter(|g| g.word == "200").count()
+    assert_eq!(client.answers_before_pong(), []);
+    answers.iter().filter(|g| g.status == "200").count()
 }
 
 // ---- Without the change log ----
@@ -245,8 +246,8 @@
     log.down.store(true, Ordering::SeqCst);
     let rig = rig_of(log, |_| {});
     let mut client = rig.router.client();
-    client.say("PING", 1);
-    assert_eq!(client.must().word, "serving", "what it was started with is a list");
+    client.send_message("PING", 1);
+    assert_eq!(client.expect_answer().status, "serving", "what it was started with is a list");
     assert_eq!(request_objects(&mut client, 2), 20);
 }
 
@@ -256,12 +257,12 @@
     log.down.store(true, Ordering::SeqCst);
     let rig = rig_of(log, |c| c["known"] = json!({"seq": 0, "results": []}));
     // Long enough for the rest between tries to be the longest.
-    until("it has tried some times", || rig.router.counter("log_lost") >= 7);
+    wait_until("it has tried some times", || rig.router.counter("log_lost") >= 7);
     let mut client = rig.router.client();
-    client.say("PING", 1);
-    assert_eq!(client.must().word, "not_serving");
+    client.send_message("PING", 1);
+    assert_eq!(client.expect_answer().status, "not_serving");
     assert_ne!(request_objects(&mut client, 2), 20, "no server is known");
-    rig.log.tell(
+    rig.log.publish(
         1,
         1,
         &[record(EDGE, rig.edge.address, 0, 0), record(ORIGIN, rig.origin.address, 0, 2)].concat(),
@@ -271,8 +272,8 @@
     let mut tag = 1000;
     until_polling("it is ready", || {
         tag += 1;
-        client.say("PING", tag);
-        client.must().word == "serving"
+        client.send_message("PING", tag);
+        client.expect_answer().status == "serving"
     });
     // Nine in ten have 10 s from their start on.
     assert!(back.elapsed() < Duration::from_secs(5), "{:?}", back.elapsed());
@@ -282,32 +283,33 @@
 #[test]
 fn change_log_connects_while_clients_use_every_descriptor() {
     let log = ChangeLog::start();
-    let (edge, origin) = (Cache::full(), Cache::full());
-    let mut config = configuration(&three(&edge, &Cache::full(), &origin), log.address);
+    let (edge, origin) = (Cache::with_all_objects(), Cache::with_all_objects());
+    let mut config =
+        configuration(&edge_parent_origin(&edge, &Cache::with_all_objects(), &origin), log.address);
     config["limits"]["sockets"] = json!(64);
     let router = router_by(&config, "ulimit -n 64; exec \"$0\" serve");
-    until("it is followed", || connection_count(&log) == 1);
+    wait_until("it is followed", || connection_count(&log) == 1);
     log.down.store(true, Ordering::SeqCst);
-    until("discovery is down", || router.counter("log_lost") >= 3);
+    wait_until("discovery is down", || router.counter("log_lost") >= 3);
     // More than there is room for; all ask once and keep their connections for good.
     let idle: Vec<Client> = (0..80)
         .map(|n| {
             let mut client = router.client();
-            client.try_ask(1, "pages", n, "");
+            client.try_send_request(1, "pages", n, "");
             client
         })
         .collect();
     // Of 64, a third are servers' and 16 the process's own.
-    until("the places are taken", || router.counter("clients_now") == 27);
-    log.tell(2, 3, &purge(77));
+    wait_until("the places are taken", || router.counter("clients_now") == 27);
+    log.publish(2, 3, &purge(77));
     log.down.store(false, Ordering::SeqCst);
-    until("the change log is reached again", || router.counter("purges") == 1);
+    wait_until("the change log is reached again", || router.counter("purges") == 1);
     assert_eq!(router.counter("closed_idle"), 0, "not for a place that an idle one left");
     // New clients are served meanwhile, and by connections to servers.
     let mut client = router.client();
-    client.ask(1, "pages", 77, "", b"");
-    assert_eq!(client.must().word, "200");
-    assert!(edge.count() > 0);
+    client.send_request(1, "pages", 77, "", b"");
+    assert_eq!(client.expect_answer().status, "200");
+    assert!(edge.fetch_count() > 0);
     assert!(router.counter("closed_for_room") > 0, "those that made room are counted");
     drop(idle);
 }
--- a/crates/node/tests/crossing/watches/lists.rs
+++ b/crates/node/tests/crossing/watches/lists.rs
@@ -7,8 +7,8 @@
 
 fn listed(rig: &Rig, number: u64, kind: u8, records: &[Vec<u8>]) {
     let before = rig.router.counter("lists");
-    rig.log.tell(number, kind, &records.concat());
-    until("the list is in", || rig.router.counter("lists") == before + 1);
+    rig.log.publish(number, kind, &records.concat());
+    wait_until("the list is in", || rig.router.counter("lists") == before + 1);
 }
 
 #[test]
@@ -16,16 +16,16 @@
     let rig = rig();
     let mut client = rig.router.client();
     assert_eq!(request_objects(&mut client, 1), 20);
-    let before = rig.edge.count();
+    let before = rig.edge.fetch_count();
     assert!(before > 0);
     rig.log.down.store(true, Ordering::SeqCst);
-    until("the break is seen", || rig.router.counter("log_lost") >= 1);
-    rig.log.tell(2, 1, &record(ORIGIN, rig.origin.address, 0, 2));
+    wait_until("the break is seen", || rig.router.counter("log_lost") >= 1);
+    rig.log.publish(2, 1, &record(ORIGIN, rig.origin.address, 0, 2));
     rig.log.down.store(false, Ordering::SeqCst);
-    until("the list is in", || rig.router.counter("lists") == 2);
+    wait_until("the list is in", || rig.router.counter("lists") == 2);
     assert_eq!(rig.router.counter("servers_now"), 1);
     request_objects(&mut client, 101);
-    assert_eq!(rig.edge.count(), before, "nothing to a cache that is no longer listed");
+    assert_eq!(rig.edge.fetch_count(), before, "nothing to a cache that is no longer listed");
     // Without any server each request still has its answer.
     listed(&rig, 3, 1, &[]);
     assert_eq!((rig.router.counter("servers_now"), request_objects(&mut client, 201)), (0, 0));
@@ -40,22 +40,22 @@
     listed(&rig, 4, 2, &changes);
     assert_eq!(rig.router.counter("servers_now"), 3);
     assert_eq!(request_objects(&mut client, 301), 20);
-    assert!(rig.edge.count() > before, "it is back");
+    assert!(rig.edge.fetch_count() > before, "it is back");
 }
 
 #[test]
 fn last_record_of_a_server_in_an_event_wins() {
     let rig = rig();
     let mut client = rig.router.client();
-    let (edge, moved) = (rig.edge.address, Cache::full());
+    let (edge, moved) = (rig.edge.address, Cache::with_all_objects());
     listed(&rig, 2, 2, &[record(EDGE, edge, 1, 0), record(EDGE, moved.address, 0, 0)]);
     assert_eq!(request_objects(&mut client, 1), 20);
-    assert_eq!(rig.edge.count(), 0);
-    let before = moved.count();
+    assert_eq!(rig.edge.fetch_count(), 0);
+    let before = moved.fetch_count();
     assert!(before > 0);
     listed(&rig, 3, 2, &[record(EDGE, moved.address, 0, 0), record(EDGE, moved.address, 1, 0)]);
     request_objects(&mut client, 101);
-    assert_eq!(moved.count(), before, "nothing to a draining cache");
+    assert_eq!(moved.fetch_count(), before, "nothing to a draining cache");
 }
 
 #[test]
@@ -63,19 +63,22 @@
     let rig = rig();
     let mut client = rig.router.client();
     assert_eq!(request_objects(&mut client, 1), 20);
-    let old = rig.edge.conns.load(Ordering::SeqCst);
-    let before = rig.edge.count();
+    let old = rig.edge.connections.load(Ordering::SeqCst);
+    let before = rig.edge.fetch_count();
     listed(&rig, 2, 2, &[record(EDGE, rig.edge.address, 2, 0), record(EDGE_2, rig.edge.address, 0, 0)]);
     assert_eq!(request_objects(&mut client, 101), 20);
-    let since = rig.edge.all().split_off(before);
-    assert!(!since.is_empty() && since.iter().all(|s| s.conn > old), "the old connections are another's");
+    let since = rig.edge.fetches().split_off(before);
+    assert!(
+        !since.is_empty() && since.iter().all(|s| s.connection > old),
+        "the old connections are another's"
+    );
 }
 
 #[test]
 fn drain_read_together_with_requests_takes_effect_first() {
-    let second = Cache::full();
+    let second = Cache::with_all_objects();
     let rig = rig_of(ChangeLog::start(), |c| {
-        with_second(c, &second);
+        add_second_edge(c, &second);
         // What comes in one moment is one batch.
         c["settings"]["tick"] = json!(50.0);
     });
@@ -83,20 +86,20 @@
     for at in 0..5 {
         let from = 1 + 1000 * at;
         assert_eq!(request_objects(&mut client, from), 20);
-        let before = rig.edge.count();
-        assert!(before > 0 && second.count() > 0, "both are in use");
+        let before = rig.edge.fetch_count();
+        assert!(before > 0 && second.fetch_count() > 0, "both are in use");
         let number = 2 + 2 * at;
         let lists = rig.router.counter("lists");
         rig.router.signal("STOP");
-        rig.log.tell(number, 2, &record(EDGE, rig.edge.address, 1, 0));
-        until("the drain is written", || rig.log.told.load(Ordering::SeqCst) == number);
+        rig.log.publish(number, 2, &record(EDGE, rig.edge.address, 1, 0));
+        wait_until("the drain is written", || rig.log.written_up_to.load(Ordering::SeqCst) == number);
         (from + 100..from + 120).for_each(|t| {
-            client.ask(t, "pages", t * 7919, "", b"");
+            client.send_request(t, "pages", t * 7919, "", b"");
         });
         rig.router.signal("CONT");
-        (0..20).for_each(|_| assert_eq!(client.must().word, "200"));
+        (0..20).for_each(|_| assert_eq!(client.expect_answer().status, "200"));
         assert_eq!(rig.router.counter("lists"), lists + 1);
-        assert_eq!(rig.edge.count(), before, "nothing to a draining cache");
+        assert_eq!(rig.edge.fetch_count(), before, "nothing to a draining cache");
         listed(&rig, number + 1, 2, &[record(EDGE, rig.edge.address, 0, 0)]);
     }
 }
--- a/crates/node/tests/fleet/checkouts.rs
+++ b/crates/node/tests/fleet/checkouts.rs
@@ -1,6 +1,6 @@
 //! A checkout is one, through whichever routers it comes, and whoever of them dies.
 
-use crate::common::{until, PATIENCE};
+use crate::common::{wait_until, WAIT_LIMIT};
 use crate::harness::{is_outcome_unknown, is_rejected, start_fleet, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::Final;
 
@@ -100,14 +100,14 @@
         // Its client stays until it is killed.
         let (id, _caller, ask) = if [2, 3].contains(&step) { t.start_checkout(0) } else { asks(&mut t) };
         match step {
-            0 => until("it asks others", || said(&t, 0, 1) > before.0),
-            1 => until("they answer", || said(&t, 0, 1) > before.0 && said(&t, 1, 0) > before.1),
+            0 => wait_until("it asks others", || said(&t, 0, 1) > before.0),
+            1 => wait_until("they answer", || said(&t, 0, 1) > before.0 && said(&t, 1, 0) > before.1),
             2 => {}
             3 => {
                 let ran = said(&t, 0, 1);
-                until("it tells others how it ended", || said(&t, 0, 1) > ran);
+                wait_until("it tells others how it ended", || said(&t, 0, 1) > ran);
             }
-            _ => assert!(t.rig.history.end(ask, PATIENCE).is_some()),
+            _ => assert!(t.rig.history.end(ask, WAIT_LIMIT).is_some()),
         }
         t.rig.kill_wiped(0).expect("a folder");
         let ends = [1, 2].map(|router| t.checkout(router, &id));
