--- a/crates/node/tests/fleet/crossings.rs
+++ b/crates/node/tests/fleet/crossings.rs
@@ -1,6 +1,6 @@
 //! Two events at once, at routers that keep each other's word: a client goes, a promise fails or an end comes while a hold moves.
 
-use crate::common::{binary, until, PATIENCE};
+use crate::common::{binary, wait_until, WAIT_LIMIT};
 use crate::harness::{start_fleet, start_fleet_with, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::{Ask, Caller, Final, Spec};
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
     }
     let resets = |a: usize, b: usize| t.rig.between(a, b).carried().resets;
     let lost = || other_routers(t, router).iter().all(|o| resets(router, *o) + resets(*o, router) > 0);
-    until("its links are reset", lost);
+    wait_until("its links are reset", lost);
 }
 
 fn counter(t: &FleetHarness, router: usize, name: &str) -> f64 {
@@ -42,7 +42,7 @@
     let callers: Vec<Caller> = ids.iter().map(|_| t.caller(router)).collect();
     let rounds = counter(t, router, "holds_rounds") + ids.len() as f64;
     let asks: Vec<_> = callers.iter().zip(ids).map(|(c, id)| c.checkout(id, DEADLINE_MS)).collect();
-    until("keepers are asked for all", || counter(t, router, "holds_rounds") >= rounds);
+    wait_until("keepers are asked for all", || counter(t, router, "holds_rounds") >= rounds);
     other_routers(t, router).iter().for_each(|o| t.rig.between(router, *o).cut(true));
     // Signs of life are few and small; asking is said again until it is answered, and so is taking.
     let more = |now: Vec<u64>, was: &[u64]| now.iter().zip(was).filter(|(n, w)| **n > **w + 300).count() >= 3;
@@ -50,9 +50,9 @@
         other_routers(t, router).iter().map(|o| t.rig.between(*o, router).carried().bytes).collect()
     };
     let before: Vec<u64> = came(t);
-    until("keepers have promised", || more(came(t), &before));
+    wait_until("keepers have promised", || more(came(t), &before));
     let asked = sent_bytes(t, router);
-    until("it says that it takes them", || more(sent_bytes(t, router), &asked));
+    wait_until("it says that it takes them", || more(sent_bytes(t, router), &asked));
     reset_links(t, router);
     asks.into_iter().for_each(|ask| {
         let end = t.wait_for_outcome(ask);
@@ -78,7 +78,7 @@
         if first.is_some_and(|f| f.elapsed() > Duration::from_secs(2)) {
             return;
         }
-        assert!(begun.elapsed() < PATIENCE, "none runs");
+        assert!(begun.elapsed() < WAIT_LIMIT, "none runs");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -114,10 +114,10 @@
     // Its time is over when it has been taken on disks, and before the router has heard so.
     caller.checkout(&id, 450);
     // Who leaves before it is taken in has nothing asked for it.
-    until("it is taken in", || counter(&t, 0, "requests") > taken);
-    until("its keepers are asked", || sent_bytes(&t, 0).iter().zip(&before).any(|(now, was)| now > was));
+    wait_until("it is taken in", || counter(&t, 0, "requests") > taken);
+    wait_until("its keepers are asked", || sent_bytes(&t, 0).iter().zip(&before).any(|(now, was)| now > was));
     caller.leave();
-    until("its time is over", || counter(&t, 0, "holds_unkept_late") > late);
+    wait_until("its time is over", || counter(&t, 0, "holds_unkept_late") > late);
     set_answer_delay(&t, 0, 0.0);
     let end = t.known_outcome(1, &id);
     assert!(matches!(end, Some(Final::Served(_))), "it never ran, and is free again: {end:?}");
@@ -177,7 +177,7 @@
     let file = t.rig.seats[0].folder.ancestors().nth(2).expect("the rig's folder").join("fleet.rules");
     std::fs::write(file, NEW).expect("rules");
     t.rig.seats[0].reload();
-    until("another hears of the offer", || t.rig.seats[1].said(" by r1 is "));
+    wait_until("another hears of the offer", || t.rig.seats[1].said(" by r1 is "));
     t.rig.asked_to_end(0);
     let (mut asks, begun) = (Vec::new(), Instant::now());
     let all_go_by = |t: &FleetHarness, than: u64| {
@@ -200,7 +200,7 @@
             11.. if all_go_by(&t, 1) || taken_back(&t) => break,
             _ => {}
         }
-        assert!(begun.elapsed() < PATIENCE, "no later table: {:?}", t.rig.versions());
+        assert!(begun.elapsed() < WAIT_LIMIT, "no later table: {:?}", t.rig.versions());
         std::thread::sleep(Duration::from_millis(20));
     }
     for (ask, id) in asks {
@@ -210,7 +210,7 @@
     }
     t.wait_until_serving(0);
     assert!(t.rig.heal(), "links are up again");
-    until("all go by one table", || t.rig.versions().len() == 5 && all_go_by(&t, 0));
+    wait_until("all go by one table", || t.rig.versions().len() == 5 && all_go_by(&t, 0));
     for (n, (id, bytes)) in kept.iter().enumerate() {
         t.assert_outcome(n % 5, id, bytes);
         assert_eq!(t.rig.archive.runs(id), 1);
--- a/crates/node/tests/fleet/cuts.rs
+++ b/crates/node/tests/fleet/cuts.rs
@@ -1,6 +1,6 @@
 //! Links that are cut, break what they carry, or lead to a router that is stopped.
 
-use crate::common::until;
+use crate::common::wait_until;
 use crate::harness::{is_outcome_unknown, is_rejected, start_fleet, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::relay::Once;
 use basaltgw_emulator::rig::{Final, Party, Seen};
@@ -77,7 +77,7 @@
     }
     let (id, caller, before) = (t.new_id(), t.caller(0), bytes_sent(&t, 0));
     let ask = caller.checkout(&id, DEADLINE_MS);
-    until("it is sent", || bytes_sent(&t, 0).iter().zip(before).any(|(now, was)| *now > was + FETCH));
+    wait_until("it is sent", || bytes_sent(&t, 0).iter().zip(before).any(|(now, was)| *now > was + FETCH));
     t.rig.stop(0);
     let end = t.checkout(1, &id);
     assert!(is_outcome_unknown(&end), "{end:?}");
--- a/crates/node/tests/fleet/harness.rs
+++ b/crates/node/tests/fleet/harness.rs
@@ -1,6 +1,6 @@
 //! The harness of the fleet's tests: a rig of routers that replicate leases and outcomes, and requests through it.
 
-use crate::common::{binary, until, PATIENCE};
+use crate::common::{binary, wait_until, WAIT_LIMIT};
 use basaltgw_emulator::rig::{check, Ask, Caller, Counted, Final, Limits, Rig, Seen, Spec};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     let rig = Rig::start(spec).expect("a rig");
     let harness = FleetHarness { rig, ids: 0xf1ee7 << 32 };
     (0..harness.rig.len()).for_each(|r| harness.wait_until_serving(r));
-    harness.rig.founded(PATIENCE).expect("a fleet");
+    harness.rig.founded(WAIT_LIMIT).expect("a fleet");
     harness
 }
 
@@ -35,7 +35,7 @@
 
     /// Waits until a router is serving.
     pub fn wait_until_serving(&self, router: usize) {
-        let serves = self.rig.serves(router, PATIENCE);
+        let serves = self.rig.serves(router, WAIT_LIMIT);
         assert!(serves, "router {router} does not serve: {}", tail(&self.rig.seats[router].text()));
     }
 
@@ -49,7 +49,7 @@
 
     /// The outcome of a request: `None` if its connection was lost.
     pub fn wait_for_outcome(&self, ask: Ask) -> Option<Final> {
-        self.rig.history.end(ask, PATIENCE).expect("an end")
+        self.rig.history.end(ask, WAIT_LIMIT).expect("an end")
     }
 
     /// Presents a checkout to a router; returns its outcome.
@@ -72,10 +72,10 @@
         loop {
             let before = self.unavailable_count(router);
             let end = self.checkout(router, id);
-            if !is_outcome_unknown(&end) || begun.elapsed() > PATIENCE {
+            if !is_outcome_unknown(&end) || begun.elapsed() > WAIT_LIMIT {
                 return end;
             }
-            until("it is counted why it does not know", || self.unavailable_count(router) > before);
+            wait_until("it is counted why it does not know", || self.unavailable_count(router) > before);
         }
     }
 
@@ -106,7 +106,7 @@
                     let said =
                         || self.rig.seats.iter().map(|s| s.text()).collect::<Vec<_>>().join("\n----\n");
                     assert!(
-                        begun.elapsed() < PATIENCE,
+                        begun.elapsed() < WAIT_LIMIT,
                         "router {router} never serves again: {end:?}\n{}",
                         said()
                     );
@@ -124,12 +124,12 @@
             match self.checkout(router, &id) {
                 Some(Final::Served(bytes)) => return (id, bytes),
                 end => assert!(
-                    begun.elapsed() < PATIENCE,
+                    begun.elapsed() < WAIT_LIMIT,
                     "router {router}: {end:?}; {}",
                     self.register_counters(router)
                 ),
             }
-            until("it is counted why it did not serve", || self.unavailable_count(router) > before);
+            wait_until("it is counted why it did not serve", || self.unavailable_count(router) > before);
         }
     }
 
@@ -149,13 +149,15 @@
             let (id, caller) = (self.new_id(), self.caller(router));
             let ask = caller.checkout(&id, DEADLINE_MS);
             let ended = || self.rig.history.end(ask, Duration::ZERO);
-            until("the effect runs, or never does", || self.rig.archive.runs(&id) == 1 || ended().is_some());
+            wait_until("the effect runs, or never does", || {
+                self.rig.archive.runs(&id) == 1 || ended().is_some()
+            });
             if self.rig.archive.runs(&id) == 1 {
                 return (id, caller, ask);
             }
             assert!(ended().is_some_and(|e| is_rejected(&e)), "{:?}", ended());
             assert!(
-                begun.elapsed() < PATIENCE,
+                begun.elapsed() < WAIT_LIMIT,
                 "router {router} takes none: {}",
                 self.register_counters(router)
             );
@@ -164,7 +166,7 @@
 
     /// Waits until a request was executed at the archive.
     pub fn wait_until_executed(&self, id: &str) {
-        until("the effect runs", || self.rig.archive.runs(id) == 1);
+        wait_until("the effect runs", || self.rig.archive.runs(id) == 1);
     }
 
     /// Asserts that the history breaks no rule.
@@ -186,7 +188,7 @@
 
     /// Waits until the first purge is so old that ignoring it breaks a rule.
     pub fn wait_until_purge_due(&self) {
-        until("it is to be heeded", || {
+        wait_until("it is to be heeded", || {
             let (events, _) = self.rig.history.events();
             let told = events.iter().find(|e| matches!(e.seen, Seen::Purged { .. })).map(|e| e.at);
             told.is_some_and(|at| self.rig.history.now() > at + Limits::default().heed_ms)
--- a/crates/node/tests/fleet/overlay.rs
+++ b/crates/node/tests/fleet/overlay.rs
@@ -1,6 +1,6 @@
 //! Purges that travel by the overlay between real routers.
 
-use crate::common::{binary, until};
+use crate::common::{binary, wait_until};
 use crate::harness::{start_fleet_with, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::{Final, Spec};
 use serde_json::json;
@@ -9,7 +9,7 @@
 fn with_overlay(routers: usize) -> FleetHarness {
     let more = json!({"limits": {"promise_ms": 2000}, "overlay": {"batch_ms": 100}});
     let t = start_fleet_with(Spec { more, ..Spec::new(binary(), routers) });
-    until("all have neighbours", || (0..routers).all(|r| count(&t, r, "overlay_neighbours") >= 1));
+    wait_until("all have neighbours", || (0..routers).all(|r| count(&t, r, "overlay_neighbours") >= 1));
     t
 }
 
@@ -30,11 +30,11 @@
         let kept: Vec<u64> = (0..routers).map(|r| count(&t, r, "holds_kept")).collect();
         let hearer = routers - 1;
         t.rig.purge(5, &[hearer]);
-        until("all others have heard", || (0..hearer).all(|r| count(&t, r, "purges_from_peers") == 1));
+        wait_until("all others have heard", || (0..hearer).all(|r| count(&t, r, "purges_from_peers") == 1));
         (0..routers).for_each(|r| assert!(matches!(read(&mut t, r, 5), Some(Final::Served(_)))));
         assert_eq!(t.assert_history_with_immediate_purges().purged_reads, routers as u64);
         let said = || (0..routers).map(|r| count(&t, r, "overlay_said")).sum::<u64>();
-        until("the counters are brought up to date", || said() > 0);
+        wait_until("the counters are brought up to date", || said() > 0);
         assert_eq!(said(), 1);
         assert!((0..hearer).all(|r| count(&t, r, "purges_from_peers") == 1));
         assert!((0..routers).all(|r| count(&t, r, "holds_kept") == kept[r]));
@@ -47,11 +47,13 @@
     assert!(matches!(read(&mut t, 1, 5), Some(Final::Served(_))));
     t.rig.kill(1);
     t.rig.purge(5, &[0]);
-    until("the others have heard", || [2, 3, 4].into_iter().all(|r| count(&t, r, "purges_from_peers") == 1));
+    wait_until("the others have heard", || {
+        [2, 3, 4].into_iter().all(|r| count(&t, r, "purges_from_peers") == 1)
+    });
     t.rig.begin(1).expect("a router");
     t.wait_until_serving(1);
     assert!(matches!(read(&mut t, 1, 5), Some(Final::Served(_))));
-    until("it has learnt it", || count(&t, 1, "purges_from_peers") == 1);
+    wait_until("it has learnt it", || count(&t, 1, "purges_from_peers") == 1);
     t.wait_until_purge_due();
     assert!(matches!(read(&mut t, 1, 5), Some(Final::Served(_))));
     let said = t.rig.seats[1].text();
--- a/crates/node/tests/fleet/purges.rs
+++ b/crates/node/tests/fleet/purges.rs
@@ -1,6 +1,6 @@
 //! A purge that one router heard is kept by all, whoever restarts.
 
-use crate::common::until;
+use crate::common::wait_until;
 use crate::harness::{start_fleet, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::Final;
 use std::sync::atomic::Ordering;
@@ -17,7 +17,7 @@
     let kept = |t: &FleetHarness| t.rig.counters(0).get("holds_kept").copied().unwrap_or(0.0);
     let before = kept(&t);
     t.rig.purge(5, &[0]);
-    until("it is kept", || kept(&t) > before);
+    wait_until("it is kept", || kept(&t) > before);
     t.rig.logs.iter().for_each(|l| l.down.store(true, Ordering::SeqCst));
     t.rig.kill_wiped(0).expect("a folder");
     t.rig.kill(1);
--- a/crates/node/tests/fleet/sparse.rs
+++ b/crates/node/tests/fleet/sparse.rs
@@ -1,6 +1,6 @@
 //! Routers with standing links: few each, others as they are needed, and every word kept as over a mesh.
 
-use crate::common::{binary, until};
+use crate::common::{binary, wait_until};
 use crate::harness::{is_outcome_unknown, is_rejected, start_fleet_with, FleetHarness, DEADLINE_MS};
 use basaltgw_emulator::rig::{Final, Spec};
 use serde_json::{json, Value};
@@ -36,8 +36,8 @@
 
 /// Waits until the links of a founding, or of a table, have gone.
 fn wait_until_idle(t: &FleetHarness) {
-    until("links are few", || links(t).iter().sum::<u64>() < (ROUTERS * (ROUTERS - 1)) as u64 * 9 / 10);
-    until("all have neighbours", || (0..ROUTERS).all(|r| count(t, r, "overlay_neighbours") >= 1));
+    wait_until("links are few", || links(t).iter().sum::<u64>() < (ROUTERS * (ROUTERS - 1)) as u64 * 9 / 10);
+    wait_until("all have neighbours", || (0..ROUTERS).all(|r| count(t, r, "overlay_neighbours") >= 1));
 }
 
 fn count(t: &FleetHarness, router: usize, name: &str) -> u64 {
@@ -70,7 +70,7 @@
     let kept: Vec<_> = (0..3 * ROUTERS).map(|n| t.serve_eventually(n % ROUTERS)).collect();
     assert_same_outcomes(&t, &kept);
     println!("links after {} checkouts: {:?}", kept.len(), links(&t));
-    until("links have gone again", || (0..ROUTERS).map(|r| count(&t, r, "peer_idle")).sum::<u64>() > 0);
+    wait_until("links have gone again", || (0..ROUTERS).map(|r| count(&t, r, "peer_idle")).sum::<u64>() > 0);
     wait_until_idle(&t);
     println!("links at rest again: {:?}", links(&t));
     assert!((0..ROUTERS).all(|r| count(&t, r, "links_gone") == 0 && count(&t, r, "table_version") == 1));
@@ -85,7 +85,7 @@
     (0..ROUTERS).for_each(|r| assert!(matches!(read(&mut t, r, 5), Some(Final::Served(_)))));
     t.rig.purge(5, &[7]);
     let others = || (0..ROUTERS).filter(|r| *r != 7);
-    until("all others have heard", || others().all(|r| count(&t, r, "purges_from_peers") == 1));
+    wait_until("all others have heard", || others().all(|r| count(&t, r, "purges_from_peers") == 1));
     (0..ROUTERS).for_each(|r| assert!(matches!(read(&mut t, r, 5), Some(Final::Served(_)))));
     assert_eq!(t.assert_history_with_immediate_purges().purged_reads, ROUTERS as u64);
 }
@@ -237,7 +237,7 @@
         t.serve_eventually(r);
         assert_eq!(t.checkout(r, &id), Some(Final::Served(bytes.clone())));
     }
-    until("the purge is heard", || (1..ROUTERS).all(|r| count(&t, r, "purges_from_peers") >= 1));
+    wait_until("the purge is heard", || (1..ROUTERS).all(|r| count(&t, r, "purges_from_peers") >= 1));
     assert_same_outcomes(&t, &kept);
     for (id, end) in &asked {
         if let Some(Final::Served(_)) = end {
@@ -266,7 +266,7 @@
                 let before: Vec<u64> = (0..ROUTERS).map(|r| count(&t, r, "purges_from_peers")).collect();
                 t.rig.purge(object, &[r]);
                 let heard = |o: usize| count(&t, o, "purges_from_peers") > before[o];
-                until("all others have heard", || (0..ROUTERS).filter(|o| *o != r).all(heard));
+                wait_until("all others have heard", || (0..ROUTERS).filter(|o| *o != r).all(heard));
             }
         }
         assert_same_outcomes(&t, &kept);
@@ -275,6 +275,6 @@
             println!("links at rest: {:?}", links(&t));
         }
     }
-    until("all are linked again", || links(&t).iter().all(|l| *l == ROUTERS as u64 - 1));
+    wait_until("all are linked again", || links(&t).iter().all(|l| *l == ROUTERS as u64 - 1));
     t.assert_history();
 }
--- a/crates/node/tests/fleet/stopped.rs
+++ b/crates/node/tests/fleet/stopped.rs
@@ -1,6 +1,6 @@
 //! A router that was stopped while it asked for a promise.
 
-use crate::common::until;
+use crate::common::wait_until;
 use crate::harness::{start_fleet, DEADLINE_MS};
 
 #[test]
@@ -12,7 +12,7 @@
     let (id, caller) = (t.new_id(), t.caller(0));
     let before = t.rig.between(0, 1).carried().taken;
     let ask = caller.checkout(&id, DEADLINE_MS);
-    until("its keepers are asked", || t.rig.between(0, 1).carried().taken > before);
+    wait_until("its keepers are asked", || t.rig.between(0, 1).carried().taken > before);
     t.rig.stop(0);
     let ends = [1, 2].map(|router| t.checkout(router, &id));
     assert!(ends.iter().all(Option::is_some), "{ends:?}");
--- a/crates/node/tests/gather.rs
+++ b/crates/node/tests/gather.rs
@@ -46,7 +46,11 @@
             Cache::start(move |s| {
                 let version = version.load(Ordering::SeqCst);
                 let fields = format!("ver=v{version},born={born},note=hit,waited=0");
-                Do::OkWith(0, fields, bytes(s.field("p").unwrap_or("?"), &branch))
+                FetchBehaviour::OkWithFields {
+                    delay_ms: 0,
+                    fields,
+                    body: bytes(s.field("p").unwrap_or("?"), &branch),
+                }
             })
         };
         let caches = (0..3).map(cache).collect();
@@ -57,7 +61,7 @@
             Self { spec, _ports, listen, routers, caches, versions, log: ChangeLog::start(), dir };
         (0..3).for_each(|r| three.begin(r));
         (0..3).for_each(|r| three.serves(r));
-        until("all are met, and a table is adopted", || {
+        wait_until("all are met, and a table is adopted", || {
             (0..3).all(|r| {
                 let router = three.routers[r].as_ref().expect("a router");
                 router.counter("peers_up") == 2 && router.counter("table_version") >= 1
@@ -72,20 +76,20 @@
         std::fs::create_dir_all(&folder).expect("a folder");
         std::fs::write(&rules, RULES).expect("rules");
         let cache = &self.caches[r];
-        let mut config = configuration(&three(cache, cache, cache), self.log.address);
+        let mut config = configuration(&edge_parent_origin(cache, cache, cache), self.log.address);
         config["name"] = json!(name(r));
         config["settings"]["peers-total"] = json!(3);
         let peers: Vec<_> = (0..3).filter(|p| *p != r).map(|p| (p, self.listen[p])).collect();
         let text = own(&self.spec, r, self.listen[r], &folder, Some(&rules), &peers);
-        let router = Process::start_in(binary(), &home, r, &config, &text).expect("a router");
+        let router = Process::start_in_dir(binary(), &home, r, &config, &text).expect("a router");
         self.routers[r] = Some(router);
     }
 
     fn serves(&self, r: usize) {
         let mut client = self.router(r).client();
         until_polling("it serves", || {
-            client.say("PING", 999_999);
-            client.must().word == "serving"
+            client.send_message("PING", 999_999);
+            client.expect_answer().status == "serving"
         });
     }
 
@@ -98,24 +102,24 @@
 fn parts_of_three_sites_make_one_answer() {
     let three = Three::start(true);
     let mut client = three.router(0).client();
-    client.ask(1, "pages", 7, ",parts=3@east+0+1@south", b"");
-    let got = client.must();
-    assert_eq!((got.tag, got.word.as_str()), (1, "200"), "{got:?}");
+    client.send_request(1, "pages", 7, ",parts=3@east+0+1@south", b"");
+    let got = client.expect_answer();
+    assert_eq!((got.tag, got.status.as_str()), (1, "200"), "{got:?}");
     let parts = [bytes("3", "east"), bytes("0", "north"), bytes("1", "south")];
     assert_eq!(got.body, parts.concat());
     let [a, b, c] = parts.map(|p| p.len());
     assert_eq!(got.fields, format!("parts=3:{a}+0:{b}+1:{c}"));
-    assert_eq!(client.settle(), []);
+    assert_eq!(client.answers_before_pong(), []);
     for (r, part) in [(0, "0"), (1, "1"), (2, "3")] {
-        let seen = three.caches[r].all();
+        let seen = three.caches[r].fetches();
         assert!(seen.iter().all(|s| s.field("p") == Some(part)) && !seen.is_empty(), "{seen:?}");
     }
     assert_eq!(three.router(0).counter("gathers_whole"), 1);
     assert_eq!(three.router(1).counter("parts_given") + three.router(2).counter("parts_given"), 2);
     // What can't be read, and a branch that the fleet has not, are no request.
     for (tag, wrong) in [(2, "0+0"), (3, "0@nowhere"), (4, "x")] {
-        client.ask(tag, "pages", 7, &format!(",parts={wrong}"), b"");
-        assert_eq!(client.must().word, "500", "{wrong}");
+        client.send_request(tag, "pages", 7, &format!(",parts={wrong}"), b"");
+        assert_eq!(client.expect_answer().status, "500", "{wrong}");
     }
     assert_eq!(three.router(0).counter("gathers"), 1);
 }
@@ -126,9 +130,9 @@
     three.routers[2] = None;
     let mut client = three.router(0).client();
     let begun = Instant::now();
-    client.ask(1, "pages", 9, ",parts=0+1@south+2@east", b"");
-    let got = client.must();
-    assert_eq!(got.word, "206", "{got:?}");
+    client.send_request(1, "pages", 9, ",parts=0+1@south+2@east", b"");
+    let got = client.expect_answer();
+    assert_eq!(got.status, "206", "{got:?}");
     assert!(begun.elapsed() < Duration::from_millis(3_000), "long before the deadline");
     assert_eq!(got.field("missing").as_deref(), Some("2"));
     assert_eq!(got.body, [bytes("0", "north"), bytes("1", "south")].concat());
@@ -137,10 +141,10 @@
     assert_eq!(three.router(0).counter("debts_kept"), 1);
     // What is not owed under it is not given under it.
     let mut other = three.router(1).client();
-    other.ask(1, "pages", 9, &format!(",parts=1,debt={debt}"), b"");
-    assert_eq!(other.must().word, "500");
-    other.ask(2, "pages", 10, &format!(",parts=2@east,debt={debt}"), b"");
-    assert_eq!(other.must().word, "500");
+    other.send_request(1, "pages", 9, &format!(",parts=1,debt={debt}"), b"");
+    assert_eq!(other.expect_answer().status, "500");
+    other.send_request(2, "pages", 10, &format!(",parts=2@east,debt={debt}"), b"");
+    assert_eq!(other.expect_answer().status, "500");
     assert_eq!(three.router(1).counter("debts_unknown"), 2);
     // It returns with another version, which does not go with what was given.
     three.versions[2].store(2, Ordering::SeqCst);
@@ -150,22 +154,22 @@
     let mut tag = 0;
     let mut ask = || {
         tag += 1;
-        other.ask(tag, "pages", 9, &format!(",parts=2@east,debt={debt}"), b"");
-        other.must()
+        other.send_request(tag, "pages", 9, &format!(",parts=2@east,debt={debt}"), b"");
+        other.expect_answer()
     };
     until_polling("the other version is had", || {
-        assert_ne!(ask().word, "200");
-        three.caches[2].count() > 0
+        assert_ne!(ask().status, "200");
+        three.caches[2].fetch_count() > 0
     });
     three.versions[2].store(1, Ordering::SeqCst);
     let mut paid = None;
     until_polling("the rest is had", || {
         let got = ask();
-        paid = (got.word == "200").then_some(got.body);
+        paid = (got.status == "200").then_some(got.body);
         paid.is_some()
     });
     assert_eq!(paid, Some(bytes("2", "east")));
-    until_polling("the debt is over", || ask().word == "500");
+    until_polling("the debt is over", || ask().status == "500");
     assert!(three.router(1).counter("debts_paid") >= 1);
 }
 
@@ -173,12 +177,12 @@
 fn non_idempotent_request_is_never_split() {
     let three = Three::start(true);
     let mut client = three.router(0).client();
-    client.ask(1, "loan", 7, ",parts=0+1@south", b"");
-    assert_eq!(client.must().word, "500");
-    client.ask(2, "loan", 7, ",parts=0+1", b"borrow");
-    assert_eq!(client.must().word, "500");
-    assert_eq!(client.settle(), []);
-    assert!(three.caches.iter().all(|c| c.all().is_empty()));
+    client.send_request(1, "loan", 7, ",parts=0+1@south", b"");
+    assert_eq!(client.expect_answer().status, "500");
+    client.send_request(2, "loan", 7, ",parts=0+1", b"borrow");
+    assert_eq!(client.expect_answer().status, "500");
+    assert_eq!(client.answers_before_pong(), []);
+    assert!(three.caches.iter().all(|c| c.fetches().is_empty()));
     assert_eq!(three.router(0).counter("gathers_failed"), 1);
 }
 
@@ -186,12 +190,12 @@
 fn parts_field_is_ignored_where_scatter_gather_is_off() {
     let three = Three::start(false);
     let mut client = three.router(0).client();
-    client.ask(1, "pages", 7, ",parts=0+1@south", b"");
-    let got = client.must();
-    assert_eq!((got.word.as_str(), got.fields.as_str()), ("200", ""), "{got:?}");
+    client.send_request(1, "pages", 7, ",parts=0+1@south", b"");
+    let got = client.expect_answer();
+    assert_eq!((got.status.as_str(), got.fields.as_str()), ("200", ""), "{got:?}");
     assert_eq!(got.body, bytes("0", "north"));
-    assert!(three.caches[1].all().is_empty());
-    assert!(!three.router(0).text().contains("gathers="));
+    assert!(three.caches[1].fetches().is_empty());
+    assert!(!three.router(0).log_text().contains("gathers="));
 }
 
 #[test]
@@ -200,16 +204,16 @@
     three.router(2).signal("STOP");
     let mut client = three.router(0).client();
     let begun = Instant::now();
-    client.ask(1, "pages", 9, ",parts=0+1@south+2@east", b"");
-    let got = client.must();
+    client.send_request(1, "pages", 9, ",parts=0+1@south+2@east", b"");
+    let got = client.expect_answer();
     assert!(begun.elapsed() < Duration::from_millis(3_000), "long before the deadline");
-    assert_eq!((got.word.as_str(), got.field("missing").as_deref()), ("206", Some("2")), "{got:?}");
+    assert_eq!((got.status.as_str(), got.field("missing").as_deref()), ("206", Some("2")), "{got:?}");
     assert_eq!(three.router(0).counter("parts_wanted"), 2, "it was asked, on a link that was up");
     // All is needed of a part alone, so that one waits.
-    client.ask(2, "pages", 9, ",parts=2@east", b"");
-    client.say("UNDO", 2);
-    let rest = client.settle();
-    assert!(rest.iter().all(|g| g.word != "200"), "{rest:?}");
+    client.send_request(2, "pages", 9, ",parts=2@east", b"");
+    client.send_message("UNDO", 2);
+    let rest = client.answers_before_pong();
+    assert!(rest.iter().all(|g| g.status != "200"), "{rest:?}");
     let ended = |c: &str| three.router(0).counter(c);
     assert_eq!(ended("gathers_left") + rest.len() as u64, 1);
     three.router(2).signal("CONT");
--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -51,7 +51,7 @@
     for (many, why) in [
         (Many { routers: 2, ..three() }, "from 3 to 200 routers, not 2"),
         (Many { routers: 201, ..three() }, "from 3 to 200 routers, not 201"),
-        (Many::new(Path::new("/nowhere/basaltgw"), 3), "a router does not listen"),
+        (Many::new(Path::new("/nowhere/basaltgw"), 3), "the router ended before it was listening"),
     ] {
         let said = measure(&many).expect_err("an error");
         assert!(said.contains(why), "{said}");
--- a/crates/node/tests/placement.rs
+++ b/crates/node/tests/placement.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use basaltgw_emulator::rig::{Final, Rig, Spec};
-use common::{binary, configuration, run, text, until, ChangeLog, PATIENCE};
+use common::{binary, configuration, run, text, wait_until, ChangeLog, WAIT_LIMIT};
 use std::path::{Path, PathBuf};
 
 const WITHIN: u64 = 4_000;
@@ -85,8 +85,8 @@
 /// A founded fleet of three, with a checkout that the first has served.
 fn bootstrapped_fleet() -> (Rig, String, Vec<u8>) {
     let rig = Rig::start(Spec { rules: Some(FOUNDED.into()), ..Spec::new(binary(), 3) }).expect("a rig");
-    (0..rig.len()).for_each(|r| assert!(rig.serves(r, PATIENCE), "{}", rig.seats[r].text()));
-    rig.founded(PATIENCE).expect("a fleet");
+    (0..rig.len()).for_each(|r| assert!(rig.serves(r, WAIT_LIMIT), "{}", rig.seats[r].text()));
+    rig.founded(WAIT_LIMIT).expect("a fleet");
     let id = format!("{:016x}", 0x91ace);
     match checkout(&rig, 0, &id) {
         Some(Final::Served(bytes)) => (rig, id, bytes),
@@ -103,7 +103,7 @@
 
 fn checkout(rig: &Rig, router: usize, id: &str) -> Option<Final> {
     let caller = rig.caller(router).expect("a connection");
-    rig.history.end(caller.checkout(id, WITHIN), PATIENCE).expect("an end")
+    rig.history.end(caller.checkout(id, WITHIN), WAIT_LIMIT).expect("an end")
 }
 
 fn version(rig: &Rig, router: usize) -> f64 {
@@ -117,20 +117,20 @@
     // What can't be met is refused with its place, and nothing changes.
     std::fs::write(&file, FOUNDED.replace("copies 3", "copies 5")).expect("a file");
     rig.seats[0].reload();
-    until("the rules are refused", || rig.seats[0].said("fleet.rules:1:"));
-    until("that is counted", || rig.counters(0).get("reloads_refused") == Some(&1.0));
+    wait_until("the rules are refused", || rig.seats[0].said("fleet.rules:1:"));
+    wait_until("that is counted", || rig.counters(0).get("reloads_refused") == Some(&1.0));
     // Neither are rules taken that come with another change of the section.
     let own = rig.seats[0].folder.with_file_name("router-0.yaml");
     let before = std::fs::read_to_string(&own).expect("a file");
     std::fs::write(&own, before.replace("\"copies\": 3", "\"copies\": 3, \"shards\": 9")).expect("a file");
     std::fs::write(&file, NEW).expect("a file");
     rig.seats[0].reload();
-    until("the change is warned about", || rig.seats[0].said("only the rules of fleet can change"));
+    wait_until("the change is warned about", || rig.seats[0].said("only the rules of fleet can change"));
     assert!(!rig.seats[0].said("proposed to the fleet"));
     std::fs::write(&own, before).expect("a file");
     rig.seats[0].reload();
-    until("all go by the next table", || (0..3).all(|r| version(&rig, r) == 2.0));
-    until("all say so", || (0..3).all(|r| rig.seats[r].said("table: version 2 ")));
+    wait_until("all go by the next table", || (0..3).all(|r| version(&rig, r) == 2.0));
+    wait_until("all say so", || (0..3).all(|r| rig.seats[r].said("table: version 2 ")));
     for router in 0..3 {
         assert_eq!(checkout(&rig, router, &id), Some(Final::Served(bytes.clone())));
         assert_eq!(rig.counters(router).get("tables_refused"), Some(&0.0));
@@ -146,15 +146,15 @@
     rig.stop(2);
     std::fs::write(&file, NEW).expect("a file");
     rig.seats[0].reload();
-    until("the first is offered", || rig.seats[1].said(" by r1 is "));
+    wait_until("the first is offered", || rig.seats[1].said(" by r1 is "));
     std::fs::write(&file, format!("{NEW}# others\n")).expect("a file");
     rig.seats[1].reload();
-    until("the second is refused", || rig.seats[1].said("new rules rejected: "));
+    wait_until("the second is refused", || rig.seats[1].said("new rules rejected: "));
     let said = rig.seats[1].text();
     let refusal = said.lines().find(|l| l.contains("new rules rejected: ")).unwrap_or_default();
     assert!(refusal.contains("r1") && refusal.contains('2'), "{refusal}");
     rig.wake(2);
-    until("all go by the first one's", || (0..3).all(|r| version(&rig, r) == 2.0));
+    wait_until("all go by the first one's", || (0..3).all(|r| version(&rig, r) == 2.0));
     assert_eq!(rig.counters(1).get("tables_refused"), Some(&1.0));
     assert_eq!(checkout(&rig, 1, &id), Some(Final::Served(bytes)));
 }
--- a/crates/node/tests/rig.rs
+++ b/crates/node/tests/rig.rs
@@ -7,7 +7,7 @@
 
 fn rig() -> Rig {
     let rig = Rig::start(Spec { fleet: false, ..Spec::new(binary(), 3) }).expect("a rig");
-    (0..3).for_each(|r| assert!(rig.serves(r, PATIENCE)));
+    (0..3).for_each(|r| assert!(rig.serves(r, WAIT_LIMIT)));
     rig.archive.effect_ms.store(20, std::sync::atomic::Ordering::SeqCst);
     rig
 }
@@ -26,24 +26,24 @@
     let mut rig = rig();
     let served = |end| matches!(end, Some(Some(Final::Served(_))));
     let first = rig.caller(0).expect("a client");
-    assert!(served(rig.history.end(first.checkout("00000000000000a1", 5_000), PATIENCE)));
+    assert!(served(rig.history.end(first.checkout("00000000000000a1", 5_000), WAIT_LIMIT)));
     assert_eq!(broken(&rig), []);
     // It dies with another out; the client resends it.
     rig.archive.effect_ms.store(30_000, std::sync::atomic::Ordering::SeqCst);
     let out = first.checkout("00000000000000a2", 5_000);
-    until("it runs", || rig.archive.runs("00000000000000a2") == 1);
+    wait_until("it runs", || rig.archive.runs("00000000000000a2") == 1);
     rig.kill(0);
-    assert_eq!(rig.history.end(out, PATIENCE), Some(None), "lost with its router");
+    assert_eq!(rig.history.end(out, WAIT_LIMIT), Some(None), "lost with its router");
     rig.archive.effect_ms.store(0, std::sync::atomic::Ordering::SeqCst);
     let second = rig.caller(1).expect("a client");
-    assert!(served(rig.history.end(second.checkout("00000000000000a2", 5_000), PATIENCE)));
+    assert!(served(rig.history.end(second.checkout("00000000000000a2", 5_000), WAIT_LIMIT)));
     assert_eq!(rig.archive.runs("00000000000000a2"), 2);
     assert!(broken(&rig).contains(&Rule::Once));
     // It returns, and clients reach it where they always did.
     rig.begin(0).expect("a router");
-    assert!(rig.serves(0, PATIENCE));
+    assert!(rig.serves(0, WAIT_LIMIT));
     let third = rig.caller(0).expect("a client");
-    assert!(served(rig.history.end(third.checkout("00000000000000a3", 5_000), PATIENCE)));
+    assert!(served(rig.history.end(third.checkout("00000000000000a3", 5_000), WAIT_LIMIT)));
 }
 
 #[test]
@@ -51,18 +51,18 @@
     let mut rig = rig();
     let read = |rig: &Rig, r: usize, id: &str| {
         let caller = rig.caller(r).expect("a client");
-        let end = rig.history.end(caller.read(id, 5, 5_000), PATIENCE);
+        let end = rig.history.end(caller.read(id, 5, 5_000), WAIT_LIMIT);
         assert!(matches!(end, Some(Some(Final::Served(_)))), "{end:?}");
     };
     read(&rig, 0, "00000000000000b1");
     let heard = rig.counters(0)["purges"];
     rig.purge(5, &[0]);
-    until("the purge is heard", || rig.counters(0)["purges"] > heard);
+    wait_until("the purge is heard", || rig.counters(0)["purges"] > heard);
     rig.logs.iter().for_each(|l| l.down.store(true, std::sync::atomic::Ordering::SeqCst));
     rig.kill(0);
     rig.begin(0).expect("a router");
-    assert!(rig.serves(0, PATIENCE));
-    until("the purge is to be heeded", || {
+    assert!(rig.serves(0, WAIT_LIMIT));
+    wait_until("the purge is to be heeded", || {
         let (events, _) = rig.history.events();
         let told = events.iter().find(|e| matches!(e.seen, Seen::Purged { .. })).map(|e| e.at);
         told.is_some_and(|at| rig.history.now() > at + Limits::default().heed_ms)
@@ -79,6 +79,6 @@
     assert!(!caller.serving(std::time::Duration::from_millis(200)));
     assert!(rig.counters(2).is_empty());
     rig.wake(2);
-    assert!(rig.serves(2, PATIENCE));
+    assert!(rig.serves(2, WAIT_LIMIT));
     assert_eq!(broken(&rig), []);
 }
--- a/crates/node/tests/service/servers.rs
+++ b/crates/node/tests/service/servers.rs
@@ -6,18 +6,18 @@
 #[test]
 fn answers_without_an_open_attempt_are_dropped() {
     let edge = Cache::start(|s| match s.field("k") {
-        Some("0000000000000001") => Do::Twice(content(s)),
-        Some("0000000000000002") => Do::Ahead(content(s)),
-        _ => Do::Ok(content(s)),
+        Some("0000000000000001") => FetchBehaviour::OkTwice(part_body(s)),
+        Some("0000000000000002") => FetchBehaviour::OkAfterUnknownId(part_body(s)),
+        _ => FetchBehaviour::Ok(part_body(s)),
     });
     let rig = rig_of(edge, |_| {});
     let mut client = rig.router.client();
     for tag in 1..=3 {
-        client.ask(tag, "pages", tag, "", b"");
-        let got = client.must();
+        client.send_request(tag, "pages", tag, "", b"");
+        let got = client.expect_answer();
         assert_eq!((got.tag, got.body), (tag, format!("{tag:016x}/0").into_bytes()));
     }
-    assert_eq!(client.settle(), []);
+    assert_eq!(client.answers_before_pong(), []);
     assert_eq!((rig.router.counter("late_answers"), rig.router.counter("conns")), (2, 1));
 }
 
@@ -26,44 +26,44 @@
     // Its second copy must not speak for the attempt that follows the first.
     let first = AtomicBool::new(true);
     let edge = Cache::start(move |s| match first.swap(false, Ordering::SeqCst) {
-        true => Do::TwiceWord("nothing"),
-        false => Do::Later(300, content(s)),
+        true => FetchBehaviour::AnswerTwice { status: "nothing" },
+        false => FetchBehaviour::OkAfter { delay_ms: 300, body: part_body(s) },
     });
     let rig = rig_of(edge, |_| {});
     let mut client = rig.router.client();
     assert_served(&mut client, 1);
-    assert_eq!(client.settle(), []);
-    assert_eq!((rig.edge.count(), rig.router.counter("attempts_miss")), (2, 1));
+    assert_eq!(client.answers_before_pong(), []);
+    assert_eq!((rig.edge.fetch_count(), rig.router.counter("attempts_miss")), (2, 1));
     assert_eq!(rig.router.counter("late_answers"), 1);
 }
 
 #[test]
 fn malformed_or_incomplete_answer_closes_its_connection_and_moves_the_other_attempts() {
-    let spoilt: [fn() -> Do; 6] = [
-        || Do::Word("ok", "-"),
-        || Do::Raw(b"*4\r\n$16\r\n"),
-        || Do::Raw(b"*4\r\n$1\r\nx\r\n$2\r\nok\r\n$-5\r\n"),
-        || Do::Raw(b"*4\r\n$1\r\nx\r\n$2\r\nok\r\n$1\r\n-\r\n$3000000000\r\nabc"),
-        || Do::Word("ok", "bé,=,noise"),
-        || Do::Raw(b"\0\x01\x02 noise"),
+    let spoilt: [fn() -> FetchBehaviour; 6] = [
+        || FetchBehaviour::Answer { status: "ok", fields: "-" },
+        || FetchBehaviour::Bytes(b"*4\r\n$16\r\n"),
+        || FetchBehaviour::Bytes(b"*4\r\n$1\r\nx\r\n$2\r\nok\r\n$-5\r\n"),
+        || FetchBehaviour::Bytes(b"*4\r\n$1\r\nx\r\n$2\r\nok\r\n$1\r\n-\r\n$3000000000\r\nabc"),
+        || FetchBehaviour::Answer { status: "ok", fields: "bé,=,noise" },
+        || FetchBehaviour::Bytes(b"\0\x01\x02 noise"),
     ];
     for act in spoilt {
         // The first connection goes bad with its second request and says nothing more.
-        let edge = Cache::start(move |s| match (s.conn, s.field("k")) {
+        let edge = Cache::start(move |s| match (s.connection, s.field("k")) {
             (1, Some("0000000000000002")) => act(),
-            (1, _) => Do::Silent,
-            _ => Do::Ok(content(s)),
+            (1, _) => FetchBehaviour::NoAnswer,
+            _ => FetchBehaviour::Ok(part_body(s)),
         });
-        let second = Cache::full();
-        let rig = rig_of(edge, |c| with_second(c, &second));
+        let second = Cache::with_all_objects();
+        let rig = rig_of(edge, |c| add_second_edge(c, &second));
         let mut client = rig.router.client();
         let start = Instant::now();
-        client.ask(1, "pages", 1, "", b"");
-        client.ask(2, "pages", 2, "", b"");
-        let answers = [client.must(), client.must()];
-        assert!(answers.iter().all(|g| g.word == "200"), "{answers:?}");
+        client.send_request(1, "pages", 1, "", b"");
+        client.send_request(2, "pages", 2, "", b"");
+        let answers = [client.expect_answer(), client.expect_answer()];
+        assert!(answers.iter().all(|g| g.status == "200"), "{answers:?}");
         assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
-        assert_eq!(client.settle(), []);
+        assert_eq!(client.answers_before_pong(), []);
     }
 }
 
@@ -71,74 +71,88 @@
 fn connection_with_an_unanswered_probe_gets_no_request() {
     // The first of all is mute from its start; the machine behind it may be gone.
     let mute = |first: Arc<AtomicBool>| {
-        move |_| if first.swap(false, Ordering::SeqCst) { Proof::Mute } else { Proof::Yes }
+        move |_| {
+            if first.swap(false, Ordering::SeqCst) {
+                ProbeBehaviour::NoAnswer
+            } else {
+                ProbeBehaviour::Yes
+            }
+        }
     };
     let first = Arc::new(AtomicBool::new(true));
     let other = Arc::clone(&first);
-    let edge = Cache::start_as(mute(first), |s| Do::Ok(content(s)));
-    let second = Cache::start_as(mute(other), |s| Do::Ok(content(s)));
+    let edge = Cache::start_with_probes(mute(first), |s| FetchBehaviour::Ok(part_body(s)));
+    let second = Cache::start_with_probes(mute(other), |s| FetchBehaviour::Ok(part_body(s)));
     let rig = rig_of(edge, |c| {
-        with_second(c, &second);
+        add_second_edge(c, &second);
         c["settings"]["limits"]["connect-timeout"] = json!(400.0);
     });
     let mut client = rig.router.client();
     assert_served(&mut client, 1);
-    assert_eq!(rig.edge.count() + second.count(), 1);
+    assert_eq!(rig.edge.fetch_count() + second.fetch_count(), 1);
     assert_eq!(rig.router.counter("attempts_no_connection"), 1);
-    assert_eq!(client.settle(), []);
+    assert_eq!(client.answers_before_pong(), []);
 }
 
 #[test]
 fn write_does_not_share_a_connection() {
-    let origin = Cache::start(|s| Do::Later(200, content(s)));
+    let origin = Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 200, body: part_body(s) });
     let log = ChangeLog::start();
-    let edge = Cache::full();
-    let router = router(&configuration(&three(&edge, &Cache::full(), &origin), log.address));
+    let edge = Cache::with_all_objects();
+    let router =
+        router(&configuration(&edge_parent_origin(&edge, &Cache::with_all_objects(), &origin), log.address));
     let mut client = router.client();
     for tag in 1..=8 {
-        client.ask(tag, "loan", tag, "", b"borrow");
+        client.send_request(tag, "loan", tag, "", b"borrow");
     }
-    let answers: Vec<Got> = (0..8).map(|_| client.must()).collect();
-    assert!(answers.iter().all(|g| g.word == "200"));
-    let mut conns: Vec<usize> = origin.all().iter().map(|s| s.conn).collect();
+    let answers: Vec<ClientAnswer> = (0..8).map(|_| client.expect_answer()).collect();
+    assert!(answers.iter().all(|g| g.status == "200"));
+    let mut conns: Vec<usize> = origin.fetches().iter().map(|s| s.connection).collect();
     conns.sort_unstable();
     conns.dedup();
-    assert_eq!((origin.count(), conns.len()), (8, 8), "each on one of its own");
-    assert_eq!(client.settle(), []);
+    assert_eq!((origin.fetch_count(), conns.len()), (8, 8), "each on one of its own");
+    assert_eq!(client.answers_before_pong(), []);
 }
 
 #[test]
 fn write_on_a_closing_new_or_idle_connection_is_not_executed() {
-    let origin =
-        Cache::start_as(|conn| if conn == 1 { Proof::Cut } else { Proof::Yes }, |s| Do::Ok(content(s)));
-    let parent = Cache::full();
+    let origin = Cache::start_with_probes(
+        |conn| if conn == 1 { ProbeBehaviour::Disconnect } else { ProbeBehaviour::Yes },
+        |s| FetchBehaviour::Ok(part_body(s)),
+    );
+    let parent = Cache::with_all_objects();
     let log = ChangeLog::start();
-    let router = router(&configuration(&three(&Cache::full(), &parent, &origin), log.address));
+    let router = router(&configuration(
+        &edge_parent_origin(&Cache::with_all_objects(), &parent, &origin),
+        log.address,
+    ));
     let mut client = router.client();
-    client.ask(1, "loan", 1, "", b"borrow");
-    assert_eq!(client.must().word, "200", "sent again, since it provably never ran");
-    assert_eq!((parent.count(), origin.count()), (1, 0));
+    client.send_request(1, "loan", 1, "", b"borrow");
+    assert_eq!(client.expect_answer().status, "200", "sent again, since it provably never ran");
+    assert_eq!((parent.fetch_count(), origin.fetch_count()), (1, 0));
     assert_eq!((router.counter("attempts_broken"), router.counter("attempts_not_sent")), (0, 1));
-    assert_eq!(client.settle(), []);
+    assert_eq!(client.answers_before_pong(), []);
 }
 
 #[test]
 fn change_log_cut_in_mid_event_or_repeating_notifies_each_event_once() {
     let rig = rig();
-    until("it is followed", || !rig.log.asked.lock().expect("lock").is_empty());
-    *rig.log.cut.lock().expect("lock") = Some(3);
+    wait_until("it is followed", || !rig.log.resume_positions.lock().expect("lock").is_empty());
+    *rig.log.cut_in_half.lock().expect("lock") = Some(3);
     for (number, object) in [(2, 1), (2, 1), (3, 2), (4, 3), (4, 3)] {
-        rig.log.tell(number, 3, &purge(object));
+        rig.log.publish(number, 3, &purge(object));
     }
-    until("all are told", || rig.router.counter("purges") >= 3);
-    until("it was asked again after the break", || rig.log.asked.lock().expect("lock").contains(&2));
-    rig.log.tell(5, 3, &purge(4));
-    until("the next is told", || rig.router.counter("purges") >= 4);
+    wait_until("all are told", || rig.router.counter("purges") >= 3);
+    wait_until("it was asked again after the break", || {
+        rig.log.resume_positions.lock().expect("lock").contains(&2)
+    });
+    rig.log.publish(5, 3, &purge(4));
+    wait_until("the next is told", || rig.router.counter("purges") >= 4);
     assert_eq!((rig.router.counter("purges"), rig.router.counter("log_lost")), (4, 1));
     let mut client = rig.router.client();
     (1..=5).for_each(|tag| assert_served(&mut client, tag));
-    assert_eq!(client.settle(), []);
-    let bound = rig.edge.all().iter().filter(|s| s.field("oldest").is_some()).count();
+    assert_eq!(client.answers_before_pong(), []);
+    let bound = rig.edge.fetches().iter().filter(|s| s.field("oldest").is_some()).count();
     assert_eq!(bound, 4);
 }
 
@@ -151,11 +165,11 @@
     for round in 0..40u32 {
         let ids = (0..50).map(|n| 0x1000 + 50 * round + n);
         let all = |state: u8| ids.clone().flat_map(|id| record(id, address, state, 0)).collect::<Vec<u8>>();
-        rig.log.tell(u64::from(2 + 2 * round), 2, &all(0));
-        rig.log.tell(u64::from(3 + 2 * round), 2, &all(2));
+        rig.log.publish(u64::from(2 + 2 * round), 2, &all(0));
+        rig.log.publish(u64::from(3 + 2 * round), 2, &all(2));
     }
-    until("2,000 came and went", || rig.router.counter("lists") == 81);
+    wait_until("2,000 came and went", || rig.router.counter("lists") == 81);
     assert_eq!(rig.router.counter("servers_now"), 3);
     assert_served(&mut client, 2);
-    assert_eq!(client.settle(), []);
+    assert_eq!(client.answers_before_pong(), []);
 }
--- a/crates/node/tests/snapshot.rs
+++ b/crates/node/tests/snapshot.rs
@@ -38,20 +38,20 @@
 impl Zone {
     fn new() -> Self {
         Self {
-            slow: Cache::start(|s| Do::Later(150, content(s))),
-            quick: Cache::start(|s| Do::Later(5, content(s))),
-            parent: Cache::full(),
-            origin: Cache::full(),
+            slow: Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 150, body: part_body(s) }),
+            quick: Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 5, body: part_body(s) }),
+            parent: Cache::with_all_objects(),
+            origin: Cache::with_all_objects(),
             log: ChangeLog::start(),
         }
     }
 
     fn config(&self) -> Value {
         let listed = [
-            Listed(EDGE, self.slow.address, "box"),
-            Listed(EDGE_2, self.quick.address, "box"),
-            Listed(PARENT, self.parent.address, "parent"),
-            Listed(ORIGIN, self.origin.address, "origin"),
+            ListedServer { id: EDGE, address: self.slow.address, kind: "box" },
+            ListedServer { id: EDGE_2, address: self.quick.address, kind: "box" },
+            ListedServer { id: PARENT, address: self.parent.address, kind: "parent" },
+            ListedServer { id: ORIGIN, address: self.origin.address, kind: "origin" },
         ];
         configuration(&listed, self.log.address)
     }
@@ -69,37 +69,39 @@
 
 /// Asks for objects one after another; how many of them the slow cache was asked for.
 fn requests_to_slow_cache(client: &mut Client, zone: &Zone, tags: std::ops::Range<u64>) -> usize {
-    let before = zone.slow.count();
+    let before = zone.slow.fetch_count();
     for tag in tags {
-        client.ask(tag, "pages", 0x7000 + tag, "", b"");
-        assert_eq!(client.must().word, "200");
+        client.send_request(tag, "pages", 0x7000 + tag, "", b"");
+        assert_eq!(client.expect_answer().status, "200");
     }
-    zone.slow.count() - before
+    zone.slow.fetch_count() - before
 }
 
 #[test]
 fn restored_snapshot_spares_a_slow_server() {
     let (zone, files) = (Zone::new(), Files::new());
     let mut router = files.start(&zone.config());
-    assert!(router.said("no snapshot at"));
+    assert!(router.has_logged("no snapshot at"));
     // A file that never had a plan is none that has lost it.
     router.signal("HUP");
-    until("it is read again", || router.counter("reloads") == 1);
-    assert!(router.said("reload: change log address") && !router.said("no plan in section hierarchy"));
+    wait_until("it is read again", || router.counter("reloads") == 1);
+    assert!(
+        router.has_logged("reload: change log address") && !router.has_logged("no plan in section hierarchy")
+    );
     let mut client = router.client();
     let unlearnt = requests_to_slow_cache(&mut client, &zone, 1..13);
     requests_to_slow_cache(&mut client, &zone, 13..80);
     router.signal("TERM");
     drop(client);
-    assert!(router.ended().success());
-    assert!(router.said("snapshot of 4 servers written"));
+    assert!(router.expect_exit().success());
+    assert!(router.has_logged("snapshot of 4 servers written"));
     // The other deployment starts with it.
     let router = files.start(&zone.other());
     assert_eq!(router.counter("carried"), 4);
     let mut client = router.client();
     let carried = requests_to_slow_cache(&mut client, &zone, 1..13);
     assert!(unlearnt >= 3 && carried * 2 < unlearnt, "{unlearnt} of 12 without, {carried} with it");
-    assert_eq!(client.settle(), []);
+    assert_eq!(client.answers_before_pong(), []);
 }
 
 #[test]
@@ -107,7 +109,7 @@
     let (zone, files) = (Zone::new(), Files::new());
     let mut router = files.start(&zone.config());
     router.signal("TERM");
-    assert!(router.ended().success());
+    assert!(router.expect_exit().success());
     let whole = std::fs::read_to_string(&files.snapshot).expect("what was left");
     let cut = &whole[..whole.len() / 2];
     for (text, says) in [
@@ -118,11 +120,11 @@
     ] {
         std::fs::write(&files.snapshot, text).expect("a file");
         let router = files.start(&zone.config());
-        assert!(router.said(&format!("snapshot {} ignored", files.snapshot.display())), "{says}");
-        assert!(router.said(says), "{says}");
+        assert!(router.has_logged(&format!("snapshot {} ignored", files.snapshot.display())), "{says}");
+        assert!(router.has_logged(says), "{says}");
         let mut client = router.client();
-        client.ask(1, "pages", 1, "", b"");
-        assert_eq!((client.must().word.as_str(), router.counter("carried")), ("200", 0));
+        client.send_request(1, "pages", 1, "", b"");
+        assert_eq!((client.expect_answer().status.as_str(), router.counter("carried")), ("200", 0));
     }
 }
 
@@ -134,7 +136,7 @@
     requests_to_slow_cache(&mut client, &zone, 1..40);
     router.signal("TERM");
     drop(client);
-    assert!(router.ended().success());
+    assert!(router.expect_exit().success());
     let mut config = zone.config();
     config["known"]["results"][0]["fleet"]["members"][0]["up_since_ms"] = json!(unix_ms());
     let router = files.start(&config);
--- a/crates/node/tests/tree.rs
+++ b/crates/node/tests/tree.rs
@@ -51,19 +51,20 @@
 
 /// An edge cache that fills everything from whom it is told to; two parents; the origin.
 fn config(edge: &Cache, log: &ChangeLog) -> Value {
-    let (parent, other, origin) = (Cache::full(), Cache::full(), Cache::full());
+    let (parent, other, origin) =
+        (Cache::with_all_objects(), Cache::with_all_objects(), Cache::with_all_objects());
     let listed = [
-        Listed(EDGE, edge.address, "box"),
-        Listed(PARENT, parent.address, "parent"),
-        Listed(PARENT_2, other.address, "parent"),
-        Listed(ORIGIN, origin.address, "origin"),
+        ListedServer { id: EDGE, address: edge.address, kind: "box" },
+        ListedServer { id: PARENT, address: parent.address, kind: "parent" },
+        ListedServer { id: PARENT_2, address: other.address, kind: "parent" },
+        ListedServer { id: ORIGIN, address: origin.address, kind: "origin" },
     ];
     configuration(&listed, log.address)
 }
 
-fn filled(s: &Seen) -> Do {
+fn filled(s: &ReceivedFetch) -> FetchBehaviour {
     let _ = s;
-    Do::Word("ok", "ver=1,born=1,note=filled,waited=1")
+    FetchBehaviour::Answer { status: "ok", fields: "ver=1,born=1,note=filled,waited=1" }
 }
 
 fn start(config: &Value, own: &Own) -> Process {
@@ -72,12 +73,12 @@
 
 /// Asks for objects one after another; the sources that the edge cache was told since then.
 fn sources(client: &mut Client, edge: &Cache, tags: std::ops::Range<u64>) -> BTreeSet<String> {
-    let before = edge.count();
+    let before = edge.fetch_count();
     for tag in tags {
-        client.ask(tag, "pages", 0x5000 + tag, "", b"");
-        assert_eq!(client.must().word, "200");
+        client.send_request(tag, "pages", 0x5000 + tag, "", b"");
+        assert_eq!(client.expect_answer().status, "200");
     }
-    edge.all()[before..].iter().filter_map(|s| s.field("from").map(str::to_string)).collect()
+    edge.fetches()[before..].iter().filter_map(|s| s.field("from").map(str::to_string)).collect()
 }
 
 #[test]
@@ -91,12 +92,12 @@
     // A plan that can't be used changes nothing.
     own.write(&plan(2, &[PARENT, 0x77]));
     router.signal("HUP");
-    until("it is refused", || router.counter("reloads_refused") == 1);
+    wait_until("it is refused", || router.counter("reloads_refused") == 1);
     assert_eq!(sources(&mut client, &edge, 40..60), BTreeSet::from([id(PARENT)]));
     // A second parent comes, and with the answers it gets its share.
     own.write(&plan(2, &[PARENT, PARENT_2]));
     router.signal("HUP");
-    until("it is taken", || router.counter("plans") == 2);
+    wait_until("it is taken", || router.counter("plans") == 2);
     let mut next = 60;
     until_polling("the change is through", || {
         let seen = sources(&mut client, &edge, next..next + 20);
@@ -123,10 +124,10 @@
         &format!("[{}, {}]}}\n  r", id(PARENT_2), id(ORIGIN)),
     ));
     router.signal("HUP");
-    until("it is under way", || router.counter("plans") == 2);
+    wait_until("it is under way", || router.counter("plans") == 2);
     own.write(&old);
     router.signal("HUP");
-    until("it is taken back", || router.counter("plans") == 3);
+    wait_until("it is taken back", || router.counter("plans") == 3);
     assert_eq!(router.counter("plans_refused"), 0);
     assert_eq!(sources(&mut client, &edge, 10..40), BTreeSet::from([id(PARENT)]));
 }
@@ -135,17 +136,18 @@
 fn fill_loop_is_answered_by_the_other_parent_within_the_deadline() {
     let first = AtomicBool::new(true);
     let edge = Cache::start(move |s| match first.swap(false, Ordering::SeqCst) {
-        true => Do::Word("nothing", "note=src_looped"),
+        true => FetchBehaviour::Answer { status: "nothing", fields: "note=src_looped" },
         false => filled(s),
     });
     let log = ChangeLog::start();
     let own = Own::new(&plan(1, &[PARENT, PARENT_2]));
     let router = start(&config(&edge, &log), &own);
     let mut client = router.client();
-    client.ask(1, "pages", 7, "", b"");
-    assert_eq!(client.must().word, "200");
-    assert_eq!(client.settle(), []);
-    let asked: Vec<String> = edge.all().iter().filter_map(|s| s.field("from").map(str::to_string)).collect();
+    client.send_request(1, "pages", 7, "", b"");
+    assert_eq!(client.expect_answer().status, "200");
+    assert_eq!(client.answers_before_pong(), []);
+    let asked: Vec<String> =
+        edge.fetches().iter().filter_map(|s| s.field("from").map(str::to_string)).collect();
     assert!(asked.len() == 2 && asked[0] != asked[1], "{asked:?}");
     assert_eq!(router.counter("loops"), 1);
 }
--- a/crates/node/tests/wall_clock.rs
+++ b/crates/node/tests/wall_clock.rs
@@ -26,15 +26,15 @@
 }
 
 fn rig(step_ms: i64, known: impl FnOnce(&mut serde_json::Value)) -> Rig {
-    let caches = [(); 3].map(|()| Cache::full());
+    let caches = [(); 3].map(|()| Cache::with_all_objects());
     let log = ChangeLog::start();
-    let mut config = configuration(&three(&caches[0], &caches[1], &caches[2]), log.address);
+    let mut config = configuration(&edge_parent_origin(&caches[0], &caches[1], &caches[2]), log.address);
     config["settings"]["family-info"]["lifetime-by-class"] = json!([60_000.0, 0.0]);
     known(&mut config);
     let dir = TempDir::new().expect("a folder");
     let faults = Faults::new(&dir.path().join("faults")).expect("the fault injection library");
     faults.set(Fault::WallClock, step_ms).expect("a step");
-    let router = Process::start_under(binary(), &config, &faults).expect("a router that listens");
+    let router = Process::start_with_faults(binary(), &config, &faults).expect("a router that listens");
     Rig { router, faults, log, caches, _dir: dir }
 }
 
@@ -46,19 +46,19 @@
     /// Tells a purge that happened so long ago.
     fn purge(&self, age_ms: u64) {
         let payload = [PURGED.to_be_bytes(), (unix_ms() - age_ms).to_be_bytes()].concat();
-        self.log.tell(2, PURGE_OF_OBJECT, &payload);
-        self.router.reaches("purges", 1);
+        self.log.publish(2, PURGE_OF_OBJECT, &payload);
+        self.router.wait_for_counter("purges", 1);
         std::thread::sleep(HEEDED_AFTER);
     }
 
     /// The oldest copy that is asked for, in milliseconds, and the time that the purge lies back by the true clock.
     fn oldest(&self, purged_at: u64) -> (u64, u64) {
         let mut client = self.router.client();
-        client.ask(1, "pages", PURGED, "", b"");
-        assert_eq!(client.must().word, "200");
-        let fetch = self.caches.iter().flat_map(Cache::all).next_back().expect("a fetch");
+        client.send_request(1, "pages", PURGED, "", b"");
+        assert_eq!(client.expect_answer().status, "200");
+        let fetch = self.caches.iter().flat_map(Cache::fetches).next_back().expect("a fetch");
         let oldest = fetch.field("oldest").map_or(u64::MAX, |o| o.parse().expect("a number"));
-        (oldest, fetch.at - purged_at)
+        (oldest, fetch.received_ms - purged_at)
     }
 }
 
@@ -115,11 +115,11 @@
     let mut client = rig.router.client();
     for tag in 1..=5 {
         let asked = std::time::Instant::now();
-        client.ask_for(1_000, tag, "pages", tag + 10, "", b"");
-        assert_eq!(client.must().word, "200");
-        assert!(asked.elapsed() < PATIENCE);
+        client.send_request_with_deadline(1_000, tag, "pages", tag + 10, "", b"");
+        assert_eq!(client.expect_answer().status, "200");
+        assert!(asked.elapsed() < WAIT_LIMIT);
     }
-    rig.router.end();
+    rig.router.terminate();
     let mut router = rig.router;
-    assert!(router.ended().success(), "it ends in order, though the wall clock stood an hour back");
+    assert!(router.expect_exit().success(), "it ends in order, though the wall clock stood an hour back");
 }
