--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -23,7 +23,7 @@
 
 /// Starts a router by a shell command, in which `$0` is the program.
 pub fn router_by(config: &Value, command: &str) -> Process {
-    Process::start_by(binary(), config, command).expect("the router listens")
+    Process::start_with_shell_line(binary(), config, command).expect("the router listens")
 }
 
 /// An address that refuses connections while the returned socket exists, since no other program gets its port. A router may still listen
@@ -38,11 +38,11 @@
     (reserved, address)
 }
 
-/// As `until`, without a pause between checks, for a condition that acts and waits itself.
+/// As `wait_until`, without a pause between checks, for a condition that acts and waits itself.
 pub fn until_polling(description: &str, mut condition: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "timed out waiting until {description}");
+        assert!(start.elapsed() < WAIT_LIMIT, "condition not met within {WAIT_LIMIT:?}: {description}");
     }
 }
 
