--- a/crates/node/tests/crossing/main.rs
+++ b/crates/node/tests/crossing/main.rs
@@ -5,10 +5,8 @@
 mod common;
 
 mod closing;
-mod cold;
 mod leaving;
 mod retries;
 mod settings;
-mod slow_start;
 mod stops;
 mod watches;
--- a/crates/node/tests/restarted_caches/cold.rs
+++ b/crates/node/tests/restarted_caches/cold.rs
@@ -4,6 +4,7 @@
 //! that pauses is sent no second budget.
 
 use crate::common::*;
+use crate::run_alone;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -163,6 +164,7 @@
 }
 
 fn windows_full_of_work(routers: usize, each: f64) {
+    let _alone = run_alone();
     let site = Site::of(routers, each);
     let started = site.start_cold();
     site.got(1.5 * site.allowed(0.0), "it gets work, window after window");
@@ -170,6 +172,7 @@
 }
 
 fn all_restart_in_the_window(routers: usize, each: f64) {
+    let _alone = run_alone();
     let mut site = Site::of(routers, each);
     let started = site.start_cold();
     site.got(0.8 * site.allowed(0.0), "most of its first window's work");
--- a/crates/node/tests/restarted_caches/slow_start.rs
+++ b/crates/node/tests/restarted_caches/slow_start.rs
@@ -2,6 +2,7 @@
 //! times that. The stand-in counts a fetch when it reads it, and the bound is the page's.
 
 use crate::common::*;
+use crate::run_alone;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -177,6 +178,7 @@
 
 #[test]
 fn restarted_cache_is_sent_at_most_its_slow_start_budget_under_faults() {
+    let _alone = run_alone();
     let late = Fault { proof: Proof::Late(Duration::from_millis(150)), window_ms: 250, ..NONE };
     let paused = Fault { pause_ms: 1_200, window_ms: 3_000, ..NONE };
     let copies = Fault { copies_of_ten: 3, ..NONE };
