--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -18,11 +18,11 @@
 
 /// Starts a router and waits until it listens.
 pub fn router(config: &Value) -> Process {
-    router_by(config, "exec \"$0\" serve")
+    router_from_shell(config, "exec \"$0\" serve")
 }
 
 /// Starts a router by a shell command, in which `$0` is the program.
-pub fn router_by(config: &Value, command: &str) -> Process {
+pub fn router_from_shell(config: &Value, command: &str) -> Process {
     Process::start_with_shell_line(binary(), config, command).expect("the router listens")
 }
 
@@ -39,7 +39,7 @@
 }
 
 /// As `wait_until`, without a pause between checks, for a condition that acts and waits itself.
-pub fn until_polling(description: &str, mut condition: impl FnMut() -> bool) {
+pub fn poll_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
     while !condition() {
         assert!(start.elapsed() < WAIT_LIMIT, "condition not met within {WAIT_LIMIT:?}: {description}");
--- a/crates/node/tests/crossing/leaving.rs
+++ b/crates/node/tests/crossing/leaving.rs
@@ -1,4 +1,4 @@
-//! Clients that close or cancel while their requests wait.
+//! Clients that disconnect or cancel while their requests wait.
 
 use crate::common::*;
 use serde_json::{json, Value};
@@ -9,42 +9,45 @@
 use std::time::Duration;
 
 mod memory;
+mod socket_table;
 
-/// What waits for a command.
+use socket_table::{open_sockets, queued_bytes, unread_bytes, QueuedBytes};
+
+/// A latch at which stand-ins wait until the test releases it.
 #[derive(Clone, Default)]
-struct Gate(Arc<AtomicBool>);
+struct Latch(Arc<AtomicBool>);
 
-impl Gate {
-    fn open(&self) {
+impl Latch {
+    fn release(&self) {
         self.0.store(true, Ordering::SeqCst);
     }
 
-    fn is_open(&self) -> bool {
+    fn is_released(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
 
-    fn pass(&self) {
-        while !self.is_open() {
+    fn wait(&self) {
+        while !self.is_released() {
             thread::sleep(Duration::from_millis(1));
         }
     }
 }
 
-/// How a client leaves.
+/// How a client abandons its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    Closes,
-    TakesBack,
+enum Abandonment {
+    Disconnect,
+    Cancel,
 }
 
-const WAYS: [Way; 2] = [Way::Closes, Way::TakesBack];
+const ABANDONMENTS: [Abandonment; 2] = [Abandonment::Disconnect, Abandonment::Cancel];
 
-impl Way {
-    /// The client is kept if it is still connected.
-    fn go(self, mut client: Client, tag: u64) -> Option<Client> {
+impl Abandonment {
+    /// Disconnects the client, or sends a cancellation; returns the client if it is still connected.
+    fn apply(self, mut client: Client, tag: u64) -> Option<Client> {
         match self {
-            Self::Closes => None,
-            Self::TakesBack => {
+            Self::Disconnect => None,
+            Self::Cancel => {
                 client.send_message("UNDO", tag);
                 Some(client)
             }
@@ -52,73 +55,76 @@
     }
 }
 
-/// Clients wait for so many milliseconds: longer than a test may take with all its patience.
-const WAITS: u64 = 600_000;
+/// The deadline of requests, in milliseconds: longer than a test may take in all.
+const DEADLINE_MS: u64 = 600_000;
 
-/// A tag that no request has.
-const LAST_TAG: u64 = 999_999;
+/// A tag that no request uses.
+const PING_TAG: u64 = 999_999;
 
-/// A router before these, and before a log that says nothing.
-struct Rig {
+/// A router in front of these caches, with a change log that sends no events.
+struct RouterHarness {
     router: Process,
     edge: Cache,
     others: [Cache; 3],
     _log: ChangeLog,
 }
 
-impl Rig {
+impl RouterHarness {
+    /// With this edge cache; the others serve every object.
     fn start(edge: Cache, change: impl FnOnce(&mut Value)) -> Self {
-        Self::before(
+        Self::start_with_caches(
             [edge, Cache::with_all_objects(), Cache::with_all_objects(), Cache::with_all_objects()],
             false,
             change,
         )
     }
 
-    /// With a second edge cache, where a read goes that failed at the first. All servers do the same.
-    fn alike(act: impl Fn(&ReceivedFetch) -> FetchBehaviour + Clone + Send + Sync + 'static) -> Self {
-        let little = |c: &mut Value| c["limits"]["memory_mb"] = json!(1);
-        Self::before([0; 4].map(|_| Cache::start(act.clone())), true, little)
+    /// With a second edge cache, at which a read that failed at the first is retried. All servers handle fetches alike.
+    fn start_with_same_behaviour(
+        behaviour: impl Fn(&ReceivedFetch) -> FetchBehaviour + Clone + Send + Sync + 'static,
+    ) -> Self {
+        let small_memory = |c: &mut Value| c["limits"]["memory_mb"] = json!(1);
+        Self::start_with_caches([0; 4].map(|_| Cache::start(behaviour.clone())), true, small_memory)
     }
 
-    fn before(all: [Cache; 4], two: bool, change: impl FnOnce(&mut Value)) -> Self {
+    fn start_with_caches(all: [Cache; 4], second_edge: bool, change: impl FnOnce(&mut Value)) -> Self {
         let ([edge, second, parent, origin], log) = (all, ChangeLog::start());
         let mut config = configuration(&edge_parent_origin(&edge, &parent, &origin), log.address);
-        let set = &mut config["settings"];
-        // Servers here are held on purpose, and none may be taken for silent for it: a class's deadline is when the module does so.
-        set["limits"]["connect-timeout"] = json!(60_000.0);
-        set["services"]
+        let settings = &mut config["settings"];
+        // The tests delay servers on purpose, and none may count as silent because of that, which happens at the deadline of the class.
+        settings["limits"]["connect-timeout"] = json!(60_000.0);
+        settings["services"]
             .as_array_mut()
-            .expect("classes")
+            .expect("the classes are a list")
             .iter_mut()
-            .for_each(|c| c["deadline"] = json!(WAITS));
-        if two {
+            .for_each(|c| c["deadline"] = json!(DEADLINE_MS));
+        if second_edge {
             add_second_edge(&mut config, &second);
         }
         change(&mut config);
         Self { router: router(&config), edge, others: [second, parent, origin], _log: log }
     }
 
-    /// A client whose words leave at once, each.
+    /// A client whose messages are each sent at once.
     fn client(&self) -> Client {
         let client = self.router.client();
         client.socket.set_nodelay(true).expect("a socket");
         client
     }
 
-    /// Ids of all fetches that came anywhere.
+    /// The request ids of all fetches at all caches.
     fn fetched(&self) -> Vec<String> {
         self.others.iter().chain([&self.edge]).flat_map(Cache::fetches).map(|s| s.id).collect()
     }
 
-    /// Another client's requests are served until the edge cache has had one: on the one connection to it, what waited before that
-    /// would have been written first.
-    fn edge_serves(&self) {
+    /// Sends requests of another client until the edge cache has served one. Earlier requests that waited for the single connection to that
+    /// cache would have been written before it.
+    fn wait_until_edge_serves(&self) {
         let mut other = self.client();
         let (mut tag, mut ids) = (0, Vec::new());
-        until_polling("the edge cache is asked", || {
+        poll_until("the edge cache gets a request", || {
             tag += 1;
-            ids.push(other.send_request_with_deadline(WAITS, tag, "pages", 100 + tag, "", b""));
+            ids.push(other.send_request_with_deadline(DEADLINE_MS, tag, "pages", 100 + tag, "", b""));
             assert_eq!(other.expect_answer().status, "200");
             self.edge.fetches().iter().any(|s| ids.contains(&s.id))
         });
@@ -126,170 +132,153 @@
     }
 }
 
-/// Each way, where attempts may not be called off and where they may.
-const WAYS_AND_RIGHTS: [(Way, bool); 4] =
-    [(Way::Closes, false), (Way::TakesBack, false), (Way::Closes, true), (Way::TakesBack, true)];
-
-/// An edge cache that takes no connection, and answers nothing, before the command.
-fn cache_behind_gate(gate: &Gate) -> Cache {
-    let held = gate.clone();
-    let waits = move |_| {
-        held.pass();
+/// Each abandonment, with the cancellation of attempts off and on in the settings.
+const ABANDONMENTS_AND_CANCELLATION: [(Abandonment, bool); 4] = [
+    (Abandonment::Disconnect, false),
+    (Abandonment::Cancel, false),
+    (Abandonment::Disconnect, true),
+    (Abandonment::Cancel, true),
+];
+
+/// An edge cache that accepts no connection, and answers nothing, until the latch is released.
+fn cache_behind_latch(latch: &Latch) -> Cache {
+    let held = latch.clone();
+    let answer_probe = move |_| {
+        held.wait();
         ProbeBehaviour::Yes
     };
-    Cache::start_with_probes(waits, |s| FetchBehaviour::Ok(part_body(s)))
+    Cache::start_with_probes(answer_probe, |s| FetchBehaviour::Ok(part_body(s)))
 }
 
 /// Fills a listener's backlog, until no connection comes up any more.
-fn fill_backlog(at: SocketAddr) -> Vec<TcpStream> {
+fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
     let mut all = Vec::new();
-    while let Ok(socket) = TcpStream::connect_timeout(&at, Duration::from_millis(300)) {
+    while let Ok(socket) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
         all.push(socket);
-        assert!(all.len() < 10_000, "the backlog has an end");
+        assert!(all.len() < 10_000, "the backlog never fills up");
     }
     all
 }
 
-/// The client gets no answer up to that to a `PING`, or until the router closes its connection as idle, which it counts: the edge cache
-/// may take longer to accept a connection than a client may be idle.
+/// Asserts that the client gets no answer before that to a `PING`, or before the router closes its connection as idle, which is counted: the
+/// edge cache may take longer to accept a connection than a client may be idle.
 fn assert_unanswered(mut client: Client, router: &Process) {
-    client.send_message("PING", LAST_TAG);
+    client.send_message("PING", PING_TAG);
     match client.next() {
-        Some(answer) => assert_eq!(answer.tag, LAST_TAG, "{answer:?}"),
-        None => assert_ne!(router.counter("closed_idle"), 0, "closed, and not for being idle"),
+        Some(answer) => assert_eq!(answer.tag, PING_TAG, "{answer:?}"),
+        None => assert_ne!(router.counter("closed_idle"), 0, "the connection was closed, but not as idle"),
     }
 }
 
-/// Its client leaves while a request waits for a connection, which then comes up; `busy`: only then is one taken at all.
-fn run_client_leaves_before_send(busy: bool) {
-    for (way, may) in WAYS_AND_RIGHTS {
-        let gate = Gate::default();
-        let edge = cache_behind_gate(&gate);
-        let fillers = if busy { fill_backlog(edge.address) } else { Vec::new() };
-        let rig = Rig::start(edge, |c| c["settings"]["limits"]["cancel"] = json!(may));
-        let (mut clients, ids) = clients_with_one_request(&rig, 1);
-        let kept = clients.pop().and_then(|client| way.go(client, 1));
-        wait_until("it has left", || rig.router.counter("left") == 1);
+/// Asserts that a request is not sent whose client abandons it while it waits for a connection. With `full_backlog` the connection is only
+/// established afterwards; otherwise it is, but its probe is answered afterwards.
+fn run_abandonment_before_send(full_backlog: bool) {
+    for (abandonment, cancellation) in ABANDONMENTS_AND_CANCELLATION {
+        let latch = Latch::default();
+        let edge = cache_behind_latch(&latch);
+        let fillers = if full_backlog { fill_backlog(edge.address) } else { Vec::new() };
+        let harness = RouterHarness::start(edge, |c| c["settings"]["limits"]["cancel"] = json!(cancellation));
+        let (mut clients, ids) = clients_with_one_request(&harness, 1);
+        let connected = clients.pop().and_then(|client| abandonment.apply(client, 1));
+        wait_until("the abandonment is noticed", || harness.router.counter("left") == 1);
         drop(fillers);
-        gate.open();
-        rig.edge_serves();
-        assert!(!rig.fetched().contains(&ids[0]), "{way:?}, cancelling allowed: {may}");
-        kept.into_iter().for_each(|client| assert_unanswered(client, &rig.router));
+        latch.release();
+        harness.wait_until_edge_serves();
+        assert!(
+            !harness.fetched().contains(&ids[0]),
+            "{abandonment:?}, cancellation of attempts: {cancellation}"
+        );
+        connected.into_iter().for_each(|client| assert_unanswered(client, &harness.router));
         assert_eq!(
-            rig.edge.aborted_ids.lock().expect("lock").len(),
+            harness.edge.aborted_ids.lock().expect("lock").len(),
             0,
-            "nothing is called off that was never sent"
+            "an attempt that was never sent is not cancelled"
         );
     }
 }
 
 #[test]
 fn attempt_waiting_for_a_connection_is_not_sent_after_its_client_left() {
-    run_client_leaves_before_send(true);
+    run_abandonment_before_send(true);
 }
 
 #[test]
 fn attempt_waiting_for_a_probe_is_not_sent_after_its_client_left() {
-    run_client_leaves_before_send(false);
-}
-
-/// An open socket, as the kernel's table tells of it.
-struct Row {
-    /// The peer has closed its side.
-    ended: bool,
-    /// Bytes that wait to be acknowledged, and to be read.
-    waiting: (u64, u64),
-}
-
-/// Open sockets at that port, or with a peer at that.
-fn socket_table(own: Option<u16>, peer: Option<u16>) -> Vec<Row> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's table of sockets");
-    let port = |word: &str| u16::from_str_radix(word.rsplit(':').next().expect("a port"), 16).expect("hex");
-    // A busy machine's table has ten thousand rows, most of them of connections that are over.
-    let names = |row: &&str| own.into_iter().chain(peer).all(|p| row.contains(&format!(":{p:04X} ")));
-    let of_row = |row: &str| {
-        let words: Vec<&str> = row.split_whitespace().collect();
-        let (here, there, open) = (port(words[1]), port(words[2]), words[3] == "01" || words[3] == "08");
-        let meant = open && own.is_none_or(|p| p == here) && peer.is_none_or(|p| p == there);
-        let bytes = |hex| u64::from_str_radix(hex, 16).expect("hex");
-        let (sent, come) = words[4].split_once(':').expect("two queues");
-        meant.then(|| Row { ended: words[3] == "08", waiting: (bytes(sent), bytes(come)) })
-    };
-    table.lines().skip(1).filter(names).filter_map(of_row).collect()
-}
-
-fn queued_bytes(own: Option<u16>, peer: Option<u16>) -> Vec<(u64, u64)> {
-    socket_table(own, peer).iter().map(|row| row.waiting).collect()
+    run_abandonment_before_send(false);
 }
 
-/// Waits until all that clients left behind has come to the stopped router, whose only clients they are.
-fn wait_until_received(rig: &Rig, way: Way) {
-    let port = Some(rig.router.address.port());
-    wait_until("all is there that was left behind", || match way {
-        Way::Closes => socket_table(port, None).iter().all(|row| row.ended),
-        Way::TakesBack => queued_bytes(None, port).iter().all(|(sent, _)| *sent == 0),
+/// Waits until all bytes and closes of the clients have arrived at the stopped router, which has no other clients.
+fn wait_until_received(harness: &RouterHarness, abandonment: Abandonment) {
+    let port = Some(harness.router.address.port());
+    wait_until("all that the clients sent has arrived", || match abandonment {
+        Abandonment::Disconnect => open_sockets(port, None).iter().all(|row| row.peer_closed),
+        Abandonment::Cancel => queued_bytes(None, port).iter().all(|bytes| bytes.unacknowledged == 0),
     });
 }
 
-fn unread_bytes(own: Option<u16>, peer: Option<u16>) -> Vec<u64> {
-    queued_bytes(own, peer).into_iter().map(|(_, come)| come).collect()
-}
-
 fn message(verb: &str, tag: u64) -> Vec<u8> {
     let tag = tag.to_string();
     format!("*3\r\n${}\r\n{verb}\r\n${}\r\n{tag}\r\n$0\r\n\r\n", verb.len(), tag.len()).into_bytes()
 }
 
-/// Clients leave behind more than the owner's queue holds, and `meanwhile` happens; the router sees all of it in one turn.
-fn disconnect_all(rig: &Rig, clients: Vec<Client>, way: Way, meanwhile: impl FnOnce()) -> Vec<Client> {
-    rig.router.signal("STOP");
-    let leave = |mut client: Client| {
+/// While the router is stopped, all clients send more than the owner's queue holds and abandon their request, and `meanwhile` runs; the
+/// resumed router sees all of it at once.
+fn abandon_while_stopped(
+    harness: &RouterHarness,
+    clients: Vec<Client>,
+    abandonment: Abandonment,
+    meanwhile: impl FnOnce(),
+) -> Vec<Client> {
+    harness.router.signal("STOP");
+    let abandon = |mut client: Client| {
         client.write(&(0..300).flat_map(|n| message("PING", 1_000 + n)).collect::<Vec<u8>>());
-        way.go(client, 1)
+        abandonment.apply(client, 1)
     };
-    let left = clients.into_iter().filter_map(leave).collect();
-    wait_until_received(rig, way);
+    let connected = clients.into_iter().filter_map(abandon).collect();
+    wait_until_received(harness, abandonment);
     meanwhile();
-    rig.router.signal("CONT");
-    left
+    harness.router.signal("CONT");
+    connected
 }
 
-/// Clients with one request each, which is at the edge cache or waits there.
-fn clients_with_one_request(rig: &Rig, many: u64) -> (Vec<Client>, Vec<String>) {
+/// Clients with one request each, which is at the edge cache or waits for a connection to it.
+fn clients_with_one_request(harness: &RouterHarness, count: u64) -> (Vec<Client>, Vec<String>) {
     let one = |n: u64| {
-        let mut client = rig.client();
-        let id = client.send_request_with_deadline(WAITS, 1, "pages", 1 + n, "", b"");
+        let mut client = harness.client();
+        let id = client.send_request_with_deadline(DEADLINE_MS, 1, "pages", 1 + n, "", b"");
         (client, id)
     };
-    let all = (0..many).map(one).unzip();
-    wait_until("an attempt is made for each", || rig.router.counter("attempts") == many);
+    let all = (0..count).map(one).unzip();
+    wait_until("an attempt is made for each", || harness.router.counter("attempts") == count);
     all
 }
 
 #[test]
 fn probe_answered_while_clients_leave_behind_a_full_queue_sends_nothing() {
-    for way in WAYS {
-        let gate = Gate::default();
-        let rig = Rig::start(cache_behind_gate(&gate), |_| {});
-        let edge = rig.edge.address.port();
-        let (clients, ids) = clients_with_one_request(&rig, 8);
-        wait_until("the edge cache is asked whether its connections work", || {
-            let asked = unread_bytes(Some(edge), None);
-            !asked.is_empty() && asked.iter().all(|n| *n > 0)
+    for abandonment in ABANDONMENTS {
+        let latch = Latch::default();
+        let harness = RouterHarness::start(cache_behind_latch(&latch), |_| {});
+        let edge = harness.edge.address.port();
+        let (clients, ids) = clients_with_one_request(&harness, 8);
+        wait_until("the probes of the connections have arrived at the edge cache", || {
+            let probes = unread_bytes(Some(edge), None);
+            !probes.is_empty() && probes.iter().all(|n| *n > 0)
         });
-        let kept = disconnect_all(&rig, clients, way, || {
-            gate.open();
-            wait_until("its answers are there", || unread_bytes(None, Some(edge)).iter().all(|n| *n > 0));
+        let connected = abandon_while_stopped(&harness, clients, abandonment, || {
+            latch.release();
+            wait_until("the answers to the probes have arrived", || {
+                unread_bytes(None, Some(edge)).iter().all(|n| *n > 0)
+            });
         });
-        wait_until("all have left", || rig.router.counter("left") == 8);
-        rig.edge_serves();
-        let sent: Vec<String> = rig.fetched().into_iter().filter(|id| ids.contains(id)).collect();
-        assert_eq!(sent, [""; 0], "{way:?}");
-        drop(kept);
+        wait_until("all abandonments are noticed", || harness.router.counter("left") == 8);
+        harness.wait_until_edge_serves();
+        let sent: Vec<String> = harness.fetched().into_iter().filter(|id| ids.contains(id)).collect();
+        assert_eq!(sent, [""; 0], "{abandonment:?}");
+        drop(connected);
     }
 }
 
-/// All attempts that were made are over.
+/// Whether all attempts have ended.
 fn all_attempts_ended(router: &Process) -> bool {
     let all = router.counters(WAIT_LIMIT).expect("counters");
     let ends =
@@ -299,81 +288,89 @@
 
 #[test]
 fn failed_attempt_is_not_retried_after_its_client_left() {
-    let fails: [fn() -> FetchBehaviour; 2] = [
+    let failures: [fn() -> FetchBehaviour; 2] = [
         || FetchBehaviour::Answer { status: "nothing", fields: "note=src_lacks" },
         || FetchBehaviour::TruncatedAnswer,
     ];
-    for (fails, crowd) in [(fails[0], false), (fails[1], false), (fails[0], true), (fails[1], true)] {
-        for way in WAYS {
-            let gate = Gate::default();
-            let (held, came) = (gate.clone(), Gate::default());
-            let seen = came.clone();
-            let act = move |s: &ReceivedFetch| {
-                if held.is_open() {
+    for (fail, full_queue) in
+        [(failures[0], false), (failures[1], false), (failures[0], true), (failures[1], true)]
+    {
+        for abandonment in ABANDONMENTS {
+            let latch = Latch::default();
+            let (answer_latch, received) = (latch.clone(), Latch::default());
+            let received_latch = received.clone();
+            let behaviour = move |s: &ReceivedFetch| {
+                if answer_latch.is_released() {
                     return FetchBehaviour::Ok(part_body(s));
                 }
-                seen.open();
-                held.pass();
-                fails()
+                received_latch.release();
+                answer_latch.wait();
+                fail()
             };
-            let rig = Rig::alike(act);
-            let ports = [rig.edge.address.port(), rig.others[0].address.port()];
-            let (mut clients, ids) = clients_with_one_request(&rig, 1);
-            wait_until("a cache has it", || came.is_open());
-            let kept = if crowd {
-                disconnect_all(&rig, clients, way, || {
-                    gate.open();
-                    let answers = || ports.iter().flat_map(|at| unread_bytes(None, Some(*at))).any(|n| n > 0);
-                    wait_until("its answer is there", answers);
+            let harness = RouterHarness::start_with_same_behaviour(behaviour);
+            let ports = [harness.edge.address.port(), harness.others[0].address.port()];
+            let (mut clients, ids) = clients_with_one_request(&harness, 1);
+            wait_until("a cache has the request", || received.is_released());
+            let connected = if full_queue {
+                abandon_while_stopped(&harness, clients, abandonment, || {
+                    latch.release();
+                    let answers =
+                        || ports.iter().flat_map(|port| unread_bytes(None, Some(*port))).any(|n| n > 0);
+                    wait_until("the answer has arrived", answers);
                 })
             } else {
-                let kept = clients.pop().and_then(|c| way.go(c, 1)).into_iter().collect();
-                wait_until("it has left", || rig.router.counter("left") == 1);
-                gate.open();
-                kept
+                let connected = clients.pop().and_then(|c| abandonment.apply(c, 1)).into_iter().collect();
+                wait_until("the abandonment is noticed", || harness.router.counter("left") == 1);
+                latch.release();
+                connected
             };
-            wait_until("it has left", || rig.router.counter("left") == 1);
-            wait_until("its attempt is over", || all_attempts_ended(&rig.router));
-            rig.edge_serves();
-            let fetched = rig.fetched().iter().filter(|id| **id == ids[0]).count();
-            assert_eq!(fetched, 1, "{way:?}, behind a crowd: {crowd}");
-            drop(kept);
+            wait_until("the abandonment is noticed", || harness.router.counter("left") == 1);
+            wait_until("the attempt has ended", || all_attempts_ended(&harness.router));
+            harness.wait_until_edge_serves();
+            let fetched = harness.fetched().iter().filter(|id| **id == ids[0]).count();
+            assert_eq!(fetched, 1, "{abandonment:?}, behind a full queue: {full_queue}");
+            drop(connected);
         }
     }
 }
 
 #[test]
 fn requests_followed_by_their_cancellation_are_not_accepted() {
-    for way in WAYS {
-        let rig = Rig::start(Cache::with_all_objects(), |_| {});
-        let mut clients: Vec<Client> = (0..20).map(|_| rig.client()).collect();
-        wait_until("all are connected", || rig.router.counter("clients") == 20);
-        rig.edge_serves();
-        rig.router.signal("STOP");
+    for abandonment in ABANDONMENTS {
+        let harness = RouterHarness::start(Cache::with_all_objects(), |_| {});
+        let mut clients: Vec<Client> = (0..20).map(|_| harness.client()).collect();
+        wait_until("all are connected", || harness.router.counter("clients") == 20);
+        harness.wait_until_edge_serves();
+        harness.router.signal("STOP");
         for (n, client) in clients.iter_mut().enumerate() {
-            let ask = |tag: u64| {
+            let encode_request = |tag: u64| {
                 let id = 0x0f00_0000 + 100 * n as u64 + tag;
-                let fields = format!("i={id:016x},d={WAITS},o={tag:016x},nth=0,batch=17");
-                let (tag, long) = (tag.to_string(), fields.len());
+                let fields = format!("i={id:016x},d={DEADLINE_MS},o={tag:016x},nth=0,batch=17");
+                let (tag, length) = (tag.to_string(), fields.len());
                 let head = format!("*5\r\n$2\r\nDO\r\n${}\r\n{tag}\r\n$5\r\npages\r\n", tag.len());
-                format!("{head}${long}\r\n{fields}\r\n$0\r\n\r\n").into_bytes()
+                format!("{head}${length}\r\n{fields}\r\n$0\r\n\r\n").into_bytes()
             };
-            let mut bytes: Vec<u8> = (1..=30).flat_map(ask).collect();
-            if way == Way::TakesBack {
+            let mut bytes: Vec<u8> = (1..=30).flat_map(encode_request).collect();
+            if abandonment == Abandonment::Cancel {
                 bytes.extend((1..=30).flat_map(|tag| message("UNDO", tag)));
             }
             client.write(&bytes);
         }
-        let kept: Vec<Client> = clients.into_iter().filter(|_| way == Way::TakesBack).collect();
-        wait_until_received(&rig, way);
-        rig.router.signal("CONT");
-        match way {
-            Way::TakesBack => wait_until("all of it is heard", || rig.router.counter("left_early") == 600),
-            Way::Closes => wait_until("all have left", || rig.router.counter("clients_now") == 0),
+        let connected: Vec<Client> =
+            clients.into_iter().filter(|_| abandonment == Abandonment::Cancel).collect();
+        wait_until_received(&harness, abandonment);
+        harness.router.signal("CONT");
+        match abandonment {
+            Abandonment::Cancel => {
+                wait_until("all cancellations are read", || harness.router.counter("left_early") == 600)
+            }
+            Abandonment::Disconnect => {
+                wait_until("all abandonments are noticed", || harness.router.counter("clients_now") == 0)
+            }
         }
-        rig.edge_serves();
-        let sent = rig.fetched().into_iter().filter(|id| id.starts_with("000000000f0")).count();
-        assert_eq!((sent, rig.router.counter("unreadable")), (0, 0), "{way:?}");
-        kept.into_iter().for_each(|mut client| assert_eq!(client.answers_before_pong(), []));
+        harness.wait_until_edge_serves();
+        let sent = harness.fetched().into_iter().filter(|id| id.starts_with("000000000f0")).count();
+        assert_eq!((sent, harness.router.counter("unreadable")), (0, 0), "{abandonment:?}");
+        connected.into_iter().for_each(|mut client| assert_eq!(client.answers_before_pong(), []));
     }
 }
--- a/crates/node/tests/crossing/leaving/memory.rs
+++ b/crates/node/tests/crossing/leaving/memory.rs
@@ -1,54 +1,55 @@
-//! The same while memory is short and nothing is read.
+//! Clients that disconnect or cancel while the router reads no client messages, since its memory limit is reached.
 
 use super::*;
 
-/// A router whose servers keep writes until a command, and refuse object 1 on another.
-fn rig_with_held_writes(writes: &Gate, refuses: &Gate, came: &Gate) -> Rig {
-    let (writes, refuses, came) = (writes.clone(), refuses.clone(), came.clone());
-    let act = move |s: &ReceivedFetch| {
+/// A router whose servers answer writes after `writes` is released, and answer with a miss for object 1 until `misses` is; `received` is
+/// released by the first fetch of that object.
+fn start_router_with_delayed_writes(writes: &Latch, misses: &Latch, received: &Latch) -> RouterHarness {
+    let (writes, misses, received) = (writes.clone(), misses.clone(), received.clone());
+    let behaviour = move |s: &ReceivedFetch| {
         if s.field("c") == Some("loan") {
-            writes.pass();
-        } else if s.field("k") == Some("0000000000000001") && !refuses.is_open() {
-            came.open();
-            refuses.pass();
+            writes.wait();
+        } else if s.field("k") == Some("0000000000000001") && !misses.is_released() {
+            received.release();
+            misses.wait();
             return FetchBehaviour::Answer { status: "nothing", fields: "note=src_lacks" };
         }
         FetchBehaviour::Ok(part_body(s))
     };
-    // A connection on which a write is held counts as silent after 0.8 s and takes no more; so each write has its own.
-    let little = |c: &mut Value| {
+    // A connection with an unanswered write counts as silent after 0.8 s and gets no more requests; so each write has a connection of its own.
+    let limits = |c: &mut Value| {
         c["limits"]["memory_mb"] = json!(1);
         c["settings"]["limits"]["max-streams"] = json!(1);
     };
-    Rig::before([0; 4].map(|_| Cache::start(act.clone())), true, little)
+    RouterHarness::start_with_caches([0; 4].map(|_| Cache::start(behaviour.clone())), true, limits)
 }
 
-/// Writes until a router with 1 MB holds more than half of that, and reads nothing more. Each is whole in the router before the next is
-/// sent: one half read when the memory is full would have to end.
-fn fill_memory(rig: &Rig) -> Vec<Client> {
+/// Sends writes until a router with a memory limit of 1 MB buffers more than half of that, and reads no more. Each write is completely read
+/// before the next is sent: the connection of one that is partly read when the limit is reached would be closed.
+fn fill_memory(harness: &RouterHarness) -> Vec<Client> {
     let mut all: Vec<Client> = Vec::new();
-    let before = rig.router.counter("requests");
-    let (most, size) = (10, 48_000);
-    for n in 1..=most {
-        // One that says nothing for 2 s is closed.
+    let before = harness.router.counter("requests");
+    let (count, body_bytes) = (10, 48_000);
+    for n in 1..=count {
+        // Two clients take turns, since one that sends nothing for 2 s is closed.
         if all.len() < 2 {
-            all.push(rig.client());
+            all.push(harness.client());
         }
         all[(n as usize - 1) % 2].send_request_with_deadline(
-            WAITS,
+            DEADLINE_MS,
             n,
             "loan",
             500 + n,
             "",
-            &vec![b'x'; size],
+            &vec![b'x'; body_bytes],
         );
-        // The body stays until it is answered, and no second copy of it. The last waits as it will be sent, beside its body: with it too
-        // much is held for the word by which its connection works to be read.
-        let held = size as u64 * n;
-        wait_until("it is taken in", || {
-            let all = rig.router.counters(WAIT_LIMIT).expect("counters");
+        // One copy of each body stays buffered until its request is answered. The last write is also buffered as it will be sent: with that
+        // copy the limit is reached, and the answer to the probe of its connection is not read.
+        let held = body_bytes as u64 * n;
+        wait_until("the write is accepted", || {
+            let all = harness.router.counters(WAIT_LIMIT).expect("counters");
             let (requests, now) = (all["requests"] as u64, all["held"] as u64);
-            requests == before + n && if n < most { now == held } else { now > held && now > 500_000 }
+            requests == before + n && if n < count { now == held } else { now > held && now > 500_000 }
         });
     }
     all
@@ -56,47 +57,48 @@
 
 #[test]
 fn client_disconnect_is_seen_while_reading_is_paused_for_memory() {
-    for way in WAYS {
-        let (writes, refuses, came) = (Gate::default(), Gate::default(), Gate::default());
-        let rig = rig_with_held_writes(&writes, &refuses, &came);
-        let (mut clients, ids) = clients_with_one_request(&rig, 1);
-        wait_until("a cache has it", || came.is_open());
-        let slow = fill_memory(&rig);
+    for abandonment in ABANDONMENTS {
+        let (writes, misses, received) = (Latch::default(), Latch::default(), Latch::default());
+        let harness = start_router_with_delayed_writes(&writes, &misses, &received);
+        let (mut clients, ids) = clients_with_one_request(&harness, 1);
+        wait_until("a cache has the request", || received.is_released());
+        let slow = fill_memory(&harness);
         assert_eq!(clients[0].answers_before_pong(), []);
-        let kept = clients.pop().and_then(|c| way.go(c, 1));
-        wait_until("it has left", || rig.router.counter("left") == 1);
-        assert!(rig.router.counter("held") > 500_000, "nothing was released for that");
-        refuses.open();
-        writes.open();
-        wait_until("all attempts are over", || all_attempts_ended(&rig.router));
-        rig.edge_serves();
-        // A stand-in notes a fetch when it has done with it.
-        wait_until("the fetch that was held is noted", || rig.fetched().contains(&ids[0]));
-        assert_eq!(rig.fetched().iter().filter(|id| **id == ids[0]).count(), 1, "{way:?}");
-        kept.into_iter().for_each(|mut c| assert_eq!(c.answers_before_pong(), []));
+        let connected = clients.pop().and_then(|c| abandonment.apply(c, 1));
+        wait_until("the abandonment is noticed", || harness.router.counter("left") == 1);
+        assert!(harness.router.counter("held") > 500_000, "the writes are still buffered");
+        misses.release();
+        writes.release();
+        wait_until("all attempts have ended", || all_attempts_ended(&harness.router));
+        harness.wait_until_edge_serves();
+        // A stand-in records a fetch once it has handled it.
+        wait_until("the delayed fetch is recorded", || harness.fetched().contains(&ids[0]));
+        assert_eq!(harness.fetched().iter().filter(|id| **id == ids[0]).count(), 1, "{abandonment:?}");
+        connected.into_iter().for_each(|mut c| assert_eq!(c.answers_before_pong(), []));
         drop(slow);
     }
 }
 
 #[test]
 fn cancelled_request_is_not_sent_while_reading_is_paused_for_memory() {
-    let writes = Gate::default();
-    let rig = rig_with_held_writes(&writes, &Gate::default(), &Gate::default());
-    let slow = fill_memory(&rig);
-    let mut client = rig.client();
-    let ids: Vec<String> =
-        (2..=4).map(|tag| client.send_request_with_deadline(WAITS, tag, "pages", tag, "", b"")).collect();
+    let writes = Latch::default();
+    let harness = start_router_with_delayed_writes(&writes, &Latch::default(), &Latch::default());
+    let slow = fill_memory(&harness);
+    let mut client = harness.client();
+    let ids: Vec<String> = (2..=4)
+        .map(|tag| client.send_request_with_deadline(DEADLINE_MS, tag, "pages", tag, "", b""))
+        .collect();
     [2, 4].into_iter().for_each(|tag| client.send_message("UNDO", tag));
-    let (own, port) = (rig.router.address.port(), client.socket.local_addr().expect("an address").port());
-    let read =
-        || queued_bytes(Some(port), Some(own)) == [(0, 0)] && unread_bytes(Some(own), Some(port)) == [0];
-    wait_until("all of it has come and is read", read);
-    assert!(rig.router.counter("held") > 500_000, "nothing was released for that");
-    writes.open();
+    let (own, port) = (harness.router.address.port(), client.socket.local_addr().expect("an address").port());
+    let none = QueuedBytes { unacknowledged: 0, unread: 0 };
+    let read = || queued_bytes(Some(port), Some(own)) == [none] && unread_bytes(Some(own), Some(port)) == [0];
+    wait_until("all messages have arrived and are read", read);
+    assert!(harness.router.counter("held") > 500_000, "the writes are still buffered");
+    writes.release();
     assert_eq!((client.expect_answer().tag, client.answers_before_pong()), (3, vec![]));
-    wait_until("all attempts are over", || all_attempts_ended(&rig.router));
-    assert_eq!(rig.router.counter("left_early"), 2);
-    let fetched = rig.fetched();
+    wait_until("all attempts have ended", || all_attempts_ended(&harness.router));
+    assert_eq!(harness.router.counter("left_early"), 2);
+    let fetched = harness.fetched();
     assert!(fetched.contains(&ids[1]) && !fetched.contains(&ids[0]) && !fetched.contains(&ids[2]));
     drop(slow);
 }
--- a/crates/node/tests/crossing/main.rs
+++ b/crates/node/tests/crossing/main.rs
@@ -1,5 +1,5 @@
-//! Two events at once, forced on real sockets: a stand-in holds back, releases, resets or closes on command, and each test waits
-//! for a condition, never for a time. docs/interface.md lists the pairs.
+//! Races of two events, forced on real sockets: a stand-in delays, releases, resets or closes on command, and each test waits for a
+//! condition, never for a time. docs/interface.md lists the pairs of events.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/node/tests/crossing/retries.rs
+++ b/crates/node/tests/crossing/retries.rs
@@ -1,4 +1,4 @@
-//! Attempts and connections to servers: outcome, deadline, cancel, reset and drain that cross.
+//! Attempts and connections to servers: outcomes, deadlines, cancellations, resets and drains that happen at the same time.
 
 use crate::common::*;
 use serde_json::json;
@@ -6,23 +6,24 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// A keyed request that waits for a connection until its window is over, and others behind it there. False if the machine was so slow
-/// that none of them came on that connection, which takes no more after 0.8 s of silence.
+/// Lets the window of an idempotency key end while the retry of its request waits for a connection, with other requests queued behind it.
+/// Returns false if the machine was so slow that none of those was sent on that connection, which gets no new requests after 0.8 s of
+/// silence.
 fn run_probe_answered_after_key_window() -> bool {
-    // So long that a busy machine comes to the second attempt before it is over.
+    // Long enough for a busy machine to start the second attempt within the window.
     const WINDOW_MS: u64 = 3_000;
     let (first, conns) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
     let edge = || {
         let (first, conns) = (Arc::clone(&first), Arc::clone(&conns));
-        // The first connection of all works at once, the others when they are let go on.
-        let proves = move |_| {
+        // The first connection answers its probe at once, the others when the test lets them.
+        let probe_answer = move |_| {
             if conns.fetch_add(1, Ordering::SeqCst) == 0 {
                 ProbeBehaviour::Yes
             } else {
                 ProbeBehaviour::BlockThenYes
             }
         };
-        Cache::start_with_probes(proves, move |s| match first.swap(false, Ordering::SeqCst) {
+        Cache::start_with_probes(probe_answer, move |s| match first.swap(false, Ordering::SeqCst) {
             true => FetchBehaviour::Answer { status: "error", fields: "-" },
             false => FetchBehaviour::Ok(part_body(s)),
         })
@@ -40,32 +41,42 @@
     let mut client = router.client();
     let fetches = || edges.iter().chain([&parent, &origin]).flat_map(Cache::fetches).collect::<Vec<_>>();
     client.send_request_with_deadline(30_000, 1, "pages", 1, "", b"");
-    wait_until("it may have run, and goes on", || {
+    wait_until("the first attempt may have been executed, and the second waits for its connection", || {
         fetches().len() == 1 && conns.load(Ordering::SeqCst) == 2 && router.counter("attempts") == 2
     });
-    let (id, over) = (fetches()[0].id.clone(), fetches()[0].received_ms + WINDOW_MS);
-    // What comes on the same connections stands behind it there.
+    let (id, window_end) = (fetches()[0].id.clone(), fetches()[0].received_ms + WINDOW_MS);
+    // These requests are queued behind it on its connection.
     (2..=9).for_each(|tag| drop(client.send_request_with_deadline(30_000, tag, "pages", tag, "", b"")));
-    wait_until("its window is over", || unix_ms() > over);
+    wait_until("the window of the key is over", || unix_ms() > window_end);
     edges.iter().for_each(|edge| edge.resume.store(true, Ordering::SeqCst));
     let answers: BTreeMap<u64, String> =
         (0..9).map(|_| client.expect_answer()).map(|g| (g.tag, g.status)).collect();
     assert_eq!(answers.len(), 9);
-    assert!(answers.iter().all(|(tag, word)| word == if *tag == 1 { "503" } else { "200" }), "{answers:?}");
-    assert_eq!(fetches().iter().filter(|s| s.id == id).count(), 1, "sent again after its window");
+    assert!(
+        answers.iter().all(|(tag, status)| status == if *tag == 1 { "503" } else { "200" }),
+        "{answers:?}"
+    );
+    assert_eq!(
+        fetches().iter().filter(|s| s.id == id).count(),
+        1,
+        "the request was sent again after its window"
+    );
     assert_eq!((router.counter("window_over"), router.counter("attempts_not_sent")), (1, 1));
     assert_eq!(client.answers_before_pong(), []);
-    let other = edges.iter().find(|edge| edge.fetches().iter().all(|s| s.id != id)).expect("it went to one");
+    let other = edges
+        .iter()
+        .find(|edge| edge.fetches().iter().all(|s| s.id != id))
+        .expect("one edge cache never got the request");
     other.fetches().iter().any(|s| s.connection == 1)
 }
 
 #[test]
 fn request_is_not_written_after_its_idempotency_key_window() {
-    let stood = (0..5).any(|_| run_probe_answered_after_key_window());
-    assert!(stood, "nothing ever stood behind it");
+    let queued_behind = (0..5).any(|_| run_probe_answered_after_key_window());
+    assert!(queued_behind, "in no run was a request queued behind the expired one");
 }
 
-/// A router before an edge cache, a parent and an origin that all do this with each fetch.
+/// A router in front of an edge cache, a parent and an origin, all of which handle a fetch like this.
 fn router_before_caches(
     behaviour: fn(&ReceivedFetch) -> FetchBehaviour,
     change: impl FnOnce(&mut serde_json::Value),
@@ -87,30 +98,31 @@
     all.iter().for_each(|cache| cache.resume.store(true, Ordering::SeqCst));
 }
 
-/// A request that waits for far less than the transport does, and one behind it on its connection, whose server holds both. How long it
-/// waited for its answer; `None` if the machine was too slow to write it in its time, or both on one connection.
-fn run_short_deadline(class: &str, word: &str) -> Option<u64> {
+/// Sends a request with a deadline far below the timeouts of the transport, and another one behind it on its connection, whose server holds
+/// both. Returns after how many milliseconds the first was answered; `None` if the machine was too slow to send it within its deadline, or
+/// to send both on one connection.
+fn run_short_deadline(class: &str, status: &str) -> Option<u64> {
     let (router, all) = router_before_caches(|s| FetchBehaviour::BlockThenOk(part_body(s)), |_| {});
     let mut client = router.client();
-    let asked = unix_ms();
+    let sent_at = unix_ms();
     client.send_request_with_deadline(150, 1, class, 1, "", b"body of it");
-    // What is open there keeps the connection, so that the late answer is read whenever it comes.
+    // The second request keeps the connection open, so that the late answer is read whenever it arrives.
     client.send_request_with_deadline(60_000, 2, "loan", 2, "", b"");
-    let got = client.expect_answer();
-    let waited = unix_ms() - asked;
+    let answer = client.expect_answer();
+    let waited = unix_ms() - sent_at;
     let ends = || {
         ["late", "cancelled", "not_sent", "no_connection"].map(|e| router.counter(&format!("attempts_{e}")))
     };
-    wait_until("its end was told", || ends().iter().sum::<u64>() == 1);
+    wait_until("the end of the attempt is counted", || ends().iter().sum::<u64>() == 1);
     let unsent = ends()[2] + ends()[3] == 1;
-    assert_eq!((got.tag, got.status.as_str()), (1, if unsent { "503" } else { word }), "{class}");
-    wait_until("what was sent is at a server", || fetch_count(&all) >= 1);
+    assert_eq!((answer.tag, answer.status.as_str()), (1, if unsent { "503" } else { status }), "{class}");
+    wait_until("a server has the requests that were sent", || fetch_count(&all) >= 1);
     if all.iter().map(|cache| cache.connections.load(Ordering::SeqCst)).sum::<usize>() > 1 {
         return None;
     }
     release_all(&all);
     assert_eq!(client.expect_answer().tag, 2);
-    wait_until("the late answer came", || unsent || router.counter("late_answers") == 1);
+    wait_until("the late answer is read", || unsent || router.counter("late_answers") == 1);
     assert_eq!(client.answers_before_pong(), []);
     assert_eq!((fetch_count(&all), router.counter("attempts")), (if unsent { 1 } else { 2 }, 2));
     Some(waited).filter(|_| !unsent)
@@ -118,33 +130,35 @@
 
 #[test]
 fn deadline_below_transport_timeouts_is_met_and_the_late_answer_dropped() {
-    // The server reads no abort and says nothing: what was given up there is out for 0.4 s, longer than clients wait.
-    for (class, word) in [("pages", "503"), ("loan", "500")] {
-        // Not only once the attempt is held to be over, 0.55 s after it was asked. A busy machine may add to one play or another.
-        let mut plays = Vec::new();
-        until_polling("it is answered in less than 500 ms", || {
-            plays.push(run_short_deadline(class, word));
-            assert!(plays.len() < 12, "{class}: answered after {plays:?} ms");
-            plays.iter().flatten().any(|waited| *waited < 500)
+    // The server reads no cancellation and answers nothing: an abandoned attempt stays in flight for 0.4 s, longer than the client waits.
+    for (class, status) in [("pages", "503"), ("loan", "500")] {
+        // The client must be answered before the attempt counts as ended, 0.55 s after the request. A busy machine may delay some runs.
+        let mut waits = Vec::new();
+        poll_until("the request is answered in less than 500 ms", || {
+            waits.push(run_short_deadline(class, status));
+            assert!(waits.len() < 12, "{class}: answered after {waits:?} ms");
+            waits.iter().flatten().any(|waited| *waited < 500)
         });
     }
 }
 
 #[test]
 fn answer_or_reset_after_a_cancellation_has_no_effect() {
-    let acts: [fn(&ReceivedFetch) -> FetchBehaviour; 2] =
+    let behaviours: [fn(&ReceivedFetch) -> FetchBehaviour; 2] =
         [|s| FetchBehaviour::BlockThenOk(part_body(s)), |_| FetchBehaviour::BlockThenReset];
-    for act in acts {
+    for behaviour in behaviours {
         for class in ["pages", "loan"] {
-            let (router, all) = router_before_caches(act, |_| {});
+            let (router, all) = router_before_caches(behaviour, |_| {});
             let mut client = router.client();
             client.send_request(1, class, 1, "", b"body of it");
-            wait_until("it is at a server", || fetch_count(&all) == 1);
+            wait_until("a server has the request", || fetch_count(&all) == 1);
             client.send_message("UNDO", 1);
-            wait_until("it was taken back", || router.counter("left") == 1);
+            wait_until("the cancellation is read", || router.counter("left") == 1);
             release_all(&all);
             let ends = ["late", "cancelled", "broken"].map(|end| format!("attempts_{end}"));
-            wait_until("its end was told", || ends.iter().map(|end| router.counter(end)).sum::<u64>() == 1);
+            wait_until("the end of the attempt is counted", || {
+                ends.iter().map(|end| router.counter(end)).sum::<u64>() == 1
+            });
             assert_eq!(client.answers_before_pong(), []);
             assert_eq!((router.counter("attempts"), fetch_count(&all)), (1, 1), "{class} was sent again");
         }
@@ -153,13 +167,13 @@
 
 #[test]
 fn request_reset_long_after_its_first_byte_may_have_been_executed() {
-    for (class, word, attempts) in [("pages", "503", None), ("loan", "500", Some(1))] {
+    for (class, status, attempts) in [("pages", "503", None), ("loan", "500", Some(1))] {
         let (router, all) = router_before_caches(|_| FetchBehaviour::BlockThenReset, |_| {});
         let mut client = router.client();
         client.send_request_with_deadline(3000, 1, class, 1, "", b"body of it");
-        wait_until("it is at a server", || fetch_count(&all) == 1);
+        wait_until("a server has the request", || fetch_count(&all) == 1);
         release_all(&all);
-        assert_eq!(client.expect_answer().status, word, "{class}");
+        assert_eq!(client.expect_answer().status, status, "{class}");
         assert!(attempts.is_none_or(|n| fetch_count(&all) == n), "{class}: {}", fetch_count(&all));
         assert!(router.counter("attempts_broken") >= 1);
         assert_eq!(client.answers_before_pong(), []);
--- a/crates/node/tests/crossing/stops.rs
+++ b/crates/node/tests/crossing/stops.rs
@@ -1,17 +1,18 @@
-//! The process stands still for a while, or a fetch waits for its connection: what is passed on and begun after that.
+//! The router process is stopped for a while, or an attempt waits for its connection: the deadlines that are forwarded after that, and the
+//! attempts that are no longer started.
 
 use crate::common::*;
 use serde_json::json;
 use std::time::Duration;
 
-/// What the deadline that is passed on may exceed the client's time by.
+/// By how much a forwarded deadline may exceed the time that the client has left, in milliseconds.
 const SLACK_MS: u64 = 150;
-/// How long a process is stopped, or a connection does not prove itself.
-const STOPPED: Duration = Duration::from_millis(1_200);
-/// How long the client waits.
-const WAIT_MS: u64 = 4_000;
+/// How long the process is stopped, or the probe of a new connection stays unanswered.
+const PAUSE: Duration = Duration::from_millis(1_200);
+/// The deadline of a request, in milliseconds.
+const DEADLINE_MS: u64 = 4_000;
 
-/// A router before caches that do this when they are asked whether a connection works.
+/// A router in front of three caches that answer the probe of a new connection like this.
 fn router_before_caches(proof: ProbeBehaviour) -> (Process, [Cache; 3]) {
     let all =
         [(); 3].map(|()| Cache::start_with_probes(move |_| proof, |s| FetchBehaviour::Ok(part_body(s))));
@@ -25,14 +26,21 @@
     all.iter().flat_map(Cache::fetches).collect()
 }
 
-/// What each fetch was told is what its client had left, who asked at that time.
-fn assert_remaining_deadline(all: &[Cache], asked: u64) {
+/// Asserts that each fetch carried at most the time that its client, which sent the request at `sent_at`, had left.
+fn assert_remaining_deadline(all: &[Cache], sent_at: u64) {
     let fetches = all_fetches(all);
     assert!(!fetches.is_empty());
     for fetch in fetches {
-        let told: u64 = fetch.field("w").expect("a wait").parse().expect("whole milliseconds");
-        let left = (asked + WAIT_MS).saturating_sub(fetch.received_ms);
-        assert!(told <= left + SLACK_MS, "told {told} ms, its client has {left} ms left");
+        let deadline: u64 = fetch
+            .field("w")
+            .expect("the fetch carries its deadline")
+            .parse()
+            .expect("the deadline is in whole milliseconds");
+        let left = (sent_at + DEADLINE_MS).saturating_sub(fetch.received_ms);
+        assert!(
+            deadline <= left + SLACK_MS,
+            "the fetch carries a deadline of {deadline} ms, its client has {left} ms left"
+        );
     }
 }
 
@@ -42,25 +50,25 @@
     let mut client = router.client();
     assert_eq!(client.answers_before_pong(), []);
     router.signal("STOP");
-    let asked = unix_ms();
-    client.send_request_with_deadline(WAIT_MS, 1, "pages", 1, "", b"");
-    std::thread::sleep(STOPPED);
+    let sent_at = unix_ms();
+    client.send_request_with_deadline(DEADLINE_MS, 1, "pages", 1, "", b"");
+    std::thread::sleep(PAUSE);
     router.signal("CONT");
     assert_eq!(client.expect_answer().tag, 1);
-    assert_remaining_deadline(&all, asked);
+    assert_remaining_deadline(&all, sent_at);
 }
 
 #[test]
 fn deadline_of_an_attempt_that_waited_for_its_connection_is_reduced_by_the_wait() {
     let (router, all) = router_before_caches(ProbeBehaviour::BlockThenYes);
     let mut client = router.client();
-    let asked = unix_ms();
-    client.send_request_with_deadline(WAIT_MS, 1, "pages", 1, "", b"");
-    wait_until("it waits for its connection", || router.counter("attempts") == 1);
-    std::thread::sleep(STOPPED);
+    let sent_at = unix_ms();
+    client.send_request_with_deadline(DEADLINE_MS, 1, "pages", 1, "", b"");
+    wait_until("the attempt waits for its connection", || router.counter("attempts") == 1);
+    std::thread::sleep(PAUSE);
     all.iter().for_each(|cache| cache.resume.store(true, std::sync::atomic::Ordering::SeqCst));
     assert_eq!(client.expect_answer().tag, 1);
-    assert_remaining_deadline(&all, asked);
+    assert_remaining_deadline(&all, sent_at);
 }
 
 #[test]
@@ -68,15 +76,15 @@
     for _ in 0..3 {
         let (router, all) = router_before_caches(ProbeBehaviour::BlockThenYes);
         let mut client = router.client();
-        client.send_request_with_deadline(WAIT_MS, 1, "pages", 1, "", b"");
-        wait_until("it waits for its connection", || router.counter("attempts") == 1);
+        client.send_request_with_deadline(DEADLINE_MS, 1, "pages", 1, "", b"");
+        wait_until("the attempt waits for its connection", || router.counter("attempts") == 1);
         router.signal("STOP");
         all.iter().for_each(|cache| cache.resume.store(true, std::sync::atomic::Ordering::SeqCst));
         std::thread::sleep(Duration::from_millis(300));
         drop(client);
         std::thread::sleep(Duration::from_millis(300));
         router.signal("CONT");
-        wait_until("the router hears that its client left", || router.counter("left") == 1);
-        assert_eq!(all_fetches(&all).len(), 0, "an attempt began though its client had left");
+        wait_until("the router notices that its client disconnected", || router.counter("left") == 1);
+        assert_eq!(all_fetches(&all).len(), 0, "an attempt was sent although its client had disconnected");
     }
 }
--- a/crates/node/tests/crossing/watches.rs
+++ b/crates/node/tests/crossing/watches.rs
@@ -1,4 +1,4 @@
-//! The change log: silence, reloads and lists that cross requests.
+//! The change log: silence, reloads and endpoint lists at the same time as each other and as requests.
 
 mod lists;
 
@@ -9,8 +9,8 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// A router before an edge cache, a parent and an origin.
-struct Rig {
+/// A router in front of an edge cache, a parent and an origin.
+struct RouterHarness {
     edge: Cache,
     origin: Cache,
     log: ChangeLog,
@@ -18,214 +18,224 @@
     router: Process,
 }
 
-fn rig_of(log: ChangeLog, change: impl FnOnce(&mut Value)) -> Rig {
+fn start_router_with(log: ChangeLog, change: impl FnOnce(&mut Value)) -> RouterHarness {
     let (edge, origin) = (Cache::with_all_objects(), Cache::with_all_objects());
     let mut config =
         configuration(&edge_parent_origin(&edge, &Cache::with_all_objects(), &origin), log.address);
-    // On a busy machine a connection takes its time.
+    // A connection may take long on a busy machine.
     config["settings"]["limits"]["connect-timeout"] = json!(20_000.0);
     change(&mut config);
     let router = router(&config);
-    Rig { edge, origin, log, config, router }
+    RouterHarness { edge, origin, log, config, router }
 }
 
-fn rig() -> Rig {
-    rig_of(ChangeLog::start(), |_| {})
+fn start_router() -> RouterHarness {
+    start_router_with(ChangeLog::start(), |_| {})
 }
 
+/// The payload of an object purge that happened now.
 fn purge(object: u64) -> Vec<u8> {
     [object.to_be_bytes(), unix_ms().to_be_bytes()].concat()
 }
 
-/// How often it was asked.
+/// How many connections to the change log have been made.
 fn connection_count(log: &ChangeLog) -> usize {
     log.resume_positions.lock().expect("lock").len()
 }
 
 #[test]
 fn missing_event_named_by_empty_frames_is_requested_again() {
-    let rig = rig();
-    wait_until("it is followed", || connection_count(&rig.log) == 1);
-    rig.log.heartbeats_carry_newest.store(true, Ordering::SeqCst);
-    rig.log.events_withheld_up_to.store(1, Ordering::SeqCst);
-    rig.log.publish(2, 3, &purge(77));
-    wait_until("the event is told", || rig.router.counter("purges") == 1);
-    assert_eq!((connection_count(&rig.log), rig.router.counter("log_behind")), (2, 1));
+    let harness = start_router();
+    wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
+    harness.log.heartbeats_carry_newest.store(true, Ordering::SeqCst);
+    harness.log.events_withheld_up_to.store(1, Ordering::SeqCst);
+    harness.log.publish(2, 3, &purge(77));
+    wait_until("the event is received", || harness.router.counter("purges") == 1);
+    assert_eq!((connection_count(&harness.log), harness.router.counter("log_behind")), (2, 1));
     assert_eq!(
-        rig.log.resume_positions.lock().expect("lock")[..],
+        harness.log.resume_positions.lock().expect("lock")[..],
         [1, 1],
-        "asked for what comes after the last that is known"
+        "requests the events after the last known one"
     );
-    // The one that was asked runs from now on, and tells what comes.
-    rig.log.publish(3, 3, &purge(78));
-    wait_until("the next is told", || rig.router.counter("purges") == 2);
+    // The new connection stays, and sends the later events.
+    harness.log.publish(3, 3, &purge(78));
+    wait_until("the next event is received", || harness.router.counter("purges") == 2);
 }
 
 #[test]
 fn rechecks_for_an_event_that_never_comes_back_off() {
     let start = Instant::now();
-    let rig = rig();
-    wait_until("it is followed", || connection_count(&rig.log) == 1);
-    rig.log.heartbeats_carry_newest.store(true, Ordering::SeqCst);
-    rig.log.events_withheld_up_to.store(usize::MAX, Ordering::SeqCst);
-    rig.log.publish(2, 3, &purge(77));
-    // After 0.1, 0.2, 0.4, 0.8 and 1.6 s more.
-    wait_until("it is asked some times", || connection_count(&rig.log) >= 6);
+    let harness = start_router();
+    wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
+    harness.log.heartbeats_carry_newest.store(true, Ordering::SeqCst);
+    harness.log.events_withheld_up_to.store(usize::MAX, Ordering::SeqCst);
+    harness.log.publish(2, 3, &purge(77));
+    // Reconnects follow after 0.1, 0.2, 0.4, 0.8 and 1.6 s.
+    wait_until("the router has reconnected several times", || connection_count(&harness.log) >= 6);
     assert!(start.elapsed() >= Duration::from_millis(3100), "{:?}", start.elapsed());
-    assert_eq!(rig.router.counter("purges"), 0);
-    let asked = connection_count(&rig.log);
-    rig.log.events_withheld_up_to.store(0, Ordering::SeqCst);
-    wait_until("what it then tells is heard", || rig.router.counter("purges") == 1);
-    assert!(connection_count(&rig.log) <= asked + 1, "on a connection that was open");
+    assert_eq!(harness.router.counter("purges"), 0);
+    let connections = connection_count(&harness.log);
+    harness.log.events_withheld_up_to.store(0, Ordering::SeqCst);
+    wait_until("the event is received", || harness.router.counter("purges") == 1);
+    assert!(connection_count(&harness.log) <= connections + 1, "on the connection that was open");
 }
 
 #[test]
 fn silent_reconnect_is_replaced_by_another_connection() {
-    let rig = rig();
-    wait_until("it is followed", || connection_count(&rig.log) == 1);
+    let harness = start_router();
+    wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
     let stopped = Instant::now();
-    rig.log.silent_up_to.store(2, Ordering::SeqCst);
-    rig.log.publish(2, 3, &purge(77));
-    wait_until("the event is told", || rig.router.counter("purges") == 1);
-    // A watch that stopped counts as told after 4 s.
+    harness.log.silent_up_to.store(2, Ordering::SeqCst);
+    harness.log.publish(2, 3, &purge(77));
+    wait_until("the event is received", || harness.router.counter("purges") == 1);
+    // An event counts as received 4 s after the watch stopped, so it has to arrive before that.
     assert!(stopped.elapsed() < Duration::from_secs(4), "{:?}", stopped.elapsed());
-    assert_eq!((connection_count(&rig.log), rig.router.counter("log_quiet")), (3, 2));
+    assert_eq!((connection_count(&harness.log), harness.router.counter("log_quiet")), (3, 2));
 }
 
-// ---- New configurations ----
+// ---- Reloads ----
 
-/// Has the router follow the change log at this address; waits until it has read so.
-fn reload(rig: &mut Rig, at: SocketAddr) {
-    let before = rig.router.counter("reloads");
-    rig.config["changelog"] = json!(at.to_string());
-    rig.router.write_configuration(&rig.config.to_string());
-    rig.router.signal("HUP");
-    wait_until("it is read", || rig.router.counter("reloads") == before + 1);
+/// Reloads the router with the change log at this address, and waits for the reload.
+fn reload(harness: &mut RouterHarness, changelog: SocketAddr) {
+    let before = harness.router.counter("reloads");
+    harness.config["changelog"] = json!(changelog.to_string());
+    harness.router.write_configuration(&harness.config.to_string());
+    harness.router.signal("HUP");
+    wait_until("the configuration is reloaded", || harness.router.counter("reloads") == before + 1);
 }
 
 #[test]
 fn reload_in_the_middle_of_a_frame_loses_and_repeats_no_event() {
-    let mut rig = rig();
-    wait_until("it is followed", || connection_count(&rig.log) == 1);
-    // The next one begins event 3, and then nothing more comes of it.
-    let half = TcpListener::bind("127.0.0.1:0").expect("a port");
-    reload(&mut rig, half.local_addr().expect("an address"));
-    half.set_nonblocking(true).expect("a listener that does not wait");
+    let mut harness = start_router();
+    wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
+    // The next change log sends a part of event 3, and then nothing more.
+    let partial_log = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    reload(&mut harness, partial_log.local_addr().expect("a local address"));
+    partial_log.set_nonblocking(true).expect("the listener does not block");
     let mut taken = None;
-    until_polling("the router connects", || {
-        taken = half.accept().ok();
+    poll_until("the router connects", || {
+        taken = partial_log.accept().ok();
         taken.is_some()
     });
-    let (mut socket, _) = taken.expect("the router");
-    socket.set_nonblocking(false).expect("a socket that waits");
+    let (mut socket, _) = taken.expect("the router connected");
+    socket.set_nonblocking(false).expect("the socket blocks");
     let mut from = [0; 8];
-    socket.read_exact(&mut from).expect("the last event");
+    socket.read_exact(&mut from).expect("the router sends its last event");
     assert_eq!(u64::from_be_bytes(from), 1);
     let third = frame(3, 3, &purge(3));
-    socket.write_all(&[&frame(2, 3, &purge(2)), &third[..third.len() - 1]].concat()).expect("written");
-    wait_until("event 2 is told", || rig.router.counter("purges") == 1);
-    (2..=4).for_each(|n| rig.log.publish(n, 3, &purge(n)));
-    let back = rig.log.address;
-    reload(&mut rig, back);
-    wait_until("the rest is told", || rig.router.counter("purges") == 3);
-    assert_eq!(rig.log.resume_positions.lock().expect("lock")[..], [1, 2], "from the last whole event on");
-    // The connection is left, not kept for what may still come on it.
-    socket.set_read_timeout(Some(WAIT_LIMIT)).expect("a time-out");
+    socket
+        .write_all(&[&frame(2, 3, &purge(2)), &third[..third.len() - 1]].concat())
+        .expect("the socket takes the bytes");
+    wait_until("event 2 is received", || harness.router.counter("purges") == 1);
+    (2..=4).for_each(|n| harness.log.publish(n, 3, &purge(n)));
+    let original = harness.log.address;
+    reload(&mut harness, original);
+    wait_until("the remaining events are received", || harness.router.counter("purges") == 3);
+    assert_eq!(
+        harness.log.resume_positions.lock().expect("lock")[..],
+        [1, 2],
+        "from the last complete event"
+    );
+    // The router closes the replaced connection, and does not wait for more on it.
+    socket.set_read_timeout(Some(WAIT_LIMIT)).expect("the timeout is set");
     assert!(matches!(socket.read(&mut from), Ok(0) | Err(_)));
-    assert_eq!(rig.router.counter("purges"), 3);
+    assert_eq!(harness.router.counter("purges"), 3);
 }
 
 #[test]
 fn event_on_a_connection_being_replaced_is_notified_once() {
-    let mut rig = rig();
-    wait_until("it is followed", || connection_count(&rig.log) == 1);
+    let mut harness = start_router();
+    wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
     let other = ChangeLog::start();
     (2..=5).for_each(|n| other.publish(n, 3, &purge(n)));
-    // All in one moment: two events on the old connection, and that it is to be left.
-    rig.router.signal("STOP");
-    (2..=3).for_each(|n| rig.log.publish(n, 3, &purge(n)));
-    wait_until("they are written", || rig.log.written_up_to.load(Ordering::SeqCst) == 3);
-    rig.config["changelog"] = json!(other.address.to_string());
-    rig.router.write_configuration(&rig.config.to_string());
-    rig.router.signal("HUP");
-    rig.router.signal("CONT");
-    wait_until("all is told", || rig.router.counter("purges") >= 4);
-    wait_until("it is read", || rig.router.counter("reloads") == 1);
-    assert_eq!((rig.router.counter("purges"), connection_count(&other)), (4, 1));
+    // The resumed router sees two events on the old connection and the reload that replaces it at once.
+    harness.router.signal("STOP");
+    (2..=3).for_each(|n| harness.log.publish(n, 3, &purge(n)));
+    wait_until("both events are written", || harness.log.written_up_to.load(Ordering::SeqCst) == 3);
+    harness.config["changelog"] = json!(other.address.to_string());
+    harness.router.write_configuration(&harness.config.to_string());
+    harness.router.signal("HUP");
+    harness.router.signal("CONT");
+    wait_until("all events are received", || harness.router.counter("purges") >= 4);
+    wait_until("the configuration is reloaded", || harness.router.counter("reloads") == 1);
+    assert_eq!((harness.router.counter("purges"), connection_count(&other)), (4, 1));
 }
 
-/// A machine that answers no connection: what would be accepted waits already.
-struct Full {
+/// An address at which connects are not answered, since the backlog is full.
+struct UnresponsiveServer {
     address: SocketAddr,
     _waiting: Vec<TcpStream>,
     _listener: TcpListener,
 }
 
-fn full() -> Full {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    rustix::net::listen(&listener, 0).expect("a short queue");
-    let address = listener.local_addr().expect("an address");
+fn unresponsive_server() -> UnresponsiveServer {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    rustix::net::listen(&listener, 0).expect("a short backlog");
+    let address = listener.local_addr().expect("a local address");
     let waiting: Vec<TcpStream> =
         std::iter::from_fn(|| TcpStream::connect_timeout(&address, Duration::from_millis(300)).ok())
             .collect();
-    Full { address, _waiting: waiting, _listener: listener }
+    UnresponsiveServer { address, _waiting: waiting, _listener: listener }
 }
 
 #[test]
 fn reload_takes_effect_during_connect_and_during_backoff() {
-    let mut rig = rig();
-    wait_until("it is followed", || connection_count(&rig.log) == 1);
-    let (back, silent) = (rig.log.address, full());
-    let (_port, gone) = refused_address();
-    for (round, elsewhere) in [silent.address, gone].into_iter().enumerate() {
+    let mut harness = start_router();
+    wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
+    let (original, silent) = (harness.log.address, unresponsive_server());
+    let (_port, refusing) = refused_address();
+    for (round, address) in [silent.address, refusing].into_iter().enumerate() {
         let round = round as u64;
-        reload(&mut rig, elsewhere);
-        // It has left, and goes from try to try without an end.
-        let lost = rig.router.counter("log_lost");
-        wait_until("tries fail", || rig.router.counter("log_lost") >= lost + 2);
-        rig.log.publish(2 + round, 3, &purge(round));
-        let asked = connection_count(&rig.log);
-        reload(&mut rig, back);
-        wait_until("the event is told", || rig.router.counter("purges") == 1 + round);
-        assert_eq!(rig.log.resume_positions.lock().expect("lock")[asked..], [1 + round]);
+        reload(&mut harness, address);
+        // The router has left the original log, and retries the other address without end.
+        let failures = harness.router.counter("log_lost");
+        wait_until("two connects have failed", || harness.router.counter("log_lost") >= failures + 2);
+        harness.log.publish(2 + round, 3, &purge(round));
+        let connections = connection_count(&harness.log);
+        reload(&mut harness, original);
+        wait_until("the event is received", || harness.router.counter("purges") == 1 + round);
+        assert_eq!(harness.log.resume_positions.lock().expect("lock")[connections..], [1 + round]);
     }
 }
 
 #[test]
 fn concurrent_reloads_end_at_the_last_address() {
-    let mut rig = rig();
-    wait_until("it is followed", || connection_count(&rig.log) == 1);
-    let (back, silent) = (rig.log.address, full());
+    let mut harness = start_router();
+    wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
+    let (original, silent) = (harness.log.address, unresponsive_server());
     let mut quickest = Duration::MAX;
     for round in 0..5 {
         let start = Instant::now();
-        reload(&mut rig, silent.address);
-        rig.log.publish(2 + round, 3, &purge(round));
-        reload(&mut rig, back);
-        wait_until("the event is told", || rig.router.counter("purges") == 1 + round);
+        reload(&mut harness, silent.address);
+        harness.log.publish(2 + round, 3, &purge(round));
+        reload(&mut harness, original);
+        wait_until("the event is received", || harness.router.counter("purges") == 1 + round);
         quickest = quickest.min(start.elapsed());
     }
-    assert_eq!(rig.log.resume_positions.lock().expect("lock")[..], [1, 1, 2, 3, 4, 5]);
-    assert!(quickest < Duration::from_secs(1), "no try at the other address is waited for: {quickest:?}");
+    assert_eq!(harness.log.resume_positions.lock().expect("lock")[..], [1, 1, 2, 3, 4, 5]);
+    assert!(
+        quickest < Duration::from_secs(1),
+        "the reload waited for the connect to the other address: {quickest:?}"
+    );
 }
 
 #[test]
 fn frame_cut_at_any_byte_is_notified_once_by_the_next_connection() {
-    let rig = rig();
-    wait_until("it is followed", || connection_count(&rig.log) == 1);
-    let whole = frame(2, 3, &purge(2)).len();
-    for at in 0..whole {
-        let number = 2 + at as u64;
-        *rig.log.cut_after.lock().expect("lock") = Some((number, at));
-        rig.log.publish(number, 3, &purge(number));
-        wait_until("it is told", || rig.router.counter("purges") == 1 + at as u64);
+    let harness = start_router();
+    wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
+    let frame_length = frame(2, 3, &purge(2)).len();
+    for cut in 0..frame_length {
+        let number = 2 + cut as u64;
+        *harness.log.cut_after.lock().expect("lock") = Some((number, cut));
+        harness.log.publish(number, 3, &purge(number));
+        wait_until("the event is received", || harness.router.counter("purges") == 1 + cut as u64);
     }
-    assert_eq!(rig.router.counter("log_lost"), whole as u64);
-    let after: Vec<u64> = (0..=whole as u64).map(|n| n.max(1)).collect();
-    assert_eq!(rig.log.resume_positions.lock().expect("lock")[1..], after[1..]);
+    assert_eq!(harness.router.counter("log_lost"), frame_length as u64);
+    let after: Vec<u64> = (0..=frame_length as u64).map(|n| n.max(1)).collect();
+    assert_eq!(harness.log.resume_positions.lock().expect("lock")[1..], after[1..]);
 }
 
-/// Asks for some objects; each gets one answer. Gives how many were served.
+/// Requests 20 objects, each of which gets one answer; returns how many were served.
 fn request_objects(client: &mut Client, from: u64) -> usize {
     (from..from + 20).for_each(|t| {
         client.send_request(t, "pages", t * 7919, "", b"");
@@ -238,16 +248,16 @@
     answers.iter().filter(|g| g.status == "200").count()
 }
 
-// ---- Without the change log ----
+// ---- No change log ----
 
 #[test]
 fn router_with_a_known_list_is_ready_without_the_change_log() {
     let log = ChangeLog::start();
     log.down.store(true, Ordering::SeqCst);
-    let rig = rig_of(log, |_| {});
-    let mut client = rig.router.client();
+    let harness = start_router_with(log, |_| {});
+    let mut client = harness.router.client();
     client.send_message("PING", 1);
-    assert_eq!(client.expect_answer().status, "serving", "what it was started with is a list");
+    assert_eq!(client.expect_answer().status, "serving", "the list of the configuration is enough");
     assert_eq!(request_objects(&mut client, 2), 20);
 }
 
@@ -255,28 +265,28 @@
 fn router_without_a_list_is_ready_soon_after_the_change_log_returns() {
     let log = ChangeLog::start();
     log.down.store(true, Ordering::SeqCst);
-    let rig = rig_of(log, |c| c["known"] = json!({"seq": 0, "results": []}));
-    // Long enough for the rest between tries to be the longest.
-    wait_until("it has tried some times", || rig.router.counter("log_lost") >= 7);
-    let mut client = rig.router.client();
+    let harness = start_router_with(log, |c| c["known"] = json!({"seq": 0, "results": []}));
+    // By then the pause between tries is the longest.
+    wait_until("the router has tried several times", || harness.router.counter("log_lost") >= 7);
+    let mut client = harness.router.client();
     client.send_message("PING", 1);
     assert_eq!(client.expect_answer().status, "not_serving");
     assert_ne!(request_objects(&mut client, 2), 20, "no server is known");
-    rig.log.publish(
+    harness.log.publish(
         1,
         1,
-        &[record(EDGE, rig.edge.address, 0, 0), record(ORIGIN, rig.origin.address, 0, 2)].concat(),
+        &[record(EDGE, harness.edge.address, 0, 0), record(ORIGIN, harness.origin.address, 0, 2)].concat(),
     );
-    let back = Instant::now();
-    rig.log.down.store(false, Ordering::SeqCst);
+    let log_up = Instant::now();
+    harness.log.down.store(false, Ordering::SeqCst);
     let mut tag = 1000;
-    until_polling("it is ready", || {
+    poll_until("the router is ready", || {
         tag += 1;
         client.send_message("PING", tag);
         client.expect_answer().status == "serving"
     });
-    // Nine in ten have 10 s from their start on.
-    assert!(back.elapsed() < Duration::from_secs(5), "{:?}", back.elapsed());
+    // A router should be ready 10 s after its start in nine of ten cases.
+    assert!(log_up.elapsed() < Duration::from_secs(5), "{:?}", log_up.elapsed());
     assert_eq!(request_objects(&mut client, 100), 20);
 }
 
@@ -287,11 +297,11 @@
     let mut config =
         configuration(&edge_parent_origin(&edge, &Cache::with_all_objects(), &origin), log.address);
     config["limits"]["sockets"] = json!(64);
-    let router = router_by(&config, "ulimit -n 64; exec \"$0\" serve");
-    wait_until("it is followed", || connection_count(&log) == 1);
+    let router = router_from_shell(&config, "ulimit -n 64; exec \"$0\" serve");
+    wait_until("the router follows the change log", || connection_count(&log) == 1);
     log.down.store(true, Ordering::SeqCst);
     wait_until("discovery is down", || router.counter("log_lost") >= 3);
-    // More than there is room for; all ask once and keep their connections for good.
+    // More clients than slots; each sends one request and keeps its connection.
     let idle: Vec<Client> = (0..80)
         .map(|n| {
             let mut client = router.client();
@@ -299,17 +309,17 @@
             client
         })
         .collect();
-    // Of 64, a third are servers' and 16 the process's own.
-    wait_until("the places are taken", || router.counter("clients_now") == 27);
+    // Of 64 descriptors a third is reserved for servers, and 16 for the process itself.
+    wait_until("all client slots are taken", || router.counter("clients_now") == 27);
     log.publish(2, 3, &purge(77));
     log.down.store(false, Ordering::SeqCst);
     wait_until("the change log is reached again", || router.counter("purges") == 1);
-    assert_eq!(router.counter("closed_idle"), 0, "not for a place that an idle one left");
-    // New clients are served meanwhile, and by connections to servers.
+    assert_eq!(router.counter("closed_idle"), 0, "no slot was freed by an idle timeout");
+    // A new client is still served, over connections to servers.
     let mut client = router.client();
     client.send_request(1, "pages", 77, "", b"");
     assert_eq!(client.expect_answer().status, "200");
     assert!(edge.fetch_count() > 0);
-    assert!(router.counter("closed_for_room") > 0, "those that made room are counted");
+    assert!(router.counter("closed_for_room") > 0, "the reclaimed slots are counted");
     drop(idle);
 }
--- a/crates/node/tests/gather.rs
+++ b/crates/node/tests/gather.rs
@@ -87,7 +87,7 @@
 
     fn serves(&self, r: usize) {
         let mut client = self.router(r).client();
-        until_polling("it serves", || {
+        poll_until("it serves", || {
             client.send_message("PING", 999_999);
             client.expect_answer().status == "serving"
         });
@@ -157,19 +157,19 @@
         other.send_request(tag, "pages", 9, &format!(",parts=2@east,debt={debt}"), b"");
         other.expect_answer()
     };
-    until_polling("the other version is had", || {
+    poll_until("the other version is had", || {
         assert_ne!(ask().status, "200");
         three.caches[2].fetch_count() > 0
     });
     three.versions[2].store(1, Ordering::SeqCst);
     let mut paid = None;
-    until_polling("the rest is had", || {
+    poll_until("the rest is had", || {
         let got = ask();
         paid = (got.status == "200").then_some(got.body);
         paid.is_some()
     });
     assert_eq!(paid, Some(bytes("2", "east")));
-    until_polling("the debt is over", || ask().status == "500");
+    poll_until("the debt is over", || ask().status == "500");
     assert!(three.router(1).counter("debts_paid") >= 1);
 }
 
--- a/crates/node/tests/keyed.rs
+++ b/crates/node/tests/keyed.rs
@@ -1,4 +1,4 @@
-//! Classes whose requests carry a key for repeats: it goes to servers unchanged, with every attempt.
+//! Classes whose requests carry an idempotency key: the key is sent unchanged to the server with every attempt.
 
 #[path = "common/mod.rs"]
 mod common;
@@ -11,7 +11,7 @@
 
 #[test]
 fn idempotency_key_is_passed_on_with_each_attempt_and_never_invented() {
-    // The origin's first answer is an error, so that the request goes on to the parent, within its window.
+    // The origin answers with an error, so that the request is retried at the parent within the window of its key.
     let (parent, origin) = (
         Cache::with_all_objects(),
         Cache::start(|_| FetchBehaviour::Answer { status: "error", fields: "-" }),
@@ -28,7 +28,8 @@
     assert_eq!(client.expect_answer().status, "200");
     client.send_request(2, "loan", 2, "", b"borrow");
     assert_eq!(client.expect_answer().status, "200");
-    let keys = |of: &Cache| of.fetches().iter().map(|s| s.field("i").map(str::to_string)).collect::<Vec<_>>();
+    let keys =
+        |cache: &Cache| cache.fetches().iter().map(|s| s.field("i").map(str::to_string)).collect::<Vec<_>>();
     assert_eq!(keys(&origin), [Some(KEY.to_string()), None]);
     assert_eq!(keys(&parent), [Some(KEY.to_string()), None]);
     assert_eq!(client.answers_before_pong(), []);
--- a/crates/node/tests/service/main.rs
+++ b/crates/node/tests/service/main.rs
@@ -1,4 +1,4 @@
-//! The router in service: new configurations, clients and peers that misbehave. Each request gets one answer.
+//! The router during reloads, with misbehaving clients and servers, and at shutdown: each request gets one answer.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -14,128 +14,131 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A router before an edge cache, a parent and an origin, which all hold everything unless told otherwise.
-struct Rig {
+/// A router in front of an edge cache, a parent and an origin, which serve every object unless a test says otherwise.
+struct RouterHarness {
     edge: Cache,
     log: ChangeLog,
     config: Value,
     router: Process,
 }
 
-fn rig_of(edge: Cache, change: impl FnOnce(&mut Value)) -> Rig {
+fn start_router_with(edge: Cache, change: impl FnOnce(&mut Value)) -> RouterHarness {
     let log = ChangeLog::start();
     let mut config = configuration(
         &edge_parent_origin(&edge, &Cache::with_all_objects(), &Cache::with_all_objects()),
         log.address,
     );
-    // On a busy machine a connection takes its time.
+    // A connection may take long on a busy machine.
     config["settings"]["limits"]["connect-timeout"] = json!(20_000.0);
     change(&mut config);
     let router = router(&config);
-    Rig { edge, log, config, router }
+    RouterHarness { edge, log, config, router }
 }
 
-fn rig() -> Rig {
-    rig_of(Cache::with_all_objects(), |_| {})
+fn start_router() -> RouterHarness {
+    start_router_with(Cache::with_all_objects(), |_| {})
 }
 
+/// The payload of an object purge that happened now.
 fn purge(object: u64) -> Vec<u8> {
     [object.to_be_bytes(), unix_ms().to_be_bytes()].concat()
 }
 
 fn assert_served(client: &mut Client, tag: u64) {
     client.send_request(tag, "pages", tag, "", b"");
-    let got = client.expect_answer();
-    assert_eq!((got.tag, got.status.as_str()), (tag, "200"));
+    let answer = client.expect_answer();
+    assert_eq!((answer.tag, answer.status.as_str()), (tag, "200"));
 }
 
-/// The time within which what misbehaves is owed a close.
-const OWED: Duration = Duration::from_secs(3);
+/// The time within which the connection of a misbehaving client has to be closed.
+const CLOSE_TIME: Duration = Duration::from_secs(3);
 
 fn with_sockets(sockets: u64) -> impl FnOnce(&mut Value) {
     move |c| c["limits"]["sockets"] = json!(sockets)
 }
 
-// ---- New configurations ----
+// ---- Reloads ----
 
 #[test]
 fn sighup_follows_the_change_log_at_its_new_address_from_the_last_event() {
-    let mut rig = rig();
-    let mut client = rig.router.client();
+    let mut harness = start_router();
+    let mut client = harness.router.client();
     assert_served(&mut client, 1);
-    rig.log.publish(2, 3, &purge(77));
-    wait_until("an event is told", || rig.router.counter("purges") == 1);
-    let moved = ChangeLog::start();
-    moved.publish(2, 3, &purge(77));
-    moved.publish(3, 3, &purge(5));
-    rig.config["changelog"] = json!(moved.address.to_string());
-    rig.router.write_configuration(&rig.config.to_string());
-    rig.router.signal("HUP");
-    wait_until("the next event is told", || rig.router.counter("purges") == 2);
-    assert_eq!(moved.resume_positions.lock().expect("lock")[..], [2], "from the last event on");
-    // Open connections go on, and what was told holds.
+    harness.log.publish(2, 3, &purge(77));
+    wait_until("an event is received", || harness.router.counter("purges") == 1);
+    let new_log = ChangeLog::start();
+    new_log.publish(2, 3, &purge(77));
+    new_log.publish(3, 3, &purge(5));
+    harness.config["changelog"] = json!(new_log.address.to_string());
+    harness.router.write_configuration(&harness.config.to_string());
+    harness.router.signal("HUP");
+    wait_until("the next event is received", || harness.router.counter("purges") == 2);
+    assert_eq!(new_log.resume_positions.lock().expect("lock")[..], [2], "after the last event");
+    // Connections stay open, and received purges stay in effect.
     assert_served(&mut client, 5);
-    assert!(rig.edge.fetches()[1].field("oldest").is_some());
-    // Any number of signals; the last file holds, also when its change log is not there yet.
-    rig.config["changelog"] = json!("127.0.0.1:1");
-    rig.router.write_configuration(&rig.config.to_string());
-    (0..5).for_each(|_| rig.router.signal("HUP"));
-    wait_until("it was read", || rig.router.counter("log_lost") >= 3);
-    rig.config["changelog"] = json!(rig.log.address.to_string());
-    rig.router.write_configuration(&rig.config.to_string());
-    rig.router.signal("HUP");
-    rig.log.publish(4, 3, &purge(6));
-    rig.log.publish(3, 3, &purge(6));
-    wait_until("it is followed where it was", || rig.log.resume_positions.lock().expect("lock").contains(&3));
-    wait_until("event 4 is told", || rig.router.counter("purges") == 3);
+    assert!(harness.edge.fetches()[1].field("oldest").is_some());
+    // After several signals the last file is in effect, even if its change log does not answer yet.
+    harness.config["changelog"] = json!("127.0.0.1:1");
+    harness.router.write_configuration(&harness.config.to_string());
+    (0..5).for_each(|_| harness.router.signal("HUP"));
+    wait_until("the router tries the last address", || harness.router.counter("log_lost") >= 3);
+    harness.config["changelog"] = json!(harness.log.address.to_string());
+    harness.router.write_configuration(&harness.config.to_string());
+    harness.router.signal("HUP");
+    harness.log.publish(4, 3, &purge(6));
+    harness.log.publish(3, 3, &purge(6));
+    wait_until("the original change log is followed again", || {
+        harness.log.resume_positions.lock().expect("lock").contains(&3)
+    });
+    wait_until("event 4 is received", || harness.router.counter("purges") == 3);
     assert_served(&mut client, 6);
     assert_eq!(client.answers_before_pong(), []);
 }
 
 #[test]
 fn sighup_with_a_bad_file_names_it_and_changes_nothing() {
-    let mut rig = rig();
-    let mut client = rig.router.client();
+    let mut harness = start_router();
+    let mut client = harness.router.client();
     assert_served(&mut client, 1);
     for (text, fault) in [
         ("{", "GW_CONFIG"),
-        (&rig.config.to_string().replace("\"changelog\"", "\"other\""), "field changelog"),
+        (&harness.config.to_string().replace("\"changelog\"", "\"other\""), "field changelog"),
     ] {
-        let refused = rig.router.counter("reloads_refused");
-        rig.router.write_configuration(text);
-        rig.router.signal("HUP");
-        wait_until("it is refused", || rig.router.counter("reloads_refused") == refused + 1);
-        assert!(rig.router.has_logged(fault), "{fault}");
+        let rejected = harness.router.counter("reloads_refused");
+        harness.router.write_configuration(text);
+        harness.router.signal("HUP");
+        wait_until("the reload is rejected", || harness.router.counter("reloads_refused") == rejected + 1);
+        assert!(harness.router.has_logged(fault), "{fault}");
     }
-    rig.log.publish(2, 3, &purge(1));
-    wait_until("the change log is still followed", || rig.router.counter("purges") == 1);
-    // What only a new start can take is named and left.
-    rig.config["limits"]["sockets"] = json!(512);
-    rig.router.write_configuration(&rig.config.to_string());
-    rig.router.signal("HUP");
-    wait_until("it is read", || rig.router.counter("reloads") == 1);
-    assert!(rig.router.has_logged("change of limits needs a restart"));
+    harness.log.publish(2, 3, &purge(1));
+    wait_until("the change log is still followed", || harness.router.counter("purges") == 1);
+    // A change that needs a restart is logged and has no effect.
+    harness.config["limits"]["sockets"] = json!(512);
+    harness.router.write_configuration(&harness.config.to_string());
+    harness.router.signal("HUP");
+    wait_until("the configuration is reloaded", || harness.router.counter("reloads") == 1);
+    assert!(harness.router.has_logged("change of limits needs a restart"));
     assert_served(&mut client, 2);
     assert_eq!(client.answers_before_pong(), []);
-    assert_eq!(rig.router.counter("log_lost"), 0);
+    assert_eq!(harness.router.counter("log_lost"), 0);
 }
 
-// ---- The end ----
+// ---- Shutdown ----
 
 #[test]
 fn misbehaving_clients_do_not_delay_shutdown() {
     let slow = Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 1200, body: part_body(s) });
-    let mut rig = rig_of(slow, |_| {});
-    let mut good = rig.router.client();
-    let silent: Vec<Client> = (0..100).map(|_| rig.router.client()).collect();
-    let mut half: Vec<Client> = (0..100).map(|_| rig.router.client()).collect();
-    half.iter_mut().for_each(|c| c.write(b"*5\r\n$2\r\nDO\r\n"));
+    let mut harness = start_router_with(slow, |_| {});
+    let mut good = harness.router.client();
+    let silent: Vec<Client> = (0..100).map(|_| harness.router.client()).collect();
+    let mut partial: Vec<Client> = (0..100).map(|_| harness.router.client()).collect();
+    partial.iter_mut().for_each(|c| c.write(b"*5\r\n$2\r\nDO\r\n"));
     good.send_request(1, "pages", 1, "", b"");
-    wait_until("it is open", || rig.router.counter("requests") == 1);
-    let asked = Instant::now();
-    rig.router.signal("TERM");
+    wait_until("the request is open", || harness.router.counter("requests") == 1);
+    let start = Instant::now();
+    harness.router.signal("TERM");
     assert_eq!(good.expect_answer().status, "200");
-    assert!(rig.router.expect_exit().success());
-    assert!(asked.elapsed() < Duration::from_secs(5), "{:?}", asked.elapsed());
-    drop((silent, half));
+    assert!(harness.router.expect_exit().success());
+    assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
+    drop((silent, partial));
 }
--- a/crates/node/tests/service/servers.rs
+++ b/crates/node/tests/service/servers.rs
@@ -1,4 +1,4 @@
-//! Servers and change logs that misbehave.
+//! Misbehaving servers and change logs.
 
 use crate::common::*;
 use crate::*;
@@ -10,36 +10,36 @@
         Some("0000000000000002") => FetchBehaviour::OkAfterUnknownId(part_body(s)),
         _ => FetchBehaviour::Ok(part_body(s)),
     });
-    let rig = rig_of(edge, |_| {});
-    let mut client = rig.router.client();
+    let harness = start_router_with(edge, |_| {});
+    let mut client = harness.router.client();
     for tag in 1..=3 {
         client.send_request(tag, "pages", tag, "", b"");
-        let got = client.expect_answer();
-        assert_eq!((got.tag, got.body), (tag, format!("{tag:016x}/0").into_bytes()));
+        let answer = client.expect_answer();
+        assert_eq!((answer.tag, answer.body), (tag, format!("{tag:016x}/0").into_bytes()));
     }
     assert_eq!(client.answers_before_pong(), []);
-    assert_eq!((rig.router.counter("late_answers"), rig.router.counter("conns")), (2, 1));
+    assert_eq!((harness.router.counter("late_answers"), harness.router.counter("conns")), (2, 1));
 }
 
 #[test]
 fn answer_never_counts_for_a_later_attempt() {
-    // Its second copy must not speak for the attempt that follows the first.
+    // The cache answers the first attempt twice; the second answer must not count for the attempt after it.
     let first = AtomicBool::new(true);
     let edge = Cache::start(move |s| match first.swap(false, Ordering::SeqCst) {
         true => FetchBehaviour::AnswerTwice { status: "nothing" },
         false => FetchBehaviour::OkAfter { delay_ms: 300, body: part_body(s) },
     });
-    let rig = rig_of(edge, |_| {});
-    let mut client = rig.router.client();
+    let harness = start_router_with(edge, |_| {});
+    let mut client = harness.router.client();
     assert_served(&mut client, 1);
     assert_eq!(client.answers_before_pong(), []);
-    assert_eq!((rig.edge.fetch_count(), rig.router.counter("attempts_miss")), (2, 1));
-    assert_eq!(rig.router.counter("late_answers"), 1);
+    assert_eq!((harness.edge.fetch_count(), harness.router.counter("attempts_miss")), (2, 1));
+    assert_eq!(harness.router.counter("late_answers"), 1);
 }
 
 #[test]
 fn malformed_or_incomplete_answer_closes_its_connection_and_moves_the_other_attempts() {
-    let spoilt: [fn() -> FetchBehaviour; 6] = [
+    let malformed_answers: [fn() -> FetchBehaviour; 6] = [
         || FetchBehaviour::Answer { status: "ok", fields: "-" },
         || FetchBehaviour::Bytes(b"*4\r\n$16\r\n"),
         || FetchBehaviour::Bytes(b"*4\r\n$1\r\nx\r\n$2\r\nok\r\n$-5\r\n"),
@@ -47,16 +47,16 @@
         || FetchBehaviour::Answer { status: "ok", fields: "bé,=,noise" },
         || FetchBehaviour::Bytes(b"\0\x01\x02 noise"),
     ];
-    for act in spoilt {
-        // The first connection goes bad with its second request and says nothing more.
+    for act in malformed_answers {
+        // The first connection gets a malformed answer to its second request, and then no more bytes.
         let edge = Cache::start(move |s| match (s.connection, s.field("k")) {
             (1, Some("0000000000000002")) => act(),
             (1, _) => FetchBehaviour::NoAnswer,
             _ => FetchBehaviour::Ok(part_body(s)),
         });
         let second = Cache::with_all_objects();
-        let rig = rig_of(edge, |c| add_second_edge(c, &second));
-        let mut client = rig.router.client();
+        let harness = start_router_with(edge, |c| add_second_edge(c, &second));
+        let mut client = harness.router.client();
         let start = Instant::now();
         client.send_request(1, "pages", 1, "", b"");
         client.send_request(2, "pages", 2, "", b"");
@@ -69,8 +69,8 @@
 
 #[test]
 fn connection_with_an_unanswered_probe_gets_no_request() {
-    // The first of all is mute from its start; the machine behind it may be gone.
-    let mute = |first: Arc<AtomicBool>| {
+    // The first connection of all never answers its probe, as if its machine were lost.
+    let silent_first = |first: Arc<AtomicBool>| {
         move |_| {
             if first.swap(false, Ordering::SeqCst) {
                 ProbeBehaviour::NoAnswer
@@ -81,16 +81,16 @@
     };
     let first = Arc::new(AtomicBool::new(true));
     let other = Arc::clone(&first);
-    let edge = Cache::start_with_probes(mute(first), |s| FetchBehaviour::Ok(part_body(s)));
-    let second = Cache::start_with_probes(mute(other), |s| FetchBehaviour::Ok(part_body(s)));
-    let rig = rig_of(edge, |c| {
+    let edge = Cache::start_with_probes(silent_first(first), |s| FetchBehaviour::Ok(part_body(s)));
+    let second = Cache::start_with_probes(silent_first(other), |s| FetchBehaviour::Ok(part_body(s)));
+    let harness = start_router_with(edge, |c| {
         add_second_edge(c, &second);
         c["settings"]["limits"]["connect-timeout"] = json!(400.0);
     });
-    let mut client = rig.router.client();
+    let mut client = harness.router.client();
     assert_served(&mut client, 1);
-    assert_eq!(rig.edge.fetch_count() + second.fetch_count(), 1);
-    assert_eq!(rig.router.counter("attempts_no_connection"), 1);
+    assert_eq!(harness.edge.fetch_count() + second.fetch_count(), 1);
+    assert_eq!(harness.router.counter("attempts_no_connection"), 1);
     assert_eq!(client.answers_before_pong(), []);
 }
 
@@ -110,7 +110,7 @@
     let mut conns: Vec<usize> = origin.fetches().iter().map(|s| s.connection).collect();
     conns.sort_unstable();
     conns.dedup();
-    assert_eq!((origin.fetch_count(), conns.len()), (8, 8), "each on one of its own");
+    assert_eq!((origin.fetch_count(), conns.len()), (8, 8), "each write has a connection of its own");
     assert_eq!(client.answers_before_pong(), []);
 }
 
@@ -128,7 +128,7 @@
     ));
     let mut client = router.client();
     client.send_request(1, "loan", 1, "", b"borrow");
-    assert_eq!(client.expect_answer().status, "200", "sent again, since it provably never ran");
+    assert_eq!(client.expect_answer().status, "200", "retried, since it was provably not executed");
     assert_eq!((parent.fetch_count(), origin.fetch_count()), (1, 0));
     assert_eq!((router.counter("attempts_broken"), router.counter("attempts_not_sent")), (0, 1));
     assert_eq!(client.answers_before_pong(), []);
@@ -136,40 +136,42 @@
 
 #[test]
 fn change_log_cut_in_mid_event_or_repeating_notifies_each_event_once() {
-    let rig = rig();
-    wait_until("it is followed", || !rig.log.resume_positions.lock().expect("lock").is_empty());
-    *rig.log.cut_in_half.lock().expect("lock") = Some(3);
+    let harness = start_router();
+    wait_until("the router follows the change log", || {
+        !harness.log.resume_positions.lock().expect("lock").is_empty()
+    });
+    *harness.log.cut_in_half.lock().expect("lock") = Some(3);
     for (number, object) in [(2, 1), (2, 1), (3, 2), (4, 3), (4, 3)] {
-        rig.log.publish(number, 3, &purge(object));
+        harness.log.publish(number, 3, &purge(object));
     }
-    wait_until("all are told", || rig.router.counter("purges") >= 3);
-    wait_until("it was asked again after the break", || {
-        rig.log.resume_positions.lock().expect("lock").contains(&2)
+    wait_until("all events are received", || harness.router.counter("purges") >= 3);
+    wait_until("the router reconnects after the cut", || {
+        harness.log.resume_positions.lock().expect("lock").contains(&2)
     });
-    rig.log.publish(5, 3, &purge(4));
-    wait_until("the next is told", || rig.router.counter("purges") >= 4);
-    assert_eq!((rig.router.counter("purges"), rig.router.counter("log_lost")), (4, 1));
-    let mut client = rig.router.client();
+    harness.log.publish(5, 3, &purge(4));
+    wait_until("the next event is received", || harness.router.counter("purges") >= 4);
+    assert_eq!((harness.router.counter("purges"), harness.router.counter("log_lost")), (4, 1));
+    let mut client = harness.router.client();
     (1..=5).for_each(|tag| assert_served(&mut client, tag));
     assert_eq!(client.answers_before_pong(), []);
-    let bound = rig.edge.fetches().iter().filter(|s| s.field("oldest").is_some()).count();
-    assert_eq!(bound, 4);
+    let age_limited = harness.edge.fetches().iter().filter(|s| s.field("oldest").is_some()).count();
+    assert_eq!(age_limited, 4);
 }
 
 #[test]
 fn servers_that_come_and_go_leave_no_connections() {
-    let rig = rig();
-    let mut client = rig.router.client();
+    let harness = start_router();
+    let mut client = harness.router.client();
     assert_served(&mut client, 1);
-    let address = rig.edge.address;
+    let address = harness.edge.address;
     for round in 0..40u32 {
         let ids = (0..50).map(|n| 0x1000 + 50 * round + n);
         let all = |state: u8| ids.clone().flat_map(|id| record(id, address, state, 0)).collect::<Vec<u8>>();
-        rig.log.publish(u64::from(2 + 2 * round), 2, &all(0));
-        rig.log.publish(u64::from(3 + 2 * round), 2, &all(2));
+        harness.log.publish(u64::from(2 + 2 * round), 2, &all(0));
+        harness.log.publish(u64::from(3 + 2 * round), 2, &all(2));
     }
-    wait_until("2,000 came and went", || rig.router.counter("lists") == 81);
-    assert_eq!(rig.router.counter("servers_now"), 3);
+    wait_until("2,000 servers were added and removed", || harness.router.counter("lists") == 81);
+    assert_eq!(harness.router.counter("servers_now"), 3);
     assert_served(&mut client, 2);
     assert_eq!(client.answers_before_pong(), []);
 }
--- a/crates/node/tests/snapshot.rs
+++ b/crates/node/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a router has learnt is left at its end and taken over at its next start, in another deployment too.
+//! A router writes a snapshot of its server statistics at shutdown and restores it at its next start, also with other settings.
 
 mod common;
 
@@ -7,29 +7,31 @@
 use std::path::PathBuf;
 use tempfile::TempDir;
 
+/// A settings file that names a snapshot file, in a directory of their own.
 struct Files {
-    yaml: PathBuf,
+    settings: PathBuf,
     snapshot: PathBuf,
     _dir: TempDir,
 }
 
 impl Files {
     fn new() -> Self {
-        let dir = tempfile::tempdir().expect("a folder");
-        let (yaml, snapshot) = (dir.path().join("own.yaml"), dir.path().join("snapshot"));
-        std::fs::write(&yaml, format!("carry: {{file: {}}}\n", snapshot.display())).expect("a file");
-        Self { yaml, snapshot, _dir: dir }
+        let dir = tempfile::tempdir().expect("a temporary directory");
+        let (settings, snapshot) = (dir.path().join("own.yaml"), dir.path().join("snapshot"));
+        std::fs::write(&settings, format!("carry: {{file: {}}}\n", snapshot.display()))
+            .expect("the file is written");
+        Self { settings, snapshot, _dir: dir }
     }
 
     fn start(&self, config: &Value) -> Process {
-        router_by(config, &format!("exec \"$0\" serve --with {}", self.yaml.display()))
+        router_from_shell(config, &format!("exec \"$0\" serve --with {}", self.settings.display()))
     }
 }
 
-/// A zone with a slow cache and a quick one.
+/// A zone with a slow edge cache and a fast one.
 struct Zone {
     slow: Cache,
-    quick: Cache,
+    fast: Cache,
     parent: Cache,
     origin: Cache,
     log: ChangeLog,
@@ -39,7 +41,7 @@
     fn new() -> Self {
         Self {
             slow: Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 150, body: part_body(s) }),
-            quick: Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 5, body: part_body(s) }),
+            fast: Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 5, body: part_body(s) }),
             parent: Cache::with_all_objects(),
             origin: Cache::with_all_objects(),
             log: ChangeLog::start(),
@@ -49,15 +51,15 @@
     fn config(&self) -> Value {
         let listed = [
             ListedServer { id: EDGE, address: self.slow.address, kind: "box" },
-            ListedServer { id: EDGE_2, address: self.quick.address, kind: "box" },
+            ListedServer { id: EDGE_2, address: self.fast.address, kind: "box" },
             ListedServer { id: PARENT, address: self.parent.address, kind: "parent" },
             ListedServer { id: ORIGIN, address: self.origin.address, kind: "origin" },
         ];
         configuration(&listed, self.log.address)
     }
 
-    /// A deployment of another build: nothing past the caches, rough sizes, other aims.
-    fn other(&self) -> Value {
+    /// The configuration of another deployment: no pass-through, rough weights and another latency objective.
+    fn other_deployment(&self) -> Value {
         let mut config = self.config();
         config["settings"]["family-info"]["pass-through-ok"] = json!(false);
         config["settings"]["family-info"]["lateral"] = json!("location");
@@ -67,7 +69,7 @@
     }
 }
 
-/// Asks for objects one after another; how many of them the slow cache was asked for.
+/// Requests objects one after another; returns how many of the requests the slow cache got.
 fn requests_to_slow_cache(client: &mut Client, zone: &Zone, tags: std::ops::Range<u64>) -> usize {
     let before = zone.slow.fetch_count();
     for tag in tags {
@@ -82,25 +84,28 @@
     let (zone, files) = (Zone::new(), Files::new());
     let mut router = files.start(&zone.config());
     assert!(router.has_logged("no snapshot at"));
-    // A file that never had a plan is none that has lost it.
+    // A settings file that never had a plan is not reported as having lost its plan.
     router.signal("HUP");
-    wait_until("it is read again", || router.counter("reloads") == 1);
+    wait_until("the settings are reloaded", || router.counter("reloads") == 1);
     assert!(
         router.has_logged("reload: change log address") && !router.has_logged("no plan in section hierarchy")
     );
     let mut client = router.client();
-    let unlearnt = requests_to_slow_cache(&mut client, &zone, 1..13);
+    let without_snapshot = requests_to_slow_cache(&mut client, &zone, 1..13);
     requests_to_slow_cache(&mut client, &zone, 13..80);
     router.signal("TERM");
     drop(client);
     assert!(router.expect_exit().success());
     assert!(router.has_logged("snapshot of 4 servers written"));
-    // The other deployment starts with it.
-    let router = files.start(&zone.other());
+    // A router with the settings of the other deployment restores the same snapshot.
+    let router = files.start(&zone.other_deployment());
     assert_eq!(router.counter("carried"), 4);
     let mut client = router.client();
-    let carried = requests_to_slow_cache(&mut client, &zone, 1..13);
-    assert!(unlearnt >= 3 && carried * 2 < unlearnt, "{unlearnt} of 12 without, {carried} with it");
+    let with_snapshot = requests_to_slow_cache(&mut client, &zone, 1..13);
+    assert!(
+        without_snapshot >= 3 && with_snapshot * 2 < without_snapshot,
+        "of 12 requests the slow cache got {without_snapshot} without a snapshot and {with_snapshot} with it"
+    );
     assert_eq!(client.answers_before_pong(), []);
 }
 
@@ -110,18 +115,18 @@
     let mut router = files.start(&zone.config());
     router.signal("TERM");
     assert!(router.expect_exit().success());
-    let whole = std::fs::read_to_string(&files.snapshot).expect("what was left");
-    let cut = &whole[..whole.len() / 2];
-    for (text, says) in [
-        (cut.to_string(), "cut off"),
-        (whole.replacen(" 1 ", " 9 ", 1), "of version 9"),
-        (whole.replace("EDGE", "edge").replacen("servers", "savers", 1), "altered"),
+    let snapshot = std::fs::read_to_string(&files.snapshot).expect("the snapshot was written");
+    let truncated = &snapshot[..snapshot.len() / 2];
+    for (text, reason) in [
+        (truncated.to_string(), "cut off"),
+        (snapshot.replacen(" 1 ", " 9 ", 1), "of version 9"),
+        (snapshot.replace("EDGE", "edge").replacen("servers", "savers", 1), "altered"),
         (String::new(), "cut off in its first line"),
     ] {
-        std::fs::write(&files.snapshot, text).expect("a file");
+        std::fs::write(&files.snapshot, text).expect("the file is written");
         let router = files.start(&zone.config());
-        assert!(router.has_logged(&format!("snapshot {} ignored", files.snapshot.display())), "{says}");
-        assert!(router.has_logged(says), "{says}");
+        assert!(router.has_logged(&format!("snapshot {} ignored", files.snapshot.display())), "{reason}");
+        assert!(router.has_logged(reason), "{reason}");
         let mut client = router.client();
         client.send_request(1, "pages", 1, "", b"");
         assert_eq!((client.expect_answer().status.as_str(), router.counter("carried")), ("200", 0));
--- a/crates/node/tests/sockets/main.rs
+++ b/crates/node/tests/sockets/main.rs
@@ -1,10 +1,10 @@
-//! The router as a process, between stand-ins on loopback. Whatever happens, each request gets one answer.
+//! The router as a process between stand-ins on loopback: whatever fails, each request gets one answer.
 
 #[path = "../common/mod.rs"]
 mod common;
 
+mod changelog;
 mod limits;
-mod news;
 
 use common::*;
 use serde_json::{json, Value};
@@ -14,8 +14,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A router before an edge cache, a parent and an origin.
-struct Rig {
+/// A router in front of an edge cache, a parent and an origin.
+struct RouterHarness {
     edge: Cache,
     parent: Cache,
     origin: Cache,
@@ -23,24 +23,31 @@
     router: Process,
 }
 
-/// With a parent and an origin that hold everything.
-fn rig(edge: Cache) -> Rig {
-    rig_of(edge, Cache::with_all_objects(), Cache::with_all_objects(), |_| {})
+/// Starts a router in front of this edge cache; the parent and the origin serve every object.
+fn start_router(edge: Cache) -> RouterHarness {
+    start_router_with(edge, Cache::with_all_objects(), Cache::with_all_objects(), |_| {})
 }
 
-/// With something changed in its configuration.
-fn rig_of(edge: Cache, parent: Cache, origin: Cache, change: impl FnOnce(&mut Value)) -> Rig {
+/// Starts a router in front of these caches, with a change to its configuration.
+fn start_router_with(
+    edge: Cache,
+    parent: Cache,
+    origin: Cache,
+    change: impl FnOnce(&mut Value),
+) -> RouterHarness {
     let log = ChangeLog::start();
     let mut config = configuration(&edge_parent_origin(&edge, &parent, &origin), log.address);
-    // On a busy machine a connection takes its time.
+    // A connection may take long on a busy machine.
     config["settings"]["limits"]["connect-timeout"] = json!(20_000.0);
     change(&mut config);
     let router = router(&config);
-    Rig { edge, parent, origin, log, router }
+    RouterHarness { edge, parent, origin, log, router }
 }
 
-/// Behaves once in one way, and then holds everything; clones share the one time.
-fn once(act: fn() -> FetchBehaviour) -> impl Fn(&ReceivedFetch) -> FetchBehaviour + Clone + Send + Sync {
+/// Handles the first fetch by `act`, and serves all later ones; clones share the count of fetches.
+fn on_first_fetch(
+    act: fn() -> FetchBehaviour,
+) -> impl Fn(&ReceivedFetch) -> FetchBehaviour + Clone + Send + Sync {
     let first = Arc::new(AtomicBool::new(true));
     move |s| match first.swap(false, Ordering::SeqCst) {
         true => act(),
@@ -56,31 +63,35 @@
 
 #[test]
 fn pipelined_requests_are_answered_once_each_in_any_order() {
-    // The first come back last.
-    let turn = AtomicU64::new(0);
+    // The first requests are answered last.
+    let fetches = AtomicU64::new(0);
     let edge = Cache::start(move |s| FetchBehaviour::OkAfter {
-        delay_ms: 300u64.saturating_sub(10 * turn.fetch_add(1, Ordering::SeqCst)),
+        delay_ms: 300u64.saturating_sub(10 * fetches.fetch_add(1, Ordering::SeqCst)),
         body: part_body(s),
     });
-    let rig = rig(edge);
-    let mut client = rig.router.client();
+    let harness = start_router(edge);
+    let mut client = harness.router.client();
     let ids: Vec<String> =
         (1..=30).map(|t| client.send_request(t, "pages", 0xabc0 + t, ",m=12.5", b"")).collect();
     let answers: Vec<ClientAnswer> = (0..30).map(|_| client.expect_answer()).collect();
     assert_eq!(tags(&answers), (1..=30).collect::<Vec<_>>());
-    assert_ne!(answers.iter().map(|g| g.tag).collect::<Vec<_>>(), tags(&answers), "in order of arrival");
-    for got in &answers {
-        let whole = format!("{:016x}/0", 0xabc0 + got.tag).into_bytes();
-        assert_eq!((got.status.as_str(), &got.body), ("200", &whole));
+    assert_ne!(
+        answers.iter().map(|g| g.tag).collect::<Vec<_>>(),
+        tags(&answers),
+        "the answers came in the order of the requests"
+    );
+    for answer in &answers {
+        let expected = format!("{:016x}/0", 0xabc0 + answer.tag).into_bytes();
+        assert_eq!((answer.status.as_str(), &answer.body), ("200", &expected));
     }
     assert_eq!(client.answers_before_pong(), []);
-    let seen = rig.edge.fetches();
-    assert_eq!(seen.len(), 30);
-    assert_eq!(seen.iter().map(|s| s.id.clone()).collect::<BTreeSet<_>>(), ids.into_iter().collect());
-    assert_eq!(rig.edge.connections.load(Ordering::SeqCst), 8, "a few connections carry them all");
-    assert_eq!(seen[0].field("from"), Some("s-0000000c"));
-    assert_eq!((seen[0].field("c"), seen[0].field("p")), (Some("pages"), Some("0")));
-    assert_eq!(rig.router.counter("served"), 30);
+    let all_fetches = harness.edge.fetches();
+    assert_eq!(all_fetches.len(), 30);
+    assert_eq!(all_fetches.iter().map(|s| s.id.clone()).collect::<BTreeSet<_>>(), ids.into_iter().collect());
+    assert_eq!(harness.edge.connections.load(Ordering::SeqCst), 8, "a few connections carry all requests");
+    assert_eq!(all_fetches[0].field("from"), Some("s-0000000c"));
+    assert_eq!((all_fetches[0].field("c"), all_fetches[0].field("p")), (Some("pages"), Some("0")));
+    assert_eq!(harness.router.counter("served"), 30);
 }
 
 #[test]
@@ -93,100 +104,107 @@
         }
         None => FetchBehaviour::Ok(bytes.clone()),
     });
-    let rig = rig(edge);
-    let mut client = rig.router.client();
+    let harness = start_router(edge);
+    let mut client = harness.router.client();
     client.send_request(1, "pages", 1, "", b"");
     assert_eq!(client.expect_answer().body, big);
     client.send_request(2, "pages", 1, ",got=4be0c1927d55a6f3", b"");
     let same = client.expect_answer();
     assert_eq!((same.status.as_str(), same.field("ok304"), same.body), ("200", Some("1".into()), vec![]));
-    assert_eq!(rig.edge.fetches()[1].field("seen"), Some("4be0c1927d55a6f3"));
+    assert_eq!(harness.edge.fetches()[1].field("seen"), Some("4be0c1927d55a6f3"));
     let body: Vec<u8> = b"*3\r\n$2\r\n\0\xff".iter().copied().cycle().take(48_000).collect();
     client.send_request(3, "loan", 2, "", &body);
     assert_eq!(client.expect_answer().status, "200");
-    assert_eq!(rig.origin.fetches()[0].body, body);
-    assert_eq!(rig.origin.fetches()[0].field("from"), None);
+    assert_eq!(harness.origin.fetches()[0].body, body);
+    assert_eq!(harness.origin.fetches()[0].field("from"), None);
     assert_eq!(client.answers_before_pong(), []);
 }
 
 #[test]
 fn cancelled_request_gets_no_answer_and_its_attempt_is_aborted() {
-    let rig = rig(Cache::start(|s| match s.field("k") {
+    let harness = start_router(Cache::start(|s| match s.field("k") {
         Some("0000000000000001") => FetchBehaviour::OkAfter { delay_ms: 400, body: part_body(s) },
         Some("0000000000000003") => FetchBehaviour::NoAnswer,
         _ => FetchBehaviour::Ok(part_body(s)),
     }));
-    let mut client = rig.router.client();
+    let mut client = harness.router.client();
     let id = client.send_request(1, "pages", 1, "", b"");
-    // Another that is open keeps the connection.
+    // Another open request keeps the connection.
     client.send_request_with_deadline(60_000, 3, "pages", 3, "", b"");
-    wait_until("the cache has them", || rig.edge.fetch_count() == 2);
+    wait_until("the cache has both requests", || harness.edge.fetch_count() == 2);
     client.send_message("UNDO", 1);
-    wait_until("the cache is told", || rig.edge.aborted_ids.lock().expect("lock").contains(&id));
-    // The late answer comes all the same, and is dropped.
-    wait_until("the late answer was read", || rig.router.counter("late_answers") == 1);
+    wait_until("the cache reads the cancellation", || {
+        harness.edge.aborted_ids.lock().expect("lock").contains(&id)
+    });
+    // The late answer is read and dropped.
+    wait_until("the late answer was read", || harness.router.counter("late_answers") == 1);
     client.send_request(2, "pages", 2, "", b"");
     assert_eq!(client.expect_answer().tag, 2);
     client.send_message("UNDO", 3);
     assert_eq!(client.answers_before_pong(), []);
-    assert_eq!((rig.router.counter("left"), rig.router.counter("served")), (2, 1));
+    assert_eq!((harness.router.counter("left"), harness.router.counter("served")), (2, 1));
 }
 
 #[test]
 fn cancelled_request_gets_no_answer_where_attempts_run_on() {
     let edge = Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 400, body: part_body(s) });
-    let never = |c: &mut Value| c["settings"]["limits"]["cancel"] = json!(false);
-    let rig = rig_of(edge, Cache::with_all_objects(), Cache::with_all_objects(), never);
-    let mut client = rig.router.client();
+    let no_cancellation = |c: &mut Value| c["settings"]["limits"]["cancel"] = json!(false);
+    let harness =
+        start_router_with(edge, Cache::with_all_objects(), Cache::with_all_objects(), no_cancellation);
+    let mut client = harness.router.client();
     client.send_request(1, "pages", 1, "", b"");
-    wait_until("the cache has it", || rig.edge.fetch_count() == 1);
+    wait_until("the cache has the request", || harness.edge.fetch_count() == 1);
     client.send_message("UNDO", 1);
-    wait_until("its answer came", || rig.router.counter("attempts_served") == 1);
+    wait_until("the answer is read", || harness.router.counter("attempts_served") == 1);
     assert_eq!(client.answers_before_pong(), []);
-    assert_eq!(rig.edge.aborted_ids.lock().expect("lock").len(), 0);
+    assert_eq!(harness.edge.aborted_ids.lock().expect("lock").len(), 0);
 }
 
 #[test]
 fn closed_client_cancels_its_requests_only() {
-    let rig = rig(Cache::start(|s| {
+    let harness = start_router(Cache::start(|s| {
         if s.field("k") == Some("0000000000000001") {
             FetchBehaviour::NoAnswer
         } else {
             FetchBehaviour::Ok(part_body(s))
         }
     }));
-    let mut client = rig.router.client();
+    let mut client = harness.router.client();
     let id = client.send_request_with_deadline(60_000, 1, "pages", 1, "", b"");
-    wait_until("the cache has it", || rig.edge.fetch_count() == 1);
+    wait_until("the cache has the request", || harness.edge.fetch_count() == 1);
     drop(client);
-    wait_until("it has left", || rig.router.counter("left") == 1);
-    wait_until("the cache is told", || rig.edge.aborted_ids.lock().expect("lock").contains(&id));
-    let mut other = rig.router.client();
+    wait_until("the disconnect is noticed", || harness.router.counter("left") == 1);
+    wait_until("the cache reads the cancellation", || {
+        harness.edge.aborted_ids.lock().expect("lock").contains(&id)
+    });
+    let mut other = harness.router.client();
     other.send_request(1, "pages", 2, "", b"");
     assert_eq!(other.expect_answer().status, "200");
     assert_eq!(other.answers_before_pong(), []);
-    assert_eq!(rig.router.counter("clients_now"), 1);
+    assert_eq!(harness.router.counter("clients_now"), 1);
 }
 
 #[test]
 fn reset_in_the_middle_of_an_answer_retries_reads_and_fails_writes() {
-    let act = once(|| FetchBehaviour::TruncatedAnswer);
+    let act = on_first_fetch(|| FetchBehaviour::TruncatedAnswer);
     let (edge, second) = (Cache::start(act.clone()), Cache::start(act));
-    let rig =
-        rig_of(edge, Cache::with_all_objects(), Cache::start(|_| FetchBehaviour::TruncatedAnswer), |c| {
-            add_second_edge(c, &second)
-        });
-    let mut client = rig.router.client();
+    let harness = start_router_with(
+        edge,
+        Cache::with_all_objects(),
+        Cache::start(|_| FetchBehaviour::TruncatedAnswer),
+        |c| add_second_edge(c, &second),
+    );
+    let mut client = harness.router.client();
     client.send_request(1, "pages", 7, "", b"");
-    let got = client.expect_answer();
-    assert_eq!((got.status.as_str(), got.body.as_slice()), ("200", &b"0000000000000007/0"[..]));
+    let answer = client.expect_answer();
+    assert_eq!((answer.status.as_str(), answer.body.as_slice()), ("200", &b"0000000000000007/0"[..]));
     client.send_request(2, "loan", 8, "", b"borrow");
-    // It may have run: neither tried again nor refused.
-    let got = client.expect_answer();
-    assert_eq!((got.tag, got.status.as_str()), (2, "500"));
+    // The write may have been executed, so it is neither retried nor rejected.
+    let answer = client.expect_answer();
+    assert_eq!((answer.tag, answer.status.as_str()), (2, "500"));
     assert_eq!(client.answers_before_pong(), []);
-    assert_eq!((rig.origin.fetch_count(), rig.parent.fetch_count()), (1, 0));
-    assert_eq!(rig.router.counter("attempts_broken"), 2);
+    assert_eq!((harness.origin.fetch_count(), harness.parent.fetch_count()), (1, 0));
+    assert_eq!(harness.router.counter("attempts_broken"), 2);
 }
 
 #[test]
@@ -198,19 +216,19 @@
             FetchBehaviour::Ok(part_body(s))
         }
     });
-    let rig = rig(edge);
-    let mut client = rig.router.client();
+    let harness = start_router(edge);
+    let mut client = harness.router.client();
     client.send_request_with_deadline(60_000, 1, "pages", 1, "", b"");
-    wait_until("the cache has it", || rig.edge.fetch_count() == 1);
+    wait_until("the cache has the request", || harness.edge.fetch_count() == 1);
     thread::sleep(Duration::from_millis(1500));
     client.send_request_with_deadline(60_000, 2, "pages", 2, "", b"");
     assert_eq!(client.expect_answer().tag, 2, "the second is served on a connection of its own");
-    let conns: Vec<usize> = rig.edge.fetches().iter().map(|s| s.connection).collect();
+    let conns: Vec<usize> = harness.edge.fetches().iter().map(|s| s.connection).collect();
     assert_eq!(conns, [1, 2]);
     client.send_message("UNDO", 1);
     assert_eq!(client.answers_before_pong(), []);
-    // With nothing left on it, the silent one is closed.
-    wait_until("it is closed", || rig.router.counter("conns_now") == 1);
+    // The silent connection is closed once no request is open on it.
+    wait_until("the silent connection is closed", || harness.router.counter("conns_now") == 1);
 }
 
 #[test]
@@ -222,12 +240,12 @@
             FetchBehaviour::Ok(part_body(s))
         }
     });
-    let rig = rig(edge);
-    let mut client = rig.router.client();
+    let harness = start_router(edge);
+    let mut client = harness.router.client();
     client.send_request_with_deadline(60_000, 1, "pages", 1, "", b"");
-    wait_until("the cache has it", || rig.edge.fetch_count() == 1);
+    wait_until("the cache has the request", || harness.edge.fetch_count() == 1);
     client.send_message("UNDO", 1);
-    wait_until("it is closed", || rig.router.counter("conns_now") == 0);
+    wait_until("the silent connection is closed", || harness.router.counter("conns_now") == 0);
     client.send_request_with_deadline(60_000, 2, "pages", 2, "", b"");
     assert_eq!(client.expect_answer().tag, 2);
     assert_eq!(client.answers_before_pong(), []);
@@ -245,8 +263,8 @@
     let router = router(&configuration(&list, log.address));
     let mut client = router.client();
     client.send_request(1, "loan", 3, "", b"borrow");
-    let got = client.expect_answer();
-    assert_eq!((got.tag, got.status.as_str()), (1, "200"), "by the parent");
+    let answer = client.expect_answer();
+    assert_eq!((answer.tag, answer.status.as_str()), (1, "200"), "the parent serves the request");
     assert_eq!(client.answers_before_pong(), []);
     assert_eq!((parent.fetch_count(), router.counter("attempts_no_connection")), (1, 1));
 }
--- a/crates/node/tests/tree.rs
+++ b/crates/node/tests/tree.rs
@@ -1,4 +1,5 @@
-//! The plan of the cache tree on a running router: kept to, reloaded whole or not at all, taken back; loops answered from elsewhere.
+//! The plan of the cache hierarchy on a running router: it is followed, reloaded completely or not at all, and rolled back. A fill loop is
+//! retried with another fill source.
 
 mod common;
 
@@ -12,51 +13,52 @@
 
 const PARENT_2: u32 = 0x0e;
 
-fn id(n: u32) -> String {
+fn server_id(n: u32) -> String {
     format!("s-{n:08x}")
 }
 
-/// A settings file with a plan in which the edge cache may ask these parents, and the archive after them.
+/// Settings with a plan in which the edge cache fills from these parents, and from the origin after them.
 fn plan(version: u64, sources: &[u32]) -> String {
-    let sources: Vec<String> = sources.iter().chain([&ORIGIN]).map(|s| id(*s)).collect();
-    let hub = |n| format!("      - {{id: {}, tier: 1, sources: [{}]}}\n", id(n), id(ORIGIN));
+    let sources: Vec<String> = sources.iter().chain([&ORIGIN]).map(|s| server_id(*s)).collect();
+    let hub = |n| format!("      - {{id: {}, tier: 1, sources: [{}]}}\n", server_id(n), server_id(ORIGIN));
     format!(
         "hierarchy:\n  plan:\n    version: {version}\n    nodes:\n      - {{id: {}, tier: 0}}\n{}{}      - {{id: {}, tier: 3, sources: [{}]}}\n  \
          reshape: {{proofs: 1, quiet_ms: 100, idle_ms: 200}}\n",
-        id(ORIGIN),
+        server_id(ORIGIN),
         hub(PARENT),
         hub(PARENT_2),
-        id(EDGE),
+        server_id(EDGE),
         sources.join(", ")
     )
 }
 
-struct Own {
+/// A settings file in a directory of its own.
+struct SettingsFile {
     file: PathBuf,
     _dir: TempDir,
 }
 
-impl Own {
+impl SettingsFile {
     fn new(text: &str) -> Self {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("a temporary directory");
         let file = dir.path().join("own.yaml");
-        std::fs::write(&file, text).expect("a file");
+        std::fs::write(&file, text).expect("the file is written");
         Self { file, _dir: dir }
     }
 
     fn write(&self, text: &str) {
-        std::fs::write(&self.file, text).expect("a file");
+        std::fs::write(&self.file, text).expect("the file is written");
     }
 }
 
-/// An edge cache that fills everything from whom it is told to; two parents; the origin.
+/// A configuration with this edge cache, two parents and the origin.
 fn config(edge: &Cache, log: &ChangeLog) -> Value {
-    let (parent, other, origin) =
+    let (parent, second_parent, origin) =
         (Cache::with_all_objects(), Cache::with_all_objects(), Cache::with_all_objects());
     let listed = [
         ListedServer { id: EDGE, address: edge.address, kind: "box" },
         ListedServer { id: PARENT, address: parent.address, kind: "parent" },
-        ListedServer { id: PARENT_2, address: other.address, kind: "parent" },
+        ListedServer { id: PARENT_2, address: second_parent.address, kind: "parent" },
         ListedServer { id: ORIGIN, address: origin.address, kind: "origin" },
     ];
     configuration(&listed, log.address)
@@ -67,12 +69,12 @@
     FetchBehaviour::Answer { status: "ok", fields: "ver=1,born=1,note=filled,waited=1" }
 }
 
-fn start(config: &Value, own: &Own) -> Process {
-    router_by(config, &format!("exec \"$0\" serve --with {}", own.file.display()))
+fn start(config: &Value, settings: &SettingsFile) -> Process {
+    router_from_shell(config, &format!("exec \"$0\" serve --with {}", settings.file.display()))
 }
 
-/// Asks for objects one after another; the sources that the edge cache was told since then.
-fn sources(client: &mut Client, edge: &Cache, tags: std::ops::Range<u64>) -> BTreeSet<String> {
+/// Requests objects one after another; returns the fill sources that the edge cache was sent with them.
+fn fill_sources(client: &mut Client, edge: &Cache, tags: std::ops::Range<u64>) -> BTreeSet<String> {
     let before = edge.fetch_count();
     for tag in tags {
         client.send_request(tag, "pages", 0x5000 + tag, "", b"");
@@ -85,27 +87,27 @@
 fn plan_is_followed_reloaded_in_steps_and_rolled_back() {
     let edge = Cache::start(filled);
     let log = ChangeLog::start();
-    let own = Own::new(&plan(1, &[PARENT]));
-    let router = start(&config(&edge, &log), &own);
+    let settings = SettingsFile::new(&plan(1, &[PARENT]));
+    let router = start(&config(&edge, &log), &settings);
     let mut client = router.client();
-    assert_eq!(sources(&mut client, &edge, 1..40), BTreeSet::from([id(PARENT)]));
-    // A plan that can't be used changes nothing.
-    own.write(&plan(2, &[PARENT, 0x77]));
+    assert_eq!(fill_sources(&mut client, &edge, 1..40), BTreeSet::from([server_id(PARENT)]));
+    // An invalid plan changes nothing.
+    settings.write(&plan(2, &[PARENT, 0x77]));
     router.signal("HUP");
-    wait_until("it is refused", || router.counter("reloads_refused") == 1);
-    assert_eq!(sources(&mut client, &edge, 40..60), BTreeSet::from([id(PARENT)]));
-    // A second parent comes, and with the answers it gets its share.
-    own.write(&plan(2, &[PARENT, PARENT_2]));
+    wait_until("the invalid plan is rejected", || router.counter("reloads_refused") == 1);
+    assert_eq!(fill_sources(&mut client, &edge, 40..60), BTreeSet::from([server_id(PARENT)]));
+    // A second parent is added, and gets its share step by step as requests through it are answered.
+    settings.write(&plan(2, &[PARENT, PARENT_2]));
     router.signal("HUP");
-    wait_until("it is taken", || router.counter("plans") == 2);
+    wait_until("the new plan is adopted", || router.counter("plans") == 2);
     let mut next = 60;
-    until_polling("the change is through", || {
-        let seen = sources(&mut client, &edge, next..next + 20);
+    poll_until("the change of plan is complete", || {
+        let used = fill_sources(&mut client, &edge, next..next + 20);
         next += 20;
-        assert!(seen.iter().all(|s| *s == id(PARENT) || *s == id(PARENT_2)));
+        assert!(used.iter().all(|source| *source == server_id(PARENT) || *source == server_id(PARENT_2)));
         router.counter("plans_ended") == 2
     });
-    assert_eq!(sources(&mut client, &edge, next..next + 60).len(), 2, "each has its part");
+    assert_eq!(fill_sources(&mut client, &edge, next..next + 60).len(), 2, "both parents are used");
     assert_eq!(router.counter("plans_refused"), 0);
 }
 
@@ -115,21 +117,21 @@
     let log = ChangeLog::start();
     let old =
         plan(1, &[PARENT]).replace("proofs: 1", "proofs: 10000").replace("idle_ms: 200", "idle_ms: 60000");
-    let own = Own::new(&old);
-    let router = start(&config(&edge, &log), &own);
+    let settings = SettingsFile::new(&old);
+    let router = start(&config(&edge, &log), &settings);
     let mut client = router.client();
-    sources(&mut client, &edge, 1..3);
-    own.write(&old.replace("version: 1", "version: 2").replace(
-        &format!("[{}, {}]}}\n  r", id(PARENT), id(ORIGIN)),
-        &format!("[{}, {}]}}\n  r", id(PARENT_2), id(ORIGIN)),
+    fill_sources(&mut client, &edge, 1..3);
+    settings.write(&old.replace("version: 1", "version: 2").replace(
+        &format!("[{}, {}]}}\n  r", server_id(PARENT), server_id(ORIGIN)),
+        &format!("[{}, {}]}}\n  r", server_id(PARENT_2), server_id(ORIGIN)),
     ));
     router.signal("HUP");
-    wait_until("it is under way", || router.counter("plans") == 2);
-    own.write(&old);
+    wait_until("the change of plan has started", || router.counter("plans") == 2);
+    settings.write(&old);
     router.signal("HUP");
-    wait_until("it is taken back", || router.counter("plans") == 3);
+    wait_until("the old plan is adopted again", || router.counter("plans") == 3);
     assert_eq!(router.counter("plans_refused"), 0);
-    assert_eq!(sources(&mut client, &edge, 10..40), BTreeSet::from([id(PARENT)]));
+    assert_eq!(fill_sources(&mut client, &edge, 10..40), BTreeSet::from([server_id(PARENT)]));
 }
 
 #[test]
@@ -140,15 +142,15 @@
         false => filled(s),
     });
     let log = ChangeLog::start();
-    let own = Own::new(&plan(1, &[PARENT, PARENT_2]));
-    let router = start(&config(&edge, &log), &own);
+    let settings = SettingsFile::new(&plan(1, &[PARENT, PARENT_2]));
+    let router = start(&config(&edge, &log), &settings);
     let mut client = router.client();
     client.send_request(1, "pages", 7, "", b"");
     assert_eq!(client.expect_answer().status, "200");
     assert_eq!(client.answers_before_pong(), []);
-    let asked: Vec<String> =
+    let used: Vec<String> =
         edge.fetches().iter().filter_map(|s| s.field("from").map(str::to_string)).collect();
-    assert!(asked.len() == 2 && asked[0] != asked[1], "{asked:?}");
+    assert!(used.len() == 2 && used[0] != used[1], "{used:?}");
     assert_eq!(router.counter("loops"), 1);
 }
 
@@ -156,31 +158,32 @@
 fn invalid_settings_file_is_reported_by_line_and_key_and_prevents_start() {
     let edge = Cache::start(filled);
     let log = ChangeLog::start();
-    let dir = tempfile::tempdir().expect("a folder");
+    let dir = tempfile::tempdir().expect("a temporary directory");
     let file = dir.path().join("router.json");
-    std::fs::write(&file, config(&edge, &log).to_string()).expect("a file");
+    std::fs::write(&file, config(&edge, &log).to_string()).expect("the file is written");
     let run = |args: &[&str]| {
         let program = env!("CARGO_BIN_EXE_basaltgw");
-        let out = Command::new(program).args(args).env("GW_CONFIG", &file).output().expect("a process");
+        let out =
+            Command::new(program).args(args).env("GW_CONFIG", &file).output().expect("the program runs");
         (
             out.status.code(),
             String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr),
         )
     };
-    let own = Own::new(&plan(1, &[PARENT]).replace("tier: 3", "tier: 12"));
-    let path = own.file.display().to_string();
+    let settings = SettingsFile::new(&plan(1, &[PARENT]).replace("tier: 3", "tier: 12"));
+    let path = settings.file.display().to_string();
     for command in [&["serve", "--with", &path][..], &["check-config", "--with", &path], &["plan", &path]] {
-        let (code, said) = run(command);
-        assert_eq!(code, Some(1), "{said}");
-        assert!(said.contains(&format!("{path}:8: hierarchy.plan.nodes[3].tier: 12")), "{said}");
+        let (code, output) = run(command);
+        assert_eq!(code, Some(1), "{output}");
+        assert!(output.contains(&format!("{path}:8: hierarchy.plan.nodes[3].tier: 12")), "{output}");
     }
-    own.write(&plan(2, &[PARENT, PARENT_2]));
-    let before = Own::new(&plan(1, &[PARENT]));
-    let (code, said) = run(&["plan", &path, "--from", &before.file.display().to_string()]);
-    assert_eq!(code, Some(0), "{said}");
+    settings.write(&plan(2, &[PARENT, PARENT_2]));
+    let before = SettingsFile::new(&plan(1, &[PARENT]));
+    let (code, output) = run(&["plan", &path, "--from", &before.file.display().to_string()]);
+    assert_eq!(code, Some(0), "{output}");
     assert!(
-        said.contains("plan 2: 4 nodes, no fault found") && said.contains("from plan 1: 1 steps"),
-        "{said}"
+        output.contains("plan 2: 4 nodes, no fault found") && output.contains("from plan 1: 1 steps"),
+        "{output}"
     );
     let _ = std::fs::remove_file(&file);
 }
