--- a/crates/emulator/examples/many.rs
+++ b/crates/emulator/examples/many.rs
@@ -1,7 +1,7 @@
 //! Many routers as processes, as a table: `many BINARY SIZES RATES SEED WINDOW_S [BEAT_MS [PROBES [alone|overlay]]]`,
 //! lists with commas. `many feed WATCHERS RATE WINDOW_S`: how far apart watchers of the change log alone hear a purge.
 
-use basaltgw_emulator::rig::many::{feed, measure, Many, Row};
+use basaltgw_emulator::rig::fleet_cost::{measure_change_log_delivery, measure_fleet, Figures, FleetSetup};
 use std::path::Path;
 use std::time::Duration;
 
@@ -16,7 +16,8 @@
             return Err("many feed WATCHERS RATE WINDOW_S".into());
         };
         if word == "feed" {
-            for (name, value) in feed(watchers, rate, Duration::from_secs_f64(window))? {
+            for (name, value) in measure_change_log_delivery(watchers, rate, Duration::from_secs_f64(window))?
+            {
                 println!("{name}\t{value:.2}");
             }
             return Ok(());
@@ -27,16 +28,16 @@
     };
     let mut head: Option<Vec<String>> = None;
     for size in numbers::<usize>(sizes) {
-        let mut many = Many::new(Path::new(binary), size);
-        many.rates = numbers(rates);
+        let mut many = FleetSetup::new(Path::new(binary), size);
+        many.purge_rates = numbers(rates);
         many.seed = seed.parse().map_err(|_| "a seed")?;
         many.window = Duration::from_secs_f64(window.parse().map_err(|_| "a window in seconds")?);
-        many.beat =
+        many.heartbeat =
             more.first().and_then(|ms| ms.parse().ok()).filter(|ms| *ms > 0).map(Duration::from_millis);
-        many.probes = more.get(1).and_then(|n| n.parse().ok()).unwrap_or(many.probes);
+        many.probes_per_window = more.get(1).and_then(|n| n.parse().ok()).unwrap_or(many.probes_per_window);
         many.fleet = more.get(2).is_none_or(|word| word != "alone");
         many.overlay = more.get(2).is_some_and(|word| word == "overlay");
-        for row in measure(&many)? {
+        for row in measure_fleet(&many)? {
             let head = head.get_or_insert_with(|| {
                 let names: Vec<String> = row.keys().cloned().collect();
                 println!("{}", names.join(","));
@@ -49,7 +50,7 @@
 }
 
 /// Four digits that count are more than two runs share.
-fn line(head: &[String], row: &Row) -> String {
+fn line(head: &[String], row: &Figures) -> String {
     let cell = |name: &String| match row.get(name) {
         Some(value) if value.fract() == 0.0 || value.abs() >= 1e4 => format!("{value:.0}"),
         Some(value) => format!("{value:.4}"),
--- a/crates/emulator/src/rig/archive.rs
+++ b/crates/emulator/src/rig/archive.rs
@@ -1,15 +1,15 @@
 //! The archive behind the stand-in caches: every effect that arrives anywhere runs here and is counted by its id; objects have copies.
 
-use super::history::{History, Seen};
+use super::history::{Event, History};
 use crate::standin::{unix_ms, Cache, Do, Seen as Fetch};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
 /// The class of checkouts, in the stand-ins' configuration.
-pub const CHECKOUT: &str = "loan";
+pub const CHECKOUT_CLASS: &str = "loan";
 /// The class of reads.
-pub const READ: &str = "pages";
+pub const READ_CLASS: &str = "pages";
 
 #[derive(Default)]
 struct Kept {
@@ -24,16 +24,21 @@
 pub struct Archive {
     kept: Arc<Mutex<Kept>>,
     /// How long an effect takes to answer, in milliseconds; it runs when it arrives.
-    pub effect_ms: Arc<AtomicU64>,
+    pub effect_duration_ms: Arc<AtomicU64>,
     /// The same of a read.
-    pub read_ms: Arc<AtomicU64>,
+    pub read_duration_ms: Arc<AtomicU64>,
     history: History,
 }
 
 impl Archive {
     /// An archive that nothing has run at.
     pub fn new(history: History) -> Self {
-        Self { kept: Arc::default(), effect_ms: Arc::default(), read_ms: Arc::default(), history }
+        Self {
+            kept: Arc::default(),
+            effect_duration_ms: Arc::default(),
+            read_duration_ms: Arc::default(),
+            history,
+        }
     }
 
     fn kept(&self) -> MutexGuard<'_, Kept> {
@@ -41,7 +46,7 @@
     }
 
     /// Runs of an id.
-    pub fn runs(&self, id: &str) -> u64 {
+    pub fn executions(&self, id: &str) -> u64 {
         self.kept().runs.get(id).copied().unwrap_or(0)
     }
 
@@ -59,16 +64,16 @@
 
     fn answer(&self, fetch: &Fetch) -> Do {
         let now = unix_ms();
-        if fetch.field("c") == Some(CHECKOUT) {
+        if fetch.field("c") == Some(CHECKOUT_CLASS) {
             let run = {
                 let mut kept = self.kept();
                 let runs = kept.runs.entry(fetch.id.clone()).or_insert(0);
                 *runs += 1;
                 *runs
             };
-            self.history.see(Seen::Ran(fetch.id.clone()));
+            self.history.record(Event::Executed { id: fetch.id.clone() });
             let body = format!("receipt {} run {run}", fetch.id).into_bytes();
-            let ms = self.effect_ms.load(Ordering::SeqCst);
+            let ms = self.effect_duration_ms.load(Ordering::SeqCst);
             return Do::OkWith(ms, format!("ver=1,born={now},note=via_origin,waited=0"), body);
         }
         let object = fetch.field("k").unwrap_or("?").to_string();
@@ -82,7 +87,7 @@
             }
             *born
         };
-        let ms = self.read_ms.load(Ordering::SeqCst);
+        let ms = self.read_duration_ms.load(Ordering::SeqCst);
         let fields = format!("ver={born:x},born={born},note=hit,waited=0");
         Do::OkWith(ms, fields, copy(&key, born))
     }
@@ -94,6 +99,6 @@
 }
 
 /// When the copy was made whose bytes these are, in Unix milliseconds; `None` if they are no such bytes.
-pub fn made(body: &[u8]) -> Option<u64> {
+pub fn copy_creation_ms(body: &[u8]) -> Option<u64> {
     std::str::from_utf8(body).ok()?.rsplit_once('@')?.1.parse().ok()
 }
--- a/crates/emulator/src/rig/checker.rs
+++ b/crates/emulator/src/rig/checker.rs
@@ -1,22 +1,22 @@
 //! Whether what was seen is what was promised. It knows the history alone, and nothing of how routers keep their word.
 
-use super::archive::made;
-use super::history::{About, Ask, Event, Final, Seen};
-use super::register::linearizable;
+use super::archive::copy_creation_ms;
+use super::history::{Event, Outcome, RequestKind, RequestNumber, TimedEvent};
+use super::linearizability::is_linearizable;
 use std::collections::BTreeMap;
 
 /// Times that the checker grants, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Past the time that a client waits: the users' 50 ms, and what a busy machine adds.
-    pub slack_ms: u64,
+    pub response_slack_ms: u64,
     /// From a purge's event to the first answer that it holds for.
-    pub heed_ms: u64,
+    pub purge_effect_ms: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { slack_ms: 50 + 450, heed_ms: 300 + 50 }
+        Self { response_slack_ms: 50 + 450, purge_effect_ms: 300 + 50 }
     }
 }
 
@@ -24,44 +24,44 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
     /// A request gets one answer in time and nothing after, unless its router was down.
-    OneAnswer,
+    OneResponse,
     /// No effect runs twice.
-    Once,
+    ExecutedOnce,
     /// What was served runs, and has the same bytes at every router.
     SameOutcome,
-    /// What was answered `200` is later answered so or with a failure, never refused. A refusal of a router that was [`Seen::Apart`]
-    /// tells of that presentation alone, since it can know of no other; it counts as [`Counted::refused_apart`].
-    KeptWord,
+    /// What was answered `200` is later answered so or with a failure, never refused. A refusal of a router that was [`Event::RouterIsolated`]
+    /// tells of that presentation alone, since it can know of no other; it counts as [`HistoryCounts::rejected_while_isolated`].
+    ServedNeverRejected,
     /// What was refused never ran, neither before the refusal nor by it.
-    RefusedNeverRan,
+    RejectedNeverExecuted,
     /// The answers of all routers on one checkout are those of one register.
     Linearizable,
     /// After a purge only copies made since are served.
-    Purged,
+    PurgeTakesEffect,
     /// The history is whole.
-    Whole,
+    HistoryComplete,
 }
 
 /// A rule broken: which, and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
     pub rule: Rule,
     /// How, with the ids and times.
-    pub words: String,
+    pub description: String,
 }
 
 /// What a history counted, for what an experiment means to provoke.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counted {
+pub struct HistoryCounts {
     /// Requests.
-    pub asked: u64,
+    pub requests: u64,
     /// Answered `200`.
     pub served: u64,
     /// Answered `503`.
-    pub refused: u64,
-    /// Refused by a router that was [`Seen::Apart`].
-    pub refused_apart: u64,
+    pub rejected: u64,
+    /// Refused by a router that was [`Event::RouterIsolated`].
+    pub rejected_while_isolated: u64,
     /// Answered with another word.
     pub failed: u64,
     /// Lost with their connection, or never answered, while their router was down; and those whose client went.
@@ -69,38 +69,38 @@
     /// Checkouts, by their ids.
     pub checkouts: u64,
     /// Of those, presented more than once.
-    pub presented_again: u64,
+    pub checkouts_presented_again: u64,
     /// Of those, answered `200` by more than one router.
-    pub served_again: u64,
+    pub served_by_several_routers: u64,
     /// Effects that ran, and those that ran more than once.
-    pub ran: u64,
+    pub executed: u64,
     /// See `ran`.
-    pub ran_again: u64,
+    pub executed_more_than_once: u64,
     /// Of the latter, those that were never presented twice at once: each time the one before had ended, or its time was up.
-    pub ran_again_resent: u64,
+    pub executed_again_after_resend: u64,
     /// Reads served from a copy made after a purge of the object.
-    pub purged_reads: u64,
+    pub reads_after_purge: u64,
 }
 
 /// A request, with all that came back.
 pub(super) struct One<'a> {
     pub(super) router: usize,
     id: &'a str,
-    about: &'a About,
+    about: &'a RequestKind,
     within: u64,
     pub(super) asked: u64,
-    ends: Vec<(u64, &'a Final)>,
+    ends: Vec<(u64, &'a Outcome)>,
     lost: Option<u64>,
     left: bool,
 }
 
 impl One<'_> {
-    pub(super) fn end(&self) -> Option<(u64, &Final)> {
+    pub(super) fn end(&self) -> Option<(u64, &Outcome)> {
         self.ends.first().copied()
     }
 
     fn refused_at(&self) -> Option<u64> {
-        self.end().filter(|(_, end)| matches!(end, Final::Refused(_))).map(|(at, _)| at)
+        self.end().filter(|(_, end)| matches!(end, Outcome::Rejected { .. })).map(|(at, _)| at)
     }
 }
 
@@ -124,21 +124,25 @@
 }
 
 /// Holds a history against the rules; gives what is broken, and what was counted.
-pub fn check(events: &[Event], left_out: u64, limits: &Limits) -> (Vec<Broken>, Counted) {
+pub fn check_history(
+    events: &[TimedEvent],
+    left_out: u64,
+    limits: &Limits,
+) -> (Vec<Violation>, HistoryCounts) {
     let mut broken = Vec::new();
-    let mut break_rule = |rule, words: String| broken.push(Broken { rule, words });
-    let mut counted = Counted::default();
+    let mut break_rule = |rule, words: String| broken.push(Violation { rule, description: words });
+    let mut counted = HistoryCounts::default();
     if left_out > 0 {
-        break_rule(Rule::Whole, format!("{left_out} events were left out"));
+        break_rule(Rule::HistoryComplete, format!("{left_out} events were left out"));
     }
-    let mut asks: BTreeMap<Ask, One<'_>> = BTreeMap::new();
+    let mut asks: BTreeMap<RequestNumber, One<'_>> = BTreeMap::new();
     let mut runs: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     let mut purges: BTreeMap<u64, Vec<(u64, u64)>> = BTreeMap::new();
     let (mut down, mut apart) = (Spans::default(), Spans::default());
-    let last = events.last().map_or(0, |e| e.at);
-    for Event { at, seen } in events {
+    let last = events.last().map_or(0, |e| e.at_ms);
+    for TimedEvent { at_ms: at, event: seen } in events {
         match seen {
-            Seen::Asked { ask, router, id, about, within } => {
+            Event::RequestSent { request: ask, router, id, kind: about, timeout_ms: within } => {
                 let one = One {
                     router: *router,
                     id,
@@ -151,96 +155,99 @@
                 };
                 asks.insert(*ask, one);
             }
-            Seen::Answered(ask, end) => match asks.get_mut(ask) {
+            Event::ResponseReceived { request: ask, outcome: end } => match asks.get_mut(ask) {
                 Some(one) => one.ends.push((*at, end)),
-                None => break_rule(Rule::OneAnswer, format!("an answer to nothing at {at} ms: {end:?}")),
+                None => break_rule(Rule::OneResponse, format!("an answer to nothing at {at} ms: {end:?}")),
             },
-            Seen::Lost(ask) => {
+            Event::ConnectionLost(ask) => {
                 if let Some(one) = asks.get_mut(ask) {
                     one.lost = Some(*at);
                 }
             }
-            Seen::Left(ask) => {
+            Event::ClientDisconnected(ask) => {
                 if let Some(one) = asks.get_mut(ask) {
                     one.left = true;
                 }
             }
-            Seen::Ran(id) => runs.entry(id).or_default().push(*at),
-            Seen::Purged { object, unix, .. } => purges.entry(*object).or_default().push((*at, *unix)),
-            Seen::Down(router, so) => down.mark(*router, *at, *so),
-            Seen::Apart(router, so) => apart.mark(*router, *at, *so),
-            Seen::Fault(_) => {}
+            Event::Executed { id } => runs.entry(id).or_default().push(*at),
+            Event::PurgeAnnounced { object, purged_at_unix_ms: unix, .. } => {
+                purges.entry(*object).or_default().push((*at, *unix))
+            }
+            Event::RouterDown { router, down: so } => down.mark(*router, *at, *so),
+            Event::RouterIsolated { router, isolated: so } => apart.mark(*router, *at, *so),
+            Event::Fault(_) => {}
         }
     }
     for one in asks.values() {
-        counted.asked += 1;
-        let due = one.asked + one.within + limits.slack_ms;
+        counted.requests += 1;
+        let due = one.asked + one.within + limits.response_slack_ms;
         let excused = down.meet(one.router, one.asked, due);
         let what = format!("{} at router {} at {} ms", one.id, one.router, one.asked);
         match one.end() {
-            Some((at, Final::Served(_))) => {
+            Some((at, Outcome::Served(_))) => {
                 counted.served += 1;
                 if at > due && !excused {
-                    break_rule(Rule::OneAnswer, format!("{what}: served late, at {at} ms"));
+                    break_rule(Rule::OneResponse, format!("{what}: served late, at {at} ms"));
                 }
             }
-            Some((at, Final::Refused(_))) => {
-                counted.refused += 1;
-                counted.refused_apart += u64::from(apart.meet(one.router, one.asked, at));
+            Some((at, Outcome::Rejected { .. })) => {
+                counted.rejected += 1;
+                counted.rejected_while_isolated += u64::from(apart.meet(one.router, one.asked, at));
             }
-            Some((_, Final::Failed(_))) => counted.failed += 1,
+            Some((_, Outcome::Failed(_))) => counted.failed += 1,
             None if excused || one.left => counted.lost += 1,
             None if one.lost.is_none() && last < due => {}
-            None => break_rule(Rule::OneAnswer, format!("{what}: no answer, lost at {:?}", one.lost)),
+            None => break_rule(Rule::OneResponse, format!("{what}: no answer, lost at {:?}", one.lost)),
         }
         if one.ends.len() > 1 {
-            break_rule(Rule::OneAnswer, format!("{what}: {} answers", one.ends.len()));
+            break_rule(Rule::OneResponse, format!("{what}: {} answers", one.ends.len()));
         }
-        if let (About::Read(object), Some((_, Final::Served(bytes)))) = (one.about, one.end()) {
+        if let (RequestKind::Read { object }, Some((_, Outcome::Served(bytes)))) = (one.about, one.end()) {
             let told = purges.get(object).into_iter().flatten();
-            let held = told.filter(|(at, _)| at + limits.heed_ms <= one.asked).map(|(_, unix)| *unix).max();
-            match (held, made(bytes)) {
+            let held =
+                told.filter(|(at, _)| at + limits.purge_effect_ms <= one.asked).map(|(_, unix)| *unix).max();
+            match (held, copy_creation_ms(bytes)) {
                 (_, None) => break_rule(Rule::SameOutcome, format!("{what}: bytes of no copy")),
                 (Some(unix), Some(born)) if born < unix => {
                     break_rule(
-                        Rule::Purged,
+                        Rule::PurgeTakesEffect,
                         format!("{what}: a copy made {} ms before its purge", unix - born),
                     );
                 }
-                (Some(_), Some(_)) => counted.purged_reads += 1,
+                (Some(_), Some(_)) => counted.reads_after_purge += 1,
                 (None, Some(_)) => {}
             }
         }
     }
     let mut checkouts: BTreeMap<&str, Vec<&One<'_>>> = BTreeMap::new();
-    for one in asks.values().filter(|one| *one.about == About::Checkout) {
+    for one in asks.values().filter(|one| *one.about == RequestKind::Checkout) {
         checkouts.entry(one.id).or_default().push(one);
     }
     for (id, ran) in &runs {
-        counted.ran += 1;
+        counted.executed += 1;
         if ran.len() > 1 {
-            counted.ran_again += 1;
-            break_rule(Rule::Once, format!("{id} ran {} times, at {ran:?} ms", ran.len()));
+            counted.executed_more_than_once += 1;
+            break_rule(Rule::ExecutedOnce, format!("{id} ran {} times, at {ran:?} ms", ran.len()));
         }
     }
     for (id, presented) in &checkouts {
         counted.checkouts += 1;
-        counted.presented_again += u64::from(presented.len() > 1);
+        counted.checkouts_presented_again += u64::from(presented.len() > 1);
         let ran = runs.get(id).and_then(|r| r.first()).copied();
-        let served = |one: &&&One<'_>| matches!(one.end(), Some((_, Final::Served(_))));
+        let served = |one: &&&One<'_>| matches!(one.end(), Some((_, Outcome::Served(_))));
         let mut routers: Vec<usize> = presented.iter().filter(served).map(|one| one.router).collect();
         routers.sort_unstable();
         routers.dedup();
-        counted.served_again += u64::from(routers.len() > 1);
+        counted.served_by_several_routers += u64::from(routers.len() > 1);
         if runs.get(id).is_some_and(|r| r.len() > 1) {
             let over =
                 |one: &One<'_>| one.end().map(|(at, _)| at).or(one.lost).unwrap_or(one.asked + one.within);
             let apart = presented.windows(2).all(|two| over(two[0]) <= two[1].asked);
-            counted.ran_again_resent += u64::from(apart);
+            counted.executed_again_after_resend += u64::from(apart);
         }
         outcomes(id, presented, ran, &apart, &mut break_rule);
         refusals(id, presented, ran, &apart, &mut break_rule);
-        if !linearizable(presented, ran, &apart) {
+        if !is_linearizable(presented, ran, &apart) {
             break_rule(Rule::Linearizable, format!("{id}: no order of its answers is that of one register"));
         }
     }
@@ -259,31 +266,31 @@
     ends.sort_by_key(|(_, (at, _))| *at);
     for (one, (at, end)) in ends {
         match (end, first) {
-            (Final::Served(bytes), None) => {
+            (Outcome::Served(bytes), None) => {
                 first = Some((at, bytes));
                 if ran.is_none_or(|r| r > at) {
                     break_rule(Rule::SameOutcome, format!("{id}: served at {at} ms, ran at {ran:?}"));
                 }
             }
-            (Final::Served(bytes), Some((_, others))) => {
+            (Outcome::Served(bytes), Some((_, others))) => {
                 if bytes != others {
                     let words = format!("{id}: router {} served other bytes at {at} ms", one.router);
                     break_rule(Rule::SameOutcome, words);
                 }
             }
-            (Final::Refused(_), Some((served, _)))
+            (Outcome::Rejected { .. }, Some((served, _)))
                 if one.asked > served && !apart.meet(one.router, one.asked, at) =>
             {
                 let words =
                     format!("{id}: served at {served} ms, refused by router {} at {at} ms", one.router);
-                break_rule(Rule::KeptWord, words);
+                break_rule(Rule::ServedNeverRejected, words);
             }
-            (Final::Refused(_) | Final::Failed(_), _) => {}
+            (Outcome::Rejected { .. } | Outcome::Failed(_), _) => {}
         }
     }
 }
 
-/// See the note on [`Rule::KeptWord`] for refusals of routers that were cut off.
+/// See the note on [`Rule::ServedNeverRejected`] for refusals of routers that were cut off.
 fn refusals(
     id: &str,
     presented: &[&One<'_>],
@@ -296,13 +303,13 @@
         let Some(at) = one.refused_at() else { continue };
         if ran <= at && !apart.meet(one.router, one.asked, at) {
             let words = format!("{id}: ran at {ran} ms, refused by router {} at {at} ms", one.router);
-            break_rule(Rule::RefusedNeverRan, words);
+            break_rule(Rule::RejectedNeverExecuted, words);
         }
     }
     let by = |one: &&&One<'_>| one.asked <= ran && one.refused_at().is_none_or(|at| at >= ran);
     if !presented.iter().any(|one| by(&one)) {
         break_rule(
-            Rule::RefusedNeverRan,
+            Rule::RejectedNeverExecuted,
             format!("{id}: ran at {ran} ms, when all who had asked were refused"),
         );
     }
--- a/crates/emulator/src/rig/caller.rs
+++ b/crates/emulator/src/rig/client_connection.rs
@@ -1,7 +1,7 @@
 //! A client of the rig: one connection to one router, which keeps what it sends and reads in the history.
 
-use super::archive::{CHECKOUT, READ};
-use super::history::{About, Ask, Final, History, Seen};
+use super::archive::{CHECKOUT_CLASS, READ_CLASS};
+use super::history::{Event, History, Outcome, RequestKind, RequestNumber};
 use crate::standin::{comes, WIDE};
 use basaltgw_resp::{encode, Decoder, Fields};
 use std::collections::BTreeMap;
@@ -18,14 +18,14 @@
 #[derive(Default)]
 struct Open {
     /// Asks by tag: kept after their end, so that what comes after it is seen.
-    asks: BTreeMap<u64, (Ask, bool)>,
+    asks: BTreeMap<u64, (RequestNumber, bool)>,
     tags: u64,
     serving: bool,
     over: bool,
 }
 
 /// A client's connection to a router.
-pub struct Caller {
+pub struct ClientConnection {
     router: usize,
     socket: TcpStream,
     open: Arc<Mutex<Open>>,
@@ -36,7 +36,7 @@
     open.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-impl Caller {
+impl ClientConnection {
     /// Connects to a router at that address.
     pub fn connect(router: usize, at: SocketAddr, history: &History) -> Result<Self, String> {
         let say = |e: std::io::Error| format!("router {router} at {at}: {e}");
@@ -52,51 +52,53 @@
     }
 
     /// Whether its connection has ended.
-    pub fn over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         locked(&self.open).over
     }
 
     /// Asks whether the router serves, and whether it said so within a time.
-    pub fn serving(&self, patience: Duration) -> bool {
+    pub fn is_serving(&self, patience: Duration) -> bool {
         let mut socket = &self.socket;
         if socket.write_all(&encode(&[b"PING", PING.to_string().as_bytes(), b""])).is_err() {
             return false;
         }
-        comes(patience, || locked(&self.open).serving || self.over()) && locked(&self.open).serving
+        comes(patience, || locked(&self.open).serving || self.is_closed()) && locked(&self.open).serving
     }
 
     /// Presents a checkout of that id, for a client that waits so many milliseconds.
-    pub fn checkout(&self, id: &str, within: u64) -> Ask {
-        let before = self.history.count(|s| matches!(s, Seen::Asked { id: other, .. } if other == id));
-        self.ask(id, (About::Checkout, before > 0), within, CHECKOUT, 1, b"borrow")
+    pub fn checkout(&self, id: &str, within: u64) -> RequestNumber {
+        let before =
+            self.history.count_events(|s| matches!(s, Event::RequestSent { id: other, .. } if other == id));
+        self.ask(id, (RequestKind::Checkout, before > 0), within, CHECKOUT_CLASS, 1, b"borrow")
     }
 
     /// The same of one that is presented elsewhere at once, and says so.
-    pub fn checkout_beside(&self, id: &str, within: u64) -> Ask {
-        self.ask(id, (About::Checkout, true), within, CHECKOUT, 1, b"borrow")
+    pub fn checkout_concurrently(&self, id: &str, within: u64) -> RequestNumber {
+        self.ask(id, (RequestKind::Checkout, true), within, CHECKOUT_CLASS, 1, b"borrow")
     }
 
     /// Goes, whatever it waits for.
-    pub fn leave(self) {
-        let open: Vec<Ask> = locked(&self.open).asks.values().filter(|a| !a.1).map(|a| a.0).collect();
-        open.into_iter().for_each(|ask| self.history.see(Seen::Left(ask)));
+    pub fn disconnect(self) {
+        let open: Vec<RequestNumber> =
+            locked(&self.open).asks.values().filter(|a| !a.1).map(|a| a.0).collect();
+        open.into_iter().for_each(|ask| self.history.record(Event::ClientDisconnected(ask)));
     }
 
     /// Reads an object's first part.
-    pub fn read(&self, id: &str, object: u64, within: u64) -> Ask {
-        self.ask(id, (About::Read(object), false), within, READ, object, b"")
+    pub fn read(&self, id: &str, object: u64, within: u64) -> RequestNumber {
+        self.ask(id, (RequestKind::Read { object }, false), within, READ_CLASS, object, b"")
     }
 
     fn ask(
         &self,
         id: &str,
-        (about, again): (About, bool),
+        (about, again): (RequestKind, bool),
         within: u64,
         class: &str,
         object: u64,
         body: &[u8],
-    ) -> Ask {
-        let ask = self.history.number();
+    ) -> RequestNumber {
+        let ask = self.history.next_request_number();
         let (tag, taken) = {
             let mut open = locked(&self.open);
             open.tags += 1;
@@ -110,11 +112,17 @@
         let again = if again { ",again=1" } else { "" };
         let fields = format!("i={id},d={within},o={object:016x},nth=0,batch=17{again}");
         let bytes = encode(&[b"DO", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), body]);
-        let seen = Seen::Asked { ask, router: self.router, id: id.to_string(), about, within };
-        self.history.see(seen);
+        let seen = Event::RequestSent {
+            request: ask,
+            router: self.router,
+            id: id.to_string(),
+            kind: about,
+            timeout_ms: within,
+        };
+        self.history.record(seen);
         let mut socket = &self.socket;
         if !taken {
-            self.history.see(Seen::Lost(ask));
+            self.history.record(Event::ConnectionLost(ask));
         } else if socket.write_all(&bytes).is_err() {
             // The reader then finds the connection over, and keeps what was lost with it.
             let _ = self.socket.shutdown(Shutdown::Both);
@@ -141,26 +149,26 @@
             });
             let Some(ask) = ask else { continue };
             let end = match text(1) {
-                "200" => Final::Served(words.get(3).cloned().unwrap_or_default()),
+                "200" => Outcome::Served(words.get(3).cloned().unwrap_or_default()),
                 "503" => {
                     let fields = words.get(2).map(Vec::as_slice).unwrap_or_default();
                     let wait = Fields::parse(fields).and_then(|f| f.decimal("w"));
-                    Final::Refused(wait.map(|w| w as u64))
+                    Outcome::Rejected { retry_after_ms: wait.map(|w| w as u64) }
                 }
-                other => Final::Failed(other.to_string()),
+                other => Outcome::Failed(other.to_string()),
             };
-            history.see(Seen::Answered(ask, end));
+            history.record(Event::ResponseReceived { request: ask, outcome: end });
         }
     }
-    let left: Vec<Ask> = {
+    let left: Vec<RequestNumber> = {
         let mut open = locked(open);
         open.over = true;
         std::mem::take(&mut open.asks).into_values().filter(|(_, ended)| !ended).map(|(ask, _)| ask).collect()
     };
-    left.into_iter().for_each(|ask| history.see(Seen::Lost(ask)));
+    left.into_iter().for_each(|ask| history.record(Event::ConnectionLost(ask)));
 }
 
-impl Drop for Caller {
+impl Drop for ClientConnection {
     fn drop(&mut self) {
         let _ = self.socket.shutdown(Shutdown::Both);
     }
--- a/crates/emulator/src/rig/many.rs
+++ b/crates/emulator/src/rig/fleet_cost.rs
@@ -3,17 +3,17 @@
 //! The other rig breaks links and needs a relay on each; here nothing is broken, so that what is counted is the routers' own.
 //! Processes are started in small groups, every wait is bounded, and what was started is ended by its id, also where a run fails.
 
-mod cost;
-mod feed;
+mod change_log_delivery;
 #[cfg(test)]
-mod feed_tests;
-mod heeded;
+mod change_log_delivery_tests;
+mod purge_latency;
+mod usage;
 
-pub use cost::{Cost, Row};
-pub use feed::feed;
+pub use change_log_delivery::measure_change_log_delivery;
+pub use usage::{Cost, Figures};
 
-use super::files::{own, Place, Spec};
-use super::seat::configured;
+use super::router_process::router_config;
+use super::spec::{router_settings, Location, Spec};
 use crate::process::Process;
 use crate::standin::{comes, unix_ms, Cache, ChangeLog, Do, Listed, EDGE, ORIGIN, PARENT};
 use serde_json::json;
@@ -46,33 +46,43 @@
 
 /// What is run.
 #[derive(Clone, Debug)]
-pub struct Many {
+pub struct FleetSetup {
     /// The program.
     pub binary: PathBuf,
     /// Routers.
     pub routers: usize,
     /// Rates of purges on the change log, a second, one window after another; 0 is rest.
-    pub rates: Vec<f64>,
+    pub purge_rates: Vec<f64>,
     /// A window's length.
     pub window: Duration,
     /// Objects and addresses are drawn from it.
     pub seed: u64,
     /// Signs of life of the change log come so far apart; `None`: as the stand-in gives them, 50 ms.
-    pub beat: Option<Duration>,
+    pub heartbeat: Option<Duration>,
     /// Whether they are a fleet; without it each is on its own, as a baseline.
     pub fleet: bool,
     /// Whether purges travel by the overlay.
     pub overlay: bool,
     /// How often it is measured in each window how long a purge takes that only one router hears.
-    pub probes: usize,
+    pub probes_per_window: usize,
 }
 
-impl Many {
+impl FleetSetup {
     /// So many, at rest, in windows of 10 s.
     pub fn new(binary: &Path, routers: usize) -> Self {
         let (rates, window) = (vec![0.0], Duration::from_secs(10));
         let binary = binary.to_path_buf();
-        Self { binary, routers, rates, window, seed: 1, beat: None, fleet: true, overlay: false, probes: 3 }
+        Self {
+            binary,
+            routers,
+            purge_rates: rates,
+            window,
+            seed: 1,
+            heartbeat: None,
+            fleet: true,
+            overlay: false,
+            probes_per_window: 3,
+        }
     }
 }
 
@@ -80,17 +90,17 @@
 ///
 /// # Errors
 /// If a router does not come up or says no counters; with what it said last. All processes are ended by then.
-pub fn measure(many: &Many) -> Result<Vec<Row>, String> {
-    let mut crowd = Crowd::start(many)?;
+pub fn measure_fleet(many: &FleetSetup) -> Result<Vec<Figures>, String> {
+    let mut crowd = RouterFleet::start(many)?;
     let mut rows = Vec::new();
-    for (n, rate) in many.rates.iter().enumerate() {
+    for (n, rate) in many.purge_rates.iter().enumerate() {
         if n > 0 {
             // A window does not begin with what is left of the one before.
             thread::sleep(Duration::from_millis(SETTLES_MS) + SETTLED);
         }
-        rows.push(crowd.window(many, *rate)?);
+        rows.push(crowd.measure_window(many, *rate)?);
     }
-    crowd.end();
+    crowd.shut_down();
     Ok(rows)
 }
 
@@ -107,7 +117,7 @@
 }
 
 /// Routers that run. Dropped, it ends them.
-pub struct Crowd {
+pub struct RouterFleet {
     /// The processes.
     pub routers: Vec<Process>,
     /// The first is followed by the first router alone, the other by all others.
@@ -117,18 +127,18 @@
     /// The routers' addresses; each run has a row of its own, since others may run beside it.
     row: Ipv4Addr,
     _claim: TcpListener,
-    started: Row,
+    started: Figures,
     beating: Arc<AtomicBool>,
     _caches: Vec<Cache>,
     dir: TempDir,
 }
 
-impl Crowd {
+impl RouterFleet {
     /// Starts all, and waits until they go by a table.
     ///
     /// # Errors
-    /// See [`measure`].
-    pub fn start(many: &Many) -> Result<Self, String> {
+    /// See [`measure_fleet`].
+    pub fn start(many: &FleetSetup) -> Result<Self, String> {
         let n = many.routers;
         if !(3..=MOST_ROUTERS).contains(&n) {
             return Err(format!("from 3 to {MOST_ROUTERS} routers, not {n}"));
@@ -144,12 +154,12 @@
             seed: many.seed,
             row,
             _claim: claim,
-            started: Row::new(),
+            started: Figures::new(),
             beating: Arc::new(AtomicBool::new(true)),
             _caches: (0..3).map(|_| cache()).collect(),
             dir,
         };
-        if let Some(beat) = many.beat {
+        if let Some(beat) = many.heartbeat {
             crowd.beat(beat);
         }
         let founders = if many.fleet { n.min(MOST_FOUNDERS) } else { n };
@@ -157,7 +167,7 @@
         if founders < n {
             crowd.begin(many, founders)?;
             crowd.founded(many)?;
-            crowd.end();
+            crowd.shut_down();
             begun = Instant::now();
         }
         crowd.begin(many, n)?;
@@ -173,7 +183,7 @@
         crowd.founded(many)?;
         let founded = begun.elapsed().as_secs_f64() * 1000.0;
         let cost = Cost::now(&crowd.routers, crowd.row)?;
-        crowd.started = Row::from([
+        crowd.started = Figures::from([
             ("founders".to_string(), founders as f64),
             ("start_listening_ms".to_string(), listening),
             ("start_joined_ms".to_string(), joined),
@@ -185,13 +195,13 @@
     }
 
     /// Starts the first so many, each with all of these as its peers.
-    fn begin(&mut self, many: &Many, n: usize) -> Result<(), String> {
+    fn begin(&mut self, many: &FleetSetup, n: usize) -> Result<(), String> {
         let mut spec = Spec::new(&many.binary, n);
-        spec.more = if many.overlay { json!({"overlay": {}}) } else { json!({}) };
+        spec.extra_settings = if many.overlay { json!({"overlay": {}}) } else { json!({}) };
         spec.fleet = many.fleet;
-        spec.settles_ms = SETTLES_MS;
-        spec.places.iter_mut().zip(1..).for_each(|(place, r)| {
-            *place = Place { branch: place.branch.clone(), machine: format!("m{r}") };
+        spec.purge_settles_ms = SETTLES_MS;
+        spec.locations.iter_mut().zip(1..).for_each(|(place, r)| {
+            *place = Location { branch: place.branch.clone(), machine: format!("m{r}") };
         });
         let [one, two, three, _] = self.row.octets();
         let at = |r: usize| SocketAddr::from((Ipv4Addr::new(one, two, three, r as u8 + 1), PORT));
@@ -200,11 +210,11 @@
             let listed: Vec<Listed> =
                 kinds.iter().zip(&self._caches).map(|((id, kind), c)| Listed(*id, c.address, kind)).collect();
             let log = &self.logs[usize::from(r > 0)];
-            let config = configured(&spec, r, &listed, log.address);
+            let config = router_config(&spec, r, &listed, log.address);
             let peers: Vec<(usize, SocketAddr)> = (0..n).filter(|p| *p != r).map(|p| (p, at(p))).collect();
             let folder = self.dir.path().join(format!("lasting-{r}"));
             std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-            let text = own(&spec, r, at(r), &folder, None, &peers);
+            let text = router_settings(&spec, r, at(r), &folder, None, &peers);
             Process::start_in(&spec.binary, self.dir.path(), r, &config, &text)
         };
         let mut routers = Vec::new();
@@ -222,7 +232,7 @@
     }
 
     /// Waits until all go by a table.
-    fn founded(&self, many: &Many) -> Result<(), String> {
+    fn founded(&self, many: &FleetSetup) -> Result<(), String> {
         let goes = |p: &Process| {
             let counters = p.counters(COUNTERS).unwrap_or_default();
             !many.fleet || counters.get("table_version").is_some_and(|version| *version > 0.0)
@@ -284,7 +294,7 @@
     ///
     /// # Errors
     /// If a router has ended or says no counters.
-    pub fn window(&mut self, many: &Many, rate: f64) -> Result<Row, String> {
+    pub fn measure_window(&mut self, many: &FleetSetup, rate: f64) -> Result<Figures, String> {
         let (on, one) = (Arc::new(AtomicBool::new(true)), Arc::<Mutex<()>>::default());
         self.purging(rate, &on, &one);
         let row = self.counted(many, rate, &one);
@@ -292,7 +302,7 @@
         row
     }
 
-    fn counted(&mut self, many: &Many, rate: f64, one: &Mutex<()>) -> Result<Row, String> {
+    fn counted(&mut self, many: &FleetSetup, rate: f64, one: &Mutex<()>) -> Result<Figures, String> {
         thread::sleep(SETTLED);
         let told = self.told()?;
         let before = Cost::now(&self.routers, self.row)?;
@@ -300,16 +310,16 @@
         let after = Cost::now(&self.routers, self.row)?;
         let told_after = self.told()?;
         let mut row = after.since(&before, &self.routers)?;
-        row.extend(cost::counters(&told, &told_after));
+        row.extend(usage::counters(&told, &told_after));
         row.extend(self.started.clone());
         if many.fleet {
-            row.extend(self.heeded(many.probes, one)?);
+            row.extend(self.heeded(many.probes_per_window, one)?);
         }
         let set = [
             ("routers", self.routers.len() as f64),
             ("purges_per_s", rate),
             ("seed", self.seed as f64),
-            ("beat_ms", many.beat.map_or(50.0, |b| b.as_secs_f64() * 1000.0)),
+            ("beat_ms", many.heartbeat.map_or(50.0, |b| b.as_secs_f64() * 1000.0)),
             ("cores", thread::available_parallelism().map_or(0.0, |n| n.get() as f64)),
         ];
         row.extend(set.map(|(name, value)| (name.to_string(), value)));
@@ -317,7 +327,7 @@
     }
 
     /// All counters of all routers, and when they were told.
-    fn told(&self) -> Result<Vec<cost::Told>, String> {
+    fn told(&self) -> Result<Vec<usage::Told>, String> {
         let tell = |p: &Process| p.counters(COUNTERS).map(|c| (Instant::now(), c));
         let all: Vec<_> = thread::scope(|s| {
             let all: Vec<_> = self.routers.iter().map(|p| s.spawn(move || tell(p))).collect();
@@ -327,7 +337,7 @@
     }
 
     /// Ends all in order, and waits for that; whoever does not end is killed.
-    pub fn end(&mut self) {
+    pub fn shut_down(&mut self) {
         self.routers.iter().for_each(Process::end);
         self.routers.iter_mut().for_each(|p| {
             p.over();
@@ -336,7 +346,7 @@
     }
 }
 
-impl Drop for Crowd {
+impl Drop for RouterFleet {
     fn drop(&mut self) {
         self.beating.store(false, Ordering::SeqCst);
         self.logs.iter().for_each(|log| log.down.store(true, Ordering::SeqCst));
--- a/crates/emulator/src/rig/many/feed.rs
+++ b/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
@@ -1,6 +1,6 @@
 //! How far apart watchers of the stand-in's change log hear the same purge, and how many they hear at once: what hollow routers' log goes by.
 
-use super::{Crowd, Row};
+use super::{Figures, RouterFleet};
 use crate::standin::ChangeLog;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// If a watcher can't connect, or did not hear all.
-pub fn feed(watchers: usize, rate: f64, window: Duration) -> Result<Row, String> {
+pub fn measure_change_log_delivery(watchers: usize, rate: f64, window: Duration) -> Result<Figures, String> {
     let (log, told) = (ChangeLog::start(), AtomicU64::new(0));
     let purges = (rate * window.as_secs_f64()).max(1.0) as u64;
     let mut threads = Vec::new();
@@ -40,7 +40,7 @@
     for n in 0..purges {
         let due = begun + Duration::from_secs_f64(n as f64 / rate);
         thread::sleep(due.saturating_duration_since(Instant::now()));
-        Crowd::purge(&[&log], &told, 1);
+        RouterFleet::purge(&[&log], &told, 1);
     }
     let all: Vec<Heard> = threads.into_iter().filter_map(|t| t.join().ok()).collect();
     log.down.store(true, Ordering::SeqCst);
@@ -78,7 +78,7 @@
     Some((u64::from_be_bytes(head.first_chunk().copied()?), *head.last()?))
 }
 
-pub(super) fn figures(all: &[Heard], purges: usize) -> Option<Row> {
+pub(super) fn figures(all: &[Heard], purges: usize) -> Option<Figures> {
     let mut apart: Vec<f64> = Vec::new();
     for number in all.first()?.keys() {
         let times: Vec<Instant> = all.iter().filter_map(|h| h.get(number).copied()).collect();
--- a/crates/emulator/src/rig/many/feed_tests.rs
+++ b/crates/emulator/src/rig/fleet_cost/change_log_delivery_tests.rs
@@ -1,11 +1,11 @@
 //! Watchers of the change log: all that is told is heard, and who did not hear is found.
 
-use super::feed::{feed, figures, Heard};
+use super::change_log_delivery::{figures, measure_change_log_delivery, Heard};
 use std::time::{Duration, Instant};
 
 #[test]
 fn watchers_hear_all_and_a_missing_purge_is_found() {
-    let row = feed(3, 50.0, Duration::from_secs(1)).expect("all heard");
+    let row = measure_change_log_delivery(3, 50.0, Duration::from_secs(1)).expect("all heard");
     assert!(row["watchers"] == 3.0 && row["heard_at_once"] >= 1.0, "{row:?}");
     assert!(row["apart_ms_median"] <= row["apart_ms_most"], "{row:?}");
     let now = Instant::now();
--- a/crates/emulator/src/rig/many/heeded.rs
+++ b/crates/emulator/src/rig/fleet_cost/purge_latency.rs
@@ -1,6 +1,6 @@
 //! How long it takes until a purge that one router alone hears is heeded by all.
 
-use super::{Crowd, Row};
+use super::{Figures, RouterFleet};
 use crate::standin::Client;
 use std::net::TcpStream;
 use std::sync::Mutex;
@@ -12,9 +12,9 @@
 /// A purge that is not heeded by then counts as so late.
 const LATEST: Duration = Duration::from_secs(10);
 
-impl Crowd {
+impl RouterFleet {
     /// Probes: each router but the first is asked for the object until it asks a cache for a copy of after the purge.
-    pub(super) fn heeded(&self, probes: usize, one: &Mutex<()>) -> Result<Row, String> {
+    pub(super) fn heeded(&self, probes: usize, one: &Mutex<()>) -> Result<Figures, String> {
         let mut all: Vec<f64> = Vec::new();
         let mut whole: Vec<f64> = Vec::new();
         for _ in 0..probes {
--- a/crates/emulator/src/rig/many/cost.rs
+++ b/crates/emulator/src/rig/fleet_cost/usage.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 /// Figures by name.
-pub type Row = BTreeMap<String, f64>;
+pub type Figures = BTreeMap<String, f64>;
 /// A router's counters, and when they were told.
 pub type Told = (Instant, HashMap<String, f64>);
 
@@ -117,10 +117,10 @@
     ///
     /// # Errors
     /// See [`Cost::now`].
-    pub fn since(&self, before: &Self, routers: &[Process]) -> Result<Row, String> {
+    pub fn since(&self, before: &Self, routers: &[Process]) -> Result<Figures, String> {
         let (many, seconds) = (routers.len() as f64, (self.at - before.at).as_secs_f64());
         let each = |now: f64, then: f64| (now - then) / many / seconds;
-        let mut row = Row::from([("seconds".to_string(), seconds)]);
+        let mut row = Figures::from([("seconds".to_string(), seconds)]);
         let mut sums = [0.0; 3];
         for (name, now) in &self.threads {
             let then = before.threads.get(name).copied().unwrap_or_default();
@@ -159,8 +159,8 @@
 }
 
 /// What the routers' own counters say of the time between, a router and a second.
-pub fn counters(before: &[Told], after: &[Told]) -> Row {
-    let mut row = Row::new();
+pub fn counters(before: &[Told], after: &[Told]) -> Figures {
+    let mut row = Figures::new();
     let many = after.len() as f64;
     for name in RATES {
         let each = before.iter().zip(after).map(|((then, old), (now, new))| {
--- a/crates/emulator/src/rig/register.rs
+++ b/crates/emulator/src/rig/linearizability.rs
@@ -1,7 +1,7 @@
 //! The answers on one checkout held against one register, by stateright's tester of linearizability.
 
 use super::checker::{One, Spans};
-use super::history::Final;
+use super::history::Outcome;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
 /// A checkout as one register: it has not run, or it has, with one receipt.
@@ -42,16 +42,16 @@
 
 /// Whether one register could have given these answers. What failed, or got none, may have taken effect at any time; refusals of routers
 /// that were cut off are left out, since they tell of no register.
-pub(super) fn linearizable(presented: &[&One<'_>], ran: Option<u64>, apart: &Spans) -> bool {
+pub(super) fn is_linearizable(presented: &[&One<'_>], ran: Option<u64>, apart: &Spans) -> bool {
     let receipt = receipt(presented);
     let mut tester = LinearizabilityTester::new(Checkout { receipt: receipt.clone(), ran: false });
     let mut steps: Vec<(u64, usize, Option<Told>)> = Vec::new();
     for (i, one) in presented.iter().take(MOST_WEIGHED).enumerate() {
         let told = match one.end() {
-            Some((at, Final::Served(bytes))) => Some((at, Told::Served(bytes.clone()))),
-            Some((at, Final::Refused(_))) if apart.meet(one.router, one.asked, at) => continue,
-            Some((at, Final::Refused(_))) => Some((at, Told::Refused)),
-            Some((_, Final::Failed(_))) | None => None,
+            Some((at, Outcome::Served(bytes))) => Some((at, Told::Served(bytes.clone()))),
+            Some((at, Outcome::Rejected { .. })) if apart.meet(one.router, one.asked, at) => continue,
+            Some((at, Outcome::Rejected { .. })) => Some((at, Told::Refused)),
+            Some((_, Outcome::Failed(_))) | None => None,
         };
         steps.push((one.asked, i, None));
         steps.extend(told.map(|(at, told)| (at, i, Some(told))));
@@ -80,8 +80,8 @@
 /// The bytes that were served first.
 fn receipt(presented: &[&One<'_>]) -> Vec<u8> {
     let served = presented.iter().find_map(|one| match one.end() {
-        Some((_, Final::Served(bytes))) => Some(bytes.clone()),
-        Some((_, Final::Refused(_) | Final::Failed(_))) | None => None,
+        Some((_, Outcome::Served(bytes))) => Some(bytes.clone()),
+        Some((_, Outcome::Rejected { .. } | Outcome::Failed(_))) | None => None,
     });
     served.unwrap_or_default()
 }
--- a/crates/emulator/src/rig/load.rs
+++ b/crates/emulator/src/rig/load.rs
@@ -1,7 +1,7 @@
-//! Clients of the rig: checkouts and reads at a rate, whatever comes back; who gets no word, or is turned away, presents the same checkout
+//! LoadGenerator of the rig: checkouts and reads at a rate, whatever comes back; who gets no word, or is turned away, presents the same checkout
 //! again through another router.
 
-use super::{About, Ask, Caller, Final, History, Rig};
+use super::{ClientConnection, History, Outcome, RequestKind, RequestNumber, Rig};
 use basaltgw_simulator::{draw, rng, Rng};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -34,16 +34,18 @@
     /// Objects that are read.
     pub objects: u64,
     /// How long clients wait, in milliseconds.
-    pub within_ms: u64,
+    #[serde(rename = "within_ms")]
+    pub timeout_ms: u64,
     /// The share of checkouts that are presented to two routers at once.
-    pub twice: f64,
+    #[serde(rename = "twice")]
+    pub concurrent_share: f64,
     /// How long an effect takes at the archive, in milliseconds; each second another, drawn from this range.
     pub effect_ms: [f64; 2],
 }
 
 /// What the load counted by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct LoadStatistics {
     /// Checkouts presented again, since no word came.
     pub again_unheard: u64,
     /// The same, since they were turned away.
@@ -55,7 +57,7 @@
 }
 
 struct Open {
-    ask: Ask,
+    ask: RequestNumber,
     router: usize,
     due: u64,
     /// The checkout's id, and how often it was presented; none for a read.
@@ -63,33 +65,33 @@
 }
 
 /// The clients of one run.
-pub struct Clients {
+pub struct LoadGenerator {
     load: Load,
     addresses: Vec<SocketAddr>,
     history: History,
     effect_ms: Arc<AtomicU64>,
-    callers: Vec<Vec<(Caller, Vec<Ask>)>>,
+    callers: Vec<Vec<(ClientConnection, Vec<RequestNumber>)>>,
     open: Vec<Open>,
     later: Vec<(u64, usize, String, u32)>,
     rng: Rng,
     ids: u64,
-    told: Told,
+    told: LoadStatistics,
 }
 
-impl Clients {
-    /// Clients of all routers of a rig.
+impl LoadGenerator {
+    /// LoadGenerator of all routers of a rig.
     pub fn new(rig: &Rig, load: &Load) -> Self {
         Self {
             load: load.clone(),
-            addresses: rig.seats.iter().map(|s| s.clients.address).collect(),
+            addresses: rig.routers.iter().map(|r| r.client_relay.address).collect(),
             history: rig.history.clone(),
-            effect_ms: Arc::clone(&rig.archive.effect_ms),
-            callers: rig.seats.iter().map(|_| Vec::new()).collect(),
+            effect_ms: Arc::clone(&rig.archive.effect_duration_ms),
+            callers: rig.routers.iter().map(|_| Vec::new()).collect(),
             open: Vec::new(),
             later: Vec::new(),
             rng: rng(rig.spec.seed, DRAWS),
             ids: 0xc1_u64 << 48,
-            told: Told::default(),
+            told: LoadStatistics::default(),
         }
     }
 
@@ -101,8 +103,8 @@
         let history = &self.history;
         let all = &mut self.callers[router];
         all.retain_mut(|(caller, asks)| {
-            asks.retain(|ask| history.end(*ask, Duration::ZERO).is_none());
-            !caller.over()
+            asks.retain(|ask| history.wait_for_outcome(*ask, Duration::ZERO).is_none());
+            !caller.is_closed()
         });
         if let Some(at) = all.iter().position(|(_, asks)| asks.len() < OPEN) {
             return Some(at);
@@ -110,43 +112,43 @@
         if all.len() == MOST_CONNS {
             return None;
         }
-        let caller = Caller::connect(router, self.addresses[router], history).ok()?;
+        let caller = ClientConnection::connect(router, self.addresses[router], history).ok()?;
         all.push((caller, Vec::new()));
         Some(all.len() - 1)
     }
 
     /// `beside`: it is presented to another router at once.
-    fn ask(&mut self, router: usize, id: String, about: &About, (tries, beside): (u32, bool)) {
+    fn ask(&mut self, router: usize, id: String, about: &RequestKind, (tries, beside): (u32, bool)) {
         let Some(at) = self.caller(router) else {
             self.told.not_asked += 1;
             return;
         };
         let (caller, asks) = &mut self.callers[router][at];
-        let within = self.load.within_ms;
+        let within = self.load.timeout_ms;
         let ask = match about {
-            About::Checkout if beside => caller.checkout_beside(&id, within),
-            About::Checkout => caller.checkout(&id, within),
-            About::Read(object) => caller.read(&id, *object, within),
+            RequestKind::Checkout if beside => caller.checkout_concurrently(&id, within),
+            RequestKind::Checkout => caller.checkout(&id, within),
+            RequestKind::Read { object } => caller.read(&id, *object, within),
         };
         asks.push(ask);
-        let due = self.history.now() + within + PAST_MS;
-        let again = (*about == About::Checkout).then_some((id, tries));
+        let due = self.history.now_ms() + within + PAST_MS;
+        let again = (*about == RequestKind::Checkout).then_some((id, tries));
         self.open.push(Open { ask, router, due, again });
     }
 
     /// Looks at what came back.
     fn look(&mut self) {
-        let now = self.history.now();
+        let now = self.history.now_ms();
         let routers = self.addresses.len();
         let mut again = Vec::new();
         let history = &self.history;
         let told = &mut self.told;
         self.open.retain(|o| {
-            let end = history.end(o.ask, Duration::ZERO);
+            let end = history.wait_for_outcome(o.ask, Duration::ZERO);
             let stay = match &end {
                 None if now < o.due => return true,
-                Some(Some(Final::Served(_) | Final::Failed(_))) => return false,
-                Some(Some(Final::Refused(wait))) => wait.unwrap_or(0),
+                Some(Some(Outcome::Served(_) | Outcome::Failed(_))) => return false,
+                Some(Some(Outcome::Rejected { retry_after_ms: wait })) => wait.unwrap_or(0),
                 None | Some(None) => 0,
             };
             if let Some((id, tries)) =
@@ -163,17 +165,17 @@
         self.later.extend(again);
         let due: Vec<_> = self.later.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, router, id, tries) in due {
-            self.ask(router, id, &About::Checkout, (tries, false));
+            self.ask(router, id, &RequestKind::Checkout, (tries, false));
         }
     }
 
     /// Asks until told to stop, and then until nothing is open.
-    pub fn run(mut self, stop: &AtomicBool) -> Told {
+    pub fn run(mut self, stop: &AtomicBool) -> LoadStatistics {
         let rate = self.load.checkouts_per_s + self.load.reads_per_s;
-        let start = self.history.now();
+        let start = self.history.now_ms();
         let (mut next, mut second) = (0.0, 0);
         while !stop.load(Ordering::SeqCst) {
-            let now = self.history.now() - start;
+            let now = self.history.now_ms() - start;
             if now / 1000 >= second {
                 second += 1;
                 let [least, most] = self.load.effect_ms;
@@ -202,16 +204,16 @@
         let router = self.pick(routers);
         let total = self.load.checkouts_per_s + self.load.reads_per_s;
         if draw(&mut self.rng) * total < self.load.checkouts_per_s {
-            let twice = draw(&mut self.rng) < self.load.twice;
-            self.ask(router, id.clone(), &About::Checkout, (1, twice));
+            let twice = draw(&mut self.rng) < self.load.concurrent_share;
+            self.ask(router, id.clone(), &RequestKind::Checkout, (1, twice));
             if twice {
                 let other = (router + 1 + self.pick(routers - 1)) % routers;
                 // The second presentation is another client's, which presents it no further.
-                self.ask(other, id, &About::Checkout, (MOST_TRIES, true));
+                self.ask(other, id, &RequestKind::Checkout, (MOST_TRIES, true));
             }
         } else {
             let object = 1 + self.pick(self.load.objects.max(1) as usize) as u64;
-            self.ask(router, id, &About::Read(object), (1, false));
+            self.ask(router, id, &RequestKind::Read { object }, (1, false));
         }
     }
 }
--- a/crates/emulator/src/rig/relay.rs
+++ b/crates/emulator/src/rig/relay.rs
@@ -1,6 +1,6 @@
-//! Relays: every directed link goes through one, which carries its bytes as its state says at that moment.
+//! RelayThread: every directed link goes through one, which carries its bytes as its state says at that moment.
 //!
-//! A [`Flow`] is the way of bytes from one party to another, whoever opened the connection: a relay before B that A connects to carries
+//! A [`Link`] is the way of bytes from one party to another, whoever opened the connection: a relay before B that A connects to carries
 //! A's bytes by the flow from A to B, and B's by the flow from B to A. So a cut of one way cuts it on all connections between the two.
 //! All relays run on one thread; what waits in one is bounded, and a full one reads no more.
 
@@ -27,65 +27,65 @@
 
 /// How a flow carries bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Shape {
+pub struct LinkConditions {
     /// Milliseconds that each piece takes, drawn from this range; order is kept.
-    pub delay: (f64, f64),
+    pub delay_ms: (f64, f64),
     /// Nothing moves, as through a cut cable: what was sent arrives once it heals, and new connections stay silent.
     pub cut: bool,
     /// Bytes vanish: those sent meanwhile never arrive.
-    pub hole: bool,
+    pub black_hole: bool,
     /// Bytes for each tick of 10 ms; as they come if `None`.
-    pub drip: Option<usize>,
+    pub bytes_per_tick: Option<usize>,
 }
 
 /// What a flow does once to one of the next pieces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Once {
+pub enum ChunkFault {
     /// Carries it twice.
-    Repeat,
+    Duplicate,
     /// Changes one byte of it.
-    Break,
+    Corrupt,
 }
 
 /// What a flow did.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Carried {
+pub struct LinkStatistics {
     /// Bytes that were sent into it.
-    pub taken: u64,
+    pub received_bytes: u64,
     /// Bytes written on.
-    pub bytes: u64,
+    pub delivered_bytes: u64,
     /// Bytes that vanished.
-    pub dropped: u64,
+    pub dropped_bytes: u64,
     /// Pieces carried twice.
-    pub repeated: u64,
+    pub duplicated_chunks: u64,
     /// Pieces with a byte changed.
-    pub broken: u64,
+    pub corrupted_chunks: u64,
     /// Connections reset.
     pub resets: u64,
     /// Pieces, and connections that were to come up, that waited for a cut to heal.
-    pub held: u64,
+    pub delayed_by_cut: u64,
 }
 
 struct State {
-    shape: Shape,
-    once: Vec<Once>,
+    conditions: LinkConditions,
+    once: Vec<ChunkFault>,
     resets: u64,
-    carried: Carried,
+    carried: LinkStatistics,
     rng: Rng,
 }
 
 /// The way of bytes from one party to another; switched at any time, by any thread.
 #[derive(Clone)]
-pub struct Flow(Arc<(Mutex<State>, Event)>);
+pub struct Link(Arc<(Mutex<State>, Event)>);
 
-impl Flow {
+impl Link {
     /// A flow that carries at once; what it draws comes from the seed and its number.
     pub fn new(seed: u64, number: u64) -> Self {
         let state = State {
-            shape: Shape::default(),
+            conditions: LinkConditions::default(),
             once: Vec::new(),
             resets: 0,
-            carried: Carried::default(),
+            carried: LinkStatistics::default(),
             rng: rng(seed, number),
         };
         Self(Arc::new((Mutex::new(state), Event::new())))
@@ -96,34 +96,34 @@
     }
 
     /// Changes how it carries from now on.
-    pub fn shape(&self, change: impl FnOnce(&mut Shape)) {
-        change(&mut self.state().shape);
+    pub fn configure(&self, change: impl FnOnce(&mut LinkConditions)) {
+        change(&mut self.state().conditions);
         self.0 .1.notify(usize::MAX);
     }
 
     /// How it carries now.
-    pub fn now(&self) -> Shape {
-        self.state().shape
+    pub fn conditions(&self) -> LinkConditions {
+        self.state().conditions
     }
 
     /// Cut, or healed.
-    pub fn cut(&self, cut: bool) {
-        self.shape(|s| s.cut = cut);
+    pub fn set_cut(&self, cut: bool) {
+        self.configure(|s| s.cut = cut);
     }
 
     /// Does this to the next piece.
-    pub fn once(&self, what: Once) {
-        self.state().once.push(what);
+    pub fn inject(&self, fault: ChunkFault) {
+        self.state().once.push(fault);
     }
 
     /// Resets all connections that it is on.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         self.state().resets += 1;
         self.0 .1.notify(usize::MAX);
     }
 
     /// What it did so far.
-    pub fn carried(&self) -> Carried {
+    pub fn statistics(&self) -> LinkStatistics {
         self.state().carried
     }
 
@@ -142,26 +142,26 @@
     fn takes(&self, piece: &mut Vec<u8>) -> Option<Instant> {
         let mut state = self.state();
         let s = &mut *state;
-        s.carried.taken += piece.len() as u64;
-        if s.shape.hole {
-            s.carried.dropped += piece.len() as u64;
+        s.carried.received_bytes += piece.len() as u64;
+        if s.conditions.black_hole {
+            s.carried.dropped_bytes += piece.len() as u64;
             return None;
         }
         match s.once.pop() {
-            Some(Once::Repeat) => {
+            Some(ChunkFault::Duplicate) => {
                 piece.extend_from_within(..);
-                s.carried.repeated += 1;
+                s.carried.duplicated_chunks += 1;
             }
-            Some(Once::Break) => {
+            Some(ChunkFault::Corrupt) => {
                 let at = (draw(&mut s.rng) * piece.len() as f64) as usize;
                 if let Some(byte) = piece.get_mut(at) {
                     *byte ^= 0x10;
                 }
-                s.carried.broken += 1;
+                s.carried.corrupted_chunks += 1;
             }
             None => {}
         }
-        let (least, most) = s.shape.delay;
+        let (least, most) = s.conditions.delay_ms;
         let ms = least + (most - least).max(0.0) * draw(&mut s.rng);
         Some(Instant::now() + Duration::from_secs_f64(ms.max(0.0) / 1000.0))
     }
@@ -186,15 +186,16 @@
                 Timer::at(at).await;
                 let mut left = &piece[..];
                 while !left.is_empty() {
-                    if self.now().cut {
-                        self.state().carried.held += 1;
+                    if self.conditions().cut {
+                        self.state().carried.delayed_by_cut += 1;
                     }
-                    let drip = self.until(|s| (!s.shape.cut).then_some(s.shape.drip)).await;
+                    let drip =
+                        self.until(|s| (!s.conditions.cut).then_some(s.conditions.bytes_per_tick)).await;
                     let n = drip.unwrap_or(left.len()).clamp(1, left.len());
                     if to.write_all(&left[..n]).await.is_err() {
                         return;
                     }
-                    self.state().carried.bytes += n as u64;
+                    self.state().carried.delivered_bytes += n as u64;
                     left = &left[n..];
                     if drip.is_some() {
                         Timer::after(TICK).await;
@@ -202,7 +203,7 @@
                 }
             }
             // The end of a stream is news as well: a cut link does not carry it.
-            self.until(|s| (!s.shape.cut && !s.shape.hole).then_some(())).await;
+            self.until(|s| (!s.conditions.cut && !s.conditions.black_hole).then_some(())).await;
             let _ = to.get_ref().shutdown(std::net::Shutdown::Write);
         };
         future::zip(reads, writes).await;
@@ -224,15 +225,15 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// The way of the bytes of whoever connects.
-    pub forth: Flow,
+    pub to_target: Link,
     /// The way of the answers.
-    pub back: Flow,
+    pub from_target: Link,
     target: Arc<Mutex<Option<SocketAddr>>>,
 }
 
 impl Relay {
     /// Where it leads from now on; nowhere if `None`: connections are then reset.
-    pub fn leads_to(&self, target: Option<SocketAddr>) {
+    pub fn set_target(&self, target: Option<SocketAddr>) {
         *self.target.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = target;
     }
 
@@ -257,22 +258,22 @@
     }
 
     async fn connection(&self, near: &Async<TcpStream>) {
-        let marks = (self.forth.resets(), self.back.resets());
+        let marks = (self.to_target.resets(), self.from_target.resets());
         let _ = near.get_ref().set_nodelay(true);
         let carried = async {
             // A first message through a cut never comes: the connection stays silent.
-            if self.forth.now().cut {
-                self.forth.state().carried.held += 1;
+            if self.to_target.conditions().cut {
+                self.to_target.state().carried.delayed_by_cut += 1;
             }
-            self.forth.until(|s| (!s.shape.cut && !s.shape.hole).then_some(())).await;
+            self.to_target.until(|s| (!s.conditions.cut && !s.conditions.black_hole).then_some(())).await;
             let Some(target) = self.target() else { return true };
             let Ok(far) = Async::<TcpStream>::connect(target).await else { return true };
             let _ = far.get_ref().set_nodelay(true);
-            future::zip(self.forth.carry(near, &far), self.back.carry(&far, near)).await;
+            future::zip(self.to_target.carry(near, &far), self.from_target.carry(&far, near)).await;
             false
         };
         let reset = async {
-            future::or(self.forth.is_reset(marks.0), self.back.is_reset(marks.1)).await;
+            future::or(self.to_target.is_reset(marks.0), self.from_target.is_reset(marks.1)).await;
             true
         };
         if future::or(carried, reset).await {
@@ -283,12 +284,12 @@
 }
 
 /// The thread that all relays run on; it ends when this is dropped.
-pub struct Relays {
+pub struct RelayThread {
     new: Sender<(Relay, TcpListener)>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Relays {
+impl RelayThread {
     /// Starts the thread.
     pub fn start() -> Result<Self, String> {
         let (new, relays) = async_channel::unbounded::<(Relay, TcpListener)>();
@@ -297,10 +298,15 @@
     }
 
     /// A new relay on a port of its own.
-    pub fn relay(&self, forth: Flow, back: Flow, target: Option<SocketAddr>) -> Result<Relay, String> {
+    pub fn start_relay(
+        &self,
+        to_target: Link,
+        from_target: Link,
+        target: Option<SocketAddr>,
+    ) -> Result<Relay, String> {
         let listener = TcpListener::bind("127.0.0.1:0").map_err(|e| format!("a relay's port: {e}"))?;
         let address = listener.local_addr().map_err(|e| e.to_string())?;
-        let relay = Relay { address, forth, back, target: Arc::new(Mutex::new(target)) };
+        let relay = Relay { address, to_target, from_target, target: Arc::new(Mutex::new(target)) };
         self.new.try_send((relay.clone(), listener)).map_err(|e| e.to_string())?;
         Ok(relay)
     }
@@ -316,7 +322,7 @@
     async_io::block_on(executor.run(takes));
 }
 
-impl Drop for Relays {
+impl Drop for RelayThread {
     fn drop(&mut self) {
         self.new.close();
         if let Some(thread) = self.thread.take() {
--- a/crates/emulator/src/rig/seat.rs
+++ b/crates/emulator/src/rig/router_process.rs
@@ -1,7 +1,7 @@
 //! A router of the rig: its process, its folder, its addresses.
 
-use super::files::{own, Spec};
 use super::relay::Relay;
+use super::spec::{router_settings, Spec};
 use crate::process::Process;
 use crate::standin::{self, Listed, EDGE, ORIGIN, PARENT};
 use serde_json::{json, Value};
@@ -16,20 +16,20 @@
 const COUNTERS: Duration = standin::PATIENCE;
 
 /// A router's seat.
-pub struct Seat {
+pub struct RouterProcess {
     /// Its process, if it runs (or is stopped).
     process: Option<Process>,
     number: usize,
     home: PathBuf,
     /// What must last: gone when wiped.
-    pub folder: PathBuf,
+    pub data_folder: PathBuf,
     rules: Option<PathBuf>,
     /// Where it listens for peers.
-    pub listen: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The relays by which it reaches the others.
-    pub peers: BTreeMap<usize, Relay>,
+    pub peer_relays: BTreeMap<usize, Relay>,
     /// The relay by which clients reach it.
-    pub clients: Relay,
+    pub client_relay: Relay,
     config: Value,
     stopped: bool,
 }
@@ -45,18 +45,18 @@
 }
 
 /// A router's configuration before these servers.
-pub(super) fn configured(spec: &Spec, number: usize, listed: &[Listed], log: SocketAddr) -> Value {
+pub(super) fn router_config(spec: &Spec, number: usize, listed: &[Listed], log: SocketAddr) -> Value {
     let mut config = standin::configuration(listed, log);
-    config["name"] = json!(super::files::name(number));
-    config["settings"]["peers-total"] = json!(spec.places.len());
-    config["settings"]["family-info"]["purge-settles"] = json!(spec.settles_ms as f64);
-    config["settings"]["services"][0]["slo"] = json!(spec.aim_ms as f64);
+    config["name"] = json!(super::spec::router_name(number));
+    config["settings"]["peers-total"] = json!(spec.locations.len());
+    config["settings"]["family-info"]["purge-settles"] = json!(spec.purge_settles_ms as f64);
+    config["settings"]["services"][0]["slo"] = json!(spec.latency_objective_ms as f64);
     // On a busy machine a connection takes its time, and no cache of the rig is to be taken for gone.
     config["settings"]["limits"]["connect-timeout"] = json!(5_000.0);
     config
 }
 
-impl Seat {
+impl RouterProcess {
     /// A seat whose router has never run.
     #[allow(clippy::too_many_arguments)] // All are parts of the rig's layout, and there is one caller.
     pub(super) fn new(
@@ -72,7 +72,7 @@
         let kinds = [(EDGE, "box"), (PARENT, "parent"), (ORIGIN, "origin")];
         let listed: Vec<Listed> =
             servers.iter().zip(kinds).map(|(relay, (id, kind))| Listed(id, relay.address, kind)).collect();
-        let config = configured(spec, number, &listed, log);
+        let config = router_config(spec, number, &listed, log);
         let folder_path = home.join("lasting");
         folder(&home)?;
         let listen = port()?;
@@ -80,11 +80,11 @@
             process: None,
             number,
             home,
-            folder: folder_path,
+            data_folder: folder_path,
             rules,
-            listen,
-            peers,
-            clients,
+            peer_address: listen,
+            peer_relays: peers,
+            client_relay: clients,
             config,
             stopped: false,
         };
@@ -92,45 +92,52 @@
     }
 
     /// Whether its process is there.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.process.is_some()
     }
 
     /// Whether its process is there and not stopped.
-    pub fn goes_on(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.process.is_some() && !self.stopped
     }
 
     /// Where clients connect behind the relay.
-    pub fn address(&self) -> Option<SocketAddr> {
+    pub fn client_address(&self) -> Option<SocketAddr> {
         self.process.as_ref().map(|p| p.address)
     }
 
     /// Whether the process has said this.
-    pub fn said(&self, text: &str) -> bool {
+    pub fn log_contains(&self, text: &str) -> bool {
         self.process.as_ref().is_some_and(|p| p.said(text))
     }
 
     /// All that the process has said.
-    pub fn text(&self) -> String {
+    pub fn log(&self) -> String {
         self.process.as_ref().map(Process::text).unwrap_or_default()
     }
 
     /// Starts its process.
-    pub(super) fn begin(&mut self, spec: &Spec) -> Result<(), String> {
+    pub(super) fn start(&mut self, spec: &Spec) -> Result<(), String> {
         if self.process.is_some() {
             return Err(format!("router {} runs already", self.number));
         }
-        folder(&self.folder)?;
+        folder(&self.data_folder)?;
         let peers: Vec<(usize, SocketAddr)> =
-            self.peers.iter().map(|(r, relay)| (*r, relay.address)).collect();
+            self.peer_relays.iter().map(|(r, relay)| (*r, relay.address)).collect();
         let mut tries = 0;
         self.process = loop {
             tries += 1;
-            let text = own(spec, self.number, self.listen, &self.folder, self.rules.as_deref(), &peers);
+            let text = router_settings(
+                spec,
+                self.number,
+                self.peer_address,
+                &self.data_folder,
+                self.rules.as_deref(),
+                &peers,
+            );
             match Process::start_in(&spec.binary, &self.home, self.number, &self.config, &text) {
                 Ok(process) => break Some(process),
-                Err(e) if tries < TRIES && e.contains("in use") => self.listen = port()?,
+                Err(e) if tries < TRIES && e.contains("in use") => self.peer_address = port()?,
                 Err(e) => return Err(format!("router {}: {e}", self.number)),
             }
         };
@@ -145,40 +152,35 @@
     }
 
     /// Asks its process to end in order.
-    pub(super) fn asked_to_end(&self) {
+    pub(super) fn request_shutdown(&self) {
         self.process.iter().for_each(Process::end);
     }
 
-    /// Ends its process in order, and waits for that.
-    pub fn end(&mut self) {
-        self.ends();
-    }
-
-    /// As [`Seat::end`]; gives all that the process has said.
-    pub fn ends(&mut self) -> String {
+    /// Ends its process in order, and waits for that; gives all that it has said.
+    pub fn shut_down(&mut self) -> String {
         let Some(mut process) = self.process.take() else { return String::new() };
         process.end();
         process.over();
         process.text()
     }
 
-    pub(super) fn full(&self, full: bool) {
+    pub(super) fn set_disk_full(&self, full: bool) {
         if let Some(process) = &self.process {
             process.files_up_to(full.then_some(0));
         }
     }
 
     pub(super) fn wipe(&mut self) -> Result<(), String> {
-        match std::fs::remove_dir_all(&self.folder) {
+        match std::fs::remove_dir_all(&self.data_folder) {
             Err(e) if e.kind() != std::io::ErrorKind::NotFound => {
-                Err(format!("{}: {e}", self.folder.display()))
+                Err(format!("{}: {e}", self.data_folder.display()))
             }
             _ => Ok(()),
         }
     }
 
-    pub(super) fn moves(&mut self) -> Result<(), String> {
-        self.listen = port()?;
+    pub(super) fn change_peer_address(&mut self) -> Result<(), String> {
+        self.peer_address = port()?;
         Ok(())
     }
 
@@ -194,8 +196,8 @@
         self.signal("HUP");
     }
 
-    /// Changes what its next start is configured by.
-    pub fn config(&mut self, change: impl FnOnce(&mut Value)) {
+    /// Changes what its next start is router_config by.
+    pub fn configure(&mut self, change: impl FnOnce(&mut Value)) {
         change(&mut self.config);
     }
 
--- a/crates/emulator/src/rig/play.rs
+++ b/crates/emulator/src/rig/scenario.rs
@@ -1,8 +1,8 @@
 //! A whole run of the rig: load, faults, purges, a last look at every promise; and its figures.
 
-use super::faults::{plan, Draws, Moment, Player, What};
-use super::load::{Clients, Load, Told};
-use super::{check, Broken, Counted, Final, Limits, Rig, Rule, Seen, Spec};
+use super::faults::{schedule, FaultInjector, FaultKind, RandomFaults, ScheduledFault};
+use super::load::{Load, LoadGenerator, LoadStatistics};
+use super::{check_history, Event, HistoryCounts, Limits, Outcome, Rig, Rule, Spec, Violation};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,70 +19,76 @@
 
 /// What is played.
 #[derive(Clone, Debug)]
-pub struct Game {
+pub struct Scenario {
     /// The rig.
     pub spec: Spec,
     /// What clients ask.
     pub load: Load,
     /// Milliseconds of each piece on every link between routers.
-    pub delay_ms: (f64, f64),
+    pub link_delay_ms: (f64, f64),
     /// How long requests come in, in milliseconds.
-    pub length_ms: f64,
+    pub duration_ms: f64,
     /// Purges a second, told to all.
     pub purges_per_s: f64,
     /// Faults at fixed times.
-    pub script: Vec<Moment>,
+    pub scripted_faults: Vec<ScheduledFault>,
     /// Faults drawn from the seed.
-    pub draws: Option<Draws>,
+    pub random_faults: Option<RandomFaults>,
 }
 
 /// What came of it.
-pub struct Played {
+pub struct ScenarioReport {
     /// What clients saw while requests came in, faults included.
-    pub counted: Counted,
+    pub counts: HistoryCounts,
     /// Rules broken, until the last look ended.
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
     /// Figures by name, these included.
     pub figures: BTreeMap<String, f64>,
     /// By second: checkouts presented for the first time, and those of them that were served in the end.
     pub seconds: Vec<(f64, f64)>,
     /// What did not mend.
-    pub unmended: Vec<String>,
+    pub unrecovered: Vec<String>,
 }
 
 /// Plays it.
 ///
 /// # Errors
 /// If routers do not start.
-pub fn play(game: &Game) -> Result<Played, String> {
+pub fn run_scenario(game: &Scenario) -> Result<ScenarioReport, String> {
     let mut rig = Rig::start(game.spec.clone())?;
     for r in 0..rig.len() {
-        if !rig.serves(r, STARTED) {
-            let text = rig.seats[r].text();
+        if !rig.wait_until_serving(r, STARTED) {
+            let text = rig.routers[r].log();
             return Err(format!(
                 "router {r} does not serve: {}",
                 text.lines().last().unwrap_or("it said nothing")
             ));
         }
     }
-    rig.founded(STARTED)?;
-    rig.usual_delay(game.delay_ms);
-    let faults = plan(&game.script, game.draws.as_ref(), rig.len(), game.length_ms, game.spec.seed);
-    let clients = Clients::new(&rig, &game.load);
+    rig.wait_until_bootstrapped(STARTED)?;
+    rig.set_default_delay(game.link_delay_ms);
+    let faults = schedule(
+        &game.scripted_faults,
+        game.random_faults.as_ref(),
+        rig.len(),
+        game.duration_ms,
+        game.spec.seed,
+    );
+    let clients = LoadGenerator::new(&rig, &game.load);
     let stop = AtomicBool::new(false);
-    let begun = rig.history.now();
+    let begun = rig.history.now_ms();
     let (told, done, unmended, lost) = std::thread::scope(|scope| {
         let load = scope.spawn(|| clients.run(&stop));
-        let mut player = Player::new(&mut rig);
+        let mut player = FaultInjector::new(&mut rig);
         let mut purges = 0.0;
         let mut faults = faults.iter().peekable();
         loop {
-            let now = (player.rig().history.now() - begun) as f64;
-            if now >= game.length_ms {
+            let now = (player.rig().history.now_ms() - begun) as f64;
+            if now >= game.duration_ms {
                 break;
             }
             if let Some(m) = faults.next_if(|m| m.at_ms <= now) {
-                player.play(m);
+                player.inject(m);
                 continue;
             }
             if game.purges_per_s > 0.0 && purges * 1000.0 / game.purges_per_s <= now {
@@ -96,19 +102,20 @@
         let late = faults.count() as u64;
         let mut done = std::mem::take(&mut player.done);
         done.insert("not_reached", late);
-        let unmended = std::mem::take(&mut player.unmended);
+        let unmended = std::mem::take(&mut player.unrecovered);
         let lost = std::mem::take(&mut player.lost);
         stop.store(true, Ordering::SeqCst);
         (load.join().unwrap_or_default(), done, unmended, lost)
     });
     let (events, left_out) = rig.history.events();
-    let (before, counted) = check(&events, left_out, &Limits::default());
+    let (before, counted) = check_history(&events, left_out, &Limits::default());
     // Without a fleet nothing was promised beyond one router, and a last look would only run effects again.
     let (audited, same, doubt) = if game.spec.fleet { audit(&rig) } else { (0, 0, 0) };
     let (events, left_out) = rig.history.events();
-    let broken = if game.spec.fleet { check(&events, left_out, &Limits::default()).0 } else { before };
+    let broken =
+        if game.spec.fleet { check_history(&events, left_out, &Limits::default()).0 } else { before };
     let mut figures = figures(&rig, &counted, &broken, told);
-    figures.extend(What::ALL.map(|what| (format!("faults_{}", what.name()), 0.0)));
+    figures.extend(FaultKind::ALL.map(|what| (format!("faults_{}", what.name()), 0.0)));
     figures.extend(done.iter().map(|(name, n)| (format!("faults_{name}"), *n as f64)));
     figures.insert(
         "faults".into(),
@@ -120,8 +127,8 @@
         [("audited", audited), ("audit_same", same), ("audit_in_doubt", doubt), ("audit_other", other)];
     figures.extend(last.map(|(name, n)| (name.to_string(), n as f64)));
     figures.insert("unmended".into(), unmended.len() as f64);
-    let seconds = seconds(&events, begun, game.length_ms);
-    Ok(Played { counted, broken, figures, seconds, unmended })
+    let seconds = seconds(&events, begun, game.duration_ms);
+    Ok(ScenarioReport { counts: counted, violations: broken, figures, seconds, unrecovered: unmended })
 }
 
 /// Asks for what was served once more, each through another router than the one that served it.
@@ -130,11 +137,11 @@
     let mut asked = BTreeMap::new();
     let mut served: BTreeMap<String, (usize, Vec<u8>)> = BTreeMap::new();
     for e in &events {
-        match &e.seen {
-            Seen::Asked { ask, router, id, about: super::About::Checkout, .. } => {
+        match &e.event {
+            Event::RequestSent { request: ask, router, id, kind: super::RequestKind::Checkout, .. } => {
                 asked.insert(*ask, (id, *router));
             }
-            Seen::Answered(ask, Final::Served(bytes)) => {
+            Event::ResponseReceived { request: ask, outcome: Outcome::Served(bytes) } => {
                 if let Some((id, router)) = asked.get(ask) {
                     served.insert((*id).clone(), (*router, bytes.clone()));
                 }
@@ -145,7 +152,7 @@
     let all: Vec<_> = served.into_iter().rev().take(MOST_AUDITED).collect();
     let (mut audited, mut same, mut doubt) = (0, 0, 0);
     for row in all.chunks(ROW) {
-        let callers: Vec<_> = (0..rig.len()).map(|r| rig.caller(r).ok()).collect();
+        let callers: Vec<_> = (0..rig.len()).map(|r| rig.connect_client(r).ok()).collect();
         let asks: Vec<_> = row
             .iter()
             .filter_map(|(id, (router, bytes))| {
@@ -155,10 +162,10 @@
             .collect();
         for (ask, bytes) in asks {
             audited += 1;
-            match rig.history.end(ask, Duration::from_millis(AUDIT_MS + 1_000)) {
-                Some(Some(Final::Served(got))) if got == *bytes => same += 1,
-                Some(Some(Final::Failed(_))) => doubt += 1,
-                Some(Some(Final::Served(_) | Final::Refused(_)) | None) | None => {}
+            match rig.history.wait_for_outcome(ask, Duration::from_millis(AUDIT_MS + 1_000)) {
+                Some(Some(Outcome::Served(got))) if got == *bytes => same += 1,
+                Some(Some(Outcome::Failed(_))) => doubt += 1,
+                Some(Some(Outcome::Served(_) | Outcome::Rejected { .. }) | None) | None => {}
             }
         }
     }
@@ -167,54 +174,59 @@
 
 fn rule_name(rule: Rule) -> &'static str {
     match rule {
-        Rule::OneAnswer => "one_answer",
-        Rule::Once => "once",
+        Rule::OneResponse => "one_answer",
+        Rule::ExecutedOnce => "once",
         Rule::SameOutcome => "same_outcome",
-        Rule::KeptWord => "kept_word",
-        Rule::RefusedNeverRan => "refused_never_ran",
+        Rule::ServedNeverRejected => "kept_word",
+        Rule::RejectedNeverExecuted => "refused_never_ran",
         Rule::Linearizable => "linearizable",
-        Rule::Purged => "purged",
-        Rule::Whole => "whole",
+        Rule::PurgeTakesEffect => "purged",
+        Rule::HistoryComplete => "whole",
     }
 }
 
 const RULES: [Rule; 8] = [
-    Rule::OneAnswer,
-    Rule::Once,
+    Rule::OneResponse,
+    Rule::ExecutedOnce,
     Rule::SameOutcome,
-    Rule::KeptWord,
-    Rule::RefusedNeverRan,
+    Rule::ServedNeverRejected,
+    Rule::RejectedNeverExecuted,
     Rule::Linearizable,
-    Rule::Purged,
-    Rule::Whole,
+    Rule::PurgeTakesEffect,
+    Rule::HistoryComplete,
 ];
 
-fn figures(rig: &Rig, c: &Counted, broken: &[Broken], told: Told) -> BTreeMap<String, f64> {
-    let carried = rig.carried();
+fn figures(
+    rig: &Rig,
+    c: &HistoryCounts,
+    broken: &[Violation],
+    told: LoadStatistics,
+) -> BTreeMap<String, f64> {
+    let carried = rig.router_link_statistics();
     let own = [
-        ("asked", c.asked),
+        ("asked", c.requests),
         ("served", c.served),
-        ("refused", c.refused),
-        ("refused_apart", c.refused_apart),
+        ("refused", c.rejected),
+        ("refused_apart", c.rejected_while_isolated),
         ("failed", c.failed),
         ("lost", c.lost),
         ("checkouts", c.checkouts),
-        ("presented_again", c.presented_again),
-        ("served_by_more", c.served_again),
-        ("ran", c.ran),
-        ("ran_again", c.ran_again),
-        ("ran_again_resent", c.ran_again_resent),
-        ("purged_reads", c.purged_reads),
+        ("presented_again", c.checkouts_presented_again),
+        ("served_by_more", c.served_by_several_routers),
+        ("ran", c.executed),
+        ("ran_again", c.executed_more_than_once),
+        ("ran_again_resent", c.executed_again_after_resend),
+        ("purged_reads", c.reads_after_purge),
         ("again_unheard", told.again_unheard),
         ("again_refused", told.again_refused),
         ("not_asked", told.not_asked),
         ("generator_late_ms", told.late_most),
-        ("link_bytes", carried.bytes),
-        ("link_dropped_bytes", carried.dropped),
-        ("link_broken_pieces", carried.broken),
-        ("link_repeated_pieces", carried.repeated),
+        ("link_bytes", carried.delivered_bytes),
+        ("link_dropped_bytes", carried.dropped_bytes),
+        ("link_broken_pieces", carried.corrupted_chunks),
+        ("link_repeated_pieces", carried.duplicated_chunks),
         ("link_resets", carried.resets),
-        ("link_held_pieces", carried.held),
+        ("link_held_pieces", carried.delayed_by_cut),
         ("rules_broken", broken.len() as u64),
     ];
     let mut all: BTreeMap<String, f64> = own.map(|(name, n)| (name.to_string(), n as f64)).into();
@@ -240,17 +252,19 @@
 }
 
 /// From question to answer `200`: the median and the 99th of a hundred, in milliseconds.
-fn waits(events: &[super::history::Event], reads: bool) -> [f64; 2] {
+fn waits(events: &[super::history::TimedEvent], reads: bool) -> [f64; 2] {
     let Ok(mut waits) = Histogram::<u64>::new_with_bounds(1, 600_000, 3) else { return [f64::NAN; 2] };
     let mut asked = BTreeMap::new();
     for e in events {
-        match &e.seen {
-            Seen::Asked { ask, about, .. } if matches!(about, super::About::Read(_)) == reads => {
-                asked.insert(*ask, e.at);
+        match &e.event {
+            Event::RequestSent { request: ask, kind: about, .. }
+                if matches!(about, super::RequestKind::Read { .. }) == reads =>
+            {
+                asked.insert(*ask, e.at_ms);
             }
-            Seen::Answered(ask, Final::Served(_)) => {
+            Event::ResponseReceived { request: ask, outcome: Outcome::Served(_) } => {
                 if let Some(at) = asked.get(ask) {
-                    waits.saturating_record(e.at - at + 1);
+                    waits.saturating_record(e.at_ms - at + 1);
                 }
             }
             _ => {}
@@ -259,16 +273,18 @@
     [0.5, 0.99].map(|q| waits.value_at_quantile(q).saturating_sub(1) as f64)
 }
 
-fn seconds(events: &[super::history::Event], begun: u64, length_ms: f64) -> Vec<(f64, f64)> {
+fn seconds(events: &[super::history::TimedEvent], begun: u64, length_ms: f64) -> Vec<(f64, f64)> {
     let mut all = vec![(0.0, 0.0); (length_ms / 1000.0).ceil() as usize];
     let (mut first, mut ids, mut served) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
     for e in events {
-        match &e.seen {
-            Seen::Asked { ask, id, about: super::About::Checkout, .. } => {
-                first.entry(id).or_insert(e.at);
+        match &e.event {
+            Event::RequestSent { request: ask, id, kind: super::RequestKind::Checkout, .. } => {
+                first.entry(id).or_insert(e.at_ms);
                 ids.insert(*ask, id);
             }
-            Seen::Answered(ask, Final::Served(_)) => served.extend(ids.get(ask).copied()),
+            Event::ResponseReceived { request: ask, outcome: Outcome::Served(_) } => {
+                served.extend(ids.get(ask).copied())
+            }
             _ => {}
         }
     }
--- a/crates/emulator/src/rig/tables.rs
+++ b/crates/emulator/src/rig/table_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of tables: rules changed at one router, by two operators at once, and while a router that is needed is stopped or cut off.
 
-use super::faults::{Moment, Player, What};
+use super::faults::{FaultInjector, FaultKind, ScheduledFault};
 use super::Rig;
 use crate::standin::comes;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,10 +23,10 @@
     fn rules_at(&mut self, router: usize, text: &str) -> Result<(), String> {
         let file = self.rules.as_ref().ok_or("this rig has no rules' file")?;
         std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
-        self.fault(format!("the rules' file is replaced, and router {router} reads it"));
+        self.record_fault(format!("the rules' file is replaced, and router {router} reads it"));
         let read = |rig: &Self| rig.counters(router).get("reloads").copied();
         let before = read(self);
-        self.seats[router].reload();
+        self.routers[router].reload();
         let rig = &*self;
         if comes(READ, || read(rig) > before) {
             Ok(())
@@ -43,13 +43,13 @@
     /// Waits until all routers go by one table later than this version.
     fn all_later(&self, than: u64) -> bool {
         comes(ADOPTED, || {
-            let versions = self.versions();
+            let versions = self.table_versions();
             let different: BTreeSet<u64> = versions.values().copied().collect();
             versions.len() == self.len() && different.len() == 1 && different.iter().all(|v| *v > than)
         })
     }
 
-    /// What became of tables: the most that one router saw of each, what routers counted before they were killed with it; and how many
+    /// FaultKind became of tables: the most that one router saw of each, what routers counted before they were killed with it; and how many
     /// do not go by the last version (all, if there is none), once they had the time to learn of it.
     pub(super) fn of_tables(&self, lost: &[BTreeMap<String, f64>]) -> BTreeMap<String, f64> {
         let now: Vec<_> = (0..self.len()).map(|r| self.counters(r)).collect();
@@ -64,7 +64,7 @@
         };
         let mut all: BTreeMap<_, _> = TABLES.map(|name| (name.to_string(), most(name))).into();
         let behind = || {
-            let versions = self.versions();
+            let versions = self.table_versions();
             let last = versions.values().max().copied();
             self.len() - versions.values().filter(|v| Some(**v) == last).count()
         };
@@ -72,66 +72,67 @@
             comes(ADOPTED, || behind() == 0);
         }
         all.insert("routers_behind".into(), behind() as f64);
-        all.insert("tables_last".into(), self.versions().into_values().max().unwrap_or(0) as f64);
+        all.insert("tables_last".into(), self.table_versions().into_values().max().unwrap_or(0) as f64);
         all
     }
 }
 
-fn lasts(m: &Moment) {
-    std::thread::sleep(Duration::from_secs_f64(m.for_ms.max(0.0) / 1000.0));
+fn lasts(m: &ScheduledFault) {
+    std::thread::sleep(Duration::from_secs_f64(m.duration_ms.max(0.0) / 1000.0));
 }
 
-impl Player<'_> {
+impl FaultInjector<'_> {
     fn rules_at(&mut self, router: usize, text: Option<&String>) {
         let said = self.rig.rules_at(router, text.map_or("", String::as_str));
-        self.unmended.extend(said.err());
+        self.unrecovered.extend(said.err());
     }
 
     /// Waits until all go by a later table; without a fleet as long as is said.
-    fn adopted(&mut self, m: &Moment, before: u64) {
+    fn adopted(&mut self, m: &ScheduledFault, before: u64) {
         if !self.rig.spec.fleet {
             lasts(m);
         } else if !self.rig.all_later(before) {
-            let words = format!("routers do not go by one table after {before}: {:?}", self.rig.versions());
-            self.unmended.push(words);
+            let words =
+                format!("routers do not go by one table after {before}: {:?}", self.rig.table_versions());
+            self.unrecovered.push(words);
         }
     }
 
     fn last_version(&self) -> u64 {
-        self.rig.versions().into_values().max().unwrap_or(0)
+        self.rig.table_versions().into_values().max().unwrap_or(0)
     }
 
-    pub(super) fn rules_one(&mut self, a: usize, m: &Moment) {
+    pub(super) fn rules_at_one_router(&mut self, a: usize, m: &ScheduledFault) {
         let before = self.last_version();
         self.rules_at(a, m.rules.as_ref());
         self.adopted(m, before);
     }
 
-    pub(super) fn rules_two(&mut self, a: usize, b: usize, m: &Moment) {
+    pub(super) fn conflicting_rules(&mut self, a: usize, b: usize, m: &ScheduledFault) {
         let before = self.last_version();
         self.rules_at(a, m.rules.as_ref());
-        self.rules_at(b, m.rules_other.as_ref());
+        self.rules_at(b, m.other_rules.as_ref());
         self.adopted(m, before);
     }
 
-    pub(super) fn rules_stuck(&mut self, a: usize, b: usize, m: &Moment) {
+    pub(super) fn rules_without_quorum(&mut self, a: usize, b: usize, m: &ScheduledFault) {
         let before = self.rig.tables("tables_taken_back");
-        let stops = m.what == What::RulesStuck;
+        let stops = m.kind == FaultKind::RulesWhileSuspended;
         if stops {
-            self.rig.stop(b);
+            self.rig.suspend(b);
         } else {
             let others: Vec<usize> = (0..self.rig.len()).filter(|o| *o != b).collect();
-            self.rig.cut(b, &others);
+            self.rig.partition(b, &others);
         }
         self.rules_at(a, m.rules.as_ref());
         let rig = &*self.rig;
         if !rig.spec.fleet {
             lasts(m);
         } else if !comes(TAKEN_BACK, || rig.tables("tables_taken_back") > before) {
-            self.unmended.push(format!("the table that router {a} offered is not taken back"));
+            self.unrecovered.push(format!("the table that router {a} offered is not taken back"));
         }
         if stops {
-            self.rig.wake(b);
+            self.rig.resume(b);
             self.serves(b);
         }
         self.heals();
--- a/crates/emulator/tests/relay.rs
+++ b/crates/emulator/tests/relay.rs
@@ -1,6 +1,6 @@
 //! What relays do to bytes, one fault at a time, before a stand-in that sends everything back.
 
-use basaltgw_emulator::rig::relay::{Carried, Flow, Once, Relay, Relays};
+use basaltgw_emulator::rig::{ChunkFault, Link, LinkStatistics, Relay, RelayThread};
 use basaltgw_emulator::standin::{until, PATIENCE};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -26,12 +26,12 @@
 struct Line {
     relay: Relay,
     socket: TcpStream,
-    _relays: Relays,
+    _relays: RelayThread,
 }
 
 fn line() -> Line {
-    let relays = Relays::start().expect("a thread");
-    let relay = relays.relay(Flow::new(7, 1), Flow::new(7, 2), Some(echo())).expect("a relay");
+    let relays = RelayThread::start().expect("a thread");
+    let relay = relays.start_relay(Link::new(7, 1), Link::new(7, 2), Some(echo())).expect("a relay");
     let socket = TcpStream::connect(relay.address).expect("a connection");
     socket.set_nodelay(true).expect("an option");
     Line { relay, socket, _relays: relays }
@@ -55,8 +55,8 @@
         assert!(got.is_err_and(|e| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)));
     }
 
-    fn forth(&self) -> Carried {
-        self.relay.forth.carried()
+    fn forth(&self) -> LinkStatistics {
+        self.relay.to_target.statistics()
     }
 }
 
@@ -65,25 +65,25 @@
     let mut line = line();
     line.say("one");
     line.hears("one");
-    line.relay.forth.cut(true);
+    line.relay.to_target.set_cut(true);
     line.say("two");
     line.silent();
-    line.relay.forth.cut(false);
+    line.relay.to_target.set_cut(false);
     line.hears("two");
-    line.relay.back.cut(true);
+    line.relay.from_target.set_cut(true);
     line.say("three");
-    until("it arrives", || line.forth().bytes == 11);
+    until("it arrives", || line.forth().delivered_bytes == 11);
     line.silent();
-    line.relay.back.cut(false);
+    line.relay.from_target.set_cut(false);
     line.hears("three");
     // A connection that is opened through a cut stays silent, and comes up once that heals.
-    line.relay.forth.cut(true);
+    line.relay.to_target.set_cut(true);
     line.socket = TcpStream::connect(line.relay.address).expect("a connection");
     line.say("four");
     line.silent();
-    line.relay.forth.cut(false);
+    line.relay.to_target.set_cut(false);
     line.hears("four");
-    assert!(line.forth().held > 0);
+    assert!(line.forth().delayed_by_cut > 0);
 }
 
 #[test]
@@ -91,31 +91,31 @@
     let mut line = line();
     line.say("come up");
     line.hears("come up");
-    line.relay.forth.shape(|s| s.hole = true);
+    line.relay.to_target.configure(|s| s.black_hole = true);
     line.say("gone");
-    until("it vanished", || line.forth().dropped == 4);
-    line.relay.forth.shape(|s| s.hole = false);
-    line.relay.forth.once(Once::Repeat);
+    until("it vanished", || line.forth().dropped_bytes == 4);
+    line.relay.to_target.configure(|s| s.black_hole = false);
+    line.relay.to_target.inject(ChunkFault::Duplicate);
     line.say("ab");
     line.hears("abab");
-    line.relay.forth.once(Once::Break);
+    line.relay.to_target.inject(ChunkFault::Corrupt);
     line.say("x");
     line.hears("h");
     line.say("x");
     line.hears("x");
-    assert_eq!((line.forth().repeated, line.forth().broken), (1, 1));
+    assert_eq!((line.forth().duplicated_chunks, line.forth().corrupted_chunks), (1, 1));
 }
 
 #[test]
 fn a_link_delays_and_drips() {
     let mut line = line();
-    line.relay.forth.shape(|s| s.delay = (40.0, 60.0));
+    line.relay.to_target.configure(|s| s.delay_ms = (40.0, 60.0));
     let begun = Instant::now();
     line.say("late");
     line.hears("late");
     assert!(begun.elapsed() >= Duration::from_millis(40));
-    line.relay.forth.shape(|s| *s = Default::default());
-    line.relay.back.shape(|s| s.drip = Some(1));
+    line.relay.to_target.configure(|s| *s = Default::default());
+    line.relay.from_target.configure(|s| s.bytes_per_tick = Some(1));
     let begun = Instant::now();
     line.say("drop by drop");
     line.hears("drop by drop");
@@ -127,15 +127,15 @@
     let mut line = line();
     line.say("one");
     line.hears("one");
-    line.relay.back.reset();
+    line.relay.from_target.reset_connections();
     line.socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     let over = line.socket.read(&mut [0; 8]);
     assert!(over.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset));
-    line.relay.leads_to(None);
+    line.relay.set_target(None);
     let mut nowhere = TcpStream::connect(line.relay.address).expect("a connection");
     nowhere.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     assert!(nowhere.read(&mut [0; 8]).is_err(), "reset at once");
-    line.relay.leads_to(Some(echo()));
+    line.relay.set_target(Some(echo()));
     line.socket = TcpStream::connect(line.relay.address).expect("a connection");
     line.say("two");
     line.hears("two");
--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -192,7 +192,7 @@
     setup
 }
 
-/// Routers as the processes of `basaltgw_emulator::rig::many` are: on one machine, and each told by a change log that looks for news every
+/// Routers as the processes of `basaltgw_emulator::rig::fleet_cost` are: on one machine, and each told by a change log that looks for news every
 /// 50 ms, another time for each, and tells them all at once.
 fn as_processes(mut setup: Setup, purges: f64) -> Setup {
     (setup.purges_per_s, setup.measured_s) = (purges, PROCESSES_S);
--- a/crates/experiments/src/capacity/real.rs
+++ b/crates/experiments/src/capacity/real.rs
@@ -1,7 +1,7 @@
-//! Figures of real routers, to hold those of hollow ones against: `serve` processes on loopback, as `basaltgw_emulator::rig::many` runs them.
+//! Figures of real routers, to hold those of hollow ones against: `serve` processes on loopback, as `basaltgw_emulator::rig::fleet_cost` runs them.
 
 use super::row::{Kind, Row};
-use basaltgw_emulator::rig::many::{measure, Many};
+use basaltgw_emulator::rig::fleet_cost::{measure_fleet, FleetSetup};
 use std::path::Path;
 
 /// Routers. More are processes enough to be in each other's way on one machine.
@@ -32,8 +32,8 @@
     let mut rows = Vec::new();
     for routers in ROUTERS {
         let rates = RATES.iter().map(|r| r.0).collect();
-        let many = Many { rates, seed, ..Many::new(binary, routers) };
-        let measured = measure(&many).map_err(|e| format!("{routers} routers: {e}"))?;
+        let many = FleetSetup { purge_rates: rates, seed, ..FleetSetup::new(binary, routers) };
+        let measured = measure_fleet(&many).map_err(|e| format!("{routers} routers: {e}"))?;
         for ((_, axis), row) in RATES.into_iter().zip(measured) {
             let one = |(theirs, ours, unit): (&str, &'static str, &'static str)| {
                 let value = row.get(theirs).copied()?;
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -3,9 +3,9 @@
 use crate::experiment::{Must, Variant};
 use crate::runs::{binary, Done, Row};
 use basaltgw_config::yaml::{schema, BadFile, Document};
-use basaltgw_emulator::rig::faults::{Draws, Moment, What};
+use basaltgw_emulator::rig::faults::{FaultKind, RandomFaults, ScheduledFault};
 use basaltgw_emulator::rig::load::Load;
-use basaltgw_emulator::rig::play::{play, Game};
+use basaltgw_emulator::rig::scenario::{run_scenario, Scenario};
 use basaltgw_emulator::rig::Spec;
 use serde::Deserialize;
 use serde_json::Value;
@@ -54,8 +54,8 @@
     load: Load,
     purges_per_s: f64,
     #[serde(default)]
-    script: Vec<Moment>,
-    draws: Option<Draws>,
+    script: Vec<ScheduledFault>,
+    draws: Option<RandomFaults>,
     runs: Vec<Variant>,
     /// What must hold, and what must have been provoked.
     pub must: Vec<Must>,
@@ -89,19 +89,25 @@
     let experiment: Experiment = document.typed()?;
     let routers = experiment.routers.len();
     for (i, m) in experiment.script.iter().enumerate() {
-        for (key, at) in [("router", Some(m.router)), ("other", m.other)] {
+        for (key, at) in [("router", Some(m.router)), ("other", m.other_router)] {
             if let Some(at) = at.filter(|at| *at >= routers) {
                 let what = format!("expected a router from 0 to {}, found {at}", routers - 1);
                 return Err(document.fault(&format!("/script/{i}/{key}"), what));
             }
         }
-        let rules =
-            [What::Rules, What::RulesOne, What::RulesTwo, What::RulesStuck, What::RulesCut].contains(&m.what);
+        let rules = [
+            FaultKind::ReplaceRules,
+            FaultKind::RulesAtOneRouter,
+            FaultKind::ConflictingRules,
+            FaultKind::RulesWhileSuspended,
+            FaultKind::RulesWhilePartitioned,
+        ]
+        .contains(&m.kind);
         if rules && (m.rules.is_none() || experiment.rules.is_none()) {
             let what = "expected `rules` here and for the start";
             return Err(document.fault(&format!("/script/{i}"), what));
         }
-        if m.what == What::RulesTwo && m.rules_other.is_none() {
+        if m.kind == FaultKind::ConflictingRules && m.other_rules.is_none() {
             let what = "expected `rules_other`, those of the other operator";
             return Err(document.fault(&format!("/script/{i}"), what));
         }
@@ -120,9 +126,9 @@
 }
 
 impl Experiment {
-    fn game(&self, variant: Variant, quick: bool, seed: u64) -> Result<Game, String> {
+    fn game(&self, variant: Variant, quick: bool, seed: u64) -> Result<Scenario, String> {
         let mut spec = Spec::new(&binary()?, self.routers.len());
-        for (place, of) in spec.places.iter_mut().zip(&self.routers) {
+        for (place, of) in spec.locations.iter_mut().zip(&self.routers) {
             (place.branch, place.machine) = (of.branch.clone(), of.machine.clone());
         }
         let fleet = match variant {
@@ -135,20 +141,20 @@
         let spec = Spec {
             seed,
             fleet,
-            copies: self.copies,
+            replicas: self.copies,
             rules: self.rules.clone(),
-            more: self.section.clone(),
-            settles_ms: self.settles_ms,
+            extra_settings: self.section.clone(),
+            purge_settles_ms: self.settles_ms,
             ..spec
         };
-        Ok(Game {
+        Ok(Scenario {
             spec,
             load: self.load.clone(),
-            delay_ms: (self.link_ms[0], self.link_ms[1]),
-            length_ms: if quick { self.length_ms.quick } else { self.length_ms.full },
+            link_delay_ms: (self.link_ms[0], self.link_ms[1]),
+            duration_ms: if quick { self.length_ms.quick } else { self.length_ms.full },
             purges_per_s: self.purges_per_s,
-            script: self.script.clone(),
-            draws: self.draws.clone(),
+            scripted_faults: self.script.clone(),
+            random_faults: self.draws.clone(),
         })
     }
 }
@@ -166,13 +172,13 @@
     let mut all = Vec::new();
     for variant in &experiment.runs {
         let begun = Instant::now();
-        let played = play(&experiment.game(*variant, quick, seed)?)?;
+        let played = run_scenario(&experiment.game(*variant, quick, seed)?)?;
         let mut row: Row = played.figures;
         row.insert("wall_s".into(), begun.elapsed().as_secs_f64());
-        let broken = played.broken.iter().map(|b| format!("{:?}: {}", b.rule, b.words));
+        let broken = played.violations.iter().map(|b| format!("{:?}: {}", b.rule, b.description));
         // What breaks without a fleet is the baseline's figure, and no news.
         let most = if *variant == Variant::Described { WORDS } else { 2 };
-        let words = broken.take(most).chain(played.unmended).collect();
+        let words = broken.take(most).chain(played.unrecovered).collect();
         let share = |(asked, got): &(f64, f64)| if *asked > 0.0 { got / asked } else { f64::NAN };
         let seconds = played.seconds.iter().map(share).collect();
         let done = Done { routers: experiment.routers.len(), variant: *variant, row, seconds, words };
--- a/crates/experiments/src/partial.rs
+++ b/crates/experiments/src/partial.rs
@@ -100,18 +100,18 @@
     let left = || Duration::from_millis(ms).saturating_sub(begun.elapsed());
     match what {
         "slow" => others.iter().for_each(|o| {
-            for flow in [rig.between(site, *o), rig.between(*o, site)] {
-                flow.shape(|s| s.delay = (e.slow_ms[0], e.slow_ms[1]));
+            for flow in [rig.router_link(site, *o), rig.router_link(*o, site)] {
+                flow.configure(|conditions| conditions.delay_ms = (e.slow_ms[0], e.slow_ms[1]));
             }
         }),
-        "lost" => rig.cut(site, &others),
+        "lost" => rig.partition(site, &others),
         "killed" => rig.kill(site),
         _ => {
             while !left().is_zero() {
                 for cut in [true, false] {
                     others.iter().for_each(|o| {
-                        rig.between(site, *o).cut(cut);
-                        rig.between(*o, site).cut(cut);
+                        rig.router_link(site, *o).set_cut(cut);
+                        rig.router_link(*o, site).set_cut(cut);
                     });
                     let turn = e.flap_ms[0] + (e.flap_ms[1] - e.flap_ms[0]).max(0.0) * draw(rng);
                     std::thread::sleep(Duration::from_secs_f64(turn / 1000.0));
@@ -121,8 +121,8 @@
     }
     std::thread::sleep(left());
     if what == "killed" {
-        rig.begin(site)?;
-        if !rig.serves(site, STARTED) {
+        rig.start_router(site)?;
+        if !rig.wait_until_serving(site, STARTED) {
             return Err(format!("router {site} does not serve again"));
         }
     }
@@ -158,17 +158,17 @@
 }
 
 fn sockets(e: &Experiment, quick: bool, seed: u64) -> Result<(Row, Vec<f64>, Vec<String>), String> {
-    let spec = Spec { seed, gather: true, rules: Some(e.rules.clone()), ..Spec::new(&binary()?, 3) };
+    let spec = Spec { seed, scatter_gather: true, rules: Some(e.rules.clone()), ..Spec::new(&binary()?, 3) };
     let mut rig = Rig::start(spec)?;
-    if let Some(r) = (0..rig.len()).find(|r| !rig.serves(*r, STARTED)) {
-        return Err(format!("router {r} does not serve: {}", rig.seats[r].text()));
+    if let Some(r) = (0..rig.len()).find(|r| !rig.wait_until_serving(*r, STARTED)) {
+        return Err(format!("router {r} does not serve: {}", rig.routers[r].log()));
     }
-    rig.founded(STARTED)?;
-    if !rig.joined() {
+    rig.wait_until_bootstrapped(STARTED)?;
+    if !rig.wait_until_linked() {
         return Err("links between routers do not come up".into());
     }
     let ms = if quick { e.fault_ms.quick } else { e.fault_ms.full };
-    let at: Vec<SocketAddr> = rig.seats.iter().map(|s| s.clients.address).collect();
+    let at: Vec<SocketAddr> = rig.routers.iter().map(|r| r.client_relay.address).collect();
     let (seen, ids) = (Seen { begun: Instant::now(), all: Mutex::default() }, AtomicU64::new(1));
     let client = |router: usize| Client {
         router,
--- a/crates/experiments/src/partial/seen.rs
+++ b/crates/experiments/src/partial/seen.rs
@@ -1,6 +1,6 @@
 //! What clients of gathers ask and see, and whether it is what was promised.
 
-use basaltgw_emulator::rig::archive::made;
+use basaltgw_emulator::rig::archive::copy_creation_ms;
 use basaltgw_resp::{encode, parse_integer, Decoder, Fields, MessageLimits};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{ErrorKind, Read, Write};
@@ -61,7 +61,7 @@
             if !bytes.starts_with(format!("{:016x}/{part}@", self.object).as_bytes()) {
                 return Err(format!("other bytes: {}", String::from_utf8_lossy(bytes)));
             }
-            versions.insert(made(bytes).ok_or("bytes without a version")?);
+            versions.insert(copy_creation_ms(bytes).ok_or("bytes without a version")?);
             given.push(part);
         }
         if !left.is_empty() {
--- a/crates/node/tests/fleet/checkouts.rs
+++ b/crates/node/tests/fleet/checkouts.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{until, PATIENCE};
 use crate::harness::{is_outcome_unknown, is_rejected, start_fleet, FleetHarness, DEADLINE_MS};
-use basaltgw_emulator::rig::Final;
+use basaltgw_emulator::rig::Outcome;
 
 #[test]
 fn the_same_checkout_through_two_routers_at_once_runs_once_with_one_outcome() {
@@ -11,14 +11,17 @@
     for round in 0..12 {
         let id = t.new_id();
         let (one, other) = (t.caller(round % 3), t.caller((round + 1) % 3));
-        let asks = [one.checkout_beside(&id, DEADLINE_MS), other.checkout_beside(&id, DEADLINE_MS)];
+        let asks =
+            [one.checkout_concurrently(&id, DEADLINE_MS), other.checkout_concurrently(&id, DEADLINE_MS)];
         let ends = asks.map(|ask| t.wait_for_outcome(ask));
-        let runs = t.rig.archive.runs(&id);
+        let runs = t.rig.archive.executions(&id);
         assert!(runs <= 1, "{ends:?}");
         // Whoever asks later gets the same word.
         let later = (round + 2) % 3;
-        if let Some(Final::Served(bytes)) = ends.iter().flatten().find(|e| matches!(e, Final::Served(_))) {
-            let same = |e: &Option<Final>| *e == Some(Final::Served(bytes.clone())) || is_outcome_unknown(e);
+        if let Some(Outcome::Served(bytes)) = ends.iter().flatten().find(|e| matches!(e, Outcome::Served(_)))
+        {
+            let same =
+                |e: &Option<Outcome>| *e == Some(Outcome::Served(bytes.clone())) || is_outcome_unknown(e);
             assert!(ends.iter().all(same), "{ends:?}");
             t.assert_outcome(later, &id, bytes);
             continue;
@@ -30,7 +33,7 @@
     }
     let counted = t.assert_history();
     // On a busy machine a word may come too late now and then; mostly it does not.
-    assert!(counted.ran >= 8 && counted.served_again >= 8, "{counted:?}");
+    assert!(counted.executed >= 8 && counted.served_by_several_routers >= 8, "{counted:?}");
 }
 
 /// A checkout that runs while its router is killed; `wiped` with its disk.
@@ -38,7 +41,7 @@
     t.set_effect_duration_ms(30_000);
     let (id, _caller, ask) = t.start_checkout(0);
     match wiped {
-        true => t.rig.kill_wiped(0).expect("a folder"),
+        true => t.rig.kill_and_wipe(0).expect("a folder"),
         false => t.rig.kill(0),
     }
     assert_eq!(t.wait_for_outcome(ask), None, "lost with its router");
@@ -56,11 +59,11 @@
             assert!(is_outcome_unknown(&end), "{end:?}");
         }
         // It returns, with its disk or with another one.
-        t.rig.begin(0).expect("a router");
+        t.rig.start_router(0).expect("a router");
         t.wait_until_serving(0);
         let end = t.checkout(0, &id);
         assert!(is_outcome_unknown(&end), "{end:?}");
-        assert_eq!(t.rig.archive.runs(&id), 1);
+        assert_eq!(t.rig.archive.executions(&id), 1);
         t.serve_eventually(0);
         t.assert_history();
     }
@@ -70,15 +73,15 @@
 fn outcome_survives_the_loss_of_its_machine_and_disk() {
     let mut t = start_fleet(3);
     let (id, bytes) = t.serve_checkout(0);
-    t.rig.kill_wiped(0).expect("a folder");
+    t.rig.kill_and_wipe(0).expect("a folder");
     t.assert_outcome(1, &id, &bytes);
     // It returns elsewhere with an empty disk.
-    t.rig.moves(0).expect("a port");
-    t.rig.begin(0).expect("a router");
+    t.rig.change_peer_address(0).expect("a port");
+    t.rig.start_router(0).expect("a router");
     t.wait_until_serving(0);
     (0..3).for_each(|router| t.assert_outcome(router, &id, &bytes));
-    assert_eq!(t.rig.archive.runs(&id), 1);
-    assert_eq!(t.assert_history().served_again, 1);
+    assert_eq!(t.rig.archive.executions(&id), 1);
+    assert_eq!(t.assert_history().served_by_several_routers, 1);
 }
 
 #[test]
@@ -88,9 +91,9 @@
     // Each step lasts long enough to be met: words between routers take a while.
     for step in 0..5 {
         for (a, b) in [(0, 1), (0, 2), (1, 0), (2, 0)] {
-            t.rig.between(a, b).shape(|s| s.delay = (25.0, 35.0));
+            t.rig.router_link(a, b).configure(|conditions| conditions.delay_ms = (25.0, 35.0));
         }
-        let said = |t: &FleetHarness, from, to| t.rig.between(from, to).carried().bytes;
+        let said = |t: &FleetHarness, from, to| t.rig.router_link(from, to).statistics().delivered_bytes;
         let before = (said(&t, 0, 1), said(&t, 1, 0));
         let asks = |t: &mut FleetHarness| {
             let (id, caller) = (t.new_id(), t.caller(0));
@@ -107,14 +110,14 @@
                 let ran = said(&t, 0, 1);
                 until("it tells others how it ended", || said(&t, 0, 1) > ran);
             }
-            _ => assert!(t.rig.history.end(ask, PATIENCE).is_some()),
+            _ => assert!(t.rig.history.wait_for_outcome(ask, PATIENCE).is_some()),
         }
-        t.rig.kill_wiped(0).expect("a folder");
+        t.rig.kill_and_wipe(0).expect("a folder");
         let ends = [1, 2].map(|router| t.checkout(router, &id));
-        assert!(t.rig.archive.runs(&id) <= 1, "step {step}: {ends:?}");
+        assert!(t.rig.archive.executions(&id) <= 1, "step {step}: {ends:?}");
         assert!(ends.iter().all(Option::is_some), "step {step}: {ends:?}");
         assert!(t.rig.heal(), "links are up again");
-        t.rig.begin(0).expect("a router");
+        t.rig.start_router(0).expect("a router");
         t.wait_until_serving(0);
         t.serve_eventually(0);
     }
@@ -128,7 +131,7 @@
     t.rig.kill(0);
     t.rig.kill(1);
     for r in [0, 1] {
-        t.rig.begin(r).expect("a router");
+        t.rig.start_router(r).expect("a router");
     }
     (0..2).for_each(|r| t.wait_until_serving(r));
     for r in 0..4 {
--- a/crates/node/tests/fleet/crossings.rs
+++ b/crates/node/tests/fleet/crossings.rs
@@ -2,13 +2,13 @@
 
 use crate::common::{binary, until, PATIENCE};
 use crate::harness::{start_fleet, start_fleet_with, FleetHarness, DEADLINE_MS};
-use basaltgw_emulator::rig::{Ask, Caller, Final, Spec};
+use basaltgw_emulator::rig::{ClientConnection, Outcome, RequestNumber, Spec};
 use std::time::{Duration, Instant};
 
 /// What one router has sent the others, as its links took it in.
 fn sent_bytes(t: &FleetHarness, router: usize) -> Vec<u64> {
     let others = (0..t.rig.len()).filter(|o| *o != router);
-    others.map(|o| t.rig.between(router, o).carried().taken).collect()
+    others.map(|o| t.rig.router_link(router, o).statistics().received_bytes).collect()
 }
 
 fn other_routers(t: &FleetHarness, router: usize) -> Vec<usize> {
@@ -17,16 +17,18 @@
 
 /// What others answer one router takes so long.
 fn set_answer_delay(t: &FleetHarness, router: usize, ms: f64) {
-    other_routers(t, router).iter().for_each(|o| t.rig.between(*o, router).shape(|s| s.delay = (ms, ms)));
+    other_routers(t, router)
+        .iter()
+        .for_each(|o| t.rig.router_link(*o, router).configure(|conditions| conditions.delay_ms = (ms, ms)));
 }
 
 /// All links of a router are reset, with what they carry; until then they carried nothing.
 fn reset_links(t: &FleetHarness, router: usize) {
     for o in other_routers(t, router) {
-        t.rig.between(router, o).reset();
-        t.rig.between(o, router).reset();
+        t.rig.router_link(router, o).reset_connections();
+        t.rig.router_link(o, router).reset_connections();
     }
-    let resets = |a: usize, b: usize| t.rig.between(a, b).carried().resets;
+    let resets = |a: usize, b: usize| t.rig.router_link(a, b).statistics().resets;
     let lost = || other_routers(t, router).iter().all(|o| resets(router, *o) + resets(*o, router) > 0);
     until("its links are reset", lost);
 }
@@ -39,15 +41,18 @@
 /// links: it may be found taken, and is not. All are turned away.
 fn reject_after_partial_commit(t: &mut FleetHarness, router: usize, ids: &[String]) {
     set_answer_delay(t, router, 500.0);
-    let callers: Vec<Caller> = ids.iter().map(|_| t.caller(router)).collect();
+    let callers: Vec<ClientConnection> = ids.iter().map(|_| t.caller(router)).collect();
     let rounds = counter(t, router, "holds_rounds") + ids.len() as f64;
     let asks: Vec<_> = callers.iter().zip(ids).map(|(c, id)| c.checkout(id, DEADLINE_MS)).collect();
     until("keepers are asked for all", || counter(t, router, "holds_rounds") >= rounds);
-    other_routers(t, router).iter().for_each(|o| t.rig.between(router, *o).cut(true));
+    other_routers(t, router).iter().for_each(|o| t.rig.router_link(router, *o).set_cut(true));
     // Signs of life are few and small; asking is said again until it is answered, and so is taking.
     let more = |now: Vec<u64>, was: &[u64]| now.iter().zip(was).filter(|(n, w)| **n > **w + 300).count() >= 3;
     let came = |t: &FleetHarness| -> Vec<u64> {
-        other_routers(t, router).iter().map(|o| t.rig.between(*o, router).carried().bytes).collect()
+        other_routers(t, router)
+            .iter()
+            .map(|o| t.rig.router_link(*o, router).statistics().delivered_bytes)
+            .collect()
     };
     let before: Vec<u64> = came(t);
     until("keepers have promised", || more(came(t), &before));
@@ -56,23 +61,23 @@
     reset_links(t, router);
     asks.into_iter().for_each(|ask| {
         let end = t.wait_for_outcome(ask);
-        assert!(!matches!(end, Some(Final::Served(_))), "{end:?}");
+        assert!(!matches!(end, Some(Outcome::Served(_))), "{end:?}");
     });
-    assert!(ids.iter().all(|id| t.rig.archive.runs(id) == 0));
+    assert!(ids.iter().all(|id| t.rig.archive.executions(id) == 0));
 }
 
 /// Presents ids to a router again and again until they run, or some do and others go on being turned away.
-fn retry_until_executed(t: &FleetHarness, ids: &[String], callers: &[Caller]) {
-    let mut asks: Vec<Option<Ask>> = ids.iter().map(|_| None).collect();
+fn retry_until_executed(t: &FleetHarness, ids: &[String], callers: &[ClientConnection]) {
+    let mut asks: Vec<Option<RequestNumber>> = ids.iter().map(|_| None).collect();
     let (begun, mut first) = (Instant::now(), None);
-    while ids.iter().any(|id| t.rig.archive.runs(id) == 0) {
+    while ids.iter().any(|id| t.rig.archive.executions(id) == 0) {
         for ((id, caller), ask) in ids.iter().zip(callers).zip(&mut asks) {
-            let waits = ask.is_some_and(|ask| t.rig.history.end(ask, Duration::ZERO).is_none());
-            if !waits && t.rig.archive.runs(id) == 0 {
+            let waits = ask.is_some_and(|ask| t.rig.history.wait_for_outcome(ask, Duration::ZERO).is_none());
+            if !waits && t.rig.archive.executions(id) == 0 {
                 *ask = Some(caller.checkout(id, DEADLINE_MS));
             }
         }
-        if ids.iter().any(|id| t.rig.archive.runs(id) > 0) {
+        if ids.iter().any(|id| t.rig.archive.executions(id) > 0) {
             first.get_or_insert_with(Instant::now);
         }
         if first.is_some_and(|f| f.elapsed() > Duration::from_secs(2)) {
@@ -91,17 +96,18 @@
     t.set_effect_duration_ms(30_000);
     reject_after_partial_commit(&mut t, 0, &ids);
     // The same requests come again, while the links come up, and run for long.
-    let again: Vec<Caller> = ids.iter().map(|_| t.caller(0)).collect();
+    let again: Vec<ClientConnection> = ids.iter().map(|_| t.caller(0)).collect();
     for o in other_routers(&t, 0) {
-        t.rig.between(0, o).cut(false);
-        t.rig.between(o, 0).shape(|s| s.delay = (0.0, 0.0));
+        t.rig.router_link(0, o).set_cut(false);
+        t.rig.router_link(o, 0).configure(|conditions| conditions.delay_ms = (0.0, 0.0));
     }
     retry_until_executed(&t, &ids, &again);
     // Whoever presents them elsewhere waits until they are free, which they are not.
-    let elsewhere: Vec<Caller> = ids.iter().map(|_| t.caller(1)).collect();
-    let asks: Vec<_> = elsewhere.iter().zip(&ids).map(|(c, id)| c.checkout_beside(id, DEADLINE_MS)).collect();
+    let elsewhere: Vec<ClientConnection> = ids.iter().map(|_| t.caller(1)).collect();
+    let asks: Vec<_> =
+        elsewhere.iter().zip(&ids).map(|(c, id)| c.checkout_concurrently(id, DEADLINE_MS)).collect();
     let ends: Vec<_> = asks.into_iter().map(|ask| t.wait_for_outcome(ask)).collect();
-    let runs: Vec<u64> = ids.iter().map(|id| t.rig.archive.runs(id)).collect();
+    let runs: Vec<u64> = ids.iter().map(|id| t.rig.archive.executions(id)).collect();
     assert!(runs.iter().all(|n| *n <= 1), "they ran so often: {runs:?}, {ends:?}");
 }
 
@@ -116,12 +122,12 @@
     // Who leaves before it is taken in has nothing asked for it.
     until("it is taken in", || counter(&t, 0, "requests") > taken);
     until("its keepers are asked", || sent_bytes(&t, 0).iter().zip(&before).any(|(now, was)| now > was));
-    caller.leave();
+    caller.disconnect();
     until("its time is over", || counter(&t, 0, "holds_unkept_late") > late);
     set_answer_delay(&t, 0, 0.0);
     let end = t.known_outcome(1, &id);
-    assert!(matches!(end, Some(Final::Served(_))), "it never ran, and is free again: {end:?}");
-    assert_eq!(t.rig.archive.runs(&id), 1);
+    assert!(matches!(end, Some(Outcome::Served(_))), "it never ran, and is free again: {end:?}");
+    assert_eq!(t.rig.archive.executions(&id), 1);
     t.assert_history();
 }
 
@@ -135,22 +141,22 @@
         // It is answered when this is over, since its outcome can't be put down: time for a busy machine to serve it.
         let ask = caller.checkout(&id, 1_500);
         t.wait_until_executed(&id);
-        t.rig.cut(0, &[1, 2]);
-        t.rig.asked_to_end(0);
+        t.rig.partition(0, &[1, 2]);
+        t.rig.request_shutdown(0);
         let end = t.wait_for_outcome(ask);
         // It was served; that is put down when the links are up again, and the router has been asked to end since.
         reset_links(&t, 0);
         other_routers(&t, 0).iter().for_each(|o| {
-            t.rig.between(0, *o).cut(false);
-            t.rig.between(*o, 0).cut(false);
+            t.rig.router_link(0, *o).set_cut(false);
+            t.rig.router_link(*o, 0).set_cut(false);
         });
-        let text = t.rig.seats[0].ends();
-        let Some(Final::Served(bytes)) = end else { panic!("{end:?}: {text}") };
+        let text = t.rig.routers[0].shut_down();
+        let Some(Outcome::Served(bytes)) = end else { panic!("{end:?}: {text}") };
         if text.contains("were not committed before shutdown") && left > 0 {
             continue;
         }
         t.assert_outcome(1, &id, &bytes);
-        assert_eq!(t.rig.archive.runs(&id), 1);
+        assert_eq!(t.rig.archive.executions(&id), 1);
         t.assert_history();
         return;
     }
@@ -163,7 +169,7 @@
 fn table_change_during_register_migration_and_shutdown_breaks_no_outcome() {
     let mut spec = Spec { rules: Some(FOUNDED.into()), ..Spec::new(binary(), 5) };
     // Most of the branches' machines are in one: by the new rules nearly every hold has other keepers.
-    for (place, branch) in spec.places.iter_mut().zip(["north", "north", "north", "south", "east"]) {
+    for (place, branch) in spec.locations.iter_mut().zip(["north", "north", "north", "south", "east"]) {
         place.branch = branch.into();
     }
     let mut t = start_fleet_with(spec);
@@ -171,17 +177,17 @@
     let mut kept: Vec<_> = (0..20).map(|n| t.serve_checkout(n % 5)).collect();
     // Words take a while, so that promises are asked under one table and answered under another.
     for (a, b) in (0..5).flat_map(|a| (0..5).map(move |b| (a, b))).filter(|(a, b)| a != b) {
-        t.rig.between(a, b).shape(|s| s.delay = (10.0, 20.0));
+        t.rig.router_link(a, b).configure(|conditions| conditions.delay_ms = (10.0, 20.0));
     }
-    let callers: Vec<Caller> = (1..5).map(|r| t.caller(r)).collect();
-    let file = t.rig.seats[0].folder.ancestors().nth(2).expect("the rig's folder").join("fleet.rules");
+    let callers: Vec<ClientConnection> = (1..5).map(|r| t.caller(r)).collect();
+    let file = t.rig.routers[0].data_folder.ancestors().nth(2).expect("the rig's folder").join("fleet.rules");
     std::fs::write(file, NEW).expect("rules");
-    t.rig.seats[0].reload();
-    until("another hears of the offer", || t.rig.seats[1].said(" by r1 is "));
-    t.rig.asked_to_end(0);
+    t.rig.routers[0].reload();
+    until("another hears of the offer", || t.rig.routers[1].log_contains(" by r1 is "));
+    t.rig.request_shutdown(0);
     let (mut asks, begun) = (Vec::new(), Instant::now());
     let all_go_by = |t: &FleetHarness, than: u64| {
-        let versions = t.rig.versions();
+        let versions = t.rig.table_versions();
         versions.values().all(|v| *v > than && Some(v) == versions.values().next())
     };
     // Whose offer it was has ended: it comes to hold, or is taken back.
@@ -193,27 +199,27 @@
         }
         match round {
             10 => {
-                let said = t.rig.seats[0].ends();
+                let said = t.rig.routers[0].shut_down();
                 assert!(said.contains("ended: "), "it ends in order: {said}");
-                t.rig.begin(0).expect("a router");
+                t.rig.start_router(0).expect("a router");
             }
             11.. if all_go_by(&t, 1) || taken_back(&t) => break,
             _ => {}
         }
-        assert!(begun.elapsed() < PATIENCE, "no later table: {:?}", t.rig.versions());
+        assert!(begun.elapsed() < PATIENCE, "no later table: {:?}", t.rig.table_versions());
         std::thread::sleep(Duration::from_millis(20));
     }
     for (ask, id) in asks {
-        if let Some(Final::Served(bytes)) = t.wait_for_outcome(ask) {
+        if let Some(Outcome::Served(bytes)) = t.wait_for_outcome(ask) {
             kept.push((id, bytes));
         }
     }
     t.wait_until_serving(0);
     assert!(t.rig.heal(), "links are up again");
-    until("all go by one table", || t.rig.versions().len() == 5 && all_go_by(&t, 0));
+    until("all go by one table", || t.rig.table_versions().len() == 5 && all_go_by(&t, 0));
     for (n, (id, bytes)) in kept.iter().enumerate() {
         t.assert_outcome(n % 5, id, bytes);
-        assert_eq!(t.rig.archive.runs(id), 1);
+        assert_eq!(t.rig.archive.executions(id), 1);
     }
     t.assert_history();
 }
--- a/crates/node/tests/fleet/harness.rs
+++ b/crates/node/tests/fleet/harness.rs
@@ -1,7 +1,9 @@
 //! The harness of the fleet's tests: a rig of routers that replicate leases and outcomes, and requests through it.
 
 use crate::common::{binary, until, PATIENCE};
-use basaltgw_emulator::rig::{check, Ask, Caller, Counted, Final, Limits, Rig, Seen, Spec};
+use basaltgw_emulator::rig::{
+    check_history, ClientConnection, Event, HistoryCounts, Limits, Outcome, RequestNumber, Rig, Spec,
+};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
@@ -22,7 +24,7 @@
     let rig = Rig::start(spec).expect("a rig");
     let harness = FleetHarness { rig, ids: 0xf1ee7 << 32 };
     (0..harness.rig.len()).for_each(|r| harness.wait_until_serving(r));
-    harness.rig.founded(PATIENCE).expect("a fleet");
+    harness.rig.wait_until_bootstrapped(PATIENCE).expect("a fleet");
     harness
 }
 
@@ -35,25 +37,25 @@
 
     /// Waits until a router is serving.
     pub fn wait_until_serving(&self, router: usize) {
-        let serves = self.rig.serves(router, PATIENCE);
-        assert!(serves, "router {router} does not serve: {}", tail(&self.rig.seats[router].text()));
+        let serves = self.rig.wait_until_serving(router, PATIENCE);
+        assert!(serves, "router {router} does not serve: {}", tail(&self.rig.routers[router].log()));
     }
 
     pub fn set_effect_duration_ms(&self, ms: u64) {
-        self.rig.archive.effect_ms.store(ms, Ordering::SeqCst);
+        self.rig.archive.effect_duration_ms.store(ms, Ordering::SeqCst);
     }
 
-    pub fn caller(&self, router: usize) -> Caller {
-        self.rig.caller(router).expect("a connection")
+    pub fn caller(&self, router: usize) -> ClientConnection {
+        self.rig.connect_client(router).expect("a connection")
     }
 
     /// The outcome of a request: `None` if its connection was lost.
-    pub fn wait_for_outcome(&self, ask: Ask) -> Option<Final> {
-        self.rig.history.end(ask, PATIENCE).expect("an end")
+    pub fn wait_for_outcome(&self, ask: RequestNumber) -> Option<Outcome> {
+        self.rig.history.wait_for_outcome(ask, PATIENCE).expect("an end")
     }
 
     /// Presents a checkout to a router; returns its outcome.
-    pub fn checkout(&self, router: usize, id: &str) -> Option<Final> {
+    pub fn checkout(&self, router: usize, id: &str) -> Option<Outcome> {
         let caller = self.caller(router);
         self.wait_for_outcome(caller.checkout(id, DEADLINE_MS))
     }
@@ -67,7 +69,7 @@
 
     /// Presents a checkout to a router until its end is known there. It is in doubt only where keepers are not heard in time, as on a busy machine, and
     /// that is counted.
-    pub fn known_outcome(&self, router: usize, id: &str) -> Option<Final> {
+    pub fn known_outcome(&self, router: usize, id: &str) -> Option<Outcome> {
         let begun = std::time::Instant::now();
         loop {
             let before = self.unavailable_count(router);
@@ -84,7 +86,7 @@
         let end = self.known_outcome(router, id);
         assert_eq!(
             end,
-            Some(Final::Served(bytes.to_vec())),
+            Some(Outcome::Served(bytes.to_vec())),
             "router {router}: {}",
             self.register_counters(router)
         );
@@ -92,7 +94,7 @@
 
     /// The logs of all routers.
     pub fn logs(&self) -> String {
-        self.rig.seats.iter().map(|s| s.text()).collect::<Vec<_>>().join("\n----\n")
+        self.rig.routers.iter().map(|r| r.log()).collect::<Vec<_>>().join("\n----\n")
     }
 
     /// Presents new checkouts to a router until one is served; returns its id and bytes.
@@ -101,10 +103,10 @@
         loop {
             let id = self.new_id();
             match self.checkout(router, &id) {
-                Some(Final::Served(bytes)) => return (id, bytes),
+                Some(Outcome::Served(bytes)) => return (id, bytes),
                 end => {
                     let said =
-                        || self.rig.seats.iter().map(|s| s.text()).collect::<Vec<_>>().join("\n----\n");
+                        || self.rig.routers.iter().map(|r| r.log()).collect::<Vec<_>>().join("\n----\n");
                     assert!(
                         begun.elapsed() < PATIENCE,
                         "router {router} never serves again: {end:?}\n{}",
@@ -122,7 +124,7 @@
         loop {
             let (id, before) = (self.new_id(), self.unavailable_count(router));
             match self.checkout(router, &id) {
-                Some(Final::Served(bytes)) => return (id, bytes),
+                Some(Outcome::Served(bytes)) => return (id, bytes),
                 end => assert!(
                     begun.elapsed() < PATIENCE,
                     "router {router}: {end:?}; {}",
@@ -143,14 +145,16 @@
     }
 
     /// Presents new checkouts to a router until one runs: those before are turned away, as on a machine on which words come late.
-    pub fn start_checkout(&mut self, router: usize) -> (String, Caller, Ask) {
+    pub fn start_checkout(&mut self, router: usize) -> (String, ClientConnection, RequestNumber) {
         let begun = std::time::Instant::now();
         loop {
             let (id, caller) = (self.new_id(), self.caller(router));
             let ask = caller.checkout(&id, DEADLINE_MS);
-            let ended = || self.rig.history.end(ask, Duration::ZERO);
-            until("the effect runs, or never does", || self.rig.archive.runs(&id) == 1 || ended().is_some());
-            if self.rig.archive.runs(&id) == 1 {
+            let ended = || self.rig.history.wait_for_outcome(ask, Duration::ZERO);
+            until("the effect runs, or never does", || {
+                self.rig.archive.executions(&id) == 1 || ended().is_some()
+            });
+            if self.rig.archive.executions(&id) == 1 {
                 return (id, caller, ask);
             }
             assert!(ended().is_some_and(|e| is_rejected(&e)), "{:?}", ended());
@@ -164,22 +168,22 @@
 
     /// Waits until a request was executed at the archive.
     pub fn wait_until_executed(&self, id: &str) {
-        until("the effect runs", || self.rig.archive.runs(id) == 1);
+        until("the effect runs", || self.rig.archive.executions(id) == 1);
     }
 
     /// Asserts that the history breaks no rule.
-    pub fn assert_history(&self) -> Counted {
+    pub fn assert_history(&self) -> HistoryCounts {
         self.assert_history_within(&Limits::default())
     }
 
     /// The same where the routers are known to have received each purge before the next request: purges take effect at once.
-    pub fn assert_history_with_immediate_purges(&self) -> Counted {
-        self.assert_history_within(&Limits { heed_ms: 0, ..Limits::default() })
+    pub fn assert_history_with_immediate_purges(&self) -> HistoryCounts {
+        self.assert_history_within(&Limits { purge_effect_ms: 0, ..Limits::default() })
     }
 
-    fn assert_history_within(&self, limits: &Limits) -> Counted {
+    fn assert_history_within(&self, limits: &Limits) -> HistoryCounts {
         let (events, left_out) = self.rig.history.events();
-        let (broken, counted) = check(&events, left_out, limits);
+        let (broken, counted) = check_history(&events, left_out, limits);
         assert!(broken.is_empty(), "{broken:#?}");
         counted
     }
@@ -188,8 +192,9 @@
     pub fn wait_until_purge_due(&self) {
         until("it is to be heeded", || {
             let (events, _) = self.rig.history.events();
-            let told = events.iter().find(|e| matches!(e.seen, Seen::Purged { .. })).map(|e| e.at);
-            told.is_some_and(|at| self.rig.history.now() > at + Limits::default().heed_ms)
+            let told =
+                events.iter().find(|e| matches!(e.event, Event::PurgeAnnounced { .. })).map(|e| e.at_ms);
+            told.is_some_and(|at| self.rig.history.now_ms() > at + Limits::default().purge_effect_ms)
         });
     }
 }
@@ -201,10 +206,10 @@
 }
 
 /// Whether the outcome is unknown or a failure, neither of which invites a retry.
-pub fn is_outcome_unknown(end: &Option<Final>) -> bool {
-    matches!(end, Some(Final::Failed(_)))
+pub fn is_outcome_unknown(end: &Option<Outcome>) -> bool {
+    matches!(end, Some(Outcome::Failed(_)))
 }
 
-pub fn is_rejected(end: &Option<Final>) -> bool {
-    matches!(end, Some(Final::Refused(Some(_))))
+pub fn is_rejected(end: &Option<Outcome>) -> bool {
+    matches!(end, Some(Outcome::Rejected { retry_after_ms: Some(_) }))
 }
--- a/crates/node/tests/fleet/purges.rs
+++ b/crates/node/tests/fleet/purges.rs
@@ -2,10 +2,10 @@
 
 use crate::common::until;
 use crate::harness::{start_fleet, FleetHarness, DEADLINE_MS};
-use basaltgw_emulator::rig::Final;
+use basaltgw_emulator::rig::Outcome;
 use std::sync::atomic::Ordering;
 
-fn read(t: &mut FleetHarness, router: usize, object: u64) -> Option<Final> {
+fn read(t: &mut FleetHarness, router: usize, object: u64) -> Option<Outcome> {
     let (id, caller) = (t.new_id(), t.caller(router));
     t.wait_for_outcome(caller.read(&id, object, DEADLINE_MS))
 }
@@ -13,22 +13,22 @@
 #[test]
 fn purge_received_by_a_router_that_dies_survives_a_full_restart_without_discovery() {
     let mut t = start_fleet(3);
-    assert!(matches!(read(&mut t, 1, 5), Some(Final::Served(_))));
+    assert!(matches!(read(&mut t, 1, 5), Some(Outcome::Served(_))));
     let kept = |t: &FleetHarness| t.rig.counters(0).get("holds_kept").copied().unwrap_or(0.0);
     let before = kept(&t);
     t.rig.purge(5, &[0]);
     until("it is kept", || kept(&t) > before);
-    t.rig.logs.iter().for_each(|l| l.down.store(true, Ordering::SeqCst));
-    t.rig.kill_wiped(0).expect("a folder");
+    t.rig.change_logs.iter().for_each(|l| l.down.store(true, Ordering::SeqCst));
+    t.rig.kill_and_wipe(0).expect("a folder");
     t.rig.kill(1);
     t.rig.kill(2);
     for r in [1, 2, 0] {
-        t.rig.begin(r).expect("a router");
+        t.rig.start_router(r).expect("a router");
     }
     (0..3).for_each(|r| t.wait_until_serving(r));
     t.wait_until_purge_due();
     for r in [2, 1, 0] {
-        assert!(matches!(read(&mut t, r, 5), Some(Final::Served(_))));
+        assert!(matches!(read(&mut t, r, 5), Some(Outcome::Served(_))));
     }
-    assert_eq!(t.assert_history().purged_reads, 3);
+    assert_eq!(t.assert_history().reads_after_purge, 3);
 }
--- a/crates/node/tests/fleet/sparse.rs
+++ b/crates/node/tests/fleet/sparse.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{binary, until};
 use crate::harness::{is_outcome_unknown, is_rejected, start_fleet_with, FleetHarness, DEADLINE_MS};
-use basaltgw_emulator::rig::{Final, Spec};
+use basaltgw_emulator::rig::{Outcome, Spec};
 use serde_json::{json, Value};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -24,7 +24,7 @@
 }
 
 fn fleet(links: &str) -> FleetHarness {
-    start_fleet_with(Spec { more: settings(links), ..Spec::new(binary(), ROUTERS) })
+    start_fleet_with(Spec { extra_settings: settings(links), ..Spec::new(binary(), ROUTERS) })
 }
 
 /// A fleet with standing links, at rest.
@@ -48,7 +48,7 @@
     (0..ROUTERS).map(|r| count(t, r, "peers_up")).collect()
 }
 
-fn read(t: &mut FleetHarness, router: usize, object: u64) -> Option<Final> {
+fn read(t: &mut FleetHarness, router: usize, object: u64) -> Option<Outcome> {
     let (id, caller) = (t.new_id(), t.caller(router));
     t.wait_for_outcome(caller.read(&id, object, DEADLINE_MS))
 }
@@ -57,7 +57,7 @@
 fn assert_same_outcomes(t: &FleetHarness, kept: &[(String, Vec<u8>)]) {
     for (id, bytes) in kept {
         (0..ROUTERS).for_each(|router| t.assert_outcome(router, id, bytes));
-        assert_eq!(t.rig.archive.runs(id), 1);
+        assert_eq!(t.rig.archive.executions(id), 1);
     }
 }
 
@@ -75,19 +75,19 @@
     println!("links at rest again: {:?}", links(&t));
     assert!((0..ROUTERS).all(|r| count(&t, r, "links_gone") == 0 && count(&t, r, "table_version") == 1));
     let counted = t.assert_history();
-    assert_eq!((counted.served, counted.ran), ((kept.len() * (1 + ROUTERS)) as u64, kept.len() as u64));
+    assert_eq!((counted.served, counted.executed), ((kept.len() * (1 + ROUTERS)) as u64, kept.len() as u64));
 }
 
 #[test]
 fn purge_received_by_one_router_takes_effect_at_all() {
     let _one = exclusive();
     let mut t = idle_fleet_with_standing_links();
-    (0..ROUTERS).for_each(|r| assert!(matches!(read(&mut t, r, 5), Some(Final::Served(_)))));
+    (0..ROUTERS).for_each(|r| assert!(matches!(read(&mut t, r, 5), Some(Outcome::Served(_)))));
     t.rig.purge(5, &[7]);
     let others = || (0..ROUTERS).filter(|r| *r != 7);
     until("all others have heard", || others().all(|r| count(&t, r, "purges_from_peers") == 1));
-    (0..ROUTERS).for_each(|r| assert!(matches!(read(&mut t, r, 5), Some(Final::Served(_)))));
-    assert_eq!(t.assert_history_with_immediate_purges().purged_reads, ROUTERS as u64);
+    (0..ROUTERS).for_each(|r| assert!(matches!(read(&mut t, r, 5), Some(Outcome::Served(_)))));
+    assert_eq!(t.assert_history_with_immediate_purges().reads_after_purge, ROUTERS as u64);
 }
 
 #[test]
@@ -98,12 +98,13 @@
     for round in 0..ROUTERS {
         let id = t.new_id();
         let (one, other) = (t.caller(round), t.caller((round + 4) % ROUTERS));
-        let asks = [one.checkout_beside(&id, DEADLINE_MS), other.checkout_beside(&id, DEADLINE_MS)];
+        let asks =
+            [one.checkout_concurrently(&id, DEADLINE_MS), other.checkout_concurrently(&id, DEADLINE_MS)];
         let ends = asks.map(|ask| t.wait_for_outcome(ask));
-        let runs = t.rig.archive.runs(&id);
+        let runs = t.rig.archive.executions(&id);
         assert!(runs <= 1, "{ends:?}");
         let later = t.checkout((round + 6) % ROUTERS, &id);
-        if let Some(served) = ends.iter().find(|e| matches!(e, Some(Final::Served(_)))) {
+        if let Some(served) = ends.iter().find(|e| matches!(e, Some(Outcome::Served(_)))) {
             assert!(ends.iter().all(|e| e == served || is_outcome_unknown(e)), "{ends:?}");
             assert_eq!(&later, served);
         } else if ends.iter().all(is_rejected) {
@@ -111,7 +112,7 @@
         }
     }
     let counted = t.assert_history();
-    assert!(counted.ran >= 6, "{counted:?}");
+    assert!(counted.executed >= 6, "{counted:?}");
 }
 
 #[test]
@@ -124,9 +125,9 @@
         let (id, caller) = (t.new_id(), t.caller(0));
         let ask = caller.checkout(&id, DEADLINE_MS);
         t.wait_until_executed(&id);
-        let before = t.rig.versions();
+        let before = t.rig.table_versions();
         match wiped {
-            true => t.rig.kill_wiped(0).expect("a folder"),
+            true => t.rig.kill_and_wipe(0).expect("a folder"),
             false => t.rig.kill(0),
         }
         assert_eq!(t.wait_for_outcome(ask), None, "lost with its router");
@@ -135,11 +136,11 @@
             let end = t.checkout(router, &id);
             assert!(is_outcome_unknown(&end), "router {router}: {end:?}");
         }
-        t.rig.begin(0).expect("a router");
+        t.rig.start_router(0).expect("a router");
         t.wait_until_serving(0);
         if wiped {
             assert!(
-                t.rig.made_up(0, &before),
+                t.rig.wait_until_replicated(0, &before),
                 "copies are made up: {}\n{}",
                 t.register_counters(0),
                 t.logs()
@@ -147,7 +148,7 @@
         }
         let end = t.checkout(0, &id);
         assert!(is_outcome_unknown(&end), "{end:?}");
-        assert_eq!(t.rig.archive.runs(&id), 1);
+        assert_eq!(t.rig.archive.executions(&id), 1);
         t.serve_eventually(0);
         assert_same_outcomes(&t, &kept);
         t.assert_history();
@@ -166,14 +167,14 @@
         // Asked for from where it is not, while it runs: it is not taken from its owner.
         let other = t.caller((owner + 4) % ROUTERS);
         let early = t.wait_for_outcome(other.checkout(&id, 1_000));
-        assert!(!matches!(early, Some(Final::Served(_))), "{early:?}");
+        assert!(!matches!(early, Some(Outcome::Served(_))), "{early:?}");
         let own = t.wait_for_outcome(ask);
-        assert!(matches!(own, Some(Final::Served(_))), "{own:?}");
+        assert!(matches!(own, Some(Outcome::Served(_))), "{own:?}");
         t.set_effect_duration_ms(0);
         for router in 0..ROUTERS {
             assert_eq!(t.checkout(router, &id), own, "router {router}");
         }
-        assert_eq!(t.rig.archive.runs(&id), 1);
+        assert_eq!(t.rig.archive.executions(&id), 1);
     }
     t.assert_history();
 }
@@ -183,7 +184,7 @@
     let _one = exclusive();
     let mut t = idle_fleet_with_standing_links();
     for (from, to) in [(0, 1), (4, 2), (8, 0)] {
-        t.rig.cut_one_way(from, to);
+        t.rig.partition_one_way(from, to);
     }
     let kept: Vec<_> = (0..ROUTERS)
         .map(|r| {
@@ -197,16 +198,16 @@
     t.rig.heal();
     for r in 0..ROUTERS {
         t.serve_eventually(r);
-        assert_eq!(t.checkout(r, &id), Some(Final::Served(bytes.clone())));
+        assert_eq!(t.checkout(r, &id), Some(Outcome::Served(bytes.clone())));
     }
     for (id, end) in &kept {
         for router in [0, 4, 8] {
             let again = t.checkout(router, id);
-            if let Some(Final::Served(_)) = end {
+            if let Some(Outcome::Served(_)) = end {
                 assert_eq!(&again, end, "router {router}");
             }
         }
-        assert!(t.rig.archive.runs(id) <= 1);
+        assert!(t.rig.archive.executions(id) <= 1);
     }
     t.assert_history();
 }
@@ -219,7 +220,7 @@
     // Routers stand in three branches in turn.
     let branch = [1, 4, 7];
     let rest: Vec<usize> = (0..ROUTERS).filter(|r| !branch.contains(r)).collect();
-    branch.iter().for_each(|r| t.rig.cut(*r, &rest));
+    branch.iter().for_each(|r| t.rig.partition(*r, &rest));
     let mut asked = Vec::new();
     for round in 0..3 {
         for router in [0, 1, 5, 7] {
@@ -235,15 +236,15 @@
     t.rig.heal();
     for r in 0..ROUTERS {
         t.serve_eventually(r);
-        assert_eq!(t.checkout(r, &id), Some(Final::Served(bytes.clone())));
+        assert_eq!(t.checkout(r, &id), Some(Outcome::Served(bytes.clone())));
     }
     until("the purge is heard", || (1..ROUTERS).all(|r| count(&t, r, "purges_from_peers") >= 1));
     assert_same_outcomes(&t, &kept);
     for (id, end) in &asked {
-        if let Some(Final::Served(_)) = end {
+        if let Some(Outcome::Served(_)) = end {
             assert_eq!(&t.checkout(2, id), end);
         }
-        assert!(t.rig.archive.runs(id) <= 1);
+        assert!(t.rig.archive.executions(id) <= 1);
     }
     t.assert_history();
 }
@@ -254,10 +255,10 @@
     let mut t = fleet("mesh");
     let mut kept: Vec<_> = (0..ROUTERS).map(|r| t.serve_eventually(r)).collect();
     for (to, object) in [("standing", 11), ("mesh", 12)] {
-        t.rig.spec.more = settings(to);
+        t.rig.spec.extra_settings = settings(to);
         for r in 0..ROUTERS {
             t.rig.kill(r);
-            t.rig.begin(r).expect("a router");
+            t.rig.start_router(r).expect("a router");
             t.wait_until_serving(r);
             kept.push(t.serve_eventually(r));
             kept.push(t.serve_eventually((r + 5) % ROUTERS));
--- a/crates/node/tests/gather.rs
+++ b/crates/node/tests/gather.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use basaltgw_emulator::rig::files::{name, own};
+use basaltgw_emulator::rig::spec::{router_name, router_settings};
 use basaltgw_emulator::rig::Spec;
 use common::*;
 use serde_json::json;
@@ -37,12 +37,12 @@
 
 impl Three {
     fn start(gather: bool) -> Self {
-        let spec = Spec { gather, rules: Some(RULES.into()), ..Spec::new(binary(), 3) };
+        let spec = Spec { scatter_gather: gather, rules: Some(RULES.into()), ..Spec::new(binary(), 3) };
         let born = unix_ms();
         let versions: Vec<Arc<AtomicU64>> = (0..3).map(|_| Arc::new(AtomicU64::new(1))).collect();
         let cache = |r: usize| {
             let version = Arc::clone(&versions[r]);
-            let branch = spec.places[r].branch.clone();
+            let branch = spec.locations[r].branch.clone();
             Cache::start(move |s| {
                 let version = version.load(Ordering::SeqCst);
                 let fields = format!("ver=v{version},born={born},note=hit,waited=0");
@@ -67,16 +67,16 @@
     }
 
     fn begin(&mut self, r: usize) {
-        let home = self.dir.path().join(name(r));
+        let home = self.dir.path().join(router_name(r));
         let (folder, rules) = (home.join("lasting"), self.dir.path().join("fleet.rules"));
         std::fs::create_dir_all(&folder).expect("a folder");
         std::fs::write(&rules, RULES).expect("rules");
         let cache = &self.caches[r];
         let mut config = configuration(&three(cache, cache, cache), self.log.address);
-        config["name"] = json!(name(r));
+        config["name"] = json!(router_name(r));
         config["settings"]["peers-total"] = json!(3);
         let peers: Vec<_> = (0..3).filter(|p| *p != r).map(|p| (p, self.listen[p])).collect();
-        let text = own(&self.spec, r, self.listen[r], &folder, Some(&rules), &peers);
+        let text = router_settings(&self.spec, r, self.listen[r], &folder, Some(&rules), &peers);
         let router = Process::start_in(binary(), &home, r, &config, &text).expect("a router");
         self.routers[r] = Some(router);
     }
--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use basaltgw_emulator::process::Process;
-use basaltgw_emulator::rig::many::{measure, Crowd, Many};
+use basaltgw_emulator::rig::fleet_cost::{measure_fleet, FleetSetup, RouterFleet};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-fn three() -> Many {
+fn three() -> FleetSetup {
     let (rates, window) = (vec![20.0], Duration::from_millis(500));
-    Many { rates, window, probes: 1, ..Many::new(common::binary(), 3) }
+    FleetSetup { purge_rates: rates, window, probes_per_window: 1, ..FleetSetup::new(common::binary(), 3) }
 }
 
 fn there(ids: &[u32]) -> Vec<PathBuf> {
@@ -20,10 +20,10 @@
 #[test]
 fn three_routers_are_counted_and_stopped() {
     let many = three();
-    let mut crowd = Crowd::start(&many).expect("three routers");
+    let mut crowd = RouterFleet::start(&many).expect("three routers");
     let ids: Vec<u32> = crowd.routers.iter().map(Process::id).collect();
     assert_eq!((ids.len(), there(&ids).len()), (3, 3));
-    let row = crowd.window(&many, 20.0).expect("a row");
+    let row = crowd.measure_window(&many, 20.0).expect("a row");
     let figure = |name: &str| *row.get(name).unwrap_or_else(|| panic!("no {name} in {row:?}"));
     for (name, is) in [("routers", 3.0), ("peers_up", 2.0), ("purges_per_s", 20.0), ("founders", 3.0)] {
         assert_eq!(figure(name), is, "{name}");
@@ -34,13 +34,13 @@
     }
     // The purge that only the first router hears is waited for at each other one.
     assert!(figure("heeded_by_all_ms_most") < 10_000.0, "{row:?}");
-    crowd.end();
+    crowd.shut_down();
     assert_eq!(there(&ids), Vec::<PathBuf>::new());
 }
 
 #[test]
 fn dropped_routers_are_stopped() {
-    let crowd = Crowd::start(&three()).expect("three routers");
+    let crowd = RouterFleet::start(&three()).expect("three routers");
     let ids: Vec<u32> = crowd.routers.iter().map(Process::id).collect();
     drop(crowd);
     assert_eq!(there(&ids), Vec::<PathBuf>::new());
@@ -49,11 +49,11 @@
 #[test]
 fn failure_to_start_a_router_is_reported() {
     for (many, why) in [
-        (Many { routers: 2, ..three() }, "from 3 to 200 routers, not 2"),
-        (Many { routers: 201, ..three() }, "from 3 to 200 routers, not 201"),
-        (Many::new(Path::new("/nowhere/basaltgw"), 3), "a router does not listen"),
+        (FleetSetup { routers: 2, ..three() }, "from 3 to 200 routers, not 2"),
+        (FleetSetup { routers: 201, ..three() }, "from 3 to 200 routers, not 201"),
+        (FleetSetup::new(Path::new("/nowhere/basaltgw"), 3), "a router does not listen"),
     ] {
-        let said = measure(&many).expect_err("an error");
+        let said = measure_fleet(&many).expect_err("an error");
         assert!(said.contains(why), "{said}");
     }
 }
--- a/crates/node/tests/placement.rs
+++ b/crates/node/tests/placement.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use basaltgw_emulator::rig::{Final, Rig, Spec};
+use basaltgw_emulator::rig::{Outcome, Rig, Spec};
 use common::{binary, configuration, run, text, until, ChangeLog, PATIENCE};
 use std::path::{Path, PathBuf};
 
@@ -85,25 +85,25 @@
 /// A founded fleet of three, with a checkout that the first has served.
 fn bootstrapped_fleet() -> (Rig, String, Vec<u8>) {
     let rig = Rig::start(Spec { rules: Some(FOUNDED.into()), ..Spec::new(binary(), 3) }).expect("a rig");
-    (0..rig.len()).for_each(|r| assert!(rig.serves(r, PATIENCE), "{}", rig.seats[r].text()));
-    rig.founded(PATIENCE).expect("a fleet");
+    (0..rig.len()).for_each(|r| assert!(rig.wait_until_serving(r, PATIENCE), "{}", rig.routers[r].log()));
+    rig.wait_until_bootstrapped(PATIENCE).expect("a fleet");
     let id = format!("{:016x}", 0x91ace);
     match checkout(&rig, 0, &id) {
-        Some(Final::Served(bytes)) => (rig, id, bytes),
+        Some(Outcome::Served(bytes)) => (rig, id, bytes),
         end => panic!("not served: {end:?}"),
     }
 }
 
 /// Where the rig has the rules of all its routers: beside their folders.
 fn rules_file(rig: &Rig) -> PathBuf {
-    let file = rig.seats[0].folder.ancestors().nth(2).expect("the rig's folder").join("fleet.rules");
+    let file = rig.routers[0].data_folder.ancestors().nth(2).expect("the rig's folder").join("fleet.rules");
     assert!(file.exists(), "{}", file.display());
     file
 }
 
-fn checkout(rig: &Rig, router: usize, id: &str) -> Option<Final> {
-    let caller = rig.caller(router).expect("a connection");
-    rig.history.end(caller.checkout(id, WITHIN), PATIENCE).expect("an end")
+fn checkout(rig: &Rig, router: usize, id: &str) -> Option<Outcome> {
+    let caller = rig.connect_client(router).expect("a connection");
+    rig.history.wait_for_outcome(caller.checkout(id, WITHIN), PATIENCE).expect("an end")
 }
 
 fn version(rig: &Rig, router: usize) -> f64 {
@@ -116,26 +116,26 @@
     let file = rules_file(&rig);
     // What can't be met is refused with its place, and nothing changes.
     std::fs::write(&file, FOUNDED.replace("copies 3", "copies 5")).expect("a file");
-    rig.seats[0].reload();
-    until("the rules are refused", || rig.seats[0].said("fleet.rules:1:"));
+    rig.routers[0].reload();
+    until("the rules are refused", || rig.routers[0].log_contains("fleet.rules:1:"));
     until("that is counted", || rig.counters(0).get("reloads_refused") == Some(&1.0));
     // Neither are rules taken that come with another change of the section.
-    let own = rig.seats[0].folder.with_file_name("router-0.yaml");
+    let own = rig.routers[0].data_folder.with_file_name("router-0.yaml");
     let before = std::fs::read_to_string(&own).expect("a file");
     std::fs::write(&own, before.replace("\"copies\": 3", "\"copies\": 3, \"shards\": 9")).expect("a file");
     std::fs::write(&file, NEW).expect("a file");
-    rig.seats[0].reload();
-    until("the change is warned about", || rig.seats[0].said("only the rules of fleet can change"));
-    assert!(!rig.seats[0].said("proposed to the fleet"));
+    rig.routers[0].reload();
+    until("the change is warned about", || rig.routers[0].log_contains("only the rules of fleet can change"));
+    assert!(!rig.routers[0].log_contains("proposed to the fleet"));
     std::fs::write(&own, before).expect("a file");
-    rig.seats[0].reload();
+    rig.routers[0].reload();
     until("all go by the next table", || (0..3).all(|r| version(&rig, r) == 2.0));
-    until("all say so", || (0..3).all(|r| rig.seats[r].said("table: version 2 ")));
+    until("all say so", || (0..3).all(|r| rig.routers[r].log_contains("table: version 2 ")));
     for router in 0..3 {
-        assert_eq!(checkout(&rig, router, &id), Some(Final::Served(bytes.clone())));
+        assert_eq!(checkout(&rig, router, &id), Some(Outcome::Served(bytes.clone())));
         assert_eq!(rig.counters(router).get("tables_refused"), Some(&0.0));
     }
-    assert_eq!(rig.archive.runs(&id), 1);
+    assert_eq!(rig.archive.executions(&id), 1);
 }
 
 #[test]
@@ -143,18 +143,18 @@
     let (mut rig, id, bytes) = bootstrapped_fleet();
     let file = rules_file(&rig);
     // With one that does not answer the first offer is still under way when the second comes.
-    rig.stop(2);
+    rig.suspend(2);
     std::fs::write(&file, NEW).expect("a file");
-    rig.seats[0].reload();
-    until("the first is offered", || rig.seats[1].said(" by r1 is "));
+    rig.routers[0].reload();
+    until("the first is offered", || rig.routers[1].log_contains(" by r1 is "));
     std::fs::write(&file, format!("{NEW}# others\n")).expect("a file");
-    rig.seats[1].reload();
-    until("the second is refused", || rig.seats[1].said("new rules rejected: "));
-    let said = rig.seats[1].text();
+    rig.routers[1].reload();
+    until("the second is refused", || rig.routers[1].log_contains("new rules rejected: "));
+    let said = rig.routers[1].log();
     let refusal = said.lines().find(|l| l.contains("new rules rejected: ")).unwrap_or_default();
     assert!(refusal.contains("r1") && refusal.contains('2'), "{refusal}");
-    rig.wake(2);
+    rig.resume(2);
     until("all go by the first one's", || (0..3).all(|r| version(&rig, r) == 2.0));
     assert_eq!(rig.counters(1).get("tables_refused"), Some(&1.0));
-    assert_eq!(checkout(&rig, 1, &id), Some(Final::Served(bytes)));
+    assert_eq!(checkout(&rig, 1, &id), Some(Outcome::Served(bytes)));
 }
--- a/crates/node/tests/rig.rs
+++ b/crates/node/tests/rig.rs
@@ -2,20 +2,20 @@
 
 mod common;
 
-use basaltgw_emulator::rig::{check, Final, Limits, Rig, Rule, Seen, Spec};
+use basaltgw_emulator::rig::{check_history, Event, Limits, Outcome, Rig, Rule, Spec};
 use common::*;
 
 fn rig() -> Rig {
     let rig = Rig::start(Spec { fleet: false, ..Spec::new(binary(), 3) }).expect("a rig");
-    (0..3).for_each(|r| assert!(rig.serves(r, PATIENCE)));
-    rig.archive.effect_ms.store(20, std::sync::atomic::Ordering::SeqCst);
+    (0..3).for_each(|r| assert!(rig.wait_until_serving(r, PATIENCE)));
+    rig.archive.effect_duration_ms.store(20, std::sync::atomic::Ordering::SeqCst);
     rig
 }
 
 fn broken(rig: &Rig) -> Vec<Rule> {
     let (events, left_out) = rig.history.events();
     let mut rules: Vec<Rule> =
-        check(&events, left_out, &Limits::default()).0.into_iter().map(|b| b.rule).collect();
+        check_history(&events, left_out, &Limits::default()).0.into_iter().map(|b| b.rule).collect();
     rules.sort_unstable();
     rules.dedup();
     rules
@@ -24,61 +24,61 @@
 #[test]
 fn checkout_resent_through_another_router_runs_twice_without_replication() {
     let mut rig = rig();
-    let served = |end| matches!(end, Some(Some(Final::Served(_))));
-    let first = rig.caller(0).expect("a client");
-    assert!(served(rig.history.end(first.checkout("00000000000000a1", 5_000), PATIENCE)));
+    let served = |end| matches!(end, Some(Some(Outcome::Served(_))));
+    let first = rig.connect_client(0).expect("a client");
+    assert!(served(rig.history.wait_for_outcome(first.checkout("00000000000000a1", 5_000), PATIENCE)));
     assert_eq!(broken(&rig), []);
     // It dies with another out; the client resends it.
-    rig.archive.effect_ms.store(30_000, std::sync::atomic::Ordering::SeqCst);
+    rig.archive.effect_duration_ms.store(30_000, std::sync::atomic::Ordering::SeqCst);
     let out = first.checkout("00000000000000a2", 5_000);
-    until("it runs", || rig.archive.runs("00000000000000a2") == 1);
+    until("it runs", || rig.archive.executions("00000000000000a2") == 1);
     rig.kill(0);
-    assert_eq!(rig.history.end(out, PATIENCE), Some(None), "lost with its router");
-    rig.archive.effect_ms.store(0, std::sync::atomic::Ordering::SeqCst);
-    let second = rig.caller(1).expect("a client");
-    assert!(served(rig.history.end(second.checkout("00000000000000a2", 5_000), PATIENCE)));
-    assert_eq!(rig.archive.runs("00000000000000a2"), 2);
-    assert!(broken(&rig).contains(&Rule::Once));
+    assert_eq!(rig.history.wait_for_outcome(out, PATIENCE), Some(None), "lost with its router");
+    rig.archive.effect_duration_ms.store(0, std::sync::atomic::Ordering::SeqCst);
+    let second = rig.connect_client(1).expect("a client");
+    assert!(served(rig.history.wait_for_outcome(second.checkout("00000000000000a2", 5_000), PATIENCE)));
+    assert_eq!(rig.archive.executions("00000000000000a2"), 2);
+    assert!(broken(&rig).contains(&Rule::ExecutedOnce));
     // It returns, and clients reach it where they always did.
-    rig.begin(0).expect("a router");
-    assert!(rig.serves(0, PATIENCE));
-    let third = rig.caller(0).expect("a client");
-    assert!(served(rig.history.end(third.checkout("00000000000000a3", 5_000), PATIENCE)));
+    rig.start_router(0).expect("a router");
+    assert!(rig.wait_until_serving(0, PATIENCE));
+    let third = rig.connect_client(0).expect("a client");
+    assert!(served(rig.history.wait_for_outcome(third.checkout("00000000000000a3", 5_000), PATIENCE)));
 }
 
 #[test]
 fn purge_is_forgotten_by_a_router_restarted_while_discovery_is_down() {
     let mut rig = rig();
     let read = |rig: &Rig, r: usize, id: &str| {
-        let caller = rig.caller(r).expect("a client");
-        let end = rig.history.end(caller.read(id, 5, 5_000), PATIENCE);
-        assert!(matches!(end, Some(Some(Final::Served(_)))), "{end:?}");
+        let caller = rig.connect_client(r).expect("a client");
+        let end = rig.history.wait_for_outcome(caller.read(id, 5, 5_000), PATIENCE);
+        assert!(matches!(end, Some(Some(Outcome::Served(_)))), "{end:?}");
     };
     read(&rig, 0, "00000000000000b1");
     let heard = rig.counters(0)["purges"];
     rig.purge(5, &[0]);
     until("the purge is heard", || rig.counters(0)["purges"] > heard);
-    rig.logs.iter().for_each(|l| l.down.store(true, std::sync::atomic::Ordering::SeqCst));
+    rig.change_logs.iter().for_each(|l| l.down.store(true, std::sync::atomic::Ordering::SeqCst));
     rig.kill(0);
-    rig.begin(0).expect("a router");
-    assert!(rig.serves(0, PATIENCE));
+    rig.start_router(0).expect("a router");
+    assert!(rig.wait_until_serving(0, PATIENCE));
     until("the purge is to be heeded", || {
         let (events, _) = rig.history.events();
-        let told = events.iter().find(|e| matches!(e.seen, Seen::Purged { .. })).map(|e| e.at);
-        told.is_some_and(|at| rig.history.now() > at + Limits::default().heed_ms)
+        let told = events.iter().find(|e| matches!(e.event, Event::PurgeAnnounced { .. })).map(|e| e.at_ms);
+        told.is_some_and(|at| rig.history.now_ms() > at + Limits::default().purge_effect_ms)
     });
     read(&rig, 0, "00000000000000b2");
-    assert_eq!(broken(&rig), [Rule::Purged]);
+    assert_eq!(broken(&rig), [Rule::PurgeTakesEffect]);
 }
 
 #[test]
 fn stopped_router_answers_nothing_until_it_is_resumed() {
     let mut rig = rig();
-    let caller = rig.caller(2).expect("a client");
-    rig.stop(2);
-    assert!(!caller.serving(std::time::Duration::from_millis(200)));
+    let caller = rig.connect_client(2).expect("a client");
+    rig.suspend(2);
+    assert!(!caller.is_serving(std::time::Duration::from_millis(200)));
     assert!(rig.counters(2).is_empty());
-    rig.wake(2);
-    assert!(rig.serves(2, PATIENCE));
+    rig.resume(2);
+    assert!(rig.wait_until_serving(2, PATIENCE));
     assert_eq!(broken(&rig), []);
 }
