--- a/crates/emulator/src/rig/archive.rs
+++ b/crates/emulator/src/rig/archive.rs
@@ -1,4 +1,4 @@
-//! The archive behind the stand-in caches: every effect that arrives anywhere runs here and is counted by its id; objects have copies.
+//! The archive behind the stand-in caches: it executes and counts every checkout that reaches any cache, and makes the copies of objects.
 
 use super::history::{Event, History};
 use crate::standin::{unix_ms, Cache, Do, Seen as Fetch};
@@ -6,99 +6,108 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The class of checkouts, in the stand-ins' configuration.
+/// The request class of checkouts in the stand-ins' configuration.
 pub const CHECKOUT_CLASS: &str = "loan";
-/// The class of reads.
+/// The request class of reads in the stand-ins' configuration.
 pub const READ_CLASS: &str = "pages";
 
 #[derive(Default)]
-struct Kept {
-    /// Runs by id.
-    runs: BTreeMap<String, u64>,
-    /// When the copies of each object's parts were made, in Unix milliseconds: an object has one version, whatever part is asked for.
-    copies: BTreeMap<String, u64>,
+struct State {
+    /// Executions of each checkout, by its id.
+    executions: BTreeMap<String, u64>,
+    /// When each object was last copied, in Unix milliseconds. All parts of an object have the same version.
+    copied_at_unix_ms: BTreeMap<String, u64>,
 }
 
-/// What all caches stand before.
+/// The archive that all caches fetch from.
 #[derive(Clone)]
 pub struct Archive {
-    kept: Arc<Mutex<Kept>>,
-    /// How long an effect takes to answer, in milliseconds; it runs when it arrives.
+    state: Arc<Mutex<State>>,
+    /// Delay of the response to a checkout, in milliseconds; the checkout is executed on arrival.
     pub effect_duration_ms: Arc<AtomicU64>,
-    /// The same of a read.
+    /// Delay of the response to a read, in milliseconds.
     pub read_duration_ms: Arc<AtomicU64>,
     history: History,
 }
 
 impl Archive {
-    /// An archive that nothing has run at.
+    /// An archive that has executed nothing yet.
     pub fn new(history: History) -> Self {
         Self {
-            kept: Arc::default(),
+            state: Arc::default(),
             effect_duration_ms: Arc::default(),
             read_duration_ms: Arc::default(),
             history,
         }
     }
 
-    fn kept(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Runs of an id.
+    /// How often the checkout of this id was executed.
     pub fn executions(&self, id: &str) -> u64 {
-        self.kept().runs.get(id).copied().unwrap_or(0)
+        self.state().executions.get(id).copied().unwrap_or(0)
     }
 
-    /// Ids that ran, and runs in all.
+    /// The number of executed checkouts, and of executions.
     pub fn totals(&self) -> (u64, u64) {
-        let kept = self.kept();
-        (kept.runs.len() as u64, kept.runs.values().sum())
+        let state = self.state();
+        (state.executions.len() as u64, state.executions.values().sum())
     }
 
-    /// A cache before it: a copy that is younger than the fetch asks for does, else one is made.
+    /// Starts a cache in front of the archive. The cache answers a read with its copy unless that is older than the fetch allows; then it
+    /// makes a new one.
     pub fn cache(&self) -> Cache {
         let archive = self.clone();
-        Cache::start(move |fetch| archive.answer(fetch))
+        Cache::start(move |fetch| match fetch.field("c") {
+            Some(CHECKOUT_CLASS) => archive.execute_checkout(fetch),
+            _ => archive.read(fetch),
+        })
     }
 
-    fn answer(&self, fetch: &Fetch) -> Do {
+    fn execute_checkout(&self, fetch: &Fetch) -> Do {
         let now = unix_ms();
-        if fetch.field("c") == Some(CHECKOUT_CLASS) {
-            let run = {
-                let mut kept = self.kept();
-                let runs = kept.runs.entry(fetch.id.clone()).or_insert(0);
-                *runs += 1;
-                *runs
-            };
-            self.history.record(Event::Executed { id: fetch.id.clone() });
-            let body = format!("receipt {} run {run}", fetch.id).into_bytes();
-            let ms = self.effect_duration_ms.load(Ordering::SeqCst);
-            return Do::OkWith(ms, format!("ver=1,born={now},note=via_origin,waited=0"), body);
-        }
-        let object = fetch.field("k").unwrap_or("?").to_string();
-        let key = format!("{object}/{}", fetch.field("p").unwrap_or("?"));
-        let oldest: f64 = fetch.field("oldest").and_then(|o| o.parse().ok()).unwrap_or(0.0);
-        let born = {
-            let mut kept = self.kept();
-            let born = kept.copies.entry(object).or_insert(now);
-            if oldest > 0.0 && now.saturating_sub(*born) as f64 > oldest {
-                *born = now;
-            }
-            *born
+        let execution = {
+            let mut state = self.state();
+            let executions = state.executions.entry(fetch.id.clone()).or_insert(0);
+            *executions += 1;
+            *executions
         };
-        let ms = self.read_duration_ms.load(Ordering::SeqCst);
-        let fields = format!("ver={born:x},born={born},note=hit,waited=0");
-        Do::OkWith(ms, fields, copy(&key, born))
+        self.history.record(Event::Executed { id: fetch.id.clone() });
+        let body = format!("receipt {} run {execution}", fetch.id).into_bytes();
+        let delay_ms = self.effect_duration_ms.load(Ordering::SeqCst);
+        Do::OkWith(delay_ms, format!("ver=1,born={now},note=via_origin,waited=0"), body)
+    }
+
+    fn read(&self, fetch: &Fetch) -> Do {
+        let object = fetch.field("k").unwrap_or("?").to_string();
+        let part = format!("{object}/{}", fetch.field("p").unwrap_or("?"));
+        let max_age_ms: f64 = fetch.field("oldest").and_then(|age| age.parse().ok()).unwrap_or(0.0);
+        let copied_at = self.copy_no_older_than(object, max_age_ms);
+        let delay_ms = self.read_duration_ms.load(Ordering::SeqCst);
+        let fields = format!("ver={copied_at:x},born={copied_at},note=hit,waited=0");
+        Do::OkWith(delay_ms, fields, copy_body(&part, copied_at))
+    }
+
+    /// The creation time of a copy of the object, which is made anew if it is too old; 0 allows any age.
+    fn copy_no_older_than(&self, object: String, max_age_ms: f64) -> u64 {
+        let now = unix_ms();
+        let mut state = self.state();
+        let copied_at = state.copied_at_unix_ms.entry(object).or_insert(now);
+        if max_age_ms > 0.0 && now.saturating_sub(*copied_at) as f64 > max_age_ms {
+            *copied_at = now;
+        }
+        *copied_at
     }
 }
 
-/// The bytes of a copy: what it is of, and when it was made.
-fn copy(key: &str, born: u64) -> Vec<u8> {
-    format!("{key}@{born}").into_bytes()
+/// The body of a copy: the object and part, and when the copy was made.
+fn copy_body(part: &str, copied_at: u64) -> Vec<u8> {
+    format!("{part}@{copied_at}").into_bytes()
 }
 
-/// When the copy was made whose bytes these are, in Unix milliseconds; `None` if they are no such bytes.
+/// When the copy with this body was made, in Unix milliseconds; `None` if it is no body of a copy.
 pub fn copy_creation_ms(body: &[u8]) -> Option<u64> {
     std::str::from_utf8(body).ok()?.rsplit_once('@')?.1.parse().ok()
 }
--- a/crates/emulator/src/rig/availability.rs
+++ b/crates/emulator/src/rig/availability.rs
@@ -1,106 +1,113 @@
-//! Which routers a fleet has to do without, and when it is whole again: links up, copies made up.
+//! Which routers are unavailable and which are isolated by that, and waiting for a fleet to recover: links up, tables adopted, registers
+//! replicated.
 
-use super::relay::LinkConditions;
+use super::link::LinkConditions;
 use super::{Event, Rig};
 use crate::standin::comes;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Links between routers have to be up again within this time after a cut or a start.
-pub const JOINED: Duration = Duration::from_secs(10);
-/// Copies of what a lost disk had have to be made up again within this time after the router has come back.
-pub const MADE_UP: Duration = Duration::from_secs(20);
+/// Links between routers have to be up again within this time after a partition heals or a router starts.
+pub const LINKED_WITHIN: Duration = Duration::from_secs(10);
+/// The registers of a lost disk have to be replicated again within this time after their router returned.
+pub const REPLICATED_WITHIN: Duration = Duration::from_secs(20);
 
 impl Rig {
-    /// A router does no longer keep what it promised, or does again.
-    pub(super) fn set_unavailable(&self, router: usize, away: bool) {
+    /// Sets whether a router's replicas are unavailable to the others.
+    pub(super) fn set_unavailable(&self, router: usize, unavailable: bool) {
         {
-            let mut all = self.unavailable.borrow_mut();
-            if away {
-                all.insert(router);
+            let mut routers = self.unavailable.borrow_mut();
+            if unavailable {
+                routers.insert(router);
             } else {
-                all.remove(&router);
+                routers.remove(&router);
             }
         }
         self.record_isolation();
     }
 
-    /// Keeps which routers miss more others than the copies make up for: one of three copies, two of five.
+    /// Records which routers are isolated: those that miss more others than the replicas tolerate, one of three or two of five.
     pub(super) fn record_isolation(&self) {
-        let away = self.unavailable.borrow();
-        for r in 0..self.len() {
-            let whole = |a: usize, b: usize| {
-                let now = self.router_link(a, b).conditions();
-                !now.cut && !now.black_hole
+        let unavailable = self.unavailable.borrow();
+        for router in 0..self.len() {
+            let misses = |other: &usize| {
+                unavailable.contains(other) || !self.is_open(router, *other) || !self.is_open(*other, router)
             };
-            let misses = |o: &usize| away.contains(o) || !whole(r, *o) || !whole(*o, r);
-            let missed = (0..self.len()).filter(|o| *o != r).filter(misses).count();
-            self.history
-                .record(Event::RouterIsolated { router: r, isolated: missed > self.spec.replicas / 2 });
+            let missing = (0..self.len()).filter(|other| *other != router).filter(misses).count();
+            let isolated = missing > self.spec.replicas / 2;
+            self.history.record(Event::RouterIsolated { router, isolated });
         }
     }
 
-    /// All links between routers carry as usual again, and come up: true if they did.
+    /// Whether one direction of a link between routers delivers bytes.
+    fn is_open(&self, from: usize, to: usize) -> bool {
+        let conditions = self.router_link(from, to).conditions();
+        !conditions.cut && !conditions.black_hole
+    }
+
+    /// Removes all faults of the links between routers, and waits until these are up; returns whether they are in time.
     pub fn heal(&self) -> bool {
         self.record_fault("links between routers are healed".into());
-        self.router_links().for_each(|flow| {
-            flow.configure(|s| {
-                *s = LinkConditions { delay_ms: self.default_delay, ..LinkConditions::default() }
-            })
-        });
-        // A router cannot know better before its links are up.
-        let joined = self.wait_until_linked();
+        let healthy = LinkConditions { delay_ms: self.default_delay_ms, ..LinkConditions::default() };
+        self.router_links().for_each(|link| link.configure(|conditions| *conditions = healthy));
+        // Until its links are up a router cannot know more than before, and counts as isolated.
+        let linked = self.wait_until_linked();
         self.record_isolation();
-        joined
+        linked
     }
 
-    /// Waits until all routers that run reach each other.
+    /// Waits until all active routers are linked to each other; returns whether they are in time.
     pub fn wait_until_linked(&self) -> bool {
-        let running: Vec<usize> = (0..self.len()).filter(|r| self.routers[*r].is_active()).collect();
-        let up = |r: &usize| self.count(*r, "peers_up") as usize + 1 >= running.len();
-        !self.spec.fleet || comes(JOINED, || running.iter().all(up))
+        let active: Vec<usize> = self.active_routers().collect();
+        let linked = |router: &usize| self.counter(*router, "peers_up") as usize + 1 >= active.len();
+        !self.spec.fleet || comes(LINKED_WITHIN, || active.iter().all(linked))
     }
 
-    /// Waits until what a router's lost disk had is made up again, since a time when the tables' versions were such: all go by a later table, which
-    /// has the router's new folder in its place. The version changes only when the move is over.
+    /// Waits until the registers that a router lost with its disk are replicated to it again; returns whether they are in time.
+    ///
+    /// `before` has the table versions before the loss. The fleet replaces the router's old folder by its new one in a later table, whose
+    /// version it adopts only when the registers have been moved: that all routers adopted a later version shows that they are replicated.
     pub fn wait_until_replicated(&self, router: usize, before: &BTreeMap<usize, u64>) -> bool {
-        let was = before.values().max().copied().unwrap_or(0);
-        let running = || (0..self.len()).filter(|r| self.routers[*r].is_active());
-        let later = || running().all(|r| self.table_versions().get(&r).is_some_and(|v| *v > was));
-        let made_up = !self.spec.fleet || comes(MADE_UP, later);
-        if made_up {
+        let old_version = before.values().max().copied().unwrap_or(0);
+        let all_later = || {
+            let later =
+                |r: usize| self.table_versions().get(&r).is_some_and(|version| *version > old_version);
+            self.active_routers().all(later)
+        };
+        let replicated = !self.spec.fleet || comes(REPLICATED_WITHIN, all_later);
+        if replicated {
             self.set_unavailable(router, false);
         }
-        made_up
+        replicated
     }
 
-    /// Waits until all routers that run go by a table: the fleet is founded. If not in time, says which do.
+    /// Waits until all active routers have a placement table: the fleet is bootstrapped.
     ///
     /// # Errors
-    /// With each router's epoch.
-    pub fn wait_until_bootstrapped(&self, patience: Duration) -> Result<(), String> {
-        let all = || {
-            (0..self.len())
-                .filter(|r| self.routers[*r].is_active())
-                .all(|r| self.count(r, "table_version") > 0.0)
-        };
-        if !self.spec.fleet || comes(patience, all) {
+    /// If a router has none in time; names the table versions of the others.
+    pub fn wait_until_bootstrapped(&self, timeout: Duration) -> Result<(), String> {
+        let all_have_tables = || self.active_routers().all(|r| self.counter(r, "table_version") > 0.0);
+        if !self.spec.fleet || comes(timeout, all_have_tables) {
             return Ok(());
         }
+        let versions = self.table_versions();
         Err(format!(
-            "the fleet is not founded after {patience:?}, versions by router: {:?}",
-            self.table_versions()
+            "the fleet is not bootstrapped after {timeout:?}; table versions by router: {versions:?}"
         ))
     }
 
-    /// The versions of the tables by which routers go, of those that have one.
+    /// The table version of each active router that has a table.
     pub fn table_versions(&self) -> BTreeMap<usize, u64> {
-        let running = (0..self.len()).filter(|r| self.routers[*r].is_active());
-        let all = running.map(|r| (r, self.count(r, "table_version") as u64));
-        all.filter(|(_, version)| *version > 0).collect()
+        let versions = self.active_routers().map(|r| (r, self.counter(r, "table_version") as u64));
+        versions.filter(|(_, version)| *version > 0).collect()
+    }
+
+    fn active_routers(&self) -> impl Iterator<Item = usize> + '_ {
+        (0..self.len()).filter(|r| self.routers[*r].is_active())
     }
 
-    fn count(&self, router: usize, name: &str) -> f64 {
+    /// One of a router's counters; 0 if the router gives none.
+    fn counter(&self, router: usize, name: &str) -> f64 {
         self.counters(router).get(name).copied().unwrap_or(0.0)
     }
 }
--- a/crates/emulator/src/rig/checker.rs
+++ b/crates/emulator/src/rig/checker.rs
@@ -1,16 +1,21 @@
-//! Whether what was seen is what was promised. It knows the history alone, and nothing of how routers keep their word.
+//! Checks a history against the guarantees that routers give their clients. The history is the only input: the checker knows nothing of how
+//! routers implement the guarantees.
+
+mod checkouts;
+mod linearizability;
+mod observations;
 
 use super::archive::copy_creation_ms;
-use super::history::{Event, Outcome, RequestKind, RequestNumber, TimedEvent};
-use super::linearizability::is_linearizable;
-use std::collections::BTreeMap;
+use super::history::{Outcome, RequestKind, TimedEvent};
+use checkouts::check_checkouts;
+use observations::{Observations, ObservedRequest};
 
-/// Times that the checker grants, in milliseconds.
+/// Tolerances of the checker, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Past the time that a client waits: the users' 50 ms, and what a busy machine adds.
+    /// How late a response may be: the 50 ms that clients allow, and the delays of a busy machine.
     pub response_slack_ms: u64,
-    /// From a purge's event to the first answer that it holds for.
+    /// From the announcement of a purge to the first request that it has to affect.
     pub purge_effect_ms: u64,
 }
 
@@ -20,297 +25,199 @@
     }
 }
 
-/// What must hold.
+/// A guarantee that the checker verifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// A request gets one answer in time and nothing after, unless its router was down.
+    /// A request gets exactly one response, in time, unless its router was down.
     OneResponse,
-    /// No effect runs twice.
+    /// A checkout is executed at most once.
     ExecutedOnce,
-    /// What was served runs, and has the same bytes at every router.
+    /// A served checkout was executed, and every router serves it with the same body.
     SameOutcome,
-    /// What was answered `200` is later answered so or with a failure, never refused. A refusal of a router that was [`Event::RouterIsolated`]
-    /// tells of that presentation alone, since it can know of no other; it counts as [`HistoryCounts::rejected_while_isolated`].
+    /// A checkout that was answered `200` is later answered `200` or with a failure, never rejected. A rejection by an isolated router
+    /// counts as [`HistoryCounts::rejected_while_isolated`] instead: such a router can know of its own attempt only.
     ServedNeverRejected,
-    /// What was refused never ran, neither before the refusal nor by it.
+    /// A rejected request was not executed before its rejection, nor because of it.
     RejectedNeverExecuted,
-    /// The answers of all routers on one checkout are those of one register.
+    /// The responses of all routers to one checkout are linearizable as those of one register.
     Linearizable,
     /// After a purge only copies made since are served.
     PurgeTakesEffect,
-    /// The history is whole.
+    /// The history has all events.
     HistoryComplete,
 }
 
-/// A rule broken: which, and how.
+impl Rule {
+    /// All rules.
+    pub const ALL: [Self; 8] = [
+        Self::OneResponse,
+        Self::ExecutedOnce,
+        Self::SameOutcome,
+        Self::ServedNeverRejected,
+        Self::RejectedNeverExecuted,
+        Self::Linearizable,
+        Self::PurgeTakesEffect,
+        Self::HistoryComplete,
+    ];
+
+    /// The rule's name in figures.
+    pub(super) fn figure_name(self) -> &'static str {
+        match self {
+            Self::OneResponse => "one_answer",
+            Self::ExecutedOnce => "once",
+            Self::SameOutcome => "same_outcome",
+            Self::ServedNeverRejected => "kept_word",
+            Self::RejectedNeverExecuted => "refused_never_ran",
+            Self::Linearizable => "linearizable",
+            Self::PurgeTakesEffect => "purged",
+            Self::HistoryComplete => "whole",
+        }
+    }
+}
+
+/// A violated rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// How, with the ids and times.
+    /// What happened, with ids and times.
     pub description: String,
 }
 
-/// What a history counted, for what an experiment means to provoke.
+/// What a history contains, so that an experiment can verify that it provoked what it meant to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HistoryCounts {
-    /// Requests.
+    /// Requests that clients sent.
     pub requests: u64,
-    /// Answered `200`.
+    /// Requests answered `200`.
     pub served: u64,
-    /// Answered `503`.
+    /// Requests answered `503`.
     pub rejected: u64,
-    /// Refused by a router that was [`Event::RouterIsolated`].
+    /// Requests rejected by a router that was isolated.
     pub rejected_while_isolated: u64,
-    /// Answered with another word.
+    /// Requests answered with another status.
     pub failed: u64,
-    /// Lost with their connection, or never answered, while their router was down; and those whose client went.
+    /// Requests without a response because their router was down or their client disconnected.
     pub lost: u64,
     /// Checkouts, by their ids.
     pub checkouts: u64,
-    /// Of those, presented more than once.
+    /// Checkouts that were presented more than once.
     pub checkouts_presented_again: u64,
-    /// Of those, answered `200` by more than one router.
+    /// Checkouts that more than one router answered `200`.
     pub served_by_several_routers: u64,
-    /// Effects that ran, and those that ran more than once.
+    /// Checkouts that were executed.
     pub executed: u64,
-    /// See `ran`.
+    /// Checkouts that were executed more than once.
     pub executed_more_than_once: u64,
-    /// Of the latter, those that were never presented twice at once: each time the one before had ended, or its time was up.
+    /// Checkouts that were executed more than once although clients presented them one after another: each time the previous request had
+    /// ended, or its deadline had passed.
     pub executed_again_after_resend: u64,
     /// Reads served from a copy made after a purge of the object.
     pub reads_after_purge: u64,
 }
 
-/// A request, with all that came back.
-pub(super) struct One<'a> {
-    pub(super) router: usize,
-    id: &'a str,
-    about: &'a RequestKind,
-    within: u64,
-    pub(super) asked: u64,
-    ends: Vec<(u64, &'a Outcome)>,
-    lost: Option<u64>,
-    left: bool,
-}
-
-impl One<'_> {
-    pub(super) fn end(&self) -> Option<(u64, &Outcome)> {
-        self.ends.first().copied()
-    }
-
-    fn refused_at(&self) -> Option<u64> {
-        self.end().filter(|(_, end)| matches!(end, Outcome::Rejected { .. })).map(|(at, _)| at)
-    }
-}
-
-/// Spans in which something was so, by router; the last may be open.
+/// Violations and counts as they accumulate.
 #[derive(Default)]
-pub(super) struct Spans(BTreeMap<usize, Vec<(u64, u64)>>);
-
-impl Spans {
-    fn mark(&mut self, router: usize, at: u64, so: bool) {
-        let spans = self.0.entry(router).or_default();
-        match (spans.last_mut().filter(|s| s.1 == u64::MAX), so) {
-            (None, true) => spans.push((at, u64::MAX)),
-            (Some(open), false) => open.1 = at,
-            (None, false) | (Some(_), true) => {}
-        }
-    }
+struct Report {
+    violations: Vec<Violation>,
+    counts: HistoryCounts,
+}
 
-    pub(super) fn meet(&self, router: usize, from: u64, to: u64) -> bool {
-        self.0.get(&router).is_some_and(|all| all.iter().any(|s| s.0 <= to && s.1 >= from))
+impl Report {
+    fn violation(&mut self, rule: Rule, description: String) {
+        self.violations.push(Violation { rule, description });
     }
 }
 
-/// Holds a history against the rules; gives what is broken, and what was counted.
+/// Checks a history; returns the violations and the counts.
 pub fn check_history(
     events: &[TimedEvent],
-    left_out: u64,
+    omitted_events: u64,
     limits: &Limits,
 ) -> (Vec<Violation>, HistoryCounts) {
-    let mut broken = Vec::new();
-    let mut break_rule = |rule, words: String| broken.push(Violation { rule, description: words });
-    let mut counted = HistoryCounts::default();
-    if left_out > 0 {
-        break_rule(Rule::HistoryComplete, format!("{left_out} events were left out"));
+    let mut report = Report::default();
+    if omitted_events > 0 {
+        report.violation(Rule::HistoryComplete, format!("{omitted_events} events were omitted"));
     }
-    let mut asks: BTreeMap<RequestNumber, One<'_>> = BTreeMap::new();
-    let mut runs: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
-    let mut purges: BTreeMap<u64, Vec<(u64, u64)>> = BTreeMap::new();
-    let (mut down, mut apart) = (Spans::default(), Spans::default());
-    let last = events.last().map_or(0, |e| e.at_ms);
-    for TimedEvent { at_ms: at, event: seen } in events {
-        match seen {
-            Event::RequestSent { request: ask, router, id, kind: about, timeout_ms: within } => {
-                let one = One {
-                    router: *router,
-                    id,
-                    about,
-                    within: *within,
-                    asked: *at,
-                    ends: vec![],
-                    lost: None,
-                    left: false,
-                };
-                asks.insert(*ask, one);
-            }
-            Event::ResponseReceived { request: ask, outcome: end } => match asks.get_mut(ask) {
-                Some(one) => one.ends.push((*at, end)),
-                None => break_rule(Rule::OneResponse, format!("an answer to nothing at {at} ms: {end:?}")),
-            },
-            Event::ConnectionLost(ask) => {
-                if let Some(one) = asks.get_mut(ask) {
-                    one.lost = Some(*at);
-                }
-            }
-            Event::ClientDisconnected(ask) => {
-                if let Some(one) = asks.get_mut(ask) {
-                    one.left = true;
-                }
-            }
-            Event::Executed { id } => runs.entry(id).or_default().push(*at),
-            Event::PurgeAnnounced { object, purged_at_unix_ms: unix, .. } => {
-                purges.entry(*object).or_default().push((*at, *unix))
-            }
-            Event::RouterDown { router, down: so } => down.mark(*router, *at, *so),
-            Event::RouterIsolated { router, isolated: so } => apart.mark(*router, *at, *so),
-            Event::Fault(_) => {}
-        }
+    let observations = Observations::collect(events);
+    for (at_ms, outcome) in &observations.unmatched_responses {
+        let description = format!("a response to no request at {at_ms} ms: {outcome:?}");
+        report.violation(Rule::OneResponse, description);
     }
-    for one in asks.values() {
-        counted.requests += 1;
-        let due = one.asked + one.within + limits.response_slack_ms;
-        let excused = down.meet(one.router, one.asked, due);
-        let what = format!("{} at router {} at {} ms", one.id, one.router, one.asked);
-        match one.end() {
-            Some((at, Outcome::Served(_))) => {
-                counted.served += 1;
-                if at > due && !excused {
-                    break_rule(Rule::OneResponse, format!("{what}: served late, at {at} ms"));
-                }
-            }
-            Some((at, Outcome::Rejected { .. })) => {
-                counted.rejected += 1;
-                counted.rejected_while_isolated += u64::from(apart.meet(one.router, one.asked, at));
-            }
-            Some((_, Outcome::Failed(_))) => counted.failed += 1,
-            None if excused || one.left => counted.lost += 1,
-            None if one.lost.is_none() && last < due => {}
-            None => break_rule(Rule::OneResponse, format!("{what}: no answer, lost at {:?}", one.lost)),
-        }
-        if one.ends.len() > 1 {
-            break_rule(Rule::OneResponse, format!("{what}: {} answers", one.ends.len()));
-        }
-        if let (RequestKind::Read { object }, Some((_, Outcome::Served(bytes)))) = (one.about, one.end()) {
-            let told = purges.get(object).into_iter().flatten();
-            let held =
-                told.filter(|(at, _)| at + limits.purge_effect_ms <= one.asked).map(|(_, unix)| *unix).max();
-            match (held, copy_creation_ms(bytes)) {
-                (_, None) => break_rule(Rule::SameOutcome, format!("{what}: bytes of no copy")),
-                (Some(unix), Some(born)) if born < unix => {
-                    break_rule(
-                        Rule::PurgeTakesEffect,
-                        format!("{what}: a copy made {} ms before its purge", unix - born),
-                    );
-                }
-                (Some(_), Some(_)) => counted.reads_after_purge += 1,
-                (None, Some(_)) => {}
-            }
-        }
+    for request in observations.requests.values() {
+        check_response(&mut report, request, &observations, limits);
+        check_purges(&mut report, request, &observations, limits);
     }
-    let mut checkouts: BTreeMap<&str, Vec<&One<'_>>> = BTreeMap::new();
-    for one in asks.values().filter(|one| *one.about == RequestKind::Checkout) {
-        checkouts.entry(one.id).or_default().push(one);
-    }
-    for (id, ran) in &runs {
-        counted.executed += 1;
-        if ran.len() > 1 {
-            counted.executed_more_than_once += 1;
-            break_rule(Rule::ExecutedOnce, format!("{id} ran {} times, at {ran:?} ms", ran.len()));
-        }
-    }
-    for (id, presented) in &checkouts {
-        counted.checkouts += 1;
-        counted.checkouts_presented_again += u64::from(presented.len() > 1);
-        let ran = runs.get(id).and_then(|r| r.first()).copied();
-        let served = |one: &&&One<'_>| matches!(one.end(), Some((_, Outcome::Served(_))));
-        let mut routers: Vec<usize> = presented.iter().filter(served).map(|one| one.router).collect();
-        routers.sort_unstable();
-        routers.dedup();
-        counted.served_by_several_routers += u64::from(routers.len() > 1);
-        if runs.get(id).is_some_and(|r| r.len() > 1) {
-            let over =
-                |one: &One<'_>| one.end().map(|(at, _)| at).or(one.lost).unwrap_or(one.asked + one.within);
-            let apart = presented.windows(2).all(|two| over(two[0]) <= two[1].asked);
-            counted.executed_again_after_resend += u64::from(apart);
-        }
-        outcomes(id, presented, ran, &apart, &mut break_rule);
-        refusals(id, presented, ran, &apart, &mut break_rule);
-        if !is_linearizable(presented, ran, &apart) {
-            break_rule(Rule::Linearizable, format!("{id}: no order of its answers is that of one register"));
-        }
-    }
-    (broken, counted)
+    check_checkouts(&mut report, &observations);
+    (report.violations, report.counts)
 }
 
-fn outcomes(
-    id: &str,
-    presented: &[&One<'_>],
-    ran: Option<u64>,
-    apart: &Spans,
-    break_rule: &mut impl FnMut(Rule, String),
+/// Checks that a request got exactly one response in time, and counts it by its outcome.
+fn check_response(
+    report: &mut Report,
+    request: &ObservedRequest<'_>,
+    observations: &Observations<'_>,
+    limits: &Limits,
 ) {
-    let mut first: Option<(u64, &[u8])> = None;
-    let mut ends: Vec<_> = presented.iter().filter_map(|one| Some((one, one.end()?))).collect();
-    ends.sort_by_key(|(_, (at, _))| *at);
-    for (one, (at, end)) in ends {
-        match (end, first) {
-            (Outcome::Served(bytes), None) => {
-                first = Some((at, bytes));
-                if ran.is_none_or(|r| r > at) {
-                    break_rule(Rule::SameOutcome, format!("{id}: served at {at} ms, ran at {ran:?}"));
-                }
-            }
-            (Outcome::Served(bytes), Some((_, others))) => {
-                if bytes != others {
-                    let words = format!("{id}: router {} served other bytes at {at} ms", one.router);
-                    break_rule(Rule::SameOutcome, words);
-                }
+    let due_ms = request.sent_at_ms + request.timeout_ms + limits.response_slack_ms;
+    let router_was_down = observations.down.overlaps(request.router, request.sent_at_ms, due_ms);
+    let counts = &mut report.counts;
+    counts.requests += 1;
+    match request.outcome() {
+        Some((at_ms, Outcome::Served(_))) => {
+            counts.served += 1;
+            if at_ms > due_ms && !router_was_down {
+                report.violation(Rule::OneResponse, format!("{request}: served late, at {at_ms} ms"));
             }
-            (Outcome::Rejected { .. }, Some((served, _)))
-                if one.asked > served && !apart.meet(one.router, one.asked, at) =>
-            {
-                let words =
-                    format!("{id}: served at {served} ms, refused by router {} at {at} ms", one.router);
-                break_rule(Rule::ServedNeverRejected, words);
-            }
-            (Outcome::Rejected { .. } | Outcome::Failed(_), _) => {}
         }
+        Some((at_ms, Outcome::Rejected { .. })) => {
+            let isolated = observations.isolated.overlaps(request.router, request.sent_at_ms, at_ms);
+            counts.rejected += 1;
+            counts.rejected_while_isolated += u64::from(isolated);
+        }
+        Some((_, Outcome::Failed(_))) => counts.failed += 1,
+        None if router_was_down || request.client_disconnected => counts.lost += 1,
+        // The history ends before the response is due.
+        None if request.connection_lost_at_ms.is_none() && observations.end_ms < due_ms => {}
+        None => {
+            let lost_at = request.connection_lost_at_ms;
+            report.violation(
+                Rule::OneResponse,
+                format!("{request}: no response, connection lost at {lost_at:?}"),
+            );
+        }
+    }
+    let responses = request.responses.len();
+    if responses > 1 {
+        report.violation(Rule::OneResponse, format!("{request}: {responses} responses"));
     }
 }
 
-/// See the note on [`Rule::ServedNeverRejected`] for refusals of routers that were cut off.
-fn refusals(
-    id: &str,
-    presented: &[&One<'_>],
-    ran: Option<u64>,
-    apart: &Spans,
-    break_rule: &mut impl FnMut(Rule, String),
+/// Checks that a read was served a copy made after the last purge that had to take effect by then.
+fn check_purges(
+    report: &mut Report,
+    request: &ObservedRequest<'_>,
+    observations: &Observations<'_>,
+    limits: &Limits,
 ) {
-    let Some(ran) = ran else { return };
-    for one in presented {
-        let Some(at) = one.refused_at() else { continue };
-        if ran <= at && !apart.meet(one.router, one.asked, at) {
-            let words = format!("{id}: ran at {ran} ms, refused by router {} at {at} ms", one.router);
-            break_rule(Rule::RejectedNeverExecuted, words);
-        }
-    }
-    let by = |one: &&&One<'_>| one.asked <= ran && one.refused_at().is_none_or(|at| at >= ran);
-    if !presented.iter().any(|one| by(&one)) {
-        break_rule(
-            Rule::RejectedNeverExecuted,
-            format!("{id}: ran at {ran} ms, when all who had asked were refused"),
+    let (RequestKind::Read { object }, Some((_, Outcome::Served(body)))) = (request.kind, request.outcome())
+    else {
+        return;
+    };
+    let Some(copied_at) = copy_creation_ms(body) else {
+        report.violation(Rule::SameOutcome, format!("{request}: the body is not that of a copy"));
+        return;
+    };
+    let announced = observations.purges.get(object).into_iter().flatten();
+    let in_effect = announced.filter(|p| p.announced_at_ms + limits.purge_effect_ms <= request.sent_at_ms);
+    let Some(purged_at) = in_effect.map(|p| p.purged_at_unix_ms).max() else { return };
+    if copied_at < purged_at {
+        let age = purged_at - copied_at;
+        report.violation(
+            Rule::PurgeTakesEffect,
+            format!("{request}: served a copy made {age} ms before its purge"),
         );
+    } else {
+        report.counts.reads_after_purge += 1;
     }
 }
--- a/crates/emulator/src/rig/client_connection.rs
+++ b/crates/emulator/src/rig/client_connection.rs
@@ -1,4 +1,4 @@
-//! A client of the rig: one connection to one router, which keeps what it sends and reads in the history.
+//! A client of the rig: one connection to one router. It records what it sends and receives in the history.
 
 use super::archive::{CHECKOUT_CLASS, READ_CLASS};
 use super::history::{Event, History, Outcome, RequestKind, RequestNumber};
@@ -10,162 +10,228 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A connection that is not taken in this time counts as none.
-const CONNECT: Duration = Duration::from_secs(2);
-/// The tag under which `PING` is sent; requests' tags stay below.
-const PING: u64 = 999_999_999;
+/// How long a connection attempt may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The tag of `PING`; the tags of requests stay below it.
+const PING_TAG: u64 = 999_999_999;
+/// The body of a checkout.
+const CHECKOUT_BODY: &[u8] = b"borrow";
+/// The object that all checkouts are of.
+const CHECKOUT_OBJECT: u64 = 1;
 
+/// A request of a connection.
+struct TaggedRequest {
+    number: RequestNumber,
+    answered: bool,
+}
+
+/// What the connection and its reading thread share.
 #[derive(Default)]
-struct Open {
-    /// Asks by tag: kept after their end, so that what comes after it is seen.
-    asks: BTreeMap<u64, (RequestNumber, bool)>,
-    tags: u64,
+struct State {
+    /// The requests by tag. Answered ones are kept, so that a second response is noticed.
+    requests: BTreeMap<u64, TaggedRequest>,
+    last_tag: u64,
     serving: bool,
-    over: bool,
+    closed: bool,
+}
+
+impl State {
+    fn unanswered(&self) -> Vec<RequestNumber> {
+        self.requests.values().filter(|r| !r.answered).map(|r| r.number).collect()
+    }
 }
 
 /// A client's connection to a router.
 pub struct ClientConnection {
     router: usize,
     socket: TcpStream,
-    open: Arc<Mutex<Open>>,
+    state: Arc<Mutex<State>>,
     history: History,
 }
 
-fn locked(open: &Mutex<Open>) -> MutexGuard<'_, Open> {
-    open.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
+    state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+}
+
+/// A request as it is to be written.
+struct Message<'a> {
+    id: &'a str,
+    kind: RequestKind,
+    timeout_ms: u64,
+    class: &'a str,
+    object: u64,
+    body: &'a [u8],
+    /// Whether the id has been or is presented elsewhere; the client has to say so.
+    presented_again: bool,
 }
 
 impl ClientConnection {
-    /// Connects to a router at that address.
-    pub fn connect(router: usize, at: SocketAddr, history: &History) -> Result<Self, String> {
-        let say = |e: std::io::Error| format!("router {router} at {at}: {e}");
-        let socket = TcpStream::connect_timeout(&at, CONNECT).map_err(say)?;
+    /// Connects to a router at an address.
+    pub fn connect(router: usize, address: SocketAddr, history: &History) -> Result<Self, String> {
+        let error = |e: std::io::Error| format!("connecting to router {router} at {address}: {e}");
+        let socket = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).map_err(error)?;
         let _ = socket.set_nodelay(true);
-        let open = Arc::new(Mutex::new(Open::default()));
-        let (from, seen, into) = (socket.try_clone().map_err(say)?, history.clone(), Arc::clone(&open));
+        let state = Arc::new(Mutex::new(State::default()));
+        let reader = Reader {
+            socket: socket.try_clone().map_err(error)?,
+            state: Arc::clone(&state),
+            history: history.clone(),
+        };
         std::thread::Builder::new()
-            .name("caller".into())
-            .spawn(move || read(from, &into, &seen))
-            .map_err(|e| e.to_string())?;
-        Ok(Self { router, socket, open, history: history.clone() })
+            .name("client".into())
+            .spawn(move || reader.run())
+            .map_err(|e| format!("starting a client's thread: {e}"))?;
+        Ok(Self { router, socket, state, history: history.clone() })
     }
 
-    /// Whether its connection has ended.
+    /// Whether the connection has ended.
     pub fn is_closed(&self) -> bool {
-        locked(&self.open).over
+        lock(&self.state).closed
     }
 
-    /// Asks whether the router serves, and whether it said so within a time.
-    pub fn is_serving(&self, patience: Duration) -> bool {
+    /// Asks whether the router is serving; returns whether it confirms that in time.
+    pub fn is_serving(&self, timeout: Duration) -> bool {
         let mut socket = &self.socket;
-        if socket.write_all(&encode(&[b"PING", PING.to_string().as_bytes(), b""])).is_err() {
+        if socket.write_all(&encode(&[b"PING", PING_TAG.to_string().as_bytes(), b""])).is_err() {
             return false;
         }
-        comes(patience, || locked(&self.open).serving || self.is_closed()) && locked(&self.open).serving
+        comes(timeout, || lock(&self.state).serving || self.is_closed()) && lock(&self.state).serving
     }
 
-    /// Presents a checkout of that id, for a client that waits so many milliseconds.
-    pub fn checkout(&self, id: &str, within: u64) -> RequestNumber {
-        let before =
-            self.history.count_events(|s| matches!(s, Event::RequestSent { id: other, .. } if other == id));
-        self.ask(id, (RequestKind::Checkout, before > 0), within, CHECKOUT_CLASS, 1, b"borrow")
+    /// Presents a checkout.
+    pub fn checkout(&self, id: &str, timeout_ms: u64) -> RequestNumber {
+        let same_id = |event: &Event| matches!(event, Event::RequestSent { id: other, .. } if other == id);
+        let presented_again = self.history.count_events(same_id) > 0;
+        self.send_checkout(id, timeout_ms, presented_again)
     }
 
-    /// The same of one that is presented elsewhere at once, and says so.
-    pub fn checkout_concurrently(&self, id: &str, within: u64) -> RequestNumber {
-        self.ask(id, (RequestKind::Checkout, true), within, CHECKOUT_CLASS, 1, b"borrow")
+    /// Presents a checkout that is presented to another router at the same time.
+    pub fn checkout_concurrently(&self, id: &str, timeout_ms: u64) -> RequestNumber {
+        self.send_checkout(id, timeout_ms, true)
     }
 
-    /// Goes, whatever it waits for.
-    pub fn disconnect(self) {
-        let open: Vec<RequestNumber> =
-            locked(&self.open).asks.values().filter(|a| !a.1).map(|a| a.0).collect();
-        open.into_iter().for_each(|ask| self.history.record(Event::ClientDisconnected(ask)));
+    fn send_checkout(&self, id: &str, timeout_ms: u64, presented_again: bool) -> RequestNumber {
+        self.send(Message {
+            id,
+            kind: RequestKind::Checkout,
+            timeout_ms,
+            class: CHECKOUT_CLASS,
+            object: CHECKOUT_OBJECT,
+            body: CHECKOUT_BODY,
+            presented_again,
+        })
+    }
+
+    /// Reads the first part of an object.
+    pub fn read(&self, id: &str, object: u64, timeout_ms: u64) -> RequestNumber {
+        self.send(Message {
+            id,
+            kind: RequestKind::Read { object },
+            timeout_ms,
+            class: READ_CLASS,
+            object,
+            body: b"",
+            presented_again: false,
+        })
     }
 
-    /// Reads an object's first part.
-    pub fn read(&self, id: &str, object: u64, within: u64) -> RequestNumber {
-        self.ask(id, (RequestKind::Read { object }, false), within, READ_CLASS, object, b"")
+    /// Disconnects without waiting for responses.
+    pub fn disconnect(self) {
+        let unanswered = lock(&self.state).unanswered();
+        unanswered.into_iter().for_each(|request| self.history.record(Event::ClientDisconnected(request)));
     }
 
-    fn ask(
-        &self,
-        id: &str,
-        (about, again): (RequestKind, bool),
-        within: u64,
-        class: &str,
-        object: u64,
-        body: &[u8],
-    ) -> RequestNumber {
-        let ask = self.history.next_request_number();
-        let (tag, taken) = {
-            let mut open = locked(&self.open);
-            open.tags += 1;
-            let (tag, taken) = (open.tags, !open.over);
-            if taken {
-                open.asks.insert(tag, (ask, false));
+    fn send(&self, message: Message<'_>) -> RequestNumber {
+        let request = self.history.next_request_number();
+        let (tag, open) = {
+            let mut state = lock(&self.state);
+            state.last_tag += 1;
+            let (tag, open) = (state.last_tag, !state.closed);
+            if open {
+                state.requests.insert(tag, TaggedRequest { number: request, answered: false });
             }
-            (tag, taken)
+            (tag, open)
         };
-        // Whoever presents an id more than once says so.
-        let again = if again { ",again=1" } else { "" };
-        let fields = format!("i={id},d={within},o={object:016x},nth=0,batch=17{again}");
-        let bytes = encode(&[b"DO", tag.to_string().as_bytes(), class.as_bytes(), fields.as_bytes(), body]);
-        let seen = Event::RequestSent {
-            request: ask,
+        let bytes = message.encode(tag);
+        self.history.record(Event::RequestSent {
+            request,
             router: self.router,
-            id: id.to_string(),
-            kind: about,
-            timeout_ms: within,
-        };
-        self.history.record(seen);
+            id: message.id.to_string(),
+            kind: message.kind,
+            timeout_ms: message.timeout_ms,
+        });
         let mut socket = &self.socket;
-        if !taken {
-            self.history.record(Event::ConnectionLost(ask));
+        if !open {
+            self.history.record(Event::ConnectionLost(request));
         } else if socket.write_all(&bytes).is_err() {
-            // The reader then finds the connection over, and keeps what was lost with it.
+            // The reader then finds the connection closed, and records its unanswered requests as lost.
             let _ = self.socket.shutdown(Shutdown::Both);
         }
-        ask
+        request
     }
 }
 
-fn read(mut socket: TcpStream, open: &Mutex<Open>, history: &History) {
-    let mut decoder = Decoder::new(WIDE);
-    let mut room = [0; 16 * 1024];
-    while let Ok(n @ 1..) = socket.read(&mut room) {
-        decoder.feed(&room[..n]);
-        while let Ok(Some(words)) = decoder.next_message() {
-            let text = |i: usize| words.get(i).and_then(|w| std::str::from_utf8(w).ok()).unwrap_or("");
-            let Ok(tag) = text(0).parse::<u64>() else { continue };
-            if tag == PING {
-                locked(open).serving |= text(1) == "serving";
-                continue;
+impl Message<'_> {
+    fn encode(&self, tag: u64) -> Vec<u8> {
+        let Self { id, timeout_ms, object, .. } = self;
+        let again = if self.presented_again { ",again=1" } else { "" };
+        let fields = format!("i={id},d={timeout_ms},o={object:016x},nth=0,batch=17{again}");
+        let tag = tag.to_string();
+        encode(&[b"DO", tag.as_bytes(), self.class.as_bytes(), fields.as_bytes(), self.body])
+    }
+}
+
+/// The reading side of a connection, on a thread of its own.
+struct Reader {
+    socket: TcpStream,
+    state: Arc<Mutex<State>>,
+    history: History,
+}
+
+impl Reader {
+    /// Reads responses until the connection ends.
+    fn run(mut self) {
+        let mut decoder = Decoder::new(WIDE);
+        let mut buffer = [0; 16 * 1024];
+        while let Ok(n @ 1..) = self.socket.read(&mut buffer) {
+            decoder.feed(&buffer[..n]);
+            while let Ok(Some(elements)) = decoder.next_message() {
+                self.on_message(&elements);
             }
-            let ask = locked(open).asks.get_mut(&tag).map(|(ask, ended)| {
-                *ended = true;
-                *ask
-            });
-            let Some(ask) = ask else { continue };
-            let end = match text(1) {
-                "200" => Outcome::Served(words.get(3).cloned().unwrap_or_default()),
-                "503" => {
-                    let fields = words.get(2).map(Vec::as_slice).unwrap_or_default();
-                    let wait = Fields::parse(fields).and_then(|f| f.decimal("w"));
-                    Outcome::Rejected { retry_after_ms: wait.map(|w| w as u64) }
-                }
-                other => Outcome::Failed(other.to_string()),
-            };
-            history.record(Event::ResponseReceived { request: ask, outcome: end });
         }
+        let unanswered = {
+            let mut state = lock(&self.state);
+            state.closed = true;
+            let unanswered = state.unanswered();
+            state.requests.clear();
+            unanswered
+        };
+        unanswered.into_iter().for_each(|request| self.history.record(Event::ConnectionLost(request)));
+    }
+
+    fn on_message(&self, elements: &[Vec<u8>]) {
+        let text = |i: usize| elements.get(i).and_then(|e| std::str::from_utf8(e).ok()).unwrap_or("");
+        let Ok(tag) = text(0).parse::<u64>() else { return };
+        if tag == PING_TAG {
+            lock(&self.state).serving |= text(1) == "serving";
+            return;
+        }
+        let request = lock(&self.state).requests.get_mut(&tag).map(|request| {
+            request.answered = true;
+            request.number
+        });
+        let Some(request) = request else { return };
+        let outcome = match text(1) {
+            "200" => Outcome::Served(elements.get(3).cloned().unwrap_or_default()),
+            "503" => {
+                let fields = elements.get(2).map(Vec::as_slice).unwrap_or_default();
+                let wait_ms = Fields::parse(fields).and_then(|fields| fields.decimal("w"));
+                Outcome::Rejected { retry_after_ms: wait_ms.map(|ms| ms as u64) }
+            }
+            status => Outcome::Failed(status.to_string()),
+        };
+        self.history.record(Event::ResponseReceived { request, outcome });
     }
-    let left: Vec<RequestNumber> = {
-        let mut open = locked(open);
-        open.over = true;
-        std::mem::take(&mut open.asks).into_values().filter(|(_, ended)| !ended).map(|(ask, _)| ask).collect()
-    };
-    left.into_iter().for_each(|ask| history.record(Event::ConnectionLost(ask)));
 }
 
 impl Drop for ClientConnection {
--- a/crates/emulator/src/rig/faults/purge_receiver_loss.rs
+++ b/crates/emulator/src/rig/faults/purge_receiver_loss.rs
@@ -1,55 +1,70 @@
-//! A purge told to one router alone, which dies with its disk before all restart without discovery.
+//! A purge that only one router receives: the router is lost with its disk, and then all routers restart while the change log is down. The
+//! other routers have to know the purge from the registers.
 
-use super::{FaultInjector, MENDED};
-use crate::rig::{Limits, Outcome, Rig};
+use super::{FaultInjector, SERVING_WITHIN};
+use crate::rig::{Limits, Outcome};
 use crate::standin::comes;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-impl FaultInjector<'_> {
-    /// Reads an object through a router; whether it was served.
-    fn reads(&mut self, router: usize, object: u64) -> bool {
-        self.ids += 1;
-        let Ok(caller) = self.rig.connect_client(router) else { return false };
-        let ask = caller.read(&format!("{:016x}", self.ids), object, 3_000);
-        matches!(self.rig.history.wait_for_outcome(ask, MENDED), Some(Some(Outcome::Served(_))))
-    }
+/// How long the fault's reads wait, in milliseconds.
+const READ_TIMEOUT_MS: u64 = 3_000;
 
-    pub(super) fn lose_purge_receiver(&mut self, a: usize) {
-        let n = self.rig.len();
-        self.object += 1;
-        let object = self.object;
-        if !self.reads((a + 1) % n, object) {
-            self.unrecovered.push("an object was not read before its purge".into());
+impl FaultInjector<'_> {
+    pub(super) fn lose_purge_receiver(&mut self, receiver: usize) {
+        let routers = self.rig.len();
+        self.last_object += 1;
+        let object = self.last_object;
+        if !self.read((receiver + 1) % routers, object) {
+            self.unrecovered.push("an object could not be read before its purge".into());
         }
-        let kept = |rig: &Rig| rig.counters(a).get("holds_kept").copied();
-        let before = kept(self.rig);
-        self.rig.purge(object, &[a]);
-        let told = self.rig.history.now_ms();
-        if self.rig.spec.fleet && before.is_some() {
-            let rig = &*self.rig;
-            if !comes(MENDED, || kept(rig) > before) {
-                self.unrecovered.push(format!("router {a} does not keep a purge"));
+        self.purge_at(receiver, object);
+        self.set_change_logs_down(true);
+        let versions_before = self.rig.table_versions();
+        let wiped = self.rig.kill_and_wipe(receiver);
+        self.unrecovered.extend(wiped.err());
+        self.all_but(receiver).into_iter().for_each(|router| self.rig.kill(router));
+        (0..routers).for_each(|router| self.start_router(router));
+        (0..routers).for_each(|router| self.wait_until_serving(router));
+        for router in 0..routers {
+            if !self.read(router, object) {
+                let description =
+                    format!("router {router} serves no read after a restart without the change log");
+                self.unrecovered.push(description);
             }
         }
-        // From here on it holds, as for any client.
-        let heeded = (told + Limits::default().purge_effect_ms).saturating_sub(self.rig.history.now_ms());
-        std::thread::sleep(Duration::from_millis(heeded));
-        self.rig.change_logs.iter().for_each(|l| l.down.store(true, Ordering::SeqCst));
-        let versions = self.rig.table_versions();
-        let gone = self.rig.kill_and_wipe(a);
-        self.unrecovered.extend(gone.err());
-        (0..n).filter(|r| *r != a).for_each(|r| self.rig.kill(r));
-        (0..n).for_each(|r| self.begin(r));
-        (0..n).for_each(|r| self.serves(r));
-        for r in 0..n {
-            if !self.reads(r, object) {
-                self.unrecovered
-                    .push(format!("router {r} does not read after it restarted without discovery"));
+        self.set_change_logs_down(false);
+        self.wait_until_replicated(receiver, &versions_before);
+        self.heal();
+    }
+
+    /// Purges an object at one router, and waits until the purge is replicated and has to take effect for clients.
+    fn purge_at(&mut self, receiver: usize, object: u64) {
+        let committed = |injector: &Self| injector.rig.counters(receiver).get("holds_kept").copied();
+        let committed_before = committed(self);
+        self.rig.purge(object, &[receiver]);
+        let purged_at_ms = self.rig.history.now_ms();
+        if self.rig.spec.fleet && committed_before.is_some() {
+            let this = &*self;
+            if !comes(SERVING_WITHIN, || committed(this) > committed_before) {
+                self.unrecovered.push(format!("router {receiver} does not replicate a purge"));
             }
         }
-        self.rig.change_logs.iter().for_each(|l| l.down.store(false, Ordering::SeqCst));
-        self.made_up(a, &versions);
-        self.heals();
+        let effective_at_ms = purged_at_ms + Limits::default().purge_effect_ms;
+        let remaining_ms = effective_at_ms.saturating_sub(self.rig.history.now_ms());
+        std::thread::sleep(Duration::from_millis(remaining_ms));
+    }
+
+    fn set_change_logs_down(&self, down: bool) {
+        self.rig.change_logs.iter().for_each(|log| log.down.store(down, Ordering::SeqCst));
+    }
+
+    /// Reads an object through a router; returns whether it was served.
+    fn read(&mut self, router: usize, object: u64) -> bool {
+        self.last_id += 1;
+        let Ok(client) = self.rig.connect_client(router) else { return false };
+        let request = client.read(&format!("{:016x}", self.last_id), object, READ_TIMEOUT_MS);
+        let outcome = self.rig.history.wait_for_outcome(request, SERVING_WITHIN);
+        matches!(outcome, Some(Some(Outcome::Served(_))))
     }
 }
--- a/crates/emulator/src/rig/faults/tests.rs
+++ b/crates/emulator/src/rig/faults/tests.rs
@@ -1,11 +1,11 @@
-//! Faults drawn from a seed.
+//! Tests of the schedule of random faults.
 
 use super::*;
 
 #[test]
 fn the_same_seed_draws_the_same_faults_and_each_kind_once_before_any_again() {
     let kinds = vec![FaultKind::Kill, FaultKind::KillAndWipe, FaultKind::Partition, FaultKind::Suspend];
-    let draws = RandomFaults { gap_ms: [300.0, 500.0], duration_ms: [500.0, 700.0], kinds: kinds.clone() };
+    let random = RandomFaults { gap_ms: [300.0, 500.0], duration_ms: [500.0, 700.0], kinds: kinds.clone() };
     let scripted = ScheduledFault {
         at_ms: 10.0,
         kind: FaultKind::ReplaceRules,
@@ -15,20 +15,21 @@
         rules: None,
         other_rules: None,
     };
-    let of = |seed| schedule(std::slice::from_ref(&scripted), Some(&draws), 5, 30_000.0, seed);
-    let one = of(3);
-    assert_eq!(one, of(3));
-    assert_ne!(one, of(4));
-    assert_eq!(one[0], scripted);
-    for round in one[1..].chunks_exact(kinds.len()) {
-        let mut drawn: Vec<FaultKind> = round.iter().map(|m| m.kind).collect();
+    let faults_of = |seed| schedule(std::slice::from_ref(&scripted), Some(&random), 5, 30_000.0, seed);
+    let faults = faults_of(3);
+    assert_eq!(faults, faults_of(3));
+    assert_ne!(faults, faults_of(4));
+    assert_eq!(faults[0], scripted);
+    for round in faults[1..].chunks_exact(kinds.len()) {
+        let mut drawn: Vec<FaultKind> = round.iter().map(|fault| fault.kind).collect();
         drawn.sort_unstable();
         let mut all = kinds.clone();
         all.sort_unstable();
         assert_eq!(drawn, all);
     }
-    assert!(one
-        .iter()
-        .skip(1)
-        .all(|m| m.router < 5 && m.other_router.is_some_and(|o| o < 5 && o != m.router)));
+    let is_valid = |fault: &ScheduledFault| {
+        let other_is_valid = |other: usize| other < 5 && other != fault.router;
+        fault.router < 5 && fault.other_router.is_some_and(other_is_valid)
+    };
+    assert!(faults.iter().skip(1).all(is_valid));
 }
--- a/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
+++ b/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
@@ -1,6 +1,8 @@
-//! How far apart watchers of the stand-in's change log hear the same purge, and how many they hear at once: what hollow routers' log goes by.
+//! How the stand-in's change log delivers purges: how far apart its watchers receive the same purge, and how many purges one receives at
+//! once. The change log of simulated routers is modelled after these figures.
 
-use super::{Figures, RouterFleet};
+use super::{announce_purge, Figures};
+use crate::rig::PURGE_EVENT;
 use crate::standin::ChangeLog;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -9,97 +11,113 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A watcher looks up from reading this often.
-const LOOK: Duration = Duration::from_millis(200);
-/// The last purge is waited for so long.
-const LATEST: Duration = Duration::from_secs(5);
-/// Frames heard within this are heard at once.
-const AT_ONCE: Duration = Duration::from_millis(1);
-/// Bytes of a frame before its payload: length, number, kind. A purge's kind.
-const HEAD: usize = 13;
-const PURGE: u8 = 3;
+/// How often a watcher interrupts reading to look at the time.
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long the last purge is waited for.
+const LAST_PURGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Purges received within this time count as one delivery.
+const SAME_DELIVERY: Duration = Duration::from_millis(1);
+/// Bytes of a frame's length, which does not count itself.
+const LENGTH_BYTES: usize = 4;
+/// Bytes of a frame before its payload: length, sequence number, kind.
+const HEADER_BYTES: usize = 13;
 
-/// When a watcher heard each purge, by the purge's number.
-pub(super) type Heard = BTreeMap<u64, Instant>;
+/// When a watcher received each purge, by sequence number.
+pub(super) type Receipts = BTreeMap<u64, Instant>;
 
-/// So many watchers of one change log, with purges at that rate for so long.
+/// Measures the delivery of purges at a rate to a number of watchers.
 ///
 /// # Errors
-/// If a watcher can't connect, or did not hear all.
-pub fn measure_change_log_delivery(watchers: usize, rate: f64, window: Duration) -> Result<Figures, String> {
-    let (log, told) = (ChangeLog::start(), AtomicU64::new(0));
-    let purges = (rate * window.as_secs_f64()).max(1.0) as u64;
+/// If a watcher can't connect, or does not receive all purges.
+pub fn measure_change_log_delivery(
+    watchers: usize,
+    purges_per_s: f64,
+    window: Duration,
+) -> Result<Figures, String> {
+    let (log, announced) = (ChangeLog::start(), AtomicU64::new(0));
+    let purges = (purges_per_s * window.as_secs_f64()).max(1.0) as u64;
     let mut threads = Vec::new();
     for _ in 0..watchers {
-        let mut socket = TcpStream::connect(log.address).map_err(|e| format!("the change log: {e}"))?;
-        socket.set_read_timeout(Some(LOOK)).map_err(|e| format!("the change log: {e}"))?;
-        socket.write_all(&0u64.to_be_bytes()).map_err(|e| format!("the change log: {e}"))?;
-        threads.push(thread::spawn(move || watch(socket, purges, Instant::now() + window + LATEST)));
+        let socket = subscribe(&log).map_err(|e| format!("subscribing to the change log: {e}"))?;
+        let deadline = Instant::now() + window + LAST_PURGE_TIMEOUT;
+        threads.push(thread::spawn(move || watch(socket, purges, deadline)));
     }
-    let begun = Instant::now();
+    let start = Instant::now();
     for n in 0..purges {
-        let due = begun + Duration::from_secs_f64(n as f64 / rate);
+        let due = start + Duration::from_secs_f64(n as f64 / purges_per_s);
         thread::sleep(due.saturating_duration_since(Instant::now()));
-        RouterFleet::purge(&[&log], &told, 1);
+        announce_purge(&[&log], &announced, 1);
     }
-    let all: Vec<Heard> = threads.into_iter().filter_map(|t| t.join().ok()).collect();
+    let receipts: Vec<Receipts> = threads.into_iter().filter_map(|thread| thread.join().ok()).collect();
     log.down.store(true, Ordering::SeqCst);
-    figures(&all, purges as usize).ok_or_else(|| "a watcher did not hear all purges".to_string())
+    delivery_figures(&receipts, purges as usize)
+        .ok_or_else(|| "a watcher did not receive all purges".to_string())
 }
 
-fn watch(mut socket: TcpStream, purges: u64, latest: Instant) -> Heard {
-    let (mut heard, mut bytes, mut piece) = (Heard::new(), Vec::new(), [0; 4_096]);
-    while (heard.len() as u64) < purges && Instant::now() < latest {
-        match socket.read(&mut piece) {
+fn subscribe(log: &ChangeLog) -> std::io::Result<TcpStream> {
+    let mut socket = TcpStream::connect(log.address)?;
+    socket.set_read_timeout(Some(READ_TIMEOUT))?;
+    let from_the_beginning = 0u64;
+    socket.write_all(&from_the_beginning.to_be_bytes())?;
+    Ok(socket)
+}
+
+/// Reads until all purges are received or the deadline has passed.
+fn watch(mut socket: TcpStream, purges: u64, deadline: Instant) -> Receipts {
+    let (mut receipts, mut unread, mut buffer) = (Receipts::new(), Vec::new(), [0; 4_096]);
+    while (receipts.len() as u64) < purges && Instant::now() < deadline {
+        match socket.read(&mut buffer) {
             Ok(0) => break,
-            Ok(n) => bytes.extend_from_slice(&piece[..n]),
+            Ok(n) => unread.extend_from_slice(&buffer[..n]),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
             Err(_) => break,
         }
         let now = Instant::now();
-        while let Some(frame) = whole(&mut bytes) {
-            if let Some((number, PURGE)) = head(&frame) {
-                heard.entry(number).or_insert(now);
+        while let Some(frame) = take_frame(&mut unread) {
+            if let Some((sequence_number, PURGE_EVENT)) = parse_header(&frame) {
+                receipts.entry(sequence_number).or_insert(now);
             }
         }
     }
-    heard
+    receipts
 }
 
-/// Takes a whole frame from the front.
-fn whole(bytes: &mut Vec<u8>) -> Option<Vec<u8>> {
+/// Removes a complete frame from the front.
+fn take_frame(bytes: &mut Vec<u8>) -> Option<Vec<u8>> {
     let length = u32::from_be_bytes(bytes.first_chunk().copied()?) as usize;
-    (bytes.len() >= 4 + length).then(|| bytes.drain(..4 + length).collect())
+    (bytes.len() >= LENGTH_BYTES + length).then(|| bytes.drain(..LENGTH_BYTES + length).collect())
 }
 
-/// A frame's number and kind.
-fn head(frame: &[u8]) -> Option<(u64, u8)> {
-    let head = frame.get(4..HEAD)?;
-    Some((u64::from_be_bytes(head.first_chunk().copied()?), *head.last()?))
+/// A frame's sequence number and kind.
+fn parse_header(frame: &[u8]) -> Option<(u64, u8)> {
+    let header = frame.get(LENGTH_BYTES..HEADER_BYTES)?;
+    Some((u64::from_be_bytes(header.first_chunk().copied()?), *header.last()?))
 }
 
-pub(super) fn figures(all: &[Heard], purges: usize) -> Option<Figures> {
-    let mut apart: Vec<f64> = Vec::new();
-    for number in all.first()?.keys() {
-        let times: Vec<Instant> = all.iter().filter_map(|h| h.get(number).copied()).collect();
+/// The figures; `None` if a watcher did not receive all purges, or there is none.
+pub(super) fn delivery_figures(receipts: &[Receipts], purges: usize) -> Option<Figures> {
+    let mut spreads_ms: Vec<f64> = Vec::new();
+    for sequence_number in receipts.first()?.keys() {
+        let times: Vec<Instant> = receipts.iter().filter_map(|r| r.get(sequence_number).copied()).collect();
         let (first, last) = (times.iter().min()?, times.iter().max()?);
-        apart.push((*last - *first).as_secs_f64() * 1_000.0);
+        spreads_ms.push((*last - *first).as_secs_f64() * 1_000.0);
     }
-    if all.iter().any(|h| h.len() < purges) {
+    if receipts.iter().any(|r| r.len() < purges) {
         return None;
     }
-    apart.sort_by(f64::total_cmp);
-    // Times of a watcher, each piece of news once.
-    let news = |h: &Heard| {
-        let times: Vec<Instant> = h.values().copied().collect();
-        1 + times.windows(2).filter(|w| w[1] - w[0] > AT_ONCE).count()
-    };
-    let many: usize = all.iter().map(news).sum();
-    let named = [
-        ("watchers", all.len() as f64),
-        ("apart_ms_median", apart.get(apart.len() / 2).copied()?),
-        ("apart_ms_most", apart.last().copied()?),
-        ("heard_at_once", (purges * all.len()) as f64 / many as f64),
+    spreads_ms.sort_by(f64::total_cmp);
+    let deliveries: usize = receipts.iter().map(count_deliveries).sum();
+    let figures = [
+        ("watchers", receipts.len() as f64),
+        ("apart_ms_median", spreads_ms.get(spreads_ms.len() / 2).copied()?),
+        ("apart_ms_most", spreads_ms.last().copied()?),
+        ("heard_at_once", (purges * receipts.len()) as f64 / deliveries as f64),
     ];
-    Some(named.into_iter().map(|(name, value)| (name.to_string(), value)).collect())
+    Some(figures.into_iter().map(|(name, value)| (name.to_string(), value)).collect())
+}
+
+/// How often a watcher received something.
+fn count_deliveries(receipts: &Receipts) -> usize {
+    let times: Vec<Instant> = receipts.values().copied().collect();
+    1 + times.windows(2).filter(|pair| pair[1] - pair[0] > SAME_DELIVERY).count()
 }
--- a/crates/emulator/src/rig/fleet_cost/purge_latency.rs
+++ b/crates/emulator/src/rig/fleet_cost/purge_latency.rs
@@ -1,67 +1,67 @@
-//! How long it takes until a purge that one router alone hears is heeded by all.
+//! How long it takes until a purge that only the first router receives is in effect at all routers.
 
 use super::{Figures, RouterFleet};
 use crate::standin::Client;
-use std::net::TcpStream;
-use std::sync::Mutex;
+use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Each router is asked so often: the figure's grain.
-const LOOK: Duration = Duration::from_millis(10);
-/// A purge that is not heeded by then counts as so late.
-const LATEST: Duration = Duration::from_secs(10);
+/// How often each router is asked, which is the resolution of the figures.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// A purge that is not in effect by then counts as this late.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 impl RouterFleet {
-    /// Probes: each router but the first is asked for the object until it asks a cache for a copy of after the purge.
-    pub(super) fn heeded(&self, probes: usize, one: &Mutex<()>) -> Result<Figures, String> {
-        let mut all: Vec<f64> = Vec::new();
-        let mut whole: Vec<f64> = Vec::new();
+    /// Purges an object at the first router and reads it through all others, until each asks its cache for a copy made after the purge.
+    pub(super) fn measure_purge_latency(&self, probes: usize) -> Figures {
+        let mut latencies_ms: Vec<f64> = Vec::new();
+        let mut completions_ms: Vec<f64> = Vec::new();
         for _ in 0..probes {
-            let begun = Instant::now();
-            let object = {
-                let _one = one.lock();
-                Self::purge(&[&self.logs[0]], &self.purges, self.seed)
-            };
-            let mut times: Vec<f64> = thread::scope(|s| {
-                let asked: Vec<_> = self
-                    .routers
-                    .iter()
-                    .skip(1)
-                    .map(|r| s.spawn(move || until(r.address, object, begun)))
-                    .collect();
-                asked.into_iter().map(|t| t.join().unwrap_or(LATEST.as_secs_f64() * 1000.0)).collect()
-            });
-            times.sort_by(f64::total_cmp);
-            whole.extend(times.last());
-            all.extend(times);
+            let latencies = self.probe_purge_latency();
+            completions_ms.extend(latencies.iter().copied().max_by(f64::total_cmp));
+            latencies_ms.extend(latencies);
         }
-        all.sort_by(f64::total_cmp);
-        whole.sort_by(f64::total_cmp);
-        let middle = |of: &[f64]| of.get(of.len() / 2).copied();
-        let named = [
-            ("heeded_ms_median", middle(&all)),
-            ("heeded_by_all_ms_median", middle(&whole)),
-            ("heeded_by_all_ms_most", whole.last().copied()),
+        latencies_ms.sort_by(f64::total_cmp);
+        completions_ms.sort_by(f64::total_cmp);
+        let median = |sorted: &[f64]| sorted.get(sorted.len() / 2).copied();
+        let figures = [
+            ("heeded_ms_median", median(&latencies_ms)),
+            ("heeded_by_all_ms_median", median(&completions_ms)),
+            ("heeded_by_all_ms_most", completions_ms.last().copied()),
         ];
-        Ok(named.into_iter().filter_map(|(name, ms)| Some((name.to_string(), ms?))).collect())
+        figures.into_iter().filter_map(|(name, ms)| Some((name.to_string(), ms?))).collect()
     }
+
+    /// The latency of one purge at each router but the first, in milliseconds.
+    fn probe_purge_latency(&self) -> Vec<f64> {
+        let start = Instant::now();
+        let object = self.purge_source.purge_at_first_router();
+        thread::scope(|scope| {
+            let wait = |address| scope.spawn(move || wait_for_purge(address, object, start));
+            let threads: Vec<_> = self.routers.iter().skip(1).map(|router| wait(router.address)).collect();
+            threads.into_iter().map(|thread| thread.join().unwrap_or(timeout_ms())).collect()
+        })
+    }
+}
+
+fn timeout_ms() -> f64 {
+    TIMEOUT.as_secs_f64() * 1000.0
 }
 
-/// When a router heeds it, in milliseconds since then.
-fn until(at: std::net::SocketAddr, object: u64, begun: Instant) -> f64 {
-    let latest = LATEST.as_secs_f64() * 1000.0;
-    let Ok(socket) = TcpStream::connect(at) else { return latest };
+/// Reads the object until the purge is in effect at the router; returns the milliseconds since the start.
+fn wait_for_purge(address: SocketAddr, object: u64, start: Instant) -> f64 {
+    let Ok(socket) = TcpStream::connect(address) else { return timeout_ms() };
     let mut client = Client::new(socket);
     let mut tag = 0;
-    while begun.elapsed() < LATEST {
+    while start.elapsed() < TIMEOUT {
         tag += 1;
         client.ask(tag, "pages", object, "", b"");
-        let Some(got) = client.next() else { return latest };
-        if got.word == "200" && got.body != b"any" {
-            return begun.elapsed().as_secs_f64() * 1000.0;
+        let Some(response) = client.next() else { return timeout_ms() };
+        // The body is the age limit of the fetch, which only a purge sets.
+        if response.word == "200" && response.body != b"any" {
+            return start.elapsed().as_secs_f64() * 1000.0;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
-    latest
+    timeout_ms()
 }
--- a/crates/emulator/src/rig/fleet_cost/usage.rs
+++ b/crates/emulator/src/rig/fleet_cost/usage.rs
@@ -1,7 +1,7 @@
-//! What processes have cost so far, as the kernel counts it, and what that is a router and a second.
+//! The resources that processes have used, as the kernel counts them, and the figures per router and second.
 
 use crate::process::Process;
-use procfs::process::Process as Kernel;
+use procfs::process::Process as KernelProcess;
 use procfs::{Current, LoadAverage};
 use std::collections::{BTreeMap, HashMap};
 use std::net::Ipv4Addr;
@@ -10,10 +10,8 @@
 
 /// Figures by name.
 pub type Figures = BTreeMap<String, f64>;
-/// A router's counters, and when they were told.
-pub type Told = (Instant, HashMap<String, f64>);
 
-/// Counters of the router that are given as so many a second and a router.
+/// Counters of the routers that become rates, per router and second.
 const RATES: [&str; 22] = [
     "peer_frames_out",
     "peer_bytes_out",
@@ -38,140 +36,218 @@
     "holds_batches",
     "holds_records",
 ];
-/// Counters that are given as they stand, as a mean.
+/// Counters of the routers whose mean value becomes a figure.
 const LEVELS: [&str; 4] = ["peers_up", "table_version", "holds", "peer_up"];
-/// Threads of a router by name, and the first word of their columns; what has another name is `other`.
+/// The names of a router's threads, and the names of their figures; other threads count as [`OTHER_THREADS`].
 const THREADS: [(&str, &str); 4] =
     [("basaltgw", "main"), ("async-io", "async_io"), ("peers", "peers"), ("copies", "copies")];
+/// The name in figures of threads that are not in [`THREADS`].
+const OTHER_THREADS: &str = "other";
+/// Headers of a TCP segment with time stamps, of IP and of Ethernet, in bytes.
+const HEADER_BYTES: f64 = 66.0;
+/// Nanoseconds on a core per second that are 1 % of a core.
+const NS_PER_PERCENT: f64 = 1e7;
 
-/// What all the processes have cost so far.
-pub struct Cost {
+/// A router's counters with their time.
+pub(super) struct CounterSample {
+    pub(super) at: Instant,
+    pub(super) counters: HashMap<String, f64>,
+}
+
+impl CounterSample {
+    fn counter(&self, name: &str) -> f64 {
+        self.counters.get(name).copied().unwrap_or(0.0)
+    }
+}
+
+/// What threads have used so far.
+#[derive(Clone, Copy, Default)]
+struct ThreadUsage {
+    /// Time on a core, in ns.
+    on_cpu_ns: f64,
+    /// Time waiting for a core, in ns.
+    waiting_ns: f64,
+    /// Voluntary context switches.
+    sleeps: f64,
+}
+
+impl ThreadUsage {
+    fn of(task: &procfs::process::Task) -> Result<Self, String> {
+        let schedule = task.schedstat().map_err(proc_error)?;
+        let status = task.status().map_err(proc_error)?;
+        Ok(Self {
+            on_cpu_ns: schedule.sum_exec_runtime as f64,
+            waiting_ns: schedule.run_delay as f64,
+            sleeps: status.voluntary_ctxt_switches.unwrap_or(0) as f64,
+        })
+    }
+
+    /// Each value combined with that of another usage.
+    fn combine(self, other: Self, f: impl Fn(f64, f64) -> f64) -> Self {
+        Self {
+            on_cpu_ns: f(self.on_cpu_ns, other.on_cpu_ns),
+            waiting_ns: f(self.waiting_ns, other.waiting_ns),
+            sleeps: f(self.sleeps, other.sleeps),
+        }
+    }
+
+    fn plus(self, other: Self) -> Self {
+        self.combine(other, |own, other| own + other)
+    }
+}
+
+/// What processes have read and written so far.
+#[derive(Clone, Copy, Default)]
+struct IoUsage {
+    disk_bytes: f64,
+    read_calls: f64,
+    write_calls: f64,
+}
+
+/// What a network interface or a set of links has transferred so far.
+#[derive(Clone, Copy, Default)]
+struct Traffic {
+    bytes: f64,
+    packets: f64,
+}
+
+/// What all routers have used so far.
+pub struct ResourceUsage {
     at: Instant,
-    /// By thread: time on a core in ns, time that it waited for one, and how often it went to sleep.
-    threads: BTreeMap<&'static str, [f64; 3]>,
-    /// Bytes written to the disk, calls that read and that wrote.
-    io: [f64; 3],
-    /// Bytes and packets on loopback, of whoever is on the machine.
-    loopback: [f64; 2],
-    /// Bytes and packets sent on links between routers, with the heads of TCP and IP; none where nobody tells.
-    links: Option<[f64; 2]>,
+    /// By the threads' name in figures.
+    threads: BTreeMap<&'static str, ThreadUsage>,
+    io: IoUsage,
+    /// On the loopback interface, which the whole machine shares.
+    loopback: Traffic,
+    /// Sent on the links between routers, including headers; `None` if the kernel does not tell.
+    links: Option<Traffic>,
 }
 
-/// The heads of a TCP segment with its time stamps, of IP and of Ethernet, in bytes.
-const HEADS: f64 = 66.0;
-
-/// What all ends of the links of a row of addresses have sent: the tool `ss` asks the kernel about each socket. Other parts of the
-/// machine use loopback too, so its device alone does not tell.
-fn links(row: Ipv4Addr) -> Option<[f64; 2]> {
-    let filter = format!("src {row}/24 or dst {row}/24");
-    let told = Command::new("ss").args(["-tinOH", "state", "established"]).arg(filter).output().ok()?;
-    let text = String::from_utf8(told.stdout).ok().filter(|_| told.status.success())?;
-    let sum = |name: &str| -> f64 {
-        text.split_whitespace().filter_map(|w| w.strip_prefix(name)?.parse::<f64>().ok()).sum()
-    };
-    let packets = sum("segs_out:");
-    Some([sum("bytes_sent:") + packets * HEADS, packets])
+fn proc_error(e: procfs::ProcError) -> String {
+    format!("reading /proc: {e}")
 }
 
-fn wrong(e: procfs::ProcError) -> String {
-    format!("/proc: {e}")
+fn kernel_process(process: &Process) -> Result<KernelProcess, String> {
+    KernelProcess::new(process.id() as i32).map_err(proc_error)
 }
 
-fn kernel(process: &Process) -> Result<Kernel, String> {
-    Kernel::new(process.id() as i32).map_err(wrong)
+/// What the sockets of a subnet have sent, from the tool `ss`, which asks the kernel about each socket. The loopback interface's counters
+/// include the traffic of other processes.
+fn link_traffic(subnet: Ipv4Addr) -> Option<Traffic> {
+    let filter = format!("src {subnet}/24 or dst {subnet}/24");
+    let output = Command::new("ss").args(["-tinOH", "state", "established"]).arg(filter).output().ok()?;
+    let text = String::from_utf8(output.stdout).ok().filter(|_| output.status.success())?;
+    let sum = |field: &str| -> f64 {
+        let values = text.split_whitespace().filter_map(|word| word.strip_prefix(field)?.parse::<f64>().ok());
+        values.sum()
+    };
+    let packets = sum("segs_out:");
+    Some(Traffic { bytes: sum("bytes_sent:") + packets * HEADER_BYTES, packets })
 }
 
-impl Cost {
-    /// As it is now.
+fn loopback_traffic() -> Result<Traffic, String> {
+    let devices = procfs::net::dev_status().map_err(proc_error)?;
+    let loopback = devices.get("lo");
+    Ok(loopback.map_or_else(Traffic::default, |device| Traffic {
+        bytes: device.recv_bytes as f64,
+        packets: device.recv_packets as f64,
+    }))
+}
+
+impl ResourceUsage {
+    /// The usage until now.
     ///
     /// # Errors
     /// If a process has ended, or `/proc` can't be read.
-    pub fn now(routers: &[Process], row: Ipv4Addr) -> Result<Self, String> {
-        let mut threads: BTreeMap<&'static str, [f64; 3]> = BTreeMap::new();
-        let mut io = [0.0; 3];
+    pub fn now(routers: &[Process], subnet: Ipv4Addr) -> Result<Self, String> {
+        let mut threads: BTreeMap<&'static str, ThreadUsage> = BTreeMap::new();
+        let mut io = IoUsage::default();
         for router in routers {
-            let process = kernel(router)?;
-            for task in process.tasks().map_err(wrong)?.flatten() {
-                let (stat, used) = (task.stat().map_err(wrong)?, task.schedstat().map_err(wrong)?);
-                let sleeps = task.status().map_err(wrong)?.voluntary_ctxt_switches.unwrap_or(0);
-                let known = THREADS.iter().find(|(name, _)| *name == stat.comm);
-                let sum = threads.entry(known.map_or("other", |(_, word)| word)).or_default();
-                let more = [used.sum_exec_runtime as f64, used.run_delay as f64, sleeps as f64];
-                sum.iter_mut().zip(more).for_each(|(sum, more)| *sum += more);
+            let process = kernel_process(router)?;
+            for task in process.tasks().map_err(proc_error)?.flatten() {
+                let name = task.stat().map_err(proc_error)?.comm;
+                let known = THREADS.iter().find(|(thread, _)| *thread == name);
+                let sum = threads.entry(known.map_or(OTHER_THREADS, |(_, figure)| figure)).or_default();
+                *sum = sum.plus(ThreadUsage::of(&task)?);
             }
-            let counted = process.io().map_err(wrong)?;
-            let more = [counted.write_bytes as f64, counted.syscr as f64, counted.syscw as f64];
-            io.iter_mut().zip(more).for_each(|(sum, more)| *sum += more);
+            let counted = process.io().map_err(proc_error)?;
+            io.disk_bytes += counted.write_bytes as f64;
+            io.read_calls += counted.syscr as f64;
+            io.write_calls += counted.syscw as f64;
         }
-        let devices = procfs::net::dev_status().map_err(wrong)?;
-        let lo = devices.get("lo").map_or([0.0; 2], |d| [d.recv_bytes as f64, d.recv_packets as f64]);
-        Ok(Self { at: Instant::now(), threads, io, loopback: lo, links: links(row) })
+        let (loopback, at) = (loopback_traffic()?, Instant::now());
+        Ok(Self { at, threads, io, loopback, links: link_traffic(subnet) })
     }
 
-    /// Time on cores in ns, of all.
+    /// The time on cores of all threads, in ns.
     pub fn cpu_ns(&self) -> f64 {
-        self.threads.values().map(|t| t[0]).sum()
+        self.threads.values().map(|thread| thread.on_cpu_ns).sum()
     }
 
-    /// What was used since, a router and a second, and what is held now.
+    /// The figures since an earlier usage: what was used per router and second, and what is held now.
     ///
     /// # Errors
-    /// See [`Cost::now`].
+    /// If a process has ended, or `/proc` can't be read.
     pub fn since(&self, before: &Self, routers: &[Process]) -> Result<Figures, String> {
-        let (many, seconds) = (routers.len() as f64, (self.at - before.at).as_secs_f64());
-        let each = |now: f64, then: f64| (now - then) / many / seconds;
-        let mut row = Figures::from([("seconds".to_string(), seconds)]);
-        let mut sums = [0.0; 3];
+        let (router_count, seconds) = (routers.len() as f64, (self.at - before.at).as_secs_f64());
+        let rate = |now: f64, before: f64| (now - before) / router_count / seconds;
+        let mut figures = Figures::from([("seconds".to_string(), seconds)]);
+        let mut all_threads = ThreadUsage::default();
         for (name, now) in &self.threads {
-            let then = before.threads.get(name).copied().unwrap_or_default();
-            let used: Vec<f64> = now.iter().zip(then).map(|(now, then)| each(*now, then)).collect();
-            sums.iter_mut().zip(&used).for_each(|(sum, used)| *sum += used);
-            row.insert(format!("cpu_{name}_percent"), used[0] / 1e7);
-            row.insert(format!("sleeps_{name}_per_s"), used[2]);
-        }
-        let load = LoadAverage::current().map_err(wrong)?;
-        let (mut memory, mut descriptors) = (0.0, 0.0);
-        for router in routers {
-            let process = kernel(router)?;
-            memory += process.status().map_err(wrong)?.vmrss.unwrap_or(0) as f64;
-            descriptors += process.fd_count().map_err(wrong)? as f64;
+            let used = now.combine(before.threads.get(name).copied().unwrap_or_default(), rate);
+            all_threads = all_threads.plus(used);
+            figures.insert(format!("cpu_{name}_percent"), used.on_cpu_ns / NS_PER_PERCENT);
+            figures.insert(format!("sleeps_{name}_per_s"), used.sleeps);
         }
+        let load = LoadAverage::current().map_err(proc_error)?;
+        let (memory_kb, descriptors) = memory_and_descriptors(routers)?;
         let named = [
-            ("cpu_percent", sums[0] / 1e7),
-            ("waited_for_cpu_percent", sums[1] / 1e7),
-            ("sleeps_per_s", sums[2]),
-            ("disk_bytes_per_s", each(self.io[0], before.io[0])),
-            ("read_calls_per_s", each(self.io[1], before.io[1])),
-            ("write_calls_per_s", each(self.io[2], before.io[2])),
-            ("loopback_bytes_per_s", each(self.loopback[0], before.loopback[0])),
-            ("loopback_packets_per_s", each(self.loopback[1], before.loopback[1])),
-            ("memory_mb", memory / 1024.0 / many),
-            ("descriptors", descriptors / many),
+            ("cpu_percent", all_threads.on_cpu_ns / NS_PER_PERCENT),
+            ("waited_for_cpu_percent", all_threads.waiting_ns / NS_PER_PERCENT),
+            ("sleeps_per_s", all_threads.sleeps),
+            ("disk_bytes_per_s", rate(self.io.disk_bytes, before.io.disk_bytes)),
+            ("read_calls_per_s", rate(self.io.read_calls, before.io.read_calls)),
+            ("write_calls_per_s", rate(self.io.write_calls, before.io.write_calls)),
+            ("loopback_bytes_per_s", rate(self.loopback.bytes, before.loopback.bytes)),
+            ("loopback_packets_per_s", rate(self.loopback.packets, before.loopback.packets)),
+            ("memory_mb", memory_kb / 1024.0 / router_count),
+            ("descriptors", descriptors / router_count),
             ("load_1m", f64::from(load.one)),
         ];
-        row.extend(named.map(|(name, value)| (name.to_string(), value)));
-        if let Some((now, then)) = self.links.zip(before.links) {
-            row.insert("links_bytes_out_per_s".into(), each(now[0], then[0]));
-            row.insert("links_packets_out_per_s".into(), each(now[1], then[1]));
+        figures.extend(named.map(|(name, value)| (name.to_string(), value)));
+        if let Some((now, before)) = self.links.zip(before.links) {
+            figures.insert("links_bytes_out_per_s".into(), rate(now.bytes, before.bytes));
+            figures.insert("links_packets_out_per_s".into(), rate(now.packets, before.packets));
         }
-        Ok(row)
+        Ok(figures)
+    }
+}
+
+/// The resident memory in KiB, and the open descriptors, of all routers.
+fn memory_and_descriptors(routers: &[Process]) -> Result<(f64, f64), String> {
+    let (mut memory_kb, mut descriptors) = (0.0, 0.0);
+    for router in routers {
+        let process = kernel_process(router)?;
+        memory_kb += process.status().map_err(proc_error)?.vmrss.unwrap_or(0) as f64;
+        descriptors += process.fd_count().map_err(proc_error)? as f64;
     }
+    Ok((memory_kb, descriptors))
 }
 
-/// What the routers' own counters say of the time between, a router and a second.
-pub fn counters(before: &[Told], after: &[Told]) -> Figures {
-    let mut row = Figures::new();
-    let many = after.len() as f64;
+/// The figures of the routers' own counters between two samples: rates per router and second, and mean levels.
+pub(super) fn counter_figures(before: &[CounterSample], after: &[CounterSample]) -> Figures {
+    let mut figures = Figures::new();
+    let routers = after.len() as f64;
     for name in RATES {
-        let each = before.iter().zip(after).map(|((then, old), (now, new))| {
-            let value = |of: &HashMap<String, f64>| of.get(name).copied().unwrap_or(0.0);
-            (value(new) - value(old)) / (*now - *then).as_secs_f64()
+        let rates = before.iter().zip(after).map(|(before, after)| {
+            let seconds = (after.at - before.at).as_secs_f64();
+            (after.counter(name) - before.counter(name)) / seconds
         });
-        row.insert(format!("{name}_per_s"), each.sum::<f64>() / many);
+        figures.insert(format!("{name}_per_s"), rates.sum::<f64>() / routers);
     }
     for name in LEVELS {
-        let all: f64 = after.iter().filter_map(|(_, told)| told.get(name)).sum();
-        row.insert(name.to_string(), all / many);
+        let sum: f64 = after.iter().map(|sample| sample.counter(name)).sum();
+        figures.insert(name.to_string(), sum / routers);
     }
-    row
+    figures
 }
--- a/crates/emulator/src/rig/history.rs
+++ b/crates/emulator/src/rig/history.rs
@@ -1,24 +1,26 @@
-//! What clients, stand-ins and links saw, in order; all that the checker knows.
+//! The history of a run: everything that clients, stand-ins and links observed, in order. The checker sees nothing else.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Events kept at most; a longer run counts what it left out and then does not hold.
-const MOST: usize = 1_000_000;
+/// Events that a history stores. A longer run counts the omitted ones and then violates [`Rule::HistoryComplete`].
+///
+/// [`Rule::HistoryComplete`]: super::Rule::HistoryComplete
+const MAX_EVENTS: usize = 1_000_000;
 
-/// A request as one client sent it to one router, numbered over the rig.
+/// A request as one client sent it to one router; unique in a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
-/// What a request is for.
+/// What a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A checkout: its id is the same at every router that it is presented to.
+    /// A checkout, which has the same id at every router that it is presented to.
     Checkout,
-    /// A read of an object's first part.
+    /// A read of the first part of an object.
     Read {
-        /// Which object.
+        /// The object.
         object: u64,
     },
 }
@@ -26,165 +28,167 @@
 /// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// `200` with these bytes.
+    /// A response `200` with this body.
     Served(Vec<u8>),
-    /// `503`, with the time to stay away in milliseconds.
+    /// A response `503`.
     Rejected {
-        /// The time to stay away, in milliseconds.
+        /// The time after which the client may retry, in milliseconds.
         retry_after_ms: Option<u64>,
     },
-    /// Another word: failed, or in doubt.
+    /// A response with any other status: the request failed, or its outcome is unknown.
     Failed(String),
 }
 
-/// One thing seen.
+/// One observation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A client wrote a request.
     RequestSent {
-        /// Which.
+        /// The request.
         request: RequestNumber,
-        /// To which router.
+        /// The router that it was sent to.
         router: usize,
-        /// Its id.
+        /// The id that the request carries.
         id: String,
-        /// What for.
+        /// What the request asks for.
         kind: RequestKind,
         /// How long the client waits, in milliseconds.
         timeout_ms: u64,
     },
-    /// A client read an answer.
+    /// A client read a response.
     ResponseReceived {
-        /// Which request.
+        /// The request.
         request: RequestNumber,
-        /// How it ended.
+        /// How the request ended.
         outcome: Outcome,
     },
-    /// A client's connection ended without one.
+    /// A client's connection ended before the response to this request.
     ConnectionLost(RequestNumber),
-    /// A client went while it waited.
+    /// A client disconnected while it waited for the response to this request.
     ClientDisconnected(RequestNumber),
-    /// An effect arrived at the archive, and runs.
+    /// A checkout arrived at the archive, which executed it.
     Executed {
-        /// The id of its request.
+        /// The id of the checkout.
         id: String,
     },
-    /// The change log told a router of a purge of an object that happened at that Unix millisecond.
+    /// The change log sent a router the purge of an object.
     PurgeAnnounced {
-        /// To which router.
+        /// The router that received the purge.
         router: usize,
-        /// Which object.
+        /// The purged object.
         object: u64,
-        /// When it happened.
+        /// When the purge was made, in Unix milliseconds.
         purged_at_unix_ms: u64,
     },
-    /// A router was ended, stopped, or its clients' link disturbed; or (`false`) it serves again.
+    /// A router was shut down, killed or suspended, or is serving again.
     RouterDown {
-        /// Which router.
+        /// The router.
         router: usize,
-        /// Whether it is down.
+        /// Whether the router is down.
         down: bool,
     },
-    /// A router misses more others than the copies make up for (one of three, two of five): cut off, down, stopped, with a full disk, or
-    /// with a lost one that is not made up yet; or (`false`) it does no longer.
+    /// A router lost or regained the replicas that a quorum needs. It is isolated if more other routers are missing than the replicas
+    /// tolerate (one of three, two of five). A router is missing if it is down, suspended, partitioned from this one, has a full disk, or
+    /// lost its disk and has not been replicated to again.
     RouterIsolated {
-        /// Which router.
+        /// The router.
         router: usize,
-        /// Whether it is isolated.
+        /// Whether the router is isolated.
         isolated: bool,
     },
-    /// A fault, in words, for whoever reads the history.
+    /// A fault was injected or removed; the description is for the reader of the history.
     Fault(String),
 }
 
-/// Something seen, and when: milliseconds since the rig began.
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedEvent {
-    /// When.
+    /// Milliseconds since the start of the rig.
     pub at_ms: u64,
-    /// What.
+    /// The event.
     pub event: Event,
 }
 
 #[derive(Default)]
-struct Inner {
+struct State {
     events: Vec<TimedEvent>,
-    ends: BTreeMap<RequestNumber, Option<Outcome>>,
-    asks: u64,
-    left_out: u64,
+    /// The end of each finished request; `None` if its connection was lost.
+    outcomes: BTreeMap<RequestNumber, Option<Outcome>>,
+    last_request: u64,
+    omitted_events: u64,
 }
 
-/// The history, shared by all that see something.
+/// A history, shared by all that record events.
 #[derive(Clone)]
 pub struct History {
-    begun: Instant,
-    inner: Arc<(Mutex<Inner>, Condvar)>,
+    start: Instant,
+    shared: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Default for History {
     fn default() -> Self {
-        Self { begun: Instant::now(), inner: Arc::default() }
+        Self { start: Instant::now(), shared: Arc::default() }
     }
 }
 
 impl History {
-    fn inner(&self) -> MutexGuard<'_, Inner> {
-        self.inner.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.shared.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Milliseconds since the start.
+    /// Milliseconds since the start of the rig.
     pub fn now_ms(&self) -> u64 {
-        self.begun.elapsed().as_millis() as u64
+        self.start.elapsed().as_millis() as u64
     }
 
-    /// A number for a request.
+    /// An unused request number.
     pub fn next_request_number(&self) -> RequestNumber {
-        let mut inner = self.inner();
-        inner.asks += 1;
-        RequestNumber(inner.asks)
+        let mut state = self.state();
+        state.last_request += 1;
+        RequestNumber(state.last_request)
     }
 
-    /// Keeps what was seen.
+    /// Appends an event.
     pub fn record(&self, event: Event) {
-        let mut inner = self.inner();
-        // Taken with the lock held, so that the order of events is that of their times.
+        let mut state = self.state();
+        // The time is read under the lock, so that events are in the order of their times.
         let at_ms = self.now_ms();
         match &event {
             Event::ResponseReceived { request, outcome } => {
-                inner.ends.entry(*request).or_insert_with(|| Some(outcome.clone()));
+                state.outcomes.entry(*request).or_insert_with(|| Some(outcome.clone()));
             }
-            Event::ConnectionLost(ask) => {
-                inner.ends.entry(*ask).or_insert(None);
+            Event::ConnectionLost(request) => {
+                state.outcomes.entry(*request).or_insert(None);
             }
             _ => {}
         }
-        if inner.events.len() < MOST {
-            inner.events.push(TimedEvent { at_ms, event });
+        if state.events.len() < MAX_EVENTS {
+            state.events.push(TimedEvent { at_ms, event });
         } else {
-            inner.left_out += 1;
+            state.omitted_events += 1;
         }
-        self.inner.1.notify_all();
+        self.shared.1.notify_all();
     }
 
-    /// Waits for the end of a request: `None` if its time passed, `Some(None)` if its connection was lost.
-    pub fn wait_for_outcome(&self, ask: RequestNumber, patience: Duration) -> Option<Option<Outcome>> {
-        let inner = self.inner();
-        let (inner, _) = self
-            .inner
+    /// Waits until a request has ended: `None` on a time-out, `Some(None)` if its connection was lost.
+    pub fn wait_for_outcome(&self, request: RequestNumber, timeout: Duration) -> Option<Option<Outcome>> {
+        let state = self.state();
+        let (state, _) = self
+            .shared
             .1
-            .wait_timeout_while(inner, patience, |i| !i.ends.contains_key(&ask))
+            .wait_timeout_while(state, timeout, |state| !state.outcomes.contains_key(&request))
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        inner.ends.get(&ask).cloned()
+        state.outcomes.get(&request).cloned()
     }
 
-    /// All events so far, and how many were left out.
+    /// All stored events, and the number of omitted ones.
     pub fn events(&self) -> (Vec<TimedEvent>, u64) {
-        let inner = self.inner();
-        (inner.events.clone(), inner.left_out)
+        let state = self.state();
+        (state.events.clone(), state.omitted_events)
     }
 
-    /// How many events are such.
-    pub fn count_events(&self, such: impl Fn(&Event) -> bool) -> usize {
-        self.inner().events.iter().filter(|e| such(&e.event)).count()
+    /// The number of stored events that match.
+    pub fn count_events(&self, matches: impl Fn(&Event) -> bool) -> usize {
+        self.state().events.iter().filter(|e| matches(&e.event)).count()
     }
 }
--- a/crates/emulator/src/rig/load.rs
+++ b/crates/emulator/src/rig/load.rs
@@ -1,7 +1,7 @@
-//! LoadGenerator of the rig: checkouts and reads at a rate, whatever comes back; who gets no word, or is turned away, presents the same checkout
-//! again through another router.
+//! A load generator: checkouts and reads at a rate, whatever the responses. A client that gets no response to a checkout, or is rejected,
+//! presents the same checkout again to another router.
 
-use super::{ClientConnection, History, Outcome, RequestKind, RequestNumber, Rig};
+use super::{ClientConnection, History, Outcome, RequestNumber, Rig};
 use basaltgw_simulator::{draw, rng, Rng};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -9,59 +9,85 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often clients look for answers.
-const LOOK: Duration = Duration::from_millis(2);
-/// Presentations of one checkout by one client.
-const MOST_TRIES: u32 = 4;
-/// A client that is turned away with a longer time to stay away gives up.
-const MOST_STAY_MS: u64 = 1_500;
-/// Requests open on one connection, as the protocol has it.
-const OPEN: usize = 32;
-/// Connections to one router; what finds all of them full is not asked, and counted.
-const MOST_CONNS: usize = 16;
-/// Past its time, a client waits so much longer before it looks elsewhere.
-const PAST_MS: u64 = 500;
-const DRAWS: u64 = 9_002;
-
-/// What clients ask.
+/// How often clients look for responses.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Attempts of one client at one checkout.
+const MAX_ATTEMPTS: u32 = 4;
+/// A client that is told to retry later than this gives up.
+const MAX_RETRY_AFTER_MS: u64 = 1_500;
+/// Open requests of one connection, the limit of the protocol.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Connections to one router. A request that finds all of them full is not sent, and counted.
+const MAX_CONNECTIONS: usize = 16;
+/// How long after its deadline a client still waits before it tries another router.
+const RESPONSE_GRACE_MS: u64 = 500;
+/// Random stream of the load.
+const LOAD_STREAM: u64 = 9_002;
+/// The first request id.
+const FIRST_ID: u64 = 0xc1_u64 << 48;
+
+/// The requests of clients.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Checkouts a second.
+    /// Checkouts per second.
     pub checkouts_per_s: f64,
-    /// Reads a second.
+    /// Reads per second.
     pub reads_per_s: f64,
-    /// Objects that are read.
+    /// The number of objects that are read.
     pub objects: u64,
     /// How long clients wait, in milliseconds.
     #[serde(rename = "within_ms")]
     pub timeout_ms: u64,
-    /// The share of checkouts that are presented to two routers at once.
+    /// The share of checkouts that are presented to two routers at the same time.
     #[serde(rename = "twice")]
     pub concurrent_share: f64,
-    /// How long an effect takes at the archive, in milliseconds; each second another, drawn from this range.
+    /// The range of the archive's response delay to a checkout, in milliseconds; it changes every second.
     pub effect_ms: [f64; 2],
 }
 
-/// What the load counted by itself.
+/// What the load generator counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadStatistics {
-    /// Checkouts presented again, since no word came.
-    pub again_unheard: u64,
-    /// The same, since they were turned away.
-    pub again_refused: u64,
-    /// Not asked, since every connection was full.
-    pub not_asked: u64,
-    /// The most milliseconds by which a request went out late: the machine's, not the routers'.
-    pub late_most: u64,
+    /// Checkouts presented again because there was no response.
+    pub resent_without_response: u64,
+    /// Checkouts presented again because they were rejected.
+    pub resent_after_rejection: u64,
+    /// Requests that were not sent because all connections were full.
+    pub not_sent: u64,
+    /// The most that a request was sent too late, in milliseconds: a delay of the machine, not of the routers.
+    pub max_delay_ms: u64,
+}
+
+/// A connection with its open requests.
+struct Connection {
+    client: ClientConnection,
+    open: Vec<RequestNumber>,
 }
 
-struct Open {
-    ask: RequestNumber,
+/// A request that has not ended for its client.
+struct OpenRequest {
+    number: RequestNumber,
     router: usize,
-    due: u64,
-    /// The checkout's id, and how often it was presented; none for a read.
-    again: Option<(String, u32)>,
+    due_ms: u64,
+    /// The attempt at a checkout; `None` for a read.
+    attempt: Option<Attempt>,
+}
+
+/// An attempt at a checkout.
+struct Attempt {
+    id: String,
+    /// 1 for the first attempt.
+    number: u32,
+    /// Whether the checkout is presented to another router at the same time.
+    concurrent: bool,
+}
+
+/// An attempt that is to be made.
+struct Retry {
+    at_ms: u64,
+    router: usize,
+    attempt: Attempt,
 }
 
 /// The clients of one run.
@@ -69,151 +95,172 @@
     load: Load,
     addresses: Vec<SocketAddr>,
     history: History,
-    effect_ms: Arc<AtomicU64>,
-    callers: Vec<Vec<(ClientConnection, Vec<RequestNumber>)>>,
-    open: Vec<Open>,
-    later: Vec<(u64, usize, String, u32)>,
+    effect_duration_ms: Arc<AtomicU64>,
+    /// The connections to each router.
+    connections: Vec<Vec<Connection>>,
+    open: Vec<OpenRequest>,
+    retries: Vec<Retry>,
     rng: Rng,
-    ids: u64,
-    told: LoadStatistics,
+    last_id: u64,
+    statistics: LoadStatistics,
 }
 
 impl LoadGenerator {
-    /// LoadGenerator of all routers of a rig.
+    /// Clients of all routers of a rig.
     pub fn new(rig: &Rig, load: &Load) -> Self {
         Self {
             load: load.clone(),
             addresses: rig.routers.iter().map(|r| r.client_relay.address).collect(),
             history: rig.history.clone(),
-            effect_ms: Arc::clone(&rig.archive.effect_duration_ms),
-            callers: rig.routers.iter().map(|_| Vec::new()).collect(),
+            effect_duration_ms: Arc::clone(&rig.archive.effect_duration_ms),
+            connections: rig.routers.iter().map(|_| Vec::new()).collect(),
             open: Vec::new(),
-            later: Vec::new(),
-            rng: rng(rig.spec.seed, DRAWS),
-            ids: 0xc1_u64 << 48,
-            told: LoadStatistics::default(),
+            retries: Vec::new(),
+            rng: rng(rig.spec.seed, LOAD_STREAM),
+            last_id: FIRST_ID,
+            statistics: LoadStatistics::default(),
+        }
+    }
+
+    /// Sends requests until `stop` is set, and then waits until none is open; returns the statistics.
+    pub fn run(mut self, stop: &AtomicBool) -> LoadStatistics {
+        let requests_per_s = self.load.checkouts_per_s + self.load.reads_per_s;
+        let start_ms = self.history.now_ms();
+        let (mut next_ms, mut next_second) = (0.0, 0);
+        while !stop.load(Ordering::SeqCst) {
+            let now_ms = self.history.now_ms() - start_ms;
+            if now_ms / 1000 >= next_second {
+                next_second += 1;
+                self.draw_effect_duration();
+            }
+            while next_ms <= now_ms as f64 {
+                let delay_ms = now_ms - next_ms as u64;
+                self.statistics.max_delay_ms = self.statistics.max_delay_ms.max(delay_ms);
+                next_ms -= (1.0 - draw(&mut self.rng)).ln() * 1000.0 / requests_per_s.max(0.001);
+                self.send_new_request();
+            }
+            self.poll();
+            std::thread::sleep(POLL_INTERVAL);
         }
+        while !self.open.is_empty() || !self.retries.is_empty() {
+            self.poll();
+            std::thread::sleep(POLL_INTERVAL);
+        }
+        self.statistics
     }
 
-    fn pick(&mut self, of: usize) -> usize {
-        ((draw(&mut self.rng) * of as f64) as usize).min(of.saturating_sub(1))
+    fn draw_effect_duration(&mut self) {
+        let [min, max] = self.load.effect_ms;
+        let duration_ms = min + (max - min).max(0.0) * draw(&mut self.rng);
+        self.effect_duration_ms.store(duration_ms as u64, Ordering::SeqCst);
     }
 
-    fn caller(&mut self, router: usize) -> Option<usize> {
-        let history = &self.history;
-        let all = &mut self.callers[router];
-        all.retain_mut(|(caller, asks)| {
-            asks.retain(|ask| history.wait_for_outcome(*ask, Duration::ZERO).is_none());
-            !caller.is_closed()
-        });
-        if let Some(at) = all.iter().position(|(_, asks)| asks.len() < OPEN) {
-            return Some(at);
-        }
-        if all.len() == MOST_CONNS {
-            return None;
+    fn send_new_request(&mut self) {
+        self.last_id += 1;
+        let id = format!("{:016x}", self.last_id);
+        let routers = self.addresses.len();
+        let router = self.draw_index(routers);
+        let requests_per_s = self.load.checkouts_per_s + self.load.reads_per_s;
+        if draw(&mut self.rng) * requests_per_s < self.load.checkouts_per_s {
+            let concurrent = draw(&mut self.rng) < self.load.concurrent_share;
+            self.send_checkout(router, Attempt { id: id.clone(), number: 1, concurrent });
+            if concurrent {
+                let other = (router + 1 + self.draw_index(routers - 1)) % routers;
+                // This is another client's attempt, which is not repeated.
+                self.send_checkout(other, Attempt { id, number: MAX_ATTEMPTS, concurrent });
+            }
+        } else {
+            let object = 1 + self.draw_index(self.load.objects.max(1) as usize) as u64;
+            self.send_read(router, &id, object);
         }
-        let caller = ClientConnection::connect(router, self.addresses[router], history).ok()?;
-        all.push((caller, Vec::new()));
-        Some(all.len() - 1)
     }
 
-    /// `beside`: it is presented to another router at once.
-    fn ask(&mut self, router: usize, id: String, about: &RequestKind, (tries, beside): (u32, bool)) {
-        let Some(at) = self.caller(router) else {
-            self.told.not_asked += 1;
+    /// A random index below `count`.
+    fn draw_index(&mut self, count: usize) -> usize {
+        ((draw(&mut self.rng) * count as f64) as usize).min(count.saturating_sub(1))
+    }
+
+    fn send_checkout(&mut self, router: usize, attempt: Attempt) {
+        let timeout_ms = self.load.timeout_ms;
+        let Some(connection) = self.connection(router) else {
+            self.statistics.not_sent += 1;
             return;
         };
-        let (caller, asks) = &mut self.callers[router][at];
-        let within = self.load.timeout_ms;
-        let ask = match about {
-            RequestKind::Checkout if beside => caller.checkout_concurrently(&id, within),
-            RequestKind::Checkout => caller.checkout(&id, within),
-            RequestKind::Read { object } => caller.read(&id, *object, within),
+        let number = if attempt.concurrent {
+            connection.client.checkout_concurrently(&attempt.id, timeout_ms)
+        } else {
+            connection.client.checkout(&attempt.id, timeout_ms)
         };
-        asks.push(ask);
-        let due = self.history.now_ms() + within + PAST_MS;
-        let again = (*about == RequestKind::Checkout).then_some((id, tries));
-        self.open.push(Open { ask, router, due, again });
+        connection.open.push(number);
+        self.add_open_request(number, router, Some(attempt));
     }
 
-    /// Looks at what came back.
-    fn look(&mut self) {
-        let now = self.history.now_ms();
-        let routers = self.addresses.len();
-        let mut again = Vec::new();
+    fn send_read(&mut self, router: usize, id: &str, object: u64) {
+        let timeout_ms = self.load.timeout_ms;
+        let Some(connection) = self.connection(router) else {
+            self.statistics.not_sent += 1;
+            return;
+        };
+        let number = connection.client.read(id, object, timeout_ms);
+        connection.open.push(number);
+        self.add_open_request(number, router, None);
+    }
+
+    fn add_open_request(&mut self, number: RequestNumber, router: usize, attempt: Option<Attempt>) {
+        let due_ms = self.history.now_ms() + self.load.timeout_ms + RESPONSE_GRACE_MS;
+        self.open.push(OpenRequest { number, router, due_ms, attempt });
+    }
+
+    /// A connection to the router that is not full; `None` if there is none and no other can be opened.
+    fn connection(&mut self, router: usize) -> Option<&mut Connection> {
         let history = &self.history;
-        let told = &mut self.told;
-        self.open.retain(|o| {
-            let end = history.wait_for_outcome(o.ask, Duration::ZERO);
-            let stay = match &end {
-                None if now < o.due => return true,
+        let connections = &mut self.connections[router];
+        connections.retain_mut(|connection| {
+            connection.open.retain(|request| history.wait_for_outcome(*request, Duration::ZERO).is_none());
+            !connection.client.is_closed()
+        });
+        let index = match connections.iter().position(|c| c.open.len() < MAX_OPEN_REQUESTS) {
+            Some(index) => index,
+            None if connections.len() == MAX_CONNECTIONS => return None,
+            None => {
+                let client = ClientConnection::connect(router, self.addresses[router], history).ok()?;
+                connections.push(Connection { client, open: Vec::new() });
+                connections.len() - 1
+            }
+        };
+        connections.get_mut(index)
+    }
+
+    /// Removes requests that have ended, and makes the retries that are due.
+    fn poll(&mut self) {
+        let now_ms = self.history.now_ms();
+        let routers = self.addresses.len();
+        let (history, statistics, retries) = (&self.history, &mut self.statistics, &mut self.retries);
+        self.open.retain_mut(|request| {
+            let outcome = history.wait_for_outcome(request.number, Duration::ZERO);
+            let retry_after_ms = match &outcome {
+                None if now_ms < request.due_ms => return true,
                 Some(Some(Outcome::Served(_) | Outcome::Failed(_))) => return false,
-                Some(Some(Outcome::Rejected { retry_after_ms: wait })) => wait.unwrap_or(0),
+                Some(Some(Outcome::Rejected { retry_after_ms })) => retry_after_ms.unwrap_or(0),
                 None | Some(None) => 0,
             };
-            if let Some((id, tries)) =
-                o.again.as_ref().filter(|(_, t)| *t < MOST_TRIES && stay <= MOST_STAY_MS)
-            {
-                match end {
-                    Some(Some(_)) => told.again_refused += 1,
-                    None | Some(None) => told.again_unheard += 1,
+            let repeated = |a: &mut Attempt| a.number < MAX_ATTEMPTS && retry_after_ms <= MAX_RETRY_AFTER_MS;
+            if let Some(attempt) = request.attempt.take_if(repeated) {
+                match outcome {
+                    Some(Some(_)) => statistics.resent_after_rejection += 1,
+                    None | Some(None) => statistics.resent_without_response += 1,
                 }
-                again.push((now + stay, (o.router + 1) % routers, id.clone(), tries + 1));
+                retries.push(Retry {
+                    at_ms: now_ms + retry_after_ms,
+                    router: (request.router + 1) % routers,
+                    attempt: Attempt { number: attempt.number + 1, concurrent: false, ..attempt },
+                });
             }
             false
         });
-        self.later.extend(again);
-        let due: Vec<_> = self.later.extract_if(.., |(at, ..)| *at <= now).collect();
-        for (_, router, id, tries) in due {
-            self.ask(router, id, &RequestKind::Checkout, (tries, false));
-        }
-    }
-
-    /// Asks until told to stop, and then until nothing is open.
-    pub fn run(mut self, stop: &AtomicBool) -> LoadStatistics {
-        let rate = self.load.checkouts_per_s + self.load.reads_per_s;
-        let start = self.history.now_ms();
-        let (mut next, mut second) = (0.0, 0);
-        while !stop.load(Ordering::SeqCst) {
-            let now = self.history.now_ms() - start;
-            if now / 1000 >= second {
-                second += 1;
-                let [least, most] = self.load.effect_ms;
-                let ms = least + (most - least).max(0.0) * draw(&mut self.rng);
-                self.effect_ms.store(ms as u64, Ordering::SeqCst);
-            }
-            while next <= now as f64 {
-                self.told.late_most = self.told.late_most.max(now - next as u64);
-                next -= (1.0 - draw(&mut self.rng)).ln() * 1000.0 / rate.max(0.001);
-                self.arrive();
-            }
-            self.look();
-            std::thread::sleep(LOOK);
-        }
-        while !self.open.is_empty() || !self.later.is_empty() {
-            self.look();
-            std::thread::sleep(LOOK);
-        }
-        self.told
-    }
-
-    fn arrive(&mut self) {
-        self.ids += 1;
-        let id = format!("{:016x}", self.ids);
-        let routers = self.addresses.len();
-        let router = self.pick(routers);
-        let total = self.load.checkouts_per_s + self.load.reads_per_s;
-        if draw(&mut self.rng) * total < self.load.checkouts_per_s {
-            let twice = draw(&mut self.rng) < self.load.concurrent_share;
-            self.ask(router, id.clone(), &RequestKind::Checkout, (1, twice));
-            if twice {
-                let other = (router + 1 + self.pick(routers - 1)) % routers;
-                // The second presentation is another client's, which presents it no further.
-                self.ask(other, id, &RequestKind::Checkout, (MOST_TRIES, true));
-            }
-        } else {
-            let object = 1 + self.pick(self.load.objects.max(1) as usize) as u64;
-            self.ask(router, id, &RequestKind::Read { object }, (1, false));
+        let due: Vec<Retry> = self.retries.extract_if(.., |retry| retry.at_ms <= now_ms).collect();
+        for retry in due {
+            self.send_checkout(retry.router, retry.attempt);
         }
     }
 }
--- a/crates/emulator/src/rig/mod.rs
+++ b/crates/emulator/src/rig/mod.rs
@@ -1,15 +1,14 @@
-//! Several routers as processes, with a relay on every directed link between any two parties, faults of links and processes, and a
-//! checker that knows only what clients, stand-ins and links saw.
+//! A test rig: several routers as processes, a relay on each link between any two endpoints, faults of links and processes, and a checker
+//! that knows only what clients, stand-ins and links observed.
 //!
-//! - [`spec`]: what the rig is made of, and what its routers are started from;
-//! - [`relay`]: links that delay, cut, drop, drip, repeat, break and reset;
-//! - [`router_process`]: a router's process, its folder, its address, and faults of both;
-//! - [`availability`]: which routers the fleet has to do without, and when it is whole again;
-//! - [`archive`], [`client_connection`]: what routers stand before, and who asks them;
-//! - [`history`], [`checker`]: what was seen, and whether it is what was promised;
-//! - `table_faults`: faults of tables;
-//! - [`fleet_cost`]: many routers without relays, and what they cost;
-//! - [`faults`], [`load`], [`scenario`]: faults scripted or drawn from a seed, clients at a rate, and a whole run of both.
+//! - [`spec`]: what a rig consists of, and the settings of its routers;
+//! - [`link`], [`relay`]: links that delay, cut, drop, throttle, duplicate, corrupt and reset;
+//! - [`router_process`]: a router's process, folders and addresses;
+//! - [`availability`]: unavailable and isolated routers, and waiting for the fleet to recover;
+//! - [`archive`], [`client_connection`]: what routers fetch from, and who sends them requests;
+//! - [`history`], [`checker`]: the observations, and whether they conform to the guarantees;
+//! - [`faults`], [`load`], [`scenario`]: scripted and random faults, a load generator, and a whole run of both;
+//! - [`fleet_cost`]: the resources that many routers without relays use.
 
 pub mod archive;
 pub mod availability;
@@ -18,138 +17,135 @@
 pub mod faults;
 pub mod fleet_cost;
 pub mod history;
-mod linearizability;
+pub mod link;
 pub mod load;
 pub mod relay;
 pub mod router_process;
 pub mod scenario;
 pub mod spec;
-mod table_faults;
 
 pub use archive::Archive;
 pub use checker::{check_history, HistoryCounts, Limits, Rule, Violation};
 pub use client_connection::ClientConnection;
 pub use history::{Event, History, Outcome, RequestKind, RequestNumber};
-pub use relay::{ChunkFault, Link, LinkConditions, LinkStatistics, Relay, RelayThread};
+pub use link::{ChunkFault, Link, LinkConditions, LinkStatistics};
+pub use relay::{Relay, RelayThread};
 pub use router_process::RouterProcess;
 pub use spec::{Location, Spec};
 
 use crate::standin::{unix_ms, Cache, ChangeLog};
+use router_process::Surroundings;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
-use std::path::PathBuf;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Whoever a link joins.
+/// The numbers of routers that a rig can have.
+const ROUTERS: RangeInclusive<usize> = 3..=9;
+/// The caches of a rig: an edge cache, a parent and the origin.
+const CACHES: usize = 3;
+/// The change log's kind of a purge event.
+const PURGE_EVENT: u8 = 3;
+/// The longest wait for one answer to whether a router serves.
+const SERVING_PROBE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often a router that does not serve is asked again.
+const SERVING_PROBE_INTERVAL: Duration = Duration::from_millis(10);
+
+/// An endpoint of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Endpoint {
     /// A router.
     Router(usize),
-    /// A cache, parent or origin, by its place.
+    /// A cache, by its index in [`Rig::caches`].
     Cache(usize),
     /// All clients.
     Clients,
 }
 
-/// The rig. Dropped, it ends what it started.
+/// The links of a rig: each direction between two endpoints.
+type Links = BTreeMap<(Endpoint, Endpoint), Link>;
+
+/// The rig. Dropping it ends all that it started.
 pub struct Rig {
-    /// What it was made of.
+    /// What the rig consists of.
     pub spec: Spec,
     /// The archive behind all caches.
     pub archive: Archive,
-    /// What was seen.
+    /// What was observed.
     pub history: History,
     /// An edge cache, a parent and the origin.
     pub caches: Vec<Cache>,
-    /// A change log for each router, so that one may hear what others do not.
+    /// A change log for each router, so that a purge can be sent to some routers only.
     pub change_logs: Vec<ChangeLog>,
     /// The routers.
     pub routers: Vec<RouterProcess>,
-    links: BTreeMap<(Endpoint, Endpoint), Link>,
-    last_sequence: Vec<u64>,
-    default_delay: (f64, f64),
-    /// Routers that do not keep now what they promised.
+    links: Links,
+    /// The last sequence number of each change log. The configuration that routers start with has number 1.
+    last_sequence_numbers: Vec<u64>,
+    default_delay_ms: (f64, f64),
+    /// Routers whose replicas are unavailable to the others.
     unavailable: RefCell<BTreeSet<usize>>,
-    /// Those that lost their disk and have not served since.
+    /// Routers that lost their disk and have not served since.
     wiped: RefCell<BTreeSet<usize>>,
-    rules: Option<PathBuf>,
-    _relays: RelayThread,
-    _dir: TempDir,
+    rules_file: Option<PathBuf>,
+    _relay_thread: RelayThread,
+    _folder: TempDir,
 }
 
 impl Rig {
-    /// Lays it out and starts all routers; they may not serve yet.
+    /// Sets up a rig and starts all routers; they may not be serving yet.
     ///
     /// # Errors
-    /// If there are fewer than 3 or more than 9 routers, or one does not come up; with what it said last.
+    /// If the number of routers is not from 3 to 9, or a router does not start; ends with its last log lines.
     pub fn start(spec: Spec) -> Result<Self, String> {
         let mut rig = Self::set_up(spec)?;
-        for r in 0..rig.routers.len() {
-            rig.start_router(r)?;
+        for router in 0..rig.len() {
+            rig.start_router(router)?;
         }
         Ok(rig)
     }
 
-    /// Lays it out without starting a router.
+    /// Sets up a rig without starting a router.
     ///
     /// # Errors
-    /// See [`Rig::start`].
+    /// If the number of routers is not from 3 to 9, or a folder or port can't be had.
     pub fn set_up(spec: Spec) -> Result<Self, String> {
-        let n = spec.locations.len();
-        if !(3..=9).contains(&n) {
-            return Err(format!("a rig has from 3 to 9 routers, not {n}"));
+        let router_count = spec.locations.len();
+        if !ROUTERS.contains(&router_count) {
+            let (min, max) = (ROUTERS.start(), ROUTERS.end());
+            return Err(format!("expected from {min} to {max} routers, found {router_count}"));
         }
-        let dir = TempDir::new().map_err(|e| format!("a folder for the rig: {e}"))?;
-        let rules: Option<PathBuf> = match &spec.rules {
-            Some(text) => {
-                let file = dir.path().join("fleet.rules");
-                std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
-                Some(file)
-            }
-            None => None,
-        };
+        let folder = TempDir::new().map_err(|e| format!("creating the rig's folder: {e}"))?;
+        let rules_file = write_rules(&spec, folder.path())?;
         let history = History::default();
         let archive = Archive::new(history.clone());
-        let caches: Vec<Cache> = (0..3).map(|_| archive.cache()).collect();
-        let change_logs: Vec<ChangeLog> = (0..n).map(|_| ChangeLog::start()).collect();
-        let router_endpoints = (0..n).map(Endpoint::Router);
-        let parties: Vec<Endpoint> = router_endpoints
-            .chain((0..caches.len()).map(Endpoint::Cache))
-            .chain([Endpoint::Clients])
-            .collect();
-        let pairs = parties.iter().flat_map(|a| parties.iter().map(|b| (*a, *b))).filter(|(a, b)| a != b);
-        let links: BTreeMap<(Endpoint, Endpoint), Link> =
-            pairs.zip(1..).map(|(pair, number)| (pair, Link::new(spec.seed, number))).collect();
+        let caches: Vec<Cache> = (0..CACHES).map(|_| archive.cache()).collect();
+        let change_logs: Vec<ChangeLog> = (0..router_count).map(|_| ChangeLog::start()).collect();
+        let links = create_links(router_count, spec.seed);
         let relays = RelayThread::start()?;
-        let link = |a: Endpoint, b: Endpoint, to| {
-            relays.start_relay(links[&(a, b)].clone(), links[&(b, a)].clone(), to)
-        };
         let mut routers = Vec::new();
-        for (r, log) in change_logs.iter().enumerate() {
-            let me = Endpoint::Router(r);
-            let peers: Result<BTreeMap<_, _>, String> =
-                (0..n).filter(|p| *p != r).map(|p| Ok((p, link(me, Endpoint::Router(p), None)?))).collect();
-            let servers: Result<Vec<_>, String> = caches
-                .iter()
-                .enumerate()
-                .map(|(c, at)| link(me, Endpoint::Cache(c), Some(at.address)))
-                .collect();
-            let clients = link(Endpoint::Clients, me, None)?;
-            let folder = dir.path().join(spec::router_name(r));
-            routers.push(RouterProcess::new(
-                r,
-                folder,
-                rules.clone(),
-                peers?,
-                &servers?,
-                clients,
-                log.address,
-                &spec,
-            )?);
+        for (router, change_log) in change_logs.iter().enumerate() {
+            let me = Endpoint::Router(router);
+            let relay = |from: Endpoint, to: Endpoint, target: Option<SocketAddr>| {
+                relays.start_relay(links[&(from, to)].clone(), links[&(to, from)].clone(), target)
+            };
+            let to_peer = |peer| Ok((peer, relay(me, Endpoint::Router(peer), None)?));
+            let to_cache = |(i, cache): (usize, &Cache)| relay(me, Endpoint::Cache(i), Some(cache.address));
+            let peers = (0..router_count).filter(|peer| *peer != router);
+            let surroundings = Surroundings {
+                peer_relays: peers.map(to_peer).collect::<Result<_, String>>()?,
+                server_relays: caches.iter().enumerate().map(to_cache).collect::<Result<_, String>>()?,
+                client_relay: relay(Endpoint::Clients, me, None)?,
+                change_log: change_log.address,
+                rules: rules_file.clone(),
+                spec: &spec,
+            };
+            let home = folder.path().join(spec::router_name(router));
+            routers.push(RouterProcess::new(router, home, surroundings)?);
         }
-        let (last_sequence, default_delay) = (vec![1; n], (0.0, 0.0));
-        let (unavailable, wiped) = Default::default();
         Ok(Self {
             spec,
             archive,
@@ -158,81 +154,76 @@
             change_logs,
             routers,
             links,
-            last_sequence,
-            default_delay,
-            unavailable,
-            wiped,
-            rules,
-            _relays: relays,
-            _dir: dir,
+            last_sequence_numbers: vec![1; router_count],
+            default_delay_ms: (0.0, 0.0),
+            unavailable: RefCell::default(),
+            wiped: RefCell::default(),
+            rules_file,
+            _relay_thread: relays,
+            _folder: folder,
         })
     }
 
-    /// Routers in it.
+    /// The number of routers.
     pub fn len(&self) -> usize {
         self.routers.len()
     }
 
-    /// Never: see [`Rig::set_up`].
+    /// Always false: [`Rig::set_up`] requires routers.
     pub fn is_empty(&self) -> bool {
         self.routers.is_empty()
     }
 
     // ---- Processes ----
 
-    /// Starts a router that does not run.
+    /// Starts a router that is not running.
     ///
     /// # Errors
-    /// If it does not come to listen; with what it said last.
+    /// If the router does not listen in time; ends with its last log lines.
     pub fn start_router(&mut self, router: usize) -> Result<(), String> {
         self.routers[router].start(&self.spec)?;
-        self.set_relay_targets();
+        self.update_relay_targets();
         Ok(())
     }
 
-    /// Its disk is full from now on, or no longer: no file of it grows.
+    /// Sets whether a router's disk is full: while it is, none of its files grows.
     pub fn set_disk_full(&self, router: usize, full: bool) {
-        self.record_fault(format!(
-            "router {router}'s disk {}",
-            if full { "is full" } else { "has room again" }
-        ));
+        let state = if full { "is full" } else { "has space again" };
+        self.record_fault(format!("the disk of router {router} {state}"));
         self.routers[router].set_disk_full(full);
         self.set_unavailable(router, full);
     }
 
-    /// RelayThread before routers lead to where those listen now.
-    fn set_relay_targets(&self) {
-        for (r, seat) in self.routers.iter().enumerate() {
-            for other in &self.routers {
-                if let Some(relay) = other.peer_relays.get(&r) {
-                    relay.set_target(seat.is_running().then_some(seat.peer_address));
-                }
+    /// Points the relays in front of routers to the routers' current addresses.
+    fn update_relay_targets(&self) {
+        for (index, router) in self.routers.iter().enumerate() {
+            let peer_address = router.is_running().then_some(router.peer_address);
+            for relay in self.routers.iter().filter_map(|other| other.peer_relays.get(&index)) {
+                relay.set_target(peer_address);
             }
-            seat.client_relay.set_target(seat.client_address());
+            router.client_relay.set_target(router.client_address());
         }
     }
 
-    /// Kills a router; its folder stays.
+    /// Kills a router; its durable data stay.
     pub fn kill(&mut self, router: usize) {
-        self.record_fault(format!("router {router} is killed"));
-        self.history.record(Event::RouterDown { router, down: true });
+        self.record_down(router, "is killed");
         self.routers[router].kill();
         self.set_unavailable(router, true);
-        self.set_relay_targets();
+        self.update_relay_targets();
     }
 
-    /// Asks a router to end in order; [`RouterProcess::shut_down`] waits for that.
+    /// Requests a graceful shutdown of a router; [`RouterProcess::shut_down`] waits for its end.
     pub fn request_shutdown(&mut self, router: usize) {
-        self.record_fault(format!("router {router} is asked to end"));
-        self.history.record(Event::RouterDown { router, down: true });
+        self.record_down(router, "is shut down");
         self.routers[router].request_shutdown();
         self.set_unavailable(router, true);
     }
 
-    /// Kills it and wipes its folder: it returns with another disk.
+    /// Kills a router and deletes its durable data: it returns with another disk.
     ///
     /// # Errors
-    /// If the folder can't be wiped.
+    /// If the data can't be deleted.
     pub fn kill_and_wipe(&mut self, router: usize) -> Result<(), String> {
         self.kill(router);
         self.record_fault(format!("router {router} loses its disk"));
@@ -240,150 +231,168 @@
         self.routers[router].wipe()
     }
 
-    /// Has it listen for peers at another address from its next start on.
+    /// Changes the address at which a router listens for peers from its next start on.
     ///
     /// # Errors
-    /// If there is no port.
+    /// If there is no free port.
     pub fn change_peer_address(&mut self, router: usize) -> Result<(), String> {
-        self.record_fault(format!("router {router} will return at another address"));
+        self.record_fault(format!("router {router} will restart at another address"));
         self.routers[router].change_peer_address()
     }
 
-    /// Stops it where it stands.
+    /// Suspends a router's process (`SIGSTOP`).
     pub fn suspend(&mut self, router: usize) {
-        self.record_fault(format!("router {router} is stopped"));
-        self.history.record(Event::RouterDown { router, down: true });
+        self.record_down(router, "is suspended");
         self.routers[router].signal("STOP");
         self.set_unavailable(router, true);
     }
 
-    /// Lets it go on.
+    /// Resumes a suspended router (`SIGCONT`).
     pub fn resume(&mut self, router: usize) {
-        self.record_fault(format!("router {router} goes on"));
+        self.record_fault(format!("router {router} is resumed"));
         self.routers[router].signal("CONT");
     }
 
-    /// Waits until a router says that it serves, and keeps that it does.
-    pub fn wait_until_serving(&self, router: usize, patience: Duration) -> bool {
-        let begun = Instant::now();
-        let left = || patience.saturating_sub(begun.elapsed());
-        while !left().is_zero() {
-            let said = self
-                .connect_client(router)
-                .is_ok_and(|c| c.is_serving(left().min(Duration::from_millis(500))));
-            if said {
+    /// Waits until a router is serving, and records that; returns whether it is in time.
+    pub fn wait_until_serving(&self, router: usize, timeout: Duration) -> bool {
+        let start = Instant::now();
+        let remaining = || timeout.saturating_sub(start.elapsed());
+        while !remaining().is_zero() {
+            let probe_timeout = remaining().min(SERVING_PROBE_TIMEOUT);
+            if self.connect_client(router).is_ok_and(|client| client.is_serving(probe_timeout)) {
                 self.history.record(Event::RouterDown { router, down: false });
-                // One with an empty disk does not count before that is filled.
+                // A router with an empty disk stays unavailable until registers are replicated to it.
                 if !self.wiped.borrow_mut().remove(&router) {
                     self.set_unavailable(router, false);
                 }
                 return true;
             }
-            std::thread::sleep(Duration::from_millis(10));
+            std::thread::sleep(SERVING_PROBE_INTERVAL);
         }
         false
     }
 
-    /// A router's counters by name; none while it does not run or is stopped.
+    /// A router's counters by name; none while it is not running or suspended.
     pub fn counters(&self, router: usize) -> BTreeMap<String, f64> {
         self.routers[router].counters()
     }
 
     // ---- Links ----
 
-    /// The way of bytes from one party to another.
+    /// One direction of the link between two endpoints.
     ///
     /// # Panics
-    /// If no link joins them.
+    /// If there is no link between them.
     pub fn link(&self, from: Endpoint, to: Endpoint) -> &Link {
         self.links.get(&(from, to)).unwrap_or_else(|| panic!("no link from {from:?} to {to:?}"))
     }
 
-    /// The way between two routers.
+    /// One direction of the link between two routers.
     pub fn router_link(&self, from: usize, to: usize) -> &Link {
         self.link(Endpoint::Router(from), Endpoint::Router(to))
     }
 
-    /// Cuts a router off from some others, both ways; clients and caches still reach it.
-    pub fn partition(&self, router: usize, from: &[usize]) {
-        self.record_fault(format!("router {router} is cut off from {from:?}"));
-        for other in from.iter().filter(|o| **o != router) {
+    /// Partitions a router from some others, in both directions; clients and caches still reach it.
+    pub fn partition(&self, router: usize, others: &[usize]) {
+        self.record_fault(format!("router {router} is partitioned from {others:?}"));
+        for other in others.iter().filter(|other| **other != router) {
             self.router_link(router, *other).set_cut(true);
             self.router_link(*other, router).set_cut(true);
         }
         self.record_isolation();
     }
 
-    /// Cuts only what one router sends another.
+    /// Cuts only the direction from one router to another.
     pub fn partition_one_way(&self, from: usize, to: usize) {
-        self.record_fault(format!("what router {from} sends router {to} is cut"));
+        self.record_fault(format!("the link from router {from} to router {to} is cut"));
         self.router_link(from, to).set_cut(true);
         self.record_isolation();
     }
 
-    /// What a piece takes on every link between routers, in milliseconds, unless a fault says otherwise.
-    pub fn set_default_delay(&mut self, delay: (f64, f64)) {
-        self.default_delay = delay;
-        self.router_links().for_each(|flow| flow.configure(|conditions| conditions.delay_ms = delay));
+    /// Sets the range of delays of all links between routers when no fault affects them, in milliseconds.
+    pub fn set_default_delay(&mut self, delay_ms: (f64, f64)) {
+        self.default_delay_ms = delay_ms;
+        self.router_links().for_each(|link| link.configure(|conditions| conditions.delay_ms = delay_ms));
     }
 
+    /// All directions of all links between routers.
     fn router_links(&self) -> impl Iterator<Item = &Link> {
-        let both =
-            |(a, b): &(Endpoint, Endpoint)| matches!((a, b), (Endpoint::Router(_), Endpoint::Router(_)));
-        self.links.iter().filter(move |(pair, _)| both(pair)).map(|(_, flow)| flow)
+        let between_routers =
+            |pair: &(Endpoint, Endpoint)| matches!(pair, (Endpoint::Router(_), Endpoint::Router(_)));
+        self.links.iter().filter(move |(pair, _)| between_routers(pair)).map(|(_, link)| link)
     }
 
-    /// What all links between routers did, added up.
-    pub fn router_link_statistics(&self) -> relay::LinkStatistics {
-        let mut all = relay::LinkStatistics::default();
-        for c in self.router_links().map(Link::statistics) {
-            all.received_bytes += c.received_bytes;
-            all.delivered_bytes += c.delivered_bytes;
-            all.dropped_bytes += c.dropped_bytes;
-            all.duplicated_chunks += c.duplicated_chunks;
-            all.corrupted_chunks += c.corrupted_chunks;
-            all.resets += c.resets;
-            all.delayed_by_cut += c.delayed_by_cut;
-        }
-        all
+    /// The sum of the statistics of all links between routers.
+    pub fn router_link_statistics(&self) -> LinkStatistics {
+        let mut sum = LinkStatistics::default();
+        self.router_links().for_each(|link| sum += link.statistics());
+        sum
     }
 
-    // ---- Clients, news ----
+    // ---- Clients, purges, rules ----
 
-    /// A client's connection to a router, through its relay.
+    /// Connects a client to a router, through the router's relay.
     ///
     /// # Errors
-    /// If it does not come up.
+    /// If the connection fails.
     pub fn connect_client(&self, router: usize) -> Result<ClientConnection, String> {
         ClientConnection::connect(router, self.routers[router].client_relay.address, &self.history)
     }
 
-    /// Has the change change_logs of these routers tell of a purge of an object that happens now; gives its Unix millisecond.
+    /// Purges an object, announced by the change logs of these routers only; returns the purge's time in Unix milliseconds.
     pub fn purge(&mut self, object: u64, routers: &[usize]) -> u64 {
-        let unix = unix_ms();
-        for r in routers {
-            self.last_sequence[*r] += 1;
-            let payload = [object.to_be_bytes(), unix.to_be_bytes()].concat();
-            self.history.record(Event::PurgeAnnounced { router: *r, object, purged_at_unix_ms: unix });
-            self.change_logs[*r].tell(self.last_sequence[*r], 3, &payload);
+        let purged_at_unix_ms = unix_ms();
+        let payload = [object.to_be_bytes(), purged_at_unix_ms.to_be_bytes()].concat();
+        for router in routers {
+            let sequence_number = &mut self.last_sequence_numbers[*router];
+            *sequence_number += 1;
+            self.history.record(Event::PurgeAnnounced { router: *router, object, purged_at_unix_ms });
+            self.change_logs[*router].tell(*sequence_number, PURGE_EVENT, &payload);
         }
-        unix
+        purged_at_unix_ms
     }
 
-    /// Replaces the rules' file, and has all routers read it.
+    /// Replaces the placement rules file, and makes all routers reload it.
     ///
     /// # Errors
-    /// If there is no rules' file, or it can't be written.
+    /// If the rig has no rules file, or it can't be written.
     pub fn replace_rules(&mut self, text: &str) -> Result<(), String> {
-        let file = self.rules.as_ref().ok_or("this rig has no rules' file")?;
-        std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
-        self.record_fault("the rules' file is replaced".into());
+        self.write_rules_file(text)?;
+        self.record_fault("the rules file is replaced".into());
         self.routers.iter_mut().for_each(RouterProcess::reload);
         Ok(())
     }
 
-    /// Keeps a fault in the history.
-    pub fn record_fault(&self, words: String) {
-        self.history.record(Event::Fault(words));
+    fn write_rules_file(&self, text: &str) -> Result<(), String> {
+        let file = self.rules_file.as_ref().ok_or("the rig has no rules file")?;
+        std::fs::write(file, text).map_err(|e| format!("writing {}: {e}", file.display()))
+    }
+
+    /// Records a fault in the history.
+    pub fn record_fault(&self, description: String) {
+        self.history.record(Event::Fault(description));
+    }
+
+    fn record_down(&self, router: usize, fault: &str) {
+        self.record_fault(format!("router {router} {fault}"));
+        self.history.record(Event::RouterDown { router, down: true });
     }
 }
+
+/// Writes the placement rules, if there are any, into a file for all routers.
+fn write_rules(spec: &Spec, folder: &Path) -> Result<Option<PathBuf>, String> {
+    let Some(text) = &spec.rules else { return Ok(None) };
+    let file = folder.join("fleet.rules");
+    std::fs::write(&file, text).map_err(|e| format!("writing {}: {e}", file.display()))?;
+    Ok(Some(file))
+}
+
+/// Creates a link in each direction between any two endpoints. A link's number, which its random numbers depend on, follows this order.
+fn create_links(router_count: usize, seed: u64) -> Links {
+    let routers = (0..router_count).map(Endpoint::Router);
+    let caches = (0..CACHES).map(Endpoint::Cache);
+    let endpoints: Vec<Endpoint> = routers.chain(caches).chain([Endpoint::Clients]).collect();
+    let pairs = endpoints.iter().flat_map(|from| endpoints.iter().map(|to| (*from, *to)));
+    let distinct = pairs.filter(|(from, to)| from != to);
+    distinct.zip(1..).map(|(pair, number)| (pair, Link::new(seed, number))).collect()
+}
--- a/crates/emulator/src/rig/router_process.rs
+++ b/crates/emulator/src/rig/router_process.rs
@@ -1,7 +1,7 @@
-//! A router of the rig: its process, its folder, its addresses.
+//! A router of the rig: its process, its folders and its addresses.
 
 use super::relay::Relay;
-use super::spec::{router_settings, Spec};
+use super::spec::{router_name, router_settings, Spec};
 use crate::process::Process;
 use crate::standin::{self, Listed, EDGE, ORIGIN, PARENT};
 use serde_json::{json, Value};
@@ -10,153 +10,158 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A port may be taken by another process between its choice and the router's start: so often another one is tried.
-const TRIES: usize = 3;
-/// A router's counters are waited for so long.
-const COUNTERS: Duration = standin::PATIENCE;
+/// Attempts to start a router: another process may take the chosen port before the router binds it.
+const MAX_START_ATTEMPTS: usize = 3;
+/// How long a router's counters are waited for.
+const COUNTERS_TIMEOUT: Duration = standin::PATIENCE;
 
-/// A router's seat.
+/// A router of the rig, whether its process runs or not.
 pub struct RouterProcess {
-    /// Its process, if it runs (or is stopped).
+    /// The process, if it runs or is suspended.
     process: Option<Process>,
-    number: usize,
+    router: usize,
     home: PathBuf,
-    /// What must last: gone when wiped.
+    /// The folder of the router's durable data, which does not exist after a wipe.
     pub data_folder: PathBuf,
     rules: Option<PathBuf>,
-    /// Where it listens for peers.
+    /// The address at which the router listens for peers.
     pub peer_address: SocketAddr,
-    /// The relays by which it reaches the others.
+    /// The relays through which the router reaches the other routers.
     pub peer_relays: BTreeMap<usize, Relay>,
-    /// The relay by which clients reach it.
+    /// The relay through which clients reach the router.
     pub client_relay: Relay,
     config: Value,
-    stopped: bool,
+    suspended: bool,
 }
 
-/// A port that is free now.
-fn port() -> Result<SocketAddr, String> {
-    let listener = TcpListener::bind("127.0.0.1:0").map_err(|e| format!("a port for peers: {e}"))?;
-    listener.local_addr().map_err(|e| e.to_string())
+/// The relays and servers that surround a router.
+pub(super) struct Surroundings<'a> {
+    /// The relays to the other routers.
+    pub(super) peer_relays: BTreeMap<usize, Relay>,
+    /// The relays to the edge cache, the parent and the origin.
+    pub(super) server_relays: Vec<Relay>,
+    /// The relay in front of the router.
+    pub(super) client_relay: Relay,
+    /// The address of the router's change log.
+    pub(super) change_log: SocketAddr,
+    /// The placement rules file.
+    pub(super) rules: Option<PathBuf>,
+    /// The specification of the rig.
+    pub(super) spec: &'a Spec,
 }
 
-fn folder(path: &Path) -> Result<(), String> {
-    std::fs::create_dir_all(path).map_err(|e| format!("{}: {e}", path.display()))
+/// A loopback address with a port that is free now.
+fn unused_address() -> Result<SocketAddr, String> {
+    let listener = TcpListener::bind("127.0.0.1:0").map_err(|e| format!("binding a port for peers: {e}"))?;
+    listener.local_addr().map_err(|e| format!("reading a port for peers: {e}"))
 }
 
-/// A router's configuration before these servers.
-pub(super) fn router_config(spec: &Spec, number: usize, listed: &[Listed], log: SocketAddr) -> Value {
-    let mut config = standin::configuration(listed, log);
-    config["name"] = json!(super::spec::router_name(number));
+fn create_folder(path: &Path) -> Result<(), String> {
+    std::fs::create_dir_all(path).map_err(|e| format!("creating {}: {e}", path.display()))
+}
+
+/// The configuration of a router with these servers.
+pub(super) fn router_config(spec: &Spec, router: usize, servers: &[Listed], change_log: SocketAddr) -> Value {
+    let mut config = standin::configuration(servers, change_log);
+    config["name"] = json!(router_name(router));
     config["settings"]["peers-total"] = json!(spec.locations.len());
     config["settings"]["family-info"]["purge-settles"] = json!(spec.purge_settles_ms as f64);
     config["settings"]["services"][0]["slo"] = json!(spec.latency_objective_ms as f64);
-    // On a busy machine a connection takes its time, and no cache of the rig is to be taken for gone.
+    // Connecting is slow on a busy machine, and no cache of the rig may be taken for down because of that.
     config["settings"]["limits"]["connect-timeout"] = json!(5_000.0);
     config
 }
 
 impl RouterProcess {
-    /// A seat whose router has never run.
-    #[allow(clippy::too_many_arguments)] // All are parts of the rig's layout, and there is one caller.
-    pub(super) fn new(
-        number: usize,
-        home: PathBuf,
-        rules: Option<PathBuf>,
-        peers: BTreeMap<usize, Relay>,
-        servers: &[Relay],
-        clients: Relay,
-        log: SocketAddr,
-        spec: &Spec,
-    ) -> Result<Self, String> {
+    /// A router that has never run.
+    pub(super) fn new(router: usize, home: PathBuf, surroundings: Surroundings<'_>) -> Result<Self, String> {
         let kinds = [(EDGE, "box"), (PARENT, "parent"), (ORIGIN, "origin")];
-        let listed: Vec<Listed> =
-            servers.iter().zip(kinds).map(|(relay, (id, kind))| Listed(id, relay.address, kind)).collect();
-        let config = router_config(spec, number, &listed, log);
-        let folder_path = home.join("lasting");
-        folder(&home)?;
-        let listen = port()?;
-        let seat = Self {
+        let listed = |(relay, (id, kind)): (&Relay, _)| Listed(id, relay.address, kind);
+        let servers: Vec<Listed> = surroundings.server_relays.iter().zip(kinds).map(listed).collect();
+        let config = router_config(surroundings.spec, router, &servers, surroundings.change_log);
+        create_folder(&home)?;
+        Ok(Self {
             process: None,
-            number,
+            router,
+            data_folder: home.join("lasting"),
             home,
-            data_folder: folder_path,
-            rules,
-            peer_address: listen,
-            peer_relays: peers,
-            client_relay: clients,
+            rules: surroundings.rules,
+            peer_address: unused_address()?,
+            peer_relays: surroundings.peer_relays,
+            client_relay: surroundings.client_relay,
             config,
-            stopped: false,
-        };
-        Ok(seat)
+            suspended: false,
+        })
     }
 
-    /// Whether its process is there.
+    /// Whether the process exists; it may be suspended.
     pub fn is_running(&self) -> bool {
         self.process.is_some()
     }
 
-    /// Whether its process is there and not stopped.
+    /// Whether the process exists and is not suspended.
     pub fn is_active(&self) -> bool {
-        self.process.is_some() && !self.stopped
+        self.process.is_some() && !self.suspended
     }
 
-    /// Where clients connect behind the relay.
+    /// The address of the router itself for clients, behind the relay.
     pub fn client_address(&self) -> Option<SocketAddr> {
         self.process.as_ref().map(|p| p.address)
     }
 
-    /// Whether the process has said this.
+    /// Whether the process has logged this text.
     pub fn log_contains(&self, text: &str) -> bool {
         self.process.as_ref().is_some_and(|p| p.said(text))
     }
 
-    /// All that the process has said.
+    /// Everything that the process has logged.
     pub fn log(&self) -> String {
         self.process.as_ref().map(Process::text).unwrap_or_default()
     }
 
-    /// Starts its process.
+    /// Starts the process.
     pub(super) fn start(&mut self, spec: &Spec) -> Result<(), String> {
         if self.process.is_some() {
-            return Err(format!("router {} runs already", self.number));
+            return Err(format!("router {} is running already", self.router));
         }
-        folder(&self.data_folder)?;
+        create_folder(&self.data_folder)?;
         let peers: Vec<(usize, SocketAddr)> =
-            self.peer_relays.iter().map(|(r, relay)| (*r, relay.address)).collect();
-        let mut tries = 0;
+            self.peer_relays.iter().map(|(peer, relay)| (*peer, relay.address)).collect();
+        let mut attempts = 0;
         self.process = loop {
-            tries += 1;
-            let text = router_settings(
+            attempts += 1;
+            let settings = router_settings(
                 spec,
-                self.number,
+                self.router,
                 self.peer_address,
                 &self.data_folder,
                 self.rules.as_deref(),
                 &peers,
             );
-            match Process::start_in(&spec.binary, &self.home, self.number, &self.config, &text) {
+            match Process::start_in(&spec.binary, &self.home, self.router, &self.config, &settings) {
                 Ok(process) => break Some(process),
-                Err(e) if tries < TRIES && e.contains("in use") => self.peer_address = port()?,
-                Err(e) => return Err(format!("router {}: {e}", self.number)),
+                Err(e) if attempts < MAX_START_ATTEMPTS && e.contains("in use") => {
+                    self.peer_address = unused_address()?;
+                }
+                Err(e) => return Err(format!("router {}: {e}", self.router)),
             }
         };
-        self.stopped = false;
+        self.suspended = false;
         Ok(())
     }
 
-    /// Kills its process.
+    /// Kills the process.
     pub(super) fn kill(&mut self) {
         self.process = None;
-        self.stopped = false;
+        self.suspended = false;
     }
 
-    /// Asks its process to end in order.
+    /// Requests a graceful shutdown of the process.
     pub(super) fn request_shutdown(&self) {
         self.process.iter().for_each(Process::end);
     }
 
-    /// Ends its process in order, and waits for that; gives all that it has said.
+    /// Shuts the process down gracefully; returns its log.
     pub fn shut_down(&mut self) -> String {
         let Some(mut process) = self.process.take() else { return String::new() };
         process.end();
@@ -164,45 +169,51 @@
         process.text()
     }
 
+    /// Prevents the process's files from growing, or allows it again.
     pub(super) fn set_disk_full(&self, full: bool) {
         if let Some(process) = &self.process {
             process.files_up_to(full.then_some(0));
         }
     }
 
+    /// Deletes the durable data.
     pub(super) fn wipe(&mut self) -> Result<(), String> {
         match std::fs::remove_dir_all(&self.data_folder) {
             Err(e) if e.kind() != std::io::ErrorKind::NotFound => {
-                Err(format!("{}: {e}", self.data_folder.display()))
+                Err(format!("deleting {}: {e}", self.data_folder.display()))
             }
             _ => Ok(()),
         }
     }
 
+    /// Chooses another address for peers, which the next start uses.
     pub(super) fn change_peer_address(&mut self) -> Result<(), String> {
-        self.peer_address = port()?;
+        self.peer_address = unused_address()?;
         Ok(())
     }
 
+    /// Sends the process a signal, as `kill` names it.
     pub(super) fn signal(&mut self, name: &str) {
         if let Some(process) = &self.process {
             process.signal(name);
-            self.stopped = name == "STOP" || (self.stopped && name != "CONT");
+            self.suspended = name == "STOP" || (self.suspended && name != "CONT");
         }
     }
 
-    /// Has it read its files again.
+    /// Makes the process reload its files.
     pub fn reload(&mut self) {
         self.signal("HUP");
     }
 
-    /// Changes what its next start is router_config by.
+    /// Changes the configuration, which the next start uses.
     pub fn configure(&mut self, change: impl FnOnce(&mut Value)) {
         change(&mut self.config);
     }
 
+    /// The process's counters by name; none if it is not active.
     pub(super) fn counters(&self) -> BTreeMap<String, f64> {
-        let told = self.process.as_ref().filter(|_| !self.stopped).and_then(|p| p.counters(COUNTERS));
-        told.unwrap_or_default().into_iter().collect()
+        let active = self.process.as_ref().filter(|_| !self.suspended);
+        let counters = active.and_then(|process| process.counters(COUNTERS_TIMEOUT));
+        counters.unwrap_or_default().into_iter().collect()
     }
 }
--- a/crates/emulator/src/rig/spec.rs
+++ b/crates/emulator/src/rig/spec.rs
@@ -1,72 +1,74 @@
-//! What a router of the rig is started from: its configuration, and its own settings with the section `fleet`.
+//! What a rig consists of, and the settings files with which its routers start.
 
 use serde::Serialize;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Where a router stands.
+/// The failure domains of a router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Location {
-    /// Its branch.
+    /// The router's branch.
     pub branch: String,
-    /// Its machine.
+    /// The router's machine.
     pub machine: String,
 }
 
-/// Which holds a router keeps.
+/// The kinds of registers that routers replicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct ReplicatedRegisters {
-    /// Checkouts and other unsafe requests.
+    /// Leases and outcomes of checkouts and other requests that are unsafe to repeat.
     pub effects: bool,
-    /// Purges that have not settled.
+    /// Purges that may not have taken effect at all caches yet.
     pub purges: bool,
-    /// Times to come back.
+    /// Tickets: the times at which rejected clients may retry.
     pub tickets: bool,
 }
 
-/// What the rig is made of.
+/// What a rig consists of.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// The program.
+    /// The router's program.
     pub binary: PathBuf,
-    /// Where each router stands; from 3 to 9 of them.
+    /// The location of each router; from 3 to 9.
     pub locations: Vec<Location>,
-    /// What delays and broken bytes are drawn from.
+    /// The seed of link delays and corrupted bytes.
     pub seed: u64,
-    /// Whether routers have a section `fleet`; without it they are on their own, as a baseline.
+    /// Whether routers have a section `fleet`. Without it each router is on its own, as a baseline.
     pub fleet: bool,
-    /// Copies of each hold: 3 or 5.
+    /// Replicas of each register: 3 or 5.
     pub replicas: usize,
-    /// Which holds there are.
+    /// The kinds of registers that are replicated.
     pub replicated: ReplicatedRegisters,
-    /// Whether gathers are taken.
+    /// Whether scatter-gather requests are accepted.
     pub scatter_gather: bool,
-    /// The text of the rules' file, the same for all.
+    /// The text of the placement rules file, which all routers share.
     pub rules: Option<String>,
-    /// Further keys of the section, as `limits`.
+    /// Further keys of the section `fleet`, such as `limits`.
     pub extra_settings: Value,
-    /// A purge has settled after this time, in milliseconds; until then caches may hold older copies.
+    /// The time after which a purge has taken effect at all caches, in milliseconds; until then a cache may hold older copies.
     pub purge_settles_ms: u64,
-    /// The aim of reads and checkouts, in milliseconds.
+    /// The latency objective of reads and checkouts, in milliseconds.
     pub latency_objective_ms: u64,
 }
 
 impl Spec {
-    /// So many routers, each on a machine of its own, in three branches in turn.
+    /// A fleet of `routers` routers, each on a machine of its own, distributed over three branches in turn.
     pub fn new(binary: &Path, routers: usize) -> Self {
-        let branch = |r: usize| ["north", "south", "east"][r % 3].to_string();
-        let place = |r: usize| Location { branch: branch(r), machine: format!("m{}", r + 1) };
+        let location = |router: usize| Location {
+            branch: ["north", "south", "east"][router % 3].to_string(),
+            machine: format!("m{}", router + 1),
+        };
         Self {
             binary: binary.to_path_buf(),
-            locations: (0..routers).map(place).collect(),
+            locations: (0..routers).map(location).collect(),
             seed: 1,
             fleet: true,
             replicas: 3,
             replicated: ReplicatedRegisters { effects: true, purges: true, tickets: true },
             scatter_gather: false,
             rules: None,
-            // A busy machine syncs slowly: what is tested is not how fast it does.
+            // A busy machine syncs its disk slowly, and the speed of the disk is not what is tested.
             extra_settings: json!({"limits": {"promise_ms": 2000}}),
             purge_settles_ms: 60_000,
             latency_objective_ms: 400,
@@ -79,34 +81,34 @@
     format!("r{}", router + 1)
 }
 
-/// The text of a router's own settings; JSON is YAML as well, and needs no quoting of its own.
+/// The text of a router's settings file. It is written as JSON, which is valid YAML and needs no quoting rules.
 pub fn router_settings(
     spec: &Spec,
     router: usize,
-    listen: SocketAddr,
-    folder: &Path,
+    peer_address: SocketAddr,
+    data_folder: &Path,
     rules: Option<&Path>,
     peers: &[(usize, SocketAddr)],
 ) -> String {
     if !spec.fleet {
         return "{}\n".into();
     }
-    let peers: Vec<Value> = peers
-        .iter()
-        .map(|(r, address)| {
-            let place = &spec.locations[*r];
-            json!({"name": router_name(*r), "address": address.to_string(), "branch": place.branch, "machine": place.machine})
+    let peer = |(peer, address): &(usize, SocketAddr)| {
+        let location = &spec.locations[*peer];
+        json!({
+            "name": router_name(*peer), "address": address.to_string(),
+            "branch": location.branch, "machine": location.machine,
         })
-        .collect();
-    let place = &spec.locations[router];
-    let mut fleet = json!({
-        "cluster": "rig", "name": router_name(router), "branch": place.branch, "machine": place.machine,
-        "listen": listen.to_string(), "folder": folder, "peers": peers, "copies": spec.replicas,
-        "holds": spec.replicated, "gather": spec.scatter_gather,
+    };
+    let location = &spec.locations[router];
+    let mut section = json!({
+        "cluster": "rig", "name": router_name(router), "branch": location.branch, "machine": location.machine,
+        "listen": peer_address.to_string(), "folder": data_folder, "peers": peers.iter().map(peer).collect::<Vec<_>>(),
+        "copies": spec.replicas, "holds": spec.replicated, "gather": spec.scatter_gather,
     });
-    if let (Some(fleet), Some(more)) = (fleet.as_object_mut(), spec.extra_settings.as_object()) {
-        fleet.extend(more.clone());
-        fleet.extend(rules.map(|file| ("rules".to_string(), json!(file))));
+    if let (Some(section), Some(extra)) = (section.as_object_mut(), spec.extra_settings.as_object()) {
+        section.extend(extra.clone());
+        section.extend(rules.map(|file| ("rules".to_string(), json!(file))));
     }
-    format!("{:#}\n", json!({ "fleet": fleet }))
+    format!("{:#}\n", json!({ "fleet": section }))
 }
