--- a/crates/emulator/src/rig/archive.rs
+++ b/crates/emulator/src/rig/archive.rs
@@ -1,7 +1,7 @@
 //! The archive behind the stand-in caches: it executes and counts every checkout that reaches any cache, and makes the copies of objects.
 
 use super::history::{Event, History};
-use crate::standin::{unix_ms, Cache, Do, Seen as Fetch};
+use crate::standin::{unix_ms, Cache, FetchBehaviour, ReceivedFetch};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -66,7 +66,7 @@
         })
     }
 
-    fn execute_checkout(&self, fetch: &Fetch) -> Do {
+    fn execute_checkout(&self, fetch: &ReceivedFetch) -> FetchBehaviour {
         let now = unix_ms();
         let execution = {
             let mut state = self.state();
@@ -77,17 +77,18 @@
         self.history.record(Event::Executed { id: fetch.id.clone() });
         let body = format!("receipt {} run {execution}", fetch.id).into_bytes();
         let delay_ms = self.effect_duration_ms.load(Ordering::SeqCst);
-        Do::OkWith(delay_ms, format!("ver=1,born={now},note=via_origin,waited=0"), body)
+        let fields = format!("ver=1,born={now},note=via_origin,waited=0");
+        FetchBehaviour::OkWithFields { delay_ms, fields, body }
     }
 
-    fn read(&self, fetch: &Fetch) -> Do {
+    fn read(&self, fetch: &ReceivedFetch) -> FetchBehaviour {
         let object = fetch.field("k").unwrap_or("?").to_string();
         let part = format!("{object}/{}", fetch.field("p").unwrap_or("?"));
         let max_age_ms: f64 = fetch.field("oldest").and_then(|age| age.parse().ok()).unwrap_or(0.0);
         let copied_at = self.copy_no_older_than(object, max_age_ms);
         let delay_ms = self.read_duration_ms.load(Ordering::SeqCst);
         let fields = format!("ver={copied_at:x},born={copied_at},note=hit,waited=0");
-        Do::OkWith(delay_ms, fields, copy_body(&part, copied_at))
+        FetchBehaviour::OkWithFields { delay_ms, fields, body: copy_body(&part, copied_at) }
     }
 
     /// The creation time of a copy of the object, which is made anew if it is too old; 0 allows any age.
--- a/crates/emulator/src/rig/availability.rs
+++ b/crates/emulator/src/rig/availability.rs
@@ -3,7 +3,7 @@
 
 use super::link::LinkConditions;
 use super::{Event, Rig};
-use crate::standin::comes;
+use crate::standin::wait_up_to;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
     pub fn wait_until_linked(&self) -> bool {
         let active: Vec<usize> = self.active_routers().collect();
         let linked = |router: &usize| self.counter(*router, "peers_up") as usize + 1 >= active.len();
-        !self.spec.fleet || comes(LINKED_WITHIN, || active.iter().all(linked))
+        !self.spec.fleet || wait_up_to(LINKED_WITHIN, || active.iter().all(linked))
     }
 
     /// Waits until the registers that a router lost with its disk are replicated to it again; returns whether they are in time.
@@ -74,7 +74,7 @@
                 |r: usize| self.table_versions().get(&r).is_some_and(|version| *version > old_version);
             self.active_routers().all(later)
         };
-        let replicated = !self.spec.fleet || comes(REPLICATED_WITHIN, all_later);
+        let replicated = !self.spec.fleet || wait_up_to(REPLICATED_WITHIN, all_later);
         if replicated {
             self.set_unavailable(router, false);
         }
@@ -87,7 +87,7 @@
     /// If a router has none in time; names the table versions of the others.
     pub fn wait_until_bootstrapped(&self, timeout: Duration) -> Result<(), String> {
         let all_have_tables = || self.active_routers().all(|r| self.counter(r, "table_version") > 0.0);
-        if !self.spec.fleet || comes(timeout, all_have_tables) {
+        if !self.spec.fleet || wait_up_to(timeout, all_have_tables) {
             return Ok(());
         }
         let versions = self.table_versions();
--- a/crates/emulator/src/rig/client_connection.rs
+++ b/crates/emulator/src/rig/client_connection.rs
@@ -2,7 +2,7 @@
 
 use super::archive::{CHECKOUT_CLASS, READ_CLASS};
 use super::history::{Event, History, Outcome, RequestKind, RequestNumber};
-use crate::standin::{comes, WIDE};
+use crate::standin::{wait_up_to, MESSAGE_LIMITS};
 use basaltgw_resp::{encode, Decoder, Fields};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -95,7 +95,7 @@
         if socket.write_all(&encode(&[b"PING", PING_TAG.to_string().as_bytes(), b""])).is_err() {
             return false;
         }
-        comes(timeout, || lock(&self.state).serving || self.is_closed()) && lock(&self.state).serving
+        wait_up_to(timeout, || lock(&self.state).serving || self.is_closed()) && lock(&self.state).serving
     }
 
     /// Presents a checkout.
@@ -191,7 +191,7 @@
 impl Reader {
     /// Reads responses until the connection ends.
     fn run(mut self) {
-        let mut decoder = Decoder::new(WIDE);
+        let mut decoder = Decoder::new(MESSAGE_LIMITS);
         let mut buffer = [0; 16 * 1024];
         while let Ok(n @ 1..) = self.socket.read(&mut buffer) {
             decoder.feed(&buffer[..n]);
--- a/crates/emulator/src/rig/faults/purge_receiver_loss.rs
+++ b/crates/emulator/src/rig/faults/purge_receiver_loss.rs
@@ -3,7 +3,7 @@
 
 use super::{FaultInjector, SERVING_WITHIN};
 use crate::rig::{Limits, Outcome};
-use crate::standin::comes;
+use crate::standin::wait_up_to;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
         let purged_at_ms = self.rig.history.now_ms();
         if self.rig.spec.fleet && committed_before.is_some() {
             let this = &*self;
-            if !comes(SERVING_WITHIN, || committed(this) > committed_before) {
+            if !wait_up_to(SERVING_WITHIN, || committed(this) > committed_before) {
                 self.unrecovered.push(format!("router {receiver} does not replicate a purge"));
             }
         }
--- a/crates/emulator/src/rig/faults/table_faults.rs
+++ b/crates/emulator/src/rig/faults/table_faults.rs
@@ -3,7 +3,7 @@
 
 use super::{FaultInjector, FaultKind, ScheduledFault};
 use crate::rig::Rig;
-use crate::standin::comes;
+use crate::standin::wait_up_to;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         let reloads_before = reloads(self);
         self.routers[router].reload();
         let rig = &*self;
-        if comes(RELOADED_WITHIN, || reloads(rig) > reloads_before) {
+        if wait_up_to(RELOADED_WITHIN, || reloads(rig) > reloads_before) {
             Ok(())
         } else {
             Err(format!("router {router} does not reload its files"))
@@ -45,7 +45,7 @@
 
     /// Waits until all routers have the same table, of a later version than this; returns whether they do in time.
     fn wait_for_table_after(&self, version: u64) -> bool {
-        comes(ADOPTED_WITHIN, || {
+        wait_up_to(ADOPTED_WITHIN, || {
             let versions = self.table_versions();
             let distinct: BTreeSet<u64> = versions.values().copied().collect();
             versions.len() == self.len() && distinct.len() == 1 && distinct.iter().all(|v| *v > version)
@@ -75,7 +75,7 @@
         };
         let mut figures: BTreeMap<_, _> = TABLE_COUNTERS.map(|name| (name.to_string(), figure(name))).into();
         if self.spec.fleet {
-            comes(ADOPTED_WITHIN, || self.routers_behind() == 0);
+            wait_up_to(ADOPTED_WITHIN, || self.routers_behind() == 0);
         }
         figures.insert("routers_behind".into(), self.routers_behind() as f64);
         figures.insert("tables_last".into(), self.last_table_version() as f64);
@@ -116,7 +116,7 @@
         let rig = &*self.rig;
         if !rig.spec.fleet {
             std::thread::sleep(fault.duration());
-        } else if !comes(WITHDRAWN_WITHIN, || withdrawn(rig) > withdrawn_before) {
+        } else if !wait_up_to(WITHDRAWN_WITHIN, || withdrawn(rig) > withdrawn_before) {
             self.unrecovered.push(format!("the table that router {router} proposed is not withdrawn"));
         }
         if suspend {
--- a/crates/emulator/src/rig/fleet_cost.rs
+++ b/crates/emulator/src/rig/fleet_cost.rs
@@ -150,7 +150,7 @@
     fn send_heartbeats(&self, interval: Duration, active: &Arc<AtomicBool>) {
         let (change_logs, active) = (self.change_logs.clone(), Arc::clone(active));
         let set_enabled =
-            |logs: &[ChangeLog], on| logs.iter().for_each(|l| l.beats.store(on, Ordering::SeqCst));
+            |logs: &[ChangeLog], on| logs.iter().for_each(|l| l.heartbeats.store(on, Ordering::SeqCst));
         thread::spawn(move || {
             while active.load(Ordering::SeqCst) {
                 set_enabled(&change_logs, true);
@@ -169,7 +169,7 @@
     for log in change_logs {
         // Number 1 is the configuration that routers start with.
         let sequence_number = log.frames.lock().map_or(0, |frames| frames.len() as u64) + 2;
-        log.tell(sequence_number, super::PURGE_EVENT, &payload);
+        log.publish(sequence_number, super::PURGE_EVENT, &payload);
     }
     object
 }
@@ -244,9 +244,9 @@
 
     /// Shuts all routers down gracefully, and waits for their ends; kills those that do not end.
     pub fn shut_down(&mut self) {
-        self.routers.iter().for_each(Process::end);
+        self.routers.iter().for_each(Process::terminate);
         for router in &mut self.routers {
-            router.over();
+            router.wait_for_exit();
         }
         self.routers.clear();
     }
--- a/crates/emulator/src/rig/fleet_cost/purge_latency.rs
+++ b/crates/emulator/src/rig/fleet_cost/purge_latency.rs
@@ -55,10 +55,10 @@
     let mut tag = 0;
     while start.elapsed() < TIMEOUT {
         tag += 1;
-        client.ask(tag, "pages", object, "", b"");
+        client.send_request(tag, "pages", object, "", b"");
         let Some(response) = client.next() else { return timeout_ms() };
         // The body is the age limit of the fetch, which only a purge sets.
-        if response.word == "200" && response.body != b"any" {
+        if response.status == "200" && response.body != b"any" {
             return start.elapsed().as_secs_f64() * 1000.0;
         }
         thread::sleep(POLL_INTERVAL);
--- a/crates/emulator/src/rig/fleet_cost/start.rs
+++ b/crates/emulator/src/rig/fleet_cost/start.rs
@@ -7,7 +7,7 @@
 use crate::process::Process;
 use crate::rig::router_process::router_config;
 use crate::rig::spec::{router_settings, Spec};
-use crate::standin::{comes, Cache, Do, Listed, EDGE, ORIGIN, PARENT};
+use crate::standin::{wait_up_to, Cache, FetchBehaviour, ListedServer, EDGE, ORIGIN, PARENT};
 use serde_json::json;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::AtomicBool;
@@ -42,7 +42,7 @@
 
 /// Starts a cache whose copies are as old as a fetch allows: the body is the age limit, which shows whether a purge is in effect.
 fn start_cache() -> Cache {
-    Cache::start(|fetch| Do::Ok(fetch.field("oldest").unwrap_or("any").into()))
+    Cache::start(|fetch| FetchBehaviour::Ok(fetch.field("oldest").unwrap_or("any").into()))
 }
 
 fn elapsed_ms(start: Instant) -> f64 {
@@ -127,8 +127,8 @@
 
     fn start_router(&self, spec: &Spec, router: usize) -> Result<Process, String> {
         let kinds = [(EDGE, "box"), (PARENT, "parent"), (ORIGIN, "origin")];
-        let listed = |((id, kind), cache): (_, &Cache)| Listed(id, cache.address, kind);
-        let servers: Vec<Listed> = kinds.into_iter().zip(&self.caches).map(listed).collect();
+        let listed = |((id, kind), cache): (_, &Cache)| ListedServer { id, address: cache.address, kind };
+        let servers: Vec<ListedServer> = kinds.into_iter().zip(&self.caches).map(listed).collect();
         // The first router follows a change log of its own.
         let change_log = &self.purge_source.change_logs[usize::from(router > 0)];
         let config = router_config(spec, router, &servers, change_log.address);
@@ -138,7 +138,7 @@
         std::fs::create_dir_all(&data_folder)
             .map_err(|e| format!("creating {}: {e}", data_folder.display()))?;
         let settings = router_settings(spec, router, self.address(router), &data_folder, None, &peers);
-        Process::start_in(&spec.binary, self.folder.path(), router, &config, &settings)
+        Process::start_in_dir(&spec.binary, self.folder.path(), router, &config, &settings)
     }
 
     fn address(&self, router: usize) -> SocketAddr {
@@ -170,6 +170,6 @@
             let counters = router.counters(COUNTERS_TIMEOUT).unwrap_or_default();
             !setup.fleet || counters.get(name).is_some_and(|value| fulfils(*value))
         };
-        comes(COUNTERS_TIMEOUT * START_TIMEOUT_FACTOR, || self.routers.iter().all(router_fulfils))
+        wait_up_to(COUNTERS_TIMEOUT * START_TIMEOUT_FACTOR, || self.routers.iter().all(router_fulfils))
     }
 }
--- a/crates/emulator/src/rig/mod.rs
+++ b/crates/emulator/src/rig/mod.rs
@@ -347,7 +347,7 @@
             let sequence_number = &mut self.last_sequence_numbers[*router];
             *sequence_number += 1;
             self.history.record(Event::PurgeAnnounced { router: *router, object, purged_at_unix_ms });
-            self.change_logs[*router].tell(*sequence_number, PURGE_EVENT, &payload);
+            self.change_logs[*router].publish(*sequence_number, PURGE_EVENT, &payload);
         }
         purged_at_unix_ms
     }
--- a/crates/emulator/src/rig/router_process.rs
+++ b/crates/emulator/src/rig/router_process.rs
@@ -3,7 +3,7 @@
 use super::relay::Relay;
 use super::spec::{router_name, router_settings, Spec};
 use crate::process::Process;
-use crate::standin::{self, Listed, EDGE, ORIGIN, PARENT};
+use crate::standin::{self, ListedServer, EDGE, ORIGIN, PARENT};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -13,7 +13,7 @@
 /// Attempts to start a router: another process may take the chosen port before the router binds it.
 const MAX_START_ATTEMPTS: usize = 3;
 /// How long a router's counters are waited for.
-const COUNTERS_TIMEOUT: Duration = standin::PATIENCE;
+const COUNTERS_TIMEOUT: Duration = standin::WAIT_LIMIT;
 
 /// A router of the rig, whether its process runs or not.
 pub struct RouterProcess {
@@ -61,7 +61,12 @@
 }
 
 /// The configuration of a router with these servers.
-pub(super) fn router_config(spec: &Spec, router: usize, servers: &[Listed], change_log: SocketAddr) -> Value {
+pub(super) fn router_config(
+    spec: &Spec,
+    router: usize,
+    servers: &[ListedServer],
+    change_log: SocketAddr,
+) -> Value {
     let mut config = standin::configuration(servers, change_log);
     config["name"] = json!(router_name(router));
     config["settings"]["peers-total"] = json!(spec.locations.len());
@@ -76,8 +81,8 @@
     /// A router that has never run.
     pub(super) fn new(router: usize, home: PathBuf, surroundings: Surroundings<'_>) -> Result<Self, String> {
         let kinds = [(EDGE, "box"), (PARENT, "parent"), (ORIGIN, "origin")];
-        let listed = |(relay, (id, kind)): (&Relay, _)| Listed(id, relay.address, kind);
-        let servers: Vec<Listed> = surroundings.server_relays.iter().zip(kinds).map(listed).collect();
+        let listed = |(relay, (id, kind)): (&Relay, _)| ListedServer { id, address: relay.address, kind };
+        let servers: Vec<ListedServer> = surroundings.server_relays.iter().zip(kinds).map(listed).collect();
         let config = router_config(surroundings.spec, router, &servers, surroundings.change_log);
         create_folder(&home)?;
         Ok(Self {
@@ -111,12 +116,12 @@
 
     /// Whether the process has logged this text.
     pub fn log_contains(&self, text: &str) -> bool {
-        self.process.as_ref().is_some_and(|p| p.said(text))
+        self.process.as_ref().is_some_and(|p| p.has_logged(text))
     }
 
     /// Everything that the process has logged.
     pub fn log(&self) -> String {
-        self.process.as_ref().map(Process::text).unwrap_or_default()
+        self.process.as_ref().map(Process::log_text).unwrap_or_default()
     }
 
     /// Starts the process.
@@ -138,7 +143,7 @@
                 self.rules.as_deref(),
                 &peers,
             );
-            match Process::start_in(&spec.binary, &self.home, self.router, &self.config, &settings) {
+            match Process::start_in_dir(&spec.binary, &self.home, self.router, &self.config, &settings) {
                 Ok(process) => break Some(process),
                 Err(e) if attempts < MAX_START_ATTEMPTS && e.contains("in use") => {
                     self.peer_address = unused_address()?;
@@ -158,21 +163,21 @@
 
     /// Requests a graceful shutdown of the process.
     pub(super) fn request_shutdown(&self) {
-        self.process.iter().for_each(Process::end);
+        self.process.iter().for_each(Process::terminate);
     }
 
     /// Shuts the process down gracefully; returns its log.
     pub fn shut_down(&mut self) -> String {
         let Some(mut process) = self.process.take() else { return String::new() };
-        process.end();
-        process.over();
-        process.text()
+        process.terminate();
+        process.wait_for_exit();
+        process.log_text()
     }
 
     /// Prevents the process's files from growing, or allows it again.
     pub(super) fn set_disk_full(&self, full: bool) {
         if let Some(process) = &self.process {
-            process.files_up_to(full.then_some(0));
+            process.limit_file_size(full.then_some(0));
         }
     }
 
--- a/crates/emulator/tests/relay.rs
+++ b/crates/emulator/tests/relay.rs
@@ -1,12 +1,12 @@
 //! The faults of relays, one at a time, in front of an echo server.
 
 use basaltgw_emulator::rig::{ChunkFault, Link, LinkConditions, LinkStatistics, Relay, RelayThread};
-use basaltgw_emulator::standin::{until, PATIENCE};
+use basaltgw_emulator::standin::{wait_until, WAIT_LIMIT};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Bytes that do not arrive within this time are held back. Bytes that have to arrive have [`PATIENCE`].
+/// Bytes that do not arrive within this time are held back. Bytes that have to arrive have [`WAIT_LIMIT`].
 const SILENCE: Duration = Duration::from_millis(150);
 
 /// Starts a server that sends everything back.
@@ -50,7 +50,7 @@
     }
 
     fn assert_receives(&mut self, text: &str) {
-        self.socket.set_read_timeout(Some(PATIENCE)).expect("set a read time-out");
+        self.socket.set_read_timeout(Some(WAIT_LIMIT)).expect("set a read time-out");
         let mut received = vec![0; text.len()];
         self.socket.read_exact(&mut received).expect("read from the relay");
         assert_eq!(String::from_utf8_lossy(&received), text);
@@ -80,7 +80,7 @@
     echo.assert_receives("two");
     echo.relay.from_target.set_cut(true);
     echo.send("three");
-    until("the bytes are delivered to the target", || echo.statistics_to_target().delivered_bytes == 11);
+    wait_until("the bytes are delivered to the target", || echo.statistics_to_target().delivered_bytes == 11);
     echo.assert_silent();
     echo.relay.from_target.set_cut(false);
     echo.assert_receives("three");
@@ -101,7 +101,7 @@
     echo.assert_receives("come up");
     echo.relay.to_target.configure(|conditions| conditions.black_hole = true);
     echo.send("gone");
-    until("the bytes are dropped", || echo.statistics_to_target().dropped_bytes == 4);
+    wait_until("the bytes are dropped", || echo.statistics_to_target().dropped_bytes == 4);
     echo.relay.to_target.configure(|conditions| conditions.black_hole = false);
     echo.relay.to_target.inject(ChunkFault::Duplicate);
     echo.send("ab");
@@ -137,12 +137,12 @@
     echo.send("one");
     echo.assert_receives("one");
     echo.relay.from_target.reset_connections();
-    echo.socket.set_read_timeout(Some(PATIENCE)).expect("set a read time-out");
+    echo.socket.set_read_timeout(Some(WAIT_LIMIT)).expect("set a read time-out");
     let end = echo.socket.read(&mut [0; 8]);
     assert!(end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset));
     echo.relay.set_target(None);
     let mut without_target = TcpStream::connect(echo.relay.address).expect("connect to the relay");
-    without_target.set_read_timeout(Some(PATIENCE)).expect("set a read time-out");
+    without_target.set_read_timeout(Some(WAIT_LIMIT)).expect("set a read time-out");
     assert!(without_target.read(&mut [0; 8]).is_err(), "not reset without a target");
     echo.relay.set_target(Some(start_echo_server()));
     echo.reconnect();
--- a/crates/node/tests/fleet/harness.rs
+++ b/crates/node/tests/fleet/harness.rs
@@ -1,6 +1,6 @@
 //! The harness of the fleet's tests: a rig of routers that replicate leases and outcomes, and requests through it.
 
-use crate::common::{binary, until, PATIENCE};
+use crate::common::{binary, wait_until, WAIT_LIMIT};
 use basaltgw_emulator::rig::{
     check_history, ClientConnection, Event, HistoryCounts, Limits, Outcome, RequestNumber, Rig, Spec,
 };
@@ -24,7 +24,7 @@
     let rig = Rig::start(spec).expect("a rig");
     let harness = FleetHarness { rig, ids: 0xf1ee7 << 32 };
     (0..harness.rig.len()).for_each(|r| harness.wait_until_serving(r));
-    harness.rig.wait_until_bootstrapped(PATIENCE).expect("a fleet");
+    harness.rig.wait_until_bootstrapped(WAIT_LIMIT).expect("a fleet");
     harness
 }
 
@@ -37,7 +37,7 @@
 
     /// Waits until a router is serving.
     pub fn wait_until_serving(&self, router: usize) {
-        let serves = self.rig.wait_until_serving(router, PATIENCE);
+        let serves = self.rig.wait_until_serving(router, WAIT_LIMIT);
         assert!(serves, "router {router} does not serve: {}", tail(&self.rig.routers[router].log()));
     }
 
@@ -51,7 +51,7 @@
 
     /// The outcome of a request: `None` if its connection was lost.
     pub fn wait_for_outcome(&self, ask: RequestNumber) -> Option<Outcome> {
-        self.rig.history.wait_for_outcome(ask, PATIENCE).expect("an end")
+        self.rig.history.wait_for_outcome(ask, WAIT_LIMIT).expect("an end")
     }
 
     /// Presents a checkout to a router; returns its outcome.
@@ -74,10 +74,10 @@
         loop {
             let before = self.unavailable_count(router);
             let end = self.checkout(router, id);
-            if !is_outcome_unknown(&end) || begun.elapsed() > PATIENCE {
+            if !is_outcome_unknown(&end) || begun.elapsed() > WAIT_LIMIT {
                 return end;
             }
-            until("it is counted why it does not know", || self.unavailable_count(router) > before);
+            wait_until("it is counted why it does not know", || self.unavailable_count(router) > before);
         }
     }
 
@@ -108,7 +108,7 @@
                     let said =
                         || self.rig.routers.iter().map(|r| r.log()).collect::<Vec<_>>().join("\n----\n");
                     assert!(
-                        begun.elapsed() < PATIENCE,
+                        begun.elapsed() < WAIT_LIMIT,
                         "router {router} never serves again: {end:?}\n{}",
                         said()
                     );
@@ -126,12 +126,12 @@
             match self.checkout(router, &id) {
                 Some(Outcome::Served(bytes)) => return (id, bytes),
                 end => assert!(
-                    begun.elapsed() < PATIENCE,
+                    begun.elapsed() < WAIT_LIMIT,
                     "router {router}: {end:?}; {}",
                     self.register_counters(router)
                 ),
             }
-            until("it is counted why it did not serve", || self.unavailable_count(router) > before);
+            wait_until("it is counted why it did not serve", || self.unavailable_count(router) > before);
         }
     }
 
@@ -151,7 +151,7 @@
             let (id, caller) = (self.new_id(), self.caller(router));
             let ask = caller.checkout(&id, DEADLINE_MS);
             let ended = || self.rig.history.wait_for_outcome(ask, Duration::ZERO);
-            until("the effect runs, or never does", || {
+            wait_until("the effect runs, or never does", || {
                 self.rig.archive.executions(&id) == 1 || ended().is_some()
             });
             if self.rig.archive.executions(&id) == 1 {
@@ -159,7 +159,7 @@
             }
             assert!(ended().is_some_and(|e| is_rejected(&e)), "{:?}", ended());
             assert!(
-                begun.elapsed() < PATIENCE,
+                begun.elapsed() < WAIT_LIMIT,
                 "router {router} takes none: {}",
                 self.register_counters(router)
             );
@@ -168,7 +168,7 @@
 
     /// Waits until a request was executed at the archive.
     pub fn wait_until_executed(&self, id: &str) {
-        until("the effect runs", || self.rig.archive.executions(id) == 1);
+        wait_until("the effect runs", || self.rig.archive.executions(id) == 1);
     }
 
     /// Asserts that the history breaks no rule.
@@ -190,7 +190,7 @@
 
     /// Waits until the first purge is so old that ignoring it breaks a rule.
     pub fn wait_until_purge_due(&self) {
-        until("it is to be heeded", || {
+        wait_until("it is to be heeded", || {
             let (events, _) = self.rig.history.events();
             let told =
                 events.iter().find(|e| matches!(e.event, Event::PurgeAnnounced { .. })).map(|e| e.at_ms);
--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -1,4 +1,4 @@
-//! Many routers without relays: their figures come, and all that was started is ended.
+//! FleetSetup routers without relays: their figures come, and all that was started is ended.
 
 mod common;
 
@@ -51,7 +51,7 @@
     for (many, why) in [
         (FleetSetup { routers: 2, ..three() }, "from 3 to 200 routers, not 2"),
         (FleetSetup { routers: 201, ..three() }, "from 3 to 200 routers, not 201"),
-        (FleetSetup::new(Path::new("/nowhere/basaltgw"), 3), "a router does not listen"),
+        (FleetSetup::new(Path::new("/nowhere/basaltgw"), 3), "the router ended before it was listening"),
     ] {
         let said = measure_fleet(&many).expect_err("an error");
         assert!(said.contains(why), "{said}");
