--- a/crates/fault_injection/src/control.rs
+++ b/crates/fault_injection/src/control.rs
@@ -1,117 +1,117 @@
-//! The file of 64-bit numbers that the harness shares with the process.
+//! The file of 64-bit numbers that the harness shares with the process: the value of each fault, then the hits of each fault.
 //!
-//! The harness side is `basaltgw_emulator::faults`; both keep the order of [`Fault`].
+//! `basaltgw_emulator::faults` is the harness's side; both sides have the order of [`Fault`].
 
 use std::ffi::CString;
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
-/// The kinds of faults, by place in the file: the first half of the file has the setting of each, the second half its count of hits.
+/// A kind of fault, whose number is its index in both halves of the shared file.
 #[derive(Clone, Copy)]
 pub enum Fault {
-    /// Setting: milliseconds by which the wall clock is stepped, signed. Hits: readings of a stepped clock.
+    /// The wall clock is stepped by the value, in milliseconds, forward or backward. Hits are readings of the stepped clock.
     WallClock,
-    /// Setting: one accept in so many fails. 0 for none, as for all below.
+    /// One of `value` calls to accept a connection fails; none if the value is 0. The same applies to all faults below.
     Accept,
-    /// One connect in so many fails.
+    /// Calls to connect fail.
     Connect,
-    /// One socket in so many is not made.
+    /// Calls to create a socket fail.
     Socket,
-    /// One send or receive in so many moves a single byte.
+    /// Calls to send or receive transfer a single byte.
     Short,
-    /// One send or receive in so many is interrupted by a signal.
+    /// Calls to send or receive fail as if interrupted by a signal (EINTR).
     Interrupted,
-    /// One receive in so many finds its connection broken (ETIMEDOUT, EHOSTUNREACH).
+    /// Calls to receive fail as on a broken connection (ETIMEDOUT, EHOSTUNREACH).
     Broken,
-    /// One sync of a file in so many fails.
+    /// Calls to sync a file fail.
     Sync,
-    /// One write to a file in so many fails.
+    /// Calls to write to a file fail.
     FileWrite,
 }
 
-/// Kinds of faults.
-pub const KINDS: usize = 9;
+/// The number of kinds of faults.
+pub const FAULT_KINDS: usize = 9;
 
-/// The shared file in memory; null until it is mapped, or if there is none.
-static SHARED: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
-/// Whether mapping was tried.
-static TRIED: AtomicU64 = AtomicU64::new(0);
-/// Numbers the calls that may fail.
+/// The mapping of the shared file; null before it is mapped, or without a file.
+static MAPPING: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
+/// 1 once mapping the file was attempted.
+static MAPPING_ATTEMPTED: AtomicU64 = AtomicU64::new(0);
+/// The number of calls so far that a fault may hit.
 static CALLS: AtomicU64 = AtomicU64::new(0);
 
-/// The shared numbers, if the harness gave a file.
-fn shared() -> Option<&'static [AtomicU64]> {
-    if TRIED.swap(1, Ordering::SeqCst) == 0 {
-        SHARED.store(map(), Ordering::SeqCst);
+/// The numbers in the shared file; `None` without a file.
+fn shared_numbers() -> Option<&'static [AtomicU64]> {
+    if MAPPING_ATTEMPTED.swap(1, Ordering::SeqCst) == 0 {
+        MAPPING.store(map_shared_file(), Ordering::SeqCst);
     }
-    let start = SHARED.load(Ordering::SeqCst);
+    let start = MAPPING.load(Ordering::SeqCst);
     // SAFETY: the mapping has room for all numbers, is aligned to a page and lasts until the process ends.
-    (!start.is_null()).then(|| unsafe { std::slice::from_raw_parts(start, 2 * KINDS) })
+    (!start.is_null()).then(|| unsafe { std::slice::from_raw_parts(start, 2 * FAULT_KINDS) })
 }
 
-/// Maps the file that `GW_FAULTS` names; null if there is none.
-fn map() -> *mut AtomicU64 {
-    let nothing = std::ptr::null_mut();
+/// Maps the file that `GW_FAULTS` names; null without a file or if that fails.
+fn map_shared_file() -> *mut AtomicU64 {
+    let null = std::ptr::null_mut();
     let Some(path) = std::env::var("GW_FAULTS").ok().and_then(|path| CString::new(path).ok()) else {
-        return nothing;
+        return null;
     };
-    // SAFETY: a path that ends in NUL; the result is checked.
+    // SAFETY: the path ends in NUL, and the result is checked.
     let file = unsafe { libc::open(path.as_ptr(), libc::O_RDWR | libc::O_CLOEXEC) };
     if file < 0 {
-        return nothing;
+        return null;
     }
-    let bytes = 2 * KINDS * std::mem::size_of::<u64>();
-    // SAFETY: a new shared mapping of an open file; the result is checked.
-    let at = unsafe {
-        libc::mmap(nothing.cast(), bytes, libc::PROT_READ | libc::PROT_WRITE, libc::MAP_SHARED, file, 0)
+    let bytes = 2 * FAULT_KINDS * std::mem::size_of::<u64>();
+    // SAFETY: this is a new shared mapping of an open file, and the result is checked.
+    let mapping = unsafe {
+        libc::mmap(null.cast(), bytes, libc::PROT_READ | libc::PROT_WRITE, libc::MAP_SHARED, file, 0)
     };
-    // SAFETY: the descriptor is this function's own; the mapping stays without it.
+    // SAFETY: this function owns the descriptor; the mapping remains valid without it.
     unsafe { libc::close(file) };
-    if at == libc::MAP_FAILED {
-        nothing
+    if mapping == libc::MAP_FAILED {
+        null
     } else {
-        at.cast()
+        mapping.cast()
     }
 }
 
-/// Milliseconds by which the wall clock is stepped now.
-pub fn wall_step_ms() -> i64 {
-    let Some(shared) = shared() else { return 0 };
-    let step = shared[Fault::WallClock as usize].load(Ordering::Relaxed) as i64;
+/// The milliseconds by which the wall clock is stepped.
+pub fn wall_clock_step_ms() -> i64 {
+    let Some(numbers) = shared_numbers() else { return 0 };
+    let step = numbers[Fault::WallClock as usize].load(Ordering::Relaxed) as i64;
     if step != 0 {
-        count(shared, Fault::WallClock);
+        count_hit(numbers, Fault::WallClock);
     }
     step
 }
 
-fn count(shared: &[AtomicU64], fault: Fault) {
-    shared[KINDS + fault as usize].fetch_add(1, Ordering::Relaxed);
+fn count_hit(numbers: &[AtomicU64], fault: Fault) {
+    numbers[FAULT_KINDS + fault as usize].fetch_add(1, Ordering::Relaxed);
 }
 
-/// Whether this call fails: one in so many does, spread by a hash of its number. Gives a number to choose the error by.
-pub fn strikes(fault: Fault) -> Option<usize> {
-    let shared = shared()?;
-    let one_in = shared[fault as usize].load(Ordering::Relaxed);
+/// Whether the fault hits this call, by a hash of the call's number; if so, a pseudorandom number to choose the error by.
+pub fn hits(fault: Fault) -> Option<usize> {
+    let numbers = shared_numbers()?;
+    let one_in = numbers[fault as usize].load(Ordering::Relaxed);
     if one_in == 0 {
         return None;
     }
-    let drawn = scramble(CALLS.fetch_add(1, Ordering::Relaxed));
-    if !drawn.is_multiple_of(one_in) {
+    let hash = splitmix64(CALLS.fetch_add(1, Ordering::Relaxed));
+    if !hash.is_multiple_of(one_in) {
         return None;
     }
-    count(shared, fault);
-    Some((drawn >> 32) as usize)
+    count_hit(numbers, fault);
+    Some((hash >> 32) as usize)
 }
 
 /// The finalizer of splitmix64.
-fn scramble(number: u64) -> u64 {
+fn splitmix64(number: u64) -> u64 {
     let z = number.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-/// Adds milliseconds to a time of the system.
-pub fn stepped(time: libc::timespec, step_ms: i64) -> libc::timespec {
+/// Adds a step in milliseconds to a time.
+pub fn add_step(time: libc::timespec, step_ms: i64) -> libc::timespec {
     const NANOS: i64 = 1_000_000_000;
     // An absolute time in nanoseconds fits 64 bits until the year 2262.
     let nanos = time.tv_sec * NANOS + time.tv_nsec + step_ms * 1_000_000;
