--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,4 +1,4 @@
-//! The files of routers in the model's fleet: configuration, plan, records of the change log.
+//! What routers of the simulated fleet are given: configuration, plan file, and records of the endpoint list.
 
 use basaltgw::api::EndpointState;
 use basaltgw_hierarchy::{PlanSpec, Settings};
@@ -9,27 +9,35 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// A plan as a router's own file has it.
-pub fn plan_file(plan: &PlanSpec, set: &Settings) -> String {
+/// The text of a router's settings file with this plan.
+pub fn plan_file(plan: &PlanSpec, settings: &Settings) -> String {
     let mut text = format!("hierarchy:\n  plan:\n    version: {}\n    nodes:\n", plan.version);
-    for n in &plan.nodes {
-        let sources: Vec<&str> = n.sources.iter().map(|s| &*s.0).collect();
-        let _ =
-            writeln!(text, "      - {{id: {}, tier: {}, sources: [{}]}}", n.id, n.tier.0, sources.join(", "));
+    for node in &plan.nodes {
+        let sources: Vec<&str> = node.sources.iter().map(|s| &*s.0).collect();
+        let _ = writeln!(
+            text,
+            "      - {{id: {}, tier: {}, sources: [{}]}}",
+            node.id,
+            node.tier.0,
+            sources.join(", ")
+        );
     }
     let _ = writeln!(
         text,
         "  reshape: {{behind: {}, proofs: {}, idle_ms: {}, quiet_ms: {}}}",
-        set.max_versions_behind, set.successes_per_step, set.idle_step_duration, set.quiet_period
+        settings.max_versions_behind,
+        settings.successes_per_step,
+        settings.idle_step_duration,
+        settings.quiet_period
     );
     text
 }
 
-/// The kinds of a list, by place.
-pub const KINDS: [&str; 3] = ["edge", "parent", "origin"];
+/// The names of the server kinds; a record has the index.
+pub const KIND_NAMES: [&str; 3] = ["edge", "parent", "origin"];
 
-/// The place of a node's kind.
-pub fn kind(node: &NodeInfo) -> usize {
+/// The index of a node's kind in [`KIND_NAMES`].
+pub fn kind_index(node: &NodeInfo) -> usize {
     match node.tier {
         0 => 2,
         1 | 2 => 1,
@@ -37,7 +45,8 @@
     }
 }
 
-fn area(zone: usize) -> String {
+/// The name of a zone; zone 0 is that of the parents and the origin.
+fn zone_name(zone: usize) -> String {
     if zone == 0 {
         "hub".into()
     } else {
@@ -45,19 +54,19 @@
     }
 }
 
-/// A router's configuration.
+/// The configuration of router `number`, which starts with these nodes in its endpoint list.
 pub fn configuration(
     setup: &Setup,
     zone: usize,
     number: usize,
-    log: SocketAddr,
+    change_log: SocketAddr,
     listed: &[(&NodeInfo, SocketAddr)],
 ) -> Value {
     let members: Vec<Value> = listed
         .iter()
-        .map(|(n, at)| {
-            json!({"id": n.id.0.to_string(), "host_port": at.to_string(), "locality": area(n.zone),
-                   "flavor": KINDS[kind(n)], "cell": 0, "phase": "SERVING", "size": 1, "up_since_ms": 0})
+        .map(|(node, address)| {
+            json!({"id": node.id.0.to_string(), "host_port": address.to_string(), "locality": zone_name(node.zone),
+                   "flavor": KIND_NAMES[kind_index(node)], "cell": 0, "phase": "SERVING", "size": 1, "up_since_ms": 0})
         })
         .collect();
     let classes = &setup.load.classes;
@@ -70,23 +79,23 @@
         })
         .collect();
     let rules = &setup.fleet.rules;
-    let of =
+    let by_class =
         |get: fn(&basaltgw_simulator::spec::ClassSpec) -> Value| classes.iter().map(get).collect::<Vec<_>>();
-    let areas: Vec<String> = (0..=setup.fleet.zones).map(area).collect();
+    let zones: Vec<String> = (0..=setup.fleet.zones).map(zone_name).collect();
     json!({
         "name": format!("router-{number}"), "listen": "127.0.0.1:0", "seed": format!("{:x}", setup.seed + number as u64),
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "changelog": log.to_string(),
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "changelog": change_log.to_string(),
         "known": {"seq": 1, "results": [{"seq": 1, "fleet": {"revision": 1, "complete": true, "members": members}}]},
         "settings": {
-            "areas": areas, "my-zone": area(zone), "kinds": KINDS,
+            "areas": zones, "my-zone": zone_name(zone), "kinds": KIND_NAMES,
             "peers-total": setup.fleet.zones * setup.fleet.routers_per_zone, "granularity": 2.0, "services": services,
             "contract": {"cold": rules.cold_edge.span_ms, "cold-share": rules.cold_edge.share,
                          "drain-grace": rules.drain_grace_ms, "fall": rules.cold_edge.window_ms,
                          "fall-multiple": rules.cold_edge.multiple},
             "family-info": {"shield-kind": 1, "store-kind": 2, "pass-through-ok": true, "collapses": true, "lateral": "silent",
                             "purge-settles": rules.purge_settles_ms, "heed-within": rules.purge_grace_ms,
-                            "goes-through": of(|c| json!(c.effect == EffectSpec::Unsafe)),
-                            "lifetime-by-class": of(|c| json!(c.fresh_ms)), "class-grace": of(|c| json!(c.grace_ms)),
+                            "goes-through": by_class(|c| json!(c.effect == EffectSpec::Unsafe)),
+                            "lifetime-by-class": by_class(|c| json!(c.fresh_ms)), "class-grace": by_class(|c| json!(c.grace_ms)),
                             "pace-kb-per-s": setup.fleet.net.pace_kb_per_ms * 1000.0,
                             "parent-cold-from": rules.cold_parent.share, "upper-cold": rules.cold_parent.span_ms,
                             "parent-fall-multiple": rules.cold_parent.multiple},
@@ -97,22 +106,27 @@
     })
 }
 
-/// A record of the change log: id, address, state, zone, kind, cell, weight, start.
-pub fn record(node: &NodeInfo, at: SocketAddr, listed: EndpointState, started_ms: u64) -> Vec<u8> {
-    let id = node.id.0.strip_prefix("s-").and_then(|h| u32::from_str_radix(h, 16).ok()).unwrap_or_default();
+/// A node's record in an event of the endpoint list: id, address, state, zone, kind, cell, weight, start.
+pub fn record(node: &NodeInfo, address: SocketAddr, listed: EndpointState, started_ms: u64) -> Vec<u8> {
+    let id = node
+        .id
+        .0
+        .strip_prefix("s-")
+        .and_then(|digits| u32::from_str_radix(digits, 16).ok())
+        .unwrap_or_default();
     let mut bytes = id.to_be_bytes().to_vec();
-    let octets = match at {
+    let octets = match address {
         SocketAddr::V4(v4) => v4.ip().octets(),
         SocketAddr::V6(_) => [0; 4],
     };
     bytes.extend_from_slice(&octets);
-    bytes.extend_from_slice(&at.port().to_be_bytes());
+    bytes.extend_from_slice(&address.port().to_be_bytes());
     let state = match listed {
         EndpointState::Up => 0,
         EndpointState::Draining => 1,
         EndpointState::Removed => 2,
     };
-    bytes.extend_from_slice(&[state, node.zone as u8, kind(node) as u8, 0, 0]);
+    bytes.extend_from_slice(&[state, node.zone as u8, kind_index(node) as u8, 0, 0]);
     bytes.extend_from_slice(&1000u32.to_be_bytes());
     bytes.extend_from_slice(&started_ms.to_be_bytes());
     bytes
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection into router processes: the library that is preloaded, and the file by which it is told what to do.
+//! Fault injection into router processes: the library that is preloaded into them, and the shared file that sets its faults.
 
 use std::fs::File;
 use std::io;
@@ -6,31 +6,31 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// A kind of fault, by its place in the shared file; `basaltgw_fault_injection::control` has the same order.
+/// A kind of fault. The shared file and `basaltgw_fault_injection::control` have the same order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// Milliseconds by which the wall clock is stepped, signed; hits are readings of a stepped clock.
+    /// The wall clock is stepped by the value, in milliseconds, forward or backward. Hits are readings of the stepped clock.
     WallClock,
-    /// One accept in so many fails; 0 for none, as for all below.
+    /// One of `value` calls to accept a connection fails; none if the value is 0. The same applies to all faults below.
     Accept,
-    /// One connect in so many fails; seen only by a program built with `--cfg rustix_use_libc`.
+    /// Calls to connect fail. Takes effect only in a program built with `--cfg rustix_use_libc`.
     Connect,
-    /// One socket in so many is not made; as for [`Fault::Connect`].
+    /// Calls to create a socket fail. Takes effect only under the same condition as [`Fault::Connect`].
     Socket,
-    /// One send or receive in so many moves a single byte.
+    /// Calls to send or receive transfer a single byte.
     Short,
-    /// One send or receive in so many is interrupted by a signal.
+    /// Calls to send or receive fail as if interrupted by a signal.
     Interrupted,
-    /// One receive in so many finds its connection broken.
+    /// Calls to receive fail as on a broken connection.
     Broken,
-    /// One sync of a file in so many fails.
+    /// Calls to sync a file fail.
     Sync,
-    /// One write to a file in so many fails.
+    /// Calls to write to a file fail.
     FileWrite,
 }
 
 impl Fault {
-    /// All kinds, in the order of the file.
+    /// All kinds, in the order of the shared file.
     pub const ALL: [Self; 9] = [
         Self::WallClock,
         Self::Accept,
@@ -44,59 +44,60 @@
     ];
 }
 
-/// Bytes of a number in the file.
-const WIDTH: u64 = 8;
-/// The library's file name.
-const LIBRARY: &str = "libbasaltgw_fault_injection.so";
+/// The size of a number in the shared file.
+const NUMBER_BYTES: u64 = 8;
+/// The file name of the library.
+const LIBRARY_NAME: &str = "libbasaltgw_fault_injection.so";
 
-/// The faults of one router process.
+/// The faults that are injected into one router process.
 #[derive(Debug)]
 pub struct Faults {
-    library: PathBuf,
+    library_path: PathBuf,
     path: PathBuf,
     file: File,
 }
 
 impl Faults {
-    /// No faults yet, told by a file at `path`.
+    /// Creates the shared file at `path`, with all faults off.
     ///
     /// # Errors
-    /// If the library is not there and can't be built, or the file can't be made.
+    /// If the library is missing and can't be built, or the file can't be created.
     pub fn new(path: &Path) -> io::Result<Self> {
         let file = File::options().create(true).truncate(true).read(true).write(true).open(path)?;
-        file.set_len(2 * Fault::ALL.len() as u64 * WIDTH)?;
-        Ok(Self { library: library()?, path: path.into(), file })
+        file.set_len(2 * Fault::ALL.len() as u64 * NUMBER_BYTES)?;
+        Ok(Self { library_path: find_or_build_library()?, path: path.into(), file })
     }
 
-    /// The variables with which the process has to be started.
+    /// The environment variables that the process has to be started with.
     pub fn environment(&self) -> Vec<(String, PathBuf)> {
-        vec![("LD_PRELOAD".into(), self.library.clone()), ("GW_FAULTS".into(), self.path.clone())]
+        vec![("LD_PRELOAD".into(), self.library_path.clone()), ("GW_FAULTS".into(), self.path.clone())]
     }
 
-    /// Sets a fault, from now on.
+    /// Sets the value of a fault; it takes effect at once.
     ///
     /// # Errors
     /// If the file can't be written.
     pub fn set(&self, fault: Fault, value: i64) -> io::Result<()> {
-        self.file.write_all_at(&value.to_ne_bytes(), fault as u64 * WIDTH)
+        self.file.write_all_at(&value.to_ne_bytes(), fault as u64 * NUMBER_BYTES)
     }
 
-    /// How often a fault was hit so far.
+    /// How often a fault was injected so far.
     ///
     /// # Errors
     /// If the file can't be read.
     pub fn hits(&self, fault: Fault) -> io::Result<u64> {
-        let mut bytes = [0; WIDTH as usize];
-        self.file.read_exact_at(&mut bytes, (Fault::ALL.len() as u64 + fault as u64) * WIDTH)?;
+        let mut bytes = [0; NUMBER_BYTES as usize];
+        self.file.read_exact_at(&mut bytes, (Fault::ALL.len() as u64 + fault as u64) * NUMBER_BYTES)?;
         Ok(u64::from_ne_bytes(bytes))
     }
 }
 
-/// The library: beside the running program or one folder above it. A test run of a single package has not built it: then it is built.
-fn library() -> io::Result<PathBuf> {
+/// Finds the library beside the running program or in the directory above. A test run of a single package has not built it; then it
+/// is built here.
+fn find_or_build_library() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?;
-    let folders: Vec<PathBuf> = program.ancestors().skip(1).take(2).map(Path::to_path_buf).collect();
-    let find = || folders.iter().map(|folder| folder.join(LIBRARY)).find(|path| path.exists());
+    let directories: Vec<PathBuf> = program.ancestors().skip(1).take(2).map(Path::to_path_buf).collect();
+    let find = || directories.iter().map(|directory| directory.join(LIBRARY_NAME)).find(|path| path.exists());
     if let Some(found) = find() {
         return Ok(found);
     }
@@ -104,14 +105,11 @@
     let mut build = Command::new(cargo);
     build.args(["build", "--locked", "--package", "basaltgw-fault-injection"]);
     build.arg("--manifest-path").arg(concat!(env!("CARGO_MANIFEST_DIR"), "/../../Cargo.toml"));
-    if folders.iter().any(|folder| folder.ends_with("release")) {
+    if directories.iter().any(|directory| directory.ends_with("release")) {
         build.arg("--release");
     }
-    let built = build.status()?;
-    find().filter(|_| built.success()).ok_or_else(|| {
-        io::Error::other(format!(
-            "{LIBRARY} is not beside {}: expected `{build:?}` to make it",
-            program.display()
-        ))
+    let status = build.status()?;
+    find().filter(|_| status.success()).ok_or_else(|| {
+        io::Error::other(format!("{LIBRARY_NAME} not found beside {} after `{build:?}`", program.display()))
     })
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,12 @@
-//! The model's fleet on loopback sockets: real router processes talk to it by the platform's protocol, under the model's load and script.
+//! The simulated fleet on loopback sockets, around real router processes: the load and the script of a simulator setup, played in real
+//! time over the platform's protocols.
 //!
-//! One thread runs everything. Sockets' tasks ([`net`]) reach the one owner of the fleet, the clients and the checker ([`world`]) through a
-//! queue; routers are processes ([`process`]). Each router reaches each party at an address of its own, so that who asks is known.
+//! A run has one thread. The tasks of the sockets ([`net`]) pass what they receive through a queue to the owner of the fleet, the
+//! clients and the checker ([`world`]); routers are processes ([`process`]). Each router reaches each node at an address of its own, so
+//! that the node's side of a connection knows the router.
 //!
-//! Beside it: stand-ins for tests of one router ([`standin`]), and several routers that talk to each other through relays which break
-//! what they carry, with a checker of what they promised ([`rig`]).
+//! For tests, the crate also has stand-ins around one router ([`standin`]), and a harness of several routers that communicate through
+//! relays with faults, with a checker of their guarantees ([`rig`]).
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
