--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -1,4 +1,6 @@
-//! Sockets: listeners of nodes for each router, the change logs, clients' connections. They carry and decide nothing.
+//! The sockets of a run: the nodes' listeners for each router, the change logs, and the clients' connections.
+//!
+//! They pass messages on and decide nothing.
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -11,156 +13,177 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A connection, counted from 1.
+/// The number of a connection, counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// What sockets tell the owner.
+/// What the tasks of the sockets report to the owner of the run.
 pub enum Input {
-    /// A router sent a node a message.
-    Asked {
-        /// Which router.
+    /// A router sent a message to a node.
+    NodeMessage {
+        /// The index of the router.
         router: usize,
-        /// Which node.
+        /// The node.
         node: NodeIndex,
-        /// On which connection.
+        /// The connection.
         conn: ConnId,
-        /// What is sent here is written back.
-        out: Sender<Vec<u8>>,
-        /// The message.
-        words: Vec<Vec<u8>>,
+        /// Messages to the router on that connection.
+        outgoing: Sender<Vec<u8>>,
+        /// The elements of the message.
+        elements: Vec<Vec<u8>>,
     },
-    /// A router's connection to a node is over.
-    Closed(ConnId),
+    /// A connection between a router and a node was closed.
+    NodeConnectionClosed(ConnId),
     /// A router answered a client.
-    Answer {
-        /// Which router.
+    ClientAnswer {
+        /// The index of the router.
         router: usize,
-        /// On which connection.
+        /// The client's connection.
         conn: ConnId,
-        /// The message.
-        words: Vec<Vec<u8>>,
+        /// The elements of the message.
+        elements: Vec<Vec<u8>>,
     },
-    /// A client's connection is over.
-    ClientOver {
-        /// To which router.
+    /// A client's connection was closed.
+    ClientConnectionClosed {
+        /// The index of the router.
         router: usize,
-        /// Which connection.
+        /// The connection.
         conn: ConnId,
     },
 }
 
-const BOUNDS: MessageLimits = MessageLimits { max_elements: 8, max_bytes: 300_000 };
-/// How often a task looks whether its node still runs.
-const LOOK: Duration = Duration::from_millis(10);
-/// Messages that wait to be written on a connection.
-const UNSENT: usize = 4_096;
+const MESSAGE_LIMITS: MessageLimits = MessageLimits { max_elements: 8, max_bytes: 300_000 };
+/// The size of the buffer that a connection is read into.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// The time between two checks of the state of a node or of a change log.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The most messages that wait to be written on a connection.
+const MAX_UNSENT_MESSAGES: usize = 4_096;
+/// The number of checks per heartbeat of a change log: a heartbeat each half second.
+const POLLS_PER_HEARTBEAT: u32 = 50;
+/// The kind of a heartbeat frame.
+const HEARTBEAT: u8 = 0;
+/// The time after which a misbehaving client disconnects.
+const MISBEHAVING_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A node as its sockets see it: its life ends when it dies.
+/// The state of a node as far as its sockets need it.
 #[derive(Default)]
-pub struct Status {
-    /// It takes connections.
-    pub up: Cell<bool>,
-    /// It answers `alive`.
-    pub talks: Cell<bool>,
-    /// Counted up with each death.
-    pub life: Cell<u64>,
+pub struct NodeStatus {
+    /// Whether the node accepts connections.
+    pub accepts: Cell<bool>,
+    /// Whether the node answers the probe `alive`.
+    pub answers_probes: Cell<bool>,
+    /// Changed to close all connections of the node, as when its process dies.
+    pub connection_epoch: Cell<u64>,
 }
 
-/// What all sockets share.
+impl NodeStatus {
+    /// Closes all connections of the node.
+    pub fn close_connections(&self) {
+        self.connection_epoch.set(self.connection_epoch.get() + 1);
+    }
+}
+
+/// What the tasks of all sockets share.
 #[derive(Clone)]
 pub struct Net {
-    /// Where they run.
+    /// Runs the tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// To the owner.
-    pub queue: Sender<Input>,
-    /// Connections so far.
-    pub conns: Rc<Cell<u64>>,
+    /// Inputs to the owner of the run.
+    pub inputs: Sender<Input>,
+    /// The number of connections so far.
+    pub connections: Rc<Cell<u64>>,
 }
 
 impl Net {
-    fn next(&self) -> ConnId {
-        self.conns.set(self.conns.get() + 1);
-        ConnId(self.conns.get())
+    fn next_id(&self) -> ConnId {
+        self.connections.set(self.connections.get() + 1);
+        ConnId(self.connections.get())
     }
 }
 
-/// Takes a router's connections to a node for as long as that runs; while it does not, they are refused.
-pub async fn serve(
+/// Serves a router's connections to a node while the node accepts them; otherwise connections are refused.
+pub async fn serve_node(
     net: Net,
     router: usize,
     node: NodeIndex,
-    at: SocketAddr,
-    first: TcpListener,
-    status: Rc<Status>,
+    address: SocketAddr,
+    first_listener: TcpListener,
+    status: Rc<NodeStatus>,
 ) {
-    let mut first = Some(first);
+    let mut first_listener = Some(first_listener);
     loop {
-        while !status.up.get() {
-            first = None;
-            Timer::after(LOOK).await;
+        while !status.accepts.get() {
+            first_listener = None;
+            Timer::after(POLL_INTERVAL).await;
         }
-        let listener = match first.take().map_or_else(|| Async::<TcpListener>::bind(at), Async::new) {
-            Ok(listener) => listener,
-            Err(_) => {
-                Timer::after(LOOK).await;
-                continue;
-            }
+        let listener = first_listener.take().map_or_else(|| Async::<TcpListener>::bind(address), Async::new);
+        let Ok(listener) = listener else {
+            Timer::after(POLL_INTERVAL).await;
+            continue;
         };
-        let life = status.life.get();
+        let epoch = status.connection_epoch.get();
         loop {
-            let next = future::or(async { Some(listener.accept().await) }, async {
-                Timer::after(LOOK).await;
+            let accepted = future::or(async { Some(listener.accept().await) }, async {
+                Timer::after(POLL_INTERVAL).await;
                 None
             });
-            let next = next.await;
-            if status.life.get() != life || !status.up.get() {
+            let accepted = accepted.await;
+            if status.connection_epoch.get() != epoch || !status.accepts.get() {
                 break;
             }
-            if let Some(Ok((socket, _))) = next {
-                let task = connection(net.clone(), router, node, socket, Rc::clone(&status));
+            if let Some(Ok((socket, _))) = accepted {
+                let task = serve_router(net.clone(), router, node, socket, Rc::clone(&status));
                 net.executor.spawn(task).detach();
             }
         }
     }
 }
 
-async fn connection(net: Net, router: usize, node: NodeIndex, socket: Async<TcpStream>, status: Rc<Status>) {
-    let (conn, life) = (net.next(), status.life.get());
-    let (out, written) = async_channel::bounded::<Vec<u8>>(UNSENT);
+/// Serves a router's connection to a node until either side closes it.
+async fn serve_router(
+    net: Net,
+    router: usize,
+    node: NodeIndex,
+    socket: Async<TcpStream>,
+    status: Rc<NodeStatus>,
+) {
+    let (conn, epoch) = (net.next_id(), status.connection_epoch.get());
+    let (outgoing, unsent) = async_channel::bounded::<Vec<u8>>(MAX_UNSENT_MESSAGES);
     let _ = socket.get_ref().set_nodelay(true);
-    let dies = async {
-        while status.life.get() == life {
-            Timer::after(LOOK).await;
+    let node_closes = async {
+        while status.connection_epoch.get() == epoch {
+            Timer::after(POLL_INTERVAL).await;
         }
     };
     let reads = async {
-        let mut decoder = Decoder::new(BOUNDS);
-        let mut piece = vec![0; 16 * 1024];
+        let mut decoder = Decoder::new(MESSAGE_LIMITS);
+        let mut chunk = vec![0; READ_BUFFER_BYTES];
         let mut socket = &socket;
-        while let Ok(n @ 1..) = socket.read(&mut piece).await {
-            decoder.feed(&piece[..n]);
-            while let Ok(Some(words)) = decoder.next_message() {
-                if words.first().is_some_and(|w| w == b"alive") {
-                    if let Some(id) = words.get(1).filter(|_| status.talks.get()) {
-                        let _ = out.send(encode(&[id, b"yes"])).await;
+        while let Ok(n @ 1..) = socket.read(&mut chunk).await {
+            decoder.feed(&chunk[..n]);
+            while let Ok(Some(elements)) = decoder.next_message() {
+                if elements.first().is_some_and(|name| name == b"alive") {
+                    if let Some(id) = elements.get(1).filter(|_| status.answers_probes.get()) {
+                        let _ = outgoing.send(encode(&[id, b"yes"])).await;
                     }
                     continue;
                 }
-                let input = Input::Asked { router, node, conn, out: out.clone(), words };
-                if net.queue.send(input).await.is_err() {
+                let outgoing = outgoing.clone();
+                let input = Input::NodeMessage { router, node, conn, outgoing, elements };
+                if net.inputs.send(input).await.is_err() {
                     return;
                 }
             }
         }
     };
-    future::or(dies, future::or(reads, write(&socket, written))).await;
-    let _ = net.queue.send(Input::Closed(conn)).await;
+    future::or(node_closes, future::or(reads, write_messages(&socket, unsent))).await;
+    let _ = net.inputs.send(Input::NodeConnectionClosed(conn)).await;
 }
 
-/// Writes what is sent into the channel; an empty message ends the connection.
-async fn write(mut socket: &Async<TcpStream>, from: Receiver<Vec<u8>>) {
-    while let Ok(bytes) = from.recv().await {
+/// Writes the messages sent into a channel; an empty message closes the connection.
+async fn write_messages(mut socket: &Async<TcpStream>, unsent: Receiver<Vec<u8>>) {
+    while let Ok(bytes) = unsent.recv().await {
         if bytes.is_empty() || socket.write_all(&bytes).await.is_err() {
             return;
         }
@@ -168,92 +191,95 @@
     future::pending().await
 }
 
-/// A client's connection to a router; what is sent into the channel is written. `None` if it did not come up.
-pub async fn client(net: Net, router: usize, at: SocketAddr) -> Option<(ConnId, Sender<Vec<u8>>)> {
-    let socket = Async::<TcpStream>::connect(at).await.ok()?;
+/// Connects a client to a router; messages sent into the channel are written. `None` if the connection fails.
+pub async fn connect_client(
+    net: Net,
+    router: usize,
+    address: SocketAddr,
+) -> Option<(ConnId, Sender<Vec<u8>>)> {
+    let socket = Async::<TcpStream>::connect(address).await.ok()?;
     let _ = socket.get_ref().set_nodelay(true);
-    let conn = net.next();
-    let (out, written) = async_channel::bounded::<Vec<u8>>(UNSENT);
+    let conn = net.next_id();
+    let (outgoing, unsent) = async_channel::bounded::<Vec<u8>>(MAX_UNSENT_MESSAGES);
     let executor = Rc::clone(&net.executor);
     let task = async move {
         let reads = async {
-            let mut decoder = Decoder::new(BOUNDS);
-            let mut piece = vec![0; 16 * 1024];
+            let mut decoder = Decoder::new(MESSAGE_LIMITS);
+            let mut chunk = vec![0; READ_BUFFER_BYTES];
             let mut socket = &socket;
-            while let Ok(n @ 1..) = socket.read(&mut piece).await {
-                decoder.feed(&piece[..n]);
-                while let Ok(Some(words)) = decoder.next_message() {
-                    if net.queue.send(Input::Answer { router, conn, words }).await.is_err() {
+            while let Ok(n @ 1..) = socket.read(&mut chunk).await {
+                decoder.feed(&chunk[..n]);
+                while let Ok(Some(elements)) = decoder.next_message() {
+                    if net.inputs.send(Input::ClientAnswer { router, conn, elements }).await.is_err() {
                         return;
                     }
                 }
             }
         };
-        future::or(reads, write(&socket, written)).await;
-        let _ = net.queue.send(Input::ClientOver { router, conn }).await;
+        future::or(reads, write_messages(&socket, unsent)).await;
+        let _ = net.inputs.send(Input::ClientConnectionClosed { router, conn }).await;
     };
     executor.spawn(task).detach();
-    Some((conn, out))
+    Some((conn, outgoing))
 }
 
-/// What a client that is none sends.
+/// How a misbehaving client violates the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FloodKind {
-    /// What can't be read.
+pub enum Misbehaviour {
+    /// It sends bytes that are not a message.
     Garbage,
-    /// Half a request.
-    Half,
-    /// Nothing.
-    Silent,
+    /// It sends a part of a request.
+    PartialRequest,
+    /// It sends nothing.
+    Silence,
 }
 
-/// A connection of a client that is none; it stays until the router ends it, or for some seconds.
-pub async fn flood(at: SocketAddr, kind: FloodKind) {
-    const STAYS: Duration = Duration::from_secs(3);
-    let Ok(mut socket) = Async::<TcpStream>::connect(at).await else { return };
-    let bytes: &[u8] = match kind {
-        FloodKind::Garbage => b"GET / HTTP/1.1\r\nHost: router\r\n\r\n",
-        FloodKind::Half => b"*5\r\n$2\r\nDO\r\n$1\r\n1\r\n$5\r\npa",
-        FloodKind::Silent => b"",
+/// Connects a misbehaving client; it disconnects after [`MISBEHAVING_CLIENT_TIMEOUT`], unless the router closes the connection earlier.
+pub async fn run_misbehaving_client(address: SocketAddr, misbehaviour: Misbehaviour) {
+    let Ok(mut socket) = Async::<TcpStream>::connect(address).await else { return };
+    let bytes: &[u8] = match misbehaviour {
+        Misbehaviour::Garbage => b"GET / HTTP/1.1\r\nHost: router\r\n\r\n",
+        Misbehaviour::PartialRequest => b"*5\r\n$2\r\nDO\r\n$1\r\n1\r\n$5\r\npa",
+        Misbehaviour::Silence => b"",
     };
     let _ = socket.write_all(bytes).await;
-    let ended = async {
-        let mut piece = [0; 1024];
-        while socket.read(&mut piece).await.is_ok_and(|n| n > 0) {}
+    let closed = async {
+        let mut chunk = [0; 1024];
+        while socket.read(&mut chunk).await.is_ok_and(|n| n > 0) {}
     };
-    future::or(ended, async {
-        Timer::after(STAYS).await;
+    future::or(closed, async {
+        Timer::after(MISBEHAVING_CLIENT_TIMEOUT).await;
     })
     .await;
 }
 
-/// What a change log does, besides telling.
+/// The outages of a change log.
 #[derive(Debug, Default)]
-pub struct LogStatus {
-    /// It says nothing on open connections until then.
+pub struct ChangeLogOutage {
+    /// Until then it sends nothing on open connections.
     pub silent_until: Cell<Option<Instant>>,
-    /// It ends connections until then.
+    /// Until then it closes connections at once.
     pub down_until: Cell<Option<Instant>>,
 }
 
-impl LogStatus {
-    fn holds(until: &Cell<Option<Instant>>) -> bool {
-        until.get().is_some_and(|until| Instant::now() < until)
+impl ChangeLogOutage {
+    fn is_before(end: &Cell<Option<Instant>>) -> bool {
+        end.get().is_some_and(|end| Instant::now() < end)
     }
 
-    fn silent(&self) -> bool {
-        Self::holds(&self.silent_until)
+    fn is_silent(&self) -> bool {
+        Self::is_before(&self.silent_until)
     }
 
-    fn down(&self) -> bool {
-        Self::holds(&self.down_until)
+    fn is_down(&self) -> bool {
+        Self::is_before(&self.down_until)
     }
 }
 
-/// Frames by number.
+/// Encoded events with their numbers.
 pub type Frames = Rc<RefCell<Vec<(u64, Vec<u8>)>>>;
 
-/// A frame of the change log.
+/// Encodes an event of the change log.
 pub fn frame(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let mut bytes = (9 + payload.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(&number.to_be_bytes());
@@ -262,40 +288,42 @@
     bytes
 }
 
-/// The change log for one router: whoever connects gets what came after the number that it names, and a beat each half second.
-pub async fn change_log(net: Net, listener: TcpListener, frames: Frames, status: Rc<LogStatus>) {
+/// Serves the change log to one router: each connection is sent the events after the position that it names, and heartbeats.
+pub async fn serve_change_log(net: Net, listener: TcpListener, frames: Frames, outage: Rc<ChangeLogOutage>) {
     let Ok(listener) = Async::new(listener) else { return };
     while let Ok((socket, _)) = listener.accept().await {
-        let (frames, status) = (Rc::clone(&frames), Rc::clone(&status));
-        if status.down() {
+        if outage.is_down() {
             continue;
         }
-        let task = async move {
-            let (mut from, mut socket) = ([0; 8], &socket);
-            if socket.read_exact(&mut from).await.is_err() {
+        let task = send_events(socket, Rc::clone(&frames), Rc::clone(&outage));
+        net.executor.spawn(task).detach();
+    }
+}
+
+/// Sends events and heartbeats on one connection until the change log is down or the router closes it.
+async fn send_events(socket: Async<TcpStream>, frames: Frames, outage: Rc<ChangeLogOutage>) {
+    let (mut position, mut socket) = ([0; 8], &socket);
+    if socket.read_exact(&mut position).await.is_err() {
+        return;
+    }
+    let (mut last, mut polls) = (u64::from_be_bytes(position), 0u32);
+    while !outage.is_down() {
+        if outage.is_silent() {
+            Timer::after(POLL_INTERVAL).await;
+            continue;
+        }
+        let new: Vec<(u64, Vec<u8>)> = frames.borrow().iter().filter(|f| f.0 > last).cloned().collect();
+        for (number, bytes) in new {
+            last = number;
+            if socket.write_all(&bytes).await.is_err() {
                 return;
             }
-            let (mut last, mut looks) = (u64::from_be_bytes(from), 0u32);
-            while !status.down() {
-                if status.silent() {
-                    Timer::after(LOOK).await;
-                    continue;
-                }
-                let new: Vec<(u64, Vec<u8>)> =
-                    frames.borrow().iter().filter(|f| f.0 > last).cloned().collect();
-                for (number, bytes) in new {
-                    last = number;
-                    if socket.write_all(&bytes).await.is_err() {
-                        return;
-                    }
-                }
-                looks += 1;
-                if looks % 50 == 0 && socket.write_all(&frame(last, 0, &[])).await.is_err() {
-                    return;
-                }
-                Timer::after(LOOK).await;
-            }
-        };
-        net.executor.spawn(task).detach();
+        }
+        polls += 1;
+        let heartbeat_due = polls % POLLS_PER_HEARTBEAT == 0;
+        if heartbeat_due && socket.write_all(&frame(last, HEARTBEAT, &[])).await.is_err() {
+            return;
+        }
+        Timer::after(POLL_INTERVAL).await;
     }
 }
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -1,279 +1,197 @@
-//! What comes due, and what clients ask and get.
+//! Clients: their requests, the answers they get, and their retries.
 
 use super::*;
 
-impl<'a> World<'a> {
-    pub(super) fn advance(&mut self, told: &mut Vec<FleetEvent>) {
-        let now = self.now();
-        self.fleet.advance(now, told);
-        for t in told.drain(..) {
-            match t {
-                FleetEvent::Response { request, response } => self.replied(now, request, response),
-                FleetEvent::WriteExecuted { write: effect } => {
-                    self.checker.observe(now, Observation::WriteExecuted { write: effect })
-                }
-                FleetEvent::ColdNodeOverloaded { node } => {
-                    self.down(node);
-                    self.checker.observe(now, Observation::ColdNodeOverloaded { node });
-                }
-            }
+impl World<'_> {
+    /// Opens a client's connection to a router.
+    pub(super) async fn open_connection(&mut self, r: usize) {
+        let address = self.routers[r].process.address;
+        if let Some((id, outgoing)) = connect_client(self.net.clone(), r, address).await {
+            self.routers[r].connections.push(ClientConnection {
+                id,
+                outgoing,
+                open: BTreeMap::new(),
+                last_tag: 0,
+                answered_tags: BTreeSet::new(),
+            });
         }
     }
 
-    pub(super) async fn events(&mut self) -> Result<(), String> {
-        let now = self.now();
-        while let Some(Reverse((_, no))) =
-            self.due.peek().copied().filter(|Reverse((at, _))| *at <= (now * 1000.0) as u64)
-        {
-            let Some(Reverse((at, _))) = self.due.pop() else { break };
-            if let Some(soak) = &mut self.soak {
-                soak.harness_late(now, now - at as f64 / 1000.0);
-            }
-            let Some(ev) = self.evs.remove(&no) else { continue };
-            match ev {
-                Ev::Arrive(r) => {
-                    if let Some(what) = self.seats[r].next.take() {
-                        let worth = self.setup.load.classes[what.class].worth;
-                        self.metrics.requests += 1;
-                        self.metrics.seconds[(what.at / 1000.0) as usize].requested_weight += worth;
-                        self.lags.saturating_record(((now - what.at).max(0.0) * 1000.0) as u64 + 1);
-                        self.take(now, r, Member { what, tries: 0 }).await;
-                    }
-                    self.draw(r);
-                }
-                Ev::Again(r, member) => self.take(now, r, member).await,
-                Ev::Due(no) => self.time_up(now, no),
-                Ev::Left(no) => {
-                    if let Some(r) = self.requests.remove(&no) {
-                        self.checker.observe(now, Observation::ClientLeft { request: (r.router, no) });
-                    }
-                }
-                Ev::Script(i) => self.moment(now, i)?,
-                Ev::Tell(r, generation, kind, payload, seen) => {
-                    // What a process was to be told is known to the next one from its start.
-                    if generation != self.generation(r) {
-                        seen.into_iter().for_each(|seen| self.checker.observe(now, seen));
-                        continue;
-                    }
-                    self.seats[r].told += 1;
-                    let number = self.seats[r].told;
-                    self.seats[r].frames.borrow_mut().push((number, frame(number, kind, &payload)));
-                    match (seen, self.deaf_until(now, r)) {
-                        (Some(seen), Some(until))
-                            if !matches!(seen, Observation::NodeListed { up: true, .. }) =>
-                        {
-                            self.at(until, Ev::Told(seen));
-                        }
-                        (seen, _) => seen.into_iter().for_each(|seen| self.checker.observe(now, seen)),
-                    }
-                }
-                Ev::Told(seen) => self.checker.observe(now, seen),
-                Ev::Cancel(no) => self.cancel(now, no),
-                Ev::Fault(i) => self.fault(now, i).await,
-                Ev::FaultOver(i) => self.fault_over(now, i),
-                Ev::Seat(r) => self.look_at_seat(now, r).await,
-                Ev::Hup(r, text) => self.seats[r].process.reload_settings(&text)?,
-                Ev::Start(node) => self.started(now, node),
-                Ev::Talk(node) => self.statuses[node.0].talks.set(true),
-                Ev::Purges => {
-                    let class = (self.between([0.0, self.setup.load.classes.len() as f64]) as usize)
-                        .min(self.setup.load.classes.len() - 1);
-                    let most = self.setup.load.classes[class].objects.clamp(1, 200);
-                    let rank = self.between([0.0, most as f64]) as u64;
-                    self.purge(now, Some(object_id(class, rank)), 0);
-                    let gap = self.between([0.5, 1.5]) * 1000.0 / self.setup.load.purges_per_s;
-                    if now + gap < self.setup.length_ms {
-                        self.at(now + gap, Ev::Purges);
-                    }
-                }
-                Ev::Tidy => {
-                    self.checker.expire(now);
-                    self.look_at_all(now);
-                    self.at(now + 1_000.0, Ev::Tidy);
-                }
-            }
-        }
-        Ok(())
+    /// The connection with the fewest open requests, unless all are full.
+    fn least_used_connection(&self, r: usize) -> Option<usize> {
+        let connections = &self.routers[r].connections;
+        (0..connections.len())
+            .filter(|c| connections[*c].open.len() < MAX_OPEN_REQUESTS)
+            .min_by_key(|c| connections[*c].open.len())
     }
 
-    // ---- Clients ----
-
-    pub(super) async fn take(&mut self, now: Ms, r: usize, member: Member) {
-        if !self.takes(now, r) {
+    /// Sends a client's request to a router, if that accepts requests and a connection is free.
+    pub(super) async fn send_request(&mut self, now: Ms, r: usize, client: ClientRequest) {
+        if !self.accepts_requests(now, r) {
             return;
         }
-        let free = |s: &Seat| {
-            (0..s.clients.len())
-                .filter(|c| s.clients[*c].open.len() < OPEN)
-                .min_by_key(|c| s.clients[*c].open.len())
-        };
-        if free(&self.seats[r]).is_none() && self.seats[r].clients.len() < MOST_CONNS {
-            self.connect(r).await;
+        if self.least_used_connection(r).is_none() && self.routers[r].connections.len() < MAX_CONNECTIONS {
+            self.open_connection(r).await;
         }
-        let Some(c) = free(&self.seats[r]) else { return };
-        self.requests_ever += 1;
-        let no = self.requests_ever;
-        let what = &member.what;
-        let class = &self.setup.load.classes[what.class];
-        let due = what.at + class.deadline_ms;
-        if self.soak.is_some() && now >= due {
+        let Some(c) = self.least_used_connection(r) else { return };
+        self.last_request_number += 1;
+        let number = self.last_request_number;
+        let arrival = &client.arrival;
+        let class = &self.setup.load.classes[arrival.class];
+        let deadline = arrival.at + class.deadline_ms;
+        if self.soak.is_some() && now >= deadline {
             return;
         }
-        let unsafe_ = class.effect == EffectSpec::Unsafe;
-        let client = &mut self.seats[r].clients[c];
-        client.tag += 1;
-        let (conn, tag) = (client.conn, client.tag);
-        client.open.insert(tag, no);
+        let non_idempotent = class.effect == EffectSpec::Unsafe;
+        let connection = &mut self.routers[r].connections[c];
+        connection.last_tag += 1;
+        let (conn, tag) = (connection.id, connection.last_tag);
+        connection.open.insert(tag, number);
         let mut fields = FieldEncoder::default();
-        fields.add("i", hex(no));
-        fields.add("d", (due - now).max(1.0) as u64);
-        fields.add("o", hex(what.object));
-        fields.add("nth", what.part);
-        fields.add("batch", what.group);
-        fields.add("m", format!("{:.2}", what.size_kb));
-        let body: &[u8] = if unsafe_ { b"a loan" } else { b"" };
-        let words =
-            [&b"DO"[..], tag.to_string().as_bytes(), class.name.as_bytes(), fields.as_str().as_bytes(), body]
-                .map(<[u8]>::to_vec);
-        let words: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
-        let _ = client.out.try_send(encode(&words));
+        fields.add("i", hex(number));
+        fields.add("d", (deadline - now).max(1.0) as u64);
+        fields.add("o", hex(arrival.object));
+        fields.add("nth", arrival.part);
+        fields.add("batch", arrival.group);
+        fields.add("m", format!("{:.2}", arrival.size_kb));
+        let body: &[u8] = if non_idempotent { b"a loan" } else { b"" };
+        let _ = connection.outgoing.try_send(encode(&[
+            b"DO",
+            tag.to_string().as_bytes(),
+            class.name.as_bytes(),
+            fields.as_str().as_bytes(),
+            body,
+        ]));
         self.checker.observe(
             now,
             Observation::RequestAccepted {
-                request: (r, no),
-                non_idempotent: unsafe_,
-                object: what.object,
-                group: what.group,
-                deadline: due,
+                request: (r, number),
+                non_idempotent,
+                object: arrival.object,
+                group: arrival.group,
+                deadline,
             },
         );
-        let request = Request { router: r, member, answered: false, attempts: 0, conn, tag, sent: now };
-        self.requests.insert(no, request);
-        // Under faults each answer is judged, with the slack that sockets have.
-        let slack = if self.soak.is_some() { SLACK_MS } else { 0.0 };
-        self.at(due + slack, Ev::Due(no));
-        if self.soak.is_some() && self.between([0.0, IMPATIENT_ONE_IN]) < 1.0 {
-            let after = self.between(PATIENCE_MS);
-            self.at(now + after, Ev::Cancel(no));
+        let request =
+            OpenRequest { router: r, client, answered: false, attempts: 0, conn, tag, sent_at: now };
+        self.requests.insert(number, request);
+        // In a soak run every missing answer is judged, with the slack of sockets.
+        let slack = if self.soak.is_some() { SOCKET_SLACK_MS } else { 0.0 };
+        self.schedule(deadline + slack, WorldEvent::Deadline { request: number });
+        if self.soak.is_some() && self.draw_between([0.0, CANCEL_ONE_IN]) < 1.0 {
+            let delay = self.draw_between(CANCEL_DELAY_MS);
+            self.schedule(now + delay, WorldEvent::Cancel { request: number });
         }
     }
 
-    /// The client's time is up: it leaves, and nothing is owed to it.
-    pub(super) fn time_up(&mut self, now: Ms, no: u64) {
-        let Some(r) = self.requests.get_mut(&no) else { return };
-        if !std::mem::replace(&mut r.answered, true) {
-            let (router, conn, tag, sent) = (r.router, r.conn, r.tag, r.sent);
+    /// A request's deadline is over: its client cancels it and needs no answer any more.
+    pub(super) fn deadline_passed(&mut self, now: Ms, number: u64) {
+        let Some(request) = self.requests.get_mut(&number) else { return };
+        if !std::mem::replace(&mut request.answered, true) {
+            let (router, conn, tag, sent_at) = (request.router, request.conn, request.tag, request.sent_at);
             if let Some(soak) = &mut self.soak {
-                soak.unanswered(now, router, no, sent);
-                soak.client_left(now, no);
+                soak.request_unanswered(now, router, number, sent_at);
+                soak.client_left(now, number);
             }
-            if let Some(c) = self.seats[router].clients.iter_mut().find(|c| c.conn == conn) {
-                c.open.remove(&tag);
-                let _ = c.out.try_send(encode(&[b"UNDO", tag.to_string().as_bytes(), b""]));
+            if let Some(connection) = self.routers[router].connections.iter_mut().find(|c| c.id == conn) {
+                connection.open.remove(&tag);
+                let _ = connection.outgoing.try_send(encode(&[b"UNDO", tag.to_string().as_bytes(), b""]));
             }
         }
-        // What is on its way then is no fault.
-        self.at(now + CROSSING_MS, Ev::Left(no));
+        // Attempts that cross the cancellation are no violation.
+        self.schedule(now + LEAVE_CROSSING_MS, WorldEvent::ClientLeft { request: number });
     }
 
-    pub(super) fn answer(&mut self, now: Ms, router: usize, conn: ConnId, words: &[Vec<u8>]) {
-        let text = |i: usize| words.get(i).and_then(|w| std::str::from_utf8(w).ok()).unwrap_or_default();
+    /// A router answered a client.
+    pub(super) fn client_answered(&mut self, now: Ms, router: usize, conn: ConnId, elements: &[Vec<u8>]) {
+        let text = |i: usize| elements.get(i).and_then(|e| std::str::from_utf8(e).ok()).unwrap_or_default();
         let Ok(tag) = text(0).parse::<u64>() else { return };
-        let Some(c) = self.seats[router].clients.iter_mut().find(|c| c.conn == conn) else { return };
-        if let Some(soak) = self.soak.as_mut().filter(|_| !c.answered.insert(tag)) {
-            let what = format!("router {router}, tag {tag}: answered again");
-            soak.violated(now, Invariant::SecondAnswer, what);
+        let connections = &mut self.routers[router].connections;
+        let Some(connection) = connections.iter_mut().find(|c| c.id == conn) else { return };
+        if let Some(soak) = self.soak.as_mut().filter(|_| !connection.answered_tags.insert(tag)) {
+            let details = format!("router {router}, tag {tag}: second answer");
+            soak.violated(now, Invariant::SecondAnswer, details);
         }
-        let Some(no) = c.open.remove(&tag) else { return };
-        let Some(request) = self.requests.get_mut(&no).filter(|r| !r.answered) else { return };
+        let Some(number) = connection.open.remove(&tag) else { return };
+        let Some(request) = self.requests.get_mut(&number).filter(|r| !r.answered) else { return };
         request.answered = true;
-        let member = request.member.clone();
-        let what = &member.what;
-        let class = &self.setup.load.classes[what.class];
-        let how = match text(1) {
+        let client = request.client.clone();
+        let result = match text(1) {
             "200" => ClientResult::Served,
             "503" => ClientResult::Rejected,
             _ => ClientResult::Failed,
         };
-        self.checker.observe(now, Observation::ClientAnswered { request: (router, no), result: how });
-        let took = now - what.at;
-        match how {
+        self.checker.observe(now, Observation::ClientAnswered { request: (router, number), result });
+        match result {
             ClientResult::Served => {
-                self.metrics.served += 1;
-                let whole = class.effect == EffectSpec::Unsafe
-                    || words
-                        .get(3)
-                        .is_some_and(|b| *b == body(FillKey { object: what.object, part: what.part }));
-                self.metrics.wrong_bodies += u64::from(!whole);
-                self.waits.saturating_record((took.max(0.0) * 1000.0) as u64 + 1);
-                let aim = class.aim_ms
-                    + LATENCY_OBJECTIVE_STRETCH * what.size_kb / self.setup.fleet.net.pace_kb_per_ms;
-                let worth = class.worth * if took <= aim { 1.0 } else { class.late_worth };
-                self.metrics.weighted_answered_share += worth;
-                if took <= aim {
-                    self.metrics.seconds[(what.at / 1000.0) as usize].in_time_weight += class.worth;
-                }
+                let body = elements.get(3).map_or(&[][..], Vec::as_slice);
+                self.request_served(now, &client.arrival, body);
             }
             ClientResult::Rejected => self.metrics.rejected += 1,
             ClientResult::Failed => self.metrics.failed += 1,
         }
-        let stay = Fields::parse(words.get(2).map_or(&[][..], Vec::as_slice))
-            .and_then(|f| f.decimal("w"))
-            .unwrap_or(0.0);
-        let again = now + self.setup.load.backoff_ms.max(stay);
-        let may = how != ClientResult::Served
-            && (class.effect == EffectSpec::Safe || how == ClientResult::Rejected);
-        if may && member.tries < self.setup.load.retries && again < what.at + class.deadline_ms {
-            let tries = member.tries + 1;
-            self.at(again, Ev::Again(router, Member { tries, ..member }));
-        }
+        let fields = Fields::parse(elements.get(2).map_or(&[][..], Vec::as_slice));
+        let retry_after = fields.and_then(|f| f.decimal("w")).unwrap_or(0.0);
+        self.retry_if_allowed(now, router, client, result, retry_after);
     }
 
-    // ---- Nodes ----
+    /// Records the metrics of a served request.
+    fn request_served(&mut self, now: Ms, arrival: &Arrival, body: &[u8]) {
+        let class = &self.setup.load.classes[arrival.class];
+        let latency = now - arrival.at;
+        self.metrics.served += 1;
+        let expected = part_body(FillKey { object: arrival.object, part: arrival.part });
+        let correct = class.effect == EffectSpec::Unsafe || body == expected;
+        self.metrics.wrong_bodies += u64::from(!correct);
+        self.latencies.saturating_record((latency.max(0.0) * 1000.0) as u64 + 1);
+        let sending = arrival.size_kb / self.setup.fleet.net.pace_kb_per_ms;
+        let in_time = latency <= class.aim_ms + LATENCY_OBJECTIVE_STRETCH * sending;
+        let share = if in_time { 1.0 } else { class.late_worth };
+        self.metrics.weighted_answered_share += class.worth * share;
+        if in_time {
+            self.metrics.seconds[(arrival.at / 1000.0) as usize].in_time_weight += class.worth;
+        }
+    }
 
-    pub(super) fn input(&mut self, input: Input) {
-        let now = self.now();
-        match input {
-            Input::Asked { router, node, conn, out, words } => {
-                self.asked(now, (router, node, conn), out, &words)
-            }
-            Input::Closed(conn) => {
-                let lost: Vec<NodeRequestId> =
-                    self.asks.iter().filter(|(_, w)| w.conn == conn).map(|(id, _)| *id).collect();
-                lost.into_iter().for_each(|id| self.gone(now, id));
-            }
-            Input::Answer { router, conn, words } => self.answer(now, router, conn, &words),
-            Input::ClientOver { router, conn } => {
-                let Some(at) = self.seats[router].clients.iter().position(|c| c.conn == conn) else { return };
-                let over = self.seats[router].clients.swap_remove(at);
-                let open: Vec<(u64, Ms)> =
-                    over.open.values().filter_map(|no| Some((*no, self.requests.get(no)?.sent))).collect();
-                if let Some(soak) = &mut self.soak {
-                    soak.closed(now, router, &open);
-                    open.iter().for_each(|(no, _)| soak.client_left(now, *no));
-                }
-                for no in over.open.into_values() {
-                    log::debug!("a client's connection to router {router} ended with request {no} open");
-                    self.requests.get_mut(&no).into_iter().for_each(|r| r.answered = true);
-                    self.at(now + CROSSING_MS, Ev::Left(no));
-                }
-            }
+    /// Schedules a retry of a request that was rejected, or that failed and is idempotent, if the deadline allows it.
+    fn retry_if_allowed(
+        &mut self,
+        now: Ms,
+        router: usize,
+        client: ClientRequest,
+        result: ClientResult,
+        retry_after: Ms,
+    ) {
+        let class = &self.setup.load.classes[client.arrival.class];
+        let retry_at = now + self.setup.load.backoff_ms.max(retry_after);
+        let repeatable = result != ClientResult::Served
+            && (class.effect == EffectSpec::Safe || result == ClientResult::Rejected);
+        let in_time = retry_at < client.arrival.at + class.deadline_ms;
+        if repeatable && client.retries < self.setup.load.retries && in_time {
+            let retries = client.retries + 1;
+            let client = ClientRequest { retries, ..client };
+            self.schedule(retry_at, WorldEvent::Retry { router, client });
         }
     }
 
-    /// An attempt whose end nobody hears.
-    pub(super) fn gone(&mut self, now: Ms, id: NodeRequestId) {
-        self.fleet.cancel(now, id);
-        if let Some(w) = self.asks.remove(&id) {
-            self.by_wire.remove(&(w.conn, w.wire));
-            self.checker.observe(
-                now,
-                Observation::AttemptEnded {
-                    request: (id.router, w.request),
-                    attempt: w.attempt,
-                    execution: Execution::Unknown,
-                },
-            );
+    /// A client's connection was closed by its router.
+    pub(super) fn client_connection_closed(&mut self, now: Ms, router: usize, conn: ConnId) {
+        let connections = &mut self.routers[router].connections;
+        let Some(index) = connections.iter().position(|c| c.id == conn) else { return };
+        let closed = connections.swap_remove(index);
+        let open: Vec<(u64, Ms)> = closed
+            .open
+            .values()
+            .filter_map(|number| Some((*number, self.requests.get(number)?.sent_at)))
+            .collect();
+        if let Some(soak) = &mut self.soak {
+            soak.connection_closed(now, router, &open);
+            open.iter().for_each(|(number, _)| soak.client_left(now, *number));
+        }
+        for number in closed.open.into_values() {
+            log::debug!("router {router} closed a client's connection with request {number} open");
+            self.requests.get_mut(&number).into_iter().for_each(|r| r.answered = true);
+            self.schedule(now + LEAVE_CROSSING_MS, WorldEvent::ClientLeft { request: number });
         }
     }
 }
--- a/crates/emulator/src/world/start.rs
+++ b/crates/emulator/src/world/start.rs
@@ -1,162 +1,175 @@
-//! How a run begins: routers, listeners, clients.
+//! The start of a run: listeners, routers, clients, and the first events.
 
 use super::*;
 
+/// When the first random purge is published.
+const FIRST_PURGE_MS: Ms = 500.0;
+/// When the first periodic check takes place.
+const FIRST_CHECK_MS: Ms = 1_000.0;
+/// The longest time that a histogram records, in microseconds.
+const MAX_RECORDED_US: u64 = 600_000_000;
+/// The number of the last event in the configuration with which a router starts.
+const FIRST_FRAME_NUMBER: u64 = 1;
+
+fn io_error(e: std::io::Error) -> String {
+    e.to_string()
+}
+
+fn histogram() -> Result<Histogram<u64>, String> {
+    Histogram::new_with_bounds(1, MAX_RECORDED_US, 3).map_err(|e| e.to_string())
+}
+
+/// The limits of the rules on sockets. An event counts as received once it is in the change log, so all limits are extended.
+fn socket_rules(rules: &RuleLimits) -> RuleLimits {
+    RuleLimits {
+        slack_ms: rules.slack_ms + SOCKET_SLACK_MS,
+        drain_grace_ms: rules.drain_grace_ms + SOCKET_SLACK_MS,
+        purge_grace_ms: rules.purge_grace_ms + SOCKET_SLACK_MS,
+        ..rules.clone()
+    }
+}
+
 impl<'a> World<'a> {
     pub(super) fn new(setup: &'a Setup, net: Net, binary: &Path, dir: &Path) -> Result<Self, String> {
-        let say = |e: std::io::Error| e.to_string();
         let nodes = nodes(&setup.fleet);
         let mut fleet = Fleet::new(&setup.fleet, setup.load.groups, setup.tree, setup.seed);
         fleet.loop_detection = setup.loop_detection;
-        let statuses: Vec<Rc<Status>> = nodes
+        let node_statuses: Vec<Rc<NodeStatus>> = nodes
             .iter()
-            .map(|n| {
-                let status = Rc::new(Status::default());
-                status.up.set(!n.spare);
-                status.talks.set(true);
+            .map(|node| {
+                let status = Rc::new(NodeStatus::default());
+                status.accepts.set(!node.spare);
+                status.answers_probes.set(true);
                 status
             })
             .collect();
-        let first = setup.plans.first().map(|shape| plan_spec(shape, 1, &nodes));
-        let text = first.as_ref().map(|spec| plan_file(spec, &setup.tree)).unwrap_or_default();
-        let mut seats = Vec::new();
-        for zone in 1..=setup.fleet.zones {
-            for _ in 0..setup.fleet.routers_per_zone {
-                let r = seats.len();
-                let mut addresses = Vec::new();
-                for (i, status) in statuses.iter().enumerate() {
-                    let listener = TcpListener::bind("127.0.0.1:0").map_err(say)?;
-                    let at = listener.local_addr().map_err(say)?;
-                    addresses.push(at);
-                    let task = serve(net.clone(), r, NodeIndex(i), at, listener, Rc::clone(status));
-                    net.executor.spawn(task).detach();
-                }
-                let log = TcpListener::bind("127.0.0.1:0").map_err(say)?;
-                let log_at = log.local_addr().map_err(say)?;
-                let frames = Frames::default();
-                let status = Rc::default();
-                net.executor.spawn(change_log(net.clone(), log, Rc::clone(&frames), status)).detach();
-                let near = |n: &NodeInfo| (n.zone == 0 || n.zone == zone) && !n.spare;
-                let listed: Vec<(&NodeInfo, SocketAddr)> =
-                    nodes.iter().zip(&addresses).filter(|(n, _)| near(n)).map(|(n, a)| (n, *a)).collect();
-                let config = configuration(setup, zone, r, log_at, &listed);
-                let process = Process::start(binary, dir, r, &config, (!text.is_empty()).then_some(&text))?;
-                let arrivals = Arrivals::new(&setup.load, setup.seed, r as u64);
-                let seat = Seat {
-                    zone,
-                    process,
-                    arrivals,
-                    next: None,
-                    clients: Vec::new(),
-                    frames,
-                    told: 1,
-                    addresses,
-                };
-                seats.push(seat);
-            }
+        let plan = setup.plans.first().map(|shape| plan_spec(shape, 1, &nodes));
+        let plan_text = plan.as_ref().map(|spec| plan_file(spec, &setup.tree)).unwrap_or_default();
+        if let Some(spec) = plan {
+            let plan = Plan::from_spec(spec).map_err(|e| e.to_string())?;
+            fleet.distribute_plan(0.0, &Arc::new(plan), [0.0, 0.0]);
         }
-        let histogram = || Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|e| e.to_string());
-        // Once an event is in the change log it counts as told, and on sockets limits are longer.
-        let r = &setup.fleet.rules;
-        let rules = RuleLimits {
-            slack_ms: r.slack_ms + SLACK_MS,
-            drain_grace_ms: r.drain_grace_ms + SLACK_MS,
-            purge_grace_ms: r.purge_grace_ms + SLACK_MS,
-            ..r.clone()
-        };
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0);
         let seconds = (setup.length_ms / 1000.0).ceil() as usize + 1;
-        let metrics = SocketRunMetrics {
-            weighted_in_time_share: 0.0,
-            weighted_answered_share: 0.0,
-            requests: 0,
-            served: 0,
-            rejected: 0,
-            failed: 0,
-            attempts: 0,
-            wrong_bodies: 0,
-            seconds: vec![SecondMetrics::default(); seconds],
-            latency_p50_ms: 0.0,
-            latency_p99_ms: 0.0,
-            generator_late_p99_ms: 0.0,
-            counts: Counts::default(),
-            violations: BTreeMap::new(),
-            router_counters: HashMap::new(),
-        };
-        if let Some(spec) = first {
-            let checked = Plan::from_spec(spec).map_err(|e| e.to_string())?;
-            fleet.distribute_plan(0.0, &Arc::new(checked), [0.0, 0.0]);
-        }
-        Ok(Self {
+        let mut world = Self {
             setup,
             net,
             nodes,
-            statuses,
+            node_statuses,
             fleet,
-            seats,
-            checker: Checker::new(&rules),
+            routers: Vec::new(),
+            checker: Checker::new(&socket_rules(&setup.fleet.rules)),
             requests: HashMap::new(),
-            requests_ever: 0,
-            asks: HashMap::new(),
-            by_wire: HashMap::new(),
-            evs: HashMap::new(),
+            last_request_number: 0,
+            attempts: HashMap::new(),
+            attempts_by_wire_id: HashMap::new(),
+            events: HashMap::new(),
             due: BinaryHeap::new(),
-            evs_ever: 0,
-            begun: Instant::now(),
-            unix,
+            last_event_number: 0,
+            start: Instant::now(),
+            start_unix_ms: unix_ms(),
             rng: rng(setup.seed, 2),
-            version: 1,
-            texts: [text.clone(), text],
-            shapes: [0, 0],
+            plan_version: 1,
+            plan_texts: [plan_text.clone(), plan_text],
+            plan_indices: [0, 0],
             soak: None,
-            metrics,
-            waits: histogram()?,
-            lags: histogram()?,
+            metrics: SocketRunMetrics::new(seconds),
+            latencies: histogram()?,
+            generator_delays: histogram()?,
+        };
+        for zone in 1..=setup.fleet.zones {
+            for _ in 0..setup.fleet.routers_per_zone {
+                let router = world.start_router(zone, binary, dir)?;
+                world.routers.push(router);
+            }
+        }
+        Ok(world)
+    }
+
+    /// Starts the next router, in this zone, with listeners of all nodes and a change log of its own.
+    fn start_router(&self, zone: usize, binary: &Path, dir: &Path) -> Result<RouterState, String> {
+        let r = self.routers.len();
+        let mut node_addresses = Vec::new();
+        for (i, status) in self.node_statuses.iter().enumerate() {
+            let listener = TcpListener::bind("127.0.0.1:0").map_err(io_error)?;
+            let address = listener.local_addr().map_err(io_error)?;
+            node_addresses.push(address);
+            let task = serve_node(self.net.clone(), r, NodeIndex(i), address, listener, Rc::clone(status));
+            self.net.executor.spawn(task).detach();
+        }
+        let (change_log, frames, _) = self.start_change_log()?;
+        let listed: Vec<(&NodeInfo, SocketAddr)> = (self.nodes.iter().zip(&node_addresses))
+            .filter(|(node, _)| (node.zone == 0 || node.zone == zone) && !node.spare)
+            .map(|(node, address)| (node, *address))
+            .collect();
+        let config = configuration(self.setup, zone, r, change_log, &listed);
+        let settings = Some(self.plan_texts[0].as_str()).filter(|text| !text.is_empty());
+        Ok(RouterState {
+            zone,
+            process: Process::start(binary, dir, r, &config, settings)?,
+            arrivals: Arrivals::new(&self.setup.load, self.setup.seed, r as u64),
+            next_arrival: None,
+            connections: Vec::new(),
+            frames,
+            last_frame_number: FIRST_FRAME_NUMBER,
+            node_addresses,
         })
     }
 
+    /// Starts a change log without events, for one process of a router.
+    pub(super) fn start_change_log(&self) -> Result<(SocketAddr, Frames, Rc<ChangeLogOutage>), String> {
+        let listener = TcpListener::bind("127.0.0.1:0").map_err(io_error)?;
+        let address = listener.local_addr().map_err(io_error)?;
+        let (frames, outage) = (Frames::default(), Rc::<ChangeLogOutage>::default());
+        let task = serve_change_log(self.net.clone(), listener, Rc::clone(&frames), Rc::clone(&outage));
+        self.net.executor.spawn(task).detach();
+        Ok((address, frames, outage))
+    }
+
+    /// Connects the clients and schedules the first events.
     pub(super) async fn begin(&mut self) -> Result<(), String> {
-        for r in 0..self.seats.len() {
-            for _ in 0..CONNS {
-                self.connect(r).await;
+        for r in 0..self.routers.len() {
+            for _ in 0..INITIAL_CONNECTIONS {
+                self.open_connection(r).await;
             }
-            if self.seats[r].clients.is_empty() {
-                return Err(format!("router {r} takes no client"));
+            if self.routers[r].connections.is_empty() {
+                return Err(format!("router {r} accepts no connections of clients"));
             }
         }
-        self.begun = Instant::now();
-        self.unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0);
-        (0..self.seats.len()).for_each(|r| self.draw(r));
-        for (i, m) in self.setup.script.iter().enumerate() {
-            self.at(m.at_ms, Ev::Script(i));
+        self.start = Instant::now();
+        self.start_unix_ms = unix_ms();
+        (0..self.routers.len()).for_each(|r| self.schedule_arrival(r));
+        for (index, event) in self.setup.script.iter().enumerate() {
+            self.schedule(event.at_ms, WorldEvent::Script { index });
         }
         if self.setup.load.purges_per_s > 0.0 {
-            self.at(500.0, Ev::Purges);
+            self.schedule(FIRST_PURGE_MS, WorldEvent::NextPurge);
         }
-        self.at(1_000.0, Ev::Tidy);
+        self.schedule(FIRST_CHECK_MS, WorldEvent::PeriodicCheck);
         let faults: Vec<Ms> = self.soak.iter().flat_map(|s| s.plan.iter().map(|p| p.at_ms)).collect();
-        faults.into_iter().enumerate().for_each(|(i, at)| self.at(at, Ev::Fault(i)));
+        faults.into_iter().enumerate().for_each(|(index, at)| self.schedule(at, WorldEvent::Fault { index }));
         Ok(())
     }
+}
 
-    pub(super) async fn connect(&mut self, r: usize) {
-        let at = self.seats[r].process.address;
-        if let Some((conn, out)) = client(self.net.clone(), r, at).await {
-            self.seats[r].clients.push(ClientConn {
-                conn,
-                out,
-                open: BTreeMap::new(),
-                tag: 0,
-                answered: BTreeSet::new(),
-            });
-        }
-    }
-
-    pub(super) fn draw(&mut self, r: usize) {
-        let next = self.seats[r].arrivals.next().filter(|a| a.at < self.setup.length_ms);
-        if let Some(at) = next.as_ref().map(|a| a.at) {
-            self.at(at, Ev::Arrive(r));
+impl SocketRunMetrics {
+    /// Metrics of a run over so many seconds of arrivals, before its start.
+    fn new(seconds: usize) -> Self {
+        Self {
+            weighted_in_time_share: 0.0,
+            weighted_answered_share: 0.0,
+            requests: 0,
+            served: 0,
+            rejected: 0,
+            failed: 0,
+            attempts: 0,
+            wrong_bodies: 0,
+            seconds: vec![SecondMetrics::default(); seconds],
+            latency_p50_ms: 0.0,
+            latency_p99_ms: 0.0,
+            generator_late_p99_ms: 0.0,
+            counts: Counts::default(),
+            violations: BTreeMap::new(),
+            router_counters: HashMap::new(),
         }
-        self.seats[r].next = next;
     }
 }
