--- a/crates/node/tests/fleet/cuts.rs
+++ b/crates/node/tests/fleet/cuts.rs
@@ -1,4 +1,4 @@
-//! Links that are cut, break what they carry, or lead to a router that is stopped.
+//! Partitions, delayed, duplicate and corrupt messages, paused routers, and a full disk.
 
 use crate::common::wait_until;
 use crate::harness::{is_outcome_unknown, is_rejected, start_fleet, FleetHarness, DEADLINE_MS};
@@ -7,140 +7,151 @@
 
 #[test]
 fn minority_rejects_writes_with_retry_after_and_serves_reads() {
-    let mut t = start_fleet(3);
-    let (before, bytes) = t.serve_checkout(0);
-    t.rig.partition(0, &[1, 2]);
+    let mut fleet = start_fleet(3);
+    let (before, bytes) = fleet.serve_checkout(0);
+    fleet.rig.partition(0, &[1, 2]);
     for _ in 0..3 {
-        let (id, begun) = (t.new_id(), std::time::Instant::now());
-        let end = t.checkout(0, &id);
-        assert!(is_rejected(&end), "{end:?}");
-        assert!(begun.elapsed() < Duration::from_millis(DEADLINE_MS / 2), "{:?}", begun.elapsed());
-        assert_eq!(t.rig.archive.executions(&id), 0);
+        let (id, start) = (fleet.new_id(), std::time::Instant::now());
+        let outcome = fleet.checkout(0, &id);
+        assert!(is_rejected(&outcome), "{outcome:?}");
+        assert!(start.elapsed() < Duration::from_millis(DEADLINE_MS / 2), "{:?}", start.elapsed());
+        assert_eq!(fleet.rig.archive.executions(&id), 0);
     }
-    let (id, caller) = (t.new_id(), t.caller(0));
-    let end = t.wait_for_outcome(caller.read(&id, 9, DEADLINE_MS));
-    assert!(matches!(end, Some(Outcome::Served(_))), "{end:?}: {}\n{:?}", t.logs(), t.rig.counters(0));
-    // The others keep the word of all.
-    t.serve_eventually(1);
-    t.assert_outcome(2, &before, &bytes);
-    assert!(t.rig.heal(), "links are up again");
-    t.serve_eventually(0);
-    t.assert_outcome(0, &before, &bytes);
-    assert!(t.assert_history().rejected_while_isolated >= 3);
+    let (id, client) = (fleet.new_id(), fleet.connect_client(0));
+    let outcome = fleet.wait_for_outcome(client.read(&id, 9, DEADLINE_MS));
+    assert!(
+        matches!(outcome, Some(Outcome::Served(_))),
+        "{outcome:?}: {}\n{:?}",
+        fleet.logs(),
+        fleet.rig.counters(0)
+    );
+    // The majority still has all outcomes.
+    fleet.serve_eventually(1);
+    fleet.assert_outcome(2, &before, &bytes);
+    assert!(fleet.rig.heal(), "links are up again");
+    fleet.serve_eventually(0);
+    fleet.assert_outcome(0, &before, &bytes);
+    assert!(fleet.assert_history().rejected_while_isolated >= 3);
 }
 
 #[test]
 fn one_way_partition_breaks_no_outcome_and_heals_with_both_sides_changed() {
-    let mut t = start_fleet(3);
-    t.rig.partition_one_way(0, 1);
-    let mut kept = Vec::new();
+    let mut fleet = start_fleet(3);
+    fleet.rig.partition_one_way(0, 1);
+    let mut presented = Vec::new();
     for _ in 0..3 {
         for router in 0..3 {
-            let id = t.new_id();
-            let end = t.checkout(router, &id);
-            assert!(end.is_some(), "router {router}");
-            kept.push((id, end));
+            let id = fleet.new_id();
+            let outcome = fleet.checkout(router, &id);
+            assert!(outcome.is_some(), "router {router}");
+            presented.push((id, outcome));
         }
     }
-    // The other two reach each other both ways.
-    let (id, _) = t.serve_eventually(2);
-    assert!(t.rig.heal(), "links are up again");
-    for (id, end) in &kept {
+    // Router 2 exchanges messages with both other routers.
+    let (id, _) = fleet.serve_eventually(2);
+    assert!(fleet.rig.heal(), "links are up again");
+    for (id, outcome) in &presented {
         for router in 0..3 {
-            let again = t.checkout(router, id);
-            if let Some(Outcome::Served(_)) = end {
-                assert_eq!(&again, end, "router {router}");
+            let again = fleet.checkout(router, id);
+            if let Some(Outcome::Served(_)) = outcome {
+                assert_eq!(&again, outcome, "router {router}");
             }
         }
-        assert!(t.rig.archive.executions(id) <= 1);
+        assert!(fleet.rig.archive.executions(id) <= 1);
     }
-    (0..3).for_each(|r| assert!(matches!(t.checkout(r, &id), Some(Outcome::Served(_)))));
-    t.assert_history();
+    (0..3).for_each(|r| assert!(matches!(fleet.checkout(r, &id), Some(Outcome::Served(_)))));
+    fleet.assert_history();
 }
 
-/// What a router has sent each of its caches, as their links saw it.
-fn bytes_sent(t: &FleetHarness, router: usize) -> [u64; 3] {
-    [0, 1, 2].map(|c| t.rig.link(Endpoint::Router(router), Endpoint::Cache(c)).statistics().received_bytes)
+/// The bytes that a router has sent to each of its caches, as counted on the links.
+fn bytes_sent(fleet: &FleetHarness, router: usize) -> [u64; 3] {
+    [0, 1, 2]
+        .map(|c| fleet.rig.link(Endpoint::Router(router), Endpoint::Cache(c)).statistics().received_bytes)
 }
 
-/// A fetch has more bytes than this, and what proves a connection has fewer.
-const FETCH: u64 = 90;
+/// A fetch has more bytes than this, and the probe of a connection has fewer.
+const MIN_FETCH_BYTES: u64 = 90;
 
 #[test]
 fn router_paused_past_its_lease_executes_once_and_keeps_the_outcome() {
-    let mut t = start_fleet(3);
-    t.serve_checkout(0);
-    // What it sends takes long to arrive: it has the checkout out, and nothing has run.
+    let mut fleet = start_fleet(3);
+    fleet.serve_checkout(0);
+    // Messages to the caches are delayed: the router has sent the checkout, and nothing has been executed.
     for cache in 0..3 {
-        t.rig
+        fleet
+            .rig
             .link(Endpoint::Router(0), Endpoint::Cache(cache))
             .configure(|conditions| conditions.delay_ms = (300.0, 300.0));
     }
-    let (id, caller, before) = (t.new_id(), t.caller(0), bytes_sent(&t, 0));
-    let ask = caller.checkout(&id, DEADLINE_MS);
-    wait_until("it is sent", || bytes_sent(&t, 0).iter().zip(before).any(|(now, was)| *now > was + FETCH));
-    t.rig.suspend(0);
-    let end = t.checkout(1, &id);
-    assert!(is_outcome_unknown(&end), "{end:?}");
-    t.wait_until_executed(&id);
-    t.rig.resume(0);
-    t.wait_until_serving(0);
-    let end = t.wait_for_outcome(ask);
-    assert!(!is_rejected(&end), "it ran: {end:?}");
+    let (id, client, before) = (fleet.new_id(), fleet.connect_client(0), bytes_sent(&fleet, 0));
+    let request = client.checkout(&id, DEADLINE_MS);
+    wait_until("the checkout is sent to a cache", || {
+        bytes_sent(&fleet, 0).iter().zip(before).any(|(now, was)| *now > was + MIN_FETCH_BYTES)
+    });
+    fleet.rig.suspend(0);
+    let outcome = fleet.checkout(1, &id);
+    assert!(is_outcome_unknown(&outcome), "{outcome:?}");
+    fleet.wait_until_executed(&id);
+    fleet.rig.resume(0);
+    fleet.wait_until_serving(0);
+    let outcome = fleet.wait_for_outcome(request);
+    assert!(!is_rejected(&outcome), "an executed checkout was rejected: {outcome:?}");
     for router in [2, 0, 1] {
-        let end = t.checkout(router, &id);
-        assert!(!is_rejected(&end), "{end:?}");
+        let outcome = fleet.checkout(router, &id);
+        assert!(!is_rejected(&outcome), "{outcome:?}");
     }
-    assert_eq!(t.rig.archive.executions(&id), 1);
-    t.serve_eventually(0);
-    t.assert_history();
+    assert_eq!(fleet.rig.archive.executions(&id), 1);
+    fleet.serve_eventually(0);
+    fleet.assert_history();
 }
 
 #[test]
 fn late_duplicate_and_corrupt_messages_break_no_outcome() {
-    let mut t = start_fleet(3);
+    let mut fleet = start_fleet(3);
     for round in 0..8 {
         let (a, b) = (round % 3, (round + 1) % 3);
-        t.rig.router_link(a, b).configure(|conditions| conditions.delay_ms = (0.0, 30.0));
-        t.rig.router_link(a, b).inject(ChunkFault::Duplicate);
-        t.rig.router_link(b, a).inject(ChunkFault::Corrupt);
+        fleet.rig.router_link(a, b).configure(|conditions| conditions.delay_ms = (0.0, 30.0));
+        fleet.rig.router_link(a, b).inject(ChunkFault::Duplicate);
+        fleet.rig.router_link(b, a).inject(ChunkFault::Corrupt);
         if round % 4 == 3 {
-            t.rig.router_link(a, b).reset_connections();
+            fleet.rig.router_link(a, b).reset_connections();
         }
-        let id = t.new_id();
-        let ends = [a, b, (round + 2) % 3].map(|r| t.checkout(r, &id));
-        assert!(t.rig.archive.executions(&id) <= 1, "{ends:?}");
+        let id = fleet.new_id();
+        let outcomes = [a, b, (round + 2) % 3].map(|r| fleet.checkout(r, &id));
+        assert!(fleet.rig.archive.executions(&id) <= 1, "{outcomes:?}");
     }
-    assert!(t.rig.heal(), "links are up again");
-    (0..3).for_each(|r| drop(t.serve_eventually(r)));
-    let carried = t.rig.router_link_statistics();
+    assert!(fleet.rig.heal(), "links are up again");
+    (0..3).for_each(|r| drop(fleet.serve_eventually(r)));
+    let carried = fleet.rig.router_link_statistics();
     assert!(carried.corrupted_chunks > 0 && carried.duplicated_chunks > 0, "{carried:?}");
-    t.assert_history();
+    fleet.assert_history();
 }
 
 #[test]
 fn full_disk_rejects_new_leases_only() {
-    let mut t = start_fleet(3);
-    let (kept, bytes) = t.serve_checkout(0);
-    t.rig.set_disk_full(0, true);
+    let mut fleet = start_fleet(3);
+    let (served, bytes) = fleet.serve_checkout(0);
+    fleet.rig.set_disk_full(0, true);
     for _ in 0..3 {
-        let id = t.new_id();
-        let end = t.checkout(0, &id);
+        let id = fleet.new_id();
+        let outcome = fleet.checkout(0, &id);
         assert!(
-            matches!(end, Some(Outcome::Served(_))) || is_rejected(&end) || is_outcome_unknown(&end),
-            "{end:?}"
+            matches!(outcome, Some(Outcome::Served(_)))
+                || is_rejected(&outcome)
+                || is_outcome_unknown(&outcome),
+            "{outcome:?}"
         );
-        let (id, caller) = (t.new_id(), t.caller(0));
-        let end = t.wait_for_outcome(caller.read(&id, 4, DEADLINE_MS));
-        assert!(matches!(end, Some(Outcome::Served(_))), "{end:?}");
+        let (id, client) = (fleet.new_id(), fleet.connect_client(0));
+        let outcome = fleet.wait_for_outcome(client.read(&id, 4, DEADLINE_MS));
+        assert!(matches!(outcome, Some(Outcome::Served(_))), "{outcome:?}");
     }
-    t.serve_eventually(1);
-    t.assert_outcome(2, &kept, &bytes);
-    t.rig.set_disk_full(0, false);
-    t.rig.kill(0);
-    t.rig.start_router(0).expect("a router");
-    t.wait_until_serving(0);
-    t.serve_eventually(0);
-    assert_eq!(t.rig.history.count_events(|s| matches!(s, Event::ConnectionLost(_))), 0);
-    t.assert_history();
+    fleet.serve_eventually(1);
+    fleet.assert_outcome(2, &served, &bytes);
+    fleet.rig.set_disk_full(0, false);
+    fleet.rig.kill(0);
+    fleet.rig.start_router(0).expect("the router starts");
+    fleet.wait_until_serving(0);
+    fleet.serve_eventually(0);
+    assert_eq!(fleet.rig.history.count_events(|s| matches!(s, Event::ConnectionLost(_))), 0);
+    fleet.assert_history();
 }
--- a/crates/node/tests/fleet/main.rs
+++ b/crates/node/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Routers that keep each other's word: several processes, with faults between them.
+//! Fleets of router processes that replicate leases, outcomes and purges, with faults on the links between them.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/node/tests/fleet/replaced.rs
+++ b/crates/node/tests/fleet/replaced.rs
@@ -1,28 +1,28 @@
-//! A machine that was lost with its disk has its place given to its new folder, which is filled before it counts.
+//! A machine that was lost with its disk returns with an empty directory, which is filled with replicas before it counts in quorums.
 
 use crate::harness::start_fleet;
 
 #[test]
 fn machines_lost_with_their_disks_one_after_another_are_replicated_between() {
-    let mut t = start_fleet(3);
-    let mut kept = vec![t.serve_checkout(0), t.serve_checkout(1), t.serve_checkout(2)];
+    let mut fleet = start_fleet(3);
+    let mut served = vec![fleet.serve_checkout(0), fleet.serve_checkout(1), fleet.serve_checkout(2)];
     for lost in [0, 1, 2, 0] {
-        let before = t.rig.table_versions();
-        t.rig.kill_and_wipe(lost).expect("a folder");
-        t.rig.change_peer_address(lost).expect("a port");
-        t.rig.start_router(lost).expect("a router");
-        t.wait_until_serving(lost);
-        // A promise lies on two of three disks at least, and so on those of the loss after next.
+        let before = fleet.rig.table_versions();
+        fleet.rig.kill_and_wipe(lost).expect("the directory is deleted");
+        fleet.rig.change_peer_address(lost).expect("a free port");
+        fleet.rig.start_router(lost).expect("the router starts");
+        fleet.wait_until_serving(lost);
+        // A lease may be on only two of three disks: if its replicas were not restored between the losses, the next two would remove it.
         assert!(
-            t.rig.wait_until_replicated(lost, &before),
-            "copies are made up: {}\n{}",
-            t.register_counters(lost),
-            t.logs()
+            fleet.rig.wait_until_replicated(lost, &before),
+            "the replicas are not restored: {}\n{}",
+            fleet.register_counters(lost),
+            fleet.logs()
         );
-        for (id, bytes) in &kept {
-            (0..3).for_each(|router| t.assert_outcome(router, id, bytes));
+        for (id, bytes) in &served {
+            (0..3).for_each(|router| fleet.assert_outcome(router, id, bytes));
         }
-        kept.push(t.serve_eventually(lost));
+        served.push(fleet.serve_eventually(lost));
     }
-    t.assert_history();
+    fleet.assert_history();
 }
