--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -1,8 +1,8 @@
 //! Decodes messages of the simulator's protocol to events.
 
 use basaltgw::api::*;
-use basaltgw_config::value::{boolean, number, or_null, text, whole};
-use basaltgw_config::{BadInput, Names};
+use basaltgw_config::value::{boolean, number, optional, string, unsigned_integer};
+use basaltgw_config::{FieldError, WireNames};
 use serde_json::Value;
 use std::sync::Arc;
 
@@ -20,12 +20,12 @@
     /// The message of a JSON value.
     ///
     /// # Errors
-    /// [`BadInput`] if the value is no array that begins with a name.
-    pub fn new(value: &'a Value) -> Result<Self, BadInput> {
-        let expected = || BadInput::new("message", format!("expected an array, found {value}"));
+    /// [`FieldError`] if the value is no array that begins with a name.
+    pub fn new(value: &'a Value) -> Result<Self, FieldError> {
+        let expected = || FieldError::new("message", format!("expected an array, found {value}"));
         let values = value.as_array().ok_or_else(expected)?;
         let name = values.first().and_then(Value::as_str);
-        let name = name.ok_or_else(|| BadInput::new("[0]", "expected the message's name"))?;
+        let name = name.ok_or_else(|| FieldError::new("[0]", "expected the message's name"))?;
         Ok(Self { name, values })
     }
 
@@ -37,46 +37,49 @@
     /// The whole number at a position.
     ///
     /// # Errors
-    /// [`BadInput`] with the name of the field if the value is missing or no whole number.
-    pub fn integer(&self, position: usize, field: &str) -> Result<u64, BadInput> {
-        whole(self.value(position), field)
+    /// [`FieldError`] with the name of the field if the value is missing or no whole number.
+    pub fn integer(&self, position: usize, field: &str) -> Result<u64, FieldError> {
+        unsigned_integer(self.value(position), field)
     }
 
-    fn integer_or_0(&self, position: usize, field: &str) -> Result<u64, BadInput> {
-        or_null(self.value(position), || whole(self.value(position), field)).map(Option::unwrap_or_default)
+    fn integer_or_0(&self, position: usize, field: &str) -> Result<u64, FieldError> {
+        optional(self.value(position), || unsigned_integer(self.value(position), field))
+            .map(Option::unwrap_or_default)
     }
 
-    fn number(&self, position: usize, field: &str) -> Result<f64, BadInput> {
+    fn number(&self, position: usize, field: &str) -> Result<f64, FieldError> {
         number(self.value(position), field)
     }
 
-    fn number_or_0(&self, position: usize, field: &str) -> Result<f64, BadInput> {
-        or_null(self.value(position), || self.number(position, field)).map(Option::unwrap_or_default)
+    fn number_or_0(&self, position: usize, field: &str) -> Result<f64, FieldError> {
+        optional(self.value(position), || self.number(position, field)).map(Option::unwrap_or_default)
     }
 
-    fn text(&self, position: usize, field: &str) -> Result<&'a str, BadInput> {
-        text(self.value(position), field)
+    fn text(&self, position: usize, field: &str) -> Result<&'a str, FieldError> {
+        string(self.value(position), field)
     }
 
-    fn request_id(&self) -> Result<RequestId, BadInput> {
+    fn request_id(&self) -> Result<RequestId, FieldError> {
         Ok(RequestId(Arc::from(self.text(2, "req")?)))
     }
 
-    fn attempt_no(&self) -> Result<AttemptNo, BadInput> {
+    fn attempt_no(&self) -> Result<AttemptNo, FieldError> {
         Ok(AttemptNo(self.integer(3, "try")? as usize))
     }
 
-    fn endpoints(&self, names: &Names) -> Result<Event, BadInput> {
+    fn endpoints(&self, names: &WireNames) -> Result<Event, FieldError> {
         self.integer(2, "seq-no")?;
         let update = match self.text(3, "mode")? {
             "patch" => EndpointUpdate::Delta,
             "whole" | "stale_copy" => EndpointUpdate::Complete,
             "broken" => EndpointUpdate::Failed,
-            other => return Err(BadInput::new("mode", format!("unknown {other:?}"))),
+            other => return Err(FieldError::new("mode", format!("unknown {other:?}"))),
         };
-        let items = or_null(self.value(4), || {
+        let items = optional(self.value(4), || {
             let items = self.value(4).as_array();
-            items.ok_or_else(|| BadInput::new("items", format!("expected an array, found {}", self.value(4))))
+            items.ok_or_else(|| {
+                FieldError::new("items", format!("expected an array, found {}", self.value(4)))
+            })
         })?;
         let items = items.map_or(&[][..], |items| items);
         let decode = |(index, value): (usize, &Value)| {
@@ -86,7 +89,7 @@
         Ok(Event::Endpoints { update, entries })
     }
 
-    fn request(&self, names: &Names) -> Result<Request, BadInput> {
+    fn request(&self, names: &WireNames) -> Result<Request, FieldError> {
         let class = self.text(10, "priority")?;
         Ok(Request {
             id: self.request_id()?,
@@ -100,7 +103,7 @@
         })
     }
 
-    fn outcome(&self) -> Result<Outcome, BadInput> {
+    fn outcome(&self) -> Result<Outcome, FieldError> {
         Ok(Outcome {
             request: self.request_id()?,
             attempt: self.attempt_no()?,
@@ -115,7 +118,7 @@
         })
     }
 
-    fn purge(&self) -> Result<Event, BadInput> {
+    fn purge(&self) -> Result<Event, FieldError> {
         let object = self.integer_or_0(4, "asset")?;
         let object = (object != 0).then_some(ObjectId(object));
         let group = GroupId(self.integer(2, "bucket")?);
@@ -123,7 +126,7 @@
     }
 }
 
-fn attempt_result(code: &str) -> Result<AttemptResult, BadInput> {
+fn attempt_result(code: &str) -> Result<AttemptResult, FieldError> {
     Ok(match code {
         "GOOD" => AttemptResult::Served,
         "BAD" => AttemptResult::Error,
@@ -134,11 +137,11 @@
         "CXL" => AttemptResult::Cancelled,
         "NOP" => AttemptResult::NotSent,
         "MISS" => AttemptResult::CacheMiss,
-        other => return Err(BadInput::new("code", format!("unknown outcome {other:?}"))),
+        other => return Err(FieldError::new("code", format!("unknown outcome {other:?}"))),
     })
 }
 
-fn fill_report(code: u64) -> Result<FillReport, BadInput> {
+fn fill_report(code: u64) -> Result<FillReport, FieldError> {
     Ok(match code {
         0 => FillReport::NotReported,
         1 => FillReport::Hit,
@@ -151,17 +154,17 @@
         8 => FillReport::SourceMiss,
         9 => FillReport::FillLimitReached,
         10 => FillReport::OriginFailed,
-        _ => return Err(BadInput::new("detail", format!("unknown detail {code}"))),
+        _ => return Err(FieldError::new("detail", format!("unknown detail {code}"))),
     })
 }
 
-fn load_report(value: &Value) -> Result<LoadReport, BadInput> {
+fn load_report(value: &Value) -> Result<LoadReport, FieldError> {
     if value.is_null() {
         return Ok(LoadReport::default());
     }
     let fields = value
         .as_object()
-        .ok_or_else(|| BadInput::new("usage", format!("expected an object, found {value}")))?;
+        .ok_or_else(|| FieldError::new("usage", format!("expected an object, found {value}")))?;
     let value_of = |name: &str| fields.get(name).map(|v| number(v, &format!("usage.{name}"))).transpose();
     Ok(LoadReport {
         in_flight: value_of("rif")?,
@@ -171,11 +174,11 @@
     })
 }
 
-fn endpoint(value: &Value, names: &Names) -> Result<Endpoint, BadInput> {
+fn endpoint(value: &Value, names: &WireNames) -> Result<Endpoint, FieldError> {
     let entry = Message::new(value)?;
     let (area, kind) = (entry.text(1, "area")?, entry.text(2, "kind")?);
-    let zone = names.zone(area).ok_or_else(|| BadInput::new("area", format!("unknown {area:?}")))?;
-    let role = names.role(kind).ok_or_else(|| BadInput::new("kind", format!("unknown {kind:?}")))?;
+    let zone = names.zone(area).ok_or_else(|| FieldError::new("area", format!("unknown {area:?}")))?;
+    let role = names.role(kind).ok_or_else(|| FieldError::new("kind", format!("unknown {kind:?}")))?;
     Ok(Endpoint {
         id: ServerId(Arc::from(entry.name)),
         zone,
@@ -185,9 +188,9 @@
             "up" => EndpointState::Up,
             "draining" => EndpointState::Draining,
             "removed" => EndpointState::Removed,
-            other => return Err(BadInput::new("availability", format!("unknown {other:?}"))),
+            other => return Err(FieldError::new("availability", format!("unknown {other:?}"))),
         },
-        weight: or_null(entry.value(5), || entry.number(5, "capacity-hint"))?.unwrap_or(1.0),
+        weight: optional(entry.value(5), || entry.number(5, "capacity-hint"))?.unwrap_or(1.0),
         started: Some(entry.number_or_0(6, "last-start")?).filter(|started| *started > 0.0),
     })
 }
@@ -195,8 +198,8 @@
 /// The event of a message; `None` if the decision module has no use for it.
 ///
 /// # Errors
-/// [`BadInput`] with the field at fault.
-pub fn decode_event(message: &Message<'_>, names: &Names) -> Result<Option<Event>, BadInput> {
+/// [`FieldError`] with the field at fault.
+pub fn decode_event(message: &Message<'_>, names: &WireNames) -> Result<Option<Event>, FieldError> {
     Ok(Some(match message.name {
         "TARGETS" => message.endpoints(names)?,
         "QUERY" => Event::Request(message.request(names)?),
@@ -209,6 +212,6 @@
         "VOIDED" => message.purge()?,
         // The deployments have no gossip between routers and no probes of caches.
         "MEMO" | "PONG" => return Ok(None),
-        other => return Err(BadInput::new("[0]", format!("unknown event {other:?}"))),
+        other => return Err(FieldError::new("[0]", format!("unknown event {other:?}"))),
     }))
 }
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -5,7 +5,7 @@
 mod decode;
 mod encode;
 
-pub use basaltgw_config::{settings, BadInput, Names};
+pub use basaltgw_config::{parse_settings, FieldError, WireNames};
 pub use decode::{decode_event, Message};
 pub use encode::encode_action;
 
@@ -16,7 +16,7 @@
 
 /// A router, and the names of its zones, classes and roles in the protocol.
 struct Instance {
-    names: Names,
+    names: WireNames,
     router: Router,
 }
 
@@ -31,12 +31,12 @@
     /// resulting actions.
     ///
     /// # Errors
-    /// [`BadInput`] with the field at fault. Events before it have been handled.
-    pub fn handle_batch(&mut self, line: &str) -> Result<String, BadInput> {
+    /// [`FieldError`] with the field at fault. Events before it have been handled.
+    pub fn handle_batch(&mut self, line: &str) -> Result<String, FieldError> {
         let batch: Value =
-            serde_json::from_str(line).map_err(|e| BadInput::new("batch", format!("not JSON: {e}")))?;
+            serde_json::from_str(line).map_err(|e| FieldError::new("batch", format!("not JSON: {e}")))?;
         let now = number(&batch["now"], "now")?;
-        let expected = || BadInput::new("events", format!("expected an array, found {}", batch["events"]));
+        let expected = || FieldError::new("events", format!("expected an array, found {}", batch["events"]));
         let events = batch["events"].as_array().ok_or_else(expected)?;
         let mut decisions = Vec::new();
         for (index, value) in events.iter().enumerate() {
@@ -46,13 +46,13 @@
     }
 
     /// Handles one event and appends the resulting actions.
-    fn handle(&mut self, now: f64, value: &Value, decisions: &mut Vec<Value>) -> Result<(), BadInput> {
+    fn handle(&mut self, now: f64, value: &Value, decisions: &mut Vec<Value>) -> Result<(), FieldError> {
         let message = Message::new(value)?;
         let number = message.integer(1, "i")?;
         match message.name {
             "BEGIN" => {
                 let seed = message.integer(2, "nonce64")?;
-                let (names, settings) = settings(message.value(3))?;
+                let (names, settings) = parse_settings(message.value(3))?;
                 let router = Router::new(settings, seed);
                 self.instances.insert(number, Instance { names, router });
             }
@@ -61,7 +61,7 @@
             }
             _ => {
                 let Some(instance) = self.instances.get_mut(&number) else {
-                    return Err(BadInput::new("i", format!("instance {number} was never begun")));
+                    return Err(FieldError::new("i", format!("instance {number} was never begun")));
                 };
                 if let Some(event) = decode_event(&message, &instance.names)? {
                     let mut actions: Vec<Action> = Vec::new();
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Decoding and encoding of the simulator's protocol, and the process that serves it, with valid and invalid input.
 
 use basaltgw::api::*;
-use basaltgw_adapter::{decode_event, encode_action, settings, Message, Names, RouterHost};
+use basaltgw_adapter::{decode_event, encode_action, parse_settings, Message, RouterHost, WireNames};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -23,8 +23,8 @@
     })
 }
 
-fn names() -> Names {
-    settings(&begin_settings()).expect("settings").0
+fn names() -> WireNames {
+    parse_settings(&begin_settings()).expect("settings").0
 }
 
 fn decode(message: Value) -> Result<Option<Event>, String> {
@@ -44,7 +44,7 @@
 
 #[test]
 fn settings_are_typed_and_unknown_keys_ignored() {
-    let (_, s) = settings(&begin_settings()).expect("settings");
+    let (_, s) = parse_settings(&begin_settings()).expect("settings");
     assert_eq!((s.zone, s.zone_routers, s.routers), (ZoneId(1), 2, 3));
     assert_eq!(s.classes[0].idempotency, Idempotency::Idempotent);
     assert_eq!((s.classes[1].idempotency, s.classes[1].uncacheable), (Idempotency::NonIdempotent, true));
@@ -52,12 +52,12 @@
     assert_eq!((s.edge_slow_start.initial_share, s.edge_slow_start.overload_window), (0.24, 1500.0));
     assert_eq!((s.peer_fill, s.direct_to_parents, s.fill_joining), (PeerFill::Any, true, false));
     assert!(!s.must_watch_endpoints && !s.dynamic_weights);
-    let (_, defaults) = settings(&json!({})).expect("settings of an empty object");
+    let (_, defaults) = parse_settings(&json!({})).expect("settings of an empty object");
     assert_eq!((defaults.routers, defaults.max_attempts, defaults.hedging), (1, 1, false));
     let mut watching = begin_settings();
     watching["discovery"] = json!("subscribe");
     watching["weight-kind"] = json!("live");
-    let (_, s) = settings(&watching).expect("settings");
+    let (_, s) = parse_settings(&watching).expect("settings");
     assert!(s.must_watch_endpoints && s.dynamic_weights);
 }
 
--- a/crates/config/src/change_log.rs
+++ b/crates/config/src/change_log.rs
@@ -1,9 +1,9 @@
-//! Events of the change log: their types, and their decoding from the configuration file.
+//! The watch events of the change log: their types, and the decoding of those that the configuration file contains.
 
-use crate::node::address;
-use crate::typed::{plain, typed, Whole};
-use crate::value::BadInput;
-use crate::Names;
+use crate::router_config::parse_address;
+use crate::typed::{deserialize, unchanged, UnsignedInteger};
+use crate::value::FieldError;
+use crate::WireNames;
 use basaltgw::api::{Endpoint, EndpointState, GroupId, Ms, ObjectId, ServerId};
 use garde::Validate;
 use serde::Deserialize;
@@ -11,88 +11,88 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The number of an event of the change log.
+/// The sequence number of an event of the change log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Seq(pub u64);
 
-/// The address and start of a server's process; another address or start is another process.
+/// A server's process, identified by its address and start: another address or start is another process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
-    /// Its address.
+pub struct ServerProcess {
+    /// The address at which it accepts connections.
     pub address: SocketAddr,
     /// When it started, in Unix milliseconds; `None` if that is unknown.
     pub started: Option<Ms>,
 }
 
-/// A server in an endpoint list.
+/// A server of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
-    /// Its entry for the decision module.
-    pub entry: Endpoint,
-    /// Its address.
+pub struct ListedServer {
+    /// The entry for the decision module.
+    pub endpoint: Endpoint,
+    /// The address at which the server accepts connections.
     pub address: SocketAddr,
 }
 
-impl Member {
-    /// Its process.
-    pub fn place(&self) -> Place {
-        Place { address: self.address, started: self.entry.started }
+impl ListedServer {
+    /// The server's current process.
+    pub fn process(&self) -> ServerProcess {
+        ServerProcess { address: self.address, started: self.endpoint.started }
     }
 }
 
 /// An event of the change log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
-    /// An endpoint list, complete or a change.
-    Servers {
-        /// Whether it is complete: servers that it omits are removed.
-        whole: bool,
-        /// Its entries.
-        members: Vec<Member>,
+pub enum WatchEvent {
+    /// An endpoint list.
+    EndpointList {
+        /// Whether the list is complete, so that servers that it omits are removed; else it contains the changed servers only.
+        complete: bool,
+        /// The listed servers.
+        servers: Vec<ListedServer>,
     },
     /// A purge of an object or a group.
     Purge {
-        /// The object, if it is a purge of one.
+        /// The purged object; `None` if a group is purged.
         object: Option<ObjectId>,
-        /// The group otherwise.
+        /// The purged group if `object` is `None`.
         group: GroupId,
-        /// When it happened, in Unix milliseconds.
-        time: Ms,
+        /// The time of the purge, in Unix milliseconds.
+        purged_at: Ms,
     },
 }
 
-/// An event in the file.
+/// An event as the file has it.
 #[derive(Deserialize, Validate)]
 #[garde(allow_unvalidated)]
 struct EventFile<'a> {
-    #[allow(dead_code)] // Required, and not used.
-    seq: Whole,
+    #[allow(dead_code)] // A required key whose value is not used.
+    seq: UnsignedInteger,
     #[serde(borrow)]
-    fleet: Option<FleetFile<'a>>,
+    fleet: Option<ListFile<'a>>,
     invalidate: Option<PurgeFile<'a>>,
 }
 
 #[derive(Deserialize)]
-struct FleetFile<'a> {
+struct ListFile<'a> {
     complete: Option<bool>,
     #[serde(borrow)]
-    members: Option<Vec<MemberFile<'a>>>,
+    members: Option<Vec<ServerFile<'a>>>,
 }
 
 #[derive(Deserialize)]
 struct PurgeFile<'a> {
     time: f64,
     object: Option<&'a str>,
-    bucket: Option<Whole>,
+    bucket: Option<UnsignedInteger>,
 }
 
 #[derive(Deserialize)]
-struct MemberFile<'a> {
+struct ServerFile<'a> {
     id: &'a str,
     host_port: &'a str,
     locality: &'a str,
     flavor: &'a str,
-    cell: Option<Whole>,
+    cell: Option<UnsignedInteger>,
     phase: Phase,
     size: Option<f64>,
     up_since_ms: Option<f64>,
@@ -106,45 +106,56 @@
     Deleted,
 }
 
-/// Decodes an event of the array `known.results`.
+/// Decodes an event of the configuration file's array `known.results`.
 ///
 /// # Errors
-/// The field at fault.
-pub(crate) fn event(v: &Value, names: &Names) -> Result<News, BadInput> {
-    let event: EventFile<'_> = typed(v, "", plain)?;
-    if let Some(fleet) = event.fleet {
-        let members = fleet.members.unwrap_or_default().into_iter().enumerate();
-        let members =
-            members.map(|(i, m)| member(m, names).map_err(|e| e.within(&format!("fleet.members[{i}]"))));
-        let whole = fleet.complete.unwrap_or(false);
-        return Ok(News::Servers { whole, members: members.collect::<Result<_, _>>()? });
+/// The first invalid field.
+pub(crate) fn decode_event(v: &Value, names: &WireNames) -> Result<WatchEvent, FieldError> {
+    let event: EventFile<'_> = deserialize(v, "", unchanged)?;
+    match (event.fleet, event.invalidate) {
+        (Some(list), _) => endpoint_list(list, names),
+        (None, Some(purge)) => decode_purge(&purge),
+        (None, None) => Err(FieldError::new("fleet", "expected `fleet` or `invalidate`")),
     }
-    let Some(PurgeFile { time, object, bucket }) = event.invalidate else {
-        return Err(BadInput::new("fleet", "expected `fleet` or `invalidate`"));
+}
+
+fn endpoint_list(list: ListFile<'_>, names: &WireNames) -> Result<WatchEvent, FieldError> {
+    let decode = |(i, server): (usize, ServerFile<'_>)| {
+        listed_server(server, names).map_err(|e| e.within(&format!("fleet.members[{i}]")))
     };
-    let Some(hex) = object else {
-        let absent = || BadInput::new("invalidate.bucket", "expected a whole number, found nothing");
-        return Ok(News::Purge { object: None, group: GroupId(bucket.ok_or_else(absent)?.0), time });
+    let servers = list.members.unwrap_or_default().into_iter().enumerate().map(decode);
+    Ok(WatchEvent::EndpointList {
+        complete: list.complete.unwrap_or(false),
+        servers: servers.collect::<Result<_, _>>()?,
+    })
+}
+
+fn decode_purge(purge: &PurgeFile<'_>) -> Result<WatchEvent, FieldError> {
+    let purged_at = purge.time;
+    let Some(hex) = purge.object else {
+        let missing = || FieldError::new("invalidate.bucket", "expected a whole number, found nothing");
+        let bucket = purge.bucket.ok_or_else(missing)?;
+        return Ok(WatchEvent::Purge { object: None, group: GroupId(bucket.0), purged_at });
     };
     let object = u64::from_str_radix(hex, 16)
-        .map_err(|_| BadInput::new("invalidate.object", format!("expected hex digits, found {hex:?}")))?;
-    Ok(News::Purge { object: Some(ObjectId(object)), group: GroupId(0), time })
+        .map_err(|_| FieldError::new("invalidate.object", format!("expected hex digits, found {hex:?}")))?;
+    Ok(WatchEvent::Purge { object: Some(ObjectId(object)), group: GroupId(0), purged_at })
 }
 
-fn member(m: MemberFile<'_>, names: &Names) -> Result<Member, BadInput> {
-    let unknown = |field: &str, what: &str| BadInput::new(field, format!("unknown {what:?}"));
-    let entry = Endpoint {
-        id: ServerId(Arc::from(m.id)),
-        zone: names.zone(m.locality).ok_or_else(|| unknown("locality", m.locality))?,
-        role: names.role(m.flavor).ok_or_else(|| unknown("flavor", m.flavor))?,
-        cell: m.cell.map_or(0, |n| n.0),
-        state: match m.phase {
+fn listed_server(server: ServerFile<'_>, names: &WireNames) -> Result<ListedServer, FieldError> {
+    let unknown = |field: &str, name: &str| FieldError::new(field, format!("unknown {name:?}"));
+    let endpoint = Endpoint {
+        id: ServerId(Arc::from(server.id)),
+        zone: names.zone(server.locality).ok_or_else(|| unknown("locality", server.locality))?,
+        role: names.role(server.flavor).ok_or_else(|| unknown("flavor", server.flavor))?,
+        cell: server.cell.map_or(0, |n| n.0),
+        state: match server.phase {
             Phase::Serving => EndpointState::Up,
             Phase::Draining => EndpointState::Draining,
             Phase::Deleted => EndpointState::Removed,
         },
-        weight: m.size.unwrap_or(1.0),
-        started: m.up_since_ms.filter(|t| *t > 0.0),
+        weight: server.size.unwrap_or(1.0),
+        started: server.up_since_ms.filter(|t| *t > 0.0),
     };
-    Ok(Member { entry, address: address(m.host_port, "host_port")? })
+    Ok(ListedServer { endpoint, address: parse_address(server.host_port, "host_port")? })
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,7 +1,8 @@
-//! The section `fleet` of the project's own file: the router's identity, its peers, and the limits of what it replicates.
+//! The section `fleet` of the settings file: the router's identity, its peers, and the bounds of what it replicates.
 
-use crate::overlay::{self, overlay, standing, Overlay, OverlayFile, Standing, StandingFile};
-use crate::yaml::{BadFile, Document};
+use crate::overlay::{check_overlay, parse_overlay, parse_position};
+use crate::overlay::{Overlay, OverlayFile, OverlayPosition, PositionFile};
+use crate::yaml::{Document, YamlError};
 use basaltgw_types::{Domain, RouterId};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,144 +11,158 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The largest rules file, in bytes: ten thousand rules of a hundred bytes each.
-pub const MOST_RULES_BYTES: u64 = 1024 * 1024;
+/// The largest file of placement rules, in bytes: ten thousand rules of a hundred bytes each.
+pub const MAX_RULES_FILE_BYTES: u64 = 1024 * 1024;
 
 /// The settings of a router in a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     /// The fleet's name; links between different fleets are rejected.
     pub cluster: Arc<str>,
-    /// Its own name.
+    /// The router's name.
     pub name: RouterId,
-    /// Its failure domain.
+    /// The router's failure domain.
     pub domain: Domain,
-    /// Its address for peers.
+    /// The address at which the router accepts links of its peers.
     pub listen: SocketAddr,
     /// The folder of durable data, as the file names it; its existence is not checked.
     pub folder: PathBuf,
     /// The other routers that the file lists.
     pub peers: Vec<Peer>,
-    /// The placement rules, if a file is named.
-    pub rules: Option<Rules>,
+    /// The placement rules, if the section names a file.
+    pub rules: Option<PlacementRules>,
     /// Replicas of each register: 3 or 5.
-    pub copies: usize,
-    /// Shards of the registers.
+    pub replicas: usize,
+    /// The number of shards into which the registers are divided.
     pub shards: u16,
     /// The kinds of registers that are replicated.
-    pub holds: Held,
+    pub replicated: ReplicatedKinds,
     /// Whether scatter-gather requests are accepted.
     pub gather: bool,
     /// The dissemination overlay, if it is used.
     pub overlay: Option<Overlay>,
-    /// Bounds and time-outs.
+    /// Bounds and timeouts.
     pub limits: FleetLimits,
 }
 
-/// Another router, as the file lists it.
+/// Another router of the fleet, as the file lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// The peer's name.
     pub name: RouterId,
-    /// Its address for peers.
+    /// The address at which the peer accepts links.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The peer's failure domain.
     pub domain: Domain,
-    /// Its position in the overlay, if there is one.
-    pub standing: Option<Standing>,
+    /// The peer's position in the overlay, if the section has one.
+    pub position: Option<OverlayPosition>,
 }
 
-/// The text of the placement rules.
+/// The text of the placement rules, not compiled.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rules {
-    /// The file, for messages.
+pub struct PlacementRules {
+    /// The path of the file, for messages.
     pub file: PathBuf,
-    /// Its text.
+    /// The file's text.
     pub text: String,
 }
 
 /// The kinds of registers that are replicated; others are handled by each router alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
-pub struct Held {
-    /// Outcomes of requests.
-    pub effects: bool,
-    /// Purges.
+pub struct ReplicatedKinds {
+    /// Executions of requests: their leases and outcomes.
+    #[serde(rename = "effects")]
+    pub executions: bool,
+    /// Purges of objects and groups.
     pub purges: bool,
     /// Tickets.
     pub tickets: bool,
 }
 
-impl Default for Held {
+impl Default for ReplicatedKinds {
     fn default() -> Self {
-        Self { effects: true, purges: true, tickets: true }
+        Self { executions: true, purges: true, tickets: true }
     }
 }
 
-/// Bounds and time-outs; their ranges are in the schema.
+/// Bounds and timeouts of a router in a fleet; the schema of the settings file has their ranges.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct FleetLimits {
-    /// The most registers of this router.
-    pub holds: usize,
+    /// The most registers of which this router stores a replica.
+    #[serde(rename = "holds")]
+    pub max_registers: usize,
     /// The most bytes of these registers.
-    pub hold_bytes: usize,
+    #[serde(rename = "hold_bytes")]
+    pub max_register_bytes: usize,
     /// The most bytes of a stored outcome.
-    pub outcome_bytes: usize,
-    /// The most open register requests.
-    pub open_asks: usize,
+    #[serde(rename = "outcome_bytes")]
+    pub max_outcome_bytes: usize,
+    /// The most register requests of this router that are open at the same time.
+    #[serde(rename = "open_asks")]
+    pub max_open_requests: usize,
     /// The longest frame between routers, in bytes.
-    pub frame_bytes: usize,
+    #[serde(rename = "frame_bytes")]
+    pub max_frame_bytes: usize,
     /// The most frames queued in one priority lane of a link.
-    pub lane_frames: usize,
+    #[serde(rename = "lane_frames")]
+    pub max_queued_frames: usize,
     /// The most bytes of these frames.
-    pub lane_bytes: usize,
-    /// The capacity of a ring between two threads.
-    pub ring: usize,
+    #[serde(rename = "lane_bytes")]
+    pub max_queued_bytes: usize,
+    /// The capacity of a ring between two threads, in entries.
+    #[serde(rename = "ring")]
+    pub ring_entries: usize,
     /// The time in which a lease is replicated or rejected, in milliseconds.
-    pub promise_ms: f64,
-    /// Registers in a batch when a replica is rebuilt.
-    pub fill_portion: usize,
-    /// The pause between two batches, in milliseconds.
-    pub fill_pause_ms: f64,
+    #[serde(rename = "promise_ms")]
+    pub lease_timeout_ms: f64,
+    /// The registers of a batch when a replica is synchronized.
+    #[serde(rename = "fill_portion")]
+    pub sync_batch: usize,
+    /// The pause between two such batches, in milliseconds.
+    #[serde(rename = "fill_pause_ms")]
+    pub sync_pause_ms: f64,
     /// The time after which a router that is down is replaced, in milliseconds.
     pub replace_after_ms: f64,
-    /// The interval of keepalives on an idle link, in milliseconds.
-    pub alive_ms: f64,
-    /// The time without a byte after which a link is silent, in milliseconds.
-    pub silent_ms: f64,
+    /// The interval of keepalives on a link without other frames, in milliseconds.
+    #[serde(rename = "alive_ms")]
+    pub keepalive_interval_ms: f64,
+    /// The time without a byte after which a link is considered down, in milliseconds.
+    #[serde(rename = "silent_ms")]
+    pub peer_timeout_ms: f64,
 }
 
 impl Default for FleetLimits {
     fn default() -> Self {
         Self {
-            holds: 100_000,
-            hold_bytes: 64 * 1024 * 1024,
-            outcome_bytes: 4096,
-            open_asks: 1024,
-            frame_bytes: 1024 * 1024,
-            lane_frames: 1024,
-            lane_bytes: 8 * 1024 * 1024,
-            ring: 1024,
-            promise_ms: 400.0,
-            fill_portion: 64,
-            fill_pause_ms: 20.0,
+            max_registers: 100_000,
+            max_register_bytes: 64 * 1024 * 1024,
+            max_outcome_bytes: 4096,
+            max_open_requests: 1024,
+            max_frame_bytes: 1024 * 1024,
+            max_queued_frames: 1024,
+            max_queued_bytes: 8 * 1024 * 1024,
+            ring_entries: 1024,
+            lease_timeout_ms: 400.0,
+            sync_batch: 64,
+            sync_pause_ms: 20.0,
             replace_after_ms: 10_000.0,
-            alive_ms: 250.0,
-            silent_ms: 1_000.0,
+            keepalive_interval_ms: 250.0,
+            peer_timeout_ms: 1_000.0,
         }
     }
 }
 
 impl Fleet {
-    /// Whether only the placement rules differ, the one change that a running router applies.
-    pub fn same_but_rules(&self, other: &Self) -> bool {
-        let bare = |f: &Self| Self { rules: None, ..f.clone() };
-        bare(self) == bare(other)
+    /// Whether only the placement rules differ, which is the one change that a running router applies.
+    pub fn equals_except_rules(&self, other: &Self) -> bool {
+        let without_rules = |fleet: &Self| Self { rules: None, ..fleet.clone() };
+        without_rules(self) == without_rules(other)
     }
 }
 
-/// The section in the file.
+/// The section as the file has it.
 #[derive(Deserialize)]
 pub(crate) struct FleetFile {
     cluster: String,
@@ -162,7 +177,7 @@
     copies: Option<usize>,
     shards: Option<u16>,
     #[serde(default)]
-    holds: Held,
+    holds: ReplicatedKinds,
     #[serde(default)]
     gather: bool,
     overlay: Option<OverlayFile>,
@@ -176,137 +191,156 @@
     address: String,
     branch: String,
     machine: String,
-    overlay: Option<StandingFile>,
+    overlay: Option<PositionFile>,
 }
 
-const DEFAULT_COPIES: usize = 3;
+const DEFAULT_REPLICAS: usize = 3;
 const DEFAULT_SHARDS: u16 = 64;
-/// Keepalives within the time after which a link is silent, so that two may be lost or late.
-const KEEPALIVES_BEFORE_SILENT: f64 = 3.0;
+/// Keepalives within the peer timeout at the least, so that two may be lost or late.
+const MIN_KEEPALIVES: f64 = 3.0;
 
 /// Checks what the schema can't express, and reads the placement rules.
 ///
 /// # Errors
-/// The fault with file, line and key.
-pub(crate) fn fleet(document: &Document, of: FleetFile) -> Result<Fleet, BadFile> {
-    let at = |key: &str| format!("/fleet/{key}");
-    let name = |key: &str, text: &str| {
-        basaltgw_types::parse_name(text).map_err(|e| document.fault(&at(key), e.to_string()))
+/// The first invalid key.
+pub(crate) fn parse_fleet(document: &Document, file: FleetFile) -> Result<Fleet, YamlError> {
+    let domain = Domain {
+        branch: parse_name(document, "branch", &file.branch)?,
+        machine: parse_name(document, "machine", &file.machine)?,
     };
-    let address = |key: &str, text: &str| {
-        let found = text.parse::<SocketAddr>().ok();
-        // Other routers connect to this address.
-        found.filter(|a| a.port() != 0 && !a.ip().is_unspecified()).ok_or_else(|| {
-            let what = format!("expected an IP address that others can reach and a port but 0, as in 10.0.0.1:7101, found {text:?}");
-            document.fault(&at(key), what)
-        })
-    };
-    let with_overlay = of.overlay.is_some();
-    let peer = |(i, p): (usize, PeerFile)| {
-        let key = |key: &str| format!("peers/{i}/{key}");
-        let router = RouterId(name(&key("name"), &p.name)?);
-        let address = address(&key("address"), &p.address)?;
-        let domain =
-            Domain { branch: name(&key("branch"), &p.branch)?, machine: name(&key("machine"), &p.machine)? };
-        let at = at(&key("overlay"));
-        let standing = match (with_overlay, p.overlay) {
-            (true, file) => Some(standing(document, &at, file.unwrap_or_default(), &domain)?),
-            (false, None) => None,
-            (false, Some(_)) => {
-                let what = "expected the key `overlay` of the section too: without it there is no overlay";
-                return Err(document.fault(&at, what));
-            }
-        };
-        Ok(Peer { name: router, address, domain, standing })
-    };
-    let domain = Domain { branch: name("branch", &of.branch)?, machine: name("machine", &of.machine)? };
-    let overlay = of.overlay.map(|o| overlay(document, o, &domain)).transpose()?;
+    let has_overlay = file.overlay.is_some();
+    let overlay = file.overlay.map(|overlay| parse_overlay(document, overlay, &domain)).transpose()?;
+    let peers = file.peers.into_iter().enumerate();
     let fleet = Fleet {
-        cluster: name("cluster", &of.cluster)?,
-        name: RouterId(name("name", &of.name)?),
+        cluster: parse_name(document, "cluster", &file.cluster)?,
+        name: RouterId(parse_name(document, "name", &file.name)?),
         domain,
-        listen: address("listen", &of.listen)?,
-        folder: of.folder,
-        peers: of.peers.into_iter().enumerate().map(peer).collect::<Result<_, _>>()?,
+        listen: parse_peer_address(document, "listen", &file.listen)?,
+        folder: file.folder,
+        peers: peers.map(|(i, peer)| parse_peer(document, i, peer, has_overlay)).collect::<Result<_, _>>()?,
         rules: None,
-        copies: of.copies.unwrap_or(DEFAULT_COPIES),
-        shards: of.shards.unwrap_or(DEFAULT_SHARDS),
-        holds: of.holds,
-        gather: of.gather,
+        replicas: file.copies.unwrap_or(DEFAULT_REPLICAS),
+        shards: file.shards.unwrap_or(DEFAULT_SHARDS),
+        replicated: file.holds,
+        gather: file.gather,
         overlay,
-        limits: of.limits,
+        limits: file.limits,
     };
     check_peers(document, &fleet)?;
     check_limits(document, &fleet.limits)?;
     if let Some(overlay) = &fleet.overlay {
-        overlay::check(document, overlay, fleet.limits.frame_bytes, fleet.gather)?;
+        check_overlay(document, overlay, fleet.limits.max_frame_bytes, fleet.gather)?;
     }
-    let rules = of.rules.map(|file| rules(document, &file)).transpose()?;
+    let rules = file.rules.map(|path| read_rules(document, &path)).transpose()?;
     Ok(Fleet { rules, ..fleet })
 }
 
+/// The JSON pointer of a key of the section.
+fn pointer(key: &str) -> String {
+    format!("/fleet/{key}")
+}
+
+fn parse_name(document: &Document, key: &str, name: &str) -> Result<Arc<str>, YamlError> {
+    basaltgw_types::parse_name(name).map_err(|e| document.error_at(&pointer(key), e.to_string()))
+}
+
+/// Parses an address to which other routers connect.
+fn parse_peer_address(document: &Document, key: &str, text: &str) -> Result<SocketAddr, YamlError> {
+    let address = text.parse::<SocketAddr>().ok();
+    address.filter(|a| a.port() != 0 && !a.ip().is_unspecified()).ok_or_else(|| {
+        let message = format!("expected an IP address that others can reach and a port but 0, as in 10.0.0.1:7101, found {text:?}");
+        document.error_at(&pointer(key), message)
+    })
+}
+
+fn parse_peer(
+    document: &Document,
+    index: usize,
+    peer: PeerFile,
+    has_overlay: bool,
+) -> Result<Peer, YamlError> {
+    let key = |key: &str| format!("peers/{index}/{key}");
+    let name = RouterId(parse_name(document, &key("name"), &peer.name)?);
+    let address = parse_peer_address(document, &key("address"), &peer.address)?;
+    let domain = Domain {
+        branch: parse_name(document, &key("branch"), &peer.branch)?,
+        machine: parse_name(document, &key("machine"), &peer.machine)?,
+    };
+    let overlay_pointer = pointer(&key("overlay"));
+    let position = match (has_overlay, peer.overlay) {
+        (true, file) => Some(parse_position(document, &overlay_pointer, file.unwrap_or_default(), &domain)?),
+        (false, None) => None,
+        (false, Some(_)) => {
+            let message = "expected the key fleet.overlay as well: without it the fleet has no overlay";
+            return Err(document.error_at(&overlay_pointer, message));
+        }
+    };
+    Ok(Peer { name, address, domain, position })
+}
+
 /// Checks that names and addresses are unique, and that there are enough machines for the replicas.
-fn check_peers(document: &Document, fleet: &Fleet) -> Result<(), BadFile> {
+fn check_peers(document: &Document, fleet: &Fleet) -> Result<(), YamlError> {
     let (mut names, mut addresses) = (BTreeMap::new(), BTreeMap::new());
     names.insert(&fleet.name, "the router itself".to_string());
-    addresses.insert(fleet.listen, "where the router itself listens".to_string());
+    addresses.insert(fleet.listen, "the router itself".to_string());
     for (i, peer) in fleet.peers.iter().enumerate() {
-        let fault = |key: &str, what| Err(document.fault(&format!("/fleet/peers/{i}/{key}"), what));
-        if let Some(is) = names.insert(&peer.name, format!("fleet.peers[{i}] too")) {
-            return fault("name", format!("{} is {is}; expected a name once", peer.name));
+        let error =
+            |key: &str, message| Err(document.error_at(&pointer(&format!("peers/{i}/{key}")), message));
+        if let Some(owner) = names.insert(&peer.name, format!("fleet.peers[{i}]")) {
+            return error("name", format!("{} is already the name of {owner}", peer.name));
         }
-        if let Some(is) = addresses.insert(peer.address, format!("that of {}", peer.name)) {
-            return fault("address", format!("{} is {is}; expected an address once", peer.address));
+        if let Some(owner) = addresses.insert(peer.address, peer.name.to_string()) {
+            return error("address", format!("{} is already the address of {owner}", peer.address));
         }
     }
-    let machines: BTreeSet<_> =
-        fleet.peers.iter().map(|p| &p.domain).chain(std::iter::once(&fleet.domain)).collect();
-    if machines.len() < fleet.copies {
-        let what = format!(
-            "expected {} machines or more for as many copies, found {} among {} routers",
-            fleet.copies,
-            machines.len(),
-            fleet.peers.len() + 1
+    let domains = fleet.peers.iter().map(|p| &p.domain).chain([&fleet.domain]);
+    let machines = domains.collect::<BTreeSet<_>>().len();
+    if machines < fleet.replicas {
+        let (copies, routers) = (fleet.replicas, fleet.peers.len() + 1);
+        let message = format!(
+            "expected {copies} machines or more for {copies} copies, found {machines} among {routers} routers"
         );
-        return Err(document.fault("/fleet/peers", what));
+        return Err(document.error_at("/fleet/peers", message));
     }
     Ok(())
 }
 
 /// Checks limits that depend on one another.
-fn check_limits(document: &Document, limits: &FleetLimits) -> Result<(), BadFile> {
-    let pairs = [
-        ("outcome_bytes", limits.outcome_bytes, "hold_bytes", limits.hold_bytes),
-        ("outcome_bytes", limits.outcome_bytes.saturating_mul(2), "frame_bytes", limits.frame_bytes),
-        ("frame_bytes", limits.frame_bytes, "lane_bytes", limits.lane_bytes),
+fn check_limits(document: &Document, limits: &FleetLimits) -> Result<(), YamlError> {
+    let outcome_bytes = limits.max_outcome_bytes;
+    let frame_bytes = limits.max_frame_bytes;
+    let minimums = [
+        ("hold_bytes", limits.max_register_bytes, "outcome_bytes", outcome_bytes),
+        ("frame_bytes", frame_bytes, "outcome_bytes", outcome_bytes.saturating_mul(2)),
+        ("lane_bytes", limits.max_queued_bytes, "frame_bytes", frame_bytes),
     ];
-    for (inner, least, outer, is) in pairs {
-        if least > is {
-            let what = format!("expected {least} or more, for limits.{inner}, found {is}");
-            return Err(document.fault(&format!("/fleet/limits/{outer}"), what));
+    for (key, value, inner_key, min) in minimums {
+        if value < min {
+            let message = format!("expected {min} or more, for limits.{inner_key}, found {value}");
+            return Err(document.error_at(&pointer(&format!("limits/{key}")), message));
         }
     }
-    let least = KEEPALIVES_BEFORE_SILENT * limits.alive_ms;
-    if limits.silent_ms < least {
-        let what =
-            format!("expected {least} or more, for three of limits.alive_ms, found {}", limits.silent_ms);
-        return Err(document.fault("/fleet/limits/silent_ms", what));
+    let min_timeout = MIN_KEEPALIVES * limits.keepalive_interval_ms;
+    if limits.peer_timeout_ms < min_timeout {
+        let found = limits.peer_timeout_ms;
+        let message = format!("expected {min_timeout} or more, three times limits.alive_ms, found {found}");
+        return Err(document.error_at("/fleet/limits/silent_ms", message));
     }
     Ok(())
 }
 
-fn rules(document: &Document, file: &Path) -> Result<Rules, BadFile> {
-    let path = document.beside(file);
-    let fault = |what: String| document.fault("/fleet/rules", format!("{}: {what}", path.display()));
-    let is = std::fs::metadata(&path).map_err(|e| fault(e.to_string()))?;
-    if !is.is_file() {
-        return Err(fault("expected a file".into()));
+fn read_rules(document: &Document, file: &Path) -> Result<PlacementRules, YamlError> {
+    let path = document.resolve_path(file);
+    let error = |message: String| document.error_at("/fleet/rules", format!("{}: {message}", path.display()));
+    let metadata = std::fs::metadata(&path).map_err(|e| error(e.to_string()))?;
+    if !metadata.is_file() {
+        return Err(error("expected a file".into()));
     }
     let mut text = String::new();
-    let open = std::fs::File::open(&path).map_err(|e| fault(e.to_string()))?;
-    open.take(MOST_RULES_BYTES + 1).read_to_string(&mut text).map_err(|e| fault(e.to_string()))?;
-    if text.len() as u64 > MOST_RULES_BYTES {
-        return Err(fault(format!("expected at most {MOST_RULES_BYTES} bytes")));
+    let open = std::fs::File::open(&path).map_err(|e| error(e.to_string()))?;
+    open.take(MAX_RULES_FILE_BYTES + 1).read_to_string(&mut text).map_err(|e| error(e.to_string()))?;
+    if text.len() as u64 > MAX_RULES_FILE_BYTES {
+        return Err(error(format!("expected at most {MAX_RULES_FILE_BYTES} bytes")));
     }
-    Ok(Rules { file: path, text })
+    Ok(PlacementRules { file: path, text })
 }
--- a/crates/config/src/overlay.rs
+++ b/crates/config/src/overlay.rs
@@ -1,67 +1,67 @@
-//! The key `overlay` of the section `fleet`: a router's position in the overlay, and its bounds and time-outs.
+//! The key `overlay` of the section `fleet`: a router's position in the dissemination overlay, and the overlay's bounds and timeouts.
 
-use crate::yaml::{BadFile, Document};
+use crate::yaml::{Document, YamlError};
 use basaltgw_types::{Domain, Ms};
 use serde::Deserialize;
 use std::sync::Arc;
 
 /// The least value of `frame_bytes`: an overlay frame of at most 64 KiB with its header.
-pub const LEAST_FRAME_BYTES: usize = (64 << 10) + 64;
+pub const MIN_FRAME_BYTES: usize = (64 << 10) + 64;
 
-/// The dissemination overlay.
+/// The settings of the dissemination overlay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Overlay {
     /// The position of this router.
-    pub standing: Standing,
-    /// The time for which a router collects messages into a batch, in milliseconds.
-    pub batch_ms: Ms,
-    /// The time for which messages are retained for routers that missed them, in milliseconds; absent: as long as needed, at least
-    /// [`KEEP_MS`].
-    pub keep_ms: Option<Ms>,
+    pub position: OverlayPosition,
+    /// The time for which a router collects updates into a batch, in milliseconds.
+    pub batch_interval_ms: Ms,
+    /// The time for which updates are retained for routers that missed them, in milliseconds; `None`: as long as purges need, at least
+    /// [`DEFAULT_RETENTION_MS`].
+    pub retention_ms: Option<Ms>,
     /// The bandwidth budget in bytes per second, for both directions together.
     pub budget_bytes_per_s: f64,
     /// Which links this router keeps open.
-    pub links: Links,
+    pub links: LinkPolicy,
 }
 
 /// Which links a router keeps open.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Links {
+pub enum LinkPolicy {
     /// A link to each listed router.
     Mesh,
-    /// Links to its neighbours in the overlay and in the ring of names; others while they are in use.
-    Standing {
-        /// The time after which a link that is not in use is closed, in milliseconds.
-        idle_ms: Ms,
+    /// Links to the router's neighbours in the overlay and in the ring of names, and others while they are in use.
+    Sparse {
+        /// The time after which another link that is not in use is closed, in milliseconds.
+        idle_timeout_ms: Ms,
     },
 }
 
-/// A router's position by failure domains; each name is unique within the domain before it.
+/// A router's position by failure domains; each name is unique within the domain above it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
-    /// Its region.
+pub struct OverlayPosition {
+    /// The region.
     pub region: Arc<str>,
-    /// Its zone.
+    /// The zone, unique within the region.
     pub zone: Arc<str>,
-    /// Its site.
+    /// The site, unique within the zone.
     pub site: Arc<str>,
-    /// Its rack.
+    /// The rack, unique within the site.
     pub rack: Arc<str>,
-    /// Whether it is a control machine, which belongs to no region's tiers.
+    /// Whether the router is a control machine, which belongs to no region's tiers.
     pub control: bool,
 }
 
 /// The default of `keep_ms`.
-pub const KEEP_MS: Ms = 120_000.0;
-const BATCH_MS: Ms = 250.0;
-const BUDGET_BYTES_PER_S: f64 = 20_000.0;
-const IDLE_MS: Ms = 10_000.0;
+pub const DEFAULT_RETENTION_MS: Ms = 120_000.0;
+const DEFAULT_BATCH_INTERVAL_MS: Ms = 250.0;
+const DEFAULT_BUDGET_BYTES_PER_S: f64 = 20_000.0;
+const DEFAULT_IDLE_TIMEOUT_MS: Ms = 10_000.0;
 
-/// The key in the file.
+/// The key as the file has it.
 #[derive(Deserialize)]
 pub(crate) struct OverlayFile {
     #[serde(flatten)]
-    standing: StandingFile,
+    position: PositionFile,
     batch_ms: Option<f64>,
     keep_ms: Option<f64>,
     budget_bytes_per_s: Option<f64>,
@@ -74,12 +74,13 @@
 #[serde(rename_all = "snake_case")]
 enum LinksFile {
     Mesh,
-    Standing,
+    #[serde(rename = "standing")]
+    Sparse,
 }
 
-/// A position in the file.
+/// A position as the file has it.
 #[derive(Default, Deserialize)]
-pub(crate) struct StandingFile {
+pub(crate) struct PositionFile {
     region: Option<String>,
     zone: Option<String>,
     site: Option<String>,
@@ -88,77 +89,95 @@
     control: bool,
 }
 
-pub(crate) fn overlay(document: &Document, of: OverlayFile, domain: &Domain) -> Result<Overlay, BadFile> {
-    let links = match (of.links, of.idle_ms) {
-        (Some(LinksFile::Standing), idle) => Links::Standing { idle_ms: idle.unwrap_or(IDLE_MS) },
-        (Some(LinksFile::Mesh) | None, None) => Links::Mesh,
+/// Checks what the schema can't express, and applies the defaults.
+///
+/// # Errors
+/// The first invalid key.
+pub(crate) fn parse_overlay(
+    document: &Document,
+    file: OverlayFile,
+    domain: &Domain,
+) -> Result<Overlay, YamlError> {
+    let links = match (file.links, file.idle_ms) {
+        (Some(LinksFile::Sparse), idle_ms) => {
+            LinkPolicy::Sparse { idle_timeout_ms: idle_ms.unwrap_or(DEFAULT_IDLE_TIMEOUT_MS) }
+        }
+        (Some(LinksFile::Mesh) | None, None) => LinkPolicy::Mesh,
         (Some(LinksFile::Mesh) | None, Some(_)) => {
-            let what = "expected `links: standing` too: links of a mesh are not closed for being idle";
-            return Err(document.fault("/fleet/overlay/idle_ms", what));
+            let message = "expected `links: standing` too: idle links of a mesh are not closed";
+            return Err(document.error_at("/fleet/overlay/idle_ms", message));
         }
     };
     Ok(Overlay {
-        standing: standing(document, "/fleet/overlay", of.standing, domain)?,
-        batch_ms: of.batch_ms.unwrap_or(BATCH_MS),
-        keep_ms: of.keep_ms,
-        budget_bytes_per_s: of.budget_bytes_per_s.unwrap_or(BUDGET_BYTES_PER_S),
+        position: parse_position(document, "/fleet/overlay", file.position, domain)?,
+        batch_interval_ms: file.batch_ms.unwrap_or(DEFAULT_BATCH_INTERVAL_MS),
+        retention_ms: file.keep_ms,
+        budget_bytes_per_s: file.budget_bytes_per_s.unwrap_or(DEFAULT_BUDGET_BYTES_PER_S),
         links,
     })
 }
 
-/// A position; absent names default to the branch and the machine.
-pub(crate) fn standing(
+/// Parses the position at a JSON pointer; by default, region and zone have the name of the branch, site and rack that of the machine.
+///
+/// # Errors
+/// The first invalid name.
+pub(crate) fn parse_position(
     document: &Document,
-    at: &str,
-    of: StandingFile,
+    pointer: &str,
+    file: PositionFile,
     domain: &Domain,
-) -> Result<Standing, BadFile> {
-    let name = |key: &str, text: Option<String>, usual: &Arc<str>| match text {
-        Some(text) => basaltgw_types::parse_name(&text)
-            .map_err(|e| document.fault(&format!("{at}/{key}"), e.to_string())),
-        None => Ok(Arc::clone(usual)),
+) -> Result<OverlayPosition, YamlError> {
+    let name = |key: &str, name: Option<String>, default: &Arc<str>| match name {
+        Some(name) => basaltgw_types::parse_name(&name)
+            .map_err(|e| document.error_at(&format!("{pointer}/{key}"), e.to_string())),
+        None => Ok(Arc::clone(default)),
     };
-    Ok(Standing {
-        region: name("region", of.region, &domain.branch)?,
-        zone: name("zone", of.zone, &domain.branch)?,
-        site: name("site", of.site, &domain.machine)?,
-        rack: name("rack", of.rack, &domain.machine)?,
-        control: of.control,
+    Ok(OverlayPosition {
+        region: name("region", file.region, &domain.branch)?,
+        zone: name("zone", file.zone, &domain.branch)?,
+        site: name("site", file.site, &domain.machine)?,
+        rack: name("rack", file.rack, &domain.machine)?,
+        control: file.control,
     })
 }
 
-/// Checks the overlay against the rest of the section: its frames fit into those between routers, and scatter-gather has the links of a
-/// mesh.
-pub(crate) fn check(
+/// Checks the overlay against the rest of the section: its frames fit into those of the links, and scatter-gather, which needs a link to
+/// each router, is used with a mesh only.
+///
+/// # Errors
+/// The first invalid key.
+pub(crate) fn check_overlay(
     document: &Document,
     overlay: &Overlay,
-    frame_bytes: usize,
+    max_frame_bytes: usize,
     gather: bool,
-) -> Result<(), BadFile> {
-    if frame_bytes < LEAST_FRAME_BYTES {
-        let what = format!("expected {LEAST_FRAME_BYTES} or more, for fleet.overlay, found {frame_bytes}");
-        return Err(document.fault("/fleet/limits/frame_bytes", what));
+) -> Result<(), YamlError> {
+    if max_frame_bytes < MIN_FRAME_BYTES {
+        let message =
+            format!("expected {MIN_FRAME_BYTES} or more, for fleet.overlay, found {max_frame_bytes}");
+        return Err(document.error_at("/fleet/limits/frame_bytes", message));
     }
-    if overlay.links != Links::Mesh && gather {
-        let what = "expected false with `fleet.overlay.links: standing`: gathers ask routers over the links of a mesh";
-        return Err(document.fault("/fleet/gather", what));
+    if overlay.links != LinkPolicy::Mesh && gather {
+        let message =
+            "expected false with `fleet.overlay.links: standing`: scatter-gather needs a mesh of links";
+        return Err(document.error_at("/fleet/gather", message));
     }
     Ok(())
 }
 
 impl Overlay {
-    /// The retention time of messages in milliseconds, by the time that a purge takes to converge: a router that was away for that long
-    /// still gets every purge that has not converged.
+    /// The retention time of updates in milliseconds, given the convergence time of purges. The minimum is twice that time: a router that was
+    /// unreachable for one convergence time still receives every purge that has not converged.
     ///
     /// # Errors
-    /// If `keep_ms` is less than twice that time.
-    pub fn keep(&self, convergence_ms: Ms) -> Result<Ms, String> {
-        let least = 2.0 * convergence_ms;
-        match self.keep_ms {
-            None => Ok(KEEP_MS.max(least)),
-            Some(keep) if keep >= least => Ok(keep),
-            Some(keep) => Err(format!(
-                "fleet.overlay.keep_ms: expected {least} or more, twice what a purge takes to settle, found {keep}"
+    /// If `keep_ms` is less than the minimum.
+    pub fn retention(&self, purge_convergence_ms: Ms) -> Result<Ms, String> {
+        let min = 2.0 * purge_convergence_ms;
+        match self.retention_ms {
+            None => Ok(DEFAULT_RETENTION_MS.max(min)),
+            Some(retention) if retention >= min => Ok(retention),
+            Some(retention) => Err(format!(
+                "fleet.overlay.keep_ms: expected {min} or more, twice settings.family-info.purge-settles, found {retention}"
             )),
         }
     }
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,10 +1,11 @@
 //! The snapshot file: what the decision module of one process hands over to the next.
 //!
 //! The first line names the format, its version and a hash of the rest; the rest is JSON. Times are written as ages, so that they are valid
-//! by the reader's clock. A file that is truncated, altered, of another version, too old or out of range is rejected as a whole.
+//! by the reader's clock. A file that is truncated, altered, of another version, too old or out of range is rejected as a whole. The word
+//! `learnt` in errors is the name of the format.
 
-use crate::typed::{plain, typed, Whole};
-use crate::value::BadInput;
+use crate::typed::{deserialize, unchanged, UnsignedInteger};
+use crate::value::FieldError;
 use basaltgw::api::{GroupId, Ms, ObjectId, ServerId};
 use basaltgw::hash::fnv1a;
 use basaltgw::routing::snapshot::{PurgeSnapshot, SendingTimeSnapshot, ServerSnapshot, Snapshot};
@@ -14,33 +15,27 @@
 use serde_json::{json, Value};
 use std::sync::Arc;
 
+/// The first line's words, before the hash.
 const FORMAT: &str = "basaltgw-learnt";
 const VERSION: &str = "1";
-/// The most servers, classes or purges.
+/// The most entries of each list: servers, sending times of classes, purges.
 const MAX_ENTRIES: usize = 100_000;
-/// The largest logarithm of a latency ratio or weight penalty, in both directions.
+/// The largest absolute value of the logarithm of a latency ratio or weight penalty.
 const MAX_RATIO_LOG: f64 = 20.0;
-/// The longest sending time in milliseconds; no client waits longer.
+/// The longest sending time in milliseconds: no client waits longer.
 const MAX_SENDING_MS: Ms = 600_000.0;
 /// The largest file, in bytes.
 pub const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Formats a snapshot as of a Unix time in milliseconds.
+/// Formats a snapshot, whose times and `now` are Unix times in milliseconds.
 pub fn write(snapshot: &Snapshot, now: Ms) -> String {
     let age = |at: Ms| (now - at).max(0.0);
-    let servers: Vec<Value> = snapshot
-        .servers
-        .iter()
-        .map(|s| {
-            json!({"id": *s.id.0, "listed_start_ms": s.listed_start, "cut": s.weight_penalty_log, "lag": s.latency_ratio_log, "out": s.ejected,
-                   "cold_for_ms": s.warmup_started.map(age)})
-        })
-        .collect();
-    let sending: Vec<Value> = snapshot
-        .sending_times
-        .iter()
-        .map(|s| json!({"class": s.class, "ms": s.mean, "answers": s.samples}))
-        .collect();
+    let server = |s: &ServerSnapshot| {
+        json!({"id": *s.id.0, "listed_start_ms": s.listed_start, "cut": s.weight_penalty_log, "lag": s.latency_ratio_log,
+               "out": s.ejected, "cold_for_ms": s.warmup_started.map(age)})
+    };
+    let sending_time =
+        |s: &SendingTimeSnapshot| json!({"class": s.class, "ms": s.mean, "answers": s.samples});
     let purge = |purge: &PurgeSnapshot| {
         let (object, group) = match purge.target {
             PurgeTarget::Object(object) => (Some(object.0.to_string()), None),
@@ -48,69 +43,84 @@
         };
         json!({"object": object, "group": group, "age_ms": age(purge.purged_at)})
     };
+    let servers: Vec<Value> = snapshot.servers.iter().map(server).collect();
+    let sending: Vec<Value> = snapshot.sending_times.iter().map(sending_time).collect();
     let purges: Vec<Value> = snapshot.purges.iter().map(purge).collect();
-    let rest =
+    let body =
         json!({"written_ms": now, "servers": servers, "sending": sending, "purges": purges}).to_string();
-    format!("{FORMAT} {VERSION} {:016x}\n{rest}\n", fnv1a(&rest))
+    format!("{FORMAT} {VERSION} {}\n{body}\n", checksum(&body))
+}
+
+fn checksum(body: &str) -> String {
+    format!("{:016x}", fnv1a(body))
 }
 
 /// Parses a snapshot; `now` and the result's times are Unix times in milliseconds.
 ///
 /// # Errors
-/// If the text is damaged or out of range, or was written more than `oldest` milliseconds ago or after `now`.
-pub fn read(file: &str, now: Ms, oldest: Ms) -> Result<Snapshot, BadInput> {
-    let bad = |what: &str| BadInput::new("learnt", what);
-    let (head, rest) = file.split_once('\n').ok_or_else(|| bad("cut off in its first line"))?;
-    let rest = rest.strip_suffix('\n').ok_or_else(|| bad("cut off"))?;
-    match head.split(' ').collect::<Vec<_>>()[..] {
-        [FORMAT, VERSION, sum] if sum == format!("{:016x}", fnv1a(rest)) => {}
-        [FORMAT, VERSION, _] => return Err(bad("altered or cut off")),
-        [FORMAT, other, _] => return Err(bad(&format!("of version {other}, not {VERSION}"))),
-        _ => return Err(bad("not such a file")),
-    }
-    let v: Value = serde_json::from_str(rest).map_err(|e| bad(&format!("not JSON: {e}")))?;
-    let file: File<'_> = typed(&v, "learnt", plain)?;
+/// If the text is damaged or out of range, or was written more than `max_age` milliseconds ago or after `now`.
+pub fn read(text: &str, now: Ms, max_age: Ms) -> Result<Snapshot, FieldError> {
+    let body = checked_body(text)?;
+    let value: Value = serde_json::from_str(body).map_err(|e| error(format!("not JSON: {e}")))?;
+    let file: File<'_> = deserialize(&value, "learnt", unchanged)?;
     let written = file.written_ms;
-    if !(0.0..=oldest).contains(&(now - written)) {
-        return Err(bad(&format!("written {:.0} ms ago, at most {oldest:.0} are used", now - written)));
+    let age = now - written;
+    if !(0.0..=max_age).contains(&age) {
+        return Err(error(format!("written {age:.0} ms ago, at most {max_age:.0} are accepted")));
     }
-    let server = |s: ServerFile<'_>| ServerSnapshot {
-        id: ServerId(Arc::from(s.id)),
-        listed_start: s.listed_start_ms,
-        weight_penalty_log: s.cut,
-        latency_ratio_log: s.lag,
-        ejected: s.out,
-        // Servers age while no router runs.
-        warmup_started: s.cold_for_ms.map(|age| written - age),
-    };
-    let purge = |(i, p): (usize, PurgeFile<'_>)| {
-        let bad = |what: String| BadInput::new(&format!("learnt.purges[{i}].object"), what);
-        let number = |word: &str| word.parse().map_err(|_| bad(format!("expected a number, found {word:?}")));
-        let target = match (p.object.map(number).transpose()?, p.group) {
-            (Some(object), None) => PurgeTarget::Object(ObjectId(object)),
-            (None, Some(group)) => PurgeTarget::Group(GroupId(group.0)),
-            _ => return Err(bad("expected either an object or a group".into())),
-        };
-        Ok(PurgeSnapshot { target, purged_at: written - p.age_ms })
-    };
+    let sending_time =
+        |s: SendingFile| SendingTimeSnapshot { class: s.class, mean: s.ms, samples: s.answers };
+    let purges = file.purges.unwrap_or_default().into_iter().enumerate();
     Ok(Snapshot {
-        servers: file.servers.unwrap_or_default().into_iter().map(server).collect(),
-        sending_times: file
-            .sending
-            .unwrap_or_default()
-            .into_iter()
-            .map(|s| SendingTimeSnapshot { class: s.class, mean: s.ms, samples: s.answers })
-            .collect(),
-        purges: file
-            .purges
-            .unwrap_or_default()
-            .into_iter()
-            .enumerate()
-            .map(purge)
-            .collect::<Result<_, _>>()?,
+        servers: file.servers.unwrap_or_default().into_iter().map(|s| server(s, written)).collect(),
+        sending_times: file.sending.unwrap_or_default().into_iter().map(sending_time).collect(),
+        purges: purges.map(|(i, p)| purge(i, &p, written)).collect::<Result<_, _>>()?,
     })
 }
 
+/// An error of the whole file.
+fn error(message: impl Into<String>) -> FieldError {
+    FieldError::new("learnt", message)
+}
+
+/// The text after the first line, if the first line matches it.
+fn checked_body(text: &str) -> Result<&str, FieldError> {
+    let (header, body) = text.split_once('\n').ok_or_else(|| error("cut off in its first line"))?;
+    let body = body.strip_suffix('\n').ok_or_else(|| error("cut off"))?;
+    match header.split(' ').collect::<Vec<_>>()[..] {
+        [FORMAT, VERSION, sum] if sum == checksum(body) => Ok(body),
+        [FORMAT, VERSION, _] => Err(error("altered or cut off")),
+        [FORMAT, other, _] => Err(error(format!("of version {other}, not {VERSION}"))),
+        _ => Err(error("not a snapshot file")),
+    }
+}
+
+/// The state of a server; times are converted from ages at the time `written`.
+fn server(file: ServerFile<'_>, written: Ms) -> ServerSnapshot {
+    ServerSnapshot {
+        id: ServerId(Arc::from(file.id)),
+        listed_start: file.listed_start_ms,
+        weight_penalty_log: file.cut,
+        latency_ratio_log: file.lag,
+        ejected: file.out,
+        // A server warms up while no router runs, too.
+        warmup_started: file.cold_for_ms.map(|age| written - age),
+    }
+}
+
+fn purge(index: usize, file: &PurgeFile<'_>, written: Ms) -> Result<PurgeSnapshot, FieldError> {
+    let error = |message: String| FieldError::new(&format!("learnt.purges[{index}].object"), message);
+    let number = |text: &str| text.parse().map_err(|_| error(format!("expected a number, found {text:?}")));
+    let target = match (file.object.map(number).transpose()?, &file.group) {
+        (Some(object), None) => PurgeTarget::Object(ObjectId(object)),
+        (None, Some(group)) => PurgeTarget::Group(GroupId(group.0)),
+        (Some(_), Some(_)) | (None, None) => {
+            return Err(error("expected either an object or a group".into()))
+        }
+    };
+    Ok(PurgeSnapshot { target, purged_at: written - file.age_ms })
+}
+
 #[derive(Deserialize, Validate)]
 #[garde(allow_unvalidated)]
 struct File<'a> {
@@ -151,15 +161,15 @@
 #[garde(allow_unvalidated)]
 struct PurgeFile<'a> {
     object: Option<&'a str>,
-    group: Option<Whole>,
+    group: Option<UnsignedInteger>,
     #[garde(custom(within(0.0, f64::MAX)))]
     age_ms: Ms,
 }
 
-fn within(least: f64, most: f64) -> impl Fn(&f64, &()) -> garde::Result {
+fn within(min: f64, max: f64) -> impl Fn(&f64, &()) -> garde::Result {
     move |n, ()| {
-        let fits = (least..=most).contains(n);
-        fits.then_some(()).ok_or_else(|| garde::Error::new(format!("expected {least} to {most}, found {n}")))
+        let error = || garde::Error::new(format!("expected {min} to {max}, found {n}"));
+        (min..=max).contains(n).then_some(()).ok_or_else(error)
     }
 }
 
--- a/crates/config/src/snapshot/tests.rs
+++ b/crates/config/src/snapshot/tests.rs
@@ -1,14 +1,14 @@
-//! Parsing of snapshot files.
+//! Tests of the snapshot file: it reads back unchanged, and a damaged one is rejected with the reason.
 
 use super::*;
 
 fn sample() -> Snapshot {
-    let server = |id: &str, out| ServerSnapshot {
+    let server = |id: &str, ejected| ServerSnapshot {
         id: ServerId(Arc::from(id)),
         listed_start: Some(5000.0),
         weight_penalty_log: -0.5,
         latency_ratio_log: Some(0.25),
-        ejected: out,
+        ejected,
         warmup_started: Some(9000.0),
     };
     Snapshot {
@@ -31,28 +31,28 @@
 
 #[test]
 fn truncated_or_altered_file_is_rejected() {
-    let whole = write(&sample(), 10_000.0);
-    for end in 0..whole.len() {
-        assert!(read(&whole[..end], 10_000.0, 5000.0).is_err(), "cut at {end}");
+    let text = write(&sample(), 10_000.0);
+    for end in 0..text.len() {
+        assert!(read(&text[..end], 10_000.0, 5000.0).is_err(), "truncated at byte {end}");
     }
-    for at in 0..whole.len() {
-        let mut bytes = whole.clone().into_bytes();
-        bytes[at] ^= 1;
-        if let Ok(text) = String::from_utf8(bytes) {
-            assert!(read(&text, 10_000.0, 5000.0).is_err(), "altered at {at}");
+    for index in 0..text.len() {
+        let mut bytes = text.clone().into_bytes();
+        bytes[index] ^= 1;
+        if let Ok(altered) = String::from_utf8(bytes) {
+            assert!(read(&altered, 10_000.0, 5000.0).is_err(), "altered at byte {index}");
         }
     }
 }
 
 #[test]
 fn rejected_file_is_reported_with_its_reason() {
-    let whole = write(&sample(), 10_000.0);
-    let fault = |text: &str, now| read(text, now, 5000.0).expect_err("a fault").to_string();
-    assert!(fault(&whole, 15_001.0).contains("written 5001 ms ago, at most 5000"));
-    assert!(fault(&whole, 9_999.0).contains("written -1 ms ago"));
-    assert!(fault(&whole.replacen(" 1 ", " 2 ", 1), 10_000.0).contains("of version 2, not 1"));
-    let signed = |rest: &str| format!("{FORMAT} {VERSION} {:016x}\n{rest}\n", fnv1a(rest));
-    for (rest, field) in [
+    let text = write(&sample(), 10_000.0);
+    let error = |text: &str, now| read(text, now, 5000.0).expect_err("an error").to_string();
+    assert!(error(&text, 15_001.0).contains("written 5001 ms ago, at most 5000"));
+    assert!(error(&text, 9_999.0).contains("written -1 ms ago"));
+    assert!(error(&text.replacen(" 1 ", " 2 ", 1), 10_000.0).contains("of version 2, not 1"));
+    let with_header = |body: &str| format!("{FORMAT} {VERSION} {:016x}\n{body}\n", fnv1a(body));
+    for (body, field) in [
         (
             r#"{"written_ms": 9000, "servers": [{"id": "a", "cut": 0.5, "out": false}]}"#,
             "learnt.servers[0].cut",
@@ -64,6 +64,7 @@
         (r#"{"written_ms": 9000, "purges": [{"age_ms": 1}]}"#, "learnt.purges[0].object"),
         (r#"{"servers": []}"#, "learnt.written_ms"),
     ] {
-        assert!(fault(&signed(rest), 10_000.0).contains(field), "{}", fault(&signed(rest), 10_000.0));
+        let message = error(&with_header(body), 10_000.0);
+        assert!(message.contains(field), "{message}");
     }
 }
--- a/crates/config/src/typed.rs
+++ b/crates/config/src/typed.rs
@@ -1,61 +1,73 @@
-//! Typed parsing of JSON: serde deserializes, garde validates, and a fault names the field and what was expected.
+//! Deserializes JSON with serde and validates it with garde; an error names the field and what was expected.
 
-use crate::value::BadInput;
+use crate::value::{FieldError, MIN_INEXACT_FLOAT};
 use garde::Validate;
 use serde::de::{Deserialize, Deserializer, Error, Unexpected, Visitor};
 use serde_json::Value;
 use std::fmt;
 
-/// Parses the value at the path `at` (empty for the whole document); `key` formats a path within it for messages.
+/// Deserializes and validates the value at the path `outer`, which is empty for the whole document; `key` converts a path within the value
+/// from the names of Rust fields to those of the document.
 ///
 /// # Errors
-/// The field at fault.
-pub(crate) fn typed<'a, T>(v: &'a Value, at: &str, key: fn(&str) -> String) -> Result<T, BadInput>
+/// The first invalid field.
+pub(crate) fn deserialize<'a, T>(v: &'a Value, outer: &str, key: fn(&str) -> String) -> Result<T, FieldError>
 where
     T: Deserialize<'a> + Validate<Context = ()>,
 {
-    let field = |path: &str| match (at, key(path)) {
-        (at, path) if path.is_empty() || path == "." => at.to_string(),
-        ("", path) => path,
-        (at, path) => format!("{at}.{path}"),
-    };
-    let read = T::deserialize(v).or_else(|_| {
-        // Deserialized again for the path to the fault: tracking it doubles the cost, and most values are valid.
+    let field = |path: &str| join_paths(outer, &key(path));
+    let value = T::deserialize(v).or_else(|_| {
+        // Deserialized again for the path to the error: tracking it doubles the cost, and most values are valid.
         serde_path_to_error::deserialize(v).map_err(|e| {
-            let (path, text) = (e.path().to_string(), e.inner().to_string());
-            match text.strip_prefix("missing field `").and_then(|rest| rest.split_once('`')) {
-                Some((name, _)) if path == "." => BadInput::new(&field(name), "expected, found nothing"),
-                Some((name, _)) => {
-                    BadInput::new(&field(&format!("{path}.{name}")), "expected, found nothing")
-                }
-                None => BadInput::new(&field(&path), expected_found(&text)),
+            let (path, message) = (e.path().to_string(), e.inner().to_string());
+            match missing_field(&message) {
+                Some(name) if path == "." => FieldError::new(&field(name), MISSING),
+                Some(name) => FieldError::new(&field(&format!("{path}.{name}")), MISSING),
+                None => FieldError::new(&field(&path), expected_found(&message)),
             }
         })
     })?;
-    match read.validate() {
-        Ok(()) => Ok(read),
+    match value.validate() {
+        Ok(()) => Ok(value),
         Err(report) => {
             let first = report.iter().next().map(|(path, e)| (path.to_string(), e.to_string()));
-            let (path, what) = first.unwrap_or_default();
-            Err(BadInput::new(&field(&path), what))
+            let (path, message) = first.unwrap_or_default();
+            Err(FieldError::new(&field(&path), message))
         }
     }
 }
 
-/// A path unchanged.
-pub(crate) fn plain(path: &str) -> String {
+/// The message of an error of a required field that is absent.
+const MISSING: &str = "expected, found nothing";
+
+/// The path of a field of the value at the path `outer`; the path of the value itself is empty or a dot.
+fn join_paths(outer: &str, inner: &str) -> String {
+    match (outer, inner) {
+        (outer, "" | ".") => outer.to_string(),
+        ("", inner) => inner.to_string(),
+        (outer, inner) => format!("{outer}.{inner}"),
+    }
+}
+
+/// A path whose fields have the same names in Rust and in the document.
+pub(crate) fn unchanged(path: &str) -> String {
     path.to_string()
 }
 
-/// A path whose keys have dashes.
-pub(crate) fn dashed(path: &str) -> String {
+/// A path whose fields have dashes in the document.
+pub(crate) fn kebab_case(path: &str) -> String {
     path.replace('_', "-")
 }
 
-/// Rewords a message of serde: what was expected, then what was found.
-fn expected_found(text: &str) -> String {
-    let wrong = text.strip_prefix("invalid type: ").or_else(|| text.strip_prefix("invalid value: "));
-    if let Some((found, expected)) = wrong.and_then(|rest| rest.rsplit_once(", expected ")) {
+/// The field that is absent, by a message of serde.
+fn missing_field(message: &str) -> Option<&str> {
+    message.strip_prefix("missing field `")?.split_once('`').map(|(name, _)| name)
+}
+
+/// Rewords a message of serde in the form of the other messages: what was expected, then what was found.
+fn expected_found(message: &str) -> String {
+    let invalid = message.strip_prefix("invalid type: ").or_else(|| message.strip_prefix("invalid value: "));
+    if let Some((found, expected)) = invalid.and_then(|rest| rest.rsplit_once(", expected ")) {
         let expected = match expected {
             "f64" => "a number",
             "a sequence" => "an array",
@@ -66,59 +78,59 @@
         };
         return format!("expected {expected}, found {found}");
     }
-    match text.strip_prefix("unknown variant `").and_then(|rest| rest.split_once("`, ")) {
+    match message.strip_prefix("unknown variant `").and_then(|rest| rest.split_once("`, ")) {
         Some((found, expected)) => format!("unknown {found:?}, {expected}"),
-        None => text.to_string(),
+        None => message.to_string(),
     }
 }
 
 /// An unsigned integer, also one that is written as `2.0`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Whole(pub u64);
+pub(crate) struct UnsignedInteger(pub u64);
 
-impl<'de> Deserialize<'de> for Whole {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        struct Read;
-        impl Visitor<'_> for Read {
-            type Value = Whole;
+impl<'de> Deserialize<'de> for UnsignedInteger {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        struct IntegerVisitor;
+        impl Visitor<'_> for IntegerVisitor {
+            type Value = UnsignedInteger;
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 f.write_str("a whole number")
             }
-            fn visit_u64<E: Error>(self, n: u64) -> Result<Whole, E> {
-                Ok(Whole(n))
+            fn visit_u64<E: Error>(self, n: u64) -> Result<UnsignedInteger, E> {
+                Ok(UnsignedInteger(n))
             }
-            fn visit_i64<E: Error>(self, n: i64) -> Result<Whole, E> {
-                u64::try_from(n).map(Whole).map_err(|_| E::invalid_value(Unexpected::Signed(n), &self))
+            fn visit_i64<E: Error>(self, n: i64) -> Result<UnsignedInteger, E> {
+                let invalid = |_| E::invalid_value(Unexpected::Signed(n), &self);
+                u64::try_from(n).map(UnsignedInteger).map_err(invalid)
             }
-            fn visit_f64<E: Error>(self, n: f64) -> Result<Whole, E> {
-                // Beyond 2^53 a float skips whole numbers.
-                let fits = n.fract() == 0.0 && (0.0..9.0e15).contains(&n);
-                fits.then_some(Whole(n as u64)).ok_or_else(|| E::invalid_value(Unexpected::Float(n), &self))
+            fn visit_f64<E: Error>(self, n: f64) -> Result<UnsignedInteger, E> {
+                let is_integer = n.fract() == 0.0 && (0.0..MIN_INEXACT_FLOAT).contains(&n);
+                let invalid = || E::invalid_value(Unexpected::Float(n), &self);
+                is_integer.then_some(UnsignedInteger(n as u64)).ok_or_else(invalid)
             }
         }
-        from.deserialize_any(Read)
+        deserializer.deserialize_any(IntegerVisitor)
     }
 }
 
-/// The largest amount (thirty years in milliseconds); larger floats lose their fractions.
-const MAX_AMOUNT: f64 = 1e12;
+/// The largest value of [`NonNegative`], thirty years in milliseconds; larger floats lose their fractions.
+const MAX_NUMBER: f64 = 1e12;
 
-/// A number of 0 or more: a time, a share, a multiple.
+/// A number from 0 to [`MAX_NUMBER`]: a time, a share, a factor.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize, Validate)]
 #[garde(transparent)]
 #[serde(transparent)]
-pub(crate) struct Amount(#[garde(custom(amount_in_range))] pub f64);
+pub(crate) struct NonNegative(#[garde(custom(non_negative))] pub f64);
 
-fn amount_in_range(n: &f64, (): &()) -> garde::Result {
-    let what = if *n > MAX_AMOUNT { format!("{MAX_AMOUNT} or less") } else { "0 or more".into() };
-    let fits = (0.0..=MAX_AMOUNT).contains(n);
-    fits.then_some(()).ok_or_else(|| garde::Error::new(format!("expected {what}, found {}", short(*n))))
+fn non_negative(n: &f64, (): &()) -> garde::Result {
+    let expected = if *n > MAX_NUMBER { format!("{MAX_NUMBER} or less") } else { "0 or more".into() };
+    let error = || garde::Error::new(format!("expected {expected}, found {}", format_number(*n)));
+    (0.0..=MAX_NUMBER).contains(n).then_some(()).ok_or_else(error)
 }
 
-/// A number in a message, without hundreds of digits.
-fn short(n: f64) -> String {
-    let usual = n == 0.0 || (1e-6..1e16).contains(&n.abs());
-    if usual {
+/// A number as text, in scientific notation where the digits would fill a line.
+fn format_number(n: f64) -> String {
+    if n == 0.0 || (1e-6..1e16).contains(&n.abs()) {
         n.to_string()
     } else {
         format!("{n:e}")
@@ -126,7 +138,7 @@
 }
 
 /// Checks that a number is within bounds.
-pub(crate) fn bounded(n: f64, min: f64, max: f64) -> garde::Result {
-    let what = || garde::Error::new(format!("expected {min} to {max}, found {}", short(n)));
-    (min..=max).contains(&n).then_some(()).ok_or_else(what)
+pub(crate) fn in_range(n: f64, min: f64, max: f64) -> garde::Result {
+    let error = || garde::Error::new(format!("expected {min} to {max}, found {}", format_number(n)));
+    (min..=max).contains(&n).then_some(()).ok_or_else(error)
 }
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -1,49 +1,56 @@
-//! Values of JSON, read with messages that name the field.
+//! Reads JSON values; an error names the field, and the file if it is known.
 
 use serde_json::Value;
 use std::fmt;
 
-/// What is wrong with an input, and in which field.
+/// From this number on, about 2^53, a float can't represent each integer.
+pub(crate) const MIN_INEXACT_FLOAT: f64 = 9.0e15;
+
+/// An invalid field of a JSON document or of the environment.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadInput {
+pub struct FieldError {
     field: String,
-    what: String,
-    /// The file it was read from.
+    message: String,
     file: Option<String>,
 }
 
-impl BadInput {
-    /// A fault in that field.
-    pub fn new(field: &str, what: impl Into<String>) -> Self {
-        Self { field: field.into(), what: what.into(), file: None }
+impl FieldError {
+    /// An error of a field.
+    pub fn new(field: &str, message: impl Into<String>) -> Self {
+        Self { field: field.into(), message: message.into(), file: None }
     }
 
-    /// The same fault, seen from the value around it.
+    /// The error with the path of the value that contains the field before the field's own.
     pub fn within(self, outer: &str) -> Self {
         Self { field: format!("{outer}.{}", self.field), ..self }
     }
-}
 
-impl BadInput {
-    /// The same fault, in that file.
+    /// The error with the name of the file that contains the field.
     pub fn in_file(self, file: &str) -> Self {
         Self { file: Some(file.into()), ..self }
     }
+
+    pub(crate) fn field(&self) -> &str {
+        &self.field
+    }
 }
 
-impl fmt::Display for BadInput {
+impl fmt::Display for FieldError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if let Some(file) = &self.file {
             write!(f, "{file}: ")?;
         }
-        write!(f, "field {}: {}", self.field, self.what)
+        write!(f, "field {}: {}", self.field, self.message)
     }
 }
 
-impl std::error::Error for BadInput {}
+impl std::error::Error for FieldError {}
 
 /// Reads a value unless it is absent or null.
-pub fn or_null<T>(v: &Value, read: impl FnOnce() -> Result<T, BadInput>) -> Result<Option<T>, BadInput> {
+///
+/// # Errors
+/// The error of `read`.
+pub fn optional<T>(v: &Value, read: impl FnOnce() -> Result<T, FieldError>) -> Result<Option<T>, FieldError> {
     if v.is_null() {
         Ok(None)
     } else {
@@ -51,25 +58,38 @@
     }
 }
 
-/// A whole number of 0 or more that must be there.
-pub fn whole(v: &Value, field: &str) -> Result<u64, BadInput> {
-    let float = || v.as_f64().filter(|f| f.fract() == 0.0 && *f >= 0.0 && *f < 9.0e15).map(|f| f as u64);
+/// Reads an unsigned integer, also one that is written as `2.0`.
+///
+/// # Errors
+/// If the value is anything else.
+pub fn unsigned_integer(v: &Value, field: &str) -> Result<u64, FieldError> {
+    let is_integer = |f: &f64| f.fract() == 0.0 && *f >= 0.0 && *f < MIN_INEXACT_FLOAT;
+    let from_float = || v.as_f64().filter(is_integer).map(|f| f as u64);
     v.as_u64()
-        .or_else(float)
-        .ok_or_else(|| BadInput::new(field, format!("expected a whole number, found {v}")))
+        .or_else(from_float)
+        .ok_or_else(|| FieldError::new(field, format!("expected a whole number, found {v}")))
 }
 
-/// A number that must be there.
-pub fn number(v: &Value, field: &str) -> Result<f64, BadInput> {
-    v.as_f64().ok_or_else(|| BadInput::new(field, format!("expected a number, found {v}")))
+/// Reads a number.
+///
+/// # Errors
+/// If the value is anything else.
+pub fn number(v: &Value, field: &str) -> Result<f64, FieldError> {
+    v.as_f64().ok_or_else(|| FieldError::new(field, format!("expected a number, found {v}")))
 }
 
-/// A string that must be there.
-pub fn text<'a>(v: &'a Value, field: &str) -> Result<&'a str, BadInput> {
-    v.as_str().ok_or_else(|| BadInput::new(field, format!("expected a string, found {v}")))
+/// Reads a string.
+///
+/// # Errors
+/// If the value is anything else.
+pub fn string<'a>(v: &'a Value, field: &str) -> Result<&'a str, FieldError> {
+    v.as_str().ok_or_else(|| FieldError::new(field, format!("expected a string, found {v}")))
 }
 
-/// True or false, which must be there.
-pub fn boolean(v: &Value, field: &str) -> Result<bool, BadInput> {
-    v.as_bool().ok_or_else(|| BadInput::new(field, format!("expected true or false, found {v}")))
+/// Reads a boolean.
+///
+/// # Errors
+/// If the value is anything else.
+pub fn boolean(v: &Value, field: &str) -> Result<bool, FieldError> {
+    v.as_bool().ok_or_else(|| FieldError::new(field, format!("expected true or false, found {v}")))
 }
--- a/crates/config/src/yaml.rs
+++ b/crates/config/src/yaml.rs
@@ -1,4 +1,4 @@
-//! YAML files validated against a schema; a fault names file, line and key.
+//! YAML files validated against a JSON schema; an error names file, line and key.
 
 use jsonschema::Validator;
 use marked_yaml::{parse_yaml_with_options, LoaderOptions, Node};
@@ -9,21 +9,29 @@
 
 /// The largest file, in bytes: ten times a plan with the most nodes.
 const MAX_FILE_BYTES: u64 = 32 * 1024 * 1024;
+/// The longest message of a schema error; such messages contain the invalid value, which may be a whole section.
+const MAX_MESSAGE_CHARS: usize = 300;
 
-/// A fault of a file and its position.
+/// An error of a file and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadFile {
-    /// The file.
+pub struct YamlError {
+    /// The file's name.
     pub file: String,
-    /// The line, from 1; 0 for the whole file.
+    /// The line, from 1; 0 if the error concerns the whole file.
     pub line: usize,
-    /// The key as a path; empty for the whole file.
+    /// The path of the key; empty if the error concerns the whole file.
     pub key: String,
-    /// What is wrong.
-    pub what: String,
+    /// What was expected, and what was found.
+    pub message: String,
 }
 
-impl fmt::Display for BadFile {
+impl YamlError {
+    fn of_file(file: &str, message: String) -> Self {
+        Self { file: file.to_string(), line: 0, key: String::new(), message }
+    }
+}
+
+impl fmt::Display for YamlError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.file)?;
         if self.line > 0 {
@@ -32,17 +40,17 @@
         if !self.key.is_empty() {
             write!(f, ": {}", self.key)?;
         }
-        write!(f, ": {}", self.what)
+        write!(f, ": {}", self.message)
     }
 }
 
-impl std::error::Error for BadFile {}
+impl std::error::Error for YamlError {}
 
 /// A parsed file with the lines of its keys.
 pub struct Document {
     file: String,
     root: Node,
-    /// Its content.
+    /// The file's content.
     pub value: Value,
 }
 
@@ -50,146 +58,153 @@
     /// Reads a file and validates it.
     ///
     /// # Errors
-    /// If it can't be read, is too large, is no YAML, or does not match the schema.
-    pub fn read(path: &Path, schema: &Validator) -> Result<Self, BadFile> {
+    /// If the file can't be read, is too large, is not YAML, or does not match the schema.
+    pub fn read(path: &Path, schema: &Validator) -> Result<Self, YamlError> {
         let file = path.display().to_string();
-        let whole = |what: String| BadFile { file: file.clone(), line: 0, key: String::new(), what };
-        let size = std::fs::metadata(path).map_err(|e| whole(e.to_string()))?.len();
+        let io_error = |e: std::io::Error| YamlError::of_file(&file, e.to_string());
+        let size = std::fs::metadata(path).map_err(io_error)?.len();
         if size > MAX_FILE_BYTES {
-            return Err(whole(format!("expected at most {MAX_FILE_BYTES} bytes, found {size}")));
+            let message = format!("expected at most {MAX_FILE_BYTES} bytes, found {size}");
+            return Err(YamlError::of_file(&file, message));
         }
-        let text = std::fs::read_to_string(path).map_err(|e| whole(e.to_string()))?;
+        let text = std::fs::read_to_string(path).map_err(io_error)?;
         Self::parse(&file, &text, schema)
     }
 
-    /// Parses a text and validates it; `file` is its name in faults.
+    /// Parses a text and validates it; `file` is its name in errors.
     ///
     /// # Errors
-    /// If it is no YAML or does not match the schema.
-    pub fn parse(file: &str, text: &str, schema: &Validator) -> Result<Self, BadFile> {
+    /// If the text is not YAML or does not match the schema.
+    pub fn parse(file: &str, text: &str, schema: &Validator) -> Result<Self, YamlError> {
         let options = LoaderOptions::default().error_on_duplicate_keys(true).prevent_coercion(true);
-        let root = parse_yaml_with_options(0, text, options).map_err(|e| BadFile {
-            file: file.to_string(),
-            line: 0,
-            key: String::new(),
-            what: e.to_string(),
-        })?;
-        let value = value(&root);
+        let root =
+            parse_yaml_with_options(0, text, options).map_err(|e| YamlError::of_file(file, e.to_string()))?;
+        let value = to_json(&root);
         let document = Self { file: file.to_string(), root, value };
-        let fault = schema.iter_errors(&document.value).next().map(|e| {
-            let what = e.to_string();
-            let what = if what.len() > 300 {
-                format!("{}…", what.chars().take(300).collect::<String>())
-            } else {
-                what
-            };
-            (e.instance_path().to_string(), what)
-        });
-        match fault {
-            Some((pointer, what)) => Err(document.fault(&pointer, what)),
-            None => Ok(document),
+        let error = schema.iter_errors(&document.value).next();
+        let error = error.map(|e| document.error_at(&e.instance_path().to_string(), shorten(&e.to_string())));
+        error.map_or(Ok(document), Err)
+    }
+
+    /// An error at a JSON pointer (RFC 6901).
+    pub fn error_at(&self, pointer: &str, message: impl Into<String>) -> YamlError {
+        let steps: Vec<String> =
+            pointer.split('/').skip(1).map(|s| s.replace("~1", "/").replace("~0", "~")).collect();
+        YamlError {
+            file: self.file.clone(),
+            line: self.line_of(&steps),
+            key: key_path(&steps),
+            message: message.into(),
         }
     }
 
-    /// A fault at a JSON pointer (RFC 6901).
-    pub fn fault(&self, pointer: &str, what: impl Into<String>) -> BadFile {
-        let (mut node, mut line) = (Some(&self.root), line(&self.root));
-        let steps = || pointer.split('/').skip(1).map(|s| s.replace("~1", "/").replace("~0", "~"));
-        for step in steps() {
+    /// The line of a key; if the document lacks the key, that of the innermost key that contains it.
+    fn line_of(&self, steps: &[String]) -> usize {
+        let mut node = Some(&self.root);
+        let mut line = start_line(&self.root).unwrap_or(0);
+        for step in steps {
             node = match node {
                 Some(Node::Mapping(map)) => {
-                    let found = map.iter().find(|(k, _)| k.as_str() == step);
+                    let entry = map.iter().find(|(key, _)| key.as_str() == step);
                     // The key's line, since the value may be on a later one.
-                    if let Some(at) = found.and_then(|(k, _)| k.span().start()) {
-                        line = at.line();
-                    }
-                    found.map(|(_, v)| v)
+                    let key_start = entry.and_then(|(key, _)| key.span().start());
+                    line = key_start.map_or(line, |start| start.line());
+                    entry.map(|(_, value)| value)
                 }
                 Some(Node::Sequence(list)) => {
-                    let found = step.parse().ok().and_then(|i: usize| list.get(i));
-                    if let Some(at) = found.and_then(|n| n.span().start()) {
-                        line = at.line();
-                    }
-                    found
+                    let item = step.parse().ok().and_then(|index: usize| list.get(index));
+                    line = item.and_then(start_line).unwrap_or(line);
+                    item
                 }
                 Some(Node::Scalar(_)) | None => None,
             };
         }
-        let mut key = String::new();
-        for step in steps() {
-            match step.parse::<usize>() {
-                Ok(i) => key.push_str(&format!("[{i}]")),
-                Err(_) if key.is_empty() => key = step,
-                Err(_) => key.push_str(&format!(".{step}")),
-            }
-        }
-        BadFile { file: self.file.clone(), line, key, what: what.into() }
+        line
     }
 
     /// Deserializes the content.
     ///
     /// # Errors
-    /// Where the type is stricter than the schema.
-    pub fn typed<T: serde::de::DeserializeOwned>(&self) -> Result<T, BadFile> {
+    /// If a value does not match the type, which may be stricter than the schema.
+    pub fn deserialize<T: serde::de::DeserializeOwned>(&self) -> Result<T, YamlError> {
         serde_path_to_error::deserialize(&self.value).map_err(|e| {
             let step = |s: &Segment| match s {
                 Segment::Seq { index } => format!("/{index}"),
                 Segment::Map { key } => format!("/{key}"),
                 Segment::Enum { .. } | Segment::Unknown => String::new(),
             };
-            self.fault(&e.path().iter().map(step).collect::<String>(), e.inner().to_string())
+            self.error_at(&e.path().iter().map(step).collect::<String>(), e.inner().to_string())
         })
     }
 
-    /// A file that the document names, relative to the document's folder.
-    pub fn beside(&self, file: &Path) -> PathBuf {
+    /// The path of a file that the document names, relative to the document's folder.
+    pub fn resolve_path(&self, file: &Path) -> PathBuf {
         Path::new(&self.file).parent().unwrap_or(Path::new("")).join(file)
     }
 }
 
-fn line(node: &Node) -> usize {
-    node.span().start().map_or(0, |m| m.line())
+fn shorten(message: &str) -> String {
+    if message.len() > MAX_MESSAGE_CHARS {
+        format!("{}…", message.chars().take(MAX_MESSAGE_CHARS).collect::<String>())
+    } else {
+        message.to_string()
+    }
 }
 
-/// Converts YAML to JSON; plain scalars by the core schema of YAML 1.2.
-fn value(node: &Node) -> Value {
-    match node {
-        Node::Scalar(word) => {
-            let text = word.as_str();
-            if !word.may_coerce() {
-                return Value::from(text);
-            }
-            let float = || {
-                text.parse().ok().filter(|_| {
-                    text.starts_with(['-', '+', '.', '0', '1', '2', '3', '4', '5', '6', '7', '8', '9'])
-                })
-            };
-            match text {
-                "" | "~" | "null" => Value::Null,
-                "true" => Value::from(true),
-                "false" => Value::from(false),
-                _ => match text.parse::<i64>() {
-                    Ok(whole) => Value::from(whole),
-                    Err(_) => {
-                        float().and_then(Number::from_f64).map_or_else(|| Value::from(text), Value::Number)
-                    }
-                },
-            }
+/// The path of a key in errors, such as `fleet.peers[0].name`.
+fn key_path(steps: &[String]) -> String {
+    let mut path = String::new();
+    for step in steps {
+        match step.parse::<usize>() {
+            Ok(index) => path.push_str(&format!("[{index}]")),
+            Err(_) if path.is_empty() => path.push_str(step),
+            Err(_) => path.push_str(&format!(".{step}")),
         }
-        Node::Sequence(list) => Value::Array(list.iter().map(value).collect()),
+    }
+    path
+}
+
+fn start_line(node: &Node) -> Option<usize> {
+    node.span().start().map(|start| start.line())
+}
+
+/// Converts YAML to JSON.
+fn to_json(node: &Node) -> Value {
+    match node {
+        Node::Scalar(scalar) if scalar.may_coerce() => plain_scalar(scalar.as_str()),
+        Node::Scalar(scalar) => Value::from(scalar.as_str()),
+        Node::Sequence(list) => Value::Array(list.iter().map(to_json).collect()),
         Node::Mapping(map) => {
-            Value::Object(map.iter().map(|(k, v)| (k.as_str().to_string(), value(v))).collect::<Map<_, _>>())
+            let entries = map.iter().map(|(key, value)| (key.as_str().to_string(), to_json(value)));
+            Value::Object(entries.collect::<Map<_, _>>())
         }
     }
 }
 
-/// Compiles a schema.
+/// The value of a plain scalar by the core schema of YAML 1.2.
+fn plain_scalar(text: &str) -> Value {
+    match text {
+        "" | "~" | "null" => return Value::Null,
+        "true" => return Value::from(true),
+        "false" => return Value::from(false),
+        _ => {}
+    }
+    if let Ok(integer) = text.parse::<i64>() {
+        return Value::from(integer);
+    }
+    // Rust would parse words such as `inf` and `nan` too, which are strings here.
+    let is_numeric = text.starts_with(['-', '+', '.', '0', '1', '2', '3', '4', '5', '6', '7', '8', '9']);
+    let float = text.parse().ok().filter(|_| is_numeric).and_then(Number::from_f64);
+    float.map_or_else(|| Value::from(text), Value::Number)
+}
+
+/// Compiles a JSON schema that is part of the program.
 ///
 /// # Panics
-/// If the text is no schema: it is part of the program.
-pub fn schema(text: &str) -> Validator {
-    let schema: Value = serde_json::from_str(text).expect("a schema in JSON");
-    jsonschema::validator_for(&schema).expect("a schema")
+/// If the text is not a JSON schema.
+pub fn compile_schema(text: &str) -> Validator {
+    let schema: Value = serde_json::from_str(text).expect("the built-in schema is JSON");
+    jsonschema::validator_for(&schema).expect("the built-in schema is a JSON schema")
 }
 
 #[cfg(test)]
--- a/crates/config/tests/bytes.rs
+++ b/crates/config/tests/bytes.rs
@@ -1,4 +1,5 @@
-//! The text of the file that one process leaves to the next, compared with what is written down here, and the hashes that go into it.
+//! Tests of the snapshot file's text and of the hashes that routers share, compared with constants. They guard against a change of the
+//! format or a hash without a new version: a process would reject the snapshot of the one before.
 
 use basaltgw::api::{GroupId, ObjectId, ServerId};
 use basaltgw::hash::{fnv1a, mix};
@@ -7,7 +8,7 @@
 use basaltgw_config::snapshot::{read, write};
 use std::sync::Arc;
 
-const WRITTEN: &str = concat!(
+const EXPECTED_FILE: &str = concat!(
     "basaltgw-learnt 1 2f85c323d6d3d5d6\n",
     r#"{"purges":[{"age_ms":2000.0,"group":null,"object":"18446744073709551615"},"#,
     r#"{"age_ms":3000.0,"group":7,"object":null}],"#,
@@ -20,13 +21,13 @@
 
 #[test]
 fn the_file_has_the_text_written_down() {
-    let server = |id: &str, out, lag, cold_since| ServerSnapshot {
+    let server = |id: &str, ejected, latency_ratio_log, warmup_started| ServerSnapshot {
         id: ServerId(Arc::from(id)),
         listed_start: Some(5000.0),
         weight_penalty_log: -0.5,
-        latency_ratio_log: lag,
-        ejected: out,
-        warmup_started: cold_since,
+        latency_ratio_log,
+        ejected,
+        warmup_started,
     };
     let snapshot = Snapshot {
         servers: vec![server("s-1", true, Some(0.25), Some(9000.0)), server("s-2", false, None, None)],
@@ -36,8 +37,8 @@
             PurgeSnapshot { target: PurgeTarget::Group(GroupId(7)), purged_at: 7000.0 },
         ],
     };
-    assert_eq!(write(&snapshot, 10_000.0), WRITTEN);
-    assert_eq!(read(WRITTEN, 12_000.0, 5000.0), Ok(snapshot));
+    assert_eq!(write(&snapshot, 10_000.0), EXPECTED_FILE);
+    assert_eq!(read(EXPECTED_FILE, 12_000.0, 5000.0), Ok(snapshot));
 }
 
 #[test]
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,10 +1,10 @@
-//! What a router is told: defaults, checks, and messages that name the key.
+//! Tests of the router's configuration file: its values, their defaults, and errors that name the key.
 
 use basaltgw::api::{EndpointState, GroupId, ObjectId, Role};
-use basaltgw_config::{parse, read, Environment, Limits, News, Seq};
+use basaltgw_config::{parse_config, read_config, Environment, Limits, Seq, WatchEvent};
 use serde_json::{json, Value};
 
-fn whole() -> Value {
+fn configuration() -> Value {
     json!({
         "name": "n3", "listen": "127.0.0.4:10080", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
@@ -25,52 +25,72 @@
 
 #[test]
 fn configuration_is_parsed() {
-    let c = parse(&whole(), &Environment::default()).expect("a good configuration");
+    let c = parse_config(&configuration(), &Environment::default()).expect("a valid configuration");
     assert_eq!((c.name.as_str(), c.listen.to_string().as_str()), ("n3", "127.0.0.4:10080"));
     assert_eq!((c.seed, c.changelog.to_string().as_str()), (0x8c1f30d27a5be964, "127.2.0.1:4222"));
-    assert_eq!((c.limits, c.known_seq), (Limits { memory_mb: 192, sockets: 512 }, Seq(43)));
-    assert_eq!((c.transport.conn_idle, c.transport.max_streams), (9000.0, 50));
-    let News::Servers { whole: true, members } = &c.known[0] else { panic!("the whole list") };
+    assert_eq!((c.limits, c.last_known_seq), (Limits { memory_mb: 192, descriptors: 512 }, Seq(43)));
+    assert_eq!((c.transport.connection_idle_timeout, c.transport.max_streams), (9000.0, 50));
+    let WatchEvent::EndpointList { complete: true, servers: members } = &c.known_events[0] else {
+        panic!("expected a complete endpoint list, found {:?}", c.known_events[0])
+    };
     let (edge, origin) = (&members[0], &members[1]);
-    assert_eq!((&*edge.entry.id.0, edge.address.port(), edge.entry.role), ("s-00c41f7a", 10080, Role::Edge));
-    assert_eq!((edge.entry.state, edge.entry.weight, edge.entry.started), (EndpointState::Up, 4.0, None));
-    assert_eq!((origin.entry.role, origin.entry.state), (Role::Origin, EndpointState::Draining));
-    assert_eq!((origin.entry.zone.0, origin.entry.started), (0, Some(1_764_576_000_123.0)));
+    assert_eq!(
+        (&*edge.endpoint.id.0, edge.address.port(), edge.endpoint.role),
+        ("s-00c41f7a", 10080, Role::Edge)
+    );
+    assert_eq!(
+        (edge.endpoint.state, edge.endpoint.weight, edge.endpoint.started),
+        (EndpointState::Up, 4.0, None)
+    );
+    assert_eq!((origin.endpoint.role, origin.endpoint.state), (Role::Origin, EndpointState::Draining));
+    assert_eq!((origin.endpoint.zone.0, origin.endpoint.started), (0, Some(1_764_576_000_123.0)));
     let object = Some(ObjectId(0x7f3a9c21e0b4d655));
-    assert_eq!(c.known[1], News::Purge { object, group: GroupId(0), time: 1_764_576_000_123.0 });
-    assert_eq!(c.known[2], News::Purge { object: None, group: GroupId(17), time: 1_764_576_000_480.0 });
+    assert_eq!(
+        c.known_events[1],
+        WatchEvent::Purge { object, group: GroupId(0), purged_at: 1_764_576_000_123.0 }
+    );
+    assert_eq!(
+        c.known_events[2],
+        WatchEvent::Purge { object: None, group: GroupId(17), purged_at: 1_764_576_000_480.0 }
+    );
 }
 
 #[test]
 fn absent_keys_have_defaults() {
-    let bare = json!({"listen": "127.0.0.1:1", "changelog": "127.0.0.1:2", "settings": {}});
-    let c = parse(&bare, &Environment::default()).expect("enough");
-    assert_eq!((c.limits, c.known_seq, c.known.len()), (Limits { memory_mb: 192, sockets: 1024 }, Seq(0), 0));
-    assert_eq!((c.name.as_str(), c.seed, c.transport.conn_idle), ("basaltgw", 0, 15_000.0));
+    let required = json!({"listen": "127.0.0.1:1", "changelog": "127.0.0.1:2", "settings": {}});
+    let c = parse_config(&required, &Environment::default()).expect("a configuration without optional keys");
+    assert_eq!(
+        (c.limits, c.last_known_seq, c.known_events.len()),
+        (Limits { memory_mb: 192, descriptors: 1024 }, Seq(0), 0)
+    );
+    assert_eq!((c.name.as_str(), c.seed, c.transport.connection_idle_timeout), ("basaltgw", 0, 15_000.0));
 }
 
 #[test]
 fn variables_override_the_file() {
     let env = Environment { name: Some("n9".into()), listen: Some("127.0.0.9:7".into()), config: None };
-    let c = parse(&whole(), &env).expect("a good configuration");
+    let c = parse_config(&configuration(), &env).expect("a valid configuration");
     assert_eq!((c.name.as_str(), c.listen.to_string().as_str()), ("n9", "127.0.0.9:7"));
 }
 
 #[test]
-fn fault_names_its_key() {
-    let said = |change: &dyn Fn(&mut Value)| {
-        let mut v = whole();
+fn error_names_its_key() {
+    let message_after = |change: &dyn Fn(&mut Value)| {
+        let mut v = configuration();
         change(&mut v);
-        match parse(&v, &Environment::default()) {
-            Err(fault) => fault.to_string(),
-            // An event that can't be read is left out; the others stay.
+        match parse_config(&v, &Environment::default()) {
+            Err(error) => error.to_string(),
+            // An event that can't be decoded is left out; the others are kept.
             Ok(c) => {
-                assert_eq!((c.unread.len(), c.known.len(), c.known_seq), (1, 2, Seq(43)));
-                c.unread[0].to_string()
+                assert_eq!(
+                    (c.undecodable_events.len(), c.known_events.len(), c.last_known_seq),
+                    (1, 2, Seq(43))
+                );
+                c.undecodable_events[0].to_string()
             }
         }
     };
-    let event = |at: usize| format!("/known/results/{at}");
+    let event = |index: usize| format!("/known/results/{index}");
     let cases: [(&str, Value, &str); 14] = [
         ("/listen", json!("nowhere"), "field listen:"),
         ("/changelog", json!(null), "field changelog:"),
@@ -95,42 +115,43 @@
         (&(event(1) + "/invalidate/object"), json!("?"), "field known.results[1].invalidate.object:"),
         (&(event(2) + "/invalidate/time"), json!("?"), "field known.results[2].invalidate.time:"),
     ];
-    for (at, to, expected) in cases {
-        let message = said(&|v| *v.pointer_mut(at).expect("a key of the example") = to.clone());
-        assert!(message.starts_with(expected), "{at}: {message}");
+    for (pointer, value, expected) in cases {
+        let message =
+            message_after(&|v| *v.pointer_mut(pointer).expect("a key of the configuration") = value.clone());
+        assert!(message.starts_with(expected), "{pointer}: {message}");
     }
-    let bad_env = Environment { listen: Some("x".into()), ..Environment::default() };
-    let message = parse(&whole(), &bad_env).expect_err("at fault").to_string();
+    let invalid_env = Environment { listen: Some("x".into()), ..Environment::default() };
+    let message = parse_config(&configuration(), &invalid_env).expect_err("an error").to_string();
     assert!(message.starts_with("field GW_LISTEN:"), "{message}");
-    let message = parse(&json!([]), &Environment::default()).expect_err("at fault").to_string();
+    let message = parse_config(&json!([]), &Environment::default()).expect_err("an error").to_string();
     assert!(message.starts_with("field config:"), "{message}");
 }
 
 #[test]
 fn missing_or_malformed_file_is_named() {
-    let message = read(&Environment::default()).expect_err("no file").to_string();
+    let message = read_config(&Environment::default()).expect_err("no file").to_string();
     assert!(message.starts_with("field GW_CONFIG:"), "{message}");
     let file = std::env::temp_dir().join(format!("basaltgw-config-{}.json", std::process::id()));
     let env = Environment { config: Some(file.display().to_string()), ..Environment::default() };
-    assert!(read(&env).expect_err("no file").to_string().contains(&file.display().to_string()));
+    assert!(read_config(&env).expect_err("no file").to_string().contains(&file.display().to_string()));
     std::fs::write(&file, "{").expect("a file");
-    let message = read(&env).expect_err("no JSON").to_string();
+    let message = read_config(&env).expect_err("no JSON").to_string();
     std::fs::remove_file(&file).expect("removed");
     assert!(message.contains("is not JSON"), "{message}");
 }
 
-/// Each setting that the module reads is checked: a bad one is named by its key, an absent one changes nothing.
+/// Each setting of the decision module is checked: an invalid one is rejected by its key, an absent one has its default.
 #[test]
 fn invalid_setting_is_named_by_its_key() {
-    let good = || {
-        let mut config = whole();
+    let valid = || {
+        let mut config = configuration();
         config["settings"]["services"] = json!([{"name": "a", "slo": 100.0}, {"name": "b"}]);
         config
     };
-    let (typed, bare) = (|c: &Value| parse(c, &Environment::default()), good());
-    let settings = typed(&bare).expect("a good configuration").settings;
+    let parse = |c: &Value| parse_config(c, &Environment::default());
+    let settings = parse(&valid()).expect("a valid configuration").settings;
     assert!(settings.approximate_weights && settings.classes[0].stale_for == 0.0);
-    for (pointer, value, says) in [
+    for (pointer, value, expected) in [
         ("/settings/contract/fall", json!(-1.0), "settings.contract.fall: expected 0 or more, found -1"),
         ("/settings/granularity", json!(-2), "settings.granularity"),
         ("/settings/weight-kind", json!("heavy"), "settings.weight-kind: unknown \"heavy\""),
@@ -150,14 +171,14 @@
         ),
         ("/settings/services/0/slo", json!(-3.0), "settings.services[].slo: expected 0 or more"),
     ] {
-        let mut config = good();
+        let mut config = valid();
         let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
         if let Some(object) = config.pointer_mut(parent) {
             object[key] = value;
         } else {
             config["settings"][parent.rsplit_once('/').expect("a key").1] = json!({ key: value });
         }
-        let fault = typed(&config).expect_err(pointer).to_string();
-        assert!(fault.contains(says), "{fault}");
+        let message = parse(&config).expect_err(pointer).to_string();
+        assert!(message.contains(expected), "{message}");
     }
 }
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -1,12 +1,12 @@
-//! The section `fleet`: defaults, each fault by file, line and key, and what a running router takes over.
+//! Tests of the section `fleet`: its defaults, errors by file, line and key, and what a running router can change.
 
-use basaltgw_config::fleet::{Fleet, FleetLimits, Held, MOST_RULES_BYTES};
-use basaltgw_config::overlay::{Links, Standing};
-use basaltgw_config::plan::own_settings_of;
+use basaltgw_config::fleet::{Fleet, FleetLimits, ReplicatedKinds, MAX_RULES_FILE_BYTES};
+use basaltgw_config::overlay::{LinkPolicy, OverlayPosition};
+use basaltgw_config::parse_settings_file;
 use basaltgw_hierarchy::SlowStart;
 
-const COLD: SlowStart = SlowStart { initial_share: 0.1, ramp_duration: 20_000.0 };
-const GOOD: &str = "\
+const SLOW_START: SlowStart = SlowStart { initial_share: 0.1, ramp_duration: 20_000.0 };
+const VALID: &str = "\
 fleet:
   cluster: rig
   name: r1
@@ -25,57 +25,67 @@
 ";
 
 fn read(text: &str) -> Result<Fleet, String> {
-    let own = own_settings_of("d/b.yaml", text, COLD).map_err(|e| e.to_string())?;
-    Ok(own.fleet.expect("the section"))
+    let settings = parse_settings_file("d/b.yaml", text, SLOW_START).map_err(|e| e.to_string())?;
+    Ok(settings.fleet.expect("the section fleet"))
 }
 
-/// The fault that comes of one change to the good text.
-fn fault(from: &str, to: &str) -> String {
-    assert!(GOOD.contains(from), "{from}");
-    read(&GOOD.replace(from, to)).expect_err(to)
+/// The error of the valid text with one replacement.
+fn error(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from), "{from} is not in the text");
+    read(&VALID.replace(from, to)).expect_err(to)
 }
 
 #[test]
 fn absent_keys_have_defaults() {
-    let fleet = read(GOOD).expect("a fleet");
+    let fleet = read(VALID).expect("a fleet");
     assert_eq!((&*fleet.cluster, &*fleet.name.0, &*fleet.domain.machine), ("rig", "r1", "m1"));
-    assert_eq!((fleet.copies, fleet.shards, fleet.gather, &fleet.rules), (3, 16, false, &None));
-    assert_eq!(fleet.holds, Held { effects: true, purges: true, tickets: true });
-    assert_eq!(fleet.limits, FleetLimits { ring: 8, frame_bytes: 8192, ..FleetLimits::default() });
+    assert_eq!((fleet.replicas, fleet.shards, fleet.gather, &fleet.rules), (3, 16, false, &None));
+    assert_eq!(fleet.replicated, ReplicatedKinds { executions: true, purges: true, tickets: true });
+    assert_eq!(
+        fleet.limits,
+        FleetLimits { ring_entries: 8, max_frame_bytes: 8192, ..FleetLimits::default() }
+    );
     assert_eq!((&*fleet.peers[1].domain.branch, fleet.peers[1].address.port()), ("south", 7103));
-    let text = format!("{GOOD}  holds: {{tickets: false}}\n  gather: true\n");
+    let text = format!("{VALID}  holds: {{tickets: false}}\n  gather: true\n");
     let fleet = read(&text).expect("a fleet");
-    assert_eq!((fleet.holds.effects, fleet.holds.tickets, fleet.gather), (true, false, true));
-    assert_eq!(own_settings_of("b.yaml", "{}", COLD).expect("nothing").fleet, None);
+    assert_eq!((fleet.replicated.executions, fleet.replicated.tickets, fleet.gather), (true, false, true));
+    assert_eq!(parse_settings_file("b.yaml", "{}", SLOW_START).expect("nothing").fleet, None);
 }
 
-/// The good text with an overlay; `more` goes into it.
-fn with_overlay(more: &str) -> String {
-    GOOD.replace(", frame_bytes: 8192", "") + &format!("  overlay: {{{more}}}\n")
+/// The valid text with an overlay that has these keys.
+fn with_overlay(keys: &str) -> String {
+    VALID.replace(", frame_bytes: 8192", "") + &format!("  overlay: {{{keys}}}\n")
 }
 
 #[test]
 fn overlay_is_off_by_default_and_positions_default_to_branch_and_machine() {
-    let off = read(GOOD).expect("a fleet");
-    assert!(off.overlay.is_none() && off.peers.iter().all(|p| p.standing.is_none()));
+    let off = read(VALID).expect("a fleet");
+    assert!(off.overlay.is_none() && off.peers.iter().all(|p| p.position.is_none()));
     let fleet = read(&with_overlay("")).expect("a fleet");
-    let words = |s: &Standing| [&s.region, &s.zone, &s.site, &s.rack].map(|w| w.to_string()).join(" ");
-    let of = fleet.overlay.as_ref().expect("an overlay");
-    assert_eq!((words(&of.standing), of.standing.control), ("north north m1 m1".into(), false));
-    assert_eq!((of.batch_ms, of.keep_ms, of.budget_bytes_per_s), (250.0, None, 20_000.0));
-    assert_eq!(fleet.peers[1].standing.as_ref().map(words).as_deref(), Some("south south m1 m1"));
+    let names =
+        |p: &OverlayPosition| [&p.region, &p.zone, &p.site, &p.rack].map(|name| name.to_string()).join(" ");
+    let overlay = fleet.overlay.as_ref().expect("an overlay");
+    assert_eq!((names(&overlay.position), overlay.position.control), ("north north m1 m1".into(), false));
+    assert_eq!(
+        (overlay.batch_interval_ms, overlay.retention_ms, overlay.budget_bytes_per_s),
+        (250.0, None, 20_000.0)
+    );
+    assert_eq!(fleet.peers[1].position.as_ref().map(names).as_deref(), Some("south south m1 m1"));
     let text = with_overlay("region: eu1, zone: z1, site: s1, rack: k1, control: true, batch_ms: 100")
         .replace("branch: north, machine: m2", "branch: north, machine: m2, overlay: {rack: k9}");
     let fleet = read(&text).expect("a fleet");
-    let of = fleet.overlay.as_ref().expect("an overlay");
-    assert_eq!((words(&of.standing), of.standing.control, of.batch_ms), ("eu1 z1 s1 k1".into(), true, 100.0));
-    assert_eq!(fleet.peers[0].standing.as_ref().map(words).as_deref(), Some("north north m2 k9"));
-    // No running router takes another.
-    assert!(!off.same_but_rules(&fleet));
+    let overlay = fleet.overlay.as_ref().expect("an overlay");
+    assert_eq!(
+        (names(&overlay.position), overlay.position.control, overlay.batch_interval_ms),
+        ("eu1 z1 s1 k1".into(), true, 100.0)
+    );
+    assert_eq!(fleet.peers[0].position.as_ref().map(names).as_deref(), Some("north north m2 k9"));
+    // A running router can't change its overlay.
+    assert!(!off.equals_except_rules(&fleet));
 }
 
 #[test]
-fn overlay_fault_names_file_line_and_key() {
+fn overlay_error_names_file_line_and_key() {
     let cases = [
         ("batch_ms: 9", "16: fleet.overlay.batch_ms: 9 is less than"),
         ("batch_ms: 1001", "16: fleet.overlay.batch_ms: 1001 is greater than"),
@@ -91,80 +101,84 @@
         ("control: 1", "16: fleet.overlay.control: 1 is not of type"),
         ("relay: true", "16: fleet.overlay: Additional properties"),
     ];
-    for (more, says) in cases {
+    for (more, expected) in cases {
         let text = read(&with_overlay(more)).expect_err(more);
-        assert!(text.starts_with(&format!("d/b.yaml:{says}")), "{more}: {text}");
+        assert!(text.starts_with(&format!("d/b.yaml:{expected}")), "{more}: {text}");
     }
     let small = read(&with_overlay("").replace("ring: 8", "ring: 8, frame_bytes: 65599")).expect_err("small");
-    let says =
+    let expected =
         "d/b.yaml:15: fleet.limits.frame_bytes: expected 65600 or more, for fleet.overlay, found 65599";
-    assert_eq!(small, says);
+    assert_eq!(small, expected);
     let peer = |more: &str| {
         ("branch: north, machine: m2", format!("branch: north, machine: m2, overlay: {{{more}}}"))
     };
     let (from, to) = peer("rack: k1");
-    let says = "9: fleet.peers[0].overlay: expected the key `overlay` of the section too";
-    assert!(fault(from, &to).starts_with(&format!("d/b.yaml:{says}")));
-    for (more, says) in [
+    let expected = "9: fleet.peers[0].overlay: expected the key fleet.overlay as well";
+    assert!(error(from, &to).starts_with(&format!("d/b.yaml:{expected}")));
+    for (more, expected) in [
         ("rack: 'k 1'", "9: fleet.peers[0].overlay.rack: expected 1 to 64 bytes"),
         ("batch_ms: 100", "9: fleet.peers[0].overlay: Additional properties"),
     ] {
         let (from, to) = peer(more);
         let text = read(&with_overlay("").replace(from, &to)).expect_err(more);
-        assert!(text.starts_with(&format!("d/b.yaml:{says}")), "{more}: {text}");
+        assert!(text.starts_with(&format!("d/b.yaml:{expected}")), "{more}: {text}");
     }
 }
 
 #[test]
 fn links_default_to_a_mesh() {
-    let links = |more: &str| read(&with_overlay(more)).map(|f| f.overlay.expect("one").links);
+    let links = |keys: &str| read(&with_overlay(keys)).map(|f| f.overlay.expect("an overlay").links);
     for mesh in ["", "links: mesh"] {
-        assert_eq!(links(mesh), Ok(Links::Mesh), "{mesh}");
+        assert_eq!(links(mesh), Ok(LinkPolicy::Mesh), "{mesh}");
     }
-    assert_eq!(links("links: standing"), Ok(Links::Standing { idle_ms: 10_000.0 }));
-    assert_eq!(links("links: standing, idle_ms: 500"), Ok(Links::Standing { idle_ms: 500.0 }));
-    for (more, says) in [
+    assert_eq!(links("links: standing"), Ok(LinkPolicy::Sparse { idle_timeout_ms: 10_000.0 }));
+    assert_eq!(links("links: standing, idle_ms: 500"), Ok(LinkPolicy::Sparse { idle_timeout_ms: 500.0 }));
+    for (more, expected) in [
         ("links: star", "16: fleet.overlay.links: \"star\" is not one of"),
         ("idle_ms: 500", "16: fleet.overlay.idle_ms: expected `links: standing` too"),
         ("links: mesh, idle_ms: 500", "16: fleet.overlay.idle_ms: expected `links: standing` too"),
         ("links: standing, idle_ms: 99", "16: fleet.overlay.idle_ms: 99 is less than"),
     ] {
         let text = links(more).expect_err(more);
-        assert!(text.starts_with(&format!("d/b.yaml:{says}")), "{more}: {text}");
+        assert!(text.starts_with(&format!("d/b.yaml:{expected}")), "{more}: {text}");
     }
     let text = format!("{}  gather: true\n", with_overlay("links: standing"));
-    let says = "d/b.yaml:17: fleet.gather: expected false with `fleet.overlay.links: standing`";
+    let expected = "d/b.yaml:17: fleet.gather: expected false with `fleet.overlay.links: standing`";
     let text = read(&text).expect_err("gather");
-    assert!(text.starts_with(says), "{text}");
+    assert!(text.starts_with(expected), "{text}");
 }
 
 #[test]
-fn silence_timeout_is_at_least_three_keepalives() {
-    let limits =
-        |text: &str| read(&GOOD.replace("ring: 8", text)).map(|f| (f.limits.alive_ms, f.limits.silent_ms));
+fn peer_timeout_is_at_least_three_keepalives() {
+    let limits = |text: &str| {
+        read(&VALID.replace("ring: 8", text))
+            .map(|f| (f.limits.keepalive_interval_ms, f.limits.peer_timeout_ms))
+    };
     assert_eq!(limits("ring: 8"), Ok((250.0, 1_000.0)));
     assert_eq!(limits("alive_ms: 1250, silent_ms: 4000"), Ok((1_250.0, 4_000.0)));
-    // Silence may be raised alone, signs of life may not.
+    // The timeout may be raised alone, the keepalive interval may not.
     assert_eq!(limits("silent_ms: 4000"), Ok((250.0, 4_000.0)));
-    let text = limits("alive_ms: 1250").expect_err("silence");
-    let says = "fleet.limits.silent_ms: expected 3750 or more, for three of limits.alive_ms, found 1000";
-    assert!(text.starts_with("d/b.yaml:") && text.ends_with(says), "{text}");
-    let text = limits("alive_ms: 1250, silent_ms: 3749").expect_err("silence");
-    assert_eq!(text, format!("d/b.yaml:15: {}3749", says.trim_end_matches("1000")));
+    let text = limits("alive_ms: 1250").expect_err("the timeout is too short");
+    let expected = "fleet.limits.silent_ms: expected 3750 or more, three times limits.alive_ms, found 1000";
+    assert!(text.starts_with("d/b.yaml:") && text.ends_with(expected), "{text}");
+    let text = limits("alive_ms: 1250, silent_ms: 3749").expect_err("the timeout is too short");
+    assert_eq!(text, format!("d/b.yaml:15: {}3749", expected.trim_end_matches("1000")));
 }
 
 #[test]
-fn messages_are_retained_for_twice_the_purge_convergence_time() {
-    let keep =
-        |more: &str, settles| read(&with_overlay(more)).expect("a fleet").overlay.expect("one").keep(settles);
+fn updates_are_retained_for_twice_the_purge_convergence_time() {
+    let retention = |keys: &str, convergence_ms| {
+        let fleet = read(&with_overlay(keys)).expect("a fleet");
+        fleet.overlay.expect("an overlay").retention(convergence_ms)
+    };
     assert_eq!(
-        (keep("", 0.0), keep("", 60_000.0), keep("", 90_000.0)),
+        (retention("", 0.0), retention("", 60_000.0), retention("", 90_000.0)),
         (Ok(120_000.0), Ok(120_000.0), Ok(180_000.0))
     );
-    assert_eq!(keep("keep_ms: 20000", 10_000.0), Ok(20_000.0));
-    let says =
-        "fleet.overlay.keep_ms: expected 20002 or more, twice what a purge takes to settle, found 20000";
-    assert_eq!(keep("keep_ms: 20000", 10_001.0), Err(says.into()));
+    assert_eq!(retention("keep_ms: 20000", 10_000.0), Ok(20_000.0));
+    let expected =
+        "fleet.overlay.keep_ms: expected 20002 or more, twice settings.family-info.purge-settles, found 20000";
+    assert_eq!(retention("keep_ms: 20000", 10_001.0), Err(expected.into()));
 }
 
 #[test]
@@ -174,30 +188,31 @@
     let limits = &schema["properties"]["fleet"]["properties"]["limits"]["properties"];
     let named = limits.as_object().expect("limits").iter();
     let all: String = named.map(|(k, v)| format!("    {k}: {}\n", v["default"])).collect();
-    let text = GOOD.replace("  limits: {ring: 8, frame_bytes: 8192}\n", &format!("  limits:\n{all}"));
+    let text = VALID.replace("  limits: {ring: 8, frame_bytes: 8192}\n", &format!("  limits:\n{all}"));
     assert_eq!(read(&text).expect("a fleet").limits, FleetLimits::default());
 }
 
 #[test]
-fn fleet_fault_names_file_line_and_key() {
-    let reach = "expected an IP address that others can reach and a port but 0, as in 10.0.0.1:7101, found";
+fn fleet_error_names_file_line_and_key() {
+    let reachable =
+        "expected an IP address that others can reach and a port but 0, as in 10.0.0.1:7101, found";
     let r2 = "address: 127.0.0.1:7102";
     let cases = [
         ("name: r1", "name: r 1", "3: fleet.name: expected 1 to 64 bytes of letters"),
         ("machine: m1\n  listen", "machine: m/1\n  listen", "5: fleet.machine: expected 1 to 64 bytes"),
-        (":7101", ":0", &format!("6: fleet.listen: {reach} \"127.0.0.1:0\"")),
-        ("127.0.0.1:7101", "0.0.0.0:7101", &format!("6: fleet.listen: {reach} \"0.0.0.0:7101\"")),
-        ("127.0.0.1:7101", "localhost:7101", &format!("6: fleet.listen: {reach} \"localhost:7101\"")),
-        (r2, "address: 127.0.0.1:0", &format!("9: fleet.peers[0].address: {reach}")),
-        ("name: r2", "name: r1", "9: fleet.peers[0].name: r1 is the router itself; expected a name once"),
-        ("name: r3", "name: r2", "10: fleet.peers[1].name: r2 is fleet.peers[0] too"),
-        ("7103", "7102", "11: fleet.peers[1].address: 127.0.0.1:7102 is that of r2; expected"),
-        ("7103", "7101", "11: fleet.peers[1].address: 127.0.0.1:7101 is where the router itself listens"),
+        (":7101", ":0", &format!("6: fleet.listen: {reachable} \"127.0.0.1:0\"")),
+        ("127.0.0.1:7101", "0.0.0.0:7101", &format!("6: fleet.listen: {reachable} \"0.0.0.0:7101\"")),
+        ("127.0.0.1:7101", "localhost:7101", &format!("6: fleet.listen: {reachable} \"localhost:7101\"")),
+        (r2, "address: 127.0.0.1:0", &format!("9: fleet.peers[0].address: {reachable}")),
+        ("name: r2", "name: r1", "9: fleet.peers[0].name: r1 is already the name of the router itself"),
+        ("name: r3", "name: r2", "10: fleet.peers[1].name: r2 is already the name of fleet.peers[0]"),
+        ("7103", "7102", "11: fleet.peers[1].address: 127.0.0.1:7102 is already the address of r2"),
         (
-            "machine: m2",
-            "machine: m1",
-            "8: fleet.peers: expected 3 machines or more for as many copies, found 2",
+            "7103",
+            "7101",
+            "11: fleet.peers[1].address: 127.0.0.1:7101 is already the address of the router itself",
         ),
+        ("machine: m2", "machine: m1", "8: fleet.peers: expected 3 machines or more for 3 copies, found 2"),
         ("  shards: 16", "  copies: 5", "8: fleet.peers: expected 5 machines or more"),
         ("  shards: 16", "  copies: 4", "14: fleet.copies: 4 is not"),
         ("  shards: 16", "  shards: 0", "14: fleet.shards: 0 is less than"),
@@ -213,14 +228,14 @@
         ("ring: 8", "outcome_bytes: 8000", "15: fleet.limits.frame_bytes: expected 16000 or more"),
         ("  folder: /var/lib/basaltgw/r1\n", "", "1: fleet: \"folder\" is a required property"),
     ];
-    for (from, to, says) in cases {
-        let text = fault(from, to);
-        assert!(text.starts_with(&format!("d/b.yaml:{says}")), "{to}: {text}");
+    for (from, to, expected) in cases {
+        let text = error(from, to);
+        assert!(text.starts_with(&format!("d/b.yaml:{expected}")), "{to}: {text}");
     }
     let many: String = (0..1024)
         .map(|i| format!("    - {{name: n{i}, address: '10.0.0.1:{}', branch: b, machine: m{i}}}\n", i + 1))
         .collect();
-    assert!(fault("  peers:\n", &format!("  peers:\n{many}")).starts_with("d/b.yaml:8: fleet.peers: "));
+    assert!(error("  peers:\n", &format!("  peers:\n{many}")).starts_with("d/b.yaml:8: fleet.peers: "));
 }
 
 #[test]
@@ -228,26 +243,35 @@
     let folder = std::env::temp_dir().join(format!("basaltgw-fleet-{}", std::process::id()));
     std::fs::create_dir_all(folder.join("sub")).expect("a folder");
     let (file, rules) = (folder.join("b.yaml").display().to_string(), folder.join("p.rules"));
-    let text = |named: &str| format!("{GOOD}  rules: {named}\n");
-    let said = |named| own_settings_of(&file, &text(named), COLD).map(|own| own.fleet.expect("the section"));
+    let text = |rules_file: &str| format!("{VALID}  rules: {rules_file}\n");
+    let parse = |rules_file| {
+        let settings = parse_settings_file(&file, &text(rules_file), SLOW_START);
+        settings.map(|settings| settings.fleet.expect("the section fleet"))
+    };
     std::fs::write(&rules, "one\n").expect("written");
-    let one = said("p.rules").expect("a fleet");
+    let one = parse("p.rules").expect("a fleet");
     std::fs::write(&rules, "two\n").expect("written");
-    let two = said("p.rules").expect("a fleet");
-    std::fs::write(&rules, vec![b'x'; MOST_RULES_BYTES as usize + 1]).expect("written");
-    let long = said("p.rules").expect_err("too long").to_string();
+    let two = parse("p.rules").expect("a fleet");
+    std::fs::write(&rules, vec![b'x'; MAX_RULES_FILE_BYTES as usize + 1]).expect("written");
+    let too_long = parse("p.rules").expect_err("too long").to_string();
     std::fs::write(&rules, [0xff, 0xfe]).expect("written");
-    let bytes = said("p.rules").expect_err("no text").to_string();
-    let dir = said("sub").expect_err("no file").to_string();
+    let not_text = parse("p.rules").expect_err("not UTF-8").to_string();
+    let folder_error = parse("sub").expect_err("a folder").to_string();
     std::fs::remove_dir_all(&folder).expect("removed");
-    let of = one.rules.as_ref().expect("rules");
-    assert_eq!((of.text.as_str(), &of.file), ("one\n", &rules));
-    assert!(long.contains(":16: fleet.rules:") && long.contains("at most 1048576 bytes"), "{long}");
-    assert!(bytes.contains(":16: fleet.rules:") && bytes.contains("UTF-8"), "{bytes}");
-    assert!(dir.contains(":16: fleet.rules:") && dir.contains("expected a file"), "{dir}");
-    // A running router takes other rules, and nothing else.
-    assert!(one != two && one.same_but_rules(&two));
-    assert!(one.same_but_rules(&Fleet { rules: None, ..one.clone() }));
-    assert!(!one.same_but_rules(&Fleet { shards: 17, ..two.clone() }));
-    assert!(!one.same_but_rules(&Fleet { peers: Vec::new(), ..two }));
+    let placement = one.rules.as_ref().expect("placement rules");
+    assert_eq!((placement.text.as_str(), &placement.file), ("one\n", &rules));
+    assert!(
+        too_long.contains(":16: fleet.rules:") && too_long.contains("at most 1048576 bytes"),
+        "{too_long}"
+    );
+    assert!(not_text.contains(":16: fleet.rules:") && not_text.contains("UTF-8"), "{not_text}");
+    assert!(
+        folder_error.contains(":16: fleet.rules:") && folder_error.contains("expected a file"),
+        "{folder_error}"
+    );
+    // A running router applies other rules, and no other change.
+    assert!(one != two && one.equals_except_rules(&two));
+    assert!(one.equals_except_rules(&Fleet { rules: None, ..one.clone() }));
+    assert!(!one.equals_except_rules(&Fleet { shards: 17, ..two.clone() }));
+    assert!(!one.equals_except_rules(&Fleet { peers: Vec::new(), ..two }));
 }
--- a/crates/experiments/src/capacity/mod.rs
+++ b/crates/experiments/src/capacity/mod.rs
@@ -32,7 +32,7 @@
 use crate::experiment::{is_of_form, text_of, Must, Variant};
 use crate::out::{short, Origin};
 use crate::runs::{binary, held, Done};
-use basaltgw_config::yaml::{schema, BadFile, Document};
+use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use fit::{fit, Fit};
 use row::{Kind, Row};
 use serde::Deserialize;
@@ -138,10 +138,10 @@
 }
 
 /// Reads it, by its name or its file.
-pub fn find(name: &str) -> Result<(Experiment, String), BadFile> {
+pub fn find(name: &str) -> Result<(Experiment, String), YamlError> {
     let text = text_of(OWN, name).unwrap_or_default();
-    let document = Document::parse(name, &text, &schema("{}"))?;
-    let experiment: Experiment = document.typed()?;
+    let document = Document::parse(name, &text, &compile_schema("{}"))?;
+    let experiment: Experiment = document.deserialize()?;
     let e = &experiment.expected;
     let sizes = [("routers", e.routers), ("caches", e.caches), ("zones", e.zones)];
     for (key, n) in sizes
@@ -150,12 +150,12 @@
     {
         if !(1..=100_000).contains(&n) {
             let what = format!("expected from 1 to 100000, found {n}");
-            return Err(document.fault(&format!("/expected/{key}"), what));
+            return Err(document.error_at(&format!("/expected/{key}"), what));
         }
     }
     for (key, n) in [("requests_per_s", e.requests_per_s), ("purges_per_s", e.purges_per_s)] {
         if !(n.is_finite() && n > 0.0) {
-            return Err(document.fault(&format!("/expected/{key}"), format!("expected over 0, found {n}")));
+            return Err(document.error_at(&format!("/expected/{key}"), format!("expected over 0, found {n}")));
         }
     }
     for (size, sizes) in [("quick", &experiment.sizes.quick), ("full", &experiment.sizes.full)] {
@@ -182,12 +182,12 @@
             let rising = list.windows(2).all(|w| w[0] < w[1]);
             if list.len() < fit::LEAST_POINTS || !rising || list[0] == 0 {
                 let what = format!("expected {} rising sizes over 0, or more", fit::LEAST_POINTS);
-                return Err(document.fault(&format!("/sizes/{size}/{key}"), what));
+                return Err(document.error_at(&format!("/sizes/{size}/{key}"), what));
             }
         }
         if data.requests < 10 {
             let what = format!("expected 10 or more, found {}", data.requests);
-            return Err(document.fault(&format!("/sizes/{size}/data/requests"), what));
+            return Err(document.error_at(&format!("/sizes/{size}/data/requests"), what));
         }
     }
     let by_size =
@@ -196,7 +196,7 @@
     for (part, i, m) in musts.flat_map(|(p, all)| all.iter().enumerate().map(move |(i, m)| (p, i, m))) {
         if m.run != Variant::Described || m.times_of.is_some() || [m.is, m.at_least, m.at_most] == [None; 3] {
             let what = "expected `is`, `at_least` or `at_most` of the run described";
-            return Err(document.fault(&format!("{part}/must/{i}"), what));
+            return Err(document.error_at(&format!("{part}/must/{i}"), what));
         }
     }
     Ok((experiment, text))
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -1,6 +1,6 @@
 //! An experiment's file: fleet, load, script, the runs to compare, and what must hold.
 
-use basaltgw_config::yaml::{schema, BadFile, Document};
+use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use basaltgw_simulator::sim::Setup;
 use basaltgw_simulator::spec::{FleetSpec, LoadSpec, PlanShape, ScriptAction, ScriptEvent};
 use serde::Deserialize;
@@ -136,14 +136,14 @@
 
 /// Whether such an experiment is of this form, as its key `on` says.
 pub fn is_of_form(own: (&str, &str), name: &str, form: &str) -> bool {
-    let document = text_of(own, name).and_then(|t| Document::parse(name, &t, &schema("{}")).ok());
+    let document = text_of(own, name).and_then(|t| Document::parse(name, &t, &compile_schema("{}")).ok());
     document.is_some_and(|d| d.value.get("on").and_then(serde_json::Value::as_str) == Some(form))
 }
 
 impl Experiment {
     /// Reads one of the program's own by name, or a file by its path.
-    pub fn find(name: &str) -> Result<(Self, String), BadFile> {
-        let validator = schema(SCHEMA);
+    pub fn find(name: &str) -> Result<(Self, String), YamlError> {
+        let validator = compile_schema(SCHEMA);
         let (document, text) = match OWN.iter().find(|(own, _)| *own == name) {
             Some((_, text)) => {
                 (Document::parse(&format!("{name}.yaml"), text, &validator)?, (*text).to_string())
@@ -154,26 +154,28 @@
                 (document, text)
             }
         };
-        let experiment: Self = document.typed()?;
+        let experiment: Self = document.deserialize()?;
         for (i, m) in experiment.must.iter().enumerate() {
             let runs = [Some(m.run), m.times_of];
             if let Some(missing) = runs.into_iter().flatten().find(|r| !experiment.runs.contains(r)) {
                 let what = format!("the run {} is not among the experiment's runs", missing.name());
-                return Err(document.fault(&format!("/must/{i}"), what));
+                return Err(document.error_at(&format!("/must/{i}"), what));
             }
             if [m.is, m.at_least, m.at_most].iter().all(Option::is_none) {
-                return Err(document.fault(&format!("/must/{i}"), "expected `is`, `at_least` or `at_most`"));
+                return Err(
+                    document.error_at(&format!("/must/{i}"), "expected `is`, `at_least` or `at_most`")
+                );
             }
         }
         for (i, m) in experiment.script.iter().enumerate() {
             if let Some(plan) = m.plan.as_ref().filter(|p| !experiment.plans.iter().any(|s| s.name == **p)) {
-                return Err(document.fault(&format!("/script/{i}/plan"), format!("unknown plan {plan:?}")));
+                return Err(document.error_at(&format!("/script/{i}/plan"), format!("unknown plan {plan:?}")));
             }
             let known = basaltgw_simulator::fleet::nodes(&experiment.fleet);
             for (key, name) in [("node", &m.node), ("to", &m.to)] {
                 if let Some(name) = name.as_ref().filter(|n| !known.iter().any(|k| k.name == **n)) {
                     return Err(
-                        document.fault(&format!("/script/{i}/{key}"), format!("unknown node {name:?}"))
+                        document.error_at(&format!("/script/{i}/{key}"), format!("unknown node {name:?}"))
                     );
                 }
             }
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::{Must, Variant};
 use crate::runs::{binary, Done, Row};
-use basaltgw_config::yaml::{schema, BadFile, Document};
+use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use basaltgw_emulator::rig::faults::{Draws, Moment, What};
 use basaltgw_emulator::rig::load::Load;
 use basaltgw_emulator::rig::play::{play, Game};
@@ -72,7 +72,7 @@
 ];
 
 /// Reads one of the program's own by name, or a file by its path; `None` if it is not one on a fleet.
-pub fn find(name: &str) -> Result<Option<(Experiment, String)>, BadFile> {
+pub fn find(name: &str) -> Result<Option<(Experiment, String)>, YamlError> {
     let (file, text) = match OWN.iter().find(|(own, _)| *own == name) {
         Some((_, text)) => (format!("{name}.yaml"), (*text).to_string()),
         None => match std::fs::read_to_string(Path::new(name)) {
@@ -81,39 +81,39 @@
             Err(_) => return Ok(None),
         },
     };
-    let Ok(any) = Document::parse(&file, &text, &schema("{}")) else { return Ok(None) };
+    let Ok(any) = Document::parse(&file, &text, &compile_schema("{}")) else { return Ok(None) };
     if any.value.get("on").and_then(Value::as_str) != Some("fleet") {
         return Ok(None);
     }
-    let document = Document::parse(&file, &text, &schema(SCHEMA))?;
-    let experiment: Experiment = document.typed()?;
+    let document = Document::parse(&file, &text, &compile_schema(SCHEMA))?;
+    let experiment: Experiment = document.deserialize()?;
     let routers = experiment.routers.len();
     for (i, m) in experiment.script.iter().enumerate() {
         for (key, at) in [("router", Some(m.router)), ("other", m.other)] {
             if let Some(at) = at.filter(|at| *at >= routers) {
                 let what = format!("expected a router from 0 to {}, found {at}", routers - 1);
-                return Err(document.fault(&format!("/script/{i}/{key}"), what));
+                return Err(document.error_at(&format!("/script/{i}/{key}"), what));
             }
         }
         let rules =
             [What::Rules, What::RulesOne, What::RulesTwo, What::RulesStuck, What::RulesCut].contains(&m.what);
         if rules && (m.rules.is_none() || experiment.rules.is_none()) {
             let what = "expected `rules` here and for the start";
-            return Err(document.fault(&format!("/script/{i}"), what));
+            return Err(document.error_at(&format!("/script/{i}"), what));
         }
         if m.what == What::RulesTwo && m.rules_other.is_none() {
             let what = "expected `rules_other`, those of the other operator";
-            return Err(document.fault(&format!("/script/{i}"), what));
+            return Err(document.error_at(&format!("/script/{i}"), what));
         }
     }
     for (i, m) in experiment.must.iter().enumerate() {
         let runs = [Some(m.run), m.times_of];
         if let Some(missing) = runs.into_iter().flatten().find(|r| !experiment.runs.contains(r)) {
             let what = format!("the run {} is not among the experiment's runs", missing.name());
-            return Err(document.fault(&format!("/must/{i}"), what));
+            return Err(document.error_at(&format!("/must/{i}"), what));
         }
         if [m.is, m.at_least, m.at_most].iter().all(Option::is_none) {
-            return Err(document.fault(&format!("/must/{i}"), "expected `is`, `at_least` or `at_most`"));
+            return Err(document.error_at(&format!("/must/{i}"), "expected `is`, `at_least` or `at_most`"));
         }
     }
     Ok(Some((experiment, text)))
--- a/crates/experiments/src/partial.rs
+++ b/crates/experiments/src/partial.rs
@@ -6,7 +6,7 @@
 use crate::experiment::{is_of_form, text_of, Must, Variant};
 use crate::runs::{binary, Done, Row};
 use crate::Played;
-use basaltgw_config::yaml::{schema, BadFile, Document};
+use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use basaltgw_emulator::rig::{Rig, Spec};
 use basaltgw_scatter_gather::sim::{compare_strategies, find_violations, Fault, Setup, StrategyKind};
 use basaltgw_simulator::{draw, rng, Rng};
@@ -59,19 +59,19 @@
 }
 
 /// Reads it, by its name or its file.
-pub fn find(name: &str) -> Result<(Experiment, String), BadFile> {
+pub fn find(name: &str) -> Result<(Experiment, String), YamlError> {
     let text = text_of(OWN, name).unwrap_or_default();
-    let document = Document::parse(name, &text, &schema("{}"))?;
-    let experiment: Experiment = document.typed()?;
+    let document = Document::parse(name, &text, &compile_schema("{}"))?;
+    let experiment: Experiment = document.deserialize()?;
     for (key, n) in [("clients", experiment.clients), ("objects", experiment.objects)] {
         if !(1..=10_000).contains(&n) {
-            return Err(document.fault(&format!("/{key}"), format!("expected from 1 to 10000, found {n}")));
+            return Err(document.error_at(&format!("/{key}"), format!("expected from 1 to 10000, found {n}")));
         }
     }
     for (i, m) in experiment.must.iter().enumerate() {
         if m.run != Variant::Described || m.times_of.is_some() || [m.is, m.at_least, m.at_most] == [None; 3] {
             let what = "expected `is`, `at_least` or `at_most` of the run described";
-            return Err(document.fault(&format!("/must/{i}"), what));
+            return Err(document.error_at(&format!("/must/{i}"), what));
         }
     }
     Ok((experiment, text))
--- a/crates/experiments/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -5,7 +5,7 @@
 use crate::experiment::{is_of_form, text_of};
 use crate::out::Origin;
 use crate::runs::binary;
-use basaltgw_config::yaml::{schema, BadFile, Document};
+use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use basaltgw_emulator::{run_soak, SoakReport, Sockets};
 use basaltgw_simulator::spec::{FleetSpec, LoadSpec};
 use serde::Deserialize;
@@ -62,10 +62,10 @@
 }
 
 /// Reads it, by its name or its file.
-pub fn find(name: &str) -> Result<(Experiment, String), BadFile> {
+pub fn find(name: &str) -> Result<(Experiment, String), YamlError> {
     let text = text_of(OWN, name).unwrap_or_default();
-    let document = Document::parse(name, &text, &schema("{}"))?;
-    Ok((document.typed()?, text))
+    let document = Document::parse(name, &text, &compile_schema("{}"))?;
+    Ok((document.deserialize()?, text))
 }
 
 /// What is asked for.
--- a/crates/fleet_simulation/src/mesh.rs
+++ b/crates/fleet_simulation/src/mesh.rs
@@ -191,14 +191,14 @@
 fn register_settings(settings: &MeshSettings) -> RegisterSettings {
     let limits = &settings.limits;
     RegisterSettings {
-        max_open_requests: limits.open_asks,
-        max_registers: limits.holds,
-        max_bytes: limits.hold_bytes,
-        max_outcome_bytes: limits.outcome_bytes,
-        max_message_bytes: limits.frame_bytes,
+        max_open_requests: limits.max_open_requests,
+        max_registers: limits.max_registers,
+        max_bytes: limits.max_register_bytes,
+        max_outcome_bytes: limits.max_outcome_bytes,
+        max_message_bytes: limits.max_frame_bytes,
         purge_retention_ms: (2.0 * settings.convergence_ms).max(1_000.0),
-        sync_batch: limits.fill_portion,
-        sync_pause_ms: limits.fill_pause_ms.max(1.0),
+        sync_batch: limits.sync_batch,
+        sync_pause_ms: limits.sync_pause_ms.max(1.0),
         ..settings.registers.clone()
     }
 }
@@ -216,7 +216,7 @@
     let table_config = TableManagerConfig {
         me: context.me.clone(),
         bootstrap_members: members.collect(),
-        capacity: settings.limits.holds as u64,
+        capacity: settings.limits.max_registers as u64,
         rules: vec![("rules".into(), settings.rules.clone())],
         replace_after: settings.limits.replace_after_ms,
     };
--- a/crates/fleet_simulation/src/run.rs
+++ b/crates/fleet_simulation/src/run.rs
@@ -137,10 +137,10 @@
     let settings = WorldSettings {
         network: setup.network.clone(),
         limits: Limits {
-            max_queued_frames: limits.lane_frames,
-            max_queued_bytes: limits.lane_bytes,
-            max_frame_bytes: limits.frame_bytes,
-            ring_entries: limits.ring,
+            max_queued_frames: limits.max_queued_frames,
+            max_queued_bytes: limits.max_queued_bytes,
+            max_frame_bytes: limits.max_frame_bytes,
+            ring_entries: limits.ring_entries,
         },
         commit_ms: setup.commit_ms,
         thread_hop_ms: 0.05,
--- a/crates/node/src/bin/basaltgw/main.rs
+++ b/crates/node/src/bin/basaltgw/main.rs
@@ -4,7 +4,7 @@
 mod command_line;
 mod plan;
 
-use basaltgw_config::{own_settings, read, Environment, NodeConfig};
+use basaltgw_config::{read_config, read_settings_file, Environment, RouterConfig};
 use basaltgw_hierarchy::SlowStart;
 use basaltgw_node::log_writer::LogWriter;
 use basaltgw_node::{placement_report, serve, SettingsFile};
@@ -12,29 +12,30 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-fn read_config() -> Result<NodeConfig, String> {
-    read(&Environment::take()).map_err(|e| e.to_string())
+fn router_config() -> Result<RouterConfig, String> {
+    read_config(&Environment::from_process()).map_err(|e| e.to_string())
 }
 
 /// Reads the settings file; without one, the settings have their defaults.
-fn read_settings(file: Option<PathBuf>, cold: SlowStart) -> Result<SettingsFile, String> {
-    let settings = file.as_deref().map(|f| own_settings(f, cold).map_err(|e| e.to_string())).transpose()?;
+fn read_settings(file: Option<PathBuf>, slow_start: SlowStart) -> Result<SettingsFile, String> {
+    let settings =
+        file.as_deref().map(|f| read_settings_file(f, slow_start).map_err(|e| e.to_string())).transpose()?;
     Ok(SettingsFile { file, settings: settings.unwrap_or_default() })
 }
 
 /// Checks the configuration and the settings file, and compiles the placement rules.
 fn check_config(with: Option<PathBuf>) -> Result<(), String> {
-    let config = read_config()?;
-    if let Some(fault) = config.unread.first() {
+    let config = router_config()?;
+    if let Some(fault) = config.undecodable_events.first() {
         return Err(fault.to_string());
     }
-    let settings_file = read_settings(with, config.cold())?;
+    let settings_file = read_settings(with, config.parent_slow_start())?;
     let fleet = settings_file.settings.fleet.as_ref();
     if let Some(overlay) = fleet.and_then(|fleet| fleet.overlay.as_ref()) {
-        overlay.keep(config.settings.purge_convergence_time)?;
+        overlay.retention(config.settings.purge_convergence_time)?;
     }
     let table = fleet.map(|fleet| plan::compile_table(fleet, None)).transpose()?;
-    println!("{}: {} events known, listens at {}", config.name, config.known.len(), config.listen);
+    println!("{}: {} events known, listens at {}", config.name, config.known_events.len(), config.listen);
     if let (Some(fleet), Some(table)) = (fleet, &table) {
         println!("{}", placement_report::summary(fleet, table));
     }
@@ -42,8 +43,8 @@
 }
 
 fn run_router(with: Option<PathBuf>) -> Result<(), String> {
-    let config = read_config()?;
-    let settings_file = read_settings(with, config.cold())?;
+    let config = router_config()?;
+    let settings_file = read_settings(with, config.parent_slow_start())?;
     let counters = serve(config, settings_file).map_err(|e| e.to_string())?;
     log::info!("ended: {counters}");
     Ok(())
--- a/crates/node/src/bin/basaltgw/plan.rs
+++ b/crates/node/src/bin/basaltgw/plan.rs
@@ -1,7 +1,7 @@
 //! The command `plan`: shows the plans of a settings file, and the steps to them from another file.
 
 use basaltgw_config::fleet::Fleet;
-use basaltgw_config::{own_settings, OwnSettings};
+use basaltgw_config::{read_settings_file, RouterSettings};
 use basaltgw_hierarchy::{split_into_steps, NodeSpec, Plan, Settings, Tier};
 use basaltgw_node::placement_report::{self, ReportQueries};
 use basaltgw_placement::Table;
@@ -20,8 +20,8 @@
 
 impl PlannedSettings {
     fn read(file: &Path) -> Result<Self, String> {
-        let OwnSettings { hierarchy, fleet, .. } =
-            own_settings(file, Settings::default().slow_start).map_err(|e| e.to_string())?;
+        let RouterSettings { hierarchy, fleet, .. } =
+            read_settings_file(file, Settings::default().slow_start).map_err(|e| e.to_string())?;
         let tree = hierarchy.map(|h| Plan::from_spec(h.plan).map_err(|e| format!("{}: {e}", file.display())));
         Ok(Self { tree: tree.transpose()?, fleet })
     }
--- a/crates/node/src/caches/conn.rs
+++ b/crates/node/src/caches/conn.rs
@@ -15,7 +15,7 @@
 use crate::socket;
 use async_io::{Async, Timer};
 use basaltgw::api::{Ms, ServerId};
-use basaltgw_config::Place;
+use basaltgw_config::ServerProcess;
 use futures_lite::future;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,7 +30,7 @@
 /// The state of a connection. Dropping it closes the connection once its queue is written.
 pub(super) struct Conn {
     pub server: ServerId,
-    pub place: Place,
+    pub process: ServerProcess,
     pub outbox: SendQueue,
     pub established: bool,
     /// Whether the connection takes no more attempts.
@@ -53,10 +53,10 @@
 
 impl Conn {
     /// A connection that is being established.
-    pub(super) fn new(now: Ms, server: ServerId, place: Place, outbox: SendQueue) -> Self {
+    pub(super) fn new(now: Ms, server: ServerId, process: ServerProcess, outbox: SendQueue) -> Self {
         Self {
             server,
-            place,
+            process,
             outbox,
             established: false,
             retired: false,
@@ -146,13 +146,13 @@
 }
 
 /// Connects within the timeout; retries while this machine lacks a resource.
-async fn connect(place: Place, timeout: Duration) -> Result<Async<TcpStream>, ConnectionFailure> {
+async fn connect(process: ServerProcess, timeout: Duration) -> Result<Async<TcpStream>, ConnectionFailure> {
     let lacks_resource = Cell::new(false);
     let attempts = async {
         loop {
-            match Async::<TcpStream>::connect(place.address).await {
+            match Async::<TcpStream>::connect(process.address).await {
                 Err(e) if socket::is_local(&e) => {
-                    log::debug!("connect to {} failed, retrying: {e}", place.address);
+                    log::debug!("connect to {} failed, retrying: {e}", process.address);
                     lacks_resource.set(true);
                     Timer::after(CONNECT_RETRY_INTERVAL).await;
                 }
@@ -164,7 +164,7 @@
         }
     };
     future::or(attempts, timed_out_after(timeout)).await.map_err(|e| {
-        log::debug!("connect to {} failed: {e}", place.address);
+        log::debug!("connect to {} failed: {e}", process.address);
         if lacks_resource.get() {
             ConnectionFailure::LocalShortage
         } else {
@@ -176,17 +176,17 @@
 /// Runs a connection from connect to close; the socket is closed when this returns.
 pub(super) async fn connection(
     conn_id: ConnId,
-    place: Place,
+    process: ServerProcess,
     timeout: Duration,
     context: &ConnectionContext,
     outgoing: async_channel::Receiver<Rc<OutgoingMessage>>,
 ) -> ConnectionFailure {
-    let socket = match connect(place, timeout).await {
+    let socket = match connect(process, timeout).await {
         Ok(socket) => socket,
         Err(failure) => return failure,
     };
     if let Err(e) = socket.get_ref().set_nodelay(true) {
-        log::debug!("connection {} to {}: TCP_NODELAY failed: {e}", conn_id.0, place.address);
+        log::debug!("connection {} to {}: TCP_NODELAY failed: {e}", conn_id.0, process.address);
     }
     if context.queue.send(Input::ServerConnected(conn_id)).await.is_ok() {
         let read = async {
@@ -200,7 +200,7 @@
             write_messages(&socket, outgoing, || timed_out_after(SERVER_WRITE_TIMEOUT)),
         )
         .await;
-        log::debug!("connection {} to {}: closed: {reason:?}", conn_id.0, place.address);
+        log::debug!("connection {} to {}: closed: {reason:?}", conn_id.0, process.address);
         return ConnectionFailure::Closed(reason);
     }
     ConnectionFailure::Closed(CloseReason::PeerClosed)
--- a/crates/node/src/caches/mod.rs
+++ b/crates/node/src/caches/mod.rs
@@ -18,7 +18,7 @@
 use crate::messages::{ConnectionContext, Input};
 use crate::outbox::{send_queue, OutgoingMessage, SendConditions};
 use basaltgw::api::{Ms, ServerId};
-use basaltgw_config::{Place, Transport};
+use basaltgw_config::{ServerProcess, Transport};
 use conn::{connection, Conn};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -86,7 +86,7 @@
         &mut self,
         now: Ms,
         server: &ServerId,
-        place: Place,
+        process: ServerProcess,
         attempt: OutgoingAttempt<'_>,
     ) -> Option<(ConnId, Rc<OutgoingMessage>)> {
         let OutgoingAttempt { key, id, used_connections, exclusive, message, conditions } = attempt;
@@ -95,7 +95,7 @@
         let mut least: Option<(usize, ConnId)> = None;
         let all = self.by_server.get(server).into_iter().flatten();
         let all = all.filter_map(|conn_id| Some((conn_id, self.conns.get(conn_id)?)));
-        for (conn_id, conn) in all.filter(|(_, c)| c.place == place) {
+        for (conn_id, conn) in all.filter(|(_, c)| c.process == process) {
             connections += 1;
             let accepts = !used_connections.contains(conn_id) && conn.accepts(now, id, max_streams);
             if accepts && least.is_none_or(|(open, _)| conn.open.len() < open) {
@@ -106,7 +106,7 @@
         let conn_id = match (unshared, least) {
             (Some((_, conn_id)), _) => conn_id,
             _ if connections < max_connections_per_server(max_streams) && self.ensure_capacity() => {
-                self.open(now, server, place)
+                self.open(now, server, process)
             }
             (None, Some((_, conn_id))) => conn_id,
             (None, None) => return None,
@@ -134,17 +134,17 @@
         self.conns.len() < self.max_connections
     }
 
-    fn open(&mut self, now: Ms, server: &ServerId, place: Place) -> ConnId {
+    fn open(&mut self, now: Ms, server: &ServerId, process: ServerProcess) -> ConnId {
         self.last_number += 1;
         let conn_id = ConnId(self.last_number);
         let (outbox, outgoing) = send_queue(&self.context.meter, &Rc::default());
-        let conn = Conn::new(now, server.clone(), place, outbox);
+        let conn = Conn::new(now, server.clone(), process, outbox);
         self.by_server.entry(server.clone()).or_default().insert(conn_id);
         self.conns.insert(conn_id, conn);
         let context = self.context.clone();
         let timeout = Duration::from_secs_f64(self.transport.connect_timeout.clamp(1.0, 60_000.0) / 1000.0);
         let run = async move {
-            let failure = connection(conn_id, place, timeout, &context, outgoing).await;
+            let failure = connection(conn_id, process, timeout, &context, outgoing).await;
             // Fails only if the owner has ended, and the process with it.
             let _ = context.queue.send(Input::ServerDisconnected(conn_id, failure)).await;
         };
@@ -215,12 +215,12 @@
         Some(conn)
     }
 
-    /// Retires the connections to a server's former address or process: they take no more attempts. `place` is the current one, `None` if
+    /// Retires the connections to a server's former address or process: they take no more attempts. `process` is the current one, `None` if
     /// the server takes no attempts at all. Returns the retired connections.
-    pub fn retire_moved(&mut self, server: &ServerId, place: Option<Place>) -> Vec<ConnId> {
+    pub fn retire_moved(&mut self, server: &ServerId, process: Option<ServerProcess>) -> Vec<ConnId> {
         let mut retired = Vec::new();
         for conn_id in self.by_server.get(server).into_iter().flatten() {
-            if let Some(conn) = self.conns.get_mut(conn_id).filter(|c| Some(c.place) != place) {
+            if let Some(conn) = self.conns.get_mut(conn_id).filter(|c| Some(c.process) != process) {
                 conn.retired = true;
                 conn.drained.set(conn.drained.get().or(Some(Instant::now())));
                 retired.push(*conn_id);
@@ -238,7 +238,7 @@
 
     /// Closes connections without open attempts that are idle, retired, or whose attempts were all cancelled without an answer.
     pub fn close_unused(&mut self, now: Ms) {
-        let idle_timeout = self.transport.conn_idle * IDLE_TIMEOUT_SHARE;
+        let idle_timeout = self.transport.connection_idle_timeout * IDLE_TIMEOUT_SHARE;
         let unused = self.conns.iter().filter(|(_, c)| {
             let abandoned = c.awaiting_since.is_some_and(|t| now - t >= ABANDONED_CONNECTION_MS);
             c.open.is_empty() && (c.retired || abandoned || now - c.last_used >= idle_timeout)
--- a/crates/node/src/changelog/follow.rs
+++ b/crates/node/src/changelog/follow.rs
@@ -12,7 +12,7 @@
 use crate::messages::Input;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use basaltgw_config::{Names, Seq};
+use basaltgw_config::{Seq, WireNames};
 use futures_lite::future;
 use std::io;
 use std::net::SocketAddr;
@@ -57,7 +57,7 @@
     address: SocketAddr,
     addresses: Receiver<SocketAddr>,
     from: Seq,
-    names: Names,
+    names: WireNames,
     urgent: Sender<Input>,
 ) {
     let mut watches = Watches {
@@ -79,7 +79,7 @@
     }
 }
 
-async fn next_frame(watch: Option<&mut Watch>, names: &Names) -> io::Result<Frame> {
+async fn next_frame(watch: Option<&mut Watch>, names: &WireNames) -> io::Result<Frame> {
     match watch {
         Some(watch) => watch.next_frame(names).await,
         None => future::pending().await,
@@ -88,7 +88,7 @@
 
 impl Watches {
     /// Waits for one event of the connections and handles it; returns the owner's inputs.
-    async fn step(&mut self, addresses: &Receiver<SocketAddr>, names: &Names) -> Vec<Input> {
+    async fn step(&mut self, addresses: &Receiver<SocketAddr>, names: &WireNames) -> Vec<Input> {
         match self.wait(addresses, names).await {
             Wakeup::AddressChanged(address) => self.change_address(address),
             Wakeup::Connect(reason) => self.connect(reason),
@@ -102,7 +102,7 @@
         }
     }
 
-    async fn wait(&mut self, addresses: &Receiver<SocketAddr>, names: &Names) -> Wakeup {
+    async fn wait(&mut self, addresses: &Receiver<SocketAddr>, names: &WireNames) -> Wakeup {
         let due = self.next_connection();
         let Self { address, active, standby, .. } = self;
         let address_changed = async {
--- a/crates/node/src/changelog/follower.rs
+++ b/crates/node/src/changelog/follower.rs
@@ -4,7 +4,7 @@
 //! event. If the next connection has the same fault, the change log does not have the event, and the later events are taken.
 
 use super::{Frame, FrameError};
-use basaltgw_config::{News, Seq};
+use basaltgw_config::{Seq, WatchEvent};
 
 /// The position in the change log, over all connections.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     /// At a gap or an event that can't be decoded, unless the connection before had the same fault; the connection has to be closed.
-    pub fn on_frame(&mut self, frame: Frame) -> Result<Option<News>, FrameError> {
+    pub fn on_frame(&mut self, frame: Frame) -> Result<Option<WatchEvent>, FrameError> {
         let known = frame.seq <= self.last;
         let event = match frame.event {
             Ok(None) => {
--- a/crates/node/src/changelog/mod.rs
+++ b/crates/node/src/changelog/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::limits::CHANGELOG_FRAME_MAX_BYTES;
 use basaltgw::api::{Endpoint, EndpointState, GroupId, ObjectId, ServerId};
-use basaltgw_config::{Member, Names, News, Seq};
+use basaltgw_config::{ListedServer, Seq, WatchEvent, WireNames};
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -42,7 +42,7 @@
     /// The event's number; in an empty frame, that of the latest event.
     pub seq: Seq,
     /// The event; `None` in an empty frame.
-    pub event: Result<Option<News>, FrameError>,
+    pub event: Result<Option<WatchEvent>, FrameError>,
 }
 
 /// Reads big-endian integers from the front of a payload.
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     /// If the frame's length is out of bounds; the stream can't be decoded any further.
-    pub fn next_frame(&mut self, names: &Names) -> Result<Option<Frame>, FrameError> {
+    pub fn next_frame(&mut self, names: &WireNames) -> Result<Option<Frame>, FrameError> {
         let unread = self.bytes.get(self.decoded..).unwrap_or_default();
         let Some((length, rest)) = unread.split_first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
@@ -98,23 +98,23 @@
     }
 }
 
-fn decode_event(mut payload: PayloadReader<'_>, names: &Names) -> Result<Option<News>, FrameError> {
+fn decode_event(mut payload: PayloadReader<'_>, names: &WireNames) -> Result<Option<WatchEvent>, FrameError> {
     let event = match payload.integer(1)? {
         0 => None,
         kind @ (1 | 2) => {
-            let mut members = Vec::with_capacity(payload.0.len() / ENDPOINT_BYTES);
+            let mut servers = Vec::with_capacity(payload.0.len() / ENDPOINT_BYTES);
             while !payload.0.is_empty() {
-                members.push(decode_endpoint(&mut payload, names)?);
+                servers.push(decode_endpoint(&mut payload, names)?);
             }
-            Some(News::Servers { whole: kind == 1, members })
+            Some(WatchEvent::EndpointList { complete: kind == 1, servers })
         }
         3 => {
             let object = Some(ObjectId(payload.integer(8)?));
-            Some(News::Purge { object, group: GroupId(0), time: payload.integer(8)? as f64 })
+            Some(WatchEvent::Purge { object, group: GroupId(0), purged_at: payload.integer(8)? as f64 })
         }
         4 => {
             let group = GroupId(payload.integer(2)?);
-            Some(News::Purge { object: None, group, time: payload.integer(8)? as f64 })
+            Some(WatchEvent::Purge { object: None, group, purged_at: payload.integer(8)? as f64 })
         }
         _ => return Err(FrameError("an unknown kind of event")),
     };
@@ -125,7 +125,7 @@
     }
 }
 
-fn decode_endpoint(payload: &mut PayloadReader<'_>, names: &Names) -> Result<Member, FrameError> {
+fn decode_endpoint(payload: &mut PayloadReader<'_>, names: &WireNames) -> Result<ListedServer, FrameError> {
     let id = ServerId(Arc::from(format!("s-{:08x}", payload.integer(4)?)));
     let ip = Ipv4Addr::from(payload.integer(4)? as u32);
     let address = SocketAddr::from((ip, payload.integer(2)? as u16));
@@ -135,10 +135,11 @@
         2 => EndpointState::Removed,
         _ => return Err(FrameError("an unknown endpoint state")),
     };
-    let zone = names.zone_at(payload.integer(1)? as usize).ok_or(FrameError("an unknown zone"))?;
-    let role = names.role_at(payload.integer(1)? as usize).ok_or(FrameError("an unknown server role"))?;
+    let zone = names.zone_by_index(payload.integer(1)? as usize).ok_or(FrameError("an unknown zone"))?;
+    let role =
+        names.role_by_index(payload.integer(1)? as usize).ok_or(FrameError("an unknown server role"))?;
     let cell = payload.integer(2)?;
     let weight = payload.integer(4)? as f64 / 1000.0;
     let started = Some(payload.integer(8)? as f64).filter(|t| *t > 0.0);
-    Ok(Member { entry: Endpoint { id, zone, role, cell, state, weight, started }, address })
+    Ok(ListedServer { endpoint: Endpoint { id, zone, role, cell, state, weight, started }, address })
 }
--- a/crates/node/src/changelog/watch.rs
+++ b/crates/node/src/changelog/watch.rs
@@ -5,7 +5,7 @@
 use crate::limits::{CHANGELOG_CONNECT_TIMEOUT, CHANGELOG_HEDGE_AFTER, CHANGELOG_READ_TIMEOUT, READ_BYTES};
 use crate::socket as io_socket;
 use async_io::Async;
-use basaltgw_config::{Names, Seq};
+use basaltgw_config::{Seq, WireNames};
 use futures_lite::future;
 use std::future::Future;
 use std::io;
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// If the connection is closed, times out, or sends a frame that can't be decoded.
-    pub async fn next_frame(&mut self, names: &Names) -> io::Result<Frame> {
+    pub async fn next_frame(&mut self, names: &WireNames) -> io::Result<Frame> {
         loop {
             let invalid = |e: super::FrameError| io::Error::new(io::ErrorKind::InvalidData, e.to_string());
             if let Some(frame) = self.decoder.next_frame(names).map_err(invalid)? {
--- a/crates/node/src/fleet/overlay.rs
+++ b/crates/node/src/fleet/overlay.rs
@@ -1,7 +1,7 @@
 //! Settings of the dissemination overlay and of the links, derived from the configuration and the fleet's router list.
 
 use basaltgw_config::fleet::Fleet;
-use basaltgw_config::overlay::{Links, Standing};
+use basaltgw_config::overlay::{LinkPolicy, OverlayPosition};
 use basaltgw_control::{LinkQueueLimits, OverlayParts, OverlaySettings};
 use basaltgw_overlay::{RouterEntry, RouterList, Shape};
 use basaltgw_transport::{DialPolicy, Settings};
@@ -21,12 +21,12 @@
 pub fn parts(set: &Fleet, purge_convergence_time: Ms, seed: u64) -> Result<Option<OverlayParts>, String> {
     let Some(overlay) = &set.overlay else { return Ok(None) };
     let times = OverlaySettings {
-        batch_interval: overlay.batch_ms,
-        retention: overlay.keep(purge_convergence_time)?,
+        batch_interval: overlay.batch_interval_ms,
+        retention: overlay.retention(purge_convergence_time)?,
         purge_convergence_time,
         budget_bytes_per_s: overlay.budget_bytes_per_s,
     };
-    let entry = |router: &RouterId, s: &Standing| RouterEntry {
+    let entry = |router: &RouterId, s: &OverlayPosition| RouterEntry {
         router: router.clone(),
         region: Arc::clone(&s.region),
         zone: Arc::clone(&s.zone),
@@ -34,8 +34,8 @@
         rack: Arc::clone(&s.rack),
         control: s.control,
     };
-    let mut entries = vec![entry(&set.name, &overlay.standing)];
-    entries.extend(set.peers.iter().filter_map(|p| Some(entry(&p.name, p.standing.as_ref()?))));
+    let mut entries = vec![entry(&set.name, &overlay.position)];
+    entries.extend(set.peers.iter().filter_map(|p| Some(entry(&p.name, p.position.as_ref()?))));
     let error = |e: basaltgw_overlay::OverlayError| format!("fleet.overlay: {e}");
     let list = RouterList::new(CONFIGURED_LIST_VERSION, Shape::default(), entries).map_err(error)?;
     let links = link_queue_limits(set, overlay.links);
@@ -43,16 +43,16 @@
 }
 
 /// The limits of the messages that wait for a link; `None` if each router has a link to every other one, so that none waits.
-fn link_queue_limits(set: &Fleet, links: Links) -> Option<LinkQueueLimits> {
+fn link_queue_limits(set: &Fleet, links: LinkPolicy) -> Option<LinkQueueLimits> {
     let limits = &set.limits;
     match links {
-        Links::Mesh => None,
-        Links::Standing { .. } => Some(LinkQueueLimits {
-            timeout: limits.promise_ms,
-            messages_per_router: (limits.lane_frames / MAX_SHARE_DIVISOR).max(1),
-            bytes_per_router: limits.frame_bytes,
-            total_messages: limits.lane_frames,
-            total_bytes: limits.lane_bytes,
+        LinkPolicy::Mesh => None,
+        LinkPolicy::Sparse { .. } => Some(LinkQueueLimits {
+            timeout: limits.lease_timeout_ms,
+            messages_per_router: (limits.max_queued_frames / MAX_SHARE_DIVISOR).max(1),
+            bytes_per_router: limits.max_frame_bytes,
+            total_messages: limits.max_queued_frames,
+            total_bytes: limits.max_queued_bytes,
         }),
     }
 }
@@ -61,12 +61,14 @@
 pub fn link_settings(set: &Fleet) -> Settings {
     let duration = |ms: Ms| Duration::from_secs_f64(ms / 1_000.0);
     let dial_policy = match set.overlay.as_ref().map(|o| o.links) {
-        Some(Links::Standing { idle_ms }) => DialPolicy::OnDemand { idle: duration(idle_ms) },
-        Some(Links::Mesh) | None => DialPolicy::All,
+        Some(LinkPolicy::Sparse { idle_timeout_ms }) => {
+            DialPolicy::OnDemand { idle: duration(idle_timeout_ms) }
+        }
+        Some(LinkPolicy::Mesh) | None => DialPolicy::All,
     };
     Settings {
         dial_policy,
-        keepalive_interval: duration(set.limits.alive_ms),
-        peer_timeout: duration(set.limits.silent_ms),
+        keepalive_interval: duration(set.limits.keepalive_interval_ms),
+        peer_timeout: duration(set.limits.peer_timeout_ms),
     }
 }
--- a/crates/node/src/fleet/start.rs
+++ b/crates/node/src/fleet/start.rs
@@ -6,7 +6,7 @@
 use super::{overlay, FleetCounts};
 use crate::clock::Clock;
 use basaltgw_config::fleet::Fleet as FleetConfig;
-use basaltgw_config::NodeConfig;
+use basaltgw_config::RouterConfig;
 use basaltgw_control::{decode_purges, decode_table_register, purges::MAX_PURGES, ControlParts, Purges};
 use basaltgw_control::{
     BootstrapMember, TableManager, TableManagerConfig, PURGES_SPACE, REGISTERS_SPACE, TABLE_SPACE,
@@ -52,12 +52,12 @@
 ///
 /// # Errors
 /// If the folder can't be used, the listen address for peers can't be bound, or a thread can't be started.
-pub fn start(fleet: &FleetConfig, config: &NodeConfig, clock: Clock) -> io::Result<Fleet> {
+pub fn start(fleet: &FleetConfig, config: &RouterConfig, clock: Clock) -> io::Result<Fleet> {
     let folder = Folder::open(fleet)?;
     let me = folder.member.clone();
     let recovered = Recovered::read(fleet, config, &folder)?;
     let membership = membership(fleet, &me)?;
-    let (rings, thread_rings) = rings(fleet.limits.ring);
+    let (rings, thread_rings) = rings(fleet.limits.ring_entries);
     let thread_wakeup = ThreadWakeup::default();
     let hello = hello(fleet, &me, &recovered.table);
     let links = start_links(fleet, hello, &thread_rings.owner_wakeup, &thread_wakeup)?;
@@ -114,9 +114,9 @@
     fn open(fleet: &FleetConfig) -> io::Result<Self> {
         let limits = &fleet.limits;
         let store_limits = StoreLimits {
-            max_entries: limits.holds as u64 * ENTRIES_PER_REGISTER + MAX_PURGES as u64,
-            max_bytes: limits.hold_bytes as u64 + EXTRA_STORE_BYTES,
-            max_entry_bytes: limits.frame_bytes,
+            max_entries: limits.max_registers as u64 * ENTRIES_PER_REGISTER + MAX_PURGES as u64,
+            max_bytes: limits.max_register_bytes as u64 + EXTRA_STORE_BYTES,
+            max_entry_bytes: limits.max_frame_bytes,
         };
         let (store, found) = Store::open(&fleet.folder, store_limits, random_u128()).map_err(io_error)?;
         let (incarnation, has_previous_data) = match found {
@@ -139,7 +139,7 @@
 }
 
 impl Recovered {
-    fn read(fleet: &FleetConfig, config: &NodeConfig, folder: &Folder) -> io::Result<Self> {
+    fn read(fleet: &FleetConfig, config: &RouterConfig, folder: &Folder) -> io::Result<Self> {
         let (store, me) = (&folder.store, &folder.member);
         let settings = register_settings(fleet, config);
         let min_retry_after = settings.min_retry_after_ms;
@@ -153,22 +153,22 @@
     }
 }
 
-fn register_settings(fleet: &FleetConfig, config: &NodeConfig) -> RegisterSettings {
+fn register_settings(fleet: &FleetConfig, config: &RouterConfig) -> RegisterSettings {
     let limits = &fleet.limits;
     let longest_repeat =
         config.settings.classes.iter().map(|c| c.deadline.max(c.key_window)).fold(0.0, f64::max);
     let standard = RegisterSettings::standard();
     RegisterSettings {
-        max_open_requests: limits.open_asks,
-        max_registers: limits.holds,
-        max_bytes: limits.hold_bytes,
-        max_outcome_bytes: limits.outcome_bytes,
-        max_message_bytes: limits.frame_bytes,
+        max_open_requests: limits.max_open_requests,
+        max_registers: limits.max_registers,
+        max_bytes: limits.max_register_bytes,
+        max_outcome_bytes: limits.max_outcome_bytes,
+        max_message_bytes: limits.max_frame_bytes,
         max_retry_after_ms: config.settings.max_retry_after.max(MIN_RETRY_AFTER_MS),
         execution_retention_ms: standard.execution_retention_ms.max(2.0 * longest_repeat),
         purge_retention_ms: (2.0 * config.settings.purge_convergence_time).max(1_000.0),
-        sync_batch: limits.fill_portion,
-        sync_pause_ms: limits.fill_pause_ms.max(1.0),
+        sync_batch: limits.sync_batch,
+        sync_pause_ms: limits.sync_pause_ms.max(1.0),
         ..standard
     }
 }
@@ -190,7 +190,7 @@
     let config = TableManagerConfig {
         me: me.clone(),
         bootstrap_members,
-        capacity: fleet.limits.holds as u64,
+        capacity: fleet.limits.max_registers as u64,
         rules: placement_rules(fleet),
         replace_after: fleet.limits.replace_after_ms,
     };
@@ -204,7 +204,7 @@
         None => {
             let text = format!(
                 "holds {{ shards {} copies {} spread machines }}\nroot {{ copies {} spread machines }}\n",
-                fleet.shards, fleet.copies, fleet.copies
+                fleet.shards, fleet.replicas, fleet.replicas
             );
             vec![("the section fleet".to_string(), text)]
         }
@@ -285,16 +285,16 @@
     };
     let peers = fleet.peers.iter().map(peer).collect();
     let limits = LinkLimits {
-        max_queued_frames: fleet.limits.lane_frames,
-        max_queued_bytes: fleet.limits.lane_bytes,
-        max_frame_bytes: fleet.limits.frame_bytes,
-        ring_entries: fleet.limits.ring,
+        max_queued_frames: fleet.limits.max_queued_frames,
+        max_queued_bytes: fleet.limits.max_queued_bytes,
+        max_frame_bytes: fleet.limits.max_frame_bytes,
+        ring_entries: fleet.limits.ring_entries,
     };
     let settings = (limits, overlay::link_settings(fleet));
     basaltgw_transport::start(hello, fleet.listen, peers, settings, random_u128() as u64, users)
 }
 
-fn scatter_gather_config(fleet: &FleetConfig, config: &NodeConfig) -> ScatterGatherConfig {
+fn scatter_gather_config(fleet: &FleetConfig, config: &RouterConfig) -> ScatterGatherConfig {
     let domains = fleet.peers.iter().map(|p| &p.domain).chain([&fleet.domain]);
     ScatterGatherConfig {
         branch: Arc::clone(&fleet.domain.branch),
@@ -309,7 +309,7 @@
     scatter_gather.classes.iter().map(|c| Arc::from(c.name.as_str())).collect()
 }
 
-fn shutdown_timeout(config: &NodeConfig) -> Ms {
+fn shutdown_timeout(config: &RouterConfig) -> Ms {
     let longest_deadline = config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
     (longest_deadline / SHUTDOWN_DEADLINE_DIVISOR).min(MAX_SHUTDOWN_MS)
 }
@@ -322,13 +322,13 @@
     std::thread::Builder::new().name(REPLICATION_THREAD_NAME.into()).spawn(run)
 }
 
-fn fleet_settings(fleet: &FleetConfig, config: &NodeConfig, retry_after: Ms) -> FleetSettings {
+fn fleet_settings(fleet: &FleetConfig, config: &RouterConfig, retry_after: Ms) -> FleetSettings {
     FleetSettings {
-        replicate_executions: fleet.holds.effects,
-        replicate_purges: fleet.holds.purges,
-        lease_timeout: fleet.limits.promise_ms,
+        replicate_executions: fleet.replicated.executions,
+        replicate_purges: fleet.replicated.purges,
+        lease_timeout: fleet.limits.lease_timeout_ms,
         retry_after,
-        max_outcome_bytes: fleet.limits.outcome_bytes,
+        max_outcome_bytes: fleet.limits.max_outcome_bytes,
         idempotency: config.settings.classes.iter().map(|c| c.idempotency).collect(),
     }
 }
--- a/crates/node/src/messages.rs
+++ b/crates/node/src/messages.rs
@@ -12,7 +12,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use basaltgw::api::Ms;
-use basaltgw_config::{Hierarchy, News};
+use basaltgw_config::{Hierarchy, WatchEvent};
 use std::rc::Rc;
 
 /// An input of the owner.
@@ -41,7 +41,7 @@
     /// A connection to a server is closed, or was not established.
     ServerDisconnected(ConnId, ConnectionFailure),
     /// An event of the change log.
-    WatchEvent(News),
+    WatchEvent(WatchEvent),
     /// The change log's connection was lost, or its address changed.
     ChangeLogLost,
     /// A second connection to the change log was opened.
--- a/crates/node/src/owner/mod.rs
+++ b/crates/node/src/owner/mod.rs
@@ -35,7 +35,7 @@
 use basaltgw::api::RequestId;
 use basaltgw::routing::snapshot::Snapshot;
 use basaltgw::routing::Router;
-use basaltgw_config::{NodeConfig, OwnSettings};
+use basaltgw_config::{RouterConfig, RouterSettings};
 pub use batch::ExitReport;
 use clients::Clients;
 use requests::Requests;
@@ -77,8 +77,8 @@
     /// An owner whose decision module has handled the endpoint lists and purges in the configuration. `settings` are those of the settings
     /// file.
     pub fn new(
-        config: &NodeConfig,
-        settings: &OwnSettings,
+        config: &RouterConfig,
+        settings: &RouterSettings,
         context: &ConnectionContext,
         caches: ServerPool,
     ) -> Self {
@@ -89,7 +89,7 @@
             memory: Memory::new(config, context),
             monitors: Monitors::new(config, context),
             clients: Clients::default(),
-            requests: Requests::new(config.transport.most_open),
+            requests: Requests::new(config.transport.max_open_requests),
             upstream: Upstream::new(caches, Tree::new(settings.hierarchy.as_ref())),
             schedule: Schedule::default(),
             fleet: None,
@@ -98,7 +98,7 @@
             counters: Counters::default(),
         };
         owner.router.expect_write_events();
-        owner.handle_known_events(&config.known);
+        owner.handle_known_events(&config.known_events);
         if let Some(hierarchy) = &settings.hierarchy {
             owner.offer_plan(hierarchy);
         }
--- a/crates/node/src/owner/state.rs
+++ b/crates/node/src/owner/state.rs
@@ -14,13 +14,13 @@
 use crate::tree::Tree;
 use crate::ConnectionContext;
 use basaltgw::api::{Class, ClassId, Event, Ms, ServerId};
-use basaltgw_config::{Names, NodeConfig, Place};
+use basaltgw_config::{RouterConfig, ServerProcess, WireNames};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
 /// The settings of requests. They do not change while the process runs.
 pub(super) struct RoutingConfig {
-    pub(super) names: Names,
+    pub(super) names: WireNames,
     /// The least time between two batches.
     pub(super) batch_interval: Ms,
     pub(super) max_attempts: usize,
@@ -30,7 +30,7 @@
 }
 
 impl RoutingConfig {
-    pub(super) fn new(config: &NodeConfig) -> Self {
+    pub(super) fn new(config: &RouterConfig) -> Self {
         Self {
             names: config.names.clone(),
             batch_interval: config.settings.tick,
@@ -88,7 +88,7 @@
 }
 
 impl Memory {
-    pub(super) fn new(config: &NodeConfig, context: &ConnectionContext) -> Self {
+    pub(super) fn new(config: &RouterConfig, context: &ConnectionContext) -> Self {
         Self {
             meter: Rc::clone(&context.meter),
             limit_bytes: config.limits.share_of_memory(MEMORY_PRESSURE_SHARE),
@@ -108,7 +108,7 @@
 }
 
 impl Monitors {
-    pub(super) fn new(config: &NodeConfig, context: &ConnectionContext) -> Self {
+    pub(super) fn new(config: &RouterConfig, context: &ConnectionContext) -> Self {
         Self {
             invariants: Rc::clone(&context.invariants),
             pause_detector: Rc::clone(&context.pause_detector),
@@ -123,7 +123,7 @@
     /// Cancelled attempts whose server has not yet confirmed the abort.
     pub(super) aborting: Vec<AbortingAttempt>,
     /// The address and start of each listed server.
-    pub(super) endpoints: BTreeMap<ServerId, Place>,
+    pub(super) endpoints: BTreeMap<ServerId, ServerProcess>,
     /// Whether an endpoint list has been received.
     pub(super) list_received: bool,
     /// The plan of the cache tree, if there is one.
--- a/crates/node/src/owner/tests.rs
+++ b/crates/node/src/owner/tests.rs
@@ -16,7 +16,7 @@
 use basaltgw::api::{
     AttemptNo, AttemptResult, Endpoint, EndpointState, GroupId, Ms, ObjectId, Part, Role, ServerId, ZoneId,
 };
-use basaltgw_config::{parse, Environment, Member, News};
+use basaltgw_config::{parse_config, Environment, ListedServer, WatchEvent};
 use serde_json::json;
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
                                    "slo": 400.0, "window": 5000.0}],
                      "limits": {"try-limit": 8, "cancel": true}}
     });
-    let config = parse(&config, &Environment::default()).expect("a configuration");
+    let config = parse_config(&config, &Environment::default()).expect("a configuration");
     let context = ConnectionContext {
         executor: Rc::new(LocalExecutor::new()),
         queue: async_channel::unbounded().0,
@@ -54,7 +54,7 @@
     };
     let (out, messages) = send_queue(&context.meter, &Rc::default());
     let caches = ServerPool::new(context.clone(), 100, config.transport);
-    let mut owner = Owner::new(&config, &OwnSettings::default(), &context, caches);
+    let mut owner = Owner::new(&config, &RouterSettings::default(), &context, caches);
     let open = Input::ClientConnected(CLIENT, out, connection(&owner));
     owner.batch(&mut vec![open]);
     (owner, messages)
@@ -203,7 +203,7 @@
 
 fn draining(owner: &Owner, id: &ServerId) -> Input {
     let address = owner.upstream.endpoints.get(id).expect("a listed server").address;
-    let entry = Endpoint {
+    let endpoint = Endpoint {
         id: id.clone(),
         zone: ZoneId(0),
         role: Role::Edge,
@@ -212,7 +212,10 @@
         weight: 1.0,
         started: None,
     };
-    Input::WatchEvent(News::Servers { whole: false, members: vec![Member { entry, address }] })
+    Input::WatchEvent(WatchEvent::EndpointList {
+        complete: false,
+        servers: vec![ListedServer { endpoint, address }],
+    })
 }
 
 #[test]
@@ -239,7 +242,10 @@
     let (mut owner, _messages) = owner();
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
-    owner.batch(&mut vec![Input::WatchEvent(News::Servers { whole: true, members: Vec::new() })]);
+    owner.batch(&mut vec![Input::WatchEvent(WatchEvent::EndpointList {
+        complete: true,
+        servers: Vec::new(),
+    })]);
     // No server is left, so the request is answered, and none of its attempts is in flight.
     assert!(owner.requests.is_empty());
     assert_eq!((owner.counters.clients.rejected.get(), owner.counters.attempts.made.get()), (1, 1));
@@ -322,7 +328,8 @@
     let (mut owner, _messages) = owner();
     let first = request(&owner, 1);
     owner.batch(&mut vec![first]);
-    let purge = |group| News::Purge { object: None, group: GroupId(group), time: owner.time.clock.now() };
+    let purge =
+        |group| WatchEvent::Purge { object: None, group: GroupId(group), purged_at: owner.time.clock.now() };
     let (other_group, own_group) = (Input::WatchEvent(purge(16)), Input::WatchEvent(purge(17)));
     owner.batch(&mut vec![other_group]);
     assert_eq!(attempts(&owner, 1).len(), 1, "a purge of another group recalls nothing");
--- a/crates/node/src/owner/tests/crossing.rs
+++ b/crates/node/src/owner/tests/crossing.rs
@@ -12,7 +12,7 @@
 
 /// An endpoint list that has a server at another port.
 fn moved(owner: &Owner, id: &ServerId, port: u16) -> Input {
-    let entry = Endpoint {
+    let endpoint = Endpoint {
         id: id.clone(),
         zone: ZoneId(0),
         role: Role::Edge,
@@ -22,7 +22,10 @@
         started: Some(owner.time.now),
     };
     let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), port);
-    Input::WatchEvent(News::Servers { whole: false, members: vec![Member { entry, address }] })
+    Input::WatchEvent(WatchEvent::EndpointList {
+        complete: false,
+        servers: vec![ListedServer { endpoint, address }],
+    })
 }
 
 #[test]
@@ -48,13 +51,15 @@
     owner.batch(&mut vec![first]);
     let home = attempts(&owner, 1)[0].server.clone();
     let port = owner.upstream.endpoints[&home].address.port();
-    let Input::WatchEvent(News::Servers { members: listed_again, .. }) = moved(&owner, &home, port) else {
+    let Input::WatchEvent(WatchEvent::EndpointList { servers: listed_again, .. }) =
+        moved(&owner, &home, port)
+    else {
         panic!("a list")
     };
     let mut removed = listed_again.clone();
-    removed[0].entry.state = EndpointState::Removed;
-    let members = removed.into_iter().chain(listed_again).collect();
-    owner.batch(&mut vec![Input::WatchEvent(News::Servers { whole: false, members })]);
+    removed[0].endpoint.state = EndpointState::Removed;
+    let servers = removed.into_iter().chain(listed_again).collect();
+    owner.batch(&mut vec![Input::WatchEvent(WatchEvent::EndpointList { complete: false, servers })]);
     let all = attempts(&owner, 1);
     assert!(all.len() == 2 && !all[0].in_flight && all[1].in_flight, "{all:?}");
 }
--- a/crates/node/src/owner/watch_events.rs
+++ b/crates/node/src/owner/watch_events.rs
@@ -7,7 +7,7 @@
 use crate::fleet::purges;
 use crate::slow_start_watch::ListedStart;
 use basaltgw::api::{Endpoint, EndpointState, EndpointUpdate, Event, GroupId, Ms, ObjectId, ServerId};
-use basaltgw_config::{Member, News};
+use basaltgw_config::{ListedServer, WatchEvent};
 use std::time::Instant;
 
 /// A purge of an object or a group.
@@ -43,25 +43,25 @@
 
 impl Owner {
     /// Handles the events of the change log that the configuration contains, oldest first.
-    pub(super) fn handle_known_events(&mut self, known: &[News]) {
+    pub(super) fn handle_known_events(&mut self, known: &[WatchEvent]) {
         // All times are observed first, since the latest one gives the best bound on the current time.
         for event in known {
             match event {
-                News::Servers { members, .. } => self.observe_starts(members),
-                News::Purge { time, .. } => {
-                    let shift = self.time.observe_purge(*time);
+                WatchEvent::EndpointList { servers, .. } => self.observe_starts(servers),
+                WatchEvent::Purge { purged_at, .. } => {
+                    let shift = self.time.observe_purge(*purged_at);
                     self.on_clock_corrected(shift);
-                    self.time.platform.record_known_purge(*time);
+                    self.time.platform.record_known_purge(*purged_at);
                 }
             }
         }
         for event in known.iter().cloned() {
             match event {
-                News::Servers { whole, members } => {
+                WatchEvent::EndpointList { complete, servers } => {
                     self.counters.log.lists.increment();
-                    self.on_endpoint_list(whole, members);
+                    self.on_endpoint_list(complete, servers);
                 }
-                News::Purge { object, group, time } => {
+                WatchEvent::Purge { object, group, purged_at: time } => {
                     let age = self.time.platform.age(self.time.now, time);
                     self.on_logged_purge(Purged { object, group, time }, age);
                 }
@@ -70,14 +70,14 @@
     }
 
     /// Handles an event of the change log.
-    pub(super) fn on_watch_event(&mut self, event: News) {
+    pub(super) fn on_watch_event(&mut self, event: WatchEvent) {
         match event {
-            News::Servers { whole, members } => {
+            WatchEvent::EndpointList { complete, servers } => {
                 self.counters.log.lists.increment();
-                self.observe_starts(&members);
-                self.on_endpoint_list(whole, members);
+                self.observe_starts(&servers);
+                self.on_endpoint_list(complete, servers);
             }
-            News::Purge { object, group, time } => {
+            WatchEvent::Purge { object, group, purged_at: time } => {
                 let shift = self.time.observe_purge(time);
                 self.on_clock_corrected(shift);
                 let age = self.time.platform.age_of_next_purge(self.time.now, time);
@@ -95,9 +95,9 @@
     }
 
     /// Observes the starts of servers that are up, which are in the past.
-    fn observe_starts(&mut self, members: &[Member]) {
-        let up = members.iter().filter(|member| member.entry.state == EndpointState::Up);
-        for started in up.filter_map(|member| member.entry.started) {
+    fn observe_starts(&mut self, servers: &[ListedServer]) {
+        let up = servers.iter().filter(|server| server.endpoint.state == EndpointState::Up);
+        for started in up.filter_map(|server| server.endpoint.started) {
             let shift = self.time.observe(started);
             self.on_clock_corrected(shift);
         }
@@ -130,19 +130,19 @@
         self.recall(|pending, _| purged.concerns(pending));
     }
 
-    fn on_endpoint_list(&mut self, complete: bool, mut members: Vec<Member>) {
+    fn on_endpoint_list(&mut self, complete: bool, mut servers: Vec<ListedServer>) {
         if broken(Break::DrainIgnored) {
-            members.retain(|member| member.entry.state == EndpointState::Up);
+            servers.retain(|server| server.endpoint.state == EndpointState::Up);
         }
         self.upstream.list_received = true;
         let mut withdrawn = Withdrawn::default();
         if complete {
-            self.withdraw_unlisted(&members, &mut withdrawn);
+            self.withdraw_unlisted(&servers, &mut withdrawn);
         }
-        self.update_endpoints(&members, &mut withdrawn);
-        let tree_events = self.upstream.tree.on_endpoint_list(self.time.now, &members, &withdrawn.unlisted);
+        self.update_endpoints(&servers, &mut withdrawn);
+        let tree_events = self.upstream.tree.on_endpoint_list(self.time.now, &servers, &withdrawn.unlisted);
         let update = if complete { EndpointUpdate::Complete } else { EndpointUpdate::Delta };
-        let mut endpoints: Vec<_> = members.into_iter().map(|member| member.entry).collect();
+        let mut endpoints: Vec<_> = servers.into_iter().map(|server| server.endpoint).collect();
         endpoints.iter_mut().for_each(|endpoint| self.map_start(endpoint));
         self.dispatch(Event::Endpoints { update, entries: endpoints });
         self.dispatch_all(tree_events);
@@ -155,8 +155,8 @@
     }
 
     /// Removes the servers that are missing in a complete list.
-    fn withdraw_unlisted(&mut self, members: &[Member], withdrawn: &mut Withdrawn) {
-        let is_listed = |id: &ServerId| members.iter().any(|member| member.entry.id == *id);
+    fn withdraw_unlisted(&mut self, servers: &[ListedServer], withdrawn: &mut Withdrawn) {
+        let is_listed = |id: &ServerId| servers.iter().any(|server| server.endpoint.id == *id);
         let unlisted: Vec<_> = self.upstream.endpoints.keys().filter(|id| !is_listed(id)).cloned().collect();
         for id in &unlisted {
             withdrawn.connections.extend(self.upstream.caches.retire_moved(id, None));
@@ -166,19 +166,19 @@
         withdrawn.unlisted = unlisted;
     }
 
-    fn update_endpoints(&mut self, members: &[Member], withdrawn: &mut Withdrawn) {
+    fn update_endpoints(&mut self, servers: &[ListedServer], withdrawn: &mut Withdrawn) {
         let upstream = &mut self.upstream;
-        for member in members {
-            let id = &member.entry.id;
-            let up = member.entry.state == EndpointState::Up;
-            withdrawn.connections.extend(upstream.caches.retire_moved(id, up.then(|| member.place())));
+        for server in servers {
+            let id = &server.endpoint.id;
+            let up = server.endpoint.state == EndpointState::Up;
+            withdrawn.connections.extend(upstream.caches.retire_moved(id, up.then(|| server.process())));
             if !up {
                 withdrawn.servers.push(id.clone());
             }
-            if member.entry.state == EndpointState::Removed {
+            if server.endpoint.state == EndpointState::Removed {
                 upstream.endpoints.remove(id);
             } else {
-                upstream.endpoints.insert(id.clone(), member.place());
+                upstream.endpoints.insert(id.clone(), server.process());
             }
         }
     }
--- a/crates/node/src/placement_report.rs
+++ b/crates/node/src/placement_report.rs
@@ -64,7 +64,7 @@
     let entry = |router: &RouterId, domain: &Domain| RouterEntry {
         member: Member { router: router.clone(), incarnation: PLACEHOLDER_INCARNATION },
         domain: domain.clone(),
-        capacity: fleet.limits.holds as u64,
+        capacity: fleet.limits.max_registers as u64,
         accepts_replicas: true,
     };
     let own = std::iter::once(entry(&fleet.name, &fleet.domain));
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -5,7 +5,7 @@
 use crate::placement_report;
 use async_channel::Sender;
 use basaltgw_config::fleet::Fleet;
-use basaltgw_config::{own_settings, Environment, NodeConfig, OwnSettings};
+use basaltgw_config::{read_settings_file, Environment, RouterConfig, RouterSettings};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -15,13 +15,13 @@
     /// The path, if a file was given.
     pub file: Option<PathBuf>,
     /// The file's settings; the defaults without a file.
-    pub settings: OwnSettings,
+    pub settings: RouterSettings,
 }
 
 /// Reloads the configuration and the settings file and applies what can change in a running router; other changes are logged and ignored.
 /// Returns false if either file is invalid, in which case nothing is applied, or if the process is ending.
 pub(crate) async fn reload(
-    running: &NodeConfig,
+    running: &RouterConfig,
     settings_file: &mut SettingsFile,
     urgent: &Sender<Input>,
     changelog_addresses: &Sender<SocketAddr>,
@@ -34,7 +34,7 @@
             return false;
         }
     };
-    let config = match running.reload(&Environment::take()) {
+    let config = match running.reload(&Environment::from_process()) {
         Ok(config) => config,
         Err(e) => {
             log::error!("reload rejected, configuration unchanged: {e}");
@@ -44,15 +44,20 @@
     if apply_settings(settings_file, new, rules, urgent).await.is_err() {
         return false;
     }
-    for key in &config.fixed {
+    for key in &config.restart_required {
         log::warn!("reload: change of {key} needs a restart, ignored");
     }
     log::info!("reload: change log address {}", config.changelog);
     changelog_addresses.send(config.changelog).await.is_ok()
 }
 
-fn read_settings(running: &NodeConfig, settings_file: &SettingsFile) -> Option<OwnSettings> {
-    match settings_file.file.as_deref().map(|file| own_settings(file, running.cold())).transpose() {
+fn read_settings(running: &RouterConfig, settings_file: &SettingsFile) -> Option<RouterSettings> {
+    match settings_file
+        .file
+        .as_deref()
+        .map(|file| read_settings_file(file, running.parent_slow_start()))
+        .transpose()
+    {
         Ok(settings) => Some(settings.unwrap_or_default()),
         Err(e) => {
             log::error!("reload rejected, settings unchanged: {e}");
@@ -73,11 +78,11 @@
 /// Sends the owner the plan of the cache tree and the fleet's changed placement rules; logs changes that need a restart.
 async fn apply_settings(
     settings_file: &mut SettingsFile,
-    new: OwnSettings,
+    new: RouterSettings,
     rules: Option<Fleet>,
     urgent: &Sender<Input>,
 ) -> Result<(), OwnerEnded> {
-    if new.carry != settings_file.settings.carry {
+    if new.snapshot_file != settings_file.settings.snapshot_file {
         log::warn!("reload: change of carry needs a restart, ignored");
     }
     if settings_file.settings.hierarchy.is_some() && new.hierarchy.is_none() {
@@ -114,7 +119,7 @@
         }
         (Some(running), Some(new)) => (running, new),
     };
-    if !running.same_but_rules(new) {
+    if !running.equals_except_rules(new) {
         log::warn!("reload: only the rules of fleet can change without a restart, section fleet ignored");
         return Ok(None);
     }
