--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -15,7 +15,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use basaltgw_config::fleet::Fleet;
-use basaltgw_config::NodeConfig;
+use basaltgw_config::RouterConfig;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -38,8 +38,8 @@
 ///
 /// # Errors
 /// If the router can't start, or one of the fleet's threads ended unexpectedly.
-pub fn serve(mut config: NodeConfig, settings_file: SettingsFile) -> io::Result<String> {
-    config.unread.iter().for_each(|fault| log::warn!("configuration entry ignored: {fault}"));
+pub fn serve(mut config: RouterConfig, settings_file: SettingsFile) -> io::Result<String> {
+    config.undecodable_events.iter().for_each(|fault| log::warn!("configuration entry ignored: {fault}"));
     let signals = signals::Signals::listen()?;
     let (senders, inputs) = input_queues();
     let context = context(&config, senders.clients);
@@ -47,7 +47,7 @@
     let to_servers = ConnectionContext { queue: senders.servers, ..context.clone() };
     let caches = ServerPool::new(to_servers, descriptors.servers, config.transport);
     let mut owner = Owner::new(&config, &settings_file.settings, &context, caches);
-    if let Some(snapshot) = settings_file.settings.carry.as_ref().and_then(snapshot_file::load) {
+    if let Some(snapshot) = settings_file.settings.snapshot_file.as_ref().and_then(snapshot_file::load) {
         owner.restore(snapshot);
     }
     if let Some(settings) = &settings_file.settings.fleet {
@@ -62,16 +62,16 @@
     let (address_sender, addresses) = async_channel::bounded(INPUT_QUEUE_CAPACITY);
     let names = config.names.clone();
     let follow =
-        changelog::follow(config.changelog, addresses, config.known_seq, names, senders.urgent.clone());
+        changelog::follow(config.changelog, addresses, config.last_known_seq, names, senders.urgent.clone());
     executor.spawn(follow).detach();
     // The owner has handled these events; the signal handler needs only the settings.
-    config.known = Vec::new();
-    let carry = settings_file.settings.carry.clone();
+    config.known_events = Vec::new();
+    let snapshot_file = settings_file.settings.snapshot_file.clone();
     executor.spawn(handle_signals(signals, senders.urgent, config, settings_file, address_sender)).detach();
     let owner::ExitReport { counters, snapshot, snapshot_taken_at, fleet_counters, fault } =
         async_io::block_on(executor.run(owner.run(inputs, listener)));
-    if let Some(carry) = &carry {
-        snapshot_file::store(carry, &snapshot, snapshot_taken_at);
+    if let Some(file) = &snapshot_file {
+        snapshot_file::store(file, &snapshot, snapshot_taken_at);
     }
     match fault {
         Some(fault) => Err(io::Error::other(fault)),
@@ -87,7 +87,7 @@
     (InputSenders { urgent, servers, clients }, inputs)
 }
 
-fn context(config: &NodeConfig, queue: Sender<Input>) -> ConnectionContext {
+fn context(config: &RouterConfig, queue: Sender<Input>) -> ConnectionContext {
     ConnectionContext {
         executor: Rc::new(LocalExecutor::new()),
         queue,
@@ -100,9 +100,9 @@
 }
 
 /// Divides the descriptors between servers and clients.
-fn descriptor_budget(config: &NodeConfig) -> DescriptorBudget {
-    let servers = config.limits.sockets / SERVER_DESCRIPTOR_DIVISOR;
-    let clients = config.limits.sockets.saturating_sub(servers + RESERVED_DESCRIPTORS).max(1);
+fn descriptor_budget(config: &RouterConfig) -> DescriptorBudget {
+    let servers = config.limits.descriptors / SERVER_DESCRIPTOR_DIVISOR;
+    let clients = config.limits.descriptors.saturating_sub(servers + RESERVED_DESCRIPTORS).max(1);
     DescriptorBudget { servers: servers as usize, clients: clients as usize }
 }
 
@@ -110,7 +110,7 @@
 fn join_fleet(
     owner: &mut Owner,
     settings: &Fleet,
-    config: &NodeConfig,
+    config: &RouterConfig,
     context: &ConnectionContext,
     urgent: Sender<Input>,
 ) -> io::Result<()> {
--- a/crates/node/src/signal_handler.rs
+++ b/crates/node/src/signal_handler.rs
@@ -4,7 +4,7 @@
 use crate::reload::{reload, SettingsFile};
 use crate::signals::{SignalAction, Signals};
 use async_channel::Sender;
-use basaltgw_config::NodeConfig;
+use basaltgw_config::RouterConfig;
 use std::net::SocketAddr;
 
 /// Passes signals to the owner: SIGTERM and SIGINT shut the router down, SIGHUP reloads, SIGUSR1 logs the counters. Returns when the owner
@@ -12,7 +12,7 @@
 pub(crate) async fn handle_signals(
     mut signals: Signals,
     urgent: Sender<Input>,
-    running: NodeConfig,
+    running: RouterConfig,
     mut settings_file: SettingsFile,
     changelog_addresses: Sender<SocketAddr>,
 ) {
--- a/crates/node/src/tree.rs
+++ b/crates/node/src/tree.rs
@@ -2,8 +2,7 @@
 //! events of the decision module.
 
 use basaltgw::api::{AttemptResult, EndpointState, Event, FillReport, Ms, ObjectId, ServerId};
-use basaltgw_config::plan::table;
-use basaltgw_config::{Hierarchy, Member};
+use basaltgw_config::{fill_plan, Hierarchy, ListedServer};
 use basaltgw_hierarchy as hierarchy;
 use basaltgw_hierarchy::{
     Action, ChangeState, ChangeStatus, NodeId, PlanSpec, SourceResult, TopologyManager,
@@ -54,7 +53,9 @@
         let mut events = Vec::new();
         for action in actions {
             match action {
-                Action::UseSources(sources) => events.push(Event::FillPlan(Some(Arc::new(table(&sources))))),
+                Action::UseSources(sources) => {
+                    events.push(Event::FillPlan(Some(Arc::new(fill_plan(&sources)))))
+                }
                 Action::StateEntered { version, state, reason } => {
                     self.counters.changes_completed += u64::from(state == ChangeState::Completed);
                     log::info!(version = version.0, state:% = state; "plan {version} is {state}: {reason}");
@@ -96,7 +97,12 @@
     }
 
     /// Handles an endpoint list; `left_out` are the servers that a complete list omits, which are removed.
-    pub fn on_endpoint_list(&mut self, now: Ms, members: &[Member], left_out: &[ServerId]) -> Vec<Event> {
+    pub fn on_endpoint_list(
+        &mut self,
+        now: Ms,
+        servers: &[ListedServer],
+        left_out: &[ServerId],
+    ) -> Vec<Event> {
         if self.topology.is_none() {
             return Vec::new();
         }
@@ -105,9 +111,9 @@
             up: false,
             started: None,
         });
-        let listed = members.iter().map(|m| {
-            let up = m.entry.state == EndpointState::Up;
-            hierarchy::Event::NodeListed { node: node(&m.entry.id), up, started: m.entry.started }
+        let listed = servers.iter().map(|s| {
+            let up = s.endpoint.state == EndpointState::Up;
+            hierarchy::Event::NodeListed { node: node(&s.endpoint.id), up, started: s.endpoint.started }
         });
         let all: Vec<_> = removed.chain(listed).collect();
         all.into_iter().flat_map(|event| self.handle(now, event)).collect()
--- a/crates/node/tests/codec.rs
+++ b/crates/node/tests/codec.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use basaltgw::api::{AttemptResult, EndpointState, FillReport, GroupId, ObjectId, Role};
-use basaltgw_config::{settings, Names, News, Seq};
+use basaltgw_config::{parse_settings, Seq, WatchEvent, WireNames};
 use basaltgw_node::caches::ServerAnswer;
 use basaltgw_node::changelog::{self, Follower, Frame};
 use basaltgw_node::clients::{ClientMessage, Tag};
@@ -14,10 +14,10 @@
 
 const BOUNDS: MessageLimits = MessageLimits { max_elements: 4, max_bytes: 300 };
 
-fn names() -> Names {
+fn names() -> WireNames {
     let v = json!({"areas": ["hub", "edge"], "kinds": ["box", "parent", "origin"],
                    "family-info": {"shield-kind": 1, "store-kind": 2}});
-    settings(&v).expect("settings").0
+    parse_settings(&v).expect("settings").0
 }
 
 fn decode(pieces: &[&[u8]]) -> Result<Vec<Vec<Vec<u8>>>, String> {
@@ -218,13 +218,24 @@
     let bytes =
         [frame(41, 1, &record()), frame(41, 0, &[]), frame(42, 3, &object), frame(43, 4, &purge)].concat();
     let whole = frames(&[&bytes]).expect("good frames");
-    let Ok(Some(News::Servers { whole: true, members })) = &whole[0].event else { panic!("a list") };
-    let m = &members[0];
-    assert_eq!((&*m.entry.id.0, m.address.to_string().as_str()), ("s-00c41f7a", "127.0.0.9:10080"));
-    assert_eq!((m.entry.state, m.entry.role, m.entry.zone.0), (EndpointState::Draining, Role::Parent, 1));
-    assert_eq!((m.entry.cell, m.entry.weight, m.entry.started), (2, 4.0, Some(1_764_576_000_123.0)));
+    let Ok(Some(WatchEvent::EndpointList { complete: true, servers })) = &whole[0].event else {
+        panic!("a list")
+    };
+    let server = &servers[0];
+    assert_eq!(
+        (&*server.endpoint.id.0, server.address.to_string().as_str()),
+        ("s-00c41f7a", "127.0.0.9:10080")
+    );
+    assert_eq!(
+        (server.endpoint.state, server.endpoint.role, server.endpoint.zone.0),
+        (EndpointState::Draining, Role::Parent, 1)
+    );
+    assert_eq!(
+        (server.endpoint.cell, server.endpoint.weight, server.endpoint.started),
+        (2, 4.0, Some(1_764_576_000_123.0))
+    );
     assert_eq!(whole[1], Frame { seq: Seq(41), event: Ok(None) });
-    let purge = |object, group, time| News::Purge { object, group: GroupId(group), time };
+    let purge = |object, group, purged_at| WatchEvent::Purge { object, group: GroupId(group), purged_at };
     assert_eq!(whole[2].event, Ok(Some(purge(Some(ObjectId(0x7f3a9c21e0b4d655)), 0, 5.0))));
     assert_eq!(whole[3].event, Ok(Some(purge(None, 17, 1_764_576_000_480.0))));
     for at in 0..=bytes.len() {
--- a/crates/node/tests/watch.rs
+++ b/crates/node/tests/watch.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use basaltgw::api::ObjectId;
-use basaltgw_config::{settings, Names, News, Seq};
+use basaltgw_config::{parse_settings, Seq, WatchEvent, WireNames};
 use basaltgw_node::changelog::{Decoder, Follower, Frame};
 use basaltgw_node::limits::{CHANGELOG_FRAME_MAX_BYTES, READ_BYTES};
 use common::frame;
@@ -11,10 +11,10 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn names() -> Names {
+fn names() -> WireNames {
     let v = json!({"areas": ["hub", "edge"], "kinds": ["box", "parent", "origin"],
                    "family-info": {"shield-kind": 1, "store-kind": 2}});
-    settings(&v).expect("settings").0
+    parse_settings(&v).expect("settings").0
 }
 
 fn read(bytes: &[u8]) -> Frame {
@@ -172,7 +172,7 @@
         };
         for frame in frames {
             match follower.on_frame(frame) {
-                Ok(Some(News::Purge { object: Some(ObjectId(n)), .. })) => told.push(n),
+                Ok(Some(WatchEvent::Purge { object: Some(ObjectId(n)), .. })) => told.push(n),
                 Ok(Some(other)) => panic!("{other:?}"),
                 Ok(None) => {}
                 Err(_) => return true,
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -20,7 +20,7 @@
 use crate::{micros, rng, Ms, Rng};
 use basaltgw::api::*;
 use basaltgw::routing::Router;
-use basaltgw_config::plan::table;
+use basaltgw_config::fill_plan;
 use basaltgw_hierarchy as topology;
 use basaltgw_hierarchy::{FillKey, NodeId, NodeSpec, Plan, PlanSpec, Tier, TopologyManager, Version};
 use hdrhistogram::Histogram;
--- a/crates/simulator/src/sim/requests.rs
+++ b/crates/simulator/src/sim/requests.rs
@@ -31,7 +31,7 @@
         for action in actions {
             match action {
                 topology::Action::UseSources(sources) => {
-                    self.handle_event(r, Event::FillPlan(Some(Arc::new(table(&sources)))))
+                    self.handle_event(r, Event::FillPlan(Some(Arc::new(fill_plan(&sources)))))
                 }
                 topology::Action::StateEntered { version, state, .. } => {
                     let entry = ChangeStateEntry { router: r, at: self.now, version: version.0, state };
