--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -1,4 +1,4 @@
-//! FleetSetup routers without relays: their figures come, and all that was started is ended.
+//! Many routers without relays: their figures come, and all that was started is ended.
 
 mod common;
 
