--- a/crates/simulator/src/arrivals.rs
+++ b/crates/simulator/src/arrivals.rs
@@ -1,7 +1,7 @@
 //! Generates client requests as an open loop: arrivals do not wait for answers.
 
 use crate::spec::{ClassSpec, EffectSpec, LoadSpec};
-use crate::{rng, Ms, Rng};
+use crate::{random_stream, rng, Ms, Rng};
 use basaltgw::hash::{mix, unit_interval};
 use rand::RngExt;
 
@@ -33,7 +33,7 @@
     last_arrival: Ms,
 }
 
-/// The maximum number of objects that are requested in a class.
+/// The maximum number of objects of a class, whose popularity table is computed for each router.
 const MAX_OBJECTS_PER_CLASS: u64 = 100_000;
 
 impl Arrivals {
@@ -47,11 +47,11 @@
         });
         let cumulative_class_shares = cumulative_class_shares.collect();
         let cumulative_popularity = load.classes.iter().map(cumulative_popularity).collect();
-        let rng = rng(seed, 1_000 + router);
+        let rng = rng(seed, random_stream::FIRST_ARRIVALS + router);
         Self { load: load.clone(), cumulative_popularity, cumulative_class_shares, rng, last_arrival: 0.0 }
     }
 
-    /// The index in cumulative shares into which a draw of 0 to 1 falls.
+    /// The index of the cumulative share into which a draw from 0 to 1 falls.
     fn pick(cumulative: &[f64], draw: f64) -> usize {
         cumulative.partition_point(|s| *s < draw).min(cumulative.len().saturating_sub(1))
     }
@@ -71,20 +71,26 @@
         .collect()
 }
 
-/// The id of a class's object by rank of popularity. Ids are hashed, so that they show neither.
+/// Salts of the hashes of an object's id, so that its size does not depend on its group.
+const SIZE_SALT: u64 = 77;
+const GROUP_SALT: u64 = 91;
+/// The low bits of the hash that are not part of an object's id, so that ids have 52 bits.
+const DROPPED_ID_BITS: u32 = 12;
+
+/// The id of a class's object by rank of popularity. Ids are hashed, so that they show neither class nor rank.
 pub fn object_id(class: usize, rank: u64) -> u64 {
-    mix(class as u64 + 1, rank) >> 12
+    mix(class as u64 + 1, rank) >> DROPPED_ID_BITS
 }
 
 /// The size of each part of an object in KB, log-uniform between the class's bounds.
 pub fn part_size_kb(class: &ClassSpec, object: u64) -> f64 {
     let [min, max] = class.kb;
-    min * (max / min).powf(unit_interval(mix(object, 77)))
+    min * (max / min).powf(unit_interval(mix(object, SIZE_SALT)))
 }
 
 /// The group of an object, out of `groups` groups.
 pub fn group_of(object: u64, groups: u64) -> u64 {
-    mix(object, 91) % groups.max(1)
+    mix(object, GROUP_SALT) % groups.max(1)
 }
 
 impl Iterator for Arrivals {
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -91,7 +91,7 @@
         /// The answer.
         result: ClientResult,
     },
-    /// A client gave up; no answer is owed.
+    /// A client gave up and expects no answer.
     ClientLeft {
         /// The request.
         request: RequestKey,
@@ -128,6 +128,7 @@
     },
 }
 
+/// A client's request that can still violate a rule.
 struct OpenRequest {
     non_idempotent: bool,
     object: u64,
@@ -144,6 +145,7 @@
     }
 }
 
+/// An attempt of an open request.
 #[derive(Clone)]
 struct CheckedAttempt {
     started_at: Ms,
@@ -157,7 +159,7 @@
     purged_at: Ms,
 }
 
-/// Purges that are kept for each router and object or group; older ones are superseded by newer ones.
+/// The most purges that are stored for each router and object or group; older ones are superseded by newer ones.
 const MAX_PURGES: usize = 8;
 /// How long an answered request is kept past its deadline: its earlier attempts may still end and report a copy's age.
 const ANSWERED_REQUEST_RETENTION_MS: Ms = 2_000.0;
--- a/crates/simulator/src/cold.rs
+++ b/crates/simulator/src/cold.rs
@@ -8,12 +8,13 @@
 #[derive(Clone, Debug)]
 pub struct ColdLoad {
     rule: ColdSpec,
-    /// The sending time in ms that the warm node can do per ms: its number of slots.
+    /// The capacity of the warm node, as sending time per time: its number of slots.
     warm_capacity: f64,
     started: Ms,
     /// Time and weight of the requests within the window.
     recent: VecDeque<(Ms, f64)>,
     recent_weight: f64,
+    /// The maximum of `recent_weight` so far, as a share of the limit at that time.
     max_limit_share: f64,
 }
 
--- a/crates/simulator/src/fleet/faults.rs
+++ b/crates/simulator/src/fleet/faults.rs
@@ -82,11 +82,12 @@
         }
     }
 
-    /// Voids all responses of a node that have not arrived.
+    /// Voids all responses of a node that have not arrived at the requester.
     pub(super) fn void_responses(&mut self, node: NodeIndex) {
         self.requests.values_mut().filter(|r| r.at == node).for_each(|r| r.response_number += 1);
     }
 
+    /// Handles a purge that arrives at a node.
     pub(super) fn purge_arrives(&mut self, node: NodeIndex, object: Option<u64>, group: u64, purged_at: Ms) {
         let n = &mut self.nodes[node.0];
         match object {
--- a/crates/simulator/src/fleet/fills.rs
+++ b/crates/simulator/src/fleet/fills.rs
@@ -32,6 +32,7 @@
 }
 
 impl Fleet {
+    /// The parameters of a fill for a pending request.
     pub(super) fn fill_spec(&self, number: u64, min_origin_time: Ms) -> FillSpec {
         let request = &self.requests[&number];
         let source_named = matches!(request.requester, Requester::Router(_));
@@ -49,7 +50,8 @@
         }
     }
 
-    /// The source of a fill with its `cached_only`, or `None` if there is no further source; and the number of loops avoided by the choice.
+    /// The source of a fill and whether it may serve only from its store, or `None` if there is no further source; and the number of loops
+    /// that the choice avoided.
     fn choose_source(
         &self,
         at: NodeIndex,
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::spec::FleetSpec;
 use crate::store::Store;
-use crate::{micros, rng, Ms, Rng};
+use crate::{micros, random_stream, rng, Ms, Rng};
 use basaltgw::api::{AttemptResult, FillReport, Rank};
 use basaltgw_hierarchy::{
     FillKey, NodeId, OriginShield, Plan, Settings, SourceSelector, VisitedPath, WaiterId,
@@ -37,15 +37,17 @@
 /// A request that is on its way to a node or waits there for its response.
 struct PendingRequest {
     requester: Requester,
+    /// The node to which the request is sent.
     at: NodeIndex,
     key: FillKey,
     group: u64,
     size_kb: f64,
+    /// The source that the router named for a miss; `None` for requests of nodes, and if the node must not fill.
     fill_source: Option<NodeIndex>,
     rank: Rank,
-    /// The oldest copy that may be served, by the time at which the origin served it.
+    /// A copy may be served if the origin served it at this time or later.
     min_origin_time: Ms,
-    /// The oldest copy that may be served if it is revalidated in the background.
+    /// A copy may be served and revalidated in the background if the origin served it at this time or later.
     min_stale_origin_time: Ms,
     join_fill: bool,
     cached_only: bool,
@@ -63,6 +65,7 @@
     joined: bool,
 }
 
+/// An event of the fleet that is due at some time.
 enum Event {
     RequestArrives { number: u64 },
     ResponseArrives { number: u64, response_number: u64, response: NodeResponse },
@@ -102,8 +105,9 @@
     object_purges: HashMap<u64, (u32, Ms)>,
     /// Like `object_purges`, by group.
     group_purges: HashMap<u64, (u32, Ms)>,
+    /// The number of groups of objects.
     groups: u64,
-    /// When the origin last served a part for a fill, by the number of purges before.
+    /// When the origin last served a part for a fill, by part and by how many times the part's object or group was purged before.
     last_origin_fill: HashMap<(FillKey, u32), Ms>,
     /// Parts lost in crashes of hubs and districts that the origin has not served again since.
     lost_in_crash: HashSet<FillKey>,
@@ -159,7 +163,7 @@
             last_origin_fill: HashMap::new(),
             lost_in_crash: HashSet::new(),
             loop_detection: true,
-            rng: rng(seed, 1),
+            rng: rng(seed, random_stream::FLEET),
             now: 0.0,
             output: Vec::new(),
             counts: Counts::default(),
@@ -210,8 +214,6 @@
         base * (1.0 + self.spec.net.jitter * self.rng.random::<f64>())
     }
 
-    // ---- Operations of the owner ----
-
     /// Sends a request of a router in `zone` to a node.
     pub fn send(&mut self, now: Ms, zone: usize, to: NodeIndex, request: NodeRequest) {
         self.now = now;
--- a/crates/simulator/src/fleet/node.rs
+++ b/crates/simulator/src/fleet/node.rs
@@ -34,11 +34,14 @@
     pub machine: Machine,
 }
 
+/// The number in the id of the origin; the other nodes have the next ones.
+const FIRST_NODE_ID: usize = 0x00c0_0000;
+
 /// The nodes of a fleet in order of their index: the origin, hubs, districts, edge caches by zone.
 pub fn nodes(spec: &FleetSpec) -> Vec<NodeInfo> {
     let mut all = Vec::new();
     let mut add = |name: String, tier: u8, zone: usize, spare: bool, machine: &Machine| {
-        let id = NodeId::new(&format!("s-{:08x}", 0x00c0_0000 + all.len()));
+        let id = NodeId::new(&format!("s-{:08x}", FIRST_NODE_ID + all.len()));
         all.push(NodeInfo { id, name, tier, zone, spare, machine: machine.clone() });
     };
     add("archive".into(), 0, 0, false, &spec.archive);
@@ -66,6 +69,7 @@
     pub(super) until: Ms,
 }
 
+/// The state of a node.
 pub(super) struct Node {
     pub(super) info: NodeInfo,
     pub(super) up: bool,
--- a/crates/simulator/src/fleet/requests.rs
+++ b/crates/simulator/src/fleet/requests.rs
@@ -9,6 +9,7 @@
 use std::cmp::Reverse;
 
 impl Fleet {
+    /// Handles a request that arrives at its node.
     pub(super) fn request_arrives(&mut self, number: u64) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&number) else { return };
@@ -124,11 +125,13 @@
         }
     }
 
+    /// True if the node accepts another fill.
     pub(super) fn has_fill_capacity(&self, at: NodeIndex) -> bool {
         let n = &self.nodes[at.0];
         n.fills.len() < n.info.machine.fills && self.now >= n.refuses_fills_until
     }
 
+    /// Handles a request for a part of which the node has no usable copy: fills it, joins a fill, or responds with a miss.
     pub(super) fn miss(&mut self, number: u64) {
         let Some(request) = self.requests.get(&number) else { return };
         let (at, key, fill_source, min_origin_time) =
@@ -248,6 +251,7 @@
         );
     }
 
+    /// Handles a response that arrives at the requester; void responses are ignored.
     pub(super) fn response_arrives(&mut self, number: u64, response_number: u64, response: NodeResponse) {
         if self.requests.get(&number).is_none_or(|r| r.response_number != response_number) {
             return;
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -21,6 +21,16 @@
 pub mod spec;
 pub mod store;
 
+/// Random streams of a run; each has a generator of its own.
+pub(crate) mod random_stream {
+    /// Latencies and losses of the fleet, and delays of its notifications.
+    pub const FLEET: u64 = 1;
+    /// Purges, and delays of the routers' notifications.
+    pub const SIM: u64 = 2;
+    /// Arrivals at the first router; each further router has the next stream.
+    pub const FIRST_ARRIVALS: u64 = 1_000;
+}
+
 /// Milliseconds, fractional, from the start of the run.
 pub type Ms = f64;
 
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -17,7 +17,7 @@
     NodeResponse, ORIGIN,
 };
 use crate::spec::{EffectSpec, FleetSpec, LoadSpec, PlanShape, ScriptAction, ScriptEvent};
-use crate::{micros, rng, Ms, Rng};
+use crate::{micros, random_stream, rng, Ms, Rng};
 use basaltgw::api::*;
 use basaltgw::routing::Router;
 use basaltgw_config::fill_plan;
@@ -42,6 +42,7 @@
     }
 }
 
+/// An event of the run that is due at some time; the fleet has events of its own.
 enum SimEvent {
     Arrival { router: usize },
     Retry { router: usize, client: Client },
@@ -66,6 +67,7 @@
     retries: u32,
 }
 
+/// An attempt of an open request.
 struct Attempt {
     node: NodeIndex,
     fill_source: Option<NodeIndex>,
@@ -73,6 +75,7 @@
     running: bool,
 }
 
+/// A client's request from its arrival until it is answered and all its attempts have ended.
 struct OpenRequest {
     client: Client,
     deadline: Ms,
@@ -80,6 +83,7 @@
     attempts: Vec<Attempt>,
 }
 
+/// A router with its clients and its open requests.
 struct RouterState {
     decision_module: Box<dyn DecisionModule>,
     zone: usize,
@@ -91,16 +95,18 @@
     list_updates_from: Ms,
 }
 
+/// The state of a run.
 struct Sim<'a> {
     setup: &'a Setup,
     nodes: Vec<NodeInfo>,
+    /// The endpoint list, by node index; spare and stopped nodes are listed as removed.
     endpoints: Vec<Endpoint>,
-    by_id: HashMap<ServerId, NodeIndex>,
+    node_indices: HashMap<ServerId, NodeIndex>,
     fleet: Fleet,
     routers: Vec<RouterState>,
     checker: Checker,
     events: HashMap<u64, SimEvent>,
-    /// Times of events in microseconds, with the events' numbers.
+    /// Due times of events in microseconds, with the events' numbers, which are the keys of `events`.
     due: BinaryHeap<Reverse<(u64, u64)>>,
     last_event_number: u64,
     last_request_number: u64,
@@ -115,20 +121,30 @@
     latencies: Histogram<u64>,
 }
 
+/// The time after the last deadline for which a run continues, so that late answers are still observed.
+const END_MARGIN_MS: Ms = 1_000.0;
+/// The longest latency that the histogram distinguishes, in microseconds, and the precision of its values in decimal digits.
+const MAX_LATENCY_MICROS: u64 = 600_000_000;
+const LATENCY_DIGITS: u8 = 3;
+/// The seeds of routers' decision modules begin here, after the fleet's and the run's own streams of random numbers.
+const ROUTER_SEED_OFFSET: u64 = 7;
+
 /// Runs a setup. `new_module` creates the decision module of a router from its index, settings and seed.
+///
+/// # Errors
+/// If a plan is invalid, or an event of the script names an unknown plan or node.
 pub fn run(
     setup: &Setup,
     new_module: impl Fn(usize, Settings, u64) -> Box<dyn DecisionModule>,
 ) -> Result<RunMetrics, String> {
     let mut sim = Sim::new(setup, new_module)?;
     sim.begin()?;
-    let end =
-        setup.length_ms + setup.load.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max) + 1_000.0;
-    sim.play(end)?;
+    let max_deadline = setup.load.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max);
+    sim.play(setup.length_ms + max_deadline + END_MARGIN_MS)?;
     Ok(sim.finish())
 }
 
-fn endpoint(n: &NodeInfo, listed: EndpointState, started: Option<Ms>) -> Endpoint {
+fn endpoint(n: &NodeInfo, state: EndpointState, started: Option<Ms>) -> Endpoint {
     Endpoint {
         id: ServerId(n.id.0.clone()),
         zone: ZoneId(n.zone),
@@ -138,7 +154,7 @@
             _ => Role::Edge,
         },
         cell: 0,
-        state: listed,
+        state,
         weight: 1.0,
         started,
     }
@@ -159,16 +175,17 @@
         let nodes = nodes(&setup.fleet);
         let listed = |n: &NodeInfo| if n.spare { EndpointState::Removed } else { EndpointState::Up };
         let endpoints: Vec<Endpoint> = nodes.iter().map(|n| endpoint(n, listed(n), None)).collect();
-        let by_id = endpoints.iter().enumerate().map(|(i, e)| (e.id.clone(), NodeIndex(i))).collect();
+        let node_indices = endpoints.iter().enumerate().map(|(i, e)| (e.id.clone(), NodeIndex(i))).collect();
         let routers = new_routers(setup, new_module);
         let metrics = RunMetrics::new(setup);
-        let latencies = Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|e| e.to_string())?;
+        let latencies =
+            Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS).map_err(|e| e.to_string())?;
         Ok(Self {
             checker: Checker::new(&setup.fleet.rules),
             setup,
             nodes,
             endpoints,
-            by_id,
+            node_indices,
             fleet,
             routers,
             events: HashMap::new(),
@@ -178,7 +195,7 @@
             plan_version: 0,
             current_plan: 0,
             previous_plan: 0,
-            rng: rng(setup.seed, 2),
+            rng: rng(setup.seed, random_stream::SIM),
             now: 0.0,
             metrics,
             latencies,
@@ -196,20 +213,20 @@
         min + (max - min).max(0.0) * self.rng.random::<f64>()
     }
 
-    /// True if routers of the zone have the node in their endpoint list.
-    fn receives_node(&self, zone: usize, i: usize) -> bool {
-        self.nodes[i].zone == 0 || self.nodes[i].zone == zone
+    /// True if the endpoint list of a zone's routers contains the node with index `node`: one of their zone, a parent or the origin.
+    fn is_listed_in(&self, zone: usize, node: usize) -> bool {
+        self.nodes[node].zone == 0 || self.nodes[node].zone == zone
     }
 
     fn finish(mut self) -> RunMetrics {
         self.checker.expire(self.now);
         let classes = &self.setup.load.classes;
-        let weighted_sum = |figure: &dyn Fn(&ClassMetrics, &crate::spec::ClassSpec) -> f64| -> f64 {
-            self.metrics.classes.iter().zip(classes).map(|(f, c)| figure(f, c) * c.worth).sum()
+        let weighted_sum = |count: &dyn Fn(&ClassMetrics, &crate::spec::ClassSpec) -> f64| -> f64 {
+            self.metrics.classes.iter().zip(classes).map(|(m, c)| count(m, c) * c.worth).sum()
         };
-        let requested = weighted_sum(&|f, _| f.requests as f64).max(f64::MIN_POSITIVE);
+        let requested = weighted_sum(&|m, _| m.requests as f64).max(f64::MIN_POSITIVE);
         let (in_time, late) =
-            (weighted_sum(&|f, _| f.in_time as f64), weighted_sum(&|f, c| f.late as f64 * c.late_worth));
+            (weighted_sum(&|m, _| m.in_time as f64), weighted_sum(&|m, c| m.late as f64 * c.late_worth));
         self.metrics.weighted_in_time_share = in_time / requested;
         self.metrics.weighted_answered_share = (in_time + late) / requested;
         self.metrics.latency_p50_ms = self.latencies.value_at_quantile(0.5) as f64 / 1000.0;
@@ -229,8 +246,9 @@
         for _ in 0..setup.fleet.routers_per_zone {
             let r = routers.len();
             let settings = router_settings(&setup.fleet, &setup.load, zone);
+            let seed = basaltgw::hash::mix(setup.seed, r as u64 + ROUTER_SEED_OFFSET);
             routers.push(RouterState {
-                decision_module: new_module(r, settings, basaltgw::hash::mix(setup.seed, r as u64 + 7)),
+                decision_module: new_module(r, settings, seed),
                 zone,
                 arrivals: Arrivals::new(&setup.load, setup.seed, r as u64),
                 next_arrival: None,
@@ -243,11 +261,21 @@
     routers
 }
 
-/// The id of an attempt's request to a node: the client request's number and, in the lowest 4 bits, the attempt.
+/// The low bits of a [`NodeRequestId`]'s number that contain the attempt; routers make fewer attempts than fit.
+const ATTEMPT_BITS: u32 = 4;
+const MAX_ATTEMPT_NUMBER: u64 = (1 << ATTEMPT_BITS) - 1;
+
+/// The id of an attempt's request to a node: the client request's number and, in the low bits, the attempt.
 fn node_request_id(router: usize, number: u64, attempt: usize) -> NodeRequestId {
-    NodeRequestId { router, number: number << 4 | attempt.min(15) as u64 }
+    NodeRequestId { router, number: number << ATTEMPT_BITS | (attempt as u64).min(MAX_ATTEMPT_NUMBER) }
+}
+
+/// The client request's number and the attempt of an id.
+fn request_and_attempt(id: NodeRequestId) -> (u64, usize) {
+    (id.number >> ATTEMPT_BITS, (id.number & MAX_ATTEMPT_NUMBER) as usize)
 }
 
+/// The number of a client's request by its id for the decision module.
 fn request_number(id: &RequestId) -> Option<u64> {
     id.0.parse().ok()
 }
--- a/crates/simulator/src/sim/events.rs
+++ b/crates/simulator/src/sim/events.rs
@@ -2,6 +2,11 @@
 
 use super::*;
 
+/// Purges at random draw from this many of a class's most popular objects.
+const PURGED_OBJECTS: u64 = 200;
+/// The interval at which the checker drops requests whose deadline is over.
+const EXPIRY_INTERVAL_MS: Ms = 1_000.0;
+
 impl Sim<'_> {
     /// Publishes the first plan and the endpoint lists, and schedules the first events.
     pub(super) fn begin(&mut self) -> Result<(), String> {
@@ -14,7 +19,7 @@
         for r in 0..self.routers.len() {
             let zone = self.routers[r].zone;
             let all: Vec<Endpoint> = (0..self.endpoints.len())
-                .filter(|i| self.receives_node(zone, *i))
+                .filter(|i| self.is_listed_in(zone, *i))
                 .map(|i| self.endpoints[i].clone())
                 .filter(|e| e.state != EndpointState::Removed)
                 .collect();
@@ -33,7 +38,7 @@
         if self.setup.load.purges_per_s > 0.0 {
             self.schedule(0.0, SimEvent::NextPurge);
         }
-        self.schedule(1_000.0, SimEvent::ExpireRequests);
+        self.schedule(EXPIRY_INTERVAL_MS, SimEvent::ExpireRequests);
         Ok(())
     }
 
@@ -81,6 +86,7 @@
         }
     }
 
+    /// Processes an event that is due.
     pub(super) fn process_event(&mut self, event: SimEvent) -> Result<(), String> {
         match event {
             SimEvent::Arrival { router: r } => {
@@ -134,7 +140,7 @@
             SimEvent::NextPurge => self.purge_random_object(),
             SimEvent::ExpireRequests => {
                 self.checker.expire(self.now);
-                self.schedule(self.now + 1_000.0, SimEvent::ExpireRequests);
+                self.schedule(self.now + EXPIRY_INTERVAL_MS, SimEvent::ExpireRequests);
             }
         }
         Ok(())
@@ -148,11 +154,11 @@
         }
     }
 
-    /// Purges one of the 200 most popular objects of a random class and schedules the next purge.
+    /// Purges one of the most popular objects of a random class and schedules the next purge.
     fn purge_random_object(&mut self) {
         let class = self.rng.random_range(0..self.setup.load.classes.len());
         let spec = &self.setup.load.classes[class];
-        let rank = self.rng.random_range(0..spec.objects.clamp(1, 200));
+        let rank = self.rng.random_range(0..spec.objects.clamp(1, PURGED_OBJECTS));
         self.purge(Some(crate::arrivals::object_id(class, rank)), 0);
         let gap: f64 = self.rng.random();
         let next = self.now - (1.0 - gap).ln() * 1000.0 / self.setup.load.purges_per_s;
@@ -174,8 +180,8 @@
             ScriptAction::Plan => {
                 let name = event.plan.as_deref().unwrap_or_default();
                 let found = self.setup.plans.iter().position(|p| p.name == name);
-                let at = found.ok_or_else(|| format!("script[{i}]: unknown plan {name:?}"))?;
-                self.publish_plan(at)?;
+                let index = found.ok_or_else(|| format!("script[{i}]: unknown plan {name:?}"))?;
+                self.publish_plan(index)?;
             }
             ScriptAction::TakeBack => self.roll_back_plan()?,
             ScriptAction::Crash | ScriptAction::Vanish => {
@@ -233,11 +239,11 @@
         Ok(())
     }
 
-    /// Publishes the plan with index `at` to nodes and routers.
-    fn publish_plan(&mut self, at: usize) -> Result<(), String> {
-        (self.previous_plan, self.current_plan) = (self.current_plan, at);
+    /// Publishes a plan of the setup to nodes and routers.
+    fn publish_plan(&mut self, index: usize) -> Result<(), String> {
+        (self.previous_plan, self.current_plan) = (self.current_plan, index);
         self.plan_version += 1;
-        let spec = plan_spec(&self.setup.plans[at], self.plan_version, &self.nodes);
+        let spec = plan_spec(&self.setup.plans[index], self.plan_version, &self.nodes);
         self.distribute_plan(&spec)?;
         for r in 0..self.routers.len() {
             let after = self.draw_from(self.setup.fleet.news.plan_ms);
@@ -282,7 +288,7 @@
         let endpoint = endpoint(&self.nodes[node.0], state, started);
         self.endpoints[node.0] = endpoint.clone();
         for r in 0..self.routers.len() {
-            if self.receives_node(self.routers[r].zone, node.0) {
+            if self.is_listed_in(self.routers[r].zone, node.0) {
                 let after = self.draw_from(self.setup.fleet.news.list_ms);
                 self.schedule(
                     self.now + after,
--- a/crates/simulator/src/sim/requests.rs
+++ b/crates/simulator/src/sim/requests.rs
@@ -6,7 +6,7 @@
     /// Delivers an endpoint list or a change of it to a router.
     pub(super) fn update_endpoints(&mut self, r: usize, update: EndpointUpdate, entries: Vec<Endpoint>) {
         for e in &entries {
-            let node = self.by_id[&e.id];
+            let node = self.node_indices[&e.id];
             self.checker.observe(
                 self.now,
                 Observation::NodeListed { router: r, node, up: e.state == EndpointState::Up },
@@ -116,7 +116,7 @@
     pub(super) fn start_attempt(&mut self, r: usize, spec: AttemptSpec) {
         let Some(number) = request_number(&spec.request) else { return };
         let (node, fill_source) =
-            (self.by_id.get(&spec.server).copied(), self.by_id.get(&spec.fill_source).copied());
+            (self.node_indices.get(&spec.server).copied(), self.node_indices.get(&spec.fill_source).copied());
         let Some(open) = self.routers[r].open_requests.get_mut(&number) else { return };
         let n = open.attempts.len();
         let Some(node) = node else { return };
@@ -152,8 +152,9 @@
         self.schedule(until, SimEvent::AttemptTimeout { router: r, number, attempt: n });
     }
 
+    /// Handles a node's response to an attempt.
     pub(super) fn response_arrived(&mut self, id: NodeRequestId, response: NodeResponse) {
-        let (number, n) = (id.number >> 4, (id.number & 15) as usize);
+        let (number, n) = request_and_attempt(id);
         self.attempt_ended(id.router, number, n, response, false);
     }
 
@@ -215,7 +216,7 @@
         self.drop_if_finished(r, number);
     }
 
-    /// Tells the router's topology manager how an attempt's fill source behaved.
+    /// Reports to the router's topology manager how an attempt's fill source behaved.
     fn report_source_result(
         &mut self,
         r: usize,
--- a/crates/simulator/src/sim/setup.rs
+++ b/crates/simulator/src/sim/setup.rs
@@ -13,7 +13,7 @@
     pub script: Vec<ScriptEvent>,
     /// Plans by name; the first is active from the start.
     pub plans: Vec<PlanShape>,
-    /// Settings of topology changes.
+    /// Settings of topology changes of the cache tree.
     pub tree: topology::Settings,
     /// How long clients send new requests.
     pub length_ms: Ms,
@@ -146,7 +146,7 @@
 
 /// The settings of a zone's routers.
 pub fn router_settings(fleet: &FleetSpec, load: &LoadSpec, zone: usize) -> Settings {
-    let cold = |c: &crate::spec::ColdSpec| SlowStartPolicy {
+    let slow_start = |c: &crate::spec::ColdSpec| SlowStartPolicy {
         initial_share: c.share,
         ramp_duration: c.span_ms,
         overload_factor: c.multiple,
@@ -176,15 +176,15 @@
         routers: fleet.routers_per_zone * fleet.zones,
         zone_parent_group: vec![ZoneId(0); fleet.zones + 1],
         classes: load.classes.iter().map(class).collect(),
-        edge_slow_start: cold(&fleet.rules.cold_edge),
-        parent_slow_start: cold(&fleet.rules.cold_parent),
+        edge_slow_start: slow_start(&fleet.rules.cold_edge),
+        parent_slow_start: slow_start(&fleet.rules.cold_parent),
         drain_grace: fleet.rules.drain_grace_ms,
         purge_grace: fleet.rules.purge_grace_ms,
         purge_convergence_time: fleet.rules.purge_settles_ms,
         hedging: false,
         cancel: true,
         retry_after: true,
-        max_retry_after: 500.0,
+        max_retry_after: MAX_RETRY_AFTER_MS,
         max_attempts: MAX_ATTEMPTS,
         direct_to_parents: true,
         fill_joining: true,
@@ -193,17 +193,22 @@
         must_watch_endpoints: false,
         approximate_weights: true,
         dynamic_weights: false,
-        tick: 2.0,
+        tick: ROUTER_TICK_MS,
     }
 }
 
 /// The latency objective is extended by this multiple of the response's sending time.
 pub const LATENCY_OBJECTIVE_STRETCH: f64 = 2.0;
+/// The most attempts of a router for one request.
 const MAX_ATTEMPTS: usize = 8;
+/// The longest Retry-After of a router.
+const MAX_RETRY_AFTER_MS: Ms = 500.0;
+/// The interval at which a router handles its inputs.
+const ROUTER_TICK_MS: Ms = 2.0;
 /// The interval of ticks to a router's topology manager.
 pub(super) const TOPOLOGY_TICK_MS: Ms = 50.0;
 
-/// The plan of a shape, under a version.
+/// The plan of a shape under a version, for the nodes of the fleet.
 pub fn plan_spec(shape: &PlanShape, version: u64, all: &[NodeInfo]) -> PlanSpec {
     let ids_of = |tier: u8| all.iter().filter(move |n| n.tier == tier).map(|n| &n.id).collect::<Vec<_>>();
     let (hubs, districts, edges) = (ids_of(1), ids_of(2), ids_of(3));
@@ -217,19 +222,19 @@
         sources,
     };
     // Consecutive sources from the node's own position on, so that neighbouring nodes share some of them.
-    let fan = |ids: &[&NodeId], listed: &[usize], at: usize, fan: usize| -> Vec<NodeId> {
-        (0..fan.min(listed.len())).map(|k| ids[listed[(at + k) % listed.len()]].clone()).collect()
+    let sources_of = |ids: &[&NodeId], planned: &[usize], position: usize, fan: usize| -> Vec<NodeId> {
+        (0..fan.min(planned.len())).map(|k| ids[planned[(position + k) % planned.len()]].clone()).collect()
     };
     let mut nodes = vec![node(&all[0].id, 0, Vec::new())];
     nodes.extend(shape.hubs.iter().map(|h| node(hubs[*h], 1, vec![all[0].id.clone()])));
-    for (at, d) in shape.districts.iter().enumerate() {
-        let mut sources = fan(&hubs, &shape.hubs, at, shape.district_fan);
+    for (position, d) in shape.districts.iter().enumerate() {
+        let mut sources = sources_of(&hubs, &shape.hubs, position, shape.district_fan);
         let laterals = shape.laterals.iter().filter(|[from, _]| from == d);
         sources.extend(laterals.map(|[_, to]| districts[*to].clone()));
         nodes.push(node(districts[*d], 2, sources));
     }
-    for (at, e) in edges.iter().enumerate() {
-        nodes.push(node(e, 3, fan(&districts, &shape.districts, at, shape.edge_fan)));
+    for (position, e) in edges.iter().enumerate() {
+        nodes.push(node(e, 3, sources_of(&districts, &shape.districts, position, shape.edge_fan)));
     }
     PlanSpec { version: Version(version), nodes }
 }
--- a/crates/simulator/src/spec.rs
+++ b/crates/simulator/src/spec.rs
@@ -70,13 +70,13 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RuleLimits {
-    /// How long after its deadline an answer may come.
+    /// How long after its deadline an answer may be sent.
     pub slack_ms: Ms,
     /// How long after the notification a router may still start attempts at a draining or removed node.
     pub drain_grace_ms: Ms,
     /// How long after the notification a router may still serve a purged copy.
     pub purge_grace_ms: Ms,
-    /// How long after a purge nodes may still hold older copies.
+    /// How long after a purge nodes may still have older copies.
     pub purge_settles_ms: Ms,
     /// Limits of edge caches that have just started.
     pub cold_edge: ColdSpec,
@@ -144,9 +144,10 @@
     pub zipf: f64,
     /// The number of parts of an object.
     pub parts: u64,
-    /// The size of a part, log-uniform by object.
+    /// The size of a part: drawn log-uniformly for each object.
     pub kb: Range,
-    /// The latency objective, which is extended by twice the response's own sending time.
+    /// The latency objective, which is extended by twice the response's own sending time
+    /// ([`LATENCY_OBJECTIVE_STRETCH`](crate::sim::LATENCY_OBJECTIVE_STRETCH)).
     pub aim_ms: Ms,
     /// The deadline, from the client's first request on.
     pub deadline_ms: Ms,
