--- a/crates/registers/src/acceptor.rs
+++ b/crates/registers/src/acceptor.rs
@@ -15,14 +15,14 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// The memory of a register beside its record's payload, by estimate.
+/// The estimated memory of a register without its record's payload.
 const REGISTER_OVERHEAD_BYTES: usize = 320;
 
 /// A register with what only this run knows of it.
 #[derive(Clone, Debug)]
 pub(crate) struct StoredRegister {
     pub register: Register,
-    /// Since when the register has its present record, on this clock; at the earliest the start of this run.
+    /// Since when the register has its present record, in monotonic milliseconds; at the earliest the start of this run.
     pub record_since: Ms,
     bytes: usize,
 }
@@ -44,7 +44,7 @@
     bytes: usize,
 }
 
-/// What an acceptor checks a request against, beside its own state.
+/// What an acceptor checks a request against in addition to its own state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AcceptorRules<'a> {
     pub settings: &'a Settings,
@@ -90,7 +90,7 @@
         self.registers.get(key)?.record()
     }
 
-    /// The memory of the registers, by estimate.
+    /// The estimated memory of the registers.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -214,7 +214,7 @@
         Body::Accepted { ballot }
     }
 
-    /// Removes a register; its promise is covered by the floor.
+    /// Removes a register. The floor of removed ballots takes the place of its promise.
     pub fn remove(&mut self, key: &RecordKey) {
         if let Some(stored) = self.registers.remove(key) {
             self.bytes -= stored.bytes;
@@ -245,7 +245,7 @@
     }
 }
 
-/// The memory of a register, by estimate.
+/// The estimated memory of a register.
 fn register_bytes(register: &Register) -> usize {
     let payload = register.accepted.as_ref().map_or(0, |a| a.value.record.payload_bytes());
     REGISTER_OVERHEAD_BYTES + payload
--- a/crates/registers/src/api.rs
+++ b/crates/registers/src/api.rs
@@ -11,9 +11,9 @@
 /// The response to a request; each request gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// The change was made and is durable on a quorum; the new record.
+    /// The change was made and is durable on a quorum; contains the new record.
     Committed(Record),
-    /// The change does not apply to the present record (`None`: there is no record).
+    /// The change does not apply to the present record, which it contains (`None`: there is no record).
     Conflict(Option<Record>),
     /// The request could not be completed in time.
     Unavailable {
@@ -39,11 +39,11 @@
     Contended,
     /// A limit is reached, here or at a replica.
     ResourceExhausted,
-    /// A disk rejects writes: this router's, or a replica's, which the counter of replicas' rejections tells.
+    /// A disk rejects writes: this router's, or a replica's (see [`Counters::storage_rejections`](crate::Counters::storage_rejections)).
     StorageFailed,
     /// This router and a replica use different shard maps; either may be outdated.
     StalePlacement,
-    /// This incarnation may not vote yet. Not produced at present; kept for its counter.
+    /// This incarnation may not vote yet. Not produced at present; the counter of this name remains.
     NotCaughtUp,
     /// The change does not apply to records of that kind.
     InvalidTransition,
@@ -84,7 +84,7 @@
     MessageReceived(Member, Vec<u8>),
     /// The message of this number was not written to the link.
     SendFailed(u64),
-    /// Whether a peer is reachable. Advisory: requests do not wait for unreachable peers.
+    /// Whether a peer is reachable. Requests do not wait for unreachable peers; safety does not depend on it.
     PeerReachable(Member, bool),
     /// The shard map from now on.
     ShardMap(Arc<ShardMap>),
--- a/crates/registers/src/backoff.rs
+++ b/crates/registers/src/backoff.rs
@@ -1,20 +1,20 @@
 //! Whether a failed round is retried, the backoff before the next one, and the Retry-After of a request that failed.
 //!
 //! Inputs: the replicas' rejections, the number of attempts, the mean duration of a request, and the settings; all spans in milliseconds. Both
-//! delays have jitter, so that proposers that met once do not meet again.
+//! delays have jitter, so that proposers that conflicted once do not conflict again.
 
 use crate::message::RejectReason;
 use crate::{Settings, UnavailableReason};
 use basaltgw_structures::hash::{mix, unit_interval};
 use basaltgw_types::Ms;
 
-/// Doublings of the backoff at most.
+/// The most doublings of the backoff.
 const MAX_DOUBLINGS: i32 = 6;
 
-/// Rounds after which a request that lost to others, or to a limit, may succeed.
+/// The Retry-After, in rounds, of a request that failed by contention or by a limit.
 const BUSY_RETRY_ROUNDS: f64 = 4.0;
 
-/// Rounds after which a request may succeed that needs replicas, disks or a shard map to recover.
+/// The Retry-After, in rounds, of a request that can succeed only once replicas, disks or the shard map have recovered.
 const FAULT_RETRY_ROUNDS: f64 = 16.0;
 
 /// A deterministic source of jitter.
@@ -36,7 +36,7 @@
     }
 }
 
-/// What follows from the rejections of a failed round.
+/// Whether a failed round is followed by another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RoundFailure {
     /// Another round may succeed. The reason applies if no attempts are left.
@@ -45,7 +45,7 @@
     Final(UnavailableReason),
 }
 
-/// Classifies a failed round. Contention and an epoch mismatch are retryable; contention goes before the mismatch.
+/// Classifies a failed round by its rejections. Contention and an epoch mismatch are retryable; of the two, contention is reported.
 pub(crate) fn classify<'a>(rejections: impl Iterator<Item = &'a RejectReason> + Clone) -> RoundFailure {
     if rejections.clone().any(|r| matches!(r, RejectReason::BallotTooOld(_))) {
         return RoundFailure::Retryable(UnavailableReason::Contended);
--- a/crates/registers/src/ballot.rs
+++ b/crates/registers/src/ballot.rs
@@ -3,17 +3,17 @@
 use basaltgw_types::Member;
 use serde::{Deserialize, Serialize};
 
-/// Counters stay below it, so that a next ballot always exists.
+/// All counters are below this bound, so that a next ballot always exists.
 pub(crate) const MAX_BALLOT_COUNTER: u64 = 1 << 62;
 
 /// A ballot. It is unique: a member counts up within a run, and its runs are counted on its disk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Ballot {
-    /// Counted up by each proposer, beyond every counter that it has observed.
+    /// Counted up by each proposer, to a value above every counter that it has observed.
     pub counter: u64,
     /// The proposer.
     pub by: Member,
-    /// The run of the proposer's program.
+    /// The number of the proposer's run: process starts with its disk.
     pub run: u64,
 }
 
--- a/crates/registers/src/counters.rs
+++ b/crates/registers/src/counters.rs
@@ -1,10 +1,10 @@
-//! Counters by cause.
+//! The counters of the registers.
 
 use crate::message::RejectReason;
 use crate::UnavailableReason;
 use std::collections::BTreeMap;
 
-/// Counted since the start of the program.
+/// The counters of the registers since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests of the router.
@@ -27,25 +27,25 @@
     pub send_failures: u64,
     /// Replies that do not belong to a request's present phase, ballot or replicas.
     pub late_votes: u64,
-    /// Rejections received: a later ballot was promised.
+    /// Rejections received because a later ballot was promised.
     pub ballot_rejections: u64,
-    /// Rejections received: another epoch.
+    /// Rejections received because of another epoch.
     pub epoch_rejections: u64,
-    /// Rejections received: not a replica.
+    /// Rejections received because the member is not a replica of the register.
     pub not_replica_rejections: u64,
-    /// Rejections received: the replica's disk.
+    /// Rejections received because the replica's disk rejects writes.
     pub storage_rejections: u64,
-    /// Rejections received: a limit of the replica.
+    /// Rejections received because a limit of the replica is reached.
     pub resource_rejections: u64,
-    /// Messages dropped: malformed or too long.
+    /// Messages dropped because they are malformed or too long.
     pub malformed_messages: u64,
-    /// Messages dropped: for another incarnation of this router, or for another router.
+    /// Messages dropped because they are for another incarnation of this router, or for another router.
     pub misaddressed_messages: u64,
     /// Batches that the disk did not write.
     pub failed_batches: u64,
-    /// Shard maps dropped: of an epoch before the present one.
+    /// Shard maps dropped because their epoch is before the present one.
     pub stale_maps: u64,
-    /// Shard maps dropped: quorums need not intersect.
+    /// Shard maps dropped because two quorums of a group need not intersect.
     pub invalid_maps: u64,
     /// Records that expired here.
     pub expired: u64,
--- a/crates/registers/src/durable_log.rs
+++ b/crates/registers/src/durable_log.rs
@@ -1,7 +1,7 @@
-//! The durable log of batches: what is written to the disk, and the replies that wait for it.
+//! The durable log of batches: what is written to the disk, and the replies that are sent once it is durable.
 //!
 //! One batch is in flight at a time; everything that changes meanwhile goes into the next one (group commit). A reply is sent only after the
-//! batch that holds its register is durable. If a batch fails, its replies become rejections, so that no requester waits in vain.
+//! batch that contains its register is durable. If a batch fails, its replies become rejections, so that no requester waits until its timeout.
 
 use crate::ballot::Ballot;
 use crate::encoding::{decode, encode, DecodeError};
@@ -23,9 +23,9 @@
 pub(crate) struct ReplicaMeta {
     /// The member that the records belong to.
     pub me: Member,
-    /// Runs of the program on this disk; part of each ballot.
+    /// Process starts with this disk; part of each ballot.
     pub run: u64,
-    /// The latest epoch of a shard map; messages of earlier ones are rejected for good.
+    /// The latest epoch of a shard map; messages of earlier epochs are always rejected.
     pub epoch: u64,
     /// The highest counter promised in any register that was removed; an absent register counts as having promised it.
     pub removed_ballot_floor: u64,
@@ -63,7 +63,7 @@
     record_count: u64,
 }
 
-/// A log with the registers that its disk holds.
+/// A log with the registers that its disk contains.
 pub(crate) struct OpenedLog {
     pub log: DurableLog,
     pub registers: BTreeMap<RecordKey, Register>,
@@ -211,7 +211,7 @@
         Some(FinishedBatch { replies, has_meta: batch.has_meta })
     }
 
-    /// Everything that decides how the log continues.
+    /// All state that influences later behaviour.
     #[cfg(test)]
     pub fn digest(&self) -> String {
         let in_flight = self.in_flight.as_ref().map(|b| &b.replies);
--- a/crates/registers/src/error.rs
+++ b/crates/registers/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the registers can't be opened.
+//! The error of opening the registers.
 
 use crate::{DecodeError, InvalidSetting};
 use basaltgw_types::Member;
--- a/crates/registers/src/expiry.rs
+++ b/crates/registers/src/expiry.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// Registers examined for each that may be changed or removed by one scan.
+/// Registers that one scan examines, for each that it may change or remove.
 const EXAMINED_PER_CHANGE: usize = 16;
 
 /// What is due for a register.
@@ -63,7 +63,7 @@
         due
     }
 
-    /// A requested change was answered; if it failed, a later scan requests it again.
+    /// Handles the response to a requested change; if the change failed, a later scan requests it again.
     pub fn on_response(&mut self, key: &RecordKey) {
         self.in_flight.remove(key);
     }
@@ -92,13 +92,13 @@
     }
 }
 
-/// The member's position in the latest group that lists it.
+/// The member's position in the latest group that contains it.
 fn rank(map: &ShardMap, key: &RecordKey, me: &Member) -> Option<usize> {
     let replicas: &ReplicaSet = replicas_of(map, key)?;
     replicas.groups.iter().rev().find_map(|g| g.members.iter().position(|m| m == me))
 }
 
-/// How long a record stays as it is; `None` if it never expires.
+/// The time after which a record expires; `None` if it never does.
 fn retention(record: &Record, settings: &Settings) -> Option<Ms> {
     match record {
         Record::Leased { .. } | Record::Released { .. } | Record::Completed(_) | Record::OutcomeUnknown => {
--- a/crates/registers/src/lib.rs
+++ b/crates/registers/src/lib.rs
@@ -3,8 +3,8 @@
 //! Each record has a register of its own, replicated by the members that the shard map names. There is no leader and no election, and an idle
 //! register costs no messages. A record only moves forward, by [`Change`]s.
 //!
-//! A request is answered [`Response::Committed`] only after a quorum of every group of the shard has the change on disk. If no quorum can be
-//! had in time, the response is [`Response::Unavailable`], immediately where that is already known. Safety does not depend on clocks.
+//! The response to a request is [`Response::Committed`] only after a quorum of every group of the shard has the change on disk. If no quorum
+//! can be reached in time, the response is [`Response::Unavailable`], immediately where that is already known. Safety does not depend on clocks.
 //!
 //! | module | concept |
 //! | --- | --- |
--- a/crates/registers/src/message.rs
+++ b/crates/registers/src/message.rs
@@ -54,17 +54,16 @@
     /// The key after which the list starts; `None`: the first.
     pub after: Option<RecordKey>,
     pub registers: Vec<RegisterSummary>,
-    /// True if the partition has registers beyond those listed.
+    /// True if the partition has further registers after those listed.
     pub has_more: bool,
 }
 
 /// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Body {
-    Prepare {
-        key: RecordKey,
-        ballot: Ballot,
-    },
+    /// Requests a promise to reject ballots below this one.
+    Prepare { key: RecordKey, ballot: Ballot },
+    /// Requests that a value is accepted at this ballot.
     Accept {
         key: RecordKey,
         ballot: Ballot,
@@ -73,22 +72,14 @@
         next: Option<Ballot>,
     },
     /// Requests the registers of a partition.
-    ListRequest {
-        partition: Partition,
-        after: Option<RecordKey>,
-        limit: u32,
-    },
-    Promised {
-        ballot: Ballot,
-        accepted: Option<AcceptedValue>,
-    },
-    Accepted {
-        ballot: Ballot,
-    },
-    Rejected {
-        ballot: Ballot,
-        reason: RejectReason,
-    },
+    ListRequest { partition: Partition, after: Option<RecordKey>, limit: u32 },
+    /// Grants a prepare request; contains the value that the replica has accepted before.
+    Promised { ballot: Ballot, accepted: Option<AcceptedValue> },
+    /// Grants an accept request.
+    Accepted { ballot: Ballot },
+    /// Rejects a prepare or accept request.
+    Rejected { ballot: Ballot, reason: RejectReason },
+    /// Answers a list request.
     ListReply(ListReply),
 }
 
--- a/crates/registers/src/prepared_cache.rs
+++ b/crates/registers/src/prepared_cache.rs
@@ -21,7 +21,7 @@
 }
 
 impl PreparedCache {
-    /// Adds a register, and evicts the oldest beyond `limit`; a limit of 0 disables the cache.
+    /// Adds a register, and evicts the oldest ones above `limit`; a limit of 0 disables the cache.
     pub fn insert(&mut self, key: RecordKey, prepared: Prepared, limit: usize) {
         if limit == 0 {
             return;
@@ -40,6 +40,7 @@
         self.by_key.remove(key).filter(|p| p.epoch == epoch)
     }
 
+    /// Removes all registers.
     pub fn clear(&mut self) {
         self.by_key.clear();
         self.insertion_order.clear();
--- a/crates/registers/src/proposer/mod.rs
+++ b/crates/registers/src/proposer/mod.rs
@@ -1,6 +1,6 @@
 //! The proposer: runs rounds of prepare and accept for each request, until a quorum has the change or the request fails.
 //!
-//! This file decides what a request does next: start a round, wait, retry, or fail. `rounds.rs` decides what follows from the votes of a round.
+//! This file decides what a request does next: start a round, wait, retry, or fail. `rounds.rs` decides by the votes of a round.
 //! Inputs: the shard map, which members are reachable, timers and the links' reports; times in monotonic milliseconds.
 
 mod rounds;
@@ -123,7 +123,7 @@
         self.start_round(id, request, context);
     }
 
-    /// The batch with this run's number is durable, or has failed: requests that waited for it start, or fail.
+    /// Handles that the batch with this run's number is durable, or has failed: requests that waited for it start, or fail.
     pub fn on_run_stored(&mut self, durable: bool, context: &mut Context<'_>) {
         if durable {
             self.run_state = RunState::Durable;
@@ -152,12 +152,12 @@
         }
     }
 
-    /// A member has become reachable.
+    /// Handles that a member has become reachable.
     pub fn on_reachable(&mut self, member: &Member) {
         self.topology.unreachable.remove(member);
     }
 
-    /// A member has become unreachable: rounds do not wait for its vote.
+    /// Handles that a member has become unreachable: rounds do not wait for its vote.
     pub fn on_unreachable(&mut self, member: &Member, context: &mut Context<'_>) {
         if self.topology.unreachable.len() < MAX_UNREACHABLE_MEMBERS {
             self.topology.unreachable.insert(member.clone());
@@ -170,7 +170,7 @@
         }
     }
 
-    /// A message was not written to the link.
+    /// Handles that a message was not written to the link.
     pub fn on_send_failed(&mut self, number: u64, context: &mut Context<'_>) {
         self.counters.send_failures += 1;
         let token = Token::from_u64(number);
@@ -184,7 +184,7 @@
         }
     }
 
-    /// The timer of a request expired: it fails, starts its next round, or retransmits.
+    /// Handles the timer of a request: the request fails, starts its next round, or retransmits.
     pub fn on_timer(&mut self, number: u64, context: &mut Context<'_>) {
         let Token { request_id: id, sequence } = Token::from_u64(number);
         let Some(mut request) = self.pending.by_id.remove(&id) else { return };
@@ -240,7 +240,7 @@
         replicas.groups.iter().all(reachable)
     }
 
-    /// Everything that decides how the proposer continues, and nothing that is only counted.
+    /// All state that influences later behaviour, without counters.
     #[cfg(test)]
     pub fn digest(&self) -> String {
         format!("{:?} {:?} {:?}", self.pending, self.ballots, self.prepared.entries())
--- a/crates/registers/src/proposer/rounds.rs
+++ b/crates/registers/src/proposer/rounds.rs
@@ -1,4 +1,4 @@
-//! The rounds of a request: what is sent, and what follows from the votes.
+//! The rounds of a request: which messages are sent, and how the votes are evaluated.
 //!
 //! After a quorum of promises the change is applied to the accepted value of the highest ballot. If the change does not apply, that value is
 //! made durable on a quorum before it is reported, unless the promises show that it is. Inputs: the votes, the ballots at which this request
@@ -21,7 +21,7 @@
 use crate::{Action, Record, Response, UnavailableReason};
 use basaltgw_types::{Member, ReplicaSet};
 
-/// The parts of an accept message beside its record's payload, at most.
+/// The most bytes of an accept message without its record's payload.
 const ACCEPT_OVERHEAD_BYTES: usize = 1_024;
 
 /// Reciprocal of the weight of a request's duration in the moving average.
@@ -152,7 +152,7 @@
         };
         for to in request.round.members() {
             let vote = request.round.votes.get(&to);
-            // No message to the local replica is lost.
+            // Messages to the local replica are never lost, so they are not repeated.
             let in_progress = transmission == Transmission::Repeated && to == self.me && vote.is_none();
             if vote.is_some_and(Vote::is_final) || in_progress {
                 continue;
@@ -188,7 +188,7 @@
         context.act(Action::Send(token.to_u64(), envelope.to, bytes));
     }
 
-    /// A replica's reply to a prepare or accept message.
+    /// Handles a replica's reply to a prepare or accept message.
     pub fn on_reply(&mut self, from: &Member, reply: Envelope, context: &mut Context<'_>) {
         let id = reply.request_id;
         let Some(request) = self.pending.by_id.get(&id) else {
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Continues as the votes allow.
+    /// Continues a request whose votes have changed.
     fn advance(&mut self, id: u64, request: PendingRequest, context: &mut Context<'_>) {
         let required = Some(&self.me).filter(|me| request.requires_local_copy(me));
         let state = quorum_state(&request.round, required, self.injected_bug);
@@ -249,7 +249,7 @@
         }
     }
 
-    /// A quorum has promised: applies the change to the accepted value, or makes that value durable.
+    /// Handles that a quorum has promised: applies the change to the accepted value, or makes that value durable.
     fn on_promised(&mut self, id: u64, request: PendingRequest, context: &mut Context<'_>) {
         let local = Some(&self.me).filter(|_| request.origin == Origin::ReplicaSync);
         let highest = request.round.highest_accepted(local);
@@ -286,7 +286,7 @@
         }
     }
 
-    /// A quorum has accepted: the request is complete.
+    /// Handles that a quorum has accepted: the request is complete.
     fn on_accepted(
         &mut self,
         request: PendingRequest,
@@ -308,7 +308,7 @@
         Self::complete(request, response, context);
     }
 
-    /// A group can't reach its quorum: waits for another round, or fails.
+    /// Handles that a group can't reach its quorum: the request waits for another round, or fails.
     fn on_quorum_unreachable(&mut self, id: u64, mut request: PendingRequest, context: &mut Context<'_>) {
         let reason = match classify(request.round.rejections()) {
             RoundFailure::Final(reason) => return self.fail(request, reason, context),
--- a/crates/registers/src/quorum.rs
+++ b/crates/registers/src/quorum.rs
@@ -7,7 +7,7 @@
 use crate::InjectedBug;
 use basaltgw_types::{Member, QuorumGroup};
 
-/// What the votes amount to.
+/// Whether the votes reach a quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuorumState {
     /// Votes are missing.
@@ -18,13 +18,13 @@
     Unreachable,
 }
 
-/// Counts the votes of the present phase. `required` is the local replica, if its vote is needed beside the quorums.
+/// Counts the votes of the present phase. `required` is the local replica, if its vote is needed in addition to the quorums.
 pub(crate) fn quorum_state(round: &Round, required: Option<&Member>, bug: InjectedBug) -> QuorumState {
     let granted = |m: &&Member| round.votes.get(*m).is_some_and(Vote::is_granted);
     let denied = |m: &&Member| round.votes.get(*m).is_some_and(|v| !v.is_granted());
-    let one_is_enough =
+    let single_vote_suffices =
         bug == InjectedBug::CommitWithoutQuorum && matches!(round.phase, Phase::Accepting { .. });
-    let needed = |g: &QuorumGroup| if one_is_enough { 1 } else { g.quorum };
+    let needed = |g: &QuorumGroup| if single_vote_suffices { 1 } else { g.quorum };
     let reached = |g: &QuorumGroup| g.members.iter().filter(granted).count() >= needed(g);
     let unreachable = |g: &QuorumGroup| g.members.len() - g.members.iter().filter(denied).count() < g.quorum;
     let groups = &round.replicas.groups;
--- a/crates/registers/src/record.rs
+++ b/crates/registers/src/record.rs
@@ -28,7 +28,7 @@
     pub name: u128,
 }
 
-/// The outcome of an execution, for clients that ask again.
+/// The outcome of an execution, for clients that repeat the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// Served with this body, of at most `max_outcome_bytes`; a longer one is stored as `ServedBodyOmitted`.
@@ -116,7 +116,7 @@
     }
 }
 
-/// A change to a record, either applied or answered with the present record.
+/// A change to a record. If it does not apply, the response is the present record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// Acquires the lease of an execution: from no record or `Released`.
@@ -125,7 +125,7 @@
     Release(Member, u32),
     /// Completes the execution of this term; from the owner only.
     Complete(Member, u32, Outcome),
-    /// Gives up on the owner of this term: nobody may execute the request again. From `Leased` only.
+    /// Marks the outcome of this term's execution as unknown: no member may execute the request again. From `Leased` only.
     MarkOutcomeUnknown(u32),
     /// Stores a purge.
     Purge {
@@ -161,7 +161,7 @@
         /// The new content.
         body: Vec<u8>,
     },
-    /// Reads: makes sure that a quorum stores the present record.
+    /// Reads the record, after making sure that a quorum stores it.
     Read,
     /// Replaces the record with a tombstone after its retention.
     Expire,
--- a/crates/registers/src/registers.rs
+++ b/crates/registers/src/registers.rs
@@ -15,10 +15,10 @@
 use basaltgw_types::{Member, Ms, ShardMap};
 use std::sync::Arc;
 
-/// Retransmission intervals that a request of the expiry scan may take.
+/// The timeout of a request of the expiry scan, in retransmission intervals.
 const EXPIRY_TIMEOUT_INTERVALS: f64 = 10.0;
 
-/// The last [`Action::StaleEpoch`]; repeated after a while, in case the map was not fetched.
+/// The last [`Action::StaleEpoch`]. It is repeated after a retransmission interval, in case the map was not fetched.
 #[derive(Clone, Copy, Debug)]
 struct StaleNotice {
     epoch: u64,
@@ -79,7 +79,7 @@
         self.proposer.injected_bug = bug;
     }
 
-    /// Handles an event. `now` is in monotonic milliseconds; an earlier time than the last event's counts as that.
+    /// Handles an event. `now` is in monotonic milliseconds; a time before that of the last event is replaced by that.
     pub fn handle(&mut self, now: Ms, event: Event, actions: &mut Vec<Action>) {
         self.clock.now = self.clock.now.max(now);
         let mut context = Context { now: self.clock.now, actions, completed: Vec::new() };
@@ -95,7 +95,7 @@
         self.acceptor.flush(context.actions);
     }
 
-    /// The record that this replica has accepted. Advisory: other replicas may have a later one.
+    /// The record that this replica has accepted. It may be outdated: other replicas may have a later one.
     pub fn local_record(&self, key: &RecordKey) -> Option<&Record> {
         self.acceptor.record(key)
     }
@@ -114,7 +114,7 @@
         &self.proposer.counters
     }
 
-    /// The number of registers stored here, and their memory in bytes, by estimate.
+    /// The number of registers stored here, and their estimated memory in bytes.
     pub fn size(&self) -> (usize, usize) {
         (self.acceptor.registers().len(), self.acceptor.bytes())
     }
@@ -134,7 +134,7 @@
         self.sync.pending_partitions()
     }
 
-    /// Everything that decides how the replica continues, and nothing that is only counted: for model checks.
+    /// All state that influences later behaviour, without counters: for model checks.
     #[cfg(test)]
     pub(crate) fn digest(&self) -> String {
         let (registers, log, epoch) =
@@ -154,7 +154,7 @@
         self.proposer.is_between_rounds(request_id)
     }
 
-    /// At the first event, starts the run's clocks and the expiry scan.
+    /// Starts the run's clocks and the expiry scan at the first event.
     fn start_run(&mut self, context: &mut Context<'_>) {
         if !std::mem::replace(&mut self.clock.is_started, true) {
             self.acceptor.start(context.now);
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Reports that another member uses a later shard map.
+    /// Reports that another member uses a later shard map, unless that was reported recently.
     fn notice_later_epoch(&mut self, epoch: u64, from: &Member, context: &mut Context<'_>) {
         let last = self.stale_notice;
         let is_recent = last.epoch >= epoch && context.now < last.at + self.settings.retransmit_interval_ms;
@@ -289,7 +289,7 @@
         self.sync.on_map_change(&self.acceptor.me, before.as_deref(), &map, &self.settings, context);
     }
 
-    /// One step of the expiry scan.
+    /// Runs one step of the expiry scan.
     fn expire(&mut self, context: &mut Context<'_>) {
         context.act(Action::Timer(self.settings.expiry_interval_ms, EXPIRY_TIMER));
         self.acceptor.log.allow_retry();
--- a/crates/registers/src/replica_sync.rs
+++ b/crates/registers/src/replica_sync.rs
@@ -1,6 +1,6 @@
 //! Replica synchronisation: how a replica obtains the records of the partitions that it replicates.
 //!
-//! A new replica copies them from the previous group; one that was absent catches up with its fellows. Each batch has two steps: a quorum of
+//! A new replica copies them from the previous group; one that was down catches up with the others of its group. Each batch has two steps: a quorum of
 //! the older group lists its registers, then each listed register is read through the proposer, which stores it at a quorum of every group
 //! and at this replica.
 //!
@@ -22,8 +22,8 @@
 use basaltgw_types::{Member, Ms, ShardMap};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Retransmission intervals that a read may take, and that lists are waited for before another partition is tried.
-const PATIENCE_INTERVALS: f64 = 10.0;
+/// In retransmission intervals: the timeout of a read, and the time to wait for lists before another partition is tried.
+const TIMEOUT_INTERVALS: f64 = 10.0;
 
 /// A task of the synchronisation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     after: Option<RecordKey>,
 }
 
-/// Waiting for the lists of other replicas.
+/// The phase in which the replica waits for the lists of others.
 #[derive(Clone, Debug)]
 struct Listing {
     sources: Vec<Member>,
@@ -56,7 +56,7 @@
     sent_at: Ms,
 }
 
-/// Reading the registers that were listed.
+/// The phase in which the listed registers are read.
 #[derive(Clone, Debug)]
 struct Reading {
     /// The last key that the lists cover; `None`: all of the partition.
@@ -68,12 +68,14 @@
     resume_at: Ms,
 }
 
+/// The phase of a batch.
 #[derive(Clone, Debug)]
 enum BatchPhase {
     Listing(Listing),
     Reading(Reading),
 }
 
+/// A batch of registers that is synchronised.
 #[derive(Clone, Debug)]
 struct SyncBatch {
     scope: BatchScope,
@@ -151,7 +153,7 @@
         self.set_timer(settings, context);
     }
 
-    /// The next step of the present batch, or the next task.
+    /// Runs the next step of the present batch, or starts the next task.
     pub fn on_timer(&mut self, parts: &mut SyncParts<'_>, context: &mut Context<'_>) {
         self.timer_is_set = false;
         match self.batch.take() {
@@ -166,7 +168,7 @@
         self.set_timer(parts.settings, context);
     }
 
-    /// A replica's list.
+    /// Handles a replica's list.
     pub fn on_list_reply(&mut self, from: &Member, epoch: u64, reply: ListReply, parts: &mut SyncParts<'_>) {
         let Some(SyncBatch { scope, phase: BatchPhase::Listing(listing) }) = &mut self.batch else {
             return;
@@ -182,7 +184,7 @@
         }
     }
 
-    /// A read of the synchronisation was answered; one that failed is repeated after a pause.
+    /// Handles the response to a read of the synchronisation; a failed read is repeated after a pause.
     pub fn on_response(&mut self, key: &RecordKey, response: &Response, now: Ms, parts: &mut SyncParts<'_>) {
         let Some(SyncBatch { phase: BatchPhase::Reading(reading), .. }) = &mut self.batch else { return };
         let Some(ballot) = reading.in_flight.remove(key) else { return };
@@ -240,7 +242,7 @@
         self.start_reading_if_listed(parts.proposer);
     }
 
-    /// Retransmits the list requests; after a while the task is queued again behind the others.
+    /// Retransmits the list requests; after a timeout the task is queued again after the others.
     fn continue_listing(
         &mut self,
         scope: BatchScope,
@@ -249,7 +251,7 @@
         context: &mut Context<'_>,
     ) {
         let interval = parts.settings.retransmit_interval_ms;
-        if context.now < listing.started_at + PATIENCE_INTERVALS * interval {
+        if context.now < listing.started_at + TIMEOUT_INTERVALS * interval {
             if context.now >= listing.sent_at + interval {
                 listing.sent_at = context.now;
                 request_lists(&scope, &listing, parts, context);
@@ -266,7 +268,7 @@
         self.start_next_task(parts, context);
     }
 
-    /// Starts further reads; after the last one, the next batch or task.
+    /// Starts further reads, or after the last one the next batch or task.
     fn continue_reading(
         &mut self,
         scope: BatchScope,
@@ -291,7 +293,7 @@
         self.start_next_task(parts, context);
     }
 
-    /// Once enough replicas have replied, starts reading up to the first key at which a list breaks off.
+    /// Once enough replicas have replied, starts reading up to the first key at which a list is truncated.
     fn start_reading_if_listed(&mut self, proposer: &mut Proposer) {
         let Some(SyncBatch { phase, .. }) = &mut self.batch else { return };
         let BatchPhase::Listing(listing) = &*phase else { return };
@@ -356,7 +358,7 @@
             continue;
         }
         reading.in_flight.insert(key, ballot);
-        let timeout = PATIENCE_INTERVALS * parts.settings.retransmit_interval_ms;
+        let timeout = TIMEOUT_INTERVALS * parts.settings.retransmit_interval_ms;
         let read = PendingRequest::new(Origin::ReplicaSync, key, Change::Read, context.now, timeout);
         parts.proposer.start(read, context);
     }
--- a/crates/registers/src/request.rs
+++ b/crates/registers/src/request.rs
@@ -18,12 +18,12 @@
     ReplicaSync,
 }
 
-/// What a message asks of its replica.
+/// What a message is sent for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// It prepares, or makes the present record durable.
+    /// To prepare, or to make the present record durable.
     Recover,
-    /// It carries the request's change.
+    /// To propose the request's change.
     Propose,
 }
 
@@ -35,7 +35,7 @@
     pub purpose: Purpose,
 }
 
-/// The messages of a request that may have been written: those of the present round, and all that carry the change.
+/// The messages of a request that may have been written: those of the present round, and all that contain the change.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SentMessages {
     by_sequence: BTreeMap<u32, SentMessage>,
@@ -67,18 +67,18 @@
         self.by_sequence.values().any(|m| m.to == message.to && m.ballot == message.ballot)
     }
 
-    /// Forgets the messages of the last round; those that carry the change may still arrive.
+    /// Removes the messages of the last round, except for those that contain the change, which may still arrive.
     pub fn start_round(&mut self) {
         self.by_sequence.retain(|_, message| message.purpose == Purpose::Propose);
     }
 
-    /// True if no replica can have the change: no message that carries it was ever written.
+    /// True if no replica can have the change, because no message that contains it was ever written.
     pub fn never_proposed(&self) -> bool {
         !self.proposed_locally && self.by_sequence.values().all(|m| m.purpose != Purpose::Propose)
     }
 }
 
-/// A request that is not completed.
+/// A request that is not complete yet.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
     pub origin: Origin,
--- a/crates/registers/src/round.rs
+++ b/crates/registers/src/round.rs
@@ -29,8 +29,11 @@
 /// A replica's vote in the present phase.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Vote {
+    /// The replica has promised the ballot; with the value that it has accepted before.
     Promised(Option<AcceptedValue>),
+    /// The replica has accepted the value.
     Accepted,
+    /// The replica has rejected the request.
     Rejected(RejectReason),
     /// The replica is unreachable.
     Unreachable,
@@ -45,7 +48,7 @@
         }
     }
 
-    /// True if asking the replica again by the same ballot can't change its vote.
+    /// True if another message of the same ballot can't change the replica's vote.
     pub fn is_final(&self) -> bool {
         self.is_granted() || matches!(self, Self::Rejected(RejectReason::BallotTooOld(_)))
     }
@@ -119,7 +122,7 @@
         Some(HighestAccepted { accepted: highest.clone(), is_chosen })
     }
 
-    /// The accepted value that a replica has promised with.
+    /// The accepted value that a replica has reported with its promise.
     fn accepted_by(&self, member: &Member) -> Option<&AcceptedValue> {
         match self.votes.get(member) {
             Some(Vote::Promised(accepted)) => accepted.as_ref(),
--- a/crates/registers/src/settings.rs
+++ b/crates/registers/src/settings.rs
@@ -3,25 +3,26 @@
 /// The settings of the registers. Spans are measured on each replica's own monotonic clock; safety depends on none of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Requests open at once, those of expiry and replica synchronisation included.
+    /// The most open requests, those of expiry and replica synchronisation included.
     pub max_open_requests: usize,
-    /// Registers stored by this replica.
+    /// The most registers stored by this replica.
     pub max_registers: usize,
-    /// Memory of the registers stored by this replica, by estimate.
+    /// The most estimated memory of the registers stored by this replica.
     pub max_bytes: usize,
     /// The longest response body stored with an outcome; a longer one is omitted.
     pub max_outcome_bytes: usize,
     /// The longest message; longer ones are neither sent nor read.
     pub max_message_bytes: usize,
-    /// Replies that may wait for the disk at once; beyond, the replica rejects requests.
+    /// The most replies that wait for the disk; above that, the replica rejects requests.
     pub max_pending_replies: usize,
-    /// Registers whose next change skips the prepare phase; the oldest are evicted. 0 disables it.
+    /// The most registers whose next change skips the prepare phase; the oldest are evicted. 0 disables this.
     pub max_prepared: usize,
     /// The interval after which messages without a reply are sent again.
     pub retransmit_interval_ms: f64,
-    /// Base of the exponential backoff after contention; the first one is retried at once. Jitter takes half to the whole.
+    /// Base of the exponential backoff after contention; the first contention is retried at once. Jitter multiplies
+    /// each backoff by 0.5 to 1.
     pub min_backoff_ms: f64,
-    /// Rounds for one request.
+    /// The most rounds of one request.
     pub max_attempts: u32,
     /// The least Retry-After.
     pub min_retry_after_ms: f64,
@@ -41,9 +42,9 @@
     pub expiry_stagger_ms: f64,
     /// The interval of the expiry scan.
     pub expiry_interval_ms: f64,
-    /// Records that one scan expires or removes at most.
+    /// The most records that one scan expires or removes.
     pub expiry_batch: usize,
-    /// Registers that a replica synchronises at once.
+    /// The most registers that a replica synchronises at the same time.
     pub sync_batch: usize,
     /// The pause between two steps of the synchronisation.
     pub sync_pause_ms: f64,
@@ -62,7 +63,7 @@
 }
 
 impl Settings {
-    /// For some hundreds of routers, with rounds of a few milliseconds.
+    /// The settings for some hundreds of routers, with rounds of a few milliseconds.
     pub fn standard() -> Self {
         Self {
             max_open_requests: 4_096,
--- a/crates/registers/src/token.rs
+++ b/crates/registers/src/token.rs
@@ -6,10 +6,10 @@
 /// The timer of the replica synchronisation.
 pub(crate) const SYNC_TIMER: u64 = 1;
 
-/// Bits of the sequence number.
+/// Bits of the sequence number in a token.
 const SEQUENCE_BITS: u32 = 24;
 
-/// A timer or message of a request. Ids of requests start at 1, so their tokens are above those of the timers above.
+/// A timer or message of a request. Ids of requests start at 1, so that their tokens are greater than [`EXPIRY_TIMER`] and [`SYNC_TIMER`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Token {
     pub request_id: u64,
--- a/crates/registers/src/transition.rs
+++ b/crates/registers/src/transition.rs
@@ -1,7 +1,7 @@
 //! The state machine of records: which change applies to which record, and the record that results.
 //!
-//! A pure function of the present record and the change. Records only move forward: an execution is completed, or its outcome unknown, for
-//! good; terms, serials and purge times only grow; missing parts only shrink. A tombstone is final, except that a purge may be stored anew.
+//! A pure function of the present record and the change. Records only move forward: an execution that is completed, or whose outcome is
+//! unknown, remains so; terms, serials and purge times only grow; missing parts only shrink. A tombstone is final, except that a purge may be stored anew.
 
 use crate::{Change, Kind, Record};
 use basaltgw_types::Member;
--- a/crates/registers/src/value.rs
+++ b/crates/registers/src/value.rs
@@ -1,12 +1,13 @@
 //! The replicated value: a record with the ballots of the changes that led to it.
 //!
-//! A proposer that lost the replies to its accept messages finds its ballot among them, and so knows whether its change was made.
+//! A proposer that did not receive the replies to its accept messages looks for its ballot among them, and so learns whether its change was
+//! made.
 
 use crate::ballot::Ballot;
 use crate::Record;
 use serde::{Deserialize, Serialize};
 
-/// Changes that a value lists; older ones are dropped.
+/// The most changes that a value lists; older ones are dropped.
 const MAX_LISTED_CHANGES: usize = 6;
 
 /// A record, and the ballots of the latest changes that led to it, the latest first.
