--- a/crates/storage/src/checksum.rs
+++ b/crates/storage/src/checksum.rs
@@ -1,4 +1,4 @@
-//! Checksums, and the distance that tells corruption from another kind of file.
+//! Checksums, and the bit distance by which a corrupted file is distinguished from another kind of file.
 
 /// Bytes of a checksum: 128 bits of BLAKE3.
 pub const CHECKSUM_BYTES: usize = 16;
--- a/crates/storage/src/database.rs
+++ b/crates/storage/src/database.rs
@@ -10,17 +10,17 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-/// The longest key: redb compares keys in each step of a search.
+/// The longest key. It is bounded because redb compares keys in each step of a search.
 pub const MAX_KEY_BYTES: usize = 4096;
 
-/// Key: the space's number and the key. Value: the checksum and the value.
+/// The table of entries. Key: the space's number and the key. Value: the checksum and the value.
 const ENTRIES: TableDefinition<&[u8], &[u8]> = TableDefinition::new("entries");
-/// One row: the summary of the last commit.
+/// A table of one row: the summary of the last commit.
 const SUMMARY: TableDefinition<u8, &[u8]> = TableDefinition::new("tally");
 const SUMMARY_KEY: u8 = 0;
 /// The start of a redb file.
 const MAGIC: [u8; 9] = [b'r', b'e', b'd', b'b', 0x1A, 0x0A, 0xA9, 0x0D, 0x0A];
-/// Pages cached in memory: callers cache what they need themselves.
+/// Bytes of pages cached in memory. The cache is small, since callers cache what they need themselves.
 const CACHE_BYTES: usize = 8 << 20;
 
 /// An entry as it is stored; its checksum matches.
@@ -188,7 +188,7 @@
     }
 }
 
-/// Applies a write to the table and to the summary. The inner error: the entry that it replaces is corrupted.
+/// Applies a write to the table and to the summary. The inner error means that the replaced entry is corrupted.
 fn apply(
     table: &mut redb::Table<'_, &'static [u8], &'static [u8]>,
     write: &Write,
@@ -237,7 +237,7 @@
     builder
 }
 
-/// Tells from the first bytes of a file whether it is a database, a truncated or corrupted one, or something else.
+/// Checks the first bytes of a file: it is a database, a truncated or corrupted one, or something else.
 fn check_magic(path: &Path) -> Result<(), StorageError> {
     let start = read_start(path)?;
     if start.len() < MAGIC.len() || start.iter().all(|b| *b == 0) {
@@ -262,7 +262,7 @@
     Ok(start)
 }
 
-/// Calls redb. A page that no commit wrote is reported as corruption, also where redb panics on it.
+/// Calls redb, and converts its errors. A page that no commit wrote is reported as corruption, also where redb panics on it.
 fn call_redb<T>(path: &Path, call: impl FnOnce() -> Result<T, redb::Error>) -> Result<T, StorageError> {
     let panicked = |_| Err(redb::Error::Corrupted("a page that no commit wrote".into()));
     let result = catch_unwind(AssertUnwindSafe(call)).unwrap_or_else(panicked);
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a store.
+//! The errors of a store.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
     UnsupportedVersion {
         /// The file.
         path: PathBuf,
-        /// Its format.
+        /// The format of the file.
         found: u16,
         /// The latest format that this version supports.
         supported: u16,
@@ -48,7 +48,7 @@
     },
     /// The disk is full, read-only or failing. What was stored can still be read; the next commit tries again.
     ///
-    /// The batch of a commit that failed like this is stored completely or not at all; only reading tells which.
+    /// The batch of a commit that failed with this error is stored completely or not at all; which of the two can be found by reading only.
     #[error("{}: disk I/O failed: {details}", path.display())]
     Io {
         /// The file.
@@ -71,7 +71,7 @@
 }
 
 impl StorageError {
-    /// An error of the system, whatever its kind: nothing was acknowledged.
+    /// An I/O error of the system, of any kind: nothing was acknowledged.
     pub(crate) fn io(path: &Path, error: &io::Error) -> Self {
         Self::Io { path: path.into(), kind: error.kind(), details: error.to_string() }
     }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,7 +1,7 @@
 //! Durable storage: key spaces that are changed by atomic batches.
 //!
 //! One thread owns a [`Store`] and waits for the disk. A folder has one [`basaltgw_types::Incarnation`], assigned when it was empty. Files that
-//! are truncated, corrupted, foreign or of a later version are told apart by [`StorageError`], and never read as if they were intact.
+//! are truncated, corrupted, foreign or of a later version are never read as if they were intact: [`StorageError`] has a variant for each.
 //!
 //! | in the folder | content |
 //! | --- | --- |
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -9,6 +9,7 @@
 use std::io::{BufWriter, Write as _};
 use std::path::{Path, PathBuf};
 
+/// The start of a snapshot file.
 const MAGIC: [u8; 8] = *b"BGWCOPY1";
 /// Bytes of the BLAKE3 hash at the end.
 const HASH_BYTES: usize = 32;
@@ -35,7 +36,7 @@
     pub entries: Vec<SnapshotEntry>,
 }
 
-/// Writes a snapshot, and removes the oldest ones beyond `keep`.
+/// Writes a snapshot, and removes the oldest ones except for the latest `keep`.
 pub fn write(
     folder: &Path,
     database: &Database,
@@ -90,7 +91,7 @@
 /// Reads a snapshot.
 ///
 /// # Errors
-/// [`StorageError::Foreign`] if it is no snapshot, [`StorageError::Truncated`] if it ends too early, [`StorageError::Corrupted`] if its hash
+/// [`StorageError::Foreign`] if the file is not a snapshot, [`StorageError::Truncated`] if it ends too early, [`StorageError::Corrupted`] if its hash
 /// does not match, [`StorageError::Io`] if it can't be read.
 pub fn read_snapshot(path: &Path) -> Result<Snapshot, StorageError> {
     let bytes = std::fs::read(path).map_err(|e| StorageError::io(path, &e))?;
@@ -125,7 +126,7 @@
     rest.is_empty().then_some(Snapshot { incarnation, commits, entries })
 }
 
-/// Takes a part with its length in front.
+/// Takes a part that is preceded by its length.
 fn take_part<'a>(rest: &mut &'a [u8]) -> Option<&'a [u8]> {
     let length = usize::try_from(u64::from_le_bytes(*take_array(rest)?)).ok()?;
     let (part, after) = rest.split_at_checked(length)?;
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -11,14 +11,14 @@
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 
-/// Quarantined stores that a folder may contain; an operator removes them after an analysis.
+/// The most quarantined stores in a folder; an operator removes them after an analysis.
 pub const MAX_QUARANTINED: usize = 16;
 
 /// Whether the database accepts commits.
 #[derive(Debug)]
 enum DatabaseState {
     Writable(Database),
-    /// A commit failed: the database is closed until the next one. Reads use a copy in memory, made by the first of them.
+    /// A commit failed: the database is closed until the next commit. Reads use a copy in memory, which the first read makes.
     ReadOnly(Option<Database>),
 }
 
@@ -32,7 +32,7 @@
 /// An open store. Its folder is locked until it is dropped.
 #[derive(Debug)]
 pub struct Store {
-    // Dropped first: the database is closed before the folder is unlocked.
+    // Declared first, and so dropped first: the database is closed before the folder is unlocked.
     state: RefCell<DatabaseState>,
     superblock: Superblock,
     summary: CommitSummary,
@@ -46,7 +46,7 @@
     /// `random_bits`, which must never have been used before. All entries are read once and verified.
     ///
     /// # Errors
-    /// [`StorageError`] tells what was found. Nothing is repaired, and no older version is used instead: see [`Store::quarantine`].
+    /// A [`StorageError`] with what was found. Nothing is repaired, and no older version is used instead: see [`Store::quarantine`].
     pub fn open(
         folder: &Path,
         limits: Limits,
@@ -218,7 +218,7 @@
 fn create(folder: &Path, incarnation: Incarnation) -> Result<(), StorageError> {
     let new = folder.join("new");
     let io_error = |e| StorageError::io(&new, &e);
-    // Left by a process that ended before it acknowledged anything.
+    // The folder is of a process that ended before it acknowledged anything.
     if new.exists() {
         std::fs::remove_dir_all(&new).map_err(io_error)?;
     }
@@ -251,7 +251,7 @@
     Ok(OpenedStore { superblock, database, summary })
 }
 
-/// A truncated file looks corrupted to the database; only its length tells the difference.
+/// Reports a corrupted database file as truncated if it is shorter than at the last acknowledged commit: the database can't distinguish the two.
 fn truncated_if_shorter(error: StorageError, found_bytes: u64, superblock: &Superblock) -> StorageError {
     match (error, superblock.latest()) {
         (StorageError::Corrupted { path, details }, Some(mark)) if found_bytes < mark.database_bytes => {
--- a/crates/storage/src/superblock.rs
+++ b/crates/storage/src/superblock.rs
@@ -14,23 +14,24 @@
 /// The version of the format; later ones are rejected.
 pub const FORMAT: u16 = 1;
 
-/// No disk writes less than a sector, and no two blocks share a memory page.
+/// The size of a block: no disk writes less than a sector, and no two blocks share a memory page.
 const BLOCK_BYTES: usize = 4096;
-/// A header and two marks.
+/// The size of the file: a header and two marks.
 const FILE_BYTES: usize = 3 * BLOCK_BYTES;
 /// The start of the header.
 const MAGIC: [u8; 8] = *b"BGWLIFE\n";
 
-/// How far a store was acknowledged.
+/// An acknowledged commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommitMark {
     /// Commits so far.
     pub commits: u64,
-    /// The length of the database file then. It may have changed since; it only tells truncation from corruption.
+    /// The length of the database file after the commit. The file may have grown or shrunk since, so the length only serves to distinguish
+    /// truncation from corruption.
     pub database_bytes: u64,
 }
 
-/// The open file.
+/// The open superblock file.
 #[derive(Debug)]
 pub struct Superblock {
     file: File,
@@ -80,9 +81,9 @@
         self.marks.iter().flatten().max_by_key(|m| m.commits).copied()
     }
 
-    /// Checks that a database with so many commits has all that were acknowledged.
+    /// Checks that a database with this number of commits has all that were acknowledged.
     ///
-    /// It may have one commit more than the mark, if the process ended between the two. If only one mark is intact, the other was being
+    /// The database may have one commit more than the mark, if the process ended between the two writes. If only one mark is intact, the other was being
     /// written or was corrupted since; in both cases the database had one commit more when that write began.
     ///
     /// # Errors
@@ -140,7 +141,7 @@
     (slot + 1) * BLOCK_BYTES
 }
 
-/// Reads the file, and tells a truncated or foreign one.
+/// Reads the file; a truncated or foreign one is an error.
 fn read_blocks(file: &File, path: &Path) -> Result<Vec<u8>, StorageError> {
     let io_error = |e| StorageError::io(path, &e);
     let length = file.metadata().map_err(io_error)?.len();
@@ -161,7 +162,7 @@
     Ok(bytes)
 }
 
-/// The incarnation in the header.
+/// Decodes the header, which consists of [`MAGIC`], the format and the incarnation; returns the incarnation.
 fn decode_header(bytes: &[u8], path: &Path) -> Result<Incarnation, StorageError> {
     let header = bytes.get(..BLOCK_BYTES).and_then(decode_block);
     let header = header.ok_or_else(|| StorageError::corrupted(path, "the header's checksum"))?;
