--- a/crates/experiments/tests/capacity_page.rs
+++ b/crates/experiments/tests/capacity_page.rs
@@ -1,4 +1,4 @@
-//! The page on capacity and the measured tables say the same; and a page that does not is caught.
+//! Tests of the command `page`: the page on capacity agrees with the measured tables, and a page that does not agree is rejected.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -14,44 +14,51 @@
     servers listed,list_held,bytes,n log n,1168,7.095000e2,3.400000e-2,yes,64,2048,1156,821350,,6\n\
     caches,idle_core,cores,square,1,2,2.500000e-1,no,50,1100,1100,0.5,,6\n\
     routers,log_sent,bytes/s,none,,,,no,,,4300,,,5\n";
-const REAL: &str = "run,routers,purges_per_s,commit,beat_ms,cpu_percent,memory_mb,commits_per_s\n\
+const PROCESSES: &str = "run,routers,purges_per_s,commit,beat_ms,cpu_percent,memory_mb,commits_per_s\n\
     4,3,10,23fada9,79.1800,2.6831,12.8906,27.0378\n\
     4,3,100,1234567,56.3800,12.2083,14.6081,\n";
 
-fn lab(args: &[&Path]) -> (Option<i32>, String, String) {
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_basaltgw-experiments"));
-    let out = lab.arg("page").args(args).output().expect("a process");
+/// How a process ended, and what it printed.
+struct ProcessOutput {
+    code: Option<i32>,
+    stdout: String,
+    stderr: String,
+}
+
+fn run_page_command(page: &Path, tables: &Path) -> ProcessOutput {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_basaltgw-experiments"));
+    let output = command.arg("page").args([page, tables]).output().expect("the program starts");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    (out.status.code(), text(&out.stdout), text(&out.stderr))
+    ProcessOutput { code: output.status.code(), stdout: text(&output.stdout), stderr: text(&output.stderr) }
 }
 
-/// A page of that text beside the tables above.
+/// A directory with a page of this text and the tables above.
 struct Page(TempDir);
 
 impl Page {
     fn new(text: &str) -> Self {
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("a temporary directory");
         for (name, text) in [("page.md", text), ("capacity.csv", POINTS), ("capacity-fits.csv", FITS)] {
-            std::fs::write(dir.path().join(name), text).expect("a file");
+            std::fs::write(dir.path().join(name), text).expect("the file is written");
         }
         Self(dir)
     }
 
-    fn held(&self) -> (Option<i32>, String, String) {
-        lab(&[&self.0.path().join("page.md"), self.0.path()])
+    fn check(&self) -> ProcessOutput {
+        run_page_command(&self.0.path().join("page.md"), self.0.path())
     }
 }
 
 #[test]
-fn the_page_says_what_was_measured() {
+fn the_page_on_capacity_agrees_with_the_tables() {
     let root: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let (code, said, wrong) = lab(&[&root.join("docs/CAPACITY.md"), &root.join("results")]);
-    assert_eq!(code, Some(0), "{said}{wrong}");
+    let output = run_page_command(&root.join("docs/CAPACITY.md"), &root.join("results"));
+    assert_eq!(output.code, Some(0), "{}{}", output.stdout, output.stderr);
 }
 
 #[test]
-fn figures_count_as_they_are_rounded() {
-    for said in [
+fn rounded_figures_agree() {
+    for text in [
         "It sends 12,470,000<!--m: log_sent routers=4300--> bytes a second.",
         "| 12.47 MB/s<!--m: log_sent routers=4300--> | 18.3 µs<!--m: decision_us caches=1100--> |",
         "sends 12.5 million<!--m:log_sent routers=4300-->, for 62%<!--m: share caches=1100-->",
@@ -62,14 +69,14 @@
         "12,500,000<!--m: log_sent routers=4300--> or 0.6<!--m: share caches=1100-->",
         "the curve is square<!--m: idle_core caches:form-->",
     ] {
-        let (code, told, wrong) = Page::new(said).held();
-        assert_eq!(code, Some(0), "{said}\n{told}{wrong}");
+        let output = Page::new(text).check();
+        assert_eq!(output.code, Some(0), "{text}\n{}{}", output.stdout, output.stderr);
     }
 }
 
 #[test]
-fn a_wrong_figure_is_caught() {
-    for said in [
+fn wrong_figures_are_reported_with_their_line() {
+    for text in [
         "It sends 12,480,000<!--m: log_sent routers=4300--> bytes a second.",
         "12.4 MB/s<!--m: log_sent routers=4300-->",
         "12.47 KB/s<!--m: log_sent routers=4300-->",
@@ -81,67 +88,67 @@
         "no number<!--m: share caches=1100-->",
         "18.3<!--m: decision_us caches=1100--> and 63%<!--m: share caches=1100-->",
     ] {
-        let (code, told, wrong) = Page::new(said).held();
-        assert_eq!(code, Some(1), "{said}\n{told}{wrong}");
-        assert!(told.contains("page.md: line 1: "), "{told}");
+        let output = Page::new(text).check();
+        assert_eq!(output.code, Some(1), "{text}\n{}{}", output.stdout, output.stderr);
+        assert!(output.stdout.contains("page.md: line 1: "), "{}", output.stdout);
     }
-    let (_, told, _) = Page::new("\n\n18.4 µs<!--m: decision_us caches=1100-->").held();
-    assert!(told.contains("line 3: decision_us caches=1100 is 18.3421, the page says 18.4"), "{told}");
-    assert!(told.ends_with("page: 0 of 1 figures agree\n"), "{told}");
+    let stdout = Page::new("\n\n18.4 µs<!--m: decision_us caches=1100-->").check().stdout;
+    assert!(stdout.contains("line 3: decision_us caches=1100 is 18.3421, the page says 18.4"), "{stdout}");
+    assert!(stdout.ends_with("page: 0 of 1 figures agree\n"), "{stdout}");
 }
 
 #[test]
-fn an_unknown_mark_and_a_curve_not_to_reckon_with_are_caught() {
-    for (mark, what) in [
+fn unknown_marks_and_unreliable_curves_are_reported() {
+    for (mark, message) in [
         ("log_sent routers=4301", "known: log_sent routers=4300"),
         ("log_send routers=4300", "no figure \"log_send\""),
         ("log_sent routers~4300", "known: log_sent routers=4300"),
         ("idle_core caches~1100", "not to be reckoned with"),
     ] {
-        let (code, told, _) = Page::new(&format!("12.47 MB<!--m: {mark}-->")).held();
-        assert!(code == Some(1) && told.contains(what), "{mark}: {told}");
+        let output = Page::new(&format!("12.47 MB<!--m: {mark}-->")).check();
+        assert!(output.code == Some(1) && output.stdout.contains(message), "{mark}: {}", output.stdout);
     }
-    let (code, told, _) = Page::new("12.47 MB<!--m: log_sent routers=4300").held();
-    assert!(code == Some(1) && told.contains("without its end"), "{told}");
+    let output = Page::new("12.47 MB<!--m: log_sent routers=4300").check();
+    assert!(output.code == Some(1) && output.stdout.contains("without its end"), "{}", output.stdout);
 }
 
 #[test]
-fn a_page_without_marks_and_bad_tables_are_bad_input() {
-    assert_eq!(Page::new("It sends 12 MB.").held().0, Some(2));
-    let good = "12.47 MB/s<!--m: log_sent routers=4300-->";
-    for (file, text, what) in [
+fn pages_without_marks_and_invalid_tables_are_rejected() {
+    assert_eq!(Page::new("It sends 12 MB.").check().code, Some(2));
+    let marked = "12.47 MB/s<!--m: log_sent routers=4300-->";
+    for (file, text, message) in [
         ("capacity.csv", "axis,x,figure\nrouters,1,a\n", "no column \"value\""),
         ("capacity.csv", "axis,x,figure,value\nrouters,1,a\n", "line 2: expected 4 cells, found 3"),
         ("capacity.csv", "axis,x,figure,value\nrouters,1,a,b\n", "expected a number, found \"b\""),
         ("capacity-fits.csv", "", "no column \"axis\""),
     ] {
-        let page = Page::new(good);
-        assert_eq!(page.held().0, Some(0));
-        std::fs::write(page.0.path().join(file), text).expect("a file");
-        let (code, _, said) = page.held();
-        assert!(code == Some(2) && said.contains(file) && said.contains(what), "{said}");
+        let page = Page::new(marked);
+        assert_eq!(page.check().code, Some(0));
+        std::fs::write(page.0.path().join(file), text).expect("the file is written");
+        let ProcessOutput { code, stderr, .. } = page.check();
+        assert!(code == Some(2) && stderr.contains(file) && stderr.contains(message), "{stderr}");
     }
-    let page = Page::new(good);
-    std::fs::remove_file(page.0.path().join("capacity-fits.csv")).expect("a file");
-    assert_eq!(page.held().0, Some(2));
+    let page = Page::new(marked);
+    std::fs::remove_file(page.0.path().join("capacity-fits.csv")).expect("the file is removed");
+    assert_eq!(page.check().code, Some(2));
 }
 
 #[test]
-fn figures_of_real_processes_are_held_and_blank_ones_not_known() {
-    let page = |text: &str, real: &str| {
+fn figures_of_router_processes_are_checked_and_empty_cells_are_unknown() {
+    let check = |text: &str, processes: &str| {
         let page = Page::new(text);
-        std::fs::write(page.0.path().join("capacity-real.csv"), real).expect("a file");
-        page.held()
+        std::fs::write(page.0.path().join("capacity-real.csv"), processes).expect("the file is written");
+        page.check()
     };
-    for said in [
+    for text in [
         "27.04<!--m: real commits_per_s run=4 purges=10--> commits a second",
         "| 79 ms<!--m: real beat_ms run=4 purges=10--> | 79.2<!--m: real beat_ms run=4 purges=10--> |",
         "12.2 %<!--m: real cpu_percent run=4 purges=100--> of a core, 14.6 MB<!--m: real memory_mb run=4 purges=100-->",
     ] {
-        let (code, told, wrong) = page(said, REAL);
-        assert_eq!(code, Some(0), "{said}\n{told}{wrong}");
+        let output = check(text, PROCESSES);
+        assert_eq!(output.code, Some(0), "{text}\n{}{}", output.stdout, output.stderr);
     }
-    for (said, what) in [
+    for (text, message) in [
         ("28.04<!--m: real commits_per_s run=4 purges=10-->", "is 27.0378, the page says 28.04"),
         ("79 MB<!--m: real beat_ms run=4 purges=10-->", "the page says"),
         ("12.2 KB<!--m: real cpu_percent run=4 purges=100-->", "the page says"),
@@ -149,26 +156,30 @@
         ("1234567<!--m: real commit run=4 purges=100-->", "no figure \"real commit\""),
         ("79 ms<!--m: real beat_ms run=5 purges=10-->", "known: real beat_ms run=4 purges=10, real beat_ms"),
     ] {
-        let (code, told, _) = page(said, REAL);
-        assert!(code == Some(1) && told.contains(what), "{said}: {told}");
+        let output = check(text, PROCESSES);
+        assert!(output.code == Some(1) && output.stdout.contains(message), "{text}: {}", output.stdout);
     }
-    let good = "27.04<!--m: real commits_per_s run=4 purges=10-->";
-    for (real, what) in [
-        (REAL.replace("4,3,100", "4,3,10"), "line 3: run 4 at 10 purges a second again"),
-        (REAL.replace("27.0378", "many"), "column commits_per_s: expected a number, found \"many\""),
-        (REAL.replace("run,", "runs,"), "no column \"run\""),
-        (REAL.replace("12.8906,", ""), "line 2: expected 8 cells, found 7"),
+    let marked = "27.04<!--m: real commits_per_s run=4 purges=10-->";
+    for (processes, message) in [
+        (PROCESSES.replace("4,3,100", "4,3,10"), "line 3: run 4 at 10 purges a second again"),
+        (PROCESSES.replace("27.0378", "many"), "column commits_per_s: expected a number, found \"many\""),
+        (PROCESSES.replace("run,", "runs,"), "no column \"run\""),
+        (PROCESSES.replace("12.8906,", ""), "line 2: expected 8 cells, found 7"),
     ] {
-        let (code, _, said) = page(good, &real);
-        assert!(code == Some(2) && said.contains("capacity-real.csv") && said.contains(what), "{said}");
+        let ProcessOutput { code, stderr, .. } = check(marked, &processes);
+        assert!(
+            code == Some(2) && stderr.contains("capacity-real.csv") && stderr.contains(message),
+            "{stderr}"
+        );
     }
-    assert_eq!(Page::new(good).held().0, Some(1));
+    assert_eq!(Page::new(marked).check().code, Some(1));
 }
 
 #[test]
-fn a_figure_in_milliseconds_is_one() {
+fn figures_with_the_unit_ms_agree_with_and_without_the_scale() {
     let page = Page::new("3,096.6 ms<!--m: last routers=60--> or 3,097<!--m: last routers=60-->");
     let points = format!("{POINTS}routers,60,last,3.096615e3,ms,simulated\n");
-    std::fs::write(page.0.path().join("capacity.csv"), points).expect("a file");
-    assert_eq!(page.held().0, Some(0), "{}", page.held().1);
+    std::fs::write(page.0.path().join("capacity.csv"), points).expect("the file is written");
+    let output = page.check();
+    assert_eq!(output.code, Some(0), "{}", output.stdout);
 }
