--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -1,232 +1,239 @@
-//! The control part's slopes: the real control parts of many routers in simulated time (`crates/fleet_simulation`), one axis at a time.
+//! Costs of the control plane in a mesh: the real control planes of many routers in simulated time (`crates/fleet_simulation`), along one axis
+//! at a time.
 
-use super::meter::grown;
+use super::figures::{self, figure, measured, simulated, RunFigure};
+use super::meter::retained_bytes;
+use super::parallel;
 use super::row::{Kind, Row};
-use super::side_by_side;
-use basaltgw_fleet_simulation::run::{Figures, Kind as Runs, Setup};
+use basaltgw_fleet_simulation::run::{Kind as RunKind, Setup};
 use basaltgw_fleet_simulation::world::ChangeLogReach;
 use serde::Deserialize;
 
-/// Sizes at which the control part is measured.
+/// The sizes at which the control plane is measured.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sizes {
-    /// Routers that are all linked to each other.
+    /// Routers of a mesh, in which each is linked to all others.
     pub mesh_routers: Vec<usize>,
-    /// Purges a second in a mesh.
+    /// Purges per second in a mesh.
     pub mesh_purges: Vec<usize>,
     /// Routers that end and start again while a mesh is measured.
     pub mesh_restarts: Vec<usize>,
-    /// Changes of the configuration a minute.
+    /// Changes of the configuration per minute.
     pub mesh_changes: Vec<usize>,
-    /// Routers as the runs of real processes have them.
+    /// Routers set up like those of the runs with router processes.
     pub as_processes: Vec<usize>,
-    /// Seconds that are measured.
+    /// Measured seconds.
     pub seconds: f64,
-    /// Seconds in which changes are made.
+    /// Measured seconds of runs with changes of the configuration.
     pub changes_seconds: f64,
 }
 
-/// Routers, and purges a second, where neither is the axis.
+/// Routers where another quantity is the axis.
 const ROUTERS: usize = 12;
-const PURGES: f64 = 10.0;
-
-/// Lines between regions on which founders hardly get in each other's way, ms one way, and the back-off of holds that goes with them, ms. On
-/// the default lines founders may quarrel for long, and what is measured then is their quarrel.
-const FAR_MS: (f64, f64) = (30.0, 60.0);
-/// See [`FAR_MS`].
-const BACK_OFF_MS: f64 = 150.0;
-/// On the default lines a mesh is to be founded within so many seconds.
-const FOUNDED_S: f64 = 20.0;
-
-/// A figure of a run that becomes a point: its name there, its name here, its unit, how it is come by.
-pub(super) type Named = (&'static str, &'static str, &'static str, Kind);
-
-/// Figures of a run that become points.
-const FIGURES: [Named; 9] = [
-    ("wire_bytes_mean", "mesh_wire", "bytes/s", Kind::Simulated),
-    ("wire_bytes_worst_second", "mesh_wire_worst_second", "bytes/s", Kind::Simulated),
-    ("state_bytes_most", "mesh_state", "bytes", Kind::Measured),
-    ("connections_most", "mesh_connections", "connections", Kind::Simulated),
-    ("commits_mean", "mesh_commits", "commits/s", Kind::Simulated),
-    ("cpu_ms_mean", "mesh_cpu", "ms/s", Kind::Measured),
-    ("everywhere_last_ms", "mesh_everywhere_last", "ms", Kind::Simulated),
-    ("lost", "mesh_lost", "purges", Kind::Simulated),
-    ("late", "mesh_late", "purges", Kind::Simulated),
+/// Purges per second where another quantity is the axis.
+const PURGES_PER_S: f64 = 10.0;
+
+/// One-way latency between regions at which founders rarely compete, ms. At the default latency founders may compete for a long time, and the
+/// run would measure their conflict.
+const LOW_CONFLICT_DELAY_MS: (f64, f64) = (30.0, 60.0);
+/// The back-off of the registers that goes with [`LOW_CONFLICT_DELAY_MS`], ms.
+const LOW_CONFLICT_BACKOFF_MS: f64 = 150.0;
+/// Time within which a mesh has to be founded at the default latency, s.
+const FOUNDING_LIMIT_S: f64 = 20.0;
+
+/// Figures of a mesh with purges.
+const FIGURES: [RunFigure; 9] = [
+    simulated("wire_bytes_mean", "mesh_wire", "bytes/s"),
+    simulated("wire_bytes_worst_second", "mesh_wire_worst_second", "bytes/s"),
+    measured("state_bytes_most", "mesh_state", "bytes"),
+    simulated("connections_most", "mesh_connections", "connections"),
+    simulated("commits_mean", "mesh_commits", "commits/s"),
+    measured("cpu_ms_mean", "mesh_cpu", "ms/s"),
+    simulated("everywhere_last_ms", "mesh_everywhere_last", "ms"),
+    simulated("lost", "mesh_lost", "purges"),
+    simulated("late", "mesh_late", "purges"),
 ];
 
-/// What becomes of a run: the axis, where on it, its figures, and whether the share of those founded is one of them.
-type Along = (&'static str, usize, &'static [Named], Option<&'static str>);
-
-/// What a mesh takes without any purge.
-const AT_REST: [Named; 4] = [
-    ("wire_bytes_mean", "mesh_rest_wire", "bytes/s", Kind::Simulated),
-    ("wire_bytes_worst_second", "mesh_rest_wire_worst_second", "bytes/s", Kind::Simulated),
-    ("commits_mean", "mesh_rest_commits", "commits/s", Kind::Simulated),
-    ("cpu_ms_mean", "mesh_rest_cpu", "ms/s", Kind::Measured),
+/// Figures of a mesh without purges.
+const IDLE_FIGURES: [RunFigure; 4] = [
+    simulated("wire_bytes_mean", "mesh_rest_wire", "bytes/s"),
+    simulated("wire_bytes_worst_second", "mesh_rest_wire_worst_second", "bytes/s"),
+    simulated("commits_mean", "mesh_rest_commits", "commits/s"),
+    measured("cpu_ms_mean", "mesh_rest_cpu", "ms/s"),
 ];
 
-/// What it takes with changes of the configuration, and how long it is until all go by each.
-const CHANGES: [Named; 8] = [
-    ("wire_bytes_mean", "mesh_changes_wire", "bytes/s", Kind::Simulated),
-    ("wire_bytes_worst_second", "mesh_changes_wire_worst_second", "bytes/s", Kind::Simulated),
-    ("commits_mean", "mesh_changes_commits", "commits/s", Kind::Simulated),
-    ("cpu_ms_mean", "mesh_changes_cpu", "ms/s", Kind::Measured),
-    ("changes", "mesh_changes", "changes", Kind::Simulated),
-    ("changes_lost", "mesh_changes_lost", "changes", Kind::Simulated),
-    ("changes_everywhere_median_ms", "mesh_changes_everywhere_median", "ms", Kind::Simulated),
-    ("changes_everywhere_last_ms", "mesh_changes_everywhere_last", "ms", Kind::Simulated),
+/// Figures of a mesh with changes of the configuration, among them the time until all routers use a change.
+const CHANGE_FIGURES: [RunFigure; 8] = [
+    simulated("wire_bytes_mean", "mesh_changes_wire", "bytes/s"),
+    simulated("wire_bytes_worst_second", "mesh_changes_wire_worst_second", "bytes/s"),
+    simulated("commits_mean", "mesh_changes_commits", "commits/s"),
+    measured("cpu_ms_mean", "mesh_changes_cpu", "ms/s"),
+    simulated("changes", "mesh_changes", "changes"),
+    simulated("changes_lost", "mesh_changes_lost", "changes"),
+    simulated("changes_everywhere_median_ms", "mesh_changes_everywhere_median", "ms"),
+    simulated("changes_everywhere_last_ms", "mesh_changes_everywhere_last", "ms"),
 ];
-/// Changes a minute where routers are the axis.
-const CHANGES_A_MINUTE: f64 = 10.0;
-
-/// What is held against real processes.
-const LIKE_REAL: [Named; 4] = [
-    ("wire_out_mean", "hollow_bytes_out", "bytes/s", Kind::Simulated),
-    ("frames_out_mean", "hollow_frames_out", "frames/s", Kind::Simulated),
-    ("commits_mean", "hollow_commits", "commits/s", Kind::Simulated),
-    ("words", "hollow_words", "purges", Kind::Simulated),
+/// Changes of the configuration per minute where routers are the axis.
+const CHANGES_PER_MINUTE: f64 = 10.0;
+
+/// Figures that are compared with those of router processes.
+const PROCESS_FIGURES: [RunFigure; 4] = [
+    simulated("wire_out_mean", "hollow_bytes_out", "bytes/s"),
+    simulated("frames_out_mean", "hollow_frames_out", "frames/s"),
+    simulated("commits_mean", "hollow_commits", "commits/s"),
+    simulated("words", "hollow_words", "purges"),
 ];
-/// Rates of purges a second and the axes of routers on which they are, in a mesh and with the overlay's few links.
-const AS_PROCESSES: [(f64, [&str; 2]); 4] = [
-    (0.0, ["hollow routers at rest", "hollow overlay routers at rest"]),
-    (10.0, ["hollow routers at 10 purges a second", "hollow overlay routers at 10 purges a second"]),
-    (50.0, ["hollow routers at 50 purges a second", "hollow overlay routers at 50 purges a second"]),
-    (100.0, ["hollow routers at 100 purges a second", "hollow overlay routers at 100 purges a second"]),
+
+/// A rate of purges at which simulated routers are compared with router processes, and the axes of its rows.
+struct ProcessRate {
+    purges_per_s: f64,
+    mesh_axis: &'static str,
+    overlay_axis: &'static str,
+}
+
+const PROCESS_RATES: [ProcessRate; 4] = [
+    ProcessRate {
+        purges_per_s: 0.0,
+        mesh_axis: "hollow routers at rest",
+        overlay_axis: "hollow overlay routers at rest",
+    },
+    ProcessRate {
+        purges_per_s: 10.0,
+        mesh_axis: "hollow routers at 10 purges a second",
+        overlay_axis: "hollow overlay routers at 10 purges a second",
+    },
+    ProcessRate {
+        purges_per_s: 50.0,
+        mesh_axis: "hollow routers at 50 purges a second",
+        overlay_axis: "hollow overlay routers at 50 purges a second",
+    },
+    ProcessRate {
+        purges_per_s: 100.0,
+        mesh_axis: "hollow routers at 100 purges a second",
+        overlay_axis: "hollow overlay routers at 100 purges a second",
+    },
 ];
-/// When feeds look is drawn, so a point is the mean of as many runs.
-const DRAWS: u64 = 8;
-/// Seconds of a window of theirs, the change log's time from look to look, a way on loopback, and a commit of the store, ms.
-const PROCESSES_S: f64 = 6.0;
-/// See [`PROCESSES_S`].
-const LOOK_MS: f64 = 50.0;
-/// See [`PROCESSES_S`].
-const LOOPBACK_MS: (f64, f64) = (0.02, 0.1);
-/// See [`PROCESSES_S`].
-const COMMIT_MS: (f64, f64) = (0.4, 5.0);
-
-/// Its points.
-pub fn rows(sizes: &Sizes, seed: u64) -> Result<Vec<Row>, String> {
-    let (along, setups): (Vec<Along>, Vec<Setup>) = slopes(sizes, seed).into_iter().unzip();
-    let mut rows = Vec::new();
-    for ((axis, x, names, founded), figures) in along.into_iter().zip(side_by_side::all(&setups)?) {
-        rows.extend(named((axis, x), &figures, names)?);
-        if let Some(name) = founded {
-            let value = figure(&figures, "founded")? / figure(&figures, "routers")?;
-            rows.push(Row::new((axis, x as f64), (name, value, "share"), Kind::Simulated));
-        }
-    }
-    Ok(means(rows))
+/// Seeds of each point that is compared with processes: the polling times of change logs are random, so a point is the mean of these runs.
+const PROCESS_SEEDS: u64 = 8;
+/// Seconds of a measurement of router processes.
+const PROCESS_MEASURED_S: f64 = 6.0;
+/// Polling interval of the change log of router processes, ms.
+const PROCESS_POLL_INTERVAL_MS: f64 = 50.0;
+/// One-way latency on loopback, ms.
+const LOOPBACK_DELAY_MS: (f64, f64) = (0.02, 0.1);
+/// Time of a commit of the store of router processes, ms.
+const PROCESS_COMMIT_MS: (f64, f64) = (0.4, 5.0);
+
+/// A run, and its rows.
+struct Measurement {
+    setup: Setup,
+    axis: &'static str,
+    x: usize,
+    figures: &'static [RunFigure],
+    /// The name of the share of routers with a table, if it becomes a row.
+    founded_share: Option<&'static str>,
 }
 
-/// Points that were found several times become their mean.
-fn means(rows: Vec<Row>) -> Vec<Row> {
-    let mut all: Vec<(Row, f64)> = Vec::new();
-    for row in rows {
-        match all.iter_mut().find(|(r, _)| (r.axis, r.x, r.figure) == (row.axis, row.x, row.figure)) {
-            Some((mean, many)) => {
-                *many += 1.0;
-                mean.value += (row.value - mean.value) / *many;
-            }
-            None => all.push((row, 1.0)),
+/// Returns the rows of all runs.
+pub fn rows(sizes: &Sizes, seed: u64) -> Result<Vec<Row>, String> {
+    let measurements = measurements(sizes, seed);
+    let setups: Vec<Setup> = measurements.iter().map(|m| m.setup.clone()).collect();
+    let mut rows = Vec::new();
+    for (measurement, run) in measurements.iter().zip(parallel::run_all(&setups)?) {
+        let Measurement { axis, x, figures, founded_share, .. } = *measurement;
+        rows.extend(figures::rows(axis, x, &run, figures)?);
+        if let Some(name) = founded_share {
+            let share = figure(&run, "founded")? / figure(&run, "routers")?;
+            rows.push(Row::new((axis, x as f64), (name, share, "share"), Kind::Simulated));
         }
     }
-    all.into_iter().map(|(row, _)| row).collect()
+    Ok(figures::means(rows))
 }
 
-/// A quiet mesh, founded before anything is measured.
-fn quiet(sizes: &Sizes, routers: usize, seed: u64) -> Setup {
+/// Returns the setup of a mesh that is founded before the measurement begins.
+fn founded_mesh(sizes: &Sizes, routers: usize, seed: u64) -> Setup {
     let mut setup = Setup::mesh(routers, seed);
-    (setup.purges_per_s, setup.measured_s, setup.measure_cpu) = (PURGES, sizes.seconds, true);
-    setup.allocation_meter = Some(grown);
-    setup.network.inter_region_delay_ms = FAR_MS;
-    if let Runs::Mesh(mesh) = &mut setup.kind {
-        mesh.registers.min_backoff_ms = BACK_OFF_MS;
+    (setup.purges_per_s, setup.measured_s, setup.measure_cpu) = (PURGES_PER_S, sizes.seconds, true);
+    setup.allocation_meter = Some(retained_bytes);
+    setup.network.inter_region_delay_ms = LOW_CONFLICT_DELAY_MS;
+    if let RunKind::Mesh(mesh) = &mut setup.kind {
+        mesh.registers.min_backoff_ms = LOW_CONFLICT_BACKOFF_MS;
     }
     setup
 }
 
-fn slopes(sizes: &Sizes, seed: u64) -> Vec<(Along, Setup)> {
-    let of = |routers: usize| quiet(sizes, routers, seed);
-    let founded = Some("mesh_founded");
-    let mut all: Vec<(Along, Setup)> = Vec::new();
+fn measurements(sizes: &Sizes, seed: u64) -> Vec<Measurement> {
+    let mesh = |routers: usize| founded_mesh(sizes, routers, seed);
+    let founded_share = Some("mesh_founded");
+    let mut all = Vec::new();
     for n in &sizes.mesh_routers {
-        let axis = "routers in a mesh";
-        all.push(((axis, *n, &FIGURES, founded), of(*n)));
-        all.push(((axis, *n, &AT_REST, None), Setup { purges_per_s: 0.0, ..of(*n) }));
-        all.push(((axis, *n, &[], Some("mesh_founded_far")), far(*n, seed)));
-        all.push(((axis, *n, &CHANGES, None), changing(sizes, of(*n), CHANGES_A_MINUTE)));
+        let (axis, x) = ("routers in a mesh", *n);
+        all.push(Measurement { setup: mesh(x), axis, x, figures: &FIGURES, founded_share });
+        let setup = Setup { purges_per_s: 0.0, ..mesh(x) };
+        all.push(Measurement { setup, axis, x, figures: &IDLE_FIGURES, founded_share: None });
+        let setup = default_latency(x, seed);
+        all.push(Measurement { setup, axis, x, figures: &[], founded_share: Some("mesh_founded_far") });
+        let setup = with_config_changes(sizes, mesh(x), CHANGES_PER_MINUTE);
+        all.push(Measurement { setup, axis, x, figures: &CHANGE_FIGURES, founded_share: None });
     }
     for n in &sizes.mesh_purges {
-        let setup = Setup { purges_per_s: *n as f64, ..of(ROUTERS) };
-        all.push((("purges a second in a mesh", *n, &FIGURES, founded), setup));
+        let setup = Setup { purges_per_s: *n as f64, ..mesh(ROUTERS) };
+        let axis = "purges a second in a mesh";
+        all.push(Measurement { setup, axis, x: *n, figures: &FIGURES, founded_share });
     }
     for n in &sizes.mesh_restarts {
-        let mut setup = of(ROUTERS);
+        let mut setup = mesh(ROUTERS);
         setup.random_faults.restarts = *n;
-        all.push((("restarts in a mesh", *n, &FIGURES, founded), setup));
+        all.push(Measurement { setup, axis: "restarts in a mesh", x: *n, figures: &FIGURES, founded_share });
     }
     for n in &sizes.mesh_changes {
-        let along: Along = ("configuration changes a minute in a mesh", *n, &CHANGES, None);
-        all.push((along, changing(sizes, of(ROUTERS), *n as f64)));
+        let setup = with_config_changes(sizes, mesh(ROUTERS), *n as f64);
+        let axis = "configuration changes a minute in a mesh";
+        all.push(Measurement { setup, axis, x: *n, figures: &CHANGE_FIGURES, founded_share: None });
     }
     for n in &sizes.as_processes {
-        for (purges, [mesh, overlay]) in AS_PROCESSES {
-            for seed in (0..DRAWS).map(|draw| seed.wrapping_add(draw)) {
-                let along = |axis| (axis, *n, &LIKE_REAL[..], None);
-                all.push((along(mesh), as_processes(Setup::mesh(*n, seed), purges)));
-                all.push((along(overlay), as_processes(Setup::sparse(*n, seed), purges)));
+        for rate in &PROCESS_RATES {
+            for seed in (0..PROCESS_SEEDS).map(|offset| seed.wrapping_add(offset)) {
+                let measurement = |setup, axis| {
+                    let setup = like_processes(setup, rate.purges_per_s);
+                    Measurement { setup, axis, x: *n, figures: &PROCESS_FIGURES, founded_share: None }
+                };
+                all.push(measurement(Setup::mesh(*n, seed), rate.mesh_axis));
+                all.push(measurement(Setup::sparse(*n, seed), rate.overlay_axis));
             }
         }
     }
     all
 }
 
-/// The same with changes of the configuration, and without purges: what it takes more than at rest is theirs.
-fn changing(sizes: &Sizes, mut setup: Setup, per_minute: f64) -> Setup {
+/// Adds changes of the configuration and removes purges, so that the cost above that of an idle mesh is the cost of the changes.
+fn with_config_changes(sizes: &Sizes, mut setup: Setup, per_minute: f64) -> Setup {
     (setup.purges_per_s, setup.measured_s) = (0.0, sizes.changes_seconds);
     let (from, to) = (setup.warm_up_s * 1_000.0, (setup.warm_up_s + setup.measured_s) * 1_000.0);
-    if let Runs::Mesh(mesh) = &mut setup.kind {
+    if let RunKind::Mesh(mesh) = &mut setup.kind {
         mesh.config_changes = (per_minute, (from, to));
     }
     setup
 }
 
-/// Routers as the processes of `basaltgw_emulator::rig::many` are: on one machine, and each told by a change log that looks for news every
-/// 50 ms, another time for each, and tells them all at once.
-fn as_processes(mut setup: Setup, purges: f64) -> Setup {
-    (setup.purges_per_s, setup.measured_s) = (purges, PROCESSES_S);
-    (
-        setup.network.same_site_delay_ms,
-        setup.network.same_region_delay_ms,
-        setup.network.inter_region_delay_ms,
-    ) = (LOOPBACK_MS, LOOPBACK_MS, LOOPBACK_MS);
-    (setup.change_log, setup.change_log_delay_ms, setup.commit_ms) =
-        (ChangeLogReach::Polling { interval_ms: LOOK_MS }, (0.0, 0.0), COMMIT_MS);
+/// Sets routers up like the processes of `basaltgw_emulator::rig::many`: on one machine, each with a change log that polls every 50 ms with a
+/// phase of its own and delivers all new purges at once.
+fn like_processes(mut setup: Setup, purges_per_s: f64) -> Setup {
+    (setup.purges_per_s, setup.measured_s) = (purges_per_s, PROCESS_MEASURED_S);
+    setup.network.same_site_delay_ms = LOOPBACK_DELAY_MS;
+    setup.network.same_region_delay_ms = LOOPBACK_DELAY_MS;
+    setup.network.inter_region_delay_ms = LOOPBACK_DELAY_MS;
+    setup.change_log = ChangeLogReach::Polling { interval_ms: PROCESS_POLL_INTERVAL_MS };
+    setup.change_log_delay_ms = (0.0, 0.0);
+    setup.commit_ms = PROCESS_COMMIT_MS;
     setup
 }
 
-/// On the default lines and with the default back-off.
-fn far(routers: usize, seed: u64) -> Setup {
+/// Returns the setup of a mesh at the default latency and with the default back-off.
+fn default_latency(routers: usize, seed: u64) -> Setup {
     let mut setup = Setup::mesh(routers, seed);
     (setup.measured_s, setup.drain_s) = (1.0, 1.0);
-    setup.warm_up_s = FOUNDED_S - setup.measured_s - setup.drain_s;
+    setup.warm_up_s = FOUNDING_LIMIT_S - setup.measured_s - setup.drain_s;
     setup
 }
-
-/// One of a run's figures.
-pub(super) fn figure(figures: &Figures, name: &str) -> Result<f64, String> {
-    figures.values.get(name).copied().ok_or_else(|| format!("hollow routers give no figure {name}"))
-}
-
-/// Those of a run's figures that become points.
-pub(super) fn named(
-    (axis, x): (&'static str, usize),
-    figures: &Figures,
-    names: &[Named],
-) -> Result<Vec<Row>, String> {
-    let one = |(theirs, ours, unit, kind): &Named| {
-        Ok(Row::new((axis, x as f64), (*ours, figure(figures, theirs)?, *unit), *kind))
-    };
-    names.iter().map(one).collect()
-}
--- a/crates/experiments/src/capacity/data.rs
+++ b/crates/experiments/src/capacity/data.rs
@@ -1,110 +1,108 @@
-//! The data path's slopes: the real decision module in this process, driven at several sizes.
+//! Costs of the data path: the real decision module in this process, driven at several sizes.
 
-mod cold;
+mod change_log;
 mod decisions;
-mod log;
-mod tables;
-mod world;
+mod driver;
+mod slow_start;
+mod state;
 
 use super::row::{Kind, Row};
 use serde::Deserialize;
 
-/// Sizes at which the data path is measured.
+/// The sizes at which the data path is measured.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sizes {
-    /// Caches that are listed.
+    /// Caches in the endpoint list.
     pub caches: Vec<usize>,
-    /// Servers of all roles that are listed.
+    /// Servers of all roles in the endpoint list.
     pub servers: Vec<usize>,
-    /// Requests that are out at a router at a time.
-    pub open: Vec<usize>,
-    /// Purges that a router knows.
+    /// Concurrent requests of a router.
+    #[serde(rename = "open")]
+    pub open_requests: Vec<usize>,
+    /// Purges that a router remembers.
     pub purges: Vec<usize>,
-    /// Objects that a router has seen.
+    /// Objects that a router has had requests for.
     pub objects: Vec<usize>,
-    /// Routers that share a cold server's budget.
+    /// Routers that share the slow-start budget of a server.
     pub routers: Vec<usize>,
-    /// Requests of which the cost of a decision is the mean.
+    /// Requests over which the cost of a decision is averaged.
     pub requests: usize,
 }
 
-/// What the fleet is expected to be, as far as the data path goes by it.
+/// The expected fleet, as far as the data path depends on it.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expected {
-    /// Routers in all.
+    /// Routers of the fleet.
     pub routers: usize,
-    /// Caches in all.
+    /// Caches of the fleet.
     pub caches: usize,
-    /// Zones.
+    /// Zones of the fleet.
     pub zones: usize,
     /// Caches for each parent.
     pub caches_per_parent: usize,
-    /// Objects that are asked for at one router.
-    pub objects_asked: usize,
-    /// Requests a second in all.
+    /// Objects that one router has requests for.
+    #[serde(rename = "objects_asked")]
+    pub requested_objects: usize,
+    /// Requests per second of the fleet.
     pub requests_per_s: f64,
-    /// Purges a second.
+    /// Purges per second.
     pub purges_per_s: f64,
     /// Machines that are restarted, replaced or lost in a day.
     pub restarts_per_day: f64,
-    /// Objects.
+    /// Objects of the fleet.
     pub objects: f64,
 }
 
-/// Every measured and simulated point of the data path.
+/// Returns all rows of the data path.
 pub fn rows(expected: &Expected, sizes: &Sizes, seed: u64) -> Vec<Row> {
     let mut all = decisions::rows(expected, sizes, seed);
-    all.extend(tables::list(expected, sizes));
-    all.extend(tables::purges(expected, sizes, seed));
-    all.extend(tables::objects(expected, sizes, seed));
-    all.extend(log::rows(expected, sizes));
-    all.extend(cold::rows(expected, sizes, seed));
+    all.extend(state::endpoint_list(expected, sizes));
+    all.extend(state::purges(expected, sizes, seed));
+    all.extend(state::objects(expected, sizes, seed));
+    all.extend(change_log::rows(expected, sizes));
+    all.extend(slow_start::rows(expected, sizes, seed));
     all.extend(growth(&all));
     all.extend(memory(&all, expected));
     all
 }
 
-/// How much more the last point of a series is than its first, in this run: it tells growth on any machine.
+/// Returns the ratio of the last point of a series to its first. Both are of the same run, so the ratio holds on any machine.
 fn growth(all: &[Row]) -> Vec<Row> {
-    let of = |axis: &str, figure: &str| {
-        let series = || all.iter().filter(|r| (r.axis, r.figure) == (axis, figure));
-        Some((series().next()?.value, series().next_back()?))
-    };
-    let before_last = |axis: &str, figure: &str| {
-        let mut series = all.iter().filter(|r| (r.axis, r.figure) == (axis, figure)).rev().skip(1);
-        series.next().map(|r| r.value)
-    };
-    let told = [
+    let ratios = [
         ("caches", "decision_us", "decision_us_growth"),
         ("caches", "decision_allocations", "decision_allocations_growth"),
         ("requests open", "decision_open_us", "decision_open_growth"),
         ("purges known", "decision_with_purges_us", "decision_with_purges_growth"),
     ];
-    let one = |(axis, figure, name): (&str, &str, &'static str)| {
-        let (first, last) = of(axis, figure)?;
-        Some(Row::new((last.axis, last.x), (name, last.value / first, "times"), Kind::Reckoned))
+    let series = |axis: &str, figure: &str| -> Vec<&Row> {
+        all.iter().filter(|row| (row.axis, row.figure) == (axis, figure)).collect()
     };
-    // What is bounded no longer grows from the last point but one to the last.
-    let bounded = || {
-        let ((_, last), before) =
-            (of("objects seen", "objects_held")?, before_last("objects seen", "objects_held")?);
-        Some(Row::new(
-            (last.axis, last.x),
-            ("objects_held_growth", last.value / before, "times"),
-            Kind::Reckoned,
-        ))
+    let row = |first: &Row, last: &Row, name: &'static str| {
+        Row::new((last.axis, last.x), (name, last.value / first.value, "times"), Kind::Computed)
     };
-    told.into_iter().filter_map(one).chain(bounded()).collect()
+    let mut rows = Vec::new();
+    for (axis, figure, name) in ratios {
+        if let [first, .., last] = series(axis, figure)[..] {
+            rows.push(row(first, last, name));
+        }
+    }
+    // A bounded figure does not grow between the last two points.
+    if let [.., before, last] = series("objects seen", "objects_held")[..] {
+        rows.push(row(before, last, "objects_held_growth"));
+    }
+    rows
 }
 
-/// What a router of the expected fleet holds of all this.
+/// Returns the memory that a router of the expected fleet uses for the endpoint list, purges and objects.
 fn memory(all: &[Row], expected: &Expected) -> Option<Row> {
-    let last = |figure: &str| all.iter().filter(|r| r.figure == figure).map(|r| r.value).next_back();
-    let known = all.iter().find(|r| r.figure == "purges_known" && r.x == expected.purges_per_s)?.value;
-    // The next size that was measured: a table doubles as it grows.
-    let purges = all.iter().find(|r| r.figure == "purges_held" && r.x >= known)?.value;
-    let held = last("list_expected_held")? + purges + last("objects_held")?;
-    Some(Row::new(("routers", expected.routers as f64), ("data_path_held", held, "bytes"), Kind::Reckoned))
+    let last = |figure: &str| all.iter().filter(|row| row.figure == figure).map(|row| row.value).next_back();
+    let is_expected_rate = |row: &&Row| row.figure == "purges_known" && row.x == expected.purges_per_s;
+    let known = all.iter().find(is_expected_rate)?.value;
+    // The next measured size, since a table doubles as it grows.
+    let purges = all.iter().find(|row| row.figure == "purges_held" && row.x >= known)?.value;
+    let bytes = last("list_expected_held")? + purges + last("objects_held")?;
+    let x = expected.routers as f64;
+    Some(Row::new(("routers", x), ("data_path_held", bytes, "bytes"), Kind::Computed))
 }
--- a/crates/experiments/src/capacity/file_tests.rs
+++ b/crates/experiments/src/capacity/file_tests.rs
@@ -1,12 +1,12 @@
-//! The experiment's file: the program's own is sound, and what is wrong in another is named.
+//! Tests of the experiment's file: the built-in one loads, and errors in another name the key.
 
-use super::{find, is, OWN};
+use super::{is_capacity, load, BUILT_IN};
 
 #[test]
-fn the_programs_own_is_sound_and_a_wrong_file_is_refused() {
-    let file = tempfile::NamedTempFile::new().expect("a file");
+fn the_built_in_file_loads_and_an_invalid_one_is_rejected() {
+    let file = tempfile::NamedTempFile::new().expect("a temporary file");
     let path = file.path().display().to_string();
-    for (from, to, what) in [
+    for (from, to, key) in [
         ("routers: 4300", "routers: 0", "expected.routers"),
         ("purges_per_s: 100", "purges_per_s: -1", "expected.purges_per_s"),
         ("caches: [50, 100, 200, 400, 800, 1100]", "caches: [50, 100, 200, 400]", "sizes.quick.data.caches"),
@@ -26,10 +26,10 @@
         ("budgets:", "budget:", "budget"),
         ("at_most: 32000000}\n  # A table", "run: still, at_most: 1}\n  # A table", "must[0]"),
     ] {
-        assert!(OWN.1.contains(from), "{from}");
-        std::fs::write(file.path(), OWN.1.replacen(from, to, 1)).expect("a file");
-        let said = find(&path).expect_err(to).to_string();
-        assert!(is(&path) && said.contains(what), "{to}: {said}");
+        assert!(BUILT_IN.1.contains(from), "the experiment does not contain {from:?}");
+        std::fs::write(file.path(), BUILT_IN.1.replacen(from, to, 1)).expect("the file is written");
+        let error = load(&path).expect_err(to).to_string();
+        assert!(is_capacity(&path) && error.contains(key), "{to}: {error}");
     }
-    assert!(find(OWN.0).is_ok() && is(OWN.0) && !is("holds"));
+    assert!(load(BUILT_IN.0).is_ok() && is_capacity(BUILT_IN.0) && !is_capacity("holds"));
 }
--- a/crates/experiments/src/capacity/fit.rs
+++ b/crates/experiments/src/capacity/fit.rs
@@ -1,42 +1,42 @@
-//! A curve through measured points: the simplest form that comes near to the best one, and how far off it is.
+//! Curves through measured points: the simplest form whose residual is close to that of the best form.
 
 use nalgebra::{DMatrix, DVector};
 
-/// Fewer points than this tell no form from another.
-pub const LEAST_POINTS: usize = 5;
-/// A curve that misses one of its points by more than this share of it is not to be reckoned with.
-pub const RECKON: f64 = 0.15;
-/// A simpler form is taken if its largest residual is no more than this above the best form's, or than this multiple of it: less is
-/// noise.
-const NEAR: f64 = 0.02;
-const NEAR_TIMES: f64 = 1.5;
-/// Residuals are shares of a point's value, or of this share of the largest value where the point has less.
-const FLOOR: f64 = 0.01;
-/// A curve tells nothing beyond this multiple of the largest x that was measured.
-pub const FAR: f64 = 10.0;
-/// Singular values below this are none.
-const EPSILON: f64 = 1e-12;
+/// The minimum of positions. Fewer do not distinguish the forms.
+pub const MIN_POINTS: usize = 5;
+/// The maximum residual of a reliable curve at any of its points.
+pub const MAX_RESIDUAL: f64 = 0.15;
+/// A simpler form is preferred if its residual exceeds that of the best form by at most this much: a smaller difference is noise.
+const NOISE_MARGIN: f64 = 0.02;
+/// A simpler form is preferred as well if its residual is at most this multiple of that of the best form.
+const NOISE_FACTOR: f64 = 1.5;
+/// Residuals are relative to the value of their point, but at least to this share of the largest value.
+const MIN_SCALE_SHARE: f64 = 0.01;
+/// A growing curve is reliable up to this multiple of the largest measured x.
+pub const MAX_EXTRAPOLATION: f64 = 10.0;
+/// Singular values below this count as zero.
+const SINGULAR_EPSILON: f64 = 1e-12;
 
-/// How y grows with x; simpler ones first.
+/// How y grows with x, from the simplest form to the most complex.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
-    /// Not at all.
+    /// y does not grow.
     Constant,
-    /// With its logarithm.
+    /// y grows with ln x.
     Log,
-    /// In proportion, beside a fixed part.
+    /// y grows with x.
     Linear,
-    /// With x log x.
+    /// y grows with x ln x.
     NLogN,
-    /// With its square.
+    /// y grows with x squared.
     Square,
 }
 
 impl Form {
-    /// All of them, simpler ones first.
+    /// All forms, from the simplest to the most complex.
     pub const ALL: [Self; 5] = [Self::Constant, Self::Log, Self::Linear, Self::NLogN, Self::Square];
 
-    /// Its name in tables.
+    /// The name of the form in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Constant => "constant",
@@ -47,7 +47,7 @@
         }
     }
 
-    /// What the slope is multiplied by; nothing for a constant.
+    /// Returns the factor of the slope at x; a constant has none.
     fn term(self, x: f64) -> Option<f64> {
         match self {
             Self::Constant => None,
@@ -58,7 +58,8 @@
         }
     }
 
-    fn takes_zero(self) -> bool {
+    /// Whether the form is defined at x = 0.
+    fn allows_zero(self) -> bool {
         match self {
             Self::Constant | Self::Linear | Self::Square => true,
             Self::Log | Self::NLogN => false,
@@ -66,43 +67,43 @@
     }
 }
 
-/// A curve: y = base + slope * term(x).
+/// A fitted curve: y = base + slope * term(x).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Its form.
+    /// The form of the curve.
     pub form: Form,
-    /// The fixed part.
+    /// The constant part.
     pub base: f64,
-    /// What grows.
+    /// The factor of the form's term.
     pub slope: f64,
-    /// The largest miss at a point, as a share of its value.
+    /// The largest difference from a point, as a share of the value of the point.
     pub residual: f64,
-    /// From and to which x it was measured.
+    /// The smallest and the largest measured x.
     pub range: (f64, f64),
-    /// A value below 0 was among them.
+    /// Whether a measured value was below 0.
     pub negative: bool,
 }
 
 impl Fit {
-    /// What the curve gives at x.
-    pub fn at(&self, x: f64) -> f64 {
+    /// Returns the value of the curve at x.
+    pub fn value_at(&self, x: f64) -> f64 {
         self.base + self.form.term(x).map_or(0.0, |t| self.slope * t)
     }
 
-    /// True if it may be reckoned with where it was measured.
-    pub fn sound(&self) -> bool {
-        self.residual <= RECKON
+    /// Whether the curve is reliable within the measured range.
+    pub fn is_reliable(&self) -> bool {
+        self.residual <= MAX_RESIDUAL
     }
 
-    /// True if it may be reckoned with at x: not far beyond what was measured unless it does not grow, and no less than nothing where
-    /// nothing measured was.
-    pub fn sound_at(&self, x: f64) -> bool {
-        let near = self.form == Form::Constant || x <= FAR * self.range.1;
-        self.sound() && near && (self.negative || self.at(x) >= 0.0)
+    /// Whether the curve is reliable at x: a curve that grows only up to [`MAX_EXTRAPOLATION`], and none at a value below 0 unless such
+    /// a value was measured.
+    pub fn is_reliable_at(&self, x: f64) -> bool {
+        let in_range = self.form == Form::Constant || x <= MAX_EXTRAPOLATION * self.range.1;
+        self.is_reliable() && in_range && (self.negative || self.value_at(x) >= 0.0)
     }
 
-    /// In words.
-    pub fn words(&self) -> String {
+    /// Describes the curve: form, equation and residual.
+    pub fn describe(&self) -> String {
         let term = match self.form {
             Form::Constant => String::new(),
             Form::Log => format!(" + {:.4e} ln x", self.slope),
@@ -110,9 +111,9 @@
             Form::NLogN => format!(" + {:.4e} x ln x", self.slope),
             Form::Square => format!(" + {:.4e} x^2", self.slope),
         };
-        let verdict = if self.sound() { "" } else { ", not to reckon with" };
+        let reliability = if self.is_reliable() { "" } else { ", unreliable" };
         format!(
-            "{}: {:.4e}{term}, off by {:.1}% at most{verdict}",
+            "{}: {:.4e}{term}, off by {:.1}% at most{reliability}",
             self.form.name(),
             self.base,
             self.residual * 100.0
@@ -120,44 +121,48 @@
     }
 }
 
-/// The curve through some points (x, y).
+/// Fits a curve to points (x, y).
+///
+/// # Errors
+/// If there are too few positions, or a point that no curve can have.
 pub fn fit(points: &[(f64, f64)]) -> Result<Fit, String> {
-    let mut places: Vec<f64> = points.iter().map(|p| p.0).collect();
-    places.sort_unstable_by(f64::total_cmp);
-    places.dedup();
-    if places.len() < LEAST_POINTS {
-        return Err(format!("{} points; a curve takes {LEAST_POINTS} at least", places.len()));
+    let mut positions: Vec<f64> = points.iter().map(|p| p.0).collect();
+    positions.sort_unstable_by(f64::total_cmp);
+    positions.dedup();
+    if positions.len() < MIN_POINTS {
+        return Err(format!("{} points; a curve needs at least {MIN_POINTS}", positions.len()));
     }
     if let Some((x, y)) = points.iter().find(|(x, y)| !x.is_finite() || !y.is_finite() || *x < 0.0) {
-        return Err(format!("no curve goes through ({x}, {y})"));
+        return Err(format!("a curve cannot include the point ({x}, {y})"));
     }
-    let range = (places[0], places[places.len() - 1]);
-    let forms = Form::ALL.into_iter().filter(|f| f.takes_zero() || range.0 > 0.0);
-    let fits = forms.map(|form| through(form, points, range)).collect::<Result<Vec<Fit>, String>>()?;
+    let range = (positions[0], positions[positions.len() - 1]);
+    let forms = Form::ALL.into_iter().filter(|f| f.allows_zero() || range.0 > 0.0);
+    let fits = forms.map(|form| fit_form(form, points, range)).collect::<Result<Vec<Fit>, String>>()?;
     let best = fits.iter().map(|f| f.residual).fold(f64::INFINITY, f64::min);
-    let near = |f: &&Fit| f.residual <= (best + NEAR).max(best * NEAR_TIMES);
-    fits.iter().find(near).copied().ok_or_else(|| "no curve goes through these points".to_string())
+    let close = |f: &&Fit| f.residual <= (best + NOISE_MARGIN).max(best * NOISE_FACTOR);
+    fits.iter().find(close).copied().ok_or_else(|| "no form fits these points".to_string())
 }
 
-/// Least squares of the residuals as shares, so that small values count like large ones.
-fn through(form: Form, points: &[(f64, f64)], range: (f64, f64)) -> Result<Fit, String> {
+/// Fits one form by least squares of the relative residuals, so that small values count as much as large ones.
+fn fit_form(form: Form, points: &[(f64, f64)], range: (f64, f64)) -> Result<Fit, String> {
     let largest = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
-    let unit = |y: f64| y.abs().max(FLOOR * largest).max(f64::MIN_POSITIVE);
+    let scale_of = |y: f64| y.abs().max(MIN_SCALE_SHARE * largest).max(f64::MIN_POSITIVE);
     let columns = if form.term(1.0).is_some() { 2 } else { 1 };
-    // Terms are scaled to the largest, or squares would drown the fixed part.
-    let scale = form.term(range.1).map_or(1.0, f64::abs).max(f64::MIN_POSITIVE);
+    // Terms are scaled to the largest one; otherwise squares would make the constant part numerically negligible.
+    let term_scale = form.term(range.1).map_or(1.0, f64::abs).max(f64::MIN_POSITIVE);
     let cell = |row: usize, column: usize| {
         let (x, y) = points[row];
-        let term = form.term(x).filter(|_| column > 0).map_or(1.0, |t| t / scale);
-        term / unit(y)
+        let term = form.term(x).filter(|_| column > 0).map_or(1.0, |t| t / term_scale);
+        term / scale_of(y)
     };
     let a = DMatrix::from_fn(points.len(), columns, cell);
-    let b = DVector::from_fn(points.len(), |row, _| points[row].1 / unit(points[row].1));
-    let solved = a.svd(true, true).solve(&b, EPSILON).map_err(str::to_string)?;
-    let slope = solved.iter().nth(1).map_or(0.0, |s| s / scale);
+    let b = DVector::from_fn(points.len(), |row, _| points[row].1 / scale_of(points[row].1));
+    let solved = a.svd(true, true).solve(&b, SINGULAR_EPSILON).map_err(str::to_string)?;
+    let slope = solved.iter().nth(1).map_or(0.0, |s| s / term_scale);
     let base = solved.iter().next().copied().unwrap_or(0.0);
     let negative = points.iter().any(|p| p.1 < 0.0);
     let mut fit = Fit { form, base, slope, residual: 0.0, range, negative };
-    fit.residual = points.iter().map(|(x, y)| (fit.at(*x) - y).abs() / unit(*y)).fold(0.0, f64::max);
+    fit.residual =
+        points.iter().map(|(x, y)| (fit.value_at(*x) - y).abs() / scale_of(*y)).fold(0.0, f64::max);
     Ok(fit)
 }
--- a/crates/experiments/src/capacity/meter.rs
+++ b/crates/experiments/src/capacity/meter.rs
@@ -1,53 +1,58 @@
-//! What a piece of work takes: bytes by the allocator, and processor time of its thread.
+//! Meters of a piece of work: memory from the allocator, and processor time of the thread.
 
 use rustix::time::{clock_gettime, ClockId};
 
-/// What was taken from the allocator. It counts each thread for itself, so that runs may go side by side.
+/// Memory that a piece of work took from the allocator. Only the current thread counts, so that runs may share the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Taken {
-    /// Bytes that are still held: taken less given back.
-    pub held: f64,
-    /// Pieces taken; one that grows is taken anew.
-    pub pieces: f64,
-    /// Bytes taken in all.
-    pub bytes: f64,
+pub struct Allocations {
+    /// Allocated bytes less freed bytes.
+    pub retained_bytes: f64,
+    /// The number of allocations; each reallocation counts as one.
+    pub count: f64,
+    /// Allocated bytes in total.
+    pub total_bytes: f64,
 }
 
-impl Taken {
-    /// This and more.
-    pub fn add(&mut self, more: Self) {
-        let Self { held, pieces, bytes } = more;
-        (self.held, self.pieces, self.bytes) = (self.held + held, self.pieces + pieces, self.bytes + bytes);
+impl Allocations {
+    /// Adds the allocations of further work.
+    pub fn add(&mut self, other: Self) {
+        self.retained_bytes += other.retained_bytes;
+        self.count += other.count;
+        self.total_bytes += other.total_bytes;
     }
 }
 
-/// Does something; gives by how many bytes more are held after it.
-pub fn grown(work: &mut dyn FnMut()) -> i64 {
+/// Runs `work` and returns by how many bytes the memory in use has grown.
+pub fn retained_bytes(work: &mut dyn FnMut()) -> i64 {
     allocation_counter::measure(work).bytes_current
 }
 
-/// Does something; gives what came of it and what it took from the allocator.
-pub fn taken<T>(work: impl FnOnce() -> T) -> (T, Taken) {
-    let mut done = None;
-    let c = allocation_counter::measure(|| done = Some(work()));
-    let (held, pieces, bytes) = (c.bytes_current as f64, c.count_total as f64, c.bytes_total as f64);
-    (done.expect("what is measured is done"), Taken { held, pieces, bytes })
+/// Runs `work` and returns its result and its allocations.
+pub fn count_allocations<T>(work: impl FnOnce() -> T) -> (T, Allocations) {
+    let mut result = None;
+    let counted = allocation_counter::measure(|| result = Some(work()));
+    let allocations = Allocations {
+        retained_bytes: counted.bytes_current as f64,
+        count: counted.count_total as f64,
+        total_bytes: counted.bytes_total as f64,
+    };
+    (result.expect("the allocation counter runs the measured closure"), allocations)
 }
 
-/// Processor time of this thread so far, in microseconds.
-pub fn processor_us() -> f64 {
-    let t = clock_gettime(ClockId::ThreadCPUTime);
-    t.tv_sec as f64 * 1e6 + t.tv_nsec as f64 / 1e3
+/// Returns the processor time of this thread in microseconds.
+fn thread_cpu_us() -> f64 {
+    let time = clock_gettime(ClockId::ThreadCPUTime);
+    time.tv_sec as f64 * 1e6 + time.tv_nsec as f64 / 1e3
 }
 
-/// Does something; gives what came of it and its processor time in microseconds.
-pub fn timed<T>(work: impl FnOnce() -> T) -> (T, f64) {
-    let begun = processor_us();
-    let done = work();
-    (done, processor_us() - begun)
+/// Runs `work` and returns its result and its processor time in microseconds.
+pub fn measure_cpu_us<T>(work: impl FnOnce() -> T) -> (T, f64) {
+    let start = thread_cpu_us();
+    let result = work();
+    (result, thread_cpu_us() - start)
 }
 
-/// The processor time in microseconds that something takes, done so many times: the least, since others on the machine only add to it.
-pub fn least(times: usize, mut work: impl FnMut() -> f64) -> f64 {
-    (0..times).map(|_| work()).fold(f64::INFINITY, f64::min)
+/// Returns the minimum of repeated measurements, since other processes on the machine can only add to a processor time.
+pub fn minimum(repetitions: usize, mut measure: impl FnMut() -> f64) -> f64 {
+    (0..repetitions).map(|_| measure()).fold(f64::INFINITY, f64::min)
 }
--- a/crates/experiments/src/capacity/page.rs
+++ b/crates/experiments/src/capacity/page.rs
@@ -1,253 +1,293 @@
-//! Holds a page's figures against the tables, so that the two can't drift apart.
+//! Compares the figures of a page with the tables, so that the two cannot diverge.
 //!
-//! A figure in the page is followed by a mark, which readers don't see: `12.5 MB/s<!--m: log_purges_sent routers=4300-->`. A mark names
+//! A figure in the page is followed by a mark, which is invisible to readers: `12.5 MB/s<!--m: log_purges_sent routers=4300-->`. A mark names
 //! - a point of the table: `FIGURE AXIS=X`;
-//! - what a curve comes to where its axis is expected to be: `FIGURE AXIS~X`, refused if the curve is not to be reckoned with there;
-//! - a curve's form or its largest residual: `FIGURE AXIS:form`, `FIGURE AXIS:residual`;
-//! - a figure of real processes, a cell of `capacity-real.csv`: `real COLUMN run=RUN purges=RATE`; cells left blank are not known.
+//! - the value of a curve at the expected position X: `FIGURE AXIS~X`, rejected if the curve is unreliable there;
+//! - the form of a curve or its largest residual: `FIGURE AXIS:form`, `FIGURE AXIS:residual`;
+//! - a figure of router processes, a cell of `capacity-real.csv`: `real COLUMN run=RUN purges=RATE`; empty cells are unknown.
 //!
-//! The number before the mark counts as it is rounded there, with a word of size behind it (KB, MB, GB, %, million, ms). Without one it
-//! counts in the figure's own unit.
+//! The number before the mark may be rounded, and may be followed by a scale (KB, MB, GB, %, million, ms). Without a scale it is in the unit of
+//! the figure.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::path::Path;
 
-const OPEN: &str = "<!--m:";
-const CLOSE: &str = "-->";
-/// Figures of real processes.
-const REAL: &str = "capacity-real.csv";
-/// Words of size, in bytes, microseconds and shares.
-const SIZES: [(&str, f64); 6] =
+const MARK_START: &str = "<!--m:";
+const MARK_END: &str = "-->";
+/// The table of all points.
+const POINTS_FILE: &str = "capacity.csv";
+/// The table of the curves.
+const FITS_FILE: &str = "capacity-fits.csv";
+/// The table of figures of router processes.
+const PROCESSES_FILE: &str = "capacity-real.csv";
+/// Scales that may follow a number, in bytes, microseconds and shares.
+const SCALES: [(&str, f64); 6] =
     [("KB", 1e3), ("MB", 1e6), ("GB", 1e9), ("%", 0.01), ("million", 1e6), ("ms", 1e3)];
-/// Round numbers are no licence: the zeros at the end of a whole one hide no more than this share of it.
-const MOST: f64 = 0.025;
+/// The largest share of a whole number that the zeros at its end may hide, so that round numbers do not agree with everything.
+const MAX_ROUNDING_SHARE: f64 = 0.025;
+/// Units of figures that are scales themselves, with their factor.
+const SCALED_UNITS: [(&str, f64); 3] = [("ms", 1e3), ("mb", 1e6), ("percent", 0.01)];
+/// Columns of [`PROCESSES_FILE`] that are not numbers.
+const TEXT_COLUMNS: [&str; 1] = ["commit"];
 
-/// Units that are a word of size themselves: so much of one is in a figure of 1.
-const UNITS: [(&str, f64); 3] = [("ms", 1e3), ("mb", 1e6), ("percent", 0.01)];
-/// Columns of the real processes' table that are no numbers.
-const WORDS: [&str; 1] = ["commit"];
-
-/// What a mark stands for.
+/// What a mark refers to.
 #[derive(Clone, Debug, PartialEq)]
-enum Known {
-    /// A value, and what of its words of size a figure of 1 is.
-    Number(f64, f64),
+enum Entry {
+    /// A number.
+    Number {
+        /// The value in the unit of the figure.
+        value: f64,
+        /// The factor of the unit in terms of [`SCALES`].
+        unit_factor: f64,
+    },
+    /// A word, which has to stand before the mark.
     Word(String),
-    /// A curve that is not to be reckoned with.
-    Unsound,
+    /// The value of an unreliable curve.
+    Unreliable,
 }
 
-/// A figure that does not agree.
+/// A figure that does not agree with the tables.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Off {
-    /// Its line, from 1.
+pub struct Mismatch {
+    /// The line of the page, from 1.
     pub line: usize,
-    /// What is wrong with it.
-    pub what: String,
+    /// What is wrong with the figure.
+    pub reason: String,
 }
 
-impl fmt::Display for Off {
+impl fmt::Display for Mismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}", self.line, self.what)
+        write!(f, "line {}: {}", self.line, self.reason)
     }
 }
 
-/// What came of a page.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Held {
-    /// Figures with a mark.
+/// The result of the check of a page.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct PageCheck {
+    /// The number of figures with a mark.
     pub figures: usize,
-    /// Those that don't agree.
-    pub off: Vec<Off>,
+    /// Those that do not agree.
+    pub mismatches: Vec<Mismatch>,
 }
 
-/// All that marks can name.
-pub struct Tables(BTreeMap<String, Known>);
+/// All entries that marks can name.
+pub struct Tables(BTreeMap<String, Entry>);
 
 impl Tables {
-    /// Reads a folder's `capacity.csv`, `capacity-fits.csv` and, if it is there, `capacity-real.csv`.
+    /// Reads `capacity.csv`, `capacity-fits.csv` and, if it exists, `capacity-real.csv` of a directory.
     pub fn read(dir: &Path) -> Result<Self, String> {
         let text = |name: &str| {
             let file = dir.join(name);
             std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))
         };
-        let mut known = BTreeMap::new();
-        let points = text("capacity.csv")?;
-        let units = units(&points);
-        for row in table(&points, &["axis", "x", "figure", "value"], "capacity.csv")? {
-            let [axis, x, figure, value] = row;
-            let size = units.get(&figure).copied().unwrap_or(1.0);
-            let value = Known::Number(number(&value, "capacity.csv")?, size);
-            known.insert(format!("{figure} {axis}={x}"), value);
-        }
-        let columns = ["axis", "figure", "form", "largest_residual", "reckon", "at", "value"];
-        for row in table(&text("capacity-fits.csv")?, &columns, "capacity-fits.csv")? {
-            let [axis, figure, form, residual, reckon, at, value] = row;
-            let name = format!("{figure} {axis}");
-            if form == "none" {
-                continue;
-            }
-            let residual = number(&residual, "capacity-fits.csv")?;
-            known.insert(format!("{name}:form"), Known::Word(form));
-            known.insert(format!("{name}:residual"), Known::Number(residual, 1.0));
-            if !at.is_empty() {
-                let size = units.get(&figure).copied().unwrap_or(1.0);
-                let value = match reckon.as_str() {
-                    "yes" => Known::Number(number(&value, "capacity-fits.csv")?, size),
-                    _ => Known::Unsound,
-                };
-                known.insert(format!("{name}~{at}"), value);
-            }
+        let mut entries = BTreeMap::new();
+        let points = text(POINTS_FILE)?;
+        let unit_factors = unit_factors(&points);
+        add_points(&points, &unit_factors, &mut entries)?;
+        add_curves(&text(FITS_FILE)?, &unit_factors, &mut entries)?;
+        if dir.join(PROCESSES_FILE).exists() {
+            add_processes(&text(PROCESSES_FILE)?, &mut entries)?;
         }
-        if dir.join(REAL).exists() {
-            real(&text(REAL)?, &mut known)?;
-        }
-        Ok(Self(known))
+        Ok(Self(entries))
     }
 
-    /// The names of a figure's own, for who mistyped one.
-    fn like(&self, key: &str) -> String {
-        let named = |key: &str| {
+    /// Lists the known entries of the figure that a wrong mark names.
+    fn suggestions(&self, key: &str) -> String {
+        let figure_name = |key: &str| {
             let words = if key.starts_with("real ") { 2 } else { 1 };
             key.split(' ').take(words).collect::<Vec<_>>().join(" ")
         };
-        let figure = named(key);
-        let of = |k: &&String| named(k) == figure;
-        let near: Vec<&str> = self.0.keys().filter(of).map(String::as_str).collect();
-        if near.is_empty() {
+        let figure = figure_name(key);
+        let same_figure = |known: &&String| figure_name(known) == figure;
+        let known: Vec<&str> = self.0.keys().filter(same_figure).map(String::as_str).collect();
+        if known.is_empty() {
             format!("no figure {figure:?}")
         } else {
-            format!("known: {}", near.join(", "))
+            format!("known: {}", known.join(", "))
         }
     }
 }
 
-/// What of its words of size a figure of 1 is, where its unit is one.
-fn units(points: &str) -> BTreeMap<String, f64> {
-    let of = |unit: &str| UNITS.iter().find(|(u, _)| unit.split('/').next() == Some(u)).map(|u| u.1);
-    // A table without units has figures without.
-    let rows = table(points, &["figure", "unit"], "").unwrap_or_default();
-    rows.into_iter().filter_map(|[figure, unit]| Some((figure, of(&unit)?))).collect()
+/// Returns the factors of figures whose unit is a scale itself.
+fn unit_factors(points: &str) -> BTreeMap<String, f64> {
+    let factor = |unit: &str| {
+        let base = unit.split('/').next();
+        SCALED_UNITS.iter().find(|(scaled, _)| base == Some(scaled)).map(|scaled| scaled.1)
+    };
+    // A table without the column `unit` is allowed; its figures have no factor.
+    let rows = read_columns(points, &["figure", "unit"], "").unwrap_or_default();
+    rows.into_iter().filter_map(|[figure, unit]| Some((figure, factor(&unit)?))).collect()
 }
 
-/// The figures of real processes.
-fn real(text: &str, known: &mut BTreeMap<String, Known>) -> Result<(), String> {
-    let runs = table(text, &["run", "purges_per_s"], REAL)?;
+fn add_points(
+    text: &str,
+    unit_factors: &BTreeMap<String, f64>,
+    entries: &mut BTreeMap<String, Entry>,
+) -> Result<(), String> {
+    for [axis, x, figure, value] in read_columns(text, &["axis", "x", "figure", "value"], POINTS_FILE)? {
+        let unit_factor = unit_factors.get(&figure).copied().unwrap_or(1.0);
+        let value = parse_number(&value, POINTS_FILE)?;
+        entries.insert(format!("{figure} {axis}={x}"), Entry::Number { value, unit_factor });
+    }
+    Ok(())
+}
+
+fn add_curves(
+    text: &str,
+    unit_factors: &BTreeMap<String, f64>,
+    entries: &mut BTreeMap<String, Entry>,
+) -> Result<(), String> {
+    let columns = ["axis", "figure", "form", "largest_residual", "reckon", "at", "value"];
+    for [axis, figure, form, residual, reliable, at, value] in read_columns(text, &columns, FITS_FILE)? {
+        let name = format!("{figure} {axis}");
+        if form == "none" {
+            continue;
+        }
+        let residual = parse_number(&residual, FITS_FILE)?;
+        entries.insert(format!("{name}:form"), Entry::Word(form));
+        entries.insert(format!("{name}:residual"), Entry::Number { value: residual, unit_factor: 1.0 });
+        if !at.is_empty() {
+            let unit_factor = unit_factors.get(&figure).copied().unwrap_or(1.0);
+            let entry = match reliable.as_str() {
+                "yes" => Entry::Number { value: parse_number(&value, FITS_FILE)?, unit_factor },
+                _ => Entry::Unreliable,
+            };
+            entries.insert(format!("{name}~{at}"), entry);
+        }
+    }
+    Ok(())
+}
+
+fn add_processes(text: &str, entries: &mut BTreeMap<String, Entry>) -> Result<(), String> {
+    let runs = read_columns(text, &["run", "purges_per_s"], PROCESSES_FILE)?;
     for (n, [run, purges]) in runs.iter().enumerate() {
-        if runs[..n].iter().any(|r| r == &runs[n]) {
-            return Err(format!("{REAL}: line {}: run {run} at {purges} purges a second again", n + 2));
+        if runs[..n].iter().any(|earlier| earlier == &runs[n]) {
+            let line = n + 2;
+            return Err(format!(
+                "{PROCESSES_FILE}: line {line}: run {run} at {purges} purges a second again"
+            ));
         }
     }
-    let head = text.lines().next().unwrap_or_default();
-    for column in head.split(',').filter(|c| !WORDS.contains(c)) {
-        let size = UNITS.iter().find(|(unit, _)| column.split('_').any(|part| part == *unit));
-        let size = size.map_or(1.0, |s| s.1);
-        for ([run, purges], [value]) in runs.iter().zip(table(text, &[column], REAL)?) {
-            if !value.is_empty() {
-                let value = number(&value, &format!("{REAL}: column {column}"))?;
+    let header = text.lines().next().unwrap_or_default();
+    for column in header.split(',').filter(|column| !TEXT_COLUMNS.contains(column)) {
+        let scaled = SCALED_UNITS.iter().find(|(unit, _)| column.split('_').any(|part| part == *unit));
+        let unit_factor = scaled.map_or(1.0, |scaled| scaled.1);
+        for ([run, purges], [cell]) in runs.iter().zip(read_columns(text, &[column], PROCESSES_FILE)?) {
+            if !cell.is_empty() {
+                let value = parse_number(&cell, &format!("{PROCESSES_FILE}: column {column}"))?;
                 let key = format!("real {column} run={run} purges={purges}");
-                known.insert(key, Known::Number(value, size));
+                entries.insert(key, Entry::Number { value, unit_factor });
             }
         }
     }
     Ok(())
 }
 
-/// The rows of a table, some columns of it.
-fn table<const N: usize>(text: &str, columns: &[&str; N], file: &str) -> Result<Vec<[String; N]>, String> {
+/// Reads these columns of a table, row by row.
+fn read_columns<const N: usize>(
+    text: &str,
+    columns: &[&str; N],
+    file: &str,
+) -> Result<Vec<[String; N]>, String> {
     let mut lines = text.lines();
-    let head: Vec<&str> = lines.next().unwrap_or_default().split(',').collect();
-    let at = |name: &&str| {
-        head.iter().position(|h| h == name).ok_or_else(|| format!("{file}: no column {name:?}"))
+    let header: Vec<&str> = lines.next().unwrap_or_default().split(',').collect();
+    let position = |name: &&str| {
+        header.iter().position(|h| h == name).ok_or_else(|| format!("{file}: no column {name:?}"))
     };
-    let places = columns.iter().map(at).collect::<Result<Vec<usize>, String>>()?;
+    let positions = columns.iter().map(position).collect::<Result<Vec<usize>, String>>()?;
     let row = |(n, line): (usize, &str)| {
         let cells: Vec<&str> = line.split(',').collect();
-        if cells.len() == head.len() {
-            Ok(std::array::from_fn(|i| cells[places[i]].to_string()))
+        if cells.len() == header.len() {
+            Ok(std::array::from_fn(|i| cells[positions[i]].to_string()))
         } else {
-            let (found, wanted) = (cells.len(), head.len());
-            Err(format!("{file}: line {}: expected {wanted} cells, found {found}", n + 2))
+            let (found, expected) = (cells.len(), header.len());
+            Err(format!("{file}: line {}: expected {expected} cells, found {found}", n + 2))
         }
     };
     lines.enumerate().map(row).collect()
 }
 
-fn number(text: &str, file: &str) -> Result<f64, String> {
+fn parse_number(text: &str, file: &str) -> Result<f64, String> {
     text.parse().map_err(|_| format!("{file}: expected a number, found {text:?}"))
 }
 
-/// Every marked figure of a page against the tables.
-pub fn hold(page: &str, tables: &Tables) -> Held {
-    let mut held = Held { figures: 0, off: Vec::new() };
+/// Compares all marked figures of a page with the tables.
+pub fn check(page: &str, tables: &Tables) -> PageCheck {
+    let mut check = PageCheck::default();
     for (n, line) in page.lines().enumerate() {
         let mut rest = line;
-        while let Some((before, mark)) = rest.split_once(OPEN) {
-            held.figures += 1;
-            let Some((key, after)) = mark.split_once(CLOSE) else {
-                held.off.push(Off { line: n + 1, what: "a mark without its end on the line".into() });
+        while let Some((before, mark)) = rest.split_once(MARK_START) {
+            check.figures += 1;
+            let Some((key, after)) = mark.split_once(MARK_END) else {
+                let reason = "a mark without its end on the line".into();
+                check.mismatches.push(Mismatch { line: n + 1, reason });
                 break;
             };
-            if let Err(what) = one(before, key.trim(), tables) {
-                held.off.push(Off { line: n + 1, what });
+            if let Err(reason) = check_figure(before, key.trim(), tables) {
+                check.mismatches.push(Mismatch { line: n + 1, reason });
             }
             rest = after;
         }
     }
-    held
+    check
 }
 
-/// The figure at the end of this text.
-fn one(before: &str, key: &str, tables: &Tables) -> Result<(), String> {
+/// Compares the figure at the end of this text with the entry of its mark.
+fn check_figure(before: &str, key: &str, tables: &Tables) -> Result<(), String> {
     match tables.0.get(key) {
-        None => Err(format!("unknown mark {key:?}; {}", tables.like(key))),
-        Some(Known::Unsound) => Err(format!("{key}: the curve is not to be reckoned with there")),
-        Some(Known::Word(word)) if before.trim_end().ends_with(word.as_str()) => Ok(()),
-        Some(Known::Word(word)) => Err(format!("{key} is {word:?}, the page says another")),
-        Some(Known::Number(value, size)) => {
-            let said =
-                Said::last(before, *size).ok_or_else(|| format!("{key}: no number before the mark"))?;
-            if said.agrees(*value) {
+        None => Err(format!("unknown mark {key:?}; {}", tables.suggestions(key))),
+        Some(Entry::Unreliable) => Err(format!("{key}: the curve is not to be reckoned with there")),
+        Some(Entry::Word(word)) if before.trim_end().ends_with(word.as_str()) => Ok(()),
+        Some(Entry::Word(word)) => Err(format!("{key} is {word:?}, the page says another")),
+        Some(Entry::Number { value, unit_factor }) => {
+            let written = WrittenNumber::last_in(before, *unit_factor)
+                .ok_or_else(|| format!("{key}: no number before the mark"))?;
+            if written.agrees_with(*value) {
                 Ok(())
             } else {
-                Err(format!("{key} is {value}, the page says {}", said.value))
+                Err(format!("{key} is {value}, the page says {}", written.value))
             }
         }
     }
 }
 
-/// A number as it is written.
-struct Said {
+/// A number as the page has it.
+struct WrittenNumber {
+    /// The number in the unit of the figure.
     value: f64,
-    /// Half of its last digit that counts.
-    half: f64,
+    /// Half of the last significant digit.
+    tolerance: f64,
 }
 
-impl Said {
-    /// The last number of a text, with its word of size; its unit is this much of such a word.
-    fn last(text: &str, unit: f64) -> Option<Self> {
+impl WrittenNumber {
+    /// Returns the last number of a text with its scale; `unit_factor` is the factor of the figure's unit in terms of [`SCALES`].
+    fn last_in(text: &str, unit_factor: f64) -> Option<Self> {
         let end = text.rfind(|c: char| c.is_ascii_digit())? + 1;
-        let of_number = |c: char| c.is_ascii_digit() || c == ',' || c == '.';
-        let from = text[..end].rfind(|c: char| !of_number(c)).map_or(0, |at| at + 1);
-        // A letter's own bytes end where the number begins, or this would be no place between characters.
-        let from = (from..end).find(|at| text.is_char_boundary(*at) && text[*at..].starts_with(of_number))?;
-        let written: String = text[from..end].trim_start_matches([',', '.']).replace(',', "");
-        let minus = if text[..from].ends_with('-') { -1.0 } else { 1.0 };
-        let digits = written.split_once('.').map_or(0, |(_, d)| d.len());
-        let zeros = if digits > 0 { 0 } else { written.len() - written.trim_end_matches('0').len() };
-        let word = text[end..].trim_start();
-        let size = SIZES.iter().find(|(w, _)| word.starts_with(w)).map_or(1.0, |s| s.1 / unit);
-        let number = written.parse::<f64>().ok()?;
-        let half = 10f64.powi(zeros as i32 - digits as i32) / 2.0;
-        // A whole number's last zeros may stand for any digits, up to a share of it.
-        let half = if zeros > 0 { half.min((MOST * number).max(0.5)) } else { half };
-        Some(Self { value: minus * number * size, half: half * size })
+        let in_number = |c: char| c.is_ascii_digit() || c == ',' || c == '.';
+        let from = text[..end].rfind(|c: char| !in_number(c)).map_or(0, |at| at + 1);
+        // The character before the number may have several bytes: skip to a character boundary.
+        let from = (from..end).find(|at| text.is_char_boundary(*at) && text[*at..].starts_with(in_number))?;
+        let digits: String = text[from..end].trim_start_matches([',', '.']).replace(',', "");
+        let sign = if text[..from].ends_with('-') { -1.0 } else { 1.0 };
+        let decimals = digits.split_once('.').map_or(0, |(_, decimals)| decimals.len());
+        let zeros = if decimals > 0 { 0 } else { digits.len() - digits.trim_end_matches('0').len() };
+        let after = text[end..].trim_start();
+        let scale = SCALES.iter().find(|(name, _)| after.starts_with(name));
+        let factor = scale.map_or(1.0, |scale| scale.1 / unit_factor);
+        let number = digits.parse::<f64>().ok()?;
+        let half_digit = 10f64.powi(zeros as i32 - decimals as i32) / 2.0;
+        // The zeros at the end of a whole number may stand for any digits, up to a share of the number.
+        let tolerance = match zeros > 0 {
+            true => half_digit.min((MAX_ROUNDING_SHARE * number).max(0.5)),
+            false => half_digit,
+        };
+        Some(Self { value: sign * number * factor, tolerance: tolerance * factor })
     }
 
-    /// It is the value, as rounded.
-    fn agrees(&self, value: f64) -> bool {
-        // What rounding loses of a number that ends in the middle between two is none of its fault.
-        (self.value - value).abs() <= self.half * (1.0 + 1e-9)
+    /// Whether the number is this value, rounded.
+    fn agrees_with(&self, value: f64) -> bool {
+        // Allows for floating-point error of values exactly between two roundings.
+        (self.value - value).abs() <= self.tolerance * (1.0 + 1e-9)
     }
 }
--- a/crates/experiments/src/capacity/row.rs
+++ b/crates/experiments/src/capacity/row.rs
@@ -1,46 +1,48 @@
-//! A point of the table: what was found at one place on one axis.
+//! A row of the table: one figure at one position on one axis.
 
-/// How a figure was come by.
+use crate::out::format_short;
+
+/// How a figure was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// Counted or timed where the real code ran.
     Measured,
-    /// In simulated time: the real decisions, everything round them made up.
+    /// Taken from a run in simulated time: real decisions in a simulated environment.
     Simulated,
-    /// Worked out from others.
-    Reckoned,
+    /// Computed from other figures.
+    Computed,
 }
 
 impl Kind {
-    /// Its name in tables.
+    /// The name of the kind in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Measured => "measured",
             Self::Simulated => "simulated",
-            Self::Reckoned => "reckoned",
+            Self::Computed => "reckoned",
         }
     }
 }
 
-/// A point.
+/// A row of the table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// Along what.
+    /// The axis.
     pub axis: &'static str,
-    /// Where on it.
+    /// The position on the axis.
     pub x: f64,
-    /// What was found.
+    /// The name of the figure.
     pub figure: &'static str,
-    /// How much.
+    /// The value of the figure.
     pub value: f64,
-    /// Of what.
+    /// The unit of the figure.
     pub unit: &'static str,
-    /// How it was come by.
+    /// How the figure was obtained.
     pub kind: Kind,
 }
 
 impl Row {
-    /// A point.
+    /// Returns a row: axis and position, the figure with its value and unit, and its kind.
     pub fn new(
         (axis, x): (&'static str, f64),
         (figure, value, unit): (&'static str, f64, &'static str),
@@ -49,8 +51,21 @@
         Self { axis, x, figure, value, unit, kind }
     }
 
-    /// Its name among what must hold and in pages.
-    pub fn name(&self) -> String {
+    /// Returns the name of the point, for bounds and pages.
+    pub fn key(&self) -> String {
         format!("{} {}={}", self.figure, self.axis, self.x)
     }
+
+    /// Prints the row as one line.
+    pub fn print(&self) {
+        println!(
+            "  {:18} {:>10} {:26} {:>14} {:9} {}",
+            self.axis,
+            format_short(self.x),
+            self.figure,
+            format_short(self.value),
+            self.unit,
+            self.kind.name()
+        );
+    }
 }
--- a/crates/experiments/src/capacity/table.rs
+++ b/crates/experiments/src/capacity/table.rs
@@ -1,38 +1,34 @@
-//! What is kept of a measurement: all points, the curves, and charts with the budgets as lines.
+//! Output files of the experiment: a table of all points, a table of the curves, and charts of the figures that have a budget.
 
+use super::curve::Curve;
 use super::row::Row;
-use super::Curve;
-use crate::out::{chart, Line, Origin};
+use crate::out::{write_chart, Line, Provenance};
 use std::fmt::Write;
 use std::path::Path;
 
-/// Steps of a curve in a chart.
-const STEPS: usize = 60;
+/// Segments of a curve in a chart.
+const CURVE_SEGMENTS: usize = 60;
 
-/// All points.
-fn points(rows: &[Row], origin: &Origin) -> String {
+/// Returns the table of all points.
+fn points_csv(rows: &[Row], provenance: &Provenance) -> String {
     let mut text = String::from("axis,x,figure,value,unit,kind,seed,commit,cores,file\n");
-    for r in rows {
-        let o = origin;
+    let Provenance { seed, commit, cores, file } = provenance;
+    for row in rows {
         let _ = writeln!(
             text,
-            "{},{},{},{},{},{},{},{},{},{}",
-            r.axis,
-            r.x,
-            r.figure,
-            number(r.value),
-            r.unit,
-            r.kind.name(),
-            o.seed,
-            o.commit,
-            o.cores,
-            o.file
+            "{},{},{},{},{},{},{seed},{commit},{cores},{file}",
+            row.axis,
+            row.x,
+            row.figure,
+            number(row.value),
+            row.unit,
+            row.kind.name(),
         );
     }
     text
 }
 
-/// Seven digits, however large or small.
+/// Formats a whole number in full, any other one with seven digits.
 fn number(value: f64) -> String {
     if value.fract() == 0.0 && value.abs() < 1e15 {
         format!("{value:.0}")
@@ -41,60 +37,70 @@
     }
 }
 
-/// The curves.
-fn fits(curves: &[Curve]) -> String {
+/// Returns the table of the curves.
+fn fits_csv(curves: &[Curve]) -> String {
     let mut text = String::from(
         "axis,figure,unit,form,base,slope,largest_residual,reckon,from,to,at,value,budget,points\n",
     );
-    for c in curves {
-        let _ = write!(text, "{},{},{}", c.axis, c.figure, c.unit);
-        let given = |n: Option<f64>| n.map_or_else(String::new, number);
-        let _ = match &c.fit {
-            Ok(f) => write!(
-                text,
-                ",{},{},{},{},{},{},{},{},{}",
-                f.form.name(),
-                number(f.base),
-                number(f.slope),
-                number(f.residual),
-                if f.sound() && c.at.is_none_or(|at| f.sound_at(at)) { "yes" } else { "no" },
-                f.range.0,
-                f.range.1,
-                given(c.at),
-                given(c.at.map(|at| f.at(at))),
-            ),
-            Err(_) => write!(text, ",none,,,,no,,,{},", given(c.at)),
+    for curve in curves {
+        let _ = write!(text, "{},{},{}", curve.axis, curve.figure, curve.unit);
+        let optional = |n: Option<f64>| n.map_or_else(String::new, number);
+        let expected_x = curve.expected_x;
+        let _ = match &curve.fit {
+            Ok(fit) => {
+                let reliable = fit.is_reliable() && expected_x.is_none_or(|x| fit.is_reliable_at(x));
+                write!(
+                    text,
+                    ",{},{},{},{},{},{},{},{},{}",
+                    fit.form.name(),
+                    number(fit.base),
+                    number(fit.slope),
+                    number(fit.residual),
+                    if reliable { "yes" } else { "no" },
+                    fit.range.0,
+                    fit.range.1,
+                    optional(expected_x),
+                    optional(expected_x.map(|x| fit.value_at(x))),
+                )
+            }
+            Err(_) => write!(text, ",none,,,,no,,,{},", optional(expected_x)),
         };
-        let _ = writeln!(text, ",{},{}", given(c.budget), c.points.len());
+        let _ = writeln!(text, ",{},{}", optional(curve.budget), curve.points.len());
     }
     text
 }
 
-/// Keeps everything in a folder.
-pub fn keep(dir: &Path, name: &str, rows: &[Row], curves: &[Curve], origin: &Origin) -> Result<(), String> {
-    let say = |e: std::io::Error| format!("{}: {e}", dir.display());
-    std::fs::create_dir_all(dir).map_err(say)?;
-    std::fs::write(dir.join(format!("{name}.csv")), points(rows, origin)).map_err(say)?;
-    std::fs::write(dir.join(format!("{name}-fits.csv")), fits(curves)).map_err(say)?;
-    for c in curves.iter().filter(|c| c.budget.is_some()) {
-        let file = format!("{name}-{}-{}.svg", c.axis, c.figure).replace(' ', "-");
-        let title = format!("{name}, seed {}: {} by {}", origin.seed, c.figure, c.axis);
-        chart(&dir.join(file), &title, (c.axis, c.unit), &lines(c))?;
+/// Writes the tables and charts into a directory.
+pub fn write_files(
+    dir: &Path,
+    name: &str,
+    rows: &[Row],
+    curves: &[Curve],
+    provenance: &Provenance,
+) -> Result<(), String> {
+    let message = |e: std::io::Error| format!("{}: {e}", dir.display());
+    std::fs::create_dir_all(dir).map_err(message)?;
+    std::fs::write(dir.join(format!("{name}.csv")), points_csv(rows, provenance)).map_err(message)?;
+    std::fs::write(dir.join(format!("{name}-fits.csv")), fits_csv(curves)).map_err(message)?;
+    for curve in curves.iter().filter(|curve| curve.budget.is_some()) {
+        let file = format!("{name}-{}-{}.svg", curve.axis, curve.figure).replace(' ', "-");
+        let title = format!("{name}, seed {}: {} by {}", provenance.seed, curve.figure, curve.axis);
+        write_chart(&dir.join(file), &title, (curve.axis, curve.unit), &chart_lines(curve))?;
     }
     Ok(())
 }
 
-/// The points, the curve to where the axis is expected to be, and the budget.
-fn lines(c: &Curve) -> Vec<Line> {
-    let last = c.points.iter().map(|p| p.0).chain(c.at).fold(0.0, f64::max);
-    let first = c.points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min);
-    let mut lines = vec![("measured".to_string(), c.points.clone())];
-    if let Ok(fit) = &c.fit {
-        let at = |n: usize| first + (last - first) * n as f64 / STEPS as f64;
-        let sound = if fit.sound() { "" } else { ", not to reckon with" };
-        let line = (0..=STEPS).map(|n| (at(n), fit.at(at(n)))).collect();
-        lines.push((format!("{}{sound}", fit.form.name()), line));
+/// Returns the lines of a chart: the points, the curve up to the expected position, and the budget.
+fn chart_lines(curve: &Curve) -> Vec<Line> {
+    let last = curve.points.iter().map(|p| p.0).chain(curve.expected_x).fold(0.0, f64::max);
+    let first = curve.points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min);
+    let mut lines = vec![("measured".to_string(), curve.points.clone())];
+    if let Ok(fit) = &curve.fit {
+        let x = |n: usize| first + (last - first) * n as f64 / CURVE_SEGMENTS as f64;
+        let reliability = if fit.is_reliable() { "" } else { ", unreliable" };
+        let points = (0..=CURVE_SEGMENTS).map(|n| (x(n), fit.value_at(x(n)))).collect();
+        lines.push((format!("{}{reliability}", fit.form.name()), points));
     }
-    lines.extend(c.budget.map(|b| ("budget".to_string(), vec![(0.0, b), (last, b)])));
+    lines.extend(curve.budget.map(|budget| ("budget".to_string(), vec![(0.0, budget), (last, budget)])));
     lines
 }
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -1,4 +1,5 @@
-//! An experiment's file: fleet, load, script, the runs to compare, and what must hold.
+//! Experiment files for simulated time and for sockets: the fleet, its load, a script of faults and changes, the runs to compare, and the
+//! bounds of their figures.
 
 use basaltgw_config::yaml::{schema, BadFile, Document};
 use basaltgw_simulator::sim::Setup;
@@ -6,24 +7,24 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// How a run differs from what the file describes.
+/// How a run differs from the experiment file.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Variant {
-    /// As described.
+    /// The run as the file describes it.
     Described,
-    /// The same seed, load and troubles without any change of the tree.
+    /// The same seed, load and faults without any change of the tree.
     Still,
-    /// Every change at once: no shares, no old homes asked.
+    /// Every change applied at once: no gradual shift of shares, no requests to the previous parents.
     AtOnce,
-    /// Nodes do not heed trails.
+    /// Nodes without loop detection.
     Blind,
     /// The same seed, load and faults with routers that have no section `fleet`.
     Alone,
 }
 
 impl Variant {
-    /// Its name in tables.
+    /// The name of the run in tables and files.
     pub fn name(self) -> &'static str {
         match self {
             Self::Described => "described",
@@ -35,35 +36,35 @@
     }
 }
 
-/// Where it is played.
+/// Where an experiment runs.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum On {
+pub enum Environment {
     /// In simulated time, in one process.
     #[default]
     Simulated,
     /// On loopback sockets, with real router processes.
     Sockets,
-    /// The same, with faults between routers that keep each other's word: see [`crate::fleet`].
+    /// On loopback sockets, with the section `fleet` and faults on the links between routers: see [`crate::fleet`].
     Fleet,
 }
 
-/// Something that must hold.
+/// A bound of one figure. The experiment fails if the figure is outside.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Must {
-    /// Of which run; the described one if not said.
+pub struct Bound {
+    /// The run whose figure is bounded; by default the described one.
     #[serde(default = "described")]
     pub run: Variant,
-    /// Which figure.
+    /// The name of the figure.
     pub figure: String,
-    /// Exactly this.
+    /// The exact value.
     pub is: Option<f64>,
-    /// No less than this.
+    /// The minimum.
     pub at_least: Option<f64>,
-    /// No more than this.
+    /// The maximum.
     pub at_most: Option<f64>,
-    /// The bounds are multiples of the same figure of this run.
+    /// The run whose value of the same figure multiplies the numbers above.
     pub times_of: Option<Variant>,
 }
 
@@ -71,80 +72,110 @@
     Variant::Described
 }
 
-/// The size of a run as a multiple of the file's.
+/// The size of a run as a multiple of the size in the file.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scale {
-    /// Zones, and districts in proportion.
+    /// The factor for zones and districts.
     pub times: usize,
-    /// Only in full runs.
+    /// Whether quick runs leave this size out.
     #[serde(default)]
     pub full: bool,
 }
 
-/// An experiment.
+/// An experiment in simulated time or on sockets.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// The name of the experiment.
     pub name: String,
-    /// What it is for, in a sentence.
+    /// The purpose of the experiment in a sentence.
     pub about: String,
-    /// Where it is played.
-    #[serde(default)]
-    pub on: On,
-    /// Seed where none is given.
+    /// Where the experiment runs.
+    #[serde(default, rename = "on")]
+    pub environment: Environment,
+    /// The seed of runs without `--seed`.
     pub seed: u64,
-    /// How long requests come in.
+    /// The time during which clients send requests.
     pub length_ms: f64,
-    /// The fleet.
+    /// The machines, their network and the rules of routing.
     pub fleet: FleetSpec,
-    /// What is asked.
+    /// The requests of the clients.
     pub load: LoadSpec,
-    /// Plans; the first is in use at the start.
+    /// Plans of the tree; the first is in use at the start.
     #[serde(default)]
     pub plans: Vec<PlanShape>,
-    /// What happens.
+    /// Faults and changes at given times.
     #[serde(default)]
     pub script: Vec<ScriptEvent>,
-    /// Runs to compare.
+    /// The runs to compare.
     pub runs: Vec<Variant>,
-    /// Sizes; the file's own if none is named.
+    /// The sizes of the fleet; without any, only the size in the file.
     #[serde(default)]
     pub scales: Vec<Scale>,
-    /// What must hold, at each size.
-    pub must: Vec<Must>,
+    /// Bounds of figures, checked at each size.
+    #[serde(rename = "must")]
+    pub bounds: Vec<Bound>,
 }
 
+/// JSON schema of experiment files.
 const SCHEMA: &str = include_str!("../experiments/schema.json");
 
-/// The experiments that the program brings along, by name.
-pub const OWN: [(&str, &str); 3] = [
+/// The built-in experiments: name and text of the file.
+pub const BUILT_IN: [(&str, &str); 3] = [
     ("reshape", include_str!("../experiments/reshape.yaml")),
     ("reshape-simulated", include_str!("../experiments/reshape-simulated.yaml")),
     ("reshape-at-scale", include_str!("../experiments/reshape-at-scale.yaml")),
 ];
 
-/// The text of an experiment that has a form of its own: the program's, by its name, or a file's.
-pub fn text_of(own: (&str, &str), name: &str) -> Option<String> {
-    if name == own.0 {
-        Some(own.1.to_string())
+/// Returns the text of the built-in experiment (name and text) if it has this name, otherwise that of the file at this path.
+pub fn read_text(built_in: (&str, &str), name: &str) -> Option<String> {
+    if name == built_in.0 {
+        Some(built_in.1.to_string())
     } else {
         std::fs::read_to_string(name).ok()
     }
 }
 
-/// Whether such an experiment is of this form, as its key `on` says.
-pub fn is_of_form(own: (&str, &str), name: &str, form: &str) -> bool {
-    let document = text_of(own, name).and_then(|t| Document::parse(name, &t, &schema("{}")).ok());
+/// Whether the experiment has this form, which its key `on` names.
+pub fn has_form(built_in: (&str, &str), name: &str, form: &str) -> bool {
+    let document = read_text(built_in, name).and_then(|t| Document::parse(name, &t, &schema("{}")).ok());
     document.is_some_and(|d| d.value.get("on").and_then(serde_json::Value::as_str) == Some(form))
 }
 
+/// Rejects bounds without a limit, and those of a run that the experiment does not have.
+pub fn check_bounds(document: &Document, bounds: &[Bound], runs: &[Variant]) -> Result<(), BadFile> {
+    for (i, bound) in bounds.iter().enumerate() {
+        let named = [Some(bound.run), bound.times_of];
+        if let Some(missing) = named.into_iter().flatten().find(|run| !runs.contains(run)) {
+            let message = format!("the run {} is not among the experiment's runs", missing.name());
+            return Err(document.fault(&format!("/must/{i}"), message));
+        }
+        if [bound.is, bound.at_least, bound.at_most].iter().all(Option::is_none) {
+            return Err(document.fault(&format!("/must/{i}"), "expected `is`, `at_least` or `at_most`"));
+        }
+    }
+    Ok(())
+}
+
+/// Rejects bounds without a limit, and those of another run than the described one, for experiments that have no other run. `section` is the
+/// path of the section with the bounds.
+pub fn check_bounds_of_one_run(document: &Document, section: &str, bounds: &[Bound]) -> Result<(), BadFile> {
+    for (i, bound) in bounds.iter().enumerate() {
+        let other_run = bound.run != Variant::Described || bound.times_of.is_some();
+        if other_run || [bound.is, bound.at_least, bound.at_most] == [None; 3] {
+            let message = "expected `is`, `at_least` or `at_most` of the run described";
+            return Err(document.fault(&format!("{section}/must/{i}"), message));
+        }
+    }
+    Ok(())
+}
+
 impl Experiment {
-    /// Reads one of the program's own by name, or a file by its path.
-    pub fn find(name: &str) -> Result<(Self, String), BadFile> {
+    /// Loads a built-in experiment by its name, or a file by its path, and returns it with the text of the file.
+    pub fn load(name: &str) -> Result<(Self, String), BadFile> {
         let validator = schema(SCHEMA);
-        let (document, text) = match OWN.iter().find(|(own, _)| *own == name) {
+        let (document, text) = match BUILT_IN.iter().find(|(built_in, _)| *built_in == name) {
             Some((_, text)) => {
                 (Document::parse(&format!("{name}.yaml"), text, &validator)?, (*text).to_string())
             }
@@ -155,40 +186,36 @@
             }
         };
         let experiment: Self = document.typed()?;
-        for (i, m) in experiment.must.iter().enumerate() {
-            let runs = [Some(m.run), m.times_of];
-            if let Some(missing) = runs.into_iter().flatten().find(|r| !experiment.runs.contains(r)) {
-                let what = format!("the run {} is not among the experiment's runs", missing.name());
-                return Err(document.fault(&format!("/must/{i}"), what));
-            }
-            if [m.is, m.at_least, m.at_most].iter().all(Option::is_none) {
-                return Err(document.fault(&format!("/must/{i}"), "expected `is`, `at_least` or `at_most`"));
-            }
-        }
-        for (i, m) in experiment.script.iter().enumerate() {
-            if let Some(plan) = m.plan.as_ref().filter(|p| !experiment.plans.iter().any(|s| s.name == **p)) {
+        check_bounds(&document, &experiment.bounds, &experiment.runs)?;
+        experiment.check_script(&document)?;
+        Ok((experiment, text))
+    }
+
+    /// Rejects script events that name an unknown plan or node.
+    fn check_script(&self, document: &Document) -> Result<(), BadFile> {
+        let nodes = basaltgw_simulator::fleet::nodes(&self.fleet);
+        for (i, event) in self.script.iter().enumerate() {
+            if let Some(plan) = event.plan.as_ref().filter(|p| !self.plans.iter().any(|s| s.name == **p)) {
                 return Err(document.fault(&format!("/script/{i}/plan"), format!("unknown plan {plan:?}")));
             }
-            let known = basaltgw_simulator::fleet::nodes(&experiment.fleet);
-            for (key, name) in [("node", &m.node), ("to", &m.to)] {
-                if let Some(name) = name.as_ref().filter(|n| !known.iter().any(|k| k.name == **n)) {
-                    return Err(
-                        document.fault(&format!("/script/{i}/{key}"), format!("unknown node {name:?}"))
-                    );
+            for (key, name) in [("node", &event.node), ("to", &event.to)] {
+                if let Some(name) = name.as_ref().filter(|n| !nodes.iter().any(|node| node.name == **n)) {
+                    let message = format!("unknown node {name:?}");
+                    return Err(document.fault(&format!("/script/{i}/{key}"), message));
                 }
             }
         }
-        Ok((experiment, text))
+        Ok(())
     }
 
-    /// A run of it.
+    /// Returns the simulator's setup of one run: this variant, at `times` the size of the file, with this seed.
     pub fn setup(&self, variant: Variant, times: usize, seed: u64) -> Setup {
         let mut fleet = self.fleet.clone();
         fleet.zones *= times;
-        let grown = |of: usize, spare: usize| (of - spare) * times + spare;
+        let scaled = |count: usize, spare: usize| (count - spare) * times + spare;
         let (districts, spares) = (fleet.districts, fleet.spare_districts);
-        fleet.districts = grown(districts, spares);
-        // Spares come last: their numbers move up with the size.
+        fleet.districts = scaled(districts, spares);
+        // Spare districts have the last numbers, so their numbers grow with the size.
         let number = |d: usize| if d >= districts - spares { d + fleet.districts - districts } else { d };
         let plans = self.plans.iter().map(|p| PlanShape {
             districts: (0..times)
@@ -204,8 +231,8 @@
         });
         let plans = plans.collect();
         let mut script = self.script.clone();
-        for m in &mut script {
-            for name in [&mut m.node, &mut m.to].into_iter().flatten() {
+        for event in &mut script {
+            for name in [&mut event.node, &mut event.to].into_iter().flatten() {
                 if let Some(d) = name.strip_prefix("district-").and_then(|d| d.parse::<usize>().ok()) {
                     *name = format!("district-{}", number(d));
                 }
@@ -219,31 +246,31 @@
                 ScriptAction::Drain,
                 ScriptAction::Stop,
             ];
-            script.retain(|m| !changes.contains(&m.what));
+            script.retain(|event| !changes.contains(&event.what));
         }
-        let usual = basaltgw_hierarchy::Settings {
+        let defaults = basaltgw_hierarchy::Settings {
             successes_per_step: 4,
             idle_step_duration: 2_000.0,
             ..Default::default()
         };
-        let tree = match (self.on, variant) {
-            // Real routers go by portions; as fast as they can comes nearest to at once.
-            (On::Sockets, Variant::AtOnce) => basaltgw_hierarchy::Settings {
+        let tree = match (self.environment, variant) {
+            // Router processes always shift traffic in steps, so the fastest steps stand in for a change applied at once.
+            (Environment::Sockets, Variant::AtOnce) => basaltgw_hierarchy::Settings {
                 successes_per_step: 1,
                 idle_step_duration: 0.0,
                 quiet_period: 0.0,
                 handover_duration: 0.0,
-                ..usual
+                ..defaults
             },
-            (On::Sockets, _) => basaltgw_hierarchy::Settings {
+            (Environment::Sockets, _) => basaltgw_hierarchy::Settings {
                 successes_per_step: 2,
                 idle_step_duration: 500.0,
                 quiet_period: 500.0,
-                ..usual
+                ..defaults
             },
-            (On::Simulated | On::Fleet, _) => usual,
+            (Environment::Simulated | Environment::Fleet, _) => defaults,
         };
-        let cold = basaltgw_hierarchy::SlowStart {
+        let slow_start = basaltgw_hierarchy::SlowStart {
             initial_share: fleet.rules.cold_parent.share,
             ramp_duration: fleet.rules.cold_parent.span_ms,
         };
@@ -252,7 +279,7 @@
             load: self.load.clone(),
             script,
             plans,
-            tree: basaltgw_hierarchy::Settings { slow_start: cold, ..tree },
+            tree: basaltgw_hierarchy::Settings { slow_start, ..tree },
             length_ms: self.length_ms,
             staged: variant != Variant::AtOnce,
             loop_detection: variant != Variant::Blind,
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Experiments on a fleet: routers that keep each other's word, as processes, with faults between them (`on: fleet`).
+//! Experiments on a fleet (`on: fleet`): router processes with the section `fleet`, under faults of processes and of the links between them.
 
-use crate::experiment::{Must, Variant};
-use crate::runs::{binary, Done, Row};
+use crate::experiment::{check_bounds, Bound, Variant};
+use crate::runs::{answered_share, router_program, RunResult};
 use basaltgw_config::yaml::{schema, BadFile, Document};
 use basaltgw_emulator::rig::faults::{Draws, Moment, What};
 use basaltgw_emulator::rig::load::Load;
@@ -12,130 +12,138 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Where routers stand: those of a machine, and of a branch, are lost together.
+/// The failure domains of a router: routers of one machine, or of one branch, fail together.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
+pub struct RouterLocation {
     branch: String,
     machine: String,
 }
 
-/// How long requests come in, in milliseconds.
+/// The time during which clients send requests, for each form of the experiment, in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Length {
+pub struct LengthByForm {
     quick: f64,
     full: f64,
 }
 
-/// An experiment on a fleet.
+/// The file of an experiment on a fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// The name of the experiment.
     pub name: String,
-    /// What it is for, in a sentence.
+    /// The purpose of the experiment in a sentence.
     pub about: String,
-    /// Always `fleet`.
-    #[allow(dead_code)] // Read before the rest, to tell the form of the file.
+    #[allow(dead_code)] // `load` reads this key before the others.
     on: String,
-    /// Seed where none is given.
+    /// The seed of runs without `--seed`.
     pub seed: u64,
-    length_ms: Length,
-    routers: Vec<Place>,
-    copies: usize,
+    length_ms: LengthByForm,
+    routers: Vec<RouterLocation>,
+    /// Replicas of each shard.
+    #[serde(rename = "copies")]
+    replicas: usize,
     /// Further keys of each router's section `fleet`.
     #[serde(default)]
     section: Value,
-    /// The rules' file that routers start with.
+    /// The rules file at the start.
     rules: Option<String>,
+    /// The time after which a purge must have reached all routers.
     settles_ms: u64,
+    /// Range of the latency of a link.
     link_ms: [f64; 2],
     load: Load,
     purges_per_s: f64,
+    /// Faults at given times.
     #[serde(default)]
     script: Vec<Moment>,
+    /// Faults drawn from the seed.
     draws: Option<Draws>,
     runs: Vec<Variant>,
-    /// What must hold, and what must have been provoked.
-    pub must: Vec<Must>,
-    /// Figures of the last line.
-    pub shown: Vec<String>,
+    /// Bounds of figures: guarantees, and faults that must have occurred.
+    #[serde(rename = "must")]
+    pub bounds: Vec<Bound>,
+    /// The figures in the last line of output.
+    #[serde(rename = "shown")]
+    pub summary_figures: Vec<String>,
 }
 
+/// JSON schema of experiment files.
 const SCHEMA: &str = include_str!("../experiments/fleet-schema.json");
 
-/// The experiments on a fleet that the program brings along, by name.
-pub const OWN: [(&str, &str); 2] = [
+/// The built-in experiments: name and text of the file.
+pub const BUILT_IN: [(&str, &str); 2] = [
     ("holds", include_str!("../experiments/holds.yaml")),
     ("placement", include_str!("../experiments/placement.yaml")),
 ];
 
-/// Reads one of the program's own by name, or a file by its path; `None` if it is not one on a fleet.
-pub fn find(name: &str) -> Result<Option<(Experiment, String)>, BadFile> {
-    let (file, text) = match OWN.iter().find(|(own, _)| *own == name) {
+/// Loads a built-in experiment by its name, or a file by its path, and returns it with the text of the file; `None` if the file has another
+/// form.
+pub fn load(name: &str) -> Result<Option<(Experiment, String)>, BadFile> {
+    let (file, text) = match BUILT_IN.iter().find(|(built_in, _)| *built_in == name) {
         Some((_, text)) => (format!("{name}.yaml"), (*text).to_string()),
         None => match std::fs::read_to_string(Path::new(name)) {
             Ok(text) => (name.to_string(), text),
-            // Whoever reads it as another form says what is wrong with it.
+            // The loader of the other form reports the error.
             Err(_) => return Ok(None),
         },
     };
-    let Ok(any) = Document::parse(&file, &text, &schema("{}")) else { return Ok(None) };
-    if any.value.get("on").and_then(Value::as_str) != Some("fleet") {
+    let Ok(untyped) = Document::parse(&file, &text, &schema("{}")) else { return Ok(None) };
+    if untyped.value.get("on").and_then(Value::as_str) != Some("fleet") {
         return Ok(None);
     }
     let document = Document::parse(&file, &text, &schema(SCHEMA))?;
     let experiment: Experiment = document.typed()?;
-    let routers = experiment.routers.len();
-    for (i, m) in experiment.script.iter().enumerate() {
-        for (key, at) in [("router", Some(m.router)), ("other", m.other)] {
-            if let Some(at) = at.filter(|at| *at >= routers) {
-                let what = format!("expected a router from 0 to {}, found {at}", routers - 1);
-                return Err(document.fault(&format!("/script/{i}/{key}"), what));
-            }
-        }
-        let rules =
-            [What::Rules, What::RulesOne, What::RulesTwo, What::RulesStuck, What::RulesCut].contains(&m.what);
-        if rules && (m.rules.is_none() || experiment.rules.is_none()) {
-            let what = "expected `rules` here and for the start";
-            return Err(document.fault(&format!("/script/{i}"), what));
-        }
-        if m.what == What::RulesTwo && m.rules_other.is_none() {
-            let what = "expected `rules_other`, those of the other operator";
-            return Err(document.fault(&format!("/script/{i}"), what));
-        }
-    }
-    for (i, m) in experiment.must.iter().enumerate() {
-        let runs = [Some(m.run), m.times_of];
-        if let Some(missing) = runs.into_iter().flatten().find(|r| !experiment.runs.contains(r)) {
-            let what = format!("the run {} is not among the experiment's runs", missing.name());
-            return Err(document.fault(&format!("/must/{i}"), what));
-        }
-        if [m.is, m.at_least, m.at_most].iter().all(Option::is_none) {
-            return Err(document.fault(&format!("/must/{i}"), "expected `is`, `at_least` or `at_most`"));
-        }
-    }
+    experiment.check_script(&document)?;
+    check_bounds(&document, &experiment.bounds, &experiment.runs)?;
     Ok(Some((experiment, text)))
 }
 
 impl Experiment {
+    /// Rejects script events at a router that does not exist, and changes of the rules without the rules.
+    fn check_script(&self, document: &Document) -> Result<(), BadFile> {
+        let routers = self.routers.len();
+        for (i, event) in self.script.iter().enumerate() {
+            for (key, router) in [("router", Some(event.router)), ("other", event.other)] {
+                if let Some(router) = router.filter(|router| *router >= routers) {
+                    let message = format!("expected a router from 0 to {}, found {router}", routers - 1);
+                    return Err(document.fault(&format!("/script/{i}/{key}"), message));
+                }
+            }
+            let changes_rules =
+                [What::Rules, What::RulesOne, What::RulesTwo, What::RulesStuck, What::RulesCut]
+                    .contains(&event.what);
+            if changes_rules && (event.rules.is_none() || self.rules.is_none()) {
+                let message = "expected `rules` here and for the start";
+                return Err(document.fault(&format!("/script/{i}"), message));
+            }
+            if event.what == What::RulesTwo && event.rules_other.is_none() {
+                let message = "expected `rules_other`, those of the other operator";
+                return Err(document.fault(&format!("/script/{i}"), message));
+            }
+        }
+        Ok(())
+    }
+
+    /// Returns the setup of a run.
     fn game(&self, variant: Variant, quick: bool, seed: u64) -> Result<Game, String> {
-        let mut spec = Spec::new(&binary()?, self.routers.len());
-        for (place, of) in spec.places.iter_mut().zip(&self.routers) {
-            (place.branch, place.machine) = (of.branch.clone(), of.machine.clone());
+        let mut spec = Spec::new(&router_program()?, self.routers.len());
+        for (place, location) in spec.places.iter_mut().zip(&self.routers) {
+            (place.branch, place.machine) = (location.branch.clone(), location.machine.clone());
         }
         let fleet = match variant {
             Variant::Described => true,
             Variant::Alone => false,
             Variant::Still | Variant::AtOnce | Variant::Blind => {
-                return Err(format!("no run {} on a fleet", variant.name()))
+                return Err(format!("a run {} is not possible on a fleet", variant.name()))
             }
         };
         let spec = Spec {
             seed,
             fleet,
-            copies: self.copies,
+            copies: self.replicas,
             rules: self.rules.clone(),
             more: self.section.clone(),
             settles_ms: self.settles_ms,
@@ -153,33 +161,40 @@
     }
 }
 
-/// Most words said of a run.
-const WORDS: usize = 12;
+/// Violations that the output describes.
+const MAX_REPORTED_VIOLATIONS: usize = 12;
+/// Violations that the output describes of a run without the section `fleet`: they are expected there.
+const MAX_REPORTED_BASELINE_VIOLATIONS: usize = 2;
 
-/// Plays all runs of an experiment.
-pub fn all(
+/// Runs all variants of an experiment; `on_result` is called after each run.
+pub fn run_all(
     experiment: &Experiment,
     quick: bool,
     seed: u64,
-    mut told: impl FnMut(&Done),
-) -> Result<Vec<Done>, String> {
-    let mut all = Vec::new();
+    mut on_result: impl FnMut(&RunResult),
+) -> Result<Vec<RunResult>, String> {
+    let mut results = Vec::new();
     for variant in &experiment.runs {
-        let begun = Instant::now();
+        let started = Instant::now();
         let played = play(&experiment.game(*variant, quick, seed)?)?;
-        let mut row: Row = played.figures;
-        row.insert("wall_s".into(), begun.elapsed().as_secs_f64());
-        let broken = played.broken.iter().map(|b| format!("{:?}: {}", b.rule, b.words));
-        // What breaks without a fleet is the baseline's figure, and no news.
-        let most = if *variant == Variant::Described { WORDS } else { 2 };
-        let words = broken.take(most).chain(played.unmended).collect();
-        let share = |(asked, got): &(f64, f64)| if *asked > 0.0 { got / asked } else { f64::NAN };
-        let seconds = played.seconds.iter().map(share).collect();
-        let done = Done { routers: experiment.routers.len(), variant: *variant, row, seconds, words };
-        told(&done);
-        all.push(done);
+        let mut figures = played.figures;
+        figures.insert("wall_s".into(), started.elapsed().as_secs_f64());
+        let violations = played.broken.iter().map(|b| format!("{:?}: {}", b.rule, b.words));
+        let reported = match variant {
+            Variant::Described => MAX_REPORTED_VIOLATIONS,
+            _ => MAX_REPORTED_BASELINE_VIOLATIONS,
+        };
+        let result = RunResult {
+            routers: experiment.routers.len(),
+            variant: *variant,
+            figures,
+            seconds: played.seconds.iter().map(answered_share).collect(),
+            messages: violations.take(reported).chain(played.unmended).collect(),
+        };
+        on_result(&result);
+        results.push(result);
     }
-    Ok(all)
+    Ok(results)
 }
 
 #[cfg(test)]
--- a/crates/experiments/src/out.rs
+++ b/crates/experiments/src/out.rs
@@ -1,37 +1,52 @@
-//! What is kept of an experiment: a table (CSV), charts (SVG), and a page that shows them.
+//! Output files of an experiment: a table (CSV), charts (SVG), and an HTML page of both.
 
-use crate::runs::Done;
+use crate::runs::RunResult;
 use plotters::prelude::*;
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::path::Path;
 
-/// What a run was made from.
-pub struct Origin {
+/// Where the figures of a run come from.
+pub struct Provenance {
     /// The seed.
     pub seed: u64,
     /// The commit that was checked out.
     pub commit: String,
-    /// The machine's cores.
+    /// The number of cores of the machine.
     pub cores: usize,
     /// A hash of the experiment's file.
     pub file: String,
 }
 
-/// The table of all runs.
-pub fn csv(done: &[Done], origin: &Origin) -> String {
-    let names: BTreeSet<&String> = done.iter().flat_map(|d| d.row.keys()).collect();
+impl Provenance {
+    /// Returns the provenance of a run on this machine with this seed and text of the experiment's file.
+    pub fn new(seed: u64, text: &str) -> Self {
+        let file = format!("{:016x}", basaltgw::hash::fnv1a(text));
+        let cores = std::thread::available_parallelism().map_or(0, usize::from);
+        Self { seed, commit: checked_out_commit(), cores, file }
+    }
+}
+
+/// Returns the commit that is checked out, `unknown` outside of a repository.
+fn checked_out_commit() -> String {
+    let output = std::process::Command::new("git").args(["rev-parse", "--short=9", "HEAD"]).output();
+    let text = output.ok().filter(|o| o.status.success()).and_then(|o| String::from_utf8(o.stdout).ok());
+    text.map_or_else(|| "unknown".to_string(), |t| t.trim().to_string())
+}
+
+/// Returns the table of all runs.
+pub fn csv(results: &[RunResult], provenance: &Provenance) -> String {
+    let names: BTreeSet<&String> = results.iter().flat_map(|r| r.figures.keys()).collect();
     let mut text = String::from("routers,run,seed,commit,cores,file");
-    names.iter().for_each(|n| {
-        let _ = write!(text, ",{n}");
+    names.iter().for_each(|name| {
+        let _ = write!(text, ",{name}");
     });
     text.push('\n');
-    for d in done {
-        let o = origin;
-        let _ =
-            write!(text, "{},{},{},{},{},{}", d.routers, d.variant.name(), o.seed, o.commit, o.cores, o.file);
-        for n in &names {
-            let value = d.row.get(*n).copied().unwrap_or(f64::NAN);
+    let Provenance { seed, commit, cores, file } = provenance;
+    for result in results {
+        let _ = write!(text, "{},{},{seed},{commit},{cores},{file}", result.routers, result.variant.name());
+        for name in &names {
+            let value = result.figures.get(*name).copied().unwrap_or(f64::NAN);
             let _ = write!(text, ",{}", number(value));
         }
         text.push('\n');
@@ -47,8 +62,8 @@
     }
 }
 
-/// A figure as it is said in a line.
-pub fn short(value: f64) -> String {
+/// Formats a figure for a line of output.
+pub fn format_short(value: f64) -> String {
     if value.fract() == 0.0 && value.abs() >= 10.0 {
         format!("{value:.0}")
     } else {
@@ -58,33 +73,40 @@
 
 const COLOURS: [RGBColor; 4] =
     [RGBColor(0, 90, 160), RGBColor(120, 120, 120), RGBColor(200, 80, 0), RGBColor(150, 0, 100)];
+/// Width and height of a chart in pixels.
+const CHART_SIZE: (u32, u32) = (760, 340);
 
-/// A line: its name and its points.
+/// A line of a chart: its name and its points.
 pub type Line = (String, Vec<(f64, f64)>);
 
-/// A chart of some lines.
-pub fn chart(path: &Path, title: &str, (x, y): (&str, &str), lines: &[Line]) -> Result<(), String> {
-    let points = || lines.iter().flat_map(|l| l.1.iter()).filter(|(x, y)| x.is_finite() && y.is_finite());
-    let most = |pick: fn(&(f64, f64)) -> f64| points().map(pick).fold(0.0, f64::max).max(1e-9);
-    let (right, top) = (most(|p| p.0), most(|p| p.1) * 1.08);
-    let root = SVGBackend::new(path, (760, 340)).into_drawing_area();
-    let fail = |e: &dyn std::fmt::Display| e.to_string();
-    root.fill(&WHITE).map_err(|e| fail(&e))?;
+/// Writes a chart of these lines.
+pub fn write_chart(path: &Path, title: &str, axes: (&str, &str), lines: &[Line]) -> Result<(), String> {
+    draw_chart(path, title, axes, lines).map_err(|e| e.to_string())
+}
+
+fn draw_chart(
+    path: &Path,
+    title: &str,
+    (x_label, y_label): (&str, &str),
+    lines: &[Line],
+) -> Result<(), Box<dyn std::error::Error>> {
+    let points = || lines.iter().flat_map(|line| line.1.iter()).filter(|p| is_finite(p));
+    let max = |coordinate: fn(&(f64, f64)) -> f64| points().map(coordinate).fold(0.0, f64::max).max(1e-9);
+    let (right, top) = (max(|p| p.0), max(|p| p.1) * 1.08);
+    let root = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
+    root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .caption(title, ("sans-serif", 17))
         .margin(10)
         .x_label_area_size(36)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..right, 0.0..top)
-        .map_err(|e| fail(&e))?;
-    chart.configure_mesh().x_desc(x).y_desc(y).light_line_style(WHITE).draw().map_err(|e| fail(&e))?;
+        .build_cartesian_2d(0.0..right, 0.0..top)?;
+    chart.configure_mesh().x_desc(x_label).y_desc(y_label).light_line_style(WHITE).draw()?;
     for (i, (name, points)) in lines.iter().enumerate() {
         let colour = COLOURS[i % COLOURS.len()];
-        let shown: Vec<(f64, f64)> =
-            points.iter().copied().filter(|(x, y)| x.is_finite() && y.is_finite()).collect();
+        let finite: Vec<(f64, f64)> = points.iter().copied().filter(is_finite).collect();
         chart
-            .draw_series(LineSeries::new(shown, colour.stroke_width(2)))
-            .map_err(|e| fail(&e))?
+            .draw_series(LineSeries::new(finite, colour.stroke_width(2)))?
             .label(name.clone())
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour.stroke_width(2)));
     }
@@ -93,13 +115,17 @@
         .position(SeriesLabelPosition::LowerRight)
         .background_style(WHITE.mix(0.8))
         .border_style(RGBColor(200, 200, 200))
-        .draw()
-        .map_err(|e| fail(&e))?;
-    root.present().map_err(|e| fail(&e))
+        .draw()?;
+    root.present()?;
+    Ok(())
+}
+
+fn is_finite((x, y): &(f64, f64)) -> bool {
+    x.is_finite() && y.is_finite()
 }
 
-/// One page of all tables and charts in a folder.
-pub fn report(dir: &Path) -> Result<String, String> {
+/// Returns an HTML page of all tables and charts in a directory.
+pub fn html_report(dir: &Path) -> Result<String, String> {
     let mut files: Vec<_> = std::fs::read_dir(dir)
         .map_err(|e| format!("{}: {e}", dir.display()))?
         .flatten()
@@ -115,7 +141,7 @@
         let text = || std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()));
         match path.extension().and_then(|e| e.to_str()) {
             Some("csv") => {
-                let _ = writeln!(page, "<h2>{}</h2>\n{}", escape(&name), turned(&text()?));
+                let _ = writeln!(page, "<h2>{}</h2>\n{}", escape(&name), transposed_table(&text()?));
             }
             Some("svg") => {
                 let _ = writeln!(page, "<div>{}</div>", text()?);
@@ -126,16 +152,16 @@
     Ok(page)
 }
 
-/// A table with a column for each run, since there are many figures and few runs.
-fn turned(csv: &str) -> String {
+/// Returns an HTML table with a column for each run, since a run has many figures and there are few runs.
+fn transposed_table(csv: &str) -> String {
     let rows: Vec<Vec<&str>> = csv.lines().map(|l| l.split(',').collect()).collect();
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let mut html = String::from("<table>");
-    for c in 0..columns {
+    for column in 0..columns {
         html.push_str("<tr>");
-        for (r, row) in rows.iter().enumerate() {
-            let tag = if r == 0 { "th" } else { "td" };
-            let _ = write!(html, "<{tag}>{}</{tag}>", escape(row.get(c).copied().unwrap_or_default()));
+        for (i, row) in rows.iter().enumerate() {
+            let tag = if i == 0 { "th" } else { "td" };
+            let _ = write!(html, "<{tag}>{}</{tag}>", escape(row.get(column).copied().unwrap_or_default()));
         }
         html.push_str("</tr>\n");
     }
--- a/crates/experiments/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -1,9 +1,10 @@
-//! Runs an experiment's runs, one beside the other, and holds the figures against what must hold.
+//! Runs of an experiment, in simulated time or on sockets, their figures, and the check of the figures against bounds.
 
-use crate::experiment::{Experiment, Must, On, Variant};
+use crate::experiment::{Bound, Environment, Experiment, Variant};
 use basaltgw::api::{Action, Event, Ms, Settings};
 use basaltgw::routing::Router;
 use basaltgw_emulator::Sockets;
+use basaltgw_hierarchy::ChangeState;
 use basaltgw_simulator::checker::Rule;
 use basaltgw_simulator::fleet::Counts;
 use basaltgw_simulator::sim::{run, DecisionModule, RunMetrics, SecondMetrics, Setup};
@@ -13,143 +14,167 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A run's figures by name.
-pub type Row = BTreeMap<String, f64>;
+/// The figures of a run by name.
+pub type Figures = BTreeMap<String, f64>;
 
-/// What came of one run.
-pub struct Done {
-    /// Routers in it.
+/// The result of one run.
+pub struct RunResult {
+    /// The number of routers.
     pub routers: usize,
-    /// Which.
+    /// How the run differs from the experiment file.
     pub variant: Variant,
-    /// Its figures.
-    pub row: Row,
-    /// Worth in time over worth asked, by second.
+    /// The figures of the run.
+    pub figures: Figures,
+    /// For each second, the weight of the requests answered in time as a share of the weight of all requests.
     pub seconds: Vec<f64>,
-    /// Rules broken, in words, and plans refused.
-    pub words: Vec<String>,
+    /// Violated rules, rejected plans, and faults that did not heal.
+    pub messages: Vec<String>,
 }
 
-/// The module with a watch beside it.
-struct Timed {
+/// A decision module that adds up the time of its calls.
+struct TimedRouter {
     router: Router,
     spent: Rc<Cell<Duration>>,
 }
 
-impl DecisionModule for Timed {
-    fn handle(&mut self, now: Ms, event: Event, acts: &mut Vec<Action>) {
-        let begun = Instant::now();
-        self.router.handle(now, event, acts);
-        self.spent.set(self.spent.get() + begun.elapsed());
+impl DecisionModule for TimedRouter {
+    fn handle(&mut self, now: Ms, event: Event, actions: &mut Vec<Action>) {
+        let started = Instant::now();
+        self.router.handle(now, event, actions);
+        self.spent.set(self.spent.get() + started.elapsed());
     }
 }
 
-/// Plays one run.
-pub fn play(setup: &Setup, variant: Variant) -> Result<Done, String> {
+/// Rejected plans that a run reports, at most.
+const MAX_REPORTED_PLANS: usize = 3;
+
+/// Runs a setup in simulated time.
+pub fn run_simulated(setup: &Setup, variant: Variant) -> Result<RunResult, String> {
     let routers = setup.fleet.zones * setup.fleet.routers_per_zone;
     let spent = Rc::new(Cell::new(Duration::ZERO));
-    let begun = Instant::now();
-    let make = |_: usize, set: Settings, seed| {
-        Box::new(Timed { router: Router::new(set, seed), spent: Rc::clone(&spent) })
+    let started = Instant::now();
+    let new_router = |_: usize, settings: Settings, seed| {
+        Box::new(TimedRouter { router: Router::new(settings, seed), spent: Rc::clone(&spent) })
             as Box<dyn DecisionModule>
     };
-    let figures = run(setup, make)?;
-    let mut row = row(&figures);
-    row.insert("decision_us".into(), spent.get().as_secs_f64() * 1e6 / figures.decisions.max(1) as f64);
-    row.insert("wall_s".into(), begun.elapsed().as_secs_f64());
-    row.insert("resident_mb".into(), resident_mb());
-    let seconds = figures.seconds.iter().map(SecondMetrics::weighted_in_time_share);
-    let mut words = broken_words(&figures.violations);
-    words.extend(figures.rejected_plans.iter().take(3).map(|r| format!("plan refused: {r}")));
-    Ok(Done { routers, variant, row, seconds: seconds.collect(), words })
-}
-
-/// The generator may be so late before a run on sockets tells of the machine and not of the routers.
-const LATE_MS: f64 = 50.0;
-
-/// The router's program: the one beside this one.
-pub fn binary() -> Result<PathBuf, String> {
-    let here = std::env::current_exe().map_err(|e| e.to_string())?;
-    let binary = here.with_file_name("basaltgw");
-    match binary.exists() {
-        true => Ok(binary),
-        false => Err(format!("{}: no such file; cargo build --release makes it", binary.display())),
+    let metrics = run(setup, new_router)?;
+    let mut figures = simulated_figures(&metrics);
+    let decision_us = spent.get().as_secs_f64() * 1e6 / metrics.decisions.max(1) as f64;
+    figures.insert("decision_us".into(), decision_us);
+    figures.insert("wall_s".into(), started.elapsed().as_secs_f64());
+    figures.insert("resident_mb".into(), resident_mb());
+    let seconds = metrics.seconds.iter().map(SecondMetrics::weighted_in_time_share).collect();
+    let mut messages = describe_violations(&metrics.violations);
+    let rejected = metrics.rejected_plans.iter().take(MAX_REPORTED_PLANS);
+    messages.extend(rejected.map(|reason| format!("plan rejected: {reason}")));
+    Ok(RunResult { routers, variant, figures, seconds, messages })
+}
+
+/// The maximum p99 delay of the load generator in milliseconds. A run above it measures the machine and not the routers.
+const MAX_GENERATOR_DELAY_MS: f64 = 50.0;
+
+/// Attempts at a run on sockets.
+const MAX_ATTEMPTS: usize = 2;
+
+/// Returns the path of the router program, which stands beside this one.
+pub fn router_program() -> Result<PathBuf, String> {
+    let own = std::env::current_exe().map_err(|e| e.to_string())?;
+    let program = own.with_file_name("basaltgw");
+    match program.exists() {
+        true => Ok(program),
+        false => Err(format!("{}: no such file; build it with cargo build --release", program.display())),
     }
 }
 
-/// Plays one run on sockets; once more if the machine was late.
-pub fn play_on_sockets(setup: &Setup, variant: Variant) -> Result<Done, String> {
-    let binary = binary()?;
-    let dir = tempfile::tempdir().map_err(|e| format!("a folder for routers: {e}"))?;
-    let mut tries = 0;
+/// Runs a setup on sockets, and a second time if the machine delayed the load generator.
+pub fn run_on_sockets(setup: &Setup, variant: Variant) -> Result<RunResult, String> {
+    let program = router_program()?;
+    let dir = tempfile::tempdir().map_err(|e| format!("cannot create a directory for routers: {e}"))?;
+    let mut attempts = 0;
     let (sockets, wall) = loop {
-        let begun = Instant::now();
-        let sockets = basaltgw_emulator::run(setup, &binary, dir.path())?;
-        tries += 1;
-        if sockets.late_p99 <= LATE_MS {
-            break (sockets, begun.elapsed());
+        let started = Instant::now();
+        let sockets = basaltgw_emulator::run(setup, &program, dir.path())?;
+        attempts += 1;
+        if sockets.late_p99 <= MAX_GENERATOR_DELAY_MS {
+            break (sockets, started.elapsed());
         }
-        if tries == 2 {
+        if attempts == MAX_ATTEMPTS {
             return Err(format!(
-                "the machine was late by {:.0} ms, twice; this does not count",
+                "the load generator was late by {:.0} ms in the last of {attempts} attempts: the machine is too busy for a valid run",
                 sockets.late_p99
             ));
         }
     };
-    let mut row = of_sockets(&sockets);
-    row.insert("wall_s".into(), wall.as_secs_f64());
-    let seconds =
-        sockets.seconds.iter().map(|(asked, got)| if *asked > 0.0 { got / asked } else { f64::NAN });
+    let mut figures = socket_figures(&sockets);
+    figures.insert("wall_s".into(), wall.as_secs_f64());
     let routers = setup.fleet.zones * setup.fleet.routers_per_zone;
-    Ok(Done { routers, variant, row, seconds: seconds.collect(), words: broken_words(&sockets.broken) })
+    let seconds = sockets.seconds.iter().map(answered_share).collect();
+    let messages = describe_violations(&sockets.broken);
+    Ok(RunResult { routers, variant, figures, seconds, messages })
+}
+
+/// Returns the answered part of what was requested in a second, NaN if nothing was.
+pub fn answered_share((requested, answered): &(f64, f64)) -> f64 {
+    if *requested > 0.0 {
+        answered / requested
+    } else {
+        f64::NAN
+    }
 }
 
-fn broken_words(broken: &BTreeMap<Rule, (u64, String)>) -> Vec<String> {
-    broken.iter().map(|(rule, (n, first))| format!("{rule:?} broken {n} times, first {first}")).collect()
+fn describe_violations(violations: &BTreeMap<Rule, (u64, String)>) -> Vec<String> {
+    let describe = |(rule, (count, first)): (&Rule, &(u64, String))| {
+        format!("rule {rule:?} violated {count} times, first: {first}")
+    };
+    violations.iter().map(describe).collect()
+}
+
+fn named_figures<const N: usize>(own: [(&str, f64); N], counts: &Counts) -> Figures {
+    own.into_iter().chain(count_figures(counts)).map(|(name, value)| (name.to_string(), value)).collect()
 }
 
-fn of_sockets(s: &Sockets) -> Row {
-    let router = |name: &str| s.routers.get(name).copied().unwrap_or(f64::NAN);
+fn socket_figures(sockets: &Sockets) -> Figures {
+    let router = |name: &str| sockets.routers.get(name).copied().unwrap_or(f64::NAN);
     let own = [
-        ("worth", s.worth),
-        ("worth_with_late", s.worth_late),
-        ("asked", s.asked as f64),
-        ("served", s.served as f64),
-        ("refused", s.refused as f64),
-        ("failed", s.failed as f64),
-        ("attempts", s.attempts as f64),
-        ("wrong_bytes", s.wrong as f64),
-        ("p50_ms", s.p50),
-        ("p99_ms", s.p99),
-        ("generator_late_ms", s.late_p99),
-        ("rules_broken", s.broken.values().map(|b| b.0).sum::<u64>() as f64),
+        ("worth", sockets.worth),
+        ("worth_with_late", sockets.worth_late),
+        ("asked", sockets.asked as f64),
+        ("served", sockets.served as f64),
+        ("refused", sockets.refused as f64),
+        ("failed", sockets.failed as f64),
+        ("attempts", sockets.attempts as f64),
+        ("wrong_bytes", sockets.wrong as f64),
+        ("p50_ms", sockets.p50),
+        ("p99_ms", sockets.p99),
+        ("generator_late_ms", sockets.late_p99),
+        ("rules_broken", sockets.broken.values().map(|violation| violation.0).sum::<u64>() as f64),
         ("plans_refused", router("plans_refused") + router("reloads_refused")),
         ("plans_ended", router("plans_ended")),
         ("loops_told", router("loops")),
     ];
-    own.into_iter().chain(of_counts(&s.counts)).map(|(name, value)| (name.to_string(), value)).collect()
+    named_figures(own, &sockets.counts)
 }
 
-/// What both ways count alike.
-fn of_counts(c: &Counts) -> [(&'static str, f64); 12] {
-    let filled: u64 = c.origin_fills.values().map(|n| u64::from(*n)).sum();
+/// Returns the figures that runs in simulated time and on sockets share.
+fn count_figures(counts: &Counts) -> [(&'static str, f64); 12] {
+    let origin_fills: u64 = counts.origin_fills.values().map(|n| u64::from(*n)).sum();
     [
-        ("archive_fills", filled as f64),
-        ("archive_parts", c.origin_fills.len() as f64),
-        ("archive_fetched_again", c.repeated_origin_fills as f64),
-        ("archive_again_after_kill", c.repeated_origin_fills_after_crash as f64),
-        ("archive_fills_most", c.origin_fills.values().copied().max().unwrap_or(0).into()),
-        ("loops_offered", c.loops_detected as f64),
-        ("loops_carried", c.loops_forwarded as f64),
-        ("handed_over", c.cached_only_hits as f64),
-        ("between_nodes", c.requests_between_nodes as f64),
-        ("cold_most", c.max_cold_limit_share),
-        ("fell_over", c.cold_overloads as f64),
-        ("archive_kb", c.origin_kb),
+        ("archive_fills", origin_fills as f64),
+        ("archive_parts", counts.origin_fills.len() as f64),
+        ("archive_fetched_again", counts.repeated_origin_fills as f64),
+        ("archive_again_after_kill", counts.repeated_origin_fills_after_crash as f64),
+        ("archive_fills_most", counts.origin_fills.values().copied().max().unwrap_or(0).into()),
+        ("loops_offered", counts.loops_detected as f64),
+        ("loops_carried", counts.loops_forwarded as f64),
+        ("handed_over", counts.cached_only_hits as f64),
+        ("between_nodes", counts.requests_between_nodes as f64),
+        ("cold_most", counts.max_cold_limit_share),
+        ("fell_over", counts.cold_overloads as f64),
+        ("archive_kb", counts.origin_kb),
     ]
 }
 
-/// Memory of this process now.
+/// Returns the resident memory of this process in MB, NaN if the kernel does not report it.
 fn resident_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:"));
@@ -158,81 +183,96 @@
         .map_or(f64::NAN, |kb| kb / 1024.0)
 }
 
-fn row(f: &RunMetrics) -> Row {
-    let asked: u64 = f.classes.iter().map(|c| c.requests).sum();
+fn simulated_figures(metrics: &RunMetrics) -> Figures {
+    let requests: u64 = metrics.classes.iter().map(|c| c.requests).sum();
+    let states = metrics.change_states.iter();
+    let completed = states.filter(|change| change.state == ChangeState::Completed).count();
     let own = [
-        ("worth", f.weighted_in_time_share),
-        ("worth_with_late", f.weighted_answered_share),
-        ("asked", asked as f64),
-        ("served", f.served as f64),
-        ("refused", f.rejected as f64),
-        ("failed", f.failed as f64),
-        ("attempts", f.attempts as f64),
-        ("decisions", f.decisions as f64),
-        ("p50_ms", f.latency_p50_ms),
-        ("p99_ms", f.latency_p99_ms),
-        ("rules_broken", f.violations.values().map(|b| b.0).sum::<u64>() as f64),
-        (
-            "changes_ended",
-            f.change_states.iter().filter(|s| s.state == basaltgw_hierarchy::ChangeState::Completed).count()
-                as f64,
-        ),
-        ("settled", f64::from(u8::from(f.all_changes_completed()))),
-        ("plans_refused", f.rejected_plans.len() as f64),
+        ("worth", metrics.weighted_in_time_share),
+        ("worth_with_late", metrics.weighted_answered_share),
+        ("asked", requests as f64),
+        ("served", metrics.served as f64),
+        ("refused", metrics.rejected as f64),
+        ("failed", metrics.failed as f64),
+        ("attempts", metrics.attempts as f64),
+        ("decisions", metrics.decisions as f64),
+        ("p50_ms", metrics.latency_p50_ms),
+        ("p99_ms", metrics.latency_p99_ms),
+        ("rules_broken", metrics.violations.values().map(|violation| violation.0).sum::<u64>() as f64),
+        ("changes_ended", completed as f64),
+        ("settled", f64::from(u8::from(metrics.all_changes_completed()))),
+        ("plans_refused", metrics.rejected_plans.len() as f64),
     ];
-    own.into_iter().chain(of_counts(&f.counts)).map(|(name, value)| (name.to_string(), value)).collect()
+    named_figures(own, &metrics.counts)
+}
+
+/// A bound compared with the runs of one size.
+pub struct BoundCheck {
+    /// Whether the figure is within the bound.
+    pub met: bool,
+    /// The run, the figure, its value and the bound.
+    pub line: String,
+}
+
+impl BoundCheck {
+    /// Prints the check as one line.
+    pub fn print(&self) {
+        println!("  {} {}", if self.met { "held  " } else { "FAILED" }, self.line);
+    }
 }
 
-/// Whether something holds among the runs of one size; and in words.
-pub fn held(must: &Must, runs: &[&Done]) -> Result<(bool, String), String> {
-    let of = |variant: Variant| -> Result<f64, String> {
+/// Compares a bound with the runs of one size.
+///
+/// # Errors
+/// If there is no such run or figure.
+pub fn check_bound(bound: &Bound, runs: &[&RunResult]) -> Result<BoundCheck, String> {
+    let figure_of = |variant: Variant| -> Result<f64, String> {
         let run =
-            runs.iter().find(|d| d.variant == variant).ok_or_else(|| format!("no run {}", variant.name()))?;
-        let known = || run.row.keys().cloned().collect::<Vec<_>>().join(", ");
-        run.row
-            .get(&must.figure)
+            runs.iter().find(|r| r.variant == variant).ok_or_else(|| format!("no run {}", variant.name()))?;
+        let known = || run.figures.keys().cloned().collect::<Vec<_>>().join(", ");
+        run.figures
+            .get(&bound.figure)
             .copied()
-            .ok_or_else(|| format!("unknown figure {}; known: {}", must.figure, known()))
+            .ok_or_else(|| format!("unknown figure {}; known: {}", bound.figure, known()))
     };
-    let value = of(must.run)?;
-    let unit = must.times_of.map(of).transpose()?.unwrap_or(1.0);
-    let bounds = [
-        must.is.map(|b| (value == b * unit, format!("is {}", b * unit))),
-        must.at_least.map(|b| (value >= b * unit, format!("at least {:.4}", b * unit))),
-        must.at_most.map(|b| (value <= b * unit, format!("at most {:.4}", b * unit))),
+    let value = figure_of(bound.run)?;
+    let factor = bound.times_of.map(figure_of).transpose()?.unwrap_or(1.0);
+    let limits = [
+        bound.is.map(|limit| (value == limit * factor, format!("is {}", limit * factor))),
+        bound.at_least.map(|limit| (value >= limit * factor, format!("at least {:.4}", limit * factor))),
+        bound.at_most.map(|limit| (value <= limit * factor, format!("at most {:.4}", limit * factor))),
     ];
-    let bounds: Vec<(bool, String)> = bounds.into_iter().flatten().collect();
-    let good = bounds.iter().all(|b| b.0);
-    let wanted: Vec<String> = bounds.into_iter().map(|b| b.1).collect();
-    let routers = runs.first().map_or(0, |d| d.routers);
-    let line =
-        format!("{routers} routers, {}: {} {value:.4}, {}", must.run.name(), must.figure, wanted.join(", "));
-    Ok((good, line))
+    let limits: Vec<(bool, String)> = limits.into_iter().flatten().collect();
+    let met = limits.iter().all(|limit| limit.0);
+    let expected = limits.into_iter().map(|limit| limit.1).collect::<Vec<_>>().join(", ");
+    let routers = runs.first().map_or(0, |r| r.routers);
+    let line = format!("{routers} routers, {}: {} {value:.4}, {expected}", bound.run.name(), bound.figure);
+    Ok(BoundCheck { met, line })
 }
 
-/// Plays all runs of an experiment.
-pub fn all(
+/// Runs all variants of an experiment at all its sizes; `on_result` is called after each run.
+pub fn run_all(
     experiment: &Experiment,
     quick: bool,
     seed: u64,
-    mut told: impl FnMut(&Done),
-) -> Result<Vec<Done>, String> {
+    mut on_result: impl FnMut(&RunResult),
+) -> Result<Vec<RunResult>, String> {
     let scales: Vec<usize> = match experiment.scales.is_empty() {
         true => vec![1],
         false => experiment.scales.iter().filter(|s| !(quick && s.full)).map(|s| s.times).collect(),
     };
-    let mut done = Vec::new();
+    let mut results = Vec::new();
     for times in scales {
         for variant in &experiment.runs {
             let setup = experiment.setup(*variant, times, seed);
-            let one = match experiment.on {
-                On::Simulated => play(&setup, *variant)?,
-                On::Sockets => play_on_sockets(&setup, *variant)?,
-                On::Fleet => return Err("an experiment on a fleet has another form".into()),
+            let result = match experiment.environment {
+                Environment::Simulated => run_simulated(&setup, *variant)?,
+                Environment::Sockets => run_on_sockets(&setup, *variant)?,
+                Environment::Fleet => return Err("an experiment with `on: fleet` has another form".into()),
             };
-            told(&one);
-            done.push(one);
+            on_result(&result);
+            results.push(result);
         }
     }
-    Ok(done)
+    Ok(results)
 }
--- a/crates/experiments/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -1,13 +1,14 @@
-//! The soak experiment (`on: soak`): routers as processes, faults drawn from a seed, judged by the rules and by invariants.
+//! The soak experiment (`on: soak`): router processes under faults drawn from a seed, checked against the rules and the routers' invariants.
 
-mod draw;
+mod seed_plan;
 
-use crate::experiment::{is_of_form, text_of};
-use crate::out::Origin;
-use crate::runs::binary;
+use crate::experiment::{has_form, read_text};
+use crate::out::Provenance;
+use crate::runs::router_program;
 use basaltgw_config::yaml::{schema, BadFile, Document};
 use basaltgw_emulator::{run_soak, SoakReport, Sockets};
 use basaltgw_simulator::spec::{FleetSpec, LoadSpec};
+use seed_plan::SeedPlan;
 use serde::Deserialize;
 use std::fmt::Write;
 use std::ops::RangeInclusive;
@@ -15,31 +16,32 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// How much is played.
+/// The size of a run.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// Zones.
+    /// The number of zones.
     pub zones: usize,
-    /// Routers in each.
+    /// Routers of each zone.
     pub routers_per_zone: usize,
-    /// How long requests come in.
+    /// The time during which clients send requests.
     pub length_ms: f64,
-    /// Groups of faults at about the same time.
+    /// Groups of faults that begin at about the same time.
     pub groups: usize,
-    /// Faults of nodes by the model's script.
-    pub moments: usize,
+    /// Faults of caches and parents, run by the emulator's script.
+    #[serde(rename = "moments")]
+    pub node_faults: usize,
 }
 
-/// The experiment's file.
+/// The file of a soak experiment.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// The name of the experiment.
     pub name: String,
-    /// What it is for, in a sentence.
+    /// The purpose of the experiment in a sentence.
     pub about: String,
-    #[allow(dead_code)] // Read before the rest, to tell the form of the file.
+    #[allow(dead_code)] // `has_form` reads this key.
     on: String,
     seed: u64,
     quick: Size,
@@ -48,125 +50,128 @@
     load: LoadSpec,
 }
 
-/// The one that the program brings along.
-pub const OWN: (&str, &str) = ("soak", include_str!("../experiments/soak.yaml"));
+/// The built-in experiment: name and text of the file.
+pub const BUILT_IN: (&str, &str) = ("soak", include_str!("../experiments/soak.yaml"));
 
-/// A run's generator may be so late before the run tells of the machine and not of the routers.
-const LATE_MS: f64 = 100.0;
-/// Of the answers so many may go unjudged since the harness was late, as a share.
-const UNJUDGED_MOST: f64 = 0.02;
+/// The maximum p99 delay of the load generator. A run above it measures the machine and not the routers.
+const MAX_GENERATOR_DELAY_MS: f64 = 100.0;
+/// The maximum share of responses that remain unchecked because the harness was late.
+const MAX_UNCHECKED_SHARE: f64 = 0.02;
 
-/// Whether it is of this form.
-pub fn is(name: &str) -> bool {
-    is_of_form(OWN, name, "soak")
+/// Whether the experiment has this form.
+pub fn is_soak(name: &str) -> bool {
+    has_form(BUILT_IN, name, "soak")
 }
 
-/// Reads it, by its name or its file.
-pub fn find(name: &str) -> Result<(Experiment, String), BadFile> {
-    let text = text_of(OWN, name).unwrap_or_default();
+/// Loads the experiment by its name or its file, and returns it with the text of the file.
+pub fn load(name: &str) -> Result<(Experiment, String), BadFile> {
+    let text = read_text(BUILT_IN, name).unwrap_or_default();
     let document = Document::parse(name, &text, &schema("{}"))?;
     Ok((document.typed()?, text))
 }
 
-/// What is asked for.
-pub struct Asked<'a> {
-    /// The short form.
+/// Options of a soak run.
+pub struct Options<'a> {
+    /// Whether the short form runs.
     pub quick: bool,
-    /// One seed instead of the file's.
+    /// The seed in place of the one in the file.
     pub seed: Option<u64>,
-    /// Many seeds instead of one.
+    /// Several seeds in place of one.
     pub seeds: Option<RangeInclusive<u64>>,
-    /// So many seeds side by side.
+    /// Seeds that run at the same time.
     pub jobs: usize,
-    /// Another router program than the one beside this one.
+    /// The router program, if not the one beside this program.
     pub router: Option<PathBuf>,
-    /// Where a table is kept.
+    /// The directory for the table, and for files and logs of failed seeds.
     pub out: Option<&'a Path>,
 }
 
-/// What came of a seed.
-struct Played {
+/// The result of one seed.
+struct SeedResult {
     seed: u64,
     sockets: Sockets,
     report: SoakReport,
 }
 
-impl Played {
-    /// Whether a rule or an invariant was broken.
+impl SeedResult {
+    /// Whether a rule or an invariant was violated.
     fn violated(&self) -> bool {
         !self.sockets.broken.is_empty() || !self.report.violations.is_empty()
     }
 
-    /// What did not hold, in words.
-    fn faults(&self) -> Vec<String> {
-        let mut all: Vec<String> = Vec::new();
+    /// Describes the violations, and what makes the run invalid.
+    fn failures(&self) -> Vec<String> {
+        let mut failures: Vec<String> = Vec::new();
         for (rule, (count, first)) in &self.sockets.broken {
-            all.push(format!("rule {rule:?} broken {count} times, first {first}"));
+            failures.push(format!("rule {rule:?} violated {count} times, first: {first}"));
         }
-        for (invariant, (count, told)) in &self.report.violations {
-            all.push(format!("invariant {invariant:?} violated {count} times"));
-            all.extend(told.iter().map(|t| format!("    {t}")));
+        for (invariant, (count, details)) in &self.report.violations {
+            failures.push(format!("invariant {invariant:?} violated {count} times"));
+            failures.extend(details.iter().map(|detail| format!("    {detail}")));
         }
         let missed = self.report.missed();
         if !missed.is_empty() {
-            all.push(format!("planned and never came about: {}", missed.join(", ")));
+            failures.push(format!("planned faults that never occurred: {}", missed.join(", ")));
         }
-        if self.sockets.late_p99 > LATE_MS {
-            all.push(format!("the machine was late by {:.0} ms: this does not count", self.sockets.late_p99));
+        if self.sockets.late_p99 > MAX_GENERATOR_DELAY_MS {
+            let delay = self.sockets.late_p99;
+            failures.push(format!(
+                "the load generator was late by {delay:.0} ms: the machine is too busy for a valid run"
+            ));
         }
-        let unjudged = self.report.unjudged as f64 / self.sockets.asked.max(1) as f64;
-        if unjudged > UNJUDGED_MOST {
-            all.push(format!("{:.1}% of the answers could not be judged", unjudged * 100.0));
+        let unchecked = self.report.unjudged as f64 / self.sockets.asked.max(1) as f64;
+        if unchecked > MAX_UNCHECKED_SHARE {
+            failures.push(format!("{:.1}% of the responses could not be checked", unchecked * 100.0));
         }
-        all
+        failures
     }
 }
 
-/// Plays a seed; the routers' files and logs are kept in a folder of `out` if something did not hold.
-fn play_seed(
-    e: &Experiment,
+/// Runs a seed. If the run fails, the routers' files and logs are moved to a directory in `out`.
+fn run_seed(
+    experiment: &Experiment,
     quick: bool,
     seed: u64,
-    binary: &Path,
+    program: &Path,
     out: Option<&Path>,
-) -> Result<Played, String> {
-    let size = if quick { e.quick } else { e.full };
-    let drawn = draw::draw(&e.fleet, &e.load, size, seed);
-    let mut dir = tempfile::tempdir().map_err(|e| format!("a folder for routers: {e}"))?;
-    let (sockets, report) = run_soak(&drawn.setup, &drawn.plan, &drawn.limits, binary, dir.path())?;
-    let played = Played { seed, sockets, report };
-    if let Some(out) = out.filter(|_| !played.faults().is_empty()) {
-        let kept = out.join(format!("seed-{seed}"));
+) -> Result<SeedResult, String> {
+    let size = if quick { experiment.quick } else { experiment.full };
+    let plan = SeedPlan::draw(&experiment.fleet, &experiment.load, size, seed);
+    let mut dir = tempfile::tempdir().map_err(|e| format!("cannot create a directory for routers: {e}"))?;
+    let (sockets, report) = run_soak(&plan.setup, &plan.faults, &plan.limits, program, dir.path())?;
+    let result = SeedResult { seed, sockets, report };
+    if let Some(out) = out.filter(|_| !result.failures().is_empty()) {
+        let target = out.join(format!("seed-{seed}"));
         dir.disable_cleanup(true);
         std::fs::create_dir_all(out)
-            .and_then(|()| std::fs::rename(dir.path(), &kept))
-            .map_err(|e| format!("{}: {e}", kept.display()))?;
-        let plan: String = drawn.plan.iter().map(|p| format!("{p:?}\n")).collect();
-        std::fs::write(kept.join("plan.txt"), plan).map_err(|e| format!("{}: {e}", kept.display()))?;
+            .and_then(|()| std::fs::rename(dir.path(), &target))
+            .map_err(|e| format!("{}: {e}", target.display()))?;
+        let faults: String = plan.faults.iter().map(|fault| format!("{fault:?}\n")).collect();
+        std::fs::write(target.join("plan.txt"), faults).map_err(|e| format!("{}: {e}", target.display()))?;
     }
-    Ok(played)
+    Ok(result)
 }
 
-fn line(p: &Played, faults: usize) -> String {
-    let s = &p.sockets;
+fn summary_line(result: &SeedResult, failures: usize) -> String {
+    let sockets = &result.sockets;
     format!(
         "  seed {:6}: {} {} requests, {} served, {} refused, {} failed, {} attempts, {} processes, {} faults, {} unjudged",
-        p.seed,
-        if faults == 0 { "held  " } else { "FAILED" },
-        s.asked,
-        s.served,
-        s.refused,
-        s.failed,
-        s.attempts,
-        p.report.processes,
-        p.report.planned.values().sum::<u64>(),
-        p.report.unjudged
+        result.seed,
+        if failures == 0 { "held  " } else { "FAILED" },
+        sockets.asked,
+        sockets.served,
+        sockets.refused,
+        sockets.failed,
+        sockets.attempts,
+        result.report.processes,
+        result.report.planned.values().sum::<u64>(),
+        result.report.unjudged
     )
 }
 
-fn csv(all: &[Played], origin: &Origin, quick: bool) -> String {
+fn csv(results: &[SeedResult], provenance: &Provenance, quick: bool) -> String {
     let kinds: std::collections::BTreeSet<&str> =
-        all.iter().flat_map(|p| p.report.happened.keys().copied()).collect();
+        results.iter().flat_map(|r| r.report.happened.keys().copied()).collect();
     let mut text =
         "seed,form,commit,cores,held,asked,served,refused,failed,attempts,processes,late_p99_ms,unjudged,\
                     rules_broken,invariants_violated"
@@ -175,37 +180,37 @@
         let _ = write!(text, ",{kind}");
     });
     text.push('\n');
-    for p in all {
-        let s = &p.sockets;
+    for result in results {
+        let sockets = &result.sockets;
         let _ = write!(
             text,
             "{},{},{},{},{},{},{},{},{},{},{},{:.1},{},{},{}",
-            p.seed,
+            result.seed,
             if quick { "quick" } else { "full" },
-            origin.commit,
-            origin.cores,
-            u8::from(p.faults().is_empty()),
-            s.asked,
-            s.served,
-            s.refused,
-            s.failed,
-            s.attempts,
-            p.report.processes,
-            s.late_p99,
-            p.report.unjudged,
-            s.broken.values().map(|b| b.0).sum::<u64>(),
-            p.report.violations.values().map(|v| v.0).sum::<u64>(),
+            provenance.commit,
+            provenance.cores,
+            u8::from(result.failures().is_empty()),
+            sockets.asked,
+            sockets.served,
+            sockets.refused,
+            sockets.failed,
+            sockets.attempts,
+            result.report.processes,
+            sockets.late_p99,
+            result.report.unjudged,
+            sockets.broken.values().map(|violation| violation.0).sum::<u64>(),
+            result.report.violations.values().map(|violation| violation.0).sum::<u64>(),
         );
         for kind in &kinds {
-            let _ = write!(text, ",{}", p.report.happened.get(kind).copied().unwrap_or(0));
+            let _ = write!(text, ",{}", result.report.happened.get(kind).copied().unwrap_or(0));
         }
         text.push('\n');
     }
     text
 }
 
-/// Rules that a router program built with the feature `breaks` breaks on purpose, by the name that it knows each under.
-const BREAKS: [&str; 8] = [
+/// The bugs that a router program built with the feature `breaks` can inject, by their values of `GW_BREAK`.
+const INJECTED_BUGS: [&str; 8] = [
     "purge_ignored",
     "second_answer",
     "repeat_after_execution",
@@ -216,102 +221,132 @@
     "stale_deadline",
 ];
 
-/// Plays seeds against each deliberate break; true if each was caught by one of them at least.
-pub fn play_breaks(name: &str, asked: &Asked<'_>) -> Result<bool, String> {
-    let (experiment, _) = find(name).map_err(|e| e.to_string())?;
+/// The seeds that are run against each injected bug unless others are given.
+const BUG_SEEDS: RangeInclusive<u64> = 1..=8;
+
+/// Runs seeds with each injected bug, until one run violates a rule or an invariant; returns whether each bug was caught.
+pub fn check_injected_bugs(name: &str, options: &Options<'_>) -> Result<bool, String> {
+    let (experiment, _) = load(name).map_err(|e| e.to_string())?;
     let program =
-        asked.router.clone().ok_or("--breaks: expected --router, a program with the feature `breaks`")?;
-    let seeds = asked.seeds.clone().unwrap_or(1..=8);
+        options.router.clone().ok_or("--breaks: expected --router, a program with the feature `breaks`")?;
+    let seeds = options.seeds.clone().unwrap_or(BUG_SEEDS);
     let mut caught = 0;
-    for broken in BREAKS {
-        // Routers inherit it.
-        std::env::set_var("GW_BREAK", broken);
-        let all: Vec<u64> = seeds.clone().collect();
-        let found: Mutex<Vec<(u64, String)>> = Mutex::default();
-        for some in all.chunks(asked.jobs.max(1)) {
-            std::thread::scope(|scope| {
-                for seed in some {
-                    scope.spawn(|| {
-                        let played = play_seed(&experiment, asked.quick, *seed, &program, None);
-                        let violated = played.ok().filter(Played::violated);
-                        let fault = violated.and_then(|p| p.faults().into_iter().next());
-                        if let (Some(fault), Ok(mut found)) = (fault, found.lock()) {
-                            found.push((*seed, fault));
-                        }
-                    });
-                }
-            });
-            if found.lock().is_ok_and(|found| !found.is_empty()) {
-                break;
-            }
-        }
-        let found = found.into_inner().map_err(|e| e.to_string())?;
-        match found.iter().min_by_key(|(seed, _)| *seed) {
-            Some((seed, fault)) => {
+    for bug in INJECTED_BUGS {
+        // Router processes inherit the variable.
+        std::env::set_var("GW_BREAK", bug);
+        let violations = first_violations(&experiment, options, &program, &seeds)?;
+        match violations.iter().min_by_key(|(seed, _)| *seed) {
+            Some((seed, violation)) => {
                 caught += 1;
-                println!("  {broken}: caught by {} seeds, first {seed}: {fault}", found.len());
+                println!("  {bug}: caught by {} seeds, first {seed}: {violation}", violations.len());
             }
-            None => println!("  {broken}: NOT caught by seeds {} to {}", seeds.start(), seeds.end()),
+            None => println!("  {bug}: NOT caught by seeds {} to {}", seeds.start(), seeds.end()),
         }
     }
     std::env::remove_var("GW_BREAK");
-    println!("{name} --breaks: {caught} of {} caught", BREAKS.len());
-    Ok(caught == BREAKS.len())
+    println!("{name} --breaks: {caught} of {} caught", INJECTED_BUGS.len());
+    Ok(caught == INJECTED_BUGS.len())
+}
+
+/// Runs seeds in batches until a batch has a violation; returns its seeds with a violation, and the first violation of each.
+fn first_violations(
+    experiment: &Experiment,
+    options: &Options<'_>,
+    program: &Path,
+    seeds: &RangeInclusive<u64>,
+) -> Result<Vec<(u64, String)>, String> {
+    let all: Vec<u64> = seeds.clone().collect();
+    let found: Mutex<Vec<(u64, String)>> = Mutex::default();
+    for batch in all.chunks(options.jobs.max(1)) {
+        std::thread::scope(|scope| {
+            for seed in batch {
+                scope.spawn(|| {
+                    let result = run_seed(experiment, options.quick, *seed, program, None);
+                    let violated = result.ok().filter(SeedResult::violated);
+                    let violation = violated.and_then(|result| result.failures().into_iter().next());
+                    if let (Some(violation), Ok(mut found)) = (violation, found.lock()) {
+                        found.push((*seed, violation));
+                    }
+                });
+            }
+        });
+        if found.lock().is_ok_and(|found| !found.is_empty()) {
+            break;
+        }
+    }
+    found.into_inner().map_err(|e| e.to_string())
+}
+
+/// The results of several seeds.
+#[derive(Default)]
+struct SeedResults {
+    completed: Vec<SeedResult>,
+    /// Why seeds could not be run.
+    errors: Vec<String>,
 }
 
-/// Plays the seeds that are asked for; true if all held.
-pub fn play(name: &str, asked: &Asked<'_>, origin: fn(u64, &str) -> Origin) -> Result<bool, String> {
-    let (experiment, text) = find(name).map_err(|e| e.to_string())?;
-    let one = asked.seed.unwrap_or(experiment.seed);
-    let seeds = asked.seeds.clone().unwrap_or(one..=one);
-    let program = match &asked.router {
+/// Runs the seeds of these options; returns whether all passed.
+pub fn run(name: &str, options: &Options<'_>) -> Result<bool, String> {
+    let (experiment, text) = load(name).map_err(|e| e.to_string())?;
+    let one = options.seed.unwrap_or(experiment.seed);
+    let seeds = options.seeds.clone().unwrap_or(one..=one);
+    let program = match &options.router {
         Some(program) => program.clone(),
-        None => binary()?,
+        None => router_program()?,
     };
     println!("{}: {} Seeds {} to {}.", experiment.name, experiment.about, seeds.start(), seeds.end());
     let next = AtomicU64::new(*seeds.start());
-    let done = Mutex::new((Vec::new(), Vec::new()));
+    let results = Mutex::new(SeedResults::default());
     let worker = || loop {
         let seed = next.fetch_add(1, Ordering::SeqCst);
         if seed > *seeds.end() {
             return;
         }
-        let played = play_seed(&experiment, asked.quick, seed, &program, asked.out);
-        let Ok(mut done) = done.lock() else { return };
-        match played {
-            Ok(played) => {
-                let faults = played.faults();
-                println!("{}", line(&played, faults.len()));
-                if !faults.is_empty() {
-                    faults.iter().for_each(|f| println!("      {f}"));
-                    let quick = if asked.quick { " --quick" } else { "" };
-                    println!("      again: basaltgw-experiments run {name}{quick} --seed {seed}");
-                }
-                done.0.push(played);
+        let result = run_seed(&experiment, options.quick, seed, &program, options.out);
+        let Ok(mut results) = results.lock() else { return };
+        match result {
+            Ok(result) => {
+                print_result(name, &result, options.quick);
+                results.completed.push(result);
             }
-            Err(e) => done.1.push(format!("seed {seed}: {e}")),
+            Err(e) => results.errors.push(format!("seed {seed}: {e}")),
         }
     };
     std::thread::scope(|scope| {
-        (0..asked.jobs.max(1)).for_each(|_| {
+        (0..options.jobs.max(1)).for_each(|_| {
             scope.spawn(worker);
         });
     });
-    let (mut all, errors) = done.into_inner().map_err(|e| e.to_string())?;
-    all.sort_by_key(|p: &Played| p.seed);
+    let SeedResults { mut completed, errors } = results.into_inner().map_err(|e| e.to_string())?;
+    completed.sort_by_key(|result| result.seed);
     if let Some(first) = errors.first() {
-        return Err(format!("{} seeds were not played, first {first}", errors.len()));
+        return Err(format!("{} seeds could not be run, first: {first}", errors.len()));
     }
-    if let Some(dir) = asked.out {
-        let say = |e: std::io::Error| format!("{}: {e}", dir.display());
-        std::fs::create_dir_all(dir).map_err(say)?;
-        let form = if asked.quick { "quick" } else { "full" };
-        let table = csv(&all, &origin(*seeds.start(), &text), asked.quick);
-        std::fs::write(dir.join(format!("soak-{form}.csv")), table).map_err(say)?;
+    if let Some(dir) = options.out {
+        let message = |e: std::io::Error| format!("{}: {e}", dir.display());
+        std::fs::create_dir_all(dir).map_err(message)?;
+        let form = if options.quick { "quick" } else { "full" };
+        let table = csv(&completed, &Provenance::new(*seeds.start(), &text), options.quick);
+        std::fs::write(dir.join(format!("soak-{form}.csv")), table).map_err(message)?;
+    }
+    let passed = completed.iter().filter(|result| result.failures().is_empty()).count();
+    let requests: u64 = completed.iter().map(|result| result.sockets.asked).sum();
+    let faults: u64 = completed.iter().map(|result| result.report.planned.values().sum::<u64>()).sum();
+    println!(
+        "{}: {passed} of {} held; requests {requests}, faults {faults}",
+        experiment.name,
+        completed.len()
+    );
+    Ok(passed == completed.len())
+}
+
+/// Prints the result of a seed; if it failed, with the reasons and the command that repeats it.
+fn print_result(name: &str, result: &SeedResult, quick: bool) {
+    let failures = result.failures();
+    println!("{}", summary_line(result, failures.len()));
+    if !failures.is_empty() {
+        failures.iter().for_each(|failure| println!("      {failure}"));
+        let quick = if quick { " --quick" } else { "" };
+        println!("      repeat with: basaltgw-experiments run {name}{quick} --seed {}", result.seed);
     }
-    let held = all.iter().filter(|p| p.faults().is_empty()).count();
-    let asked_in_all: u64 = all.iter().map(|p| p.sockets.asked).sum();
-    let faults: u64 = all.iter().map(|p| p.report.planned.values().sum::<u64>()).sum();
-    println!("{}: {held} of {} held; requests {asked_in_all}, faults {faults}", experiment.name, all.len());
-    Ok(held == all.len())
 }
