--- a/crates/emulator/src/rig/many/heeded.rs
+++ b/crates/emulator/src/rig/fleet_cost/purge_latency.rs
@@ -1,6 +1,6 @@
 //! How long it takes until a purge that one router alone hears is heeded by all.
 
-use super::{Crowd, Row};
+use super::{Figures, RouterFleet};
 use crate::standin::Client;
 use std::net::TcpStream;
 use std::sync::Mutex;
@@ -12,9 +12,9 @@
 /// A purge that is not heeded by then counts as so late.
 const LATEST: Duration = Duration::from_secs(10);
 
-impl Crowd {
+impl RouterFleet {
     /// Probes: each router but the first is asked for the object until it asks a cache for a copy of after the purge.
-    pub(super) fn heeded(&self, probes: usize, one: &Mutex<()>) -> Result<Row, String> {
+    pub(super) fn heeded(&self, probes: usize, one: &Mutex<()>) -> Result<Figures, String> {
         let mut all: Vec<f64> = Vec::new();
         let mut whole: Vec<f64> = Vec::new();
         for _ in 0..probes {
@@ -56,9 +56,9 @@
     let mut tag = 0;
     while begun.elapsed() < LATEST {
         tag += 1;
-        client.ask(tag, "pages", object, "", b"");
+        client.send_request(tag, "pages", object, "", b"");
         let Some(got) = client.next() else { return latest };
-        if got.word == "200" && got.body != b"any" {
+        if got.status == "200" && got.body != b"any" {
             return begun.elapsed().as_secs_f64() * 1000.0;
         }
         thread::sleep(LOOK);
--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -217,7 +217,7 @@
     setup
 }
 
-/// Sets routers up like the processes of `basaltgw_emulator::rig::many`: on one machine, each with a change log that polls every 50 ms with a
+/// Sets routers up like the processes of `basaltgw_emulator::rig::fleet_cost`: on one machine, each with a change log that polls every 50 ms with a
 /// phase of its own and delivers all new purges at once.
 fn like_processes(mut setup: Setup, purges_per_s: f64) -> Setup {
     (setup.purges_per_s, setup.measured_s) = (purges_per_s, PROCESS_MEASURED_S);
--- a/crates/experiments/src/capacity/processes.rs
+++ b/crates/experiments/src/capacity/processes.rs
@@ -1,8 +1,8 @@
-//! Figures of router processes, to compare with those of simulated routers: `serve` processes on loopback, as `basaltgw_emulator::rig::many`
+//! Figures of router processes, to compare with those of simulated routers: `serve` processes on loopback, as `basaltgw_emulator::rig::fleet_cost`
 //! runs them.
 
 use super::row::{Kind, Row};
-use basaltgw_emulator::rig::many::{measure, Many};
+use basaltgw_emulator::rig::fleet_cost::{measure_fleet, FleetSetup};
 use std::path::Path;
 
 /// Numbers of routers. With more, the processes slow each other down on one machine.
@@ -46,9 +46,9 @@
 pub fn rows(program: &Path, seed: u64) -> Result<Vec<Row>, String> {
     let mut rows = Vec::new();
     for routers in ROUTERS {
-        let rates = RATES.iter().map(|rate| rate.0).collect();
-        let many = Many { rates, seed, ..Many::new(program, routers) };
-        let measurements = measure(&many).map_err(|e| format!("{routers} routers: {e}"))?;
+        let purge_rates = RATES.iter().map(|rate| rate.0).collect();
+        let setup = FleetSetup { purge_rates, seed, ..FleetSetup::new(program, routers) };
+        let measurements = measure_fleet(&setup).map_err(|e| format!("{routers} routers: {e}"))?;
         for ((_, axis), measurement) in RATES.into_iter().zip(measurements) {
             let row = |ProcessFigure { source, name, unit }: &ProcessFigure| {
                 let value = measurement.get(*source).copied()?;
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -3,9 +3,9 @@
 use crate::experiment::{check_bounds, Bound, Variant};
 use crate::runs::{answered_share, router_program, RunResult};
 use basaltgw_config::yaml::{schema, BadFile, Document};
-use basaltgw_emulator::rig::faults::{Draws, Moment, What};
+use basaltgw_emulator::rig::faults::{FaultKind, RandomFaults, ScheduledFault};
 use basaltgw_emulator::rig::load::Load;
-use basaltgw_emulator::rig::play::{play, Game};
+use basaltgw_emulator::rig::scenario::{run_scenario, Scenario};
 use basaltgw_emulator::rig::Spec;
 use serde::Deserialize;
 use serde_json::Value;
@@ -58,9 +58,10 @@
     purges_per_s: f64,
     /// Faults at given times.
     #[serde(default)]
-    script: Vec<Moment>,
+    script: Vec<ScheduledFault>,
     /// Faults drawn from the seed.
-    draws: Option<Draws>,
+    #[serde(rename = "draws")]
+    random_faults: Option<RandomFaults>,
     runs: Vec<Variant>,
     /// Bounds of figures: guarantees, and faults that must have occurred.
     #[serde(rename = "must")]
@@ -106,20 +107,25 @@
     fn check_script(&self, document: &Document) -> Result<(), BadFile> {
         let routers = self.routers.len();
         for (i, event) in self.script.iter().enumerate() {
-            for (key, router) in [("router", Some(event.router)), ("other", event.other)] {
+            for (key, router) in [("router", Some(event.router)), ("other", event.other_router)] {
                 if let Some(router) = router.filter(|router| *router >= routers) {
                     let message = format!("expected a router from 0 to {}, found {router}", routers - 1);
                     return Err(document.fault(&format!("/script/{i}/{key}"), message));
                 }
             }
-            let changes_rules =
-                [What::Rules, What::RulesOne, What::RulesTwo, What::RulesStuck, What::RulesCut]
-                    .contains(&event.what);
+            let changes_rules = [
+                FaultKind::ReplaceRules,
+                FaultKind::RulesAtOneRouter,
+                FaultKind::ConflictingRules,
+                FaultKind::RulesWhileSuspended,
+                FaultKind::RulesWhilePartitioned,
+            ]
+            .contains(&event.kind);
             if changes_rules && (event.rules.is_none() || self.rules.is_none()) {
                 let message = "expected `rules` here and for the start";
                 return Err(document.fault(&format!("/script/{i}"), message));
             }
-            if event.what == What::RulesTwo && event.rules_other.is_none() {
+            if event.kind == FaultKind::ConflictingRules && event.other_rules.is_none() {
                 let message = "expected `rules_other`, those of the other operator";
                 return Err(document.fault(&format!("/script/{i}"), message));
             }
@@ -127,11 +133,11 @@
         Ok(())
     }
 
-    /// Returns the setup of a run.
-    fn game(&self, variant: Variant, quick: bool, seed: u64) -> Result<Game, String> {
+    /// Returns the scenario of a run.
+    fn scenario(&self, variant: Variant, quick: bool, seed: u64) -> Result<Scenario, String> {
         let mut spec = Spec::new(&router_program()?, self.routers.len());
-        for (place, location) in spec.places.iter_mut().zip(&self.routers) {
-            (place.branch, place.machine) = (location.branch.clone(), location.machine.clone());
+        for (target, location) in spec.locations.iter_mut().zip(&self.routers) {
+            (target.branch, target.machine) = (location.branch.clone(), location.machine.clone());
         }
         let fleet = match variant {
             Variant::Described => true,
@@ -143,20 +149,20 @@
         let spec = Spec {
             seed,
             fleet,
-            copies: self.replicas,
+            replicas: self.replicas,
             rules: self.rules.clone(),
-            more: self.section.clone(),
-            settles_ms: self.settles_ms,
+            extra_settings: self.section.clone(),
+            purge_settles_ms: self.settles_ms,
             ..spec
         };
-        Ok(Game {
+        Ok(Scenario {
             spec,
             load: self.load.clone(),
-            delay_ms: (self.link_ms[0], self.link_ms[1]),
-            length_ms: if quick { self.length_ms.quick } else { self.length_ms.full },
+            link_delay_ms: (self.link_ms[0], self.link_ms[1]),
+            duration_ms: if quick { self.length_ms.quick } else { self.length_ms.full },
             purges_per_s: self.purges_per_s,
-            script: self.script.clone(),
-            draws: self.draws.clone(),
+            scripted_faults: self.script.clone(),
+            random_faults: self.random_faults.clone(),
         })
     }
 }
@@ -176,10 +182,10 @@
     let mut results = Vec::new();
     for variant in &experiment.runs {
         let started = Instant::now();
-        let played = play(&experiment.game(*variant, quick, seed)?)?;
-        let mut figures = played.figures;
+        let outcome = run_scenario(&experiment.scenario(*variant, quick, seed)?)?;
+        let mut figures = outcome.figures;
         figures.insert("wall_s".into(), started.elapsed().as_secs_f64());
-        let violations = played.broken.iter().map(|b| format!("{:?}: {}", b.rule, b.words));
+        let violations = outcome.violations.iter().map(|v| format!("{:?}: {}", v.rule, v.description));
         let reported = match variant {
             Variant::Described => MAX_REPORTED_VIOLATIONS,
             _ => MAX_REPORTED_BASELINE_VIOLATIONS,
@@ -188,8 +194,8 @@
             routers: experiment.routers.len(),
             variant: *variant,
             figures,
-            seconds: played.seconds.iter().map(answered_share).collect(),
-            messages: violations.take(reported).chain(played.unmended).collect(),
+            seconds: outcome.seconds.iter().map(answered_share).collect(),
+            messages: violations.take(reported).chain(outcome.unrecovered).collect(),
         };
         on_result(&result);
         results.push(result);
--- a/crates/experiments/src/partial/client.rs
+++ b/crates/experiments/src/partial/client.rs
@@ -1,6 +1,6 @@
 //! Clients of scatter-gather requests, the log of their requests, and the check of the answers.
 
-use basaltgw_emulator::rig::archive::made;
+use basaltgw_emulator::rig::archive::copy_creation_ms;
 use basaltgw_resp::{encode, parse_integer, Decoder, Fields, MessageLimits};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{ErrorKind, Read, Write};
@@ -111,7 +111,7 @@
             if !bytes.starts_with(format!("{:016x}/{part}@", self.object).as_bytes()) {
                 return Err(format!("bytes of another part: {}", String::from_utf8_lossy(bytes)));
             }
-            versions.insert(made(bytes).ok_or("bytes without a version")?);
+            versions.insert(copy_creation_ms(bytes).ok_or("bytes without a version")?);
             parts.push(part);
         }
         if !rest.is_empty() {
--- a/crates/experiments/src/partial/processes.rs
+++ b/crates/experiments/src/partial/processes.rs
@@ -68,18 +68,18 @@
     let remaining = || duration.saturating_sub(started.elapsed());
     match fault {
         SiteFault::Slow => others.iter().for_each(|other| {
-            for flow in [rig.between(site, *other), rig.between(*other, site)] {
-                flow.shape(|s| s.delay = (experiment.slow_ms[0], experiment.slow_ms[1]));
+            for link in [rig.router_link(site, *other), rig.router_link(*other, site)] {
+                link.configure(|c| c.delay_ms = (experiment.slow_ms[0], experiment.slow_ms[1]));
             }
         }),
-        SiteFault::Lost => rig.cut(site, &others),
+        SiteFault::Lost => rig.partition(site, &others),
         SiteFault::Killed => rig.kill(site),
         SiteFault::Flapping => {
             while !remaining().is_zero() {
                 for cut in [true, false] {
                     others.iter().for_each(|other| {
-                        rig.between(site, *other).cut(cut);
-                        rig.between(*other, site).cut(cut);
+                        rig.router_link(site, *other).set_cut(cut);
+                        rig.router_link(*other, site).set_cut(cut);
                     });
                     let [min_ms, max_ms] = experiment.flap_ms;
                     let pause_ms = min_ms + (max_ms - min_ms).max(0.0) * draw(rng);
@@ -90,8 +90,8 @@
     }
     std::thread::sleep(remaining());
     if fault == SiteFault::Killed {
-        rig.begin(site)?;
-        if !rig.serves(site, START_TIMEOUT) {
+        rig.start_router(site)?;
+        if !rig.wait_until_serving(site, START_TIMEOUT) {
             return Err(format!("router {site} does not serve after its restart"));
         }
     }
@@ -159,13 +159,13 @@
 /// Starts the routers and waits until they serve and are linked.
 fn start_rig(experiment: &Experiment, seed: u64) -> Result<Rig, String> {
     let rules = Some(experiment.rules.clone());
-    let spec = Spec { seed, gather: true, rules, ..Spec::new(&router_program()?, ROUTERS) };
+    let spec = Spec { seed, scatter_gather: true, rules, ..Spec::new(&router_program()?, ROUTERS) };
     let rig = Rig::start(spec)?;
-    if let Some(router) = (0..rig.len()).find(|router| !rig.serves(*router, START_TIMEOUT)) {
-        return Err(format!("router {router} does not serve: {}", rig.seats[router].text()));
+    if let Some(router) = (0..rig.len()).find(|router| !rig.wait_until_serving(*router, START_TIMEOUT)) {
+        return Err(format!("router {router} does not serve: {}", rig.routers[router].log()));
     }
-    rig.founded(START_TIMEOUT)?;
-    if !rig.joined() {
+    rig.wait_until_bootstrapped(START_TIMEOUT)?;
+    if !rig.wait_until_linked() {
         return Err("links between routers do not come up".into());
     }
     Ok(rig)
@@ -241,7 +241,7 @@
     seed: u64,
 ) -> Result<(Figures, Vec<f64>, Vec<String>), String> {
     let rig = start_rig(experiment, seed)?;
-    let addresses = rig.seats.iter().map(|s| s.clients.address).collect();
+    let addresses = rig.routers.iter().map(|router| router.client_relay.address).collect();
     let (log, ids) = (RequestLog::new(), AtomicU64::new(1));
     let mut cluster = Cluster { experiment, rig, addresses, log: &log, ids: &ids };
     let duration = Duration::from_millis(experiment.fault_ms.get(quick));
--- a/crates/experiments/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -3,7 +3,7 @@
 use crate::experiment::{Bound, Environment, Experiment, Variant};
 use basaltgw::api::{Action, Event, Ms, Settings};
 use basaltgw::routing::Router;
-use basaltgw_emulator::Sockets;
+use basaltgw_emulator::SocketRunMetrics;
 use basaltgw_hierarchy::ChangeState;
 use basaltgw_simulator::checker::Rule;
 use basaltgw_simulator::fleet::Counts;
@@ -73,7 +73,7 @@
 /// The maximum p99 delay of the load generator in milliseconds. A run above it measures the machine and not the routers.
 const MAX_GENERATOR_DELAY_MS: f64 = 50.0;
 
-/// Attempts at a run on sockets.
+/// Attempts at a run on metrics.
 const MAX_ATTEMPTS: usize = 2;
 
 /// Returns the path of the router program, which stands beside this one.
@@ -91,25 +91,25 @@
     let program = router_program()?;
     let dir = tempfile::tempdir().map_err(|e| format!("cannot create a directory for routers: {e}"))?;
     let mut attempts = 0;
-    let (sockets, wall) = loop {
+    let (metrics, wall) = loop {
         let started = Instant::now();
-        let sockets = basaltgw_emulator::run(setup, &program, dir.path())?;
+        let metrics = basaltgw_emulator::run(setup, &program, dir.path())?;
         attempts += 1;
-        if sockets.late_p99 <= MAX_GENERATOR_DELAY_MS {
-            break (sockets, started.elapsed());
+        if metrics.generator_late_p99_ms <= MAX_GENERATOR_DELAY_MS {
+            break (metrics, started.elapsed());
         }
         if attempts == MAX_ATTEMPTS {
             return Err(format!(
                 "the load generator was late by {:.0} ms in the last of {attempts} attempts: the machine is too busy for a valid run",
-                sockets.late_p99
+                metrics.generator_late_p99_ms
             ));
         }
     };
-    let mut figures = socket_figures(&sockets);
+    let mut figures = socket_figures(&metrics);
     figures.insert("wall_s".into(), wall.as_secs_f64());
     let routers = setup.fleet.zones * setup.fleet.routers_per_zone;
-    let seconds = sockets.seconds.iter().map(answered_share).collect();
-    let messages = describe_violations(&sockets.broken);
+    let seconds = metrics.seconds.iter().map(SecondMetrics::weighted_in_time_share).collect();
+    let messages = describe_violations(&metrics.violations);
     Ok(RunResult { routers, variant, figures, seconds, messages })
 }
 
@@ -133,26 +133,26 @@
     own.into_iter().chain(count_figures(counts)).map(|(name, value)| (name.to_string(), value)).collect()
 }
 
-fn socket_figures(sockets: &Sockets) -> Figures {
-    let router = |name: &str| sockets.routers.get(name).copied().unwrap_or(f64::NAN);
+fn socket_figures(metrics: &SocketRunMetrics) -> Figures {
+    let router = |name: &str| metrics.router_counters.get(name).copied().unwrap_or(f64::NAN);
     let own = [
-        ("worth", sockets.worth),
-        ("worth_with_late", sockets.worth_late),
-        ("asked", sockets.asked as f64),
-        ("served", sockets.served as f64),
-        ("refused", sockets.refused as f64),
-        ("failed", sockets.failed as f64),
-        ("attempts", sockets.attempts as f64),
-        ("wrong_bytes", sockets.wrong as f64),
-        ("p50_ms", sockets.p50),
-        ("p99_ms", sockets.p99),
-        ("generator_late_ms", sockets.late_p99),
-        ("rules_broken", sockets.broken.values().map(|violation| violation.0).sum::<u64>() as f64),
+        ("worth", metrics.weighted_in_time_share),
+        ("worth_with_late", metrics.weighted_answered_share),
+        ("asked", metrics.requests as f64),
+        ("served", metrics.served as f64),
+        ("refused", metrics.rejected as f64),
+        ("failed", metrics.failed as f64),
+        ("attempts", metrics.attempts as f64),
+        ("wrong_bytes", metrics.wrong_bodies as f64),
+        ("p50_ms", metrics.latency_p50_ms),
+        ("p99_ms", metrics.latency_p99_ms),
+        ("generator_late_ms", metrics.generator_late_p99_ms),
+        ("rules_broken", metrics.violations.values().map(|violation| violation.0).sum::<u64>() as f64),
         ("plans_refused", router("plans_refused") + router("reloads_refused")),
         ("plans_ended", router("plans_ended")),
         ("loops_told", router("loops")),
     ];
-    named_figures(own, &sockets.counts)
+    named_figures(own, &metrics.counts)
 }
 
 /// Returns the figures that runs in simulated time and on sockets share.
--- a/crates/experiments/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -6,7 +6,7 @@
 use crate::out::Provenance;
 use crate::runs::router_program;
 use basaltgw_config::yaml::{schema, BadFile, Document};
-use basaltgw_emulator::{run_soak, SoakReport, Sockets};
+use basaltgw_emulator::{run_soak, SoakReport, SocketRunMetrics};
 use basaltgw_simulator::spec::{FleetSpec, LoadSpec};
 use seed_plan::SeedPlan;
 use serde::Deserialize;
@@ -89,37 +89,37 @@
 /// The result of one seed.
 struct SeedResult {
     seed: u64,
-    sockets: Sockets,
+    metrics: SocketRunMetrics,
     report: SoakReport,
 }
 
 impl SeedResult {
     /// Whether a rule or an invariant was violated.
     fn violated(&self) -> bool {
-        !self.sockets.broken.is_empty() || !self.report.violations.is_empty()
+        !self.metrics.violations.is_empty() || !self.report.violations.is_empty()
     }
 
     /// Describes the violations, and what makes the run invalid.
     fn failures(&self) -> Vec<String> {
         let mut failures: Vec<String> = Vec::new();
-        for (rule, (count, first)) in &self.sockets.broken {
+        for (rule, (count, first)) in &self.metrics.violations {
             failures.push(format!("rule {rule:?} violated {count} times, first: {first}"));
         }
         for (invariant, (count, details)) in &self.report.violations {
             failures.push(format!("invariant {invariant:?} violated {count} times"));
             failures.extend(details.iter().map(|detail| format!("    {detail}")));
         }
-        let missed = self.report.missed();
-        if !missed.is_empty() {
-            failures.push(format!("planned faults that never occurred: {}", missed.join(", ")));
+        let untriggered = self.report.untriggered();
+        if !untriggered.is_empty() {
+            failures.push(format!("planned faults that never occurred: {}", untriggered.join(", ")));
         }
-        if self.sockets.late_p99 > MAX_GENERATOR_DELAY_MS {
-            let delay = self.sockets.late_p99;
+        if self.metrics.generator_late_p99_ms > MAX_GENERATOR_DELAY_MS {
+            let delay = self.metrics.generator_late_p99_ms;
             failures.push(format!(
                 "the load generator was late by {delay:.0} ms: the machine is too busy for a valid run"
             ));
         }
-        let unchecked = self.report.unjudged as f64 / self.sockets.asked.max(1) as f64;
+        let unchecked = self.report.unjudged as f64 / self.metrics.requests.max(1) as f64;
         if unchecked > MAX_UNCHECKED_SHARE {
             failures.push(format!("{:.1}% of the responses could not be checked", unchecked * 100.0));
         }
@@ -138,8 +138,8 @@
     let size = if quick { experiment.quick } else { experiment.full };
     let plan = SeedPlan::draw(&experiment.fleet, &experiment.load, size, seed);
     let mut dir = tempfile::tempdir().map_err(|e| format!("cannot create a directory for routers: {e}"))?;
-    let (sockets, report) = run_soak(&plan.setup, &plan.faults, &plan.limits, program, dir.path())?;
-    let result = SeedResult { seed, sockets, report };
+    let (metrics, report) = run_soak(&plan.setup, &plan.faults, &plan.limits, program, dir.path())?;
+    let result = SeedResult { seed, metrics, report };
     if let Some(out) = out.filter(|_| !result.failures().is_empty()) {
         let target = out.join(format!("seed-{seed}"));
         dir.disable_cleanup(true);
@@ -153,16 +153,16 @@
 }
 
 fn summary_line(result: &SeedResult, failures: usize) -> String {
-    let sockets = &result.sockets;
+    let metrics = &result.metrics;
     format!(
         "  seed {:6}: {} {} requests, {} served, {} refused, {} failed, {} attempts, {} processes, {} faults, {} unjudged",
         result.seed,
         if failures == 0 { "held  " } else { "FAILED" },
-        sockets.asked,
-        sockets.served,
-        sockets.refused,
-        sockets.failed,
-        sockets.attempts,
+        metrics.requests,
+        metrics.served,
+        metrics.rejected,
+        metrics.failed,
+        metrics.attempts,
         result.report.processes,
         result.report.planned.values().sum::<u64>(),
         result.report.unjudged
@@ -171,7 +171,7 @@
 
 fn csv(results: &[SeedResult], provenance: &Provenance, quick: bool) -> String {
     let kinds: std::collections::BTreeSet<&str> =
-        results.iter().flat_map(|r| r.report.happened.keys().copied()).collect();
+        results.iter().flat_map(|r| r.report.triggered.keys().copied()).collect();
     let mut text =
         "seed,form,commit,cores,held,asked,served,refused,failed,attempts,processes,late_p99_ms,unjudged,\
                     rules_broken,invariants_violated"
@@ -181,7 +181,7 @@
     });
     text.push('\n');
     for result in results {
-        let sockets = &result.sockets;
+        let metrics = &result.metrics;
         let _ = write!(
             text,
             "{},{},{},{},{},{},{},{},{},{},{},{:.1},{},{},{}",
@@ -190,19 +190,19 @@
             provenance.commit,
             provenance.cores,
             u8::from(result.failures().is_empty()),
-            sockets.asked,
-            sockets.served,
-            sockets.refused,
-            sockets.failed,
-            sockets.attempts,
+            metrics.requests,
+            metrics.served,
+            metrics.rejected,
+            metrics.failed,
+            metrics.attempts,
             result.report.processes,
-            sockets.late_p99,
+            metrics.generator_late_p99_ms,
             result.report.unjudged,
-            sockets.broken.values().map(|violation| violation.0).sum::<u64>(),
+            metrics.violations.values().map(|violation| violation.0).sum::<u64>(),
             result.report.violations.values().map(|violation| violation.0).sum::<u64>(),
         );
         for kind in &kinds {
-            let _ = write!(text, ",{}", result.report.happened.get(kind).copied().unwrap_or(0));
+            let _ = write!(text, ",{}", result.report.triggered.get(kind).copied().unwrap_or(0));
         }
         text.push('\n');
     }
@@ -330,7 +330,7 @@
         std::fs::write(dir.join(format!("soak-{form}.csv")), table).map_err(message)?;
     }
     let passed = completed.iter().filter(|result| result.failures().is_empty()).count();
-    let requests: u64 = completed.iter().map(|result| result.sockets.asked).sum();
+    let requests: u64 = completed.iter().map(|result| result.metrics.requests).sum();
     let faults: u64 = completed.iter().map(|result| result.report.planned.values().sum::<u64>()).sum();
     println!(
         "{}: {passed} of {} held; requests {requests}, faults {faults}",
--- a/crates/experiments/src/soak/seed_plan.rs
+++ b/crates/experiments/src/soak/seed_plan.rs
@@ -2,7 +2,7 @@
 
 use super::Size;
 use basaltgw_emulator::faults::Fault;
-use basaltgw_emulator::{Planned, SoakFault, SoakLimits};
+use basaltgw_emulator::{PlannedFault, SoakFault, SoakLimits};
 use basaltgw_simulator::sim::Setup;
 use basaltgw_simulator::spec::{FleetSpec, LoadSpec, ScriptAction, ScriptEvent};
 use basaltgw_simulator::{draw as unit, rng, Rng};
@@ -26,7 +26,7 @@
     /// The fleet, its load and the script of node faults.
     pub setup: Setup,
     /// The faults of router processes, of the change log, and of clients and caches at a router.
-    pub faults: Vec<Planned>,
+    pub faults: Vec<PlannedFault>,
     /// Limits in the routers' settings.
     pub limits: SoakLimits,
 }
@@ -59,7 +59,7 @@
         let limits = SoakLimits {
             connect_timeout_ms: choose(&mut rng, &[400.0, 1_000.0, 150.0]),
             max_streams: choose(&mut rng, &[100, 4, 1]),
-            attempts: choose(&mut rng, &[8, 3, 2]),
+            max_attempts: choose(&mut rng, &[8, 3, 2]),
         };
         let faults = draw_faults(&mut rng, size);
         let script = draw_script(&mut rng, &fleet, size);
@@ -83,7 +83,7 @@
 }
 
 /// Draws groups of two or three faults, most of a group at one router.
-fn draw_faults(rng: &mut Rng, size: Size) -> Vec<Planned> {
+fn draw_faults(rng: &mut Rng, size: Size) -> Vec<PlannedFault> {
     let routers = size.zones * size.routers_per_zone;
     let span = size.length_ms - QUIET_START_MS - QUIET_END_MS;
     let mut faults = Vec::new();
@@ -95,7 +95,7 @@
             let router = if same { group_router } else { index(rng, routers) };
             let at_ms = start + uniform(rng, 0.0, GROUP_MS);
             let (fault, for_ms) = draw_fault(rng);
-            faults.push(Planned { at_ms, for_ms, router, fault });
+            faults.push(PlannedFault { at_ms, for_ms, router, fault });
         }
     }
     faults
