--- a/crates/experiments/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -73,7 +73,7 @@
 /// The maximum p99 delay of the load generator in milliseconds. A run above it measures the machine and not the routers.
 const MAX_GENERATOR_DELAY_MS: f64 = 50.0;
 
-/// Attempts at a run on metrics.
+/// Attempts at a run on sockets.
 const MAX_ATTEMPTS: usize = 2;
 
 /// Returns the path of the router program, which stands beside this one.
--- a/crates/experiments/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -55,8 +55,8 @@
 
 /// The maximum p99 delay of the load generator. A run above it measures the machine and not the routers.
 const MAX_GENERATOR_DELAY_MS: f64 = 100.0;
-/// The maximum share of responses that remain unchecked because the harness was late.
-const MAX_UNCHECKED_SHARE: f64 = 0.02;
+/// The maximum share of responses that remain unjudged because the harness was late.
+const MAX_UNJUDGED_SHARE: f64 = 0.02;
 
 /// Whether the experiment has this form.
 pub fn is_soak(name: &str) -> bool {
@@ -119,9 +119,9 @@
                 "the load generator was late by {delay:.0} ms: the machine is too busy for a valid run"
             ));
         }
-        let unchecked = self.report.unjudged as f64 / self.metrics.requests.max(1) as f64;
-        if unchecked > MAX_UNCHECKED_SHARE {
-            failures.push(format!("{:.1}% of the responses could not be checked", unchecked * 100.0));
+        let unjudged = self.report.unjudged as f64 / self.metrics.requests.max(1) as f64;
+        if unjudged > MAX_UNJUDGED_SHARE {
+            failures.push(format!("{:.1}% of the responses could not be judged", unjudged * 100.0));
         }
         failures
     }
