--- a/crates/experiments/src/capacity/file.rs
+++ b/crates/experiments/src/capacity/file.rs
@@ -2,7 +2,7 @@
 
 use super::{data, fit, overlay};
 use crate::experiment::{check_bounds_of_one_run, has_form, read_text, Bound};
-use basaltgw_config::yaml::{schema, BadFile, Document};
+use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -76,10 +76,10 @@
 }
 
 /// Loads the experiment by its name or its file, and returns it with the text of the file.
-pub fn load(name: &str) -> Result<(Experiment, String), BadFile> {
+pub fn load(name: &str) -> Result<(Experiment, String), YamlError> {
     let text = read_text(BUILT_IN, name).unwrap_or_default();
-    let document = Document::parse(name, &text, &schema("{}"))?;
-    let experiment: Experiment = document.typed()?;
+    let document = Document::parse(name, &text, &compile_schema("{}"))?;
+    let experiment: Experiment = document.deserialize()?;
     check_expected(&document, &experiment.expected)?;
     check_sizes(&document, "quick", &experiment.sizes.quick)?;
     check_sizes(&document, "full", &experiment.sizes.full)?;
@@ -89,7 +89,7 @@
     Ok((experiment, text))
 }
 
-fn check_expected(document: &Document, expected: &data::Expected) -> Result<(), BadFile> {
+fn check_expected(document: &Document, expected: &data::Expected) -> Result<(), YamlError> {
     let counts = [
         ("routers", expected.routers),
         ("caches", expected.caches),
@@ -101,21 +101,21 @@
         if !EXPECTED_COUNTS.contains(&n) {
             let message =
                 format!("expected from {} to {}, found {n}", EXPECTED_COUNTS.start(), EXPECTED_COUNTS.end());
-            return Err(document.fault(&format!("/expected/{key}"), message));
+            return Err(document.error_at(&format!("/expected/{key}"), message));
         }
     }
     let rates = [("requests_per_s", expected.requests_per_s), ("purges_per_s", expected.purges_per_s)];
     for (key, rate) in rates {
         if !(rate.is_finite() && rate > 0.0) {
             let message = format!("expected over 0, found {rate}");
-            return Err(document.fault(&format!("/expected/{key}"), message));
+            return Err(document.error_at(&format!("/expected/{key}"), message));
         }
     }
     Ok(())
 }
 
 /// Rejects lists of sizes that are too short for a curve or not rising.
-fn check_sizes(document: &Document, form: &str, sizes: &Sizes) -> Result<(), BadFile> {
+fn check_sizes(document: &Document, form: &str, sizes: &Sizes) -> Result<(), YamlError> {
     let Sizes { data, control, overlay, .. } = sizes;
     let lists = [
         ("data/caches", &data.caches),
@@ -139,12 +139,12 @@
         let rising = list.windows(2).all(|w| w[0] < w[1]);
         if list.len() < fit::MIN_POINTS || !rising || list[0] == 0 {
             let message = format!("expected {} rising sizes over 0, or more", fit::MIN_POINTS);
-            return Err(document.fault(&format!("/sizes/{form}/{key}"), message));
+            return Err(document.error_at(&format!("/sizes/{form}/{key}"), message));
         }
     }
     if data.requests < MIN_REQUESTS {
         let message = format!("expected {MIN_REQUESTS} or more, found {}", data.requests);
-        return Err(document.fault(&format!("/sizes/{form}/data/requests"), message));
+        return Err(document.error_at(&format!("/sizes/{form}/data/requests"), message));
     }
     Ok(())
 }
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -1,7 +1,7 @@
 //! Experiment files for simulated time and for sockets: the fleet, its load, a script of faults and changes, the runs to compare, and the
 //! bounds of their figures.
 
-use basaltgw_config::yaml::{schema, BadFile, Document};
+use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use basaltgw_simulator::sim::Setup;
 use basaltgw_simulator::spec::{FleetSpec, LoadSpec, PlanShape, ScriptAction, ScriptEvent};
 use serde::Deserialize;
@@ -139,20 +139,21 @@
 
 /// Whether the experiment has this form, which its key `on` names.
 pub fn has_form(built_in: (&str, &str), name: &str, form: &str) -> bool {
-    let document = read_text(built_in, name).and_then(|t| Document::parse(name, &t, &schema("{}")).ok());
+    let document =
+        read_text(built_in, name).and_then(|t| Document::parse(name, &t, &compile_schema("{}")).ok());
     document.is_some_and(|d| d.value.get("on").and_then(serde_json::Value::as_str) == Some(form))
 }
 
 /// Rejects bounds without a limit, and those of a run that the experiment does not have.
-pub fn check_bounds(document: &Document, bounds: &[Bound], runs: &[Variant]) -> Result<(), BadFile> {
+pub fn check_bounds(document: &Document, bounds: &[Bound], runs: &[Variant]) -> Result<(), YamlError> {
     for (i, bound) in bounds.iter().enumerate() {
         let named = [Some(bound.run), bound.times_of];
         if let Some(missing) = named.into_iter().flatten().find(|run| !runs.contains(run)) {
             let message = format!("the run {} is not among the experiment's runs", missing.name());
-            return Err(document.fault(&format!("/must/{i}"), message));
+            return Err(document.error_at(&format!("/must/{i}"), message));
         }
         if [bound.is, bound.at_least, bound.at_most].iter().all(Option::is_none) {
-            return Err(document.fault(&format!("/must/{i}"), "expected `is`, `at_least` or `at_most`"));
+            return Err(document.error_at(&format!("/must/{i}"), "expected `is`, `at_least` or `at_most`"));
         }
     }
     Ok(())
@@ -160,12 +161,16 @@
 
 /// Rejects bounds without a limit, and those of another run than the described one, for experiments that have no other run. `section` is the
 /// path of the section with the bounds.
-pub fn check_bounds_of_one_run(document: &Document, section: &str, bounds: &[Bound]) -> Result<(), BadFile> {
+pub fn check_bounds_of_one_run(
+    document: &Document,
+    section: &str,
+    bounds: &[Bound],
+) -> Result<(), YamlError> {
     for (i, bound) in bounds.iter().enumerate() {
         let other_run = bound.run != Variant::Described || bound.times_of.is_some();
         if other_run || [bound.is, bound.at_least, bound.at_most] == [None; 3] {
             let message = "expected `is`, `at_least` or `at_most` of the run described";
-            return Err(document.fault(&format!("{section}/must/{i}"), message));
+            return Err(document.error_at(&format!("{section}/must/{i}"), message));
         }
     }
     Ok(())
@@ -173,8 +178,8 @@
 
 impl Experiment {
     /// Loads a built-in experiment by its name, or a file by its path, and returns it with the text of the file.
-    pub fn load(name: &str) -> Result<(Self, String), BadFile> {
-        let validator = schema(SCHEMA);
+    pub fn load(name: &str) -> Result<(Self, String), YamlError> {
+        let validator = compile_schema(SCHEMA);
         let (document, text) = match BUILT_IN.iter().find(|(built_in, _)| *built_in == name) {
             Some((_, text)) => {
                 (Document::parse(&format!("{name}.yaml"), text, &validator)?, (*text).to_string())
@@ -185,23 +190,23 @@
                 (document, text)
             }
         };
-        let experiment: Self = document.typed()?;
+        let experiment: Self = document.deserialize()?;
         check_bounds(&document, &experiment.bounds, &experiment.runs)?;
         experiment.check_script(&document)?;
         Ok((experiment, text))
     }
 
     /// Rejects script events that name an unknown plan or node.
-    fn check_script(&self, document: &Document) -> Result<(), BadFile> {
+    fn check_script(&self, document: &Document) -> Result<(), YamlError> {
         let nodes = basaltgw_simulator::fleet::nodes(&self.fleet);
         for (i, event) in self.script.iter().enumerate() {
             if let Some(plan) = event.plan.as_ref().filter(|p| !self.plans.iter().any(|s| s.name == **p)) {
-                return Err(document.fault(&format!("/script/{i}/plan"), format!("unknown plan {plan:?}")));
+                return Err(document.error_at(&format!("/script/{i}/plan"), format!("unknown plan {plan:?}")));
             }
             for (key, name) in [("node", &event.node), ("to", &event.to)] {
                 if let Some(name) = name.as_ref().filter(|n| !nodes.iter().any(|node| node.name == **n)) {
                     let message = format!("unknown node {name:?}");
-                    return Err(document.fault(&format!("/script/{i}/{key}"), message));
+                    return Err(document.error_at(&format!("/script/{i}/{key}"), message));
                 }
             }
         }
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::{check_bounds, Bound, Variant};
 use crate::runs::{answered_share, router_program, RunResult};
-use basaltgw_config::yaml::{schema, BadFile, Document};
+use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use basaltgw_emulator::rig::faults::{FaultKind, RandomFaults, ScheduledFault};
 use basaltgw_emulator::rig::load::Load;
 use basaltgw_emulator::rig::scenario::{run_scenario, Scenario};
@@ -42,7 +42,7 @@
     pub seed: u64,
     length_ms: LengthByForm,
     routers: Vec<RouterLocation>,
-    /// Replicas of each shard.
+    /// Replicas of each register: 3 or 5.
     #[serde(rename = "copies")]
     replicas: usize,
     /// Further keys of each router's section `fleet`.
@@ -50,7 +50,7 @@
     section: Value,
     /// The rules file at the start.
     rules: Option<String>,
-    /// The time after which a purge must have reached all routers.
+    /// The time after which a purge has settled; until then caches may hold older copies.
     settles_ms: u64,
     /// Range of the latency of a link.
     link_ms: [f64; 2],
@@ -82,7 +82,7 @@
 
 /// Loads a built-in experiment by its name, or a file by its path, and returns it with the text of the file; `None` if the file has another
 /// form.
-pub fn load(name: &str) -> Result<Option<(Experiment, String)>, BadFile> {
+pub fn load(name: &str) -> Result<Option<(Experiment, String)>, YamlError> {
     let (file, text) = match BUILT_IN.iter().find(|(built_in, _)| *built_in == name) {
         Some((_, text)) => (format!("{name}.yaml"), (*text).to_string()),
         None => match std::fs::read_to_string(Path::new(name)) {
@@ -91,12 +91,12 @@
             Err(_) => return Ok(None),
         },
     };
-    let Ok(untyped) = Document::parse(&file, &text, &schema("{}")) else { return Ok(None) };
+    let Ok(untyped) = Document::parse(&file, &text, &compile_schema("{}")) else { return Ok(None) };
     if untyped.value.get("on").and_then(Value::as_str) != Some("fleet") {
         return Ok(None);
     }
-    let document = Document::parse(&file, &text, &schema(SCHEMA))?;
-    let experiment: Experiment = document.typed()?;
+    let document = Document::parse(&file, &text, &compile_schema(SCHEMA))?;
+    let experiment: Experiment = document.deserialize()?;
     experiment.check_script(&document)?;
     check_bounds(&document, &experiment.bounds, &experiment.runs)?;
     Ok(Some((experiment, text)))
@@ -104,13 +104,13 @@
 
 impl Experiment {
     /// Rejects script events at a router that does not exist, and changes of the rules without the rules.
-    fn check_script(&self, document: &Document) -> Result<(), BadFile> {
+    fn check_script(&self, document: &Document) -> Result<(), YamlError> {
         let routers = self.routers.len();
         for (i, event) in self.script.iter().enumerate() {
             for (key, router) in [("router", Some(event.router)), ("other", event.other_router)] {
                 if let Some(router) = router.filter(|router| *router >= routers) {
                     let message = format!("expected a router from 0 to {}, found {router}", routers - 1);
-                    return Err(document.fault(&format!("/script/{i}/{key}"), message));
+                    return Err(document.error_at(&format!("/script/{i}/{key}"), message));
                 }
             }
             let changes_rules = [
@@ -123,11 +123,11 @@
             .contains(&event.kind);
             if changes_rules && (event.rules.is_none() || self.rules.is_none()) {
                 let message = "expected `rules` here and for the start";
-                return Err(document.fault(&format!("/script/{i}"), message));
+                return Err(document.error_at(&format!("/script/{i}"), message));
             }
             if event.kind == FaultKind::ConflictingRules && event.other_rules.is_none() {
                 let message = "expected `rules_other`, those of the other operator";
-                return Err(document.fault(&format!("/script/{i}"), message));
+                return Err(document.error_at(&format!("/script/{i}"), message));
             }
         }
         Ok(())
--- a/crates/experiments/src/partial.rs
+++ b/crates/experiments/src/partial.rs
@@ -7,7 +7,7 @@
 use crate::comparison::{ChartLabels, ExperimentResult};
 use crate::experiment::{check_bounds_of_one_run, has_form, read_text, Bound, Variant};
 use crate::runs::{Figures, RunResult};
-use basaltgw_config::yaml::{schema, BadFile, Document};
+use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use basaltgw_scatter_gather::sim::{compare_strategies, find_violations, Fault, Setup, StrategyKind};
 use serde::Deserialize;
 use std::time::Instant;
@@ -80,14 +80,14 @@
 }
 
 /// Loads the experiment by its name or its file, and returns it with the text of the file.
-pub fn load(name: &str) -> Result<(Experiment, String), BadFile> {
+pub fn load(name: &str) -> Result<(Experiment, String), YamlError> {
     let text = read_text(BUILT_IN, name).unwrap_or_default();
-    let document = Document::parse(name, &text, &schema("{}"))?;
-    let experiment: Experiment = document.typed()?;
+    let document = Document::parse(name, &text, &compile_schema("{}"))?;
+    let experiment: Experiment = document.deserialize()?;
     for (key, n) in [("clients", experiment.clients_per_router), ("objects", experiment.objects)] {
         if !COUNTS.contains(&n) {
             let message = format!("expected from {} to {}, found {n}", COUNTS.start(), COUNTS.end());
-            return Err(document.fault(&format!("/{key}"), message));
+            return Err(document.error_at(&format!("/{key}"), message));
         }
     }
     check_bounds_of_one_run(&document, "", &experiment.bounds)?;
--- a/crates/experiments/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -5,7 +5,7 @@
 use crate::experiment::{has_form, read_text};
 use crate::out::Provenance;
 use crate::runs::router_program;
-use basaltgw_config::yaml::{schema, BadFile, Document};
+use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use basaltgw_emulator::{run_soak, SoakReport, SocketRunMetrics};
 use basaltgw_simulator::spec::{FleetSpec, LoadSpec};
 use seed_plan::SeedPlan;
@@ -64,10 +64,10 @@
 }
 
 /// Loads the experiment by its name or its file, and returns it with the text of the file.
-pub fn load(name: &str) -> Result<(Experiment, String), BadFile> {
+pub fn load(name: &str) -> Result<(Experiment, String), YamlError> {
     let text = read_text(BUILT_IN, name).unwrap_or_default();
-    let document = Document::parse(name, &text, &schema("{}"))?;
-    Ok((document.typed()?, text))
+    let document = Document::parse(name, &text, &compile_schema("{}"))?;
+    Ok((document.deserialize()?, text))
 }
 
 /// Options of a soak run.
--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -1,4 +1,4 @@
-//! Many routers without relays: their figures come, and all that was started is ended.
+//! FleetSetup routers without relays: their figures come, and all that was started is ended.
 
 mod common;
 
