--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Experiments on a fleet: routers that keep each other's word, as processes, with faults between them (`on: fleet`).
+//! Experiments on a fleet (`on: fleet`): router processes with the section `fleet`, under faults of processes and of the links between them.
 
-use crate::experiment::{Must, Variant};
-use crate::runs::{binary, Done, Row};
+use crate::experiment::{check_bounds, Bound, Variant};
+use crate::runs::{answered_share, router_program, RunResult};
 use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use basaltgw_emulator::rig::faults::{FaultKind, RandomFaults, ScheduledFault};
 use basaltgw_emulator::rig::load::Load;
@@ -12,136 +12,144 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Where routers stand: those of a machine, and of a branch, are lost together.
+/// The failure domains of a router: routers of one machine, or of one branch, fail together.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
+pub struct RouterLocation {
     branch: String,
     machine: String,
 }
 
-/// How long requests come in, in milliseconds.
+/// The time during which clients send requests, for each form of the experiment, in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Length {
+pub struct LengthByForm {
     quick: f64,
     full: f64,
 }
 
-/// An experiment on a fleet.
+/// The file of an experiment on a fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Its name.
+    /// The name of the experiment.
     pub name: String,
-    /// What it is for, in a sentence.
+    /// The purpose of the experiment in a sentence.
     pub about: String,
-    /// Always `fleet`.
-    #[allow(dead_code)] // Read before the rest, to tell the form of the file.
+    #[allow(dead_code)] // `load` reads this key before the others.
     on: String,
-    /// Seed where none is given.
+    /// The seed of runs without `--seed`.
     pub seed: u64,
-    length_ms: Length,
-    routers: Vec<Place>,
-    copies: usize,
+    length_ms: LengthByForm,
+    routers: Vec<RouterLocation>,
+    /// Replicas of each register: 3 or 5.
+    #[serde(rename = "copies")]
+    replicas: usize,
     /// Further keys of each router's section `fleet`.
     #[serde(default)]
     section: Value,
-    /// The rules' file that routers start with.
+    /// The rules file at the start.
     rules: Option<String>,
+    /// The time after which a purge has settled; until then caches may hold older copies.
     settles_ms: u64,
+    /// Range of the latency of a link.
     link_ms: [f64; 2],
     load: Load,
     purges_per_s: f64,
+    /// Faults at given times.
     #[serde(default)]
     script: Vec<ScheduledFault>,
-    draws: Option<RandomFaults>,
+    /// Faults drawn from the seed.
+    #[serde(rename = "draws")]
+    random_faults: Option<RandomFaults>,
     runs: Vec<Variant>,
-    /// What must hold, and what must have been provoked.
-    pub must: Vec<Must>,
-    /// Figures of the last line.
-    pub shown: Vec<String>,
+    /// Bounds of figures: guarantees, and faults that must have occurred.
+    #[serde(rename = "must")]
+    pub bounds: Vec<Bound>,
+    /// The figures in the last line of output.
+    #[serde(rename = "shown")]
+    pub summary_figures: Vec<String>,
 }
 
+/// JSON schema of experiment files.
 const SCHEMA: &str = include_str!("../experiments/fleet-schema.json");
 
-/// The experiments on a fleet that the program brings along, by name.
-pub const OWN: [(&str, &str); 2] = [
+/// The built-in experiments: name and text of the file.
+pub const BUILT_IN: [(&str, &str); 2] = [
     ("holds", include_str!("../experiments/holds.yaml")),
     ("placement", include_str!("../experiments/placement.yaml")),
 ];
 
-/// Reads one of the program's own by name, or a file by its path; `None` if it is not one on a fleet.
-pub fn find(name: &str) -> Result<Option<(Experiment, String)>, YamlError> {
-    let (file, text) = match OWN.iter().find(|(own, _)| *own == name) {
+/// Loads a built-in experiment by its name, or a file by its path, and returns it with the text of the file; `None` if the file has another
+/// form.
+pub fn load(name: &str) -> Result<Option<(Experiment, String)>, YamlError> {
+    let (file, text) = match BUILT_IN.iter().find(|(built_in, _)| *built_in == name) {
         Some((_, text)) => (format!("{name}.yaml"), (*text).to_string()),
         None => match std::fs::read_to_string(Path::new(name)) {
             Ok(text) => (name.to_string(), text),
-            // Whoever reads it as another form says what is wrong with it.
+            // The loader of the other form reports the error.
             Err(_) => return Ok(None),
         },
     };
-    let Ok(any) = Document::parse(&file, &text, &compile_schema("{}")) else { return Ok(None) };
-    if any.value.get("on").and_then(Value::as_str) != Some("fleet") {
+    let Ok(untyped) = Document::parse(&file, &text, &compile_schema("{}")) else { return Ok(None) };
+    if untyped.value.get("on").and_then(Value::as_str) != Some("fleet") {
         return Ok(None);
     }
     let document = Document::parse(&file, &text, &compile_schema(SCHEMA))?;
     let experiment: Experiment = document.deserialize()?;
-    let routers = experiment.routers.len();
-    for (i, m) in experiment.script.iter().enumerate() {
-        for (key, at) in [("router", Some(m.router)), ("other", m.other_router)] {
-            if let Some(at) = at.filter(|at| *at >= routers) {
-                let what = format!("expected a router from 0 to {}, found {at}", routers - 1);
-                return Err(document.error_at(&format!("/script/{i}/{key}"), what));
-            }
-        }
-        let rules = [
-            FaultKind::ReplaceRules,
-            FaultKind::RulesAtOneRouter,
-            FaultKind::ConflictingRules,
-            FaultKind::RulesWhileSuspended,
-            FaultKind::RulesWhilePartitioned,
-        ]
-        .contains(&m.kind);
-        if rules && (m.rules.is_none() || experiment.rules.is_none()) {
-            let what = "expected `rules` here and for the start";
-            return Err(document.error_at(&format!("/script/{i}"), what));
-        }
-        if m.kind == FaultKind::ConflictingRules && m.other_rules.is_none() {
-            let what = "expected `rules_other`, those of the other operator";
-            return Err(document.error_at(&format!("/script/{i}"), what));
-        }
-    }
-    for (i, m) in experiment.must.iter().enumerate() {
-        let runs = [Some(m.run), m.times_of];
-        if let Some(missing) = runs.into_iter().flatten().find(|r| !experiment.runs.contains(r)) {
-            let what = format!("the run {} is not among the experiment's runs", missing.name());
-            return Err(document.error_at(&format!("/must/{i}"), what));
-        }
-        if [m.is, m.at_least, m.at_most].iter().all(Option::is_none) {
-            return Err(document.error_at(&format!("/must/{i}"), "expected `is`, `at_least` or `at_most`"));
-        }
-    }
+    experiment.check_script(&document)?;
+    check_bounds(&document, &experiment.bounds, &experiment.runs)?;
     Ok(Some((experiment, text)))
 }
 
 impl Experiment {
-    fn game(&self, variant: Variant, quick: bool, seed: u64) -> Result<Scenario, String> {
-        let mut spec = Spec::new(&binary()?, self.routers.len());
-        for (place, of) in spec.locations.iter_mut().zip(&self.routers) {
-            (place.branch, place.machine) = (of.branch.clone(), of.machine.clone());
+    /// Rejects script events at a router that does not exist, and changes of the rules without the rules.
+    fn check_script(&self, document: &Document) -> Result<(), YamlError> {
+        let routers = self.routers.len();
+        for (i, event) in self.script.iter().enumerate() {
+            for (key, router) in [("router", Some(event.router)), ("other", event.other_router)] {
+                if let Some(router) = router.filter(|router| *router >= routers) {
+                    let message = format!("expected a router from 0 to {}, found {router}", routers - 1);
+                    return Err(document.error_at(&format!("/script/{i}/{key}"), message));
+                }
+            }
+            let changes_rules = [
+                FaultKind::ReplaceRules,
+                FaultKind::RulesAtOneRouter,
+                FaultKind::ConflictingRules,
+                FaultKind::RulesWhileSuspended,
+                FaultKind::RulesWhilePartitioned,
+            ]
+            .contains(&event.kind);
+            if changes_rules && (event.rules.is_none() || self.rules.is_none()) {
+                let message = "expected `rules` here and for the start";
+                return Err(document.error_at(&format!("/script/{i}"), message));
+            }
+            if event.kind == FaultKind::ConflictingRules && event.other_rules.is_none() {
+                let message = "expected `rules_other`, those of the other operator";
+                return Err(document.error_at(&format!("/script/{i}"), message));
+            }
+        }
+        Ok(())
+    }
+
+    /// Returns the scenario of a run.
+    fn scenario(&self, variant: Variant, quick: bool, seed: u64) -> Result<Scenario, String> {
+        let mut spec = Spec::new(&router_program()?, self.routers.len());
+        for (target, location) in spec.locations.iter_mut().zip(&self.routers) {
+            (target.branch, target.machine) = (location.branch.clone(), location.machine.clone());
         }
         let fleet = match variant {
             Variant::Described => true,
             Variant::Alone => false,
             Variant::Still | Variant::AtOnce | Variant::Blind => {
-                return Err(format!("no run {} on a fleet", variant.name()))
+                return Err(format!("a run {} is not possible on a fleet", variant.name()))
             }
         };
         let spec = Spec {
             seed,
             fleet,
-            replicas: self.copies,
+            replicas: self.replicas,
             rules: self.rules.clone(),
             extra_settings: self.section.clone(),
             purge_settles_ms: self.settles_ms,
@@ -154,38 +162,45 @@
             duration_ms: if quick { self.length_ms.quick } else { self.length_ms.full },
             purges_per_s: self.purges_per_s,
             scripted_faults: self.script.clone(),
-            random_faults: self.draws.clone(),
+            random_faults: self.random_faults.clone(),
         })
     }
 }
 
-/// Most words said of a run.
-const WORDS: usize = 12;
+/// Violations that the output describes.
+const MAX_REPORTED_VIOLATIONS: usize = 12;
+/// Violations that the output describes of a run without the section `fleet`: they are expected there.
+const MAX_REPORTED_BASELINE_VIOLATIONS: usize = 2;
 
-/// Plays all runs of an experiment.
-pub fn all(
+/// Runs all variants of an experiment; `on_result` is called after each run.
+pub fn run_all(
     experiment: &Experiment,
     quick: bool,
     seed: u64,
-    mut told: impl FnMut(&Done),
-) -> Result<Vec<Done>, String> {
-    let mut all = Vec::new();
+    mut on_result: impl FnMut(&RunResult),
+) -> Result<Vec<RunResult>, String> {
+    let mut results = Vec::new();
     for variant in &experiment.runs {
-        let begun = Instant::now();
-        let played = run_scenario(&experiment.game(*variant, quick, seed)?)?;
-        let mut row: Row = played.figures;
-        row.insert("wall_s".into(), begun.elapsed().as_secs_f64());
-        let broken = played.violations.iter().map(|b| format!("{:?}: {}", b.rule, b.description));
-        // What breaks without a fleet is the baseline's figure, and no news.
-        let most = if *variant == Variant::Described { WORDS } else { 2 };
-        let words = broken.take(most).chain(played.unrecovered).collect();
-        let share = |(asked, got): &(f64, f64)| if *asked > 0.0 { got / asked } else { f64::NAN };
-        let seconds = played.seconds.iter().map(share).collect();
-        let done = Done { routers: experiment.routers.len(), variant: *variant, row, seconds, words };
-        told(&done);
-        all.push(done);
+        let started = Instant::now();
+        let outcome = run_scenario(&experiment.scenario(*variant, quick, seed)?)?;
+        let mut figures = outcome.figures;
+        figures.insert("wall_s".into(), started.elapsed().as_secs_f64());
+        let violations = outcome.violations.iter().map(|v| format!("{:?}: {}", v.rule, v.description));
+        let reported = match variant {
+            Variant::Described => MAX_REPORTED_VIOLATIONS,
+            _ => MAX_REPORTED_BASELINE_VIOLATIONS,
+        };
+        let result = RunResult {
+            routers: experiment.routers.len(),
+            variant: *variant,
+            figures,
+            seconds: outcome.seconds.iter().map(answered_share).collect(),
+            messages: violations.take(reported).chain(outcome.unrecovered).collect(),
+        };
+        on_result(&result);
+        results.push(result);
     }
-    Ok(all)
+    Ok(results)
 }
 
 #[cfg(test)]
