--- a/crates/node/tests/codec.rs
+++ b/crates/node/tests/codec.rs
@@ -17,7 +17,7 @@
 fn names() -> WireNames {
     let v = json!({"areas": ["hub", "edge"], "kinds": ["box", "parent", "origin"],
                    "family-info": {"shield-kind": 1, "store-kind": 2}});
-    parse_settings(&v).expect("settings").0
+    parse_settings(&v).expect("the settings are valid").0
 }
 
 fn decode(chunks: &[&[u8]]) -> Result<Vec<Vec<Vec<u8>>>, String> {
--- a/crates/node/tests/crossing/closing.rs
+++ b/crates/node/tests/crossing/closing.rs
@@ -170,8 +170,8 @@
 
 /// Runs a test several times at once: the order in which a resumed router sees concurrent events is up to the system.
 fn run_in_parallel(run: fn()) {
-    let all: Vec<_> = (0..6).map(|_| thread::spawn(run)).collect();
-    all.into_iter().for_each(|one| one.join().expect("each run passes"));
+    let threads: Vec<_> = (0..6).map(|_| thread::spawn(run)).collect();
+    threads.into_iter().for_each(|thread| thread.join().expect("each run passes"));
 }
 
 #[test]
--- a/crates/node/tests/crossing/closing/end.rs
+++ b/crates/node/tests/crossing/closing/end.rs
@@ -59,13 +59,14 @@
         assert_eq!((counted["requests"], counted["served"]), (5.0, 5.0));
         return;
     }
-    panic!("the router was never stopped in time");
+    panic!("the router always shut down before it was stopped");
 }
 
 #[test]
 fn backlog_at_shutdown_is_answered_while_all_slots_are_taken() {
     for _ in 0..5 {
-        // Six slots and two caches: with six or more requests in flight at one cache, the router rejects some if a busy machine answers slowly.
+        // Six slots and two caches: with six or more requests in flight at one cache, the router rejects some if that answers slowly on a busy
+        // machine.
         let second = Cache::with_all_objects();
         let mut harness = start_router_with(Cache::with_all_objects(), |c| {
             c["limits"]["sockets"] = json!(32);
@@ -90,7 +91,7 @@
         assert!(harness.router.expect_exit().success());
         return;
     }
-    panic!("the router was never stopped in time");
+    panic!("the router always shut down before it was stopped");
 }
 
 /// Whether a socket listens at the address. A test connection would count as one more client at shutdown.
@@ -189,8 +190,8 @@
 #[test]
 fn clients_that_never_close_delay_shutdown_up_to_the_bound() {
     let mut harness = start_router(Cache::with_all_objects());
-    let mut all: Vec<Client> = (0..20).map(|_| harness.router.client()).collect();
-    all.iter_mut().for_each(|c| assert_served(c, 1));
+    let mut clients: Vec<Client> = (0..20).map(|_| harness.router.client()).collect();
+    clients.iter_mut().for_each(|c| assert_served(c, 1));
     let start = Instant::now();
     harness.router.signal("TERM");
     assert!(harness.router.expect_exit().success());
@@ -198,7 +199,7 @@
     let counted = harness.router.exit_counters();
     assert_eq!((counted["closed_at_end"], counted["closes_lingered"]), (20.0, 20.0));
     // The clients see the close whenever they read.
-    all.iter_mut().for_each(|c| assert_eq!(read_to_close(c), Ok(0)));
+    clients.iter_mut().for_each(|c| assert_eq!(read_to_close(c), Ok(0)));
 }
 
 #[test]
--- a/crates/node/tests/crossing/leaving.rs
+++ b/crates/node/tests/crossing/leaving.rs
@@ -70,7 +70,7 @@
 }
 
 impl RouterHarness {
-    /// With this edge cache; the others serve every object.
+    /// Starts a router in front of this edge cache; the other caches serve every object.
     fn start(edge: Cache, change: impl FnOnce(&mut Value)) -> Self {
         Self::start_with_caches(
             [edge, Cache::with_all_objects(), Cache::with_all_objects(), Cache::with_all_objects()],
@@ -79,7 +79,7 @@
         )
     }
 
-    /// With a second edge cache, at which a read that failed at the first is retried. All servers handle fetches alike.
+    /// Starts a router with a second edge cache, at which a read that failed at the first is retried. All servers handle fetches alike.
     fn start_with_same_behaviour(
         behaviour: impl Fn(&ReceivedFetch) -> FetchBehaviour + Clone + Send + Sync + 'static,
     ) -> Self {
@@ -87,11 +87,11 @@
         Self::start_with_caches([0; 4].map(|_| Cache::start(behaviour.clone())), true, small_memory)
     }
 
-    fn start_with_caches(all: [Cache; 4], second_edge: bool, change: impl FnOnce(&mut Value)) -> Self {
-        let ([edge, second, parent, origin], log) = (all, ChangeLog::start());
+    fn start_with_caches(caches: [Cache; 4], second_edge: bool, change: impl FnOnce(&mut Value)) -> Self {
+        let ([edge, second, parent, origin], log) = (caches, ChangeLog::start());
         let mut config = configuration(&edge_parent_origin(&edge, &parent, &origin), log.address);
         let settings = &mut config["settings"];
-        // The tests delay servers on purpose, and none may count as silent because of that, which happens at the deadline of the class.
+        // The tests delay servers on purpose, and none may count as silent for that, as it does after the deadline of a class.
         settings["limits"]["connect-timeout"] = json!(60_000.0);
         settings["services"]
             .as_array_mut()
@@ -152,12 +152,12 @@
 
 /// Fills a listener's backlog, until no connection comes up any more.
 fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
-    let mut all = Vec::new();
+    let mut sockets = Vec::new();
     while let Ok(socket) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-        all.push(socket);
-        assert!(all.len() < 10_000, "the backlog never fills up");
+        sockets.push(socket);
+        assert!(sockets.len() < 10_000, "the backlog never fills up");
     }
-    all
+    sockets
 }
 
 /// Asserts that the client gets no answer before that to a `PING`, or before the router closes its connection as idle, which is counted: the
@@ -243,14 +243,14 @@
 
 /// Clients with one request each, which is at the edge cache or waits for a connection to it.
 fn clients_with_one_request(harness: &RouterHarness, count: u64) -> (Vec<Client>, Vec<String>) {
-    let one = |n: u64| {
+    let connect_and_request = |n: u64| {
         let mut client = harness.client();
         let id = client.send_request_with_deadline(DEADLINE_MS, 1, "pages", 1 + n, "", b"");
         (client, id)
     };
-    let all = (0..count).map(one).unzip();
-    wait_until("an attempt is made for each", || harness.router.counter("attempts") == count);
-    all
+    let clients_and_ids = (0..count).map(connect_and_request).unzip();
+    wait_until("an attempt is made for each request", || harness.router.counter("attempts") == count);
+    clients_and_ids
 }
 
 #[test]
@@ -280,10 +280,10 @@
 
 /// Whether all attempts have ended.
 fn all_attempts_ended(router: &Process) -> bool {
-    let all = router.counters(WAIT_LIMIT).expect("counters");
+    let counters = router.counters(WAIT_LIMIT).expect("the router reports its counters");
     let ends =
         ["served", "error", "full", "late", "no_connection", "broken", "cancelled", "not_sent", "miss"];
-    ends.iter().map(|end| all[&format!("attempts_{end}")]).sum::<f64>() == all["attempts"]
+    ends.iter().map(|end| counters[&format!("attempts_{end}")]).sum::<f64>() == counters["attempts"]
 }
 
 #[test]
@@ -339,7 +339,7 @@
     for abandonment in ABANDONMENTS {
         let harness = RouterHarness::start(Cache::with_all_objects(), |_| {});
         let mut clients: Vec<Client> = (0..20).map(|_| harness.client()).collect();
-        wait_until("all are connected", || harness.router.counter("clients") == 20);
+        wait_until("all clients are connected", || harness.router.counter("clients") == 20);
         harness.wait_until_edge_serves();
         harness.router.signal("STOP");
         for (n, client) in clients.iter_mut().enumerate() {
--- a/crates/node/tests/crossing/leaving/memory.rs
+++ b/crates/node/tests/crossing/leaving/memory.rs
@@ -16,7 +16,7 @@
         }
         FetchBehaviour::Ok(part_body(s))
     };
-    // A connection with an unanswered write counts as silent after 0.8 s and gets no more requests; so each write has a connection of its own.
+    // A connection with an unanswered write counts as silent after 0.8 s and gets no more requests, so each write has its own connection.
     let limits = |c: &mut Value| {
         c["limits"]["memory_mb"] = json!(1);
         c["settings"]["limits"]["max-streams"] = json!(1);
@@ -27,15 +27,15 @@
 /// Sends writes until a router with a memory limit of 1 MB buffers more than half of that, and reads no more. Each write is completely read
 /// before the next is sent: the connection of one that is partly read when the limit is reached would be closed.
 fn fill_memory(harness: &RouterHarness) -> Vec<Client> {
-    let mut all: Vec<Client> = Vec::new();
+    let mut clients: Vec<Client> = Vec::new();
     let before = harness.router.counter("requests");
     let (count, body_bytes) = (10, 48_000);
     for n in 1..=count {
         // Two clients take turns, since one that sends nothing for 2 s is closed.
-        if all.len() < 2 {
-            all.push(harness.client());
+        if clients.len() < 2 {
+            clients.push(harness.client());
         }
-        all[(n as usize - 1) % 2].send_request_with_deadline(
+        clients[(n as usize - 1) % 2].send_request_with_deadline(
             DEADLINE_MS,
             n,
             "loan",
@@ -47,12 +47,12 @@
         // copy the limit is reached, and the answer to the probe of its connection is not read.
         let held = body_bytes as u64 * n;
         wait_until("the write is accepted", || {
-            let all = harness.router.counters(WAIT_LIMIT).expect("counters");
-            let (requests, now) = (all["requests"] as u64, all["held"] as u64);
+            let counters = harness.router.counters(WAIT_LIMIT).expect("the router reports its counters");
+            let (requests, now) = (counters["requests"] as u64, counters["held"] as u64);
             requests == before + n && if n < count { now == held } else { now > held && now > 500_000 }
         });
     }
-    all
+    clients
 }
 
 #[test]
--- a/crates/node/tests/crossing/retries.rs
+++ b/crates/node/tests/crossing/retries.rs
@@ -81,28 +81,28 @@
     behaviour: fn(&ReceivedFetch) -> FetchBehaviour,
     change: impl FnOnce(&mut serde_json::Value),
 ) -> (Process, [Cache; 3]) {
-    let all = [(); 3].map(|()| Cache::start(behaviour));
+    let caches = [(); 3].map(|()| Cache::start(behaviour));
     let log = ChangeLog::start();
-    let mut config = configuration(&edge_parent_origin(&all[0], &all[1], &all[2]), log.address);
-    // On a busy machine a connection takes its time.
+    let mut config = configuration(&edge_parent_origin(&caches[0], &caches[1], &caches[2]), log.address);
+    // A connection may take long on a busy machine.
     config["settings"]["limits"]["connect-timeout"] = json!(20_000.0);
     change(&mut config);
-    (router(&config), all)
+    (router(&config), caches)
 }
 
-fn fetch_count(all: &[Cache]) -> usize {
-    all.iter().map(Cache::fetch_count).sum()
+fn fetch_count(caches: &[Cache]) -> usize {
+    caches.iter().map(Cache::fetch_count).sum()
 }
 
-fn release_all(all: &[Cache]) {
-    all.iter().for_each(|cache| cache.resume.store(true, Ordering::SeqCst));
+fn release_all(caches: &[Cache]) {
+    caches.iter().for_each(|cache| cache.resume.store(true, Ordering::SeqCst));
 }
 
 /// Sends a request with a deadline far below the timeouts of the transport, and another one behind it on its connection, whose server holds
 /// both. Returns after how many milliseconds the first was answered; `None` if the machine was too slow to send it within its deadline, or
 /// to send both on one connection.
 fn run_short_deadline(class: &str, status: &str) -> Option<u64> {
-    let (router, all) = router_before_caches(|s| FetchBehaviour::BlockThenOk(part_body(s)), |_| {});
+    let (router, caches) = router_before_caches(|s| FetchBehaviour::BlockThenOk(part_body(s)), |_| {});
     let mut client = router.client();
     let sent_at = unix_ms();
     client.send_request_with_deadline(150, 1, class, 1, "", b"body of it");
@@ -116,15 +116,15 @@
     wait_until("the end of the attempt is counted", || ends().iter().sum::<u64>() == 1);
     let unsent = ends()[2] + ends()[3] == 1;
     assert_eq!((answer.tag, answer.status.as_str()), (1, if unsent { "503" } else { status }), "{class}");
-    wait_until("a server has the requests that were sent", || fetch_count(&all) >= 1);
-    if all.iter().map(|cache| cache.connections.load(Ordering::SeqCst)).sum::<usize>() > 1 {
+    wait_until("a server has the requests that were sent", || fetch_count(&caches) >= 1);
+    if caches.iter().map(|cache| cache.connections.load(Ordering::SeqCst)).sum::<usize>() > 1 {
         return None;
     }
-    release_all(&all);
+    release_all(&caches);
     assert_eq!(client.expect_answer().tag, 2);
     wait_until("the late answer is read", || unsent || router.counter("late_answers") == 1);
     assert_eq!(client.answers_before_pong(), []);
-    assert_eq!((fetch_count(&all), router.counter("attempts")), (if unsent { 1 } else { 2 }, 2));
+    assert_eq!((fetch_count(&caches), router.counter("attempts")), (if unsent { 1 } else { 2 }, 2));
     Some(waited).filter(|_| !unsent)
 }
 
@@ -148,19 +148,19 @@
         [|s| FetchBehaviour::BlockThenOk(part_body(s)), |_| FetchBehaviour::BlockThenReset];
     for behaviour in behaviours {
         for class in ["pages", "loan"] {
-            let (router, all) = router_before_caches(behaviour, |_| {});
+            let (router, caches) = router_before_caches(behaviour, |_| {});
             let mut client = router.client();
             client.send_request(1, class, 1, "", b"body of it");
-            wait_until("a server has the request", || fetch_count(&all) == 1);
+            wait_until("a server has the request", || fetch_count(&caches) == 1);
             client.send_message("UNDO", 1);
             wait_until("the cancellation is read", || router.counter("left") == 1);
-            release_all(&all);
+            release_all(&caches);
             let ends = ["late", "cancelled", "broken"].map(|end| format!("attempts_{end}"));
             wait_until("the end of the attempt is counted", || {
                 ends.iter().map(|end| router.counter(end)).sum::<u64>() == 1
             });
             assert_eq!(client.answers_before_pong(), []);
-            assert_eq!((router.counter("attempts"), fetch_count(&all)), (1, 1), "{class} was sent again");
+            assert_eq!((router.counter("attempts"), fetch_count(&caches)), (1, 1), "{class} was sent again");
         }
     }
 }
@@ -168,13 +168,13 @@
 #[test]
 fn request_reset_long_after_its_first_byte_may_have_been_executed() {
     for (class, status, attempts) in [("pages", "503", None), ("loan", "500", Some(1))] {
-        let (router, all) = router_before_caches(|_| FetchBehaviour::BlockThenReset, |_| {});
+        let (router, caches) = router_before_caches(|_| FetchBehaviour::BlockThenReset, |_| {});
         let mut client = router.client();
         client.send_request_with_deadline(3000, 1, class, 1, "", b"body of it");
-        wait_until("a server has the request", || fetch_count(&all) == 1);
-        release_all(&all);
+        wait_until("a server has the request", || fetch_count(&caches) == 1);
+        release_all(&caches);
         assert_eq!(client.expect_answer().status, status, "{class}");
-        assert!(attempts.is_none_or(|n| fetch_count(&all) == n), "{class}: {}", fetch_count(&all));
+        assert!(attempts.is_none_or(|n| fetch_count(&caches) == n), "{class}: {}", fetch_count(&caches));
         assert!(router.counter("attempts_broken") >= 1);
         assert_eq!(client.answers_before_pong(), []);
     }
--- a/crates/node/tests/crossing/stops.rs
+++ b/crates/node/tests/crossing/stops.rs
@@ -14,21 +14,21 @@
 
 /// A router in front of three caches that answer the probe of a new connection like this.
 fn router_before_caches(proof: ProbeBehaviour) -> (Process, [Cache; 3]) {
-    let all =
+    let caches =
         [(); 3].map(|()| Cache::start_with_probes(move |_| proof, |s| FetchBehaviour::Ok(part_body(s))));
     let log = ChangeLog::start();
-    let mut config = configuration(&edge_parent_origin(&all[0], &all[1], &all[2]), log.address);
+    let mut config = configuration(&edge_parent_origin(&caches[0], &caches[1], &caches[2]), log.address);
     config["settings"]["limits"]["connect-timeout"] = json!(20_000.0);
-    (router(&config), all)
+    (router(&config), caches)
 }
 
-fn all_fetches(all: &[Cache]) -> Vec<ReceivedFetch> {
-    all.iter().flat_map(Cache::fetches).collect()
+fn all_fetches(caches: &[Cache]) -> Vec<ReceivedFetch> {
+    caches.iter().flat_map(Cache::fetches).collect()
 }
 
 /// Asserts that each fetch carried at most the time that its client, which sent the request at `sent_at`, had left.
-fn assert_remaining_deadline(all: &[Cache], sent_at: u64) {
-    let fetches = all_fetches(all);
+fn assert_remaining_deadline(caches: &[Cache], sent_at: u64) {
+    let fetches = all_fetches(caches);
     assert!(!fetches.is_empty());
     for fetch in fetches {
         let deadline: u64 = fetch
@@ -46,7 +46,7 @@
 
 #[test]
 fn deadline_of_a_request_received_during_a_pause_counts_from_its_arrival() {
-    let (router, all) = router_before_caches(ProbeBehaviour::Yes);
+    let (router, caches) = router_before_caches(ProbeBehaviour::Yes);
     let mut client = router.client();
     assert_eq!(client.answers_before_pong(), []);
     router.signal("STOP");
@@ -55,36 +55,36 @@
     std::thread::sleep(PAUSE);
     router.signal("CONT");
     assert_eq!(client.expect_answer().tag, 1);
-    assert_remaining_deadline(&all, sent_at);
+    assert_remaining_deadline(&caches, sent_at);
 }
 
 #[test]
 fn deadline_of_an_attempt_that_waited_for_its_connection_is_reduced_by_the_wait() {
-    let (router, all) = router_before_caches(ProbeBehaviour::BlockThenYes);
+    let (router, caches) = router_before_caches(ProbeBehaviour::BlockThenYes);
     let mut client = router.client();
     let sent_at = unix_ms();
     client.send_request_with_deadline(DEADLINE_MS, 1, "pages", 1, "", b"");
     wait_until("the attempt waits for its connection", || router.counter("attempts") == 1);
     std::thread::sleep(PAUSE);
-    all.iter().for_each(|cache| cache.resume.store(true, std::sync::atomic::Ordering::SeqCst));
+    caches.iter().for_each(|cache| cache.resume.store(true, std::sync::atomic::Ordering::SeqCst));
     assert_eq!(client.expect_answer().tag, 1);
-    assert_remaining_deadline(&all, sent_at);
+    assert_remaining_deadline(&caches, sent_at);
 }
 
 #[test]
 fn request_whose_client_left_during_a_pause_is_not_sent() {
     for _ in 0..3 {
-        let (router, all) = router_before_caches(ProbeBehaviour::BlockThenYes);
+        let (router, caches) = router_before_caches(ProbeBehaviour::BlockThenYes);
         let mut client = router.client();
         client.send_request_with_deadline(DEADLINE_MS, 1, "pages", 1, "", b"");
         wait_until("the attempt waits for its connection", || router.counter("attempts") == 1);
         router.signal("STOP");
-        all.iter().for_each(|cache| cache.resume.store(true, std::sync::atomic::Ordering::SeqCst));
+        caches.iter().for_each(|cache| cache.resume.store(true, std::sync::atomic::Ordering::SeqCst));
         std::thread::sleep(Duration::from_millis(300));
         drop(client);
         std::thread::sleep(Duration::from_millis(300));
         router.signal("CONT");
         wait_until("the router notices that its client disconnected", || router.counter("left") == 1);
-        assert_eq!(all_fetches(&all).len(), 0, "an attempt was sent although its client had disconnected");
+        assert_eq!(all_fetches(&caches).len(), 0, "an attempt was sent although its client had disconnected");
     }
 }
--- a/crates/node/tests/fleet/crossings.rs
+++ b/crates/node/tests/fleet/crossings.rs
@@ -142,12 +142,13 @@
 
 #[test]
 fn outcome_being_recorded_survives_a_graceful_shutdown() {
-    // The shutdown is bounded, and on a busy machine it may end before the outcome is committed: the router logs that, and the run is repeated.
+    // The shutdown is bounded, and on a busy machine it may end before the outcome is committed. The router logs that, and the test tries
+    // again.
     for retries_left in (0..4).rev() {
         let mut fleet = start_fleet(3);
         fleet.set_effect_duration_ms(100);
         let (id, client) = (fleet.new_id(), fleet.connect_client(0));
-        // The request is answered at this deadline, since its outcome can't be committed; it leaves a busy machine time to execute the checkout.
+        // The request is answered at this deadline, since its outcome can't be committed; it leaves a busy machine time to execute it.
         let request = client.checkout(&id, 1_500);
         fleet.wait_until_executed(&id);
         fleet.rig.partition(0, &[1, 2]);
--- a/crates/node/tests/gather.rs
+++ b/crates/node/tests/gather.rs
@@ -154,24 +154,24 @@
     fleet.wait_until_serving(2);
     let mut other = fleet.router(1).client();
     let mut tag = 0;
-    let mut ask = || {
+    let mut request_missing_part = || {
         tag += 1;
         other.send_request(tag, "pages", 9, &format!(",parts=2@east,debt={continuation}"), b"");
         other.expect_answer()
     };
     poll_until("the cache with the other version is asked", || {
-        assert_ne!(ask().status, "200");
+        assert_ne!(request_missing_part().status, "200");
         fleet.caches[2].fetch_count() > 0
     });
     fleet.versions[2].store(1, Ordering::SeqCst);
     let mut served_part = None;
     poll_until("the missing part is served", || {
-        let answer = ask();
+        let answer = request_missing_part();
         served_part = (answer.status == "200").then_some(answer.body);
         served_part.is_some()
     });
     assert_eq!(served_part, Some(part_bytes("2", "east")));
-    poll_until("the continuation is finished", || ask().status == "500");
+    poll_until("the continuation is finished", || request_missing_part().status == "500");
     assert!(fleet.router(1).counter("debts_paid") >= 1);
 }
 
--- a/crates/node/tests/watch.rs
+++ b/crates/node/tests/watch.rs
@@ -14,7 +14,7 @@
 fn names() -> WireNames {
     let v = json!({"areas": ["hub", "edge"], "kinds": ["box", "parent", "origin"],
                    "family-info": {"shield-kind": 1, "store-kind": 2}});
-    parse_settings(&v).expect("settings").0
+    parse_settings(&v).expect("the settings are valid").0
 }
 
 fn decode_frame(bytes: &[u8]) -> Frame {
