--- a/crates/node/tests/crossing/closing/end.rs
+++ b/crates/node/tests/crossing/closing/end.rs
@@ -213,7 +213,7 @@
     wait_until("all requests are answered", || {
         harness.router.counter("served") + harness.router.counter("refused") == 30
     });
-    assert!(harness.router.counter("held") > 1_000_000, "more than the system buffers");
+    assert!(harness.router.counter("held") > 1_000_000, "the answers exceed the buffers of the system");
     reading_client.send_request(1, "pages", 99, "", b"");
     harness.router.signal("TERM");
     assert_eq!(reading_client.expect_answer().body.len(), 240_000);
--- a/crates/node/tests/crossing/settings.rs
+++ b/crates/node/tests/crossing/settings.rs
@@ -129,9 +129,9 @@
 #[test]
 fn refused_connection_leaves_a_short_deadline_time_for_a_retry() {
     let log = ChangeLog::start();
-    let good = Cache::with_all_objects();
+    let serving_cache = Cache::with_all_objects();
     let (_port, refusing) = refused_address();
-    let mut config = kiosk_configuration(&[&good], &log);
+    let mut config = kiosk_configuration(&[&serving_cache], &log);
     let members = &mut config["known"]["results"][0]["fleet"]["members"];
     let mut member = members[0].clone();
     (member["id"], member["host_port"]) = (json!("s-000000ff"), json!(refusing.to_string()));
--- a/crates/node/tests/crossing/watches.rs
+++ b/crates/node/tests/crossing/watches.rs
@@ -55,7 +55,7 @@
     assert_eq!(
         harness.log.resume_positions.lock().expect("lock")[..],
         [1, 1],
-        "requests the events after the last known one"
+        "the router requests the events after the last known one"
     );
     // The new connection stays, and sends the later events.
     harness.log.publish(3, 3, &purge(78));
@@ -77,7 +77,10 @@
     let connections = connection_count(&harness.log);
     harness.log.events_withheld_up_to.store(0, Ordering::SeqCst);
     wait_until("the event is received", || harness.router.counter("purges") == 1);
-    assert!(connection_count(&harness.log) <= connections + 1, "on the connection that was open");
+    assert!(
+        connection_count(&harness.log) <= connections + 1,
+        "the event is received on the connection that was open"
+    );
 }
 
 #[test]
@@ -134,7 +137,7 @@
     assert_eq!(
         harness.log.resume_positions.lock().expect("lock")[..],
         [1, 2],
-        "from the last complete event"
+        "the router resumes after the last complete event"
     );
     // The router closes the replaced connection, and does not wait for more on it.
     socket.set_read_timeout(Some(WAIT_LIMIT)).expect("the timeout is set");
--- a/crates/node/tests/crossing/watches/lists.rs
+++ b/crates/node/tests/crossing/watches/lists.rs
@@ -26,7 +26,7 @@
     wait_until("the list is applied", || harness.router.counter("lists") == 2);
     assert_eq!(harness.router.counter("servers_now"), 1);
     request_objects(&mut client, 101);
-    assert_eq!(harness.edge.fetch_count(), before, "nothing to a cache that is no longer listed");
+    assert_eq!(harness.edge.fetch_count(), before, "a cache that is no longer listed got a request");
     // Each request is answered even if no server is listed.
     send_list(&harness, 3, 1, &[]);
     assert_eq!((harness.router.counter("servers_now"), request_objects(&mut client, 201)), (0, 0));
@@ -48,15 +48,20 @@
 fn last_record_of_a_server_in_an_event_wins() {
     let harness = start_router();
     let mut client = harness.router.client();
-    let (edge, moved) = (harness.edge.address, Cache::with_all_objects());
-    send_list(&harness, 2, 2, &[record(EDGE, edge, 1, 0), record(EDGE, moved.address, 0, 0)]);
+    let (edge, moved_cache) = (harness.edge.address, Cache::with_all_objects());
+    send_list(&harness, 2, 2, &[record(EDGE, edge, 1, 0), record(EDGE, moved_cache.address, 0, 0)]);
     assert_eq!(request_objects(&mut client, 1), 20);
     assert_eq!(harness.edge.fetch_count(), 0);
-    let before = moved.fetch_count();
+    let before = moved_cache.fetch_count();
     assert!(before > 0);
-    send_list(&harness, 3, 2, &[record(EDGE, moved.address, 0, 0), record(EDGE, moved.address, 1, 0)]);
+    send_list(
+        &harness,
+        3,
+        2,
+        &[record(EDGE, moved_cache.address, 0, 0), record(EDGE, moved_cache.address, 1, 0)],
+    );
     request_objects(&mut client, 101);
-    assert_eq!(moved.fetch_count(), before, "nothing to a draining cache");
+    assert_eq!(moved_cache.fetch_count(), before, "a draining cache got a request");
 }
 
 #[test]
@@ -105,7 +110,7 @@
         harness.router.signal("CONT");
         (0..20).for_each(|_| assert_eq!(client.expect_answer().status, "200"));
         assert_eq!(harness.router.counter("lists"), lists + 1);
-        assert_eq!(harness.edge.fetch_count(), before, "nothing to a draining cache");
+        assert_eq!(harness.edge.fetch_count(), before, "a draining cache got a request");
         send_list(&harness, number + 1, 2, &[record(EDGE, harness.edge.address, 0, 0)]);
     }
 }
--- a/crates/node/tests/service/clients.rs
+++ b/crates/node/tests/service/clients.rs
@@ -63,20 +63,20 @@
 #[test]
 fn partial_message_keeps_a_slot_no_longer_than_silence() {
     let harness = start_router();
-    let mut good = harness.router.client();
-    assert_served(&mut good, 1);
+    let mut well_behaved = harness.router.client();
+    assert_served(&mut well_behaved, 1);
     for bytes in [&b""[..], b"*5\r\n", b"*5\r\n$2\r\nDO\r\n$1\r\n7\r\n$5\r\npag"] {
         let start = Instant::now();
-        let mut bad = harness.router.client();
-        bad.write(bytes);
-        assert_eq!(bad.next(), None);
+        let mut misbehaving = harness.router.client();
+        misbehaving.write(bytes);
+        assert_eq!(misbehaving.next(), None);
         assert!(start.elapsed() < CLOSE_TIME + Duration::from_secs(2), "{:?}", start.elapsed());
     }
     // A complete message does not extend the time of the partial one behind it.
-    let mut bad = harness.router.client();
-    assert_served(&mut bad, 2);
-    bad.write(b"*5\r\n$2\r\nDO\r\n");
-    assert_eq!(bad.next(), None);
+    let mut misbehaving = harness.router.client();
+    assert_served(&mut misbehaving, 2);
+    misbehaving.write(b"*5\r\n$2\r\nDO\r\n");
+    assert_eq!(misbehaving.next(), None);
     wait_until("all closes are counted", || harness.router.counter("closed_unfinished") == 3);
     assert_eq!(harness.router.counter("closed_silent"), 1);
     // A client that closes in the middle of a message is removed at once.
@@ -95,7 +95,7 @@
 #[test]
 fn undecodable_message_closes_its_connection_at_once() {
     let harness = start_router();
-    let mut good = harness.router.client();
+    let mut well_behaved = harness.router.client();
     let huge =
         [&b"*5\r\n$2\r\nDO\r\n$1\r\n7\r\n$5\r\npages\r\n$1\r\n-\r\n$60000000\r\n"[..], &[b'x'; 300_000]]
             .concat();
@@ -109,21 +109,21 @@
         &[0xff; 5000],
     ] {
         let start = Instant::now();
-        let mut bad = harness.router.client();
-        let _ = bad.socket.write_all(bytes);
-        assert_eq!(bad.next(), None);
+        let mut misbehaving = harness.router.client();
+        let _ = misbehaving.socket.write_all(bytes);
+        assert_eq!(misbehaving.next(), None);
         assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
     }
     wait_until("all closes are counted", || harness.router.counter("closed_unreadable") == 7);
-    assert_served(&mut good, 1);
+    assert_served(&mut well_behaved, 1);
     assert!(harness.router.counter("held_most") < 1_000_000, "none of the 60 MB was buffered");
 }
 
 #[test]
 fn malformed_request_fails_and_reaches_no_cache() {
     let harness = start_router();
-    let mut good = harness.router.client();
-    let mut bad = harness.router.client();
+    let mut well_behaved = harness.router.client();
+    let mut misbehaving = harness.router.client();
     let (id, object) = ("9b1f03aa5c7e2d41", "7f3a9c21e0b4d655");
     for bytes in [
         encode_request("1", "9b1f", object, "1500"),
@@ -135,20 +135,20 @@
         encode(&[b"DO", b"7", b"nonsense", b"i=9b1f03aa5c7e2d41,d=9,o=7f3a9c21e0b4d655,nth=0,batch=1", b""]),
         encode(&[b"DONT", b"8", b"pages"]),
     ] {
-        bad.write(&bytes);
-        assert_eq!(bad.expect_answer().status, "500", "{}", String::from_utf8_lossy(&bytes));
+        misbehaving.write(&bytes);
+        assert_eq!(misbehaving.expect_answer().status, "500", "{}", String::from_utf8_lossy(&bytes));
     }
     assert_eq!((harness.edge.fetch_count(), harness.router.counter("unreadable")), (0, 8));
     // A client that keeps sending malformed requests is closed.
     for tag in 10..100 {
-        let _ = bad.socket.write_all(&encode_request(&tag.to_string(), "9b1f", object, "1500"));
+        let _ = misbehaving.socket.write_all(&encode_request(&tag.to_string(), "9b1f", object, "1500"));
     }
     let mut failed = 0;
-    for answer in bad {
+    for answer in misbehaving {
         failed += usize::from(answer.status == "500");
     }
     assert!(failed <= 8);
-    assert_served(&mut good, 1);
+    assert_served(&mut well_behaved, 1);
     assert_eq!((harness.edge.fetch_count(), harness.router.counter("closed_broken_rule")), (1, 1));
 }
 
@@ -174,15 +174,15 @@
         Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 300, body: part_body(s) }),
         |_| {},
     );
-    let mut bad = harness.router.client();
-    bad.send_request(1, "pages", 1, "", b"");
-    bad.send_request(1, "pages", 2, "", b"");
-    assert_eq!(bad.next(), None);
+    let mut misbehaving = harness.router.client();
+    misbehaving.send_request(1, "pages", 1, "", b"");
+    misbehaving.send_request(1, "pages", 2, "", b"");
+    assert_eq!(misbehaving.next(), None);
     // A tag may not be repeated after its request was answered either.
-    let mut bad = harness.router.client();
-    assert_served(&mut bad, 3);
-    bad.send_request(3, "pages", 4, "", b"");
-    assert_eq!(bad.next(), None);
+    let mut misbehaving = harness.router.client();
+    assert_served(&mut misbehaving, 3);
+    misbehaving.send_request(3, "pages", 4, "", b"");
+    assert_eq!(misbehaving.next(), None);
     assert_eq!(harness.router.counter("closed_broken_rule"), 2);
     wait_until("the open request is cancelled", || harness.router.counter("left") == 1);
 }
@@ -199,10 +199,10 @@
         }),
         |_| {},
     );
-    let mut good = harness.router.client();
-    assert_served(&mut good, 1);
+    let mut well_behaved = harness.router.client();
+    assert_served(&mut well_behaved, 1);
     for cancels in [false, true] {
-        let mut bad = harness.router.client();
+        let mut misbehaving = harness.router.client();
         let mut bytes = Vec::new();
         for tag in 1..=300u64 {
             bytes.extend(encode_request(
@@ -215,27 +215,27 @@
         for tag in 1..=300u64 {
             bytes.extend(encode(&[b"UNDO", tag.to_string().as_bytes()]).into_iter().filter(|_| cancels));
         }
-        let _ = bad.socket.write_all(&bytes);
-        assert_eq!(bad.next(), None);
+        let _ = misbehaving.socket.write_all(&bytes);
+        assert_eq!(misbehaving.next(), None);
     }
     wait_until("all requests are cancelled", || harness.router.counter("left") == 64);
-    good.send_request(2, "pages", 1, "", b"");
-    assert_eq!(good.expect_answer().status, "200");
+    well_behaved.send_request(2, "pages", 1, "", b"");
+    assert_eq!(well_behaved.expect_answer().status, "200");
     assert_eq!((harness.router.counter("closed_broken_rule"), harness.router.counter("requests")), (2, 66));
 }
 
 #[test]
 fn client_that_cancels_every_request_is_closed() {
     let harness = start_router_with(Cache::start(|_| FetchBehaviour::NoAnswer), |_| {});
-    let mut bad = harness.router.client();
+    let mut misbehaving = harness.router.client();
     let mut bytes = Vec::new();
     for tag in 1..=300u64 {
         let (id, object) = (format!("{:016x}", tag + 5000), format!("{tag:016x}"));
         bytes.extend(encode_request(&tag.to_string(), &id, &object, "5000"));
         bytes.extend(encode(&[b"UNDO", tag.to_string().as_bytes()]));
     }
-    let _ = bad.socket.write_all(&bytes);
-    assert_eq!(bad.next(), None);
+    let _ = misbehaving.socket.write_all(&bytes);
+    assert_eq!(misbehaving.next(), None);
     wait_until("all requests are cancelled", || harness.router.counter("left") == 96);
     assert_eq!(harness.router.counter("closed_broken_rule"), 1);
 }
@@ -243,12 +243,13 @@
 #[test]
 fn requests_before_malformed_bytes_fail_and_are_not_dropped() {
     let harness = start_router_with(Cache::start(|_| FetchBehaviour::NoAnswer), |_| {});
-    let mut bad = harness.router.client();
-    bad.send_request(1, "pages", 1, "", b"");
-    bad.send_request(2, "pages", 2, "", b"");
+    let mut misbehaving = harness.router.client();
+    misbehaving.send_request(1, "pages", 1, "", b"");
+    misbehaving.send_request(2, "pages", 2, "", b"");
     wait_until("both requests are open", || harness.router.counter("requests") == 2);
-    bad.write(b"GET / HTTP/1.1\r\n\r\n");
-    let mut answers: Vec<(u64, String)> = bad.by_ref().map(|answer| (answer.tag, answer.status)).collect();
+    misbehaving.write(b"GET / HTTP/1.1\r\n\r\n");
+    let mut answers: Vec<(u64, String)> =
+        misbehaving.by_ref().map(|answer| (answer.tag, answer.status)).collect();
     answers.sort();
     assert_eq!(answers, [(1, "500".to_string()), (2, "500".to_string())]);
 }
--- a/crates/node/tests/service/main.rs
+++ b/crates/node/tests/service/main.rs
@@ -73,7 +73,11 @@
     harness.router.write_configuration(&harness.config.to_string());
     harness.router.signal("HUP");
     wait_until("the next event is received", || harness.router.counter("purges") == 2);
-    assert_eq!(new_log.resume_positions.lock().expect("lock")[..], [2], "after the last event");
+    assert_eq!(
+        new_log.resume_positions.lock().expect("lock")[..],
+        [2],
+        "the router resumes after the last event"
+    );
     // Connections stay open, and received purges stay in effect.
     assert_served(&mut client, 5);
     assert!(harness.edge.fetches()[1].field("oldest").is_some());
@@ -129,15 +133,15 @@
 fn misbehaving_clients_do_not_delay_shutdown() {
     let slow = Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 1200, body: part_body(s) });
     let mut harness = start_router_with(slow, |_| {});
-    let mut good = harness.router.client();
+    let mut well_behaved = harness.router.client();
     let silent: Vec<Client> = (0..100).map(|_| harness.router.client()).collect();
     let mut partial: Vec<Client> = (0..100).map(|_| harness.router.client()).collect();
     partial.iter_mut().for_each(|c| c.write(b"*5\r\n$2\r\nDO\r\n"));
-    good.send_request(1, "pages", 1, "", b"");
+    well_behaved.send_request(1, "pages", 1, "", b"");
     wait_until("the request is open", || harness.router.counter("requests") == 1);
     let start = Instant::now();
     harness.router.signal("TERM");
-    assert_eq!(good.expect_answer().status, "200");
+    assert_eq!(well_behaved.expect_answer().status, "200");
     assert!(harness.router.expect_exit().success());
     assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
     drop((silent, partial));
--- a/crates/node/tests/service/servers.rs
+++ b/crates/node/tests/service/servers.rs
@@ -47,10 +47,10 @@
         || FetchBehaviour::Answer { status: "ok", fields: "bé,=,noise" },
         || FetchBehaviour::Bytes(b"\0\x01\x02 noise"),
     ];
-    for act in malformed_answers {
+    for malformed_answer in malformed_answers {
         // The first connection gets a malformed answer to its second request, and then no more bytes.
         let edge = Cache::start(move |s| match (s.connection, s.field("k")) {
-            (1, Some("0000000000000002")) => act(),
+            (1, Some("0000000000000002")) => malformed_answer(),
             (1, _) => FetchBehaviour::NoAnswer,
             _ => FetchBehaviour::Ok(part_body(s)),
         });
--- a/crates/node/tests/sockets/changelog.rs
+++ b/crates/node/tests/sockets/changelog.rs
@@ -115,14 +115,14 @@
     log.publish(2, 2, &record(EDGE, edge.address, 1, 0));
     wait_until("the event is received", || router.counter("lists") == 2);
     round(&mut client, 101);
-    assert_eq!(edge.fetch_count(), before, "nothing to a draining cache");
+    assert_eq!(edge.fetch_count(), before, "a draining cache got a request");
     // The server returns under its id at another address; the old address is no longer its own.
-    let moved = Cache::with_all_objects();
-    log.publish(3, 2, &record(EDGE, moved.address, 0, 0));
+    let moved_cache = Cache::with_all_objects();
+    log.publish(3, 2, &record(EDGE, moved_cache.address, 0, 0));
     wait_until("the event is received", || router.counter("lists") == 3);
     round(&mut client, 201);
     assert_eq!(edge.fetch_count(), before);
-    assert!(moved.fetch_count() > 0, "a server keeps its id at another address");
+    assert!(moved_cache.fetch_count() > 0, "a server keeps its id at another address");
 }
 
 #[test]
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -50,7 +50,7 @@
 #[test]
 fn malformed_bytes_close_their_connection_only() {
     let harness = start_router(Cache::with_all_objects());
-    let mut good = harness.router.client();
+    let mut well_behaved = harness.router.client();
     for bytes in [
         &b"*1\r\n+PING\r\n"[..],
         b"*99999999999\r\n",
@@ -58,25 +58,25 @@
         b"\0\0\0\0\0",
         b"*0\r\n",
     ] {
-        let mut bad = harness.router.client();
-        bad.write(bytes);
-        assert_eq!(bad.next(), None, "{bytes:?}");
+        let mut misbehaving = harness.router.client();
+        misbehaving.write(bytes);
+        assert_eq!(misbehaving.next(), None, "{bytes:?}");
     }
     // A malformed request with a tag fails, and its connection stays open.
-    good.write(b"*4\r\n$2\r\nDO\r\n$1\r\n4\r\n$5\r\npages\r\n$6\r\nnofish\r\n");
-    let answer = good.expect_answer();
+    well_behaved.write(b"*4\r\n$2\r\nDO\r\n$1\r\n4\r\n$5\r\npages\r\n$6\r\nnofish\r\n");
+    let answer = well_behaved.expect_answer();
     assert_eq!((answer.tag, answer.status.as_str()), (4, "500"));
-    good.send_request(5, "unheard-of", 1, "", b"");
-    assert_eq!(good.expect_answer().status, "500");
-    good.send_request(6, "pages", 1, "", b"");
-    assert_eq!(good.expect_answer().status, "200");
-    assert_eq!(good.answers_before_pong(), []);
+    well_behaved.send_request(5, "unheard-of", 1, "", b"");
+    assert_eq!(well_behaved.expect_answer().status, "500");
+    well_behaved.send_request(6, "pages", 1, "", b"");
+    assert_eq!(well_behaved.expect_answer().status, "200");
+    assert_eq!(well_behaved.answers_before_pong(), []);
 }
 
-/// Asserts that a read whose first attempt is handled by `act` is served by the next attempt.
-fn run_retry_after(act: fn() -> FetchBehaviour) -> RouterHarness {
-    let act = on_first_fetch(act);
-    let (edge, second) = (Cache::start(act.clone()), Cache::start(act));
+/// Asserts that a read whose first attempt is handled by `behaviour` is served by the next attempt.
+fn run_retry_after(behaviour: fn() -> FetchBehaviour) -> RouterHarness {
+    let behaviour = on_first_fetch(behaviour);
+    let (edge, second) = (Cache::start(behaviour.clone()), Cache::start(behaviour));
     let harness = start_router_with(edge, Cache::with_all_objects(), Cache::with_all_objects(), |c| {
         add_second_edge(c, &second)
     });
--- a/crates/node/tests/sockets/main.rs
+++ b/crates/node/tests/sockets/main.rs
@@ -44,13 +44,13 @@
     RouterHarness { edge, parent, origin, log, router }
 }
 
-/// Handles the first fetch by `act`, and serves all later ones; clones share the count of fetches.
+/// Handles the first fetch by `behaviour`, and serves all later ones; clones share the count of fetches.
 fn on_first_fetch(
-    act: fn() -> FetchBehaviour,
+    behaviour: fn() -> FetchBehaviour,
 ) -> impl Fn(&ReceivedFetch) -> FetchBehaviour + Clone + Send + Sync {
     let first = Arc::new(AtomicBool::new(true));
     move |s| match first.swap(false, Ordering::SeqCst) {
-        true => act(),
+        true => behaviour(),
         false => FetchBehaviour::Ok(part_body(s)),
     }
 }
@@ -186,8 +186,8 @@
 
 #[test]
 fn reset_in_the_middle_of_an_answer_retries_reads_and_fails_writes() {
-    let act = on_first_fetch(|| FetchBehaviour::TruncatedAnswer);
-    let (edge, second) = (Cache::start(act.clone()), Cache::start(act));
+    let behaviour = on_first_fetch(|| FetchBehaviour::TruncatedAnswer);
+    let (edge, second) = (Cache::start(behaviour.clone()), Cache::start(behaviour));
     let harness = start_router_with(
         edge,
         Cache::with_all_objects(),
