--- a/crates/emulator/src/rig/checker/linearizability.rs
+++ b/crates/emulator/src/rig/checker/linearizability.rs
@@ -49,7 +49,7 @@
 }
 
 /// Whether a single register could have given these responses. A request that failed or got no response may have taken effect at any time.
-/// Rejections by isolated routers are left out, since they say nothing about the register.
+/// Rejections by isolated routers are left out, since such a router does not know the register.
 pub(super) fn is_linearizable(
     requests: &[&ObservedRequest<'_>],
     executed_at_ms: Option<u64>,
--- a/crates/emulator/src/rig/checker/observations.rs
+++ b/crates/emulator/src/rig/checker/observations.rs
@@ -1,4 +1,4 @@
-//! The events of a history, grouped by what they are about.
+//! The events of a history, grouped by request, checkout, object and router.
 
 use crate::rig::history::{Event, Outcome, RequestKind, RequestNumber, TimedEvent};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
     pub(super) purged_at_unix_ms: u64,
 }
 
-/// Time intervals in which a condition held, by router; the last one may be open.
+/// Time intervals in which a condition was true, by router; the last one may be open.
 #[derive(Default)]
 pub(super) struct Intervals(BTreeMap<usize, Vec<(u64, u64)>>);
 
@@ -50,23 +50,23 @@
     /// The end of an interval that is still open.
     const OPEN: u64 = u64::MAX;
 
-    fn set(&mut self, router: usize, at_ms: u64, holds: bool) {
+    fn set(&mut self, router: usize, at_ms: u64, condition: bool) {
         let intervals = self.0.entry(router).or_default();
-        match (intervals.last_mut().filter(|(_, end)| *end == Self::OPEN), holds) {
+        match (intervals.last_mut().filter(|(_, end)| *end == Self::OPEN), condition) {
             (None, true) => intervals.push((at_ms, Self::OPEN)),
             (Some((_, end)), false) => *end = at_ms,
             (None, false) | (Some(_), true) => {}
         }
     }
 
-    /// Whether the condition held at any time from `from_ms` to `to_ms`.
+    /// Whether the condition was true at any time from `from_ms` to `to_ms`.
     pub(super) fn overlaps(&self, router: usize, from_ms: u64, to_ms: u64) -> bool {
         let intervals = self.0.get(&router).into_iter().flatten();
         intervals.copied().any(|(start, end)| start <= to_ms && end >= from_ms)
     }
 }
 
-/// All that a history says, in the form that the rules need.
+/// The content of a history, in the form that the rules need.
 #[derive(Default)]
 pub(super) struct Observations<'a> {
     pub(super) requests: BTreeMap<RequestNumber, ObservedRequest<'a>>,
--- a/crates/emulator/src/rig/client_connection.rs
+++ b/crates/emulator/src/rig/client_connection.rs
@@ -12,7 +12,7 @@
 
 /// How long a connection attempt may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The tag of `PING`; the tags of requests stay below it.
+/// The tag of `PING`; the tags of requests are smaller.
 const PING_TAG: u64 = 999_999_999;
 /// The body of a checkout.
 const CHECKOUT_BODY: &[u8] = b"borrow";
@@ -28,7 +28,7 @@
 /// What the connection and its reading thread share.
 #[derive(Default)]
 struct State {
-    /// The requests by tag. Answered ones are kept, so that a second response is noticed.
+    /// The requests by tag. Answered requests remain, so that a second response is noticed.
     requests: BTreeMap<u64, TaggedRequest>,
     last_tag: u64,
     serving: bool,
@@ -61,7 +61,7 @@
     class: &'a str,
     object: u64,
     body: &'a [u8],
-    /// Whether the id has been or is presented elsewhere; the client has to say so.
+    /// Whether the id has been or is presented to another router too, which the protocol requires a client to declare.
     presented_again: bool,
 }
 
@@ -89,7 +89,7 @@
         lock(&self.state).closed
     }
 
-    /// Asks whether the router is serving; returns whether it confirms that in time.
+    /// Sends a `PING`; returns whether the router answers in time that it is serving.
     pub fn is_serving(&self, timeout: Duration) -> bool {
         let mut socket = &self.socket;
         if socket.write_all(&encode(&[b"PING", PING_TAG.to_string().as_bytes(), b""])).is_err() {
--- a/crates/emulator/src/rig/faults/table_faults.rs
+++ b/crates/emulator/src/rig/faults/table_faults.rs
@@ -11,7 +11,8 @@
 const RELOADED_WITHIN: Duration = Duration::from_secs(5);
 /// All routers have to adopt a new table within this time.
 const ADOPTED_WITHIN: Duration = Duration::from_secs(15);
-/// A table that makes no progress has to be withdrawn within this time. Routers withdraw one after 6 s, and give up a lost router after 10 s.
+/// A table that makes no progress has to be withdrawn within this time. Routers withdraw one after 6 s, and consider a
+/// silent router lost after 10 s.
 const WITHDRAWN_WITHIN: Duration = Duration::from_millis(9_500);
 /// Counters of tables that become figures.
 const TABLE_COUNTERS: [&str; 4] =
--- a/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
+++ b/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
@@ -1,5 +1,5 @@
 //! How the stand-in's change log delivers purges: how far apart its watchers receive the same purge, and how many purges one receives at
-//! once. The change log of simulated routers is modelled after these figures.
+//! once. The change log of the fleet simulation is modelled after these figures.
 
 use super::{announce_purge, Figures};
 use crate::rig::PURGE_EVENT;
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a watcher interrupts reading to look at the time.
+/// How long a watcher reads before it checks its deadline.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long the last purge is waited for.
 const LAST_PURGE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/emulator/src/rig/fleet_cost/purge_latency.rs
+++ b/crates/emulator/src/rig/fleet_cost/purge_latency.rs
@@ -6,13 +6,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often each router is asked, which is the resolution of the figures.
+/// The time between two reads through a router, which is the resolution of the figures.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// A purge that is not in effect by then counts as this late.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 impl RouterFleet {
-    /// Purges an object at the first router and reads it through all others, until each asks its cache for a copy made after the purge.
+    /// Purges an object at the first router and reads it through all others, until each requests a copy made after the purge from its cache.
     pub(super) fn measure_purge_latency(&self, probes: usize) -> Figures {
         let mut latencies_ms: Vec<f64> = Vec::new();
         let mut completions_ms: Vec<f64> = Vec::new();
--- a/crates/emulator/src/rig/fleet_cost/start.rs
+++ b/crates/emulator/src/rig/fleet_cost/start.rs
@@ -22,7 +22,7 @@
 const PORT: u16 = 17_101;
 /// Subnets that are tried for a free one.
 const SUBNETS: u64 = 64;
-/// The last octet of the address that reserves a subnet: beyond those of the routers.
+/// The last octet of the address that reserves a subnet: higher than those of the routers.
 const RESERVATION_OCTET: u8 = 250;
 /// The fleet has to be linked, and to be bootstrapped, within this multiple of the counters' time-out each.
 const START_TIMEOUT_FACTOR: u32 = 3;
--- a/crates/emulator/src/rig/fleet_cost/usage.rs
+++ b/crates/emulator/src/rig/fleet_cost/usage.rs
@@ -119,7 +119,7 @@
     io: IoUsage,
     /// On the loopback interface, which the whole machine shares.
     loopback: Traffic,
-    /// Sent on the links between routers, including headers; `None` if the kernel does not tell.
+    /// Sent on the links between routers, including headers; `None` if `ss` is missing or fails.
     links: Option<Traffic>,
 }
 
@@ -131,7 +131,7 @@
     KernelProcess::new(process.id() as i32).map_err(proc_error)
 }
 
-/// What the sockets of a subnet have sent, from the tool `ss`, which asks the kernel about each socket. The loopback interface's counters
+/// The traffic that the sockets of a subnet have sent, from the tool `ss`, which queries the kernel for each socket. The loopback interface's counters
 /// include the traffic of other processes.
 fn link_traffic(subnet: Ipv4Addr) -> Option<Traffic> {
     let filter = format!("src {subnet}/24 or dst {subnet}/24");
--- a/crates/emulator/src/rig/history.rs
+++ b/crates/emulator/src/rig/history.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
-/// What a request asks for.
+/// The operation of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// A checkout, which has the same id at every router that it is presented to.
@@ -50,7 +50,7 @@
         router: usize,
         /// The id that the request carries.
         id: String,
-        /// What the request asks for.
+        /// The operation of the request.
         kind: RequestKind,
         /// How long the client waits, in milliseconds.
         timeout_ms: u64,
@@ -89,7 +89,7 @@
     },
     /// A router lost or regained the replicas that a quorum needs. It is isolated if more other routers are missing than the replicas
     /// tolerate (one of three, two of five). A router is missing if it is down, suspended, partitioned from this one, has a full disk, or
-    /// lost its disk and has not been replicated to again.
+    /// lost its disk and has not got its replicas back.
     RouterIsolated {
         /// The router.
         router: usize,
--- a/crates/emulator/src/rig/link.rs
+++ b/crates/emulator/src/rig/link.rs
@@ -22,7 +22,7 @@
 pub struct LinkConditions {
     /// The range of each chunk's delay, in milliseconds. Delays are random; the order of chunks is kept.
     pub delay_ms: (f64, f64),
-    /// The link delivers nothing until it heals, and then everything; connections opened meanwhile stay silent until then.
+    /// The link delivers nothing until it heals, and then everything; connections opened meanwhile are silent until then.
     pub cut: bool,
     /// The link discards what is sent.
     pub black_hole: bool,
@@ -152,7 +152,7 @@
         self.wait_for(|state| (!state.conditions.cut && !state.conditions.black_hole).then_some(())).await;
     }
 
-    /// Waits until a new connection may be established: its first packet does not pass a cut, so the connection stays silent.
+    /// Waits until a new connection may be established: its first packet does not pass a cut, so the connection remains silent.
     pub(super) async fn wait_until_connectable(&self) {
         self.count_if_cut();
         self.wait_until_open().await;
--- a/crates/emulator/src/rig/load.rs
+++ b/crates/emulator/src/rig/load.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often clients look for responses.
+/// The time between two polls for responses.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Attempts of one client at one checkout.
 const MAX_ATTEMPTS: u32 = 4;
-/// A client that is told to retry later than this gives up.
+/// A client gives up if it may retry only after a longer time, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 1_500;
 /// Open requests of one connection, the limit of the protocol.
 const MAX_OPEN_REQUESTS: usize = 32;
--- a/crates/emulator/src/rig/mod.rs
+++ b/crates/emulator/src/rig/mod.rs
@@ -49,9 +49,9 @@
 const CACHES: usize = 3;
 /// The change log's kind of a purge event.
 const PURGE_EVENT: u8 = 3;
-/// The longest wait for one answer to whether a router serves.
+/// The time-out of a probe of whether a router serves.
 const SERVING_PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often a router that does not serve is asked again.
+/// The time between two probes of whether a router serves.
 const SERVING_PROBE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// An endpoint of a link.
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Kills a router; its durable data stay.
+    /// Kills a router, whose durable data remain.
     pub fn kill(&mut self, router: usize) {
         self.record_down(router, "is killed");
         self.routers[router].kill();
--- a/crates/emulator/src/rig/scenario.rs
+++ b/crates/emulator/src/rig/scenario.rs
@@ -13,7 +13,7 @@
 
 /// All routers have to serve within this time after their start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often due faults and purges are looked for.
+/// The time between two polls for faults and purges that are due.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The name in figures of faults that were due after the end of the run.
 const NOT_REACHED: &str = "not_reached";
--- a/crates/emulator/src/rig/scenario/figures.rs
+++ b/crates/emulator/src/rig/scenario/figures.rs
@@ -14,7 +14,7 @@
 /// Prefixes of the router counters that are added up over all routers.
 const SUMMED_COUNTERS: [&str; 7] =
     ["holds_", "peers_", "table_", "gather_", "storage_", "rosters_", "shards_"];
-/// The longest latency that is told from longer ones, in milliseconds.
+/// Longer latencies are recorded as this one, in milliseconds.
 const MAX_LATENCY_MS: u64 = 600_000;
 
 fn named<const N: usize>(figures: [(&str, u64); N]) -> Figures {
--- a/crates/emulator/src/rig/spec.rs
+++ b/crates/emulator/src/rig/spec.rs
@@ -46,7 +46,7 @@
     pub rules: Option<String>,
     /// Further keys of the section `fleet`, such as `limits`.
     pub extra_settings: Value,
-    /// The time after which a purge has taken effect at all caches, in milliseconds; until then a cache may hold older copies.
+    /// The time after which a purge has taken effect at all caches, in milliseconds; until then a cache may serve older copies.
     pub purge_settles_ms: u64,
     /// The latency objective of reads and checkouts, in milliseconds.
     pub latency_objective_ms: u64,
--- a/crates/emulator/tests/relay.rs
+++ b/crates/emulator/tests/relay.rs
@@ -84,7 +84,7 @@
     echo.assert_silent();
     echo.relay.from_target.set_cut(false);
     echo.assert_receives("three");
-    // A connection opened through a cut stays silent, and is established once the cut heals.
+    // A connection opened through a cut is silent, and is established once the cut heals.
     echo.relay.to_target.set_cut(true);
     echo.reconnect();
     echo.send("four");
