--- a/crates/fleet_simulation/src/checker.rs
+++ b/crates/fleet_simulation/src/checker.rs
@@ -5,6 +5,7 @@
 use crate::{Micros, RouterIndex};
 use fixedbitset::FixedBitSet;
 
+/// A purge and the routers that know it.
 #[derive(Clone, Debug)]
 struct TrackedPurge {
     made_at: Micros,
@@ -14,6 +15,7 @@
     longest_wait: Micros,
 }
 
+/// A router and the purges that its process knows.
 #[derive(Clone, Debug, Default)]
 struct TrackedRouter {
     /// Since when the process runs and no partition separates the router from others; `None` while either is not so.
--- a/crates/fleet_simulation/src/config_changes.rs
+++ b/crates/fleet_simulation/src/config_changes.rs
@@ -2,6 +2,7 @@
 
 use crate::{ms, Micros, RouterIndex};
 
+/// A change of the configuration.
 #[derive(Clone, Debug)]
 struct Change {
     made_at: Micros,
--- a/crates/fleet_simulation/src/control_plane.rs
+++ b/crates/fleet_simulation/src/control_plane.rs
@@ -28,7 +28,7 @@
     SendFailed(u64),
     /// The change log delivered a purge.
     ChangeLogPurge(Purge),
-    /// The time given by [`ControlPlane::next_timer`] has come.
+    /// The time given by [`ControlPlane::next_timer`] is reached.
     TimersDue,
     /// End of a turn: pending writes go into one commit.
     Flush,
@@ -39,9 +39,9 @@
 /// An output of a control plane. Actions are carried out in order.
 #[derive(Debug)]
 pub enum ControlPlaneAction {
-    /// Keep a link to this router: dial whenever there is none.
+    /// Dial this router now, and again whenever there is no link to it.
     Dial(RouterId),
-    /// Stop keeping a link to this router, and close it if it is up.
+    /// Stop dialling this router, and close the link if it is up.
     Close(RouterId),
     /// Send a message to a router.
     Send {
--- a/crates/fleet_simulation/src/disk.rs
+++ b/crates/fleet_simulation/src/disk.rs
@@ -42,7 +42,7 @@
         self.entries.get(&(space.0, key.to_vec())).cloned()
     }
 
-    /// Whether the disk holds no entry.
+    /// Whether the disk has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/fleet_simulation/src/fault.rs
+++ b/crates/fleet_simulation/src/fault.rs
@@ -7,6 +7,9 @@
 
 /// Random stream of the faults.
 const FAULT_STREAM: u64 = 3;
+/// Bounds of the duration of a random fault, µs.
+const MIN_DURATION: Micros = 300_000;
+const MAX_DURATION: Micros = 10_000_000;
 
 /// What fails, where and for how many microseconds.
 #[derive(Clone, Debug, PartialEq)]
@@ -81,25 +84,26 @@
 }
 
 impl FaultCounts {
-    /// Draws faults that begin between these times; each lasts 0.3 to 10 s.
+    /// Draws faults that begin between these times.
     pub fn draw(&self, fleet: &Fleet, seed: u64, (from, until): (Micros, Micros)) -> Vec<Fault> {
         let mut rng = rng(seed, FAULT_STREAM);
         let mut faults = Vec::new();
-        let mut add =
-            |rng: &mut Rng, count: usize, make: &dyn Fn(&mut Rng, RouterIndex, Micros) -> FaultKind| {
-                for _ in 0..count {
-                    let at = from + (draw(rng) * until.saturating_sub(from) as f64) as Micros;
-                    let duration = 300_000 + (draw(rng) * 9_700_000.0) as Micros;
-                    let router = (draw(rng) * fleet.routers.len() as f64) as RouterIndex;
-                    faults.push(Fault { at, kind: make(rng, router, duration) });
-                }
-            };
+        let mut add = |rng: &mut Rng,
+                       count: usize,
+                       make: &dyn Fn(&mut Rng, RouterIndex, Micros) -> FaultKind| {
+            for _ in 0..count {
+                let at = from + (draw(rng) * until.saturating_sub(from) as f64) as Micros;
+                let duration = MIN_DURATION + (draw(rng) * (MAX_DURATION - MIN_DURATION) as f64) as Micros;
+                let router = (draw(rng) * fleet.routers.len() as f64) as RouterIndex;
+                faults.push(Fault { at, kind: make(rng, router, duration) });
+            }
+        };
         let direction = |rng: &mut Rng| match (draw(rng) * 4.0) as u32 {
             0 => CutDirection::Outbound,
             1 => CutDirection::Inbound,
             _ => CutDirection::Both,
         };
-        let place = |router: RouterIndex| &fleet.routers[router];
+        let fleet_router = |router: RouterIndex| &fleet.routers[router];
         add(&mut rng, self.restarts, &|_, router, duration| FaultKind::Restart { router, duration });
         add(&mut rng, self.replaced, &|_, router, duration| FaultKind::Replace { router, duration });
         add(&mut rng, self.vanished, &|_, router, duration| FaultKind::Vanish { router, duration });
@@ -109,19 +113,19 @@
             duration,
         };
         add(&mut rng, self.racks, &|rng, router, duration| {
-            cut(rng, FailureDomain::Rack(place(router).rack), duration)
+            cut(rng, FailureDomain::Rack(fleet_router(router).rack), duration)
         });
         add(&mut rng, self.switches, &|rng, router, duration| {
-            cut(rng, FailureDomain::Switch(place(router).switch), duration)
+            cut(rng, FailureDomain::Switch(fleet_router(router).switch), duration)
         });
         add(&mut rng, self.zones, &|rng, router, duration| {
-            cut(rng, FailureDomain::Zone(place(router).zone), duration)
+            cut(rng, FailureDomain::Zone(fleet_router(router).zone), duration)
         });
         add(&mut rng, self.regions, &|rng, router, duration| {
-            cut(rng, FailureDomain::Region(place(router).region), duration)
+            cut(rng, FailureDomain::Region(fleet_router(router).region), duration)
         });
         add(&mut rng, self.change_log_outages, &|_, router, duration| FaultKind::ChangeLogOutage {
-            routers: fleet.routers_in(FailureDomain::Zone(place(router).zone)),
+            routers: fleet.routers_in(FailureDomain::Zone(fleet_router(router).zone)),
             duration,
         });
         faults
--- a/crates/fleet_simulation/src/fleet.rs
+++ b/crates/fleet_simulation/src/fleet.rs
@@ -7,6 +7,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// The most routers: their addresses have the index in 16 bits.
+const MAX_ROUTERS: usize = 65_535;
+/// The port in the address of each router.
+const PEER_PORT: u16 = 7_100;
+/// The number of routers of the fleet whose proportions [`Shape::for_routers`] scales, and its sites, zones and regions.
+const REFERENCE_ROUTERS: usize = 4_300;
+const REFERENCE_SITES: usize = 210;
+const REFERENCE_ZONES: usize = 71;
+const REFERENCE_REGIONS: usize = 21;
+/// The weight of a site, zone or region when routers are spread: a random number from this one to one more.
+const MIN_WEIGHT: f64 = 0.5;
 /// Random stream of the placement.
 const PLACEMENT_STREAM: u64 = 1;
 
@@ -30,13 +41,17 @@
 }
 
 impl Shape {
-    /// The shape for this number of routers, in the proportions of 4,300 routers at 210 sites, in 71 zones and 21 regions.
+    /// The shape for this number of routers, in the proportions of a fleet of 4,300 routers at 210 sites, in 71 zones and 21 regions.
     pub fn for_routers(routers: usize) -> Self {
-        let scaled = |count: usize| (routers * count).div_ceil(4_300).clamp(1, count.max(1));
+        let scaled = |count: usize| (routers * count).div_ceil(REFERENCE_ROUTERS).clamp(1, count.max(1));
         let (sites, zones, regions) = match routers {
-            // A small fleet is spread as far as the copies of a register require.
+            // A small fleet is spread as far as the replicas of a register require.
             0..=200 => (routers.div_ceil(4).max(3), 3, 3),
-            _ => (scaled(210).max(9), scaled(71).max(6), scaled(21).max(3)),
+            _ => (
+                scaled(REFERENCE_SITES).max(9),
+                scaled(REFERENCE_ZONES).max(6),
+                scaled(REFERENCE_REGIONS).max(3),
+            ),
         };
         Self {
             routers,
@@ -50,7 +65,7 @@
     }
 }
 
-/// A router and its place.
+/// A router and its placement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetRouter {
     /// The name; the fleet is sorted by it.
@@ -88,7 +103,7 @@
     Region(usize),
 }
 
-/// All routers with their places.
+/// All routers with their placement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     /// Indexed by [`RouterIndex`].
@@ -105,7 +120,7 @@
         let Shape { routers, sites, zones, regions, routers_per_rack: (min, max), racks_per_switch, .. } =
             *shape;
         let fits = routers >= sites && sites >= zones && zones >= regions && regions > 0;
-        if !fits || min == 0 || max < min || racks_per_switch == 0 || routers > 65_535 {
+        if !fits || min == 0 || max < min || racks_per_switch == 0 || routers > MAX_ROUTERS {
             return Err(format!(
                 "shape: expected at most 65,535 routers >= sites >= zones >= regions > 0, and racks: {shape:?}"
             ));
@@ -116,18 +131,18 @@
         let mut router_site = spread(routers, sites, &mut rng);
         router_site.sort_unstable();
         let mut placed: Vec<FleetRouter> = Vec::with_capacity(routers);
-        let (mut rack, mut switch, mut room, mut racks_behind_switch) = (0, 0, 0, 0);
+        let (mut rack, mut switch, mut free_in_rack, mut racks_behind_switch) = (0, 0, 0, 0);
         for (index, site) in router_site.into_iter().enumerate() {
             let new_site = placed.last().is_some_and(|s| s.site != site);
-            if index == 0 || new_site || room == 0 {
+            if index == 0 || new_site || free_in_rack == 0 {
                 rack += usize::from(index > 0);
                 racks_behind_switch += 1;
                 if new_site || racks_behind_switch > racks_per_switch {
                     (switch, racks_behind_switch) = (switch + 1, 1);
                 }
-                room = min + (draw(&mut rng) * (max - min + 1) as f64) as usize;
+                free_in_rack = min + (draw(&mut rng) * (max - min + 1) as f64) as usize;
             }
-            room -= 1;
+            free_in_rack -= 1;
             let zone = site_zone[site];
             let [_, _, high, low] = (index as u32 + 1).to_be_bytes();
             placed.push(FleetRouter {
@@ -136,7 +151,7 @@
                     branch: Arc::from(format!("s{site:03}")),
                     machine: Arc::from(format!("m{index:05}")),
                 },
-                address: ([10, 0, high, low], 7100).into(),
+                address: ([10, 0, high, low], PEER_PORT).into(),
                 rack,
                 switch,
                 site,
@@ -173,7 +188,7 @@
 
 /// Assigns items to places: one to each place first, the rest by random weights, since real sites differ in size.
 fn spread(items: usize, places: usize, rng: &mut Rng) -> Vec<usize> {
-    let weights: Vec<f64> = (0..places).map(|_| 0.5 + draw(rng)).collect();
+    let weights: Vec<f64> = (0..places).map(|_| MIN_WEIGHT + draw(rng)).collect();
     let total: f64 = weights.iter().sum();
     let pick = |mut remaining: f64| {
         let found = weights.iter().position(|w| {
--- a/crates/fleet_simulation/src/links/arrive.rs
+++ b/crates/fleet_simulation/src/links/arrive.rs
@@ -10,7 +10,7 @@
 use basaltgw_types::link::LinkError;
 
 impl Links {
-    /// A connect was accepted, refused, or timed out.
+    /// Handles that a connect was accepted, refused, or timed out.
     pub(super) fn connect_finished(
         &mut self,
         queue: &mut Queue,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The time for the handshake of an end is up.
+    /// Closes an end whose handshake has timed out.
     pub(super) fn handshake_timed_out(
         &mut self,
         queue: &mut Queue,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The next frame of a direction arrives.
+    /// Handles the next frame of a direction, which arrives now.
     pub(super) fn frame_arrived(
         &mut self,
         queue: &mut Queue,
@@ -125,7 +125,7 @@
         self.pump(queue, key, direction);
     }
 
-    /// Accepts a connection with its first hello. Beyond the limit of connections in handshake it is closed at once.
+    /// Accepts a connection when its first hello arrives. The connection is closed at once if too many others are in their handshake.
     fn accept(&mut self, queue: &mut Queue, fleet: &Fleet, key: ConnectionKey, body: &[u8], confirm: bool) {
         let Some(conn) = self.conn(key) else { return };
         let me = conn.ends[1].router;
@@ -149,7 +149,7 @@
         self.hello_received(queue, fleet, key, 1, body, confirm);
     }
 
-    /// An end has the hello of its peer. The router with the smaller name confirms a single connection as the link.
+    /// Handles the hello of the peer. The router with the smaller name confirms a single connection as the link.
     fn hello_received(
         &mut self,
         queue: &mut Queue,
@@ -192,7 +192,7 @@
         }
     }
 
-    /// The peer confirmed that this connection is the link.
+    /// Handles the peer's confirmation that this connection is the link.
     fn confirmed(&mut self, queue: &mut Queue, fleet: &Fleet, key: ConnectionKey, end: usize) {
         self.handshake_done(key, end);
         self.link_up(queue, fleet, key, end);
@@ -214,7 +214,7 @@
         conn.ends.iter().any(|e| e.router == me && e.peer.as_ref().is_some_and(|(_, s)| *s == start))
     }
 
-    /// The peer advertises another placement table.
+    /// Handles that the peer advertises another placement table.
     fn peer_table_changed(&mut self, key: ConnectionKey, end: usize, body: &[u8]) {
         let Some(conn) = self.conn(key) else { return };
         let me = conn.ends[end].router;
--- a/crates/fleet_simulation/src/links/conn.rs
+++ b/crates/fleet_simulation/src/links/conn.rs
@@ -14,24 +14,29 @@
     AwaitingHello,
     /// The end waits for its peer to confirm that this connection is the link.
     AwaitingConfirmation,
-    /// The connection is the link since this time.
+    /// The connection has been the link since this time.
     Up(Micros),
+    /// The end is closed.
     Closed,
 }
 
 /// The hello as it is written, with a number that differs at each start of the process.
 pub type Greeting = (Hello, u64);
 
+/// One end of a connection.
 #[derive(Debug)]
 pub struct End {
     pub router: RouterIndex,
     pub stage: Stage,
+    /// The hello of the peer, once it has arrived.
     pub peer: Option<Greeting>,
     /// Whether this accepted end counts towards the connections in handshake of its router.
     pub in_handshake: bool,
+    /// Frames that wait for room in the socket buffer.
     pub lanes: Lanes,
 }
 
+/// What is written on a connection at once.
 #[derive(Debug)]
 pub enum Frame {
     /// The hello of the sender.
@@ -42,14 +47,18 @@
     },
     /// This connection is the link.
     Confirm,
+    /// The sender's placement table has changed.
     Table(Vec<u8>),
+    /// A message of the control plane.
     Lane(Lane, Vec<u8>),
+    /// The sender has closed the connection.
     Fin,
 }
 
 /// One direction of a connection.
 #[derive(Debug)]
 pub struct Direction {
+    /// The one-way delay, without jitter.
     pub delay: Micros,
     /// Time of the last write, including the keepalives counted so far.
     pub last_write: Micros,
@@ -59,13 +68,15 @@
     pub free_at: Micros,
     /// Bytes that were written and have not arrived.
     pub in_flight_bytes: usize,
+    /// Frames that were written and have not arrived, with their sizes in bytes.
     pub frames: VecDeque<(usize, Frame)>,
-    /// Set while nothing passes, with the time of the first write that was lost.
+    /// Set while nothing passes; the inner value is the time of the first write that was lost.
     pub stalled: Option<Option<Micros>>,
     /// When the receiving end finds that its peer timed out.
     pub peer_timeout_at: Option<Micros>,
 }
 
+/// A connection.
 #[derive(Debug)]
 pub struct Conn {
     pub generation: u32,
@@ -76,6 +87,7 @@
 }
 
 impl Conn {
+    /// A connection that is being dialled.
     pub fn new(generation: u32, now: Micros, from: RouterIndex, to: RouterIndex, delay: Micros) -> Self {
         let end = |router| End {
             router,
--- a/crates/fleet_simulation/src/links/cuts.rs
+++ b/crates/fleet_simulation/src/links/cuts.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A stalled direction carries frames again.
+    /// Resumes a stalled direction: the frames that were lost arrive now.
     pub(super) fn resumed(&mut self, queue: &mut Queue, key: ConnectionKey, direction: usize) {
         let now = queue.now();
         let Some(conn) = self.conn(key) else { return };
@@ -107,7 +107,7 @@
         }
     }
 
-    /// An end has received nothing for the peer timeout, unless a frame has arrived since.
+    /// Closes an end that has received nothing for the peer timeout, unless a frame has arrived since.
     pub(super) fn peer_timed_out(
         &mut self,
         queue: &mut Queue,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The process of a router ends. Its machine closes the connections, unless it is lost too: then its peers are not told.
+    /// Ends the process of a router. Its machine closes the connections, unless it is lost too: then the peers receive no FIN.
     pub fn stop(&mut self, queue: &mut Queue, fleet: &Fleet, router: RouterIndex, machine_lost: bool) {
         let now = queue.now();
         let keys = self.connections_of(&[router]);
@@ -149,7 +149,7 @@
         self.events.retain(|(to, _)| *to != router);
     }
 
-    /// A machine has returned: connections that others still hold to its former process break.
+    /// Handles that a machine has returned: connections of others to its former process break.
     pub fn machine_returned(&mut self, queue: &mut Queue, fleet: &Fleet, router: RouterIndex) {
         self.hosts[router].reachable = true;
         for (slot, generation) in self.conns.iter().map(|(s, c)| (s as u32, c.generation)).collect::<Vec<_>>()
--- a/crates/fleet_simulation/src/links/lanes.rs
+++ b/crates/fleet_simulation/src/links/lanes.rs
@@ -5,6 +5,7 @@
 use basaltgw_types::link::Lane;
 use std::collections::VecDeque;
 
+/// A message that waits for room in the socket buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct QueuedFrame {
     pub number: u64,
@@ -12,6 +13,7 @@
     pub body: Vec<u8>,
 }
 
+/// The queue of one lane.
 #[derive(Debug, Default)]
 struct Queue {
     frames: VecDeque<QueuedFrame>,
--- a/crates/fleet_simulation/src/links/mod.rs
+++ b/crates/fleet_simulation/src/links/mod.rs
@@ -1,7 +1,7 @@
 //! The links of all routers: the protocol of `crates/transport` (dialing, choice of the link among connections, keepalives, peer timeouts,
 //! bounded lanes) in simulated time.
 //!
-//! A keepalive on an idle link is not an event: the keepalives written since the last write are computed exactly from its time. Two things
+//! A keepalive on an idle link is not an event: the keepalives since the last other write are computed exactly from the time of that write. Two things
 //! are simplified: the segments of a frame arrive together, and a socket buffer has room again once its bytes arrive, not once they are
 //! acknowledged.
 
@@ -29,6 +29,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// The wait before a redial is a random share of the back-off, at least this one.
+const MIN_BACKOFF_SHARE: f64 = 0.5;
+
 fn as_micros(duration: Duration) -> Micros {
     duration.as_micros() as Micros
 }
@@ -44,9 +47,10 @@
     BackingOff(u32),
 }
 
-/// Keeps a link to another router.
+/// Dials another router whenever there is no link to it.
 #[derive(Debug)]
 struct Dialer {
+    /// The longest wait before the next redial.
     backoff: Micros,
     state: DialState,
 }
@@ -74,6 +78,7 @@
     limits: Limits,
     network: NetworkState,
     conns: Slab<Conn>,
+    /// The generation of the last connection.
     last_generation: u32,
     hosts: Vec<Host>,
     /// Events for the routers, in order.
@@ -118,11 +123,12 @@
         self.network.is_inside(router)
     }
 
+    /// The connection with this key, unless its slot has been used again.
     fn conn(&mut self, key: ConnectionKey) -> Option<&mut Conn> {
         self.conns.get_mut(key.slot as usize).filter(|c| c.generation == key.generation)
     }
 
-    /// Keeps a link from one router to another from now on.
+    /// Dials a router now, and again whenever there is no link to it.
     pub fn dial(&mut self, queue: &mut Queue, fleet: &Fleet, from: RouterIndex, to: RouterIndex) {
         let dialer = Dialer { backoff: as_micros(MIN_DIAL_BACKOFF), state: DialState::Linked };
         let host = &mut self.hosts[from];
@@ -132,7 +138,7 @@
         }
     }
 
-    /// Stops keeping a link, and closes its connections.
+    /// Stops dialling a router, and closes the connections to it.
     pub fn close(&mut self, queue: &mut Queue, fleet: &Fleet, from: RouterIndex, to: RouterIndex) {
         self.hosts[from].dialers.remove(&to);
         let leads_to = |c: &Conn| c.ends.iter().any(|e| e.router == to);
@@ -147,6 +153,7 @@
         }
     }
 
+    /// Dials a router to which a link is wanted, unless the peer has established one.
     fn redial(&mut self, queue: &mut Queue, fleet: &Fleet, from: RouterIndex, to: RouterIndex) {
         let linked = self.linked(from, to);
         let Some(dialer) = self.hosts[from].dialers.get_mut(&to) else { return };
@@ -180,7 +187,7 @@
 
     /// Schedules the redial after a connection has closed. After a stable link the back-off starts anew.
     fn back_off(&mut self, queue: &mut Queue, from: RouterIndex, to: RouterIndex, was_stable: bool) {
-        let share = 0.5 + 0.5 * self.network.draw();
+        let share = MIN_BACKOFF_SHARE + (1.0 - MIN_BACKOFF_SHARE) * self.network.draw();
         let host = &mut self.hosts[from];
         host.backoffs += 1;
         let backoff = host.backoffs;
@@ -298,7 +305,7 @@
         self.events.push((me, ControlPlaneEvent::LinkUp(hello)));
     }
 
-    /// Closes an end, once. With `send_fin` the peer is told.
+    /// Closes an end unless it is closed. With `send_fin` the peer receives a FIN.
     fn close_end(
         &mut self,
         queue: &mut Queue,
--- a/crates/fleet_simulation/src/links/net.rs
+++ b/crates/fleet_simulation/src/links/net.rs
@@ -60,7 +60,7 @@
     Inbound,
 }
 
-/// Partitions that can be active at once: one bit each in a `u64`.
+/// The most partitions that can be active at once: each has one bit of a `u64`.
 const MAX_CUTS: usize = 64;
 
 /// The network with its active partitions.
@@ -112,6 +112,7 @@
             (false, false) => self.settings.inter_region_delay_ms,
         };
         let (low, high) = (a.min(b) as u64, a.max(b) as u64);
+        // Each pair of routers has a random stream of its own.
         let share = draw(&mut rng(self.seed ^ NETWORK_STREAM, low << 32 | high));
         micros(min + (max - min) * share)
     }
--- a/crates/fleet_simulation/src/mesh.rs
+++ b/crates/fleet_simulation/src/mesh.rs
@@ -2,6 +2,7 @@
 
 use crate::control_plane::{ControlPlane, ControlPlaneAction, ControlPlaneEvent, Notification, StartContext};
 use crate::fleet::FleetRouter;
+use crate::CONVERGENCE_MS;
 use basaltgw_config::fleet::FleetLimits;
 use basaltgw_control::{
     decode_purges, decode_table_register, Action, BootstrapMember, Control, ControlNotification,
@@ -39,7 +40,7 @@
             limits: FleetLimits::default(),
             registers: RegisterSettings::standard(),
             rules: "holds { shards 64 copies 3 spread machines }\nroot { copies 3 spread machines }\n".into(),
-            convergence_ms: 6_100.0,
+            convergence_ms: CONVERGENCE_MS,
             max_members: MembershipSettings::default().max_members,
             config_changes: (0.0, (0.0, 0.0)),
         }
@@ -55,6 +56,7 @@
     at: Ms,
     /// Number of changes made before.
     made: usize,
+    /// Time between two changes; infinite if none is made.
     interval_ms: Ms,
 }
 
@@ -73,14 +75,14 @@
     /// Starts the control plane from the simulated disk, as `crates/node` does at the start of a process.
     ///
     /// # Errors
-    /// If the disk holds malformed data, or a setting is invalid.
+    /// If the disk has malformed data, or a setting is invalid.
     pub fn start(
         settings: &MeshSettings,
         context: &StartContext,
         out: &mut Vec<ControlPlaneAction>,
     ) -> Result<(Self, Option<(TableVersion, TableHash)>), String> {
         let StartContext { now, index, me, has_previous_data, fleet, disk, random } = context;
-        let place =
+        let fleet_router =
             fleet.routers.get(*index).ok_or_else(|| format!("the fleet has no router with index {index}"))?;
         let seed = (*random >> 64) as u64;
         let registers =
@@ -89,12 +91,20 @@
         let purges = decode_purges(disk.read(PURGES_SPACE)).ok_or("the disk holds a malformed purge")?;
         let table = table_manager(settings, context)?;
         let advertised_table = table.version();
-        let listed_routers: BTreeSet<_> =
-            fleet.routers.iter().filter(|s| s.router != place.router).map(|s| s.router.clone()).collect();
+        let listed_routers: BTreeSet<_> = fleet
+            .routers
+            .iter()
+            .filter(|r| r.router != fleet_router.router)
+            .map(|r| r.router.clone())
+            .collect();
         for router in &listed_routers {
             out.push(ControlPlaneAction::Dial(router.clone()));
         }
-        let presence = Presence { member: me.clone(), address: place.address, domain: place.domain.clone() };
+        let presence = Presence {
+            member: me.clone(),
+            address: fleet_router.address,
+            domain: fleet_router.domain.clone(),
+        };
         let membership_settings = MembershipSettings {
             listed_routers,
             max_members: settings.max_members,
--- a/crates/fleet_simulation/src/queue.rs
+++ b/crates/fleet_simulation/src/queue.rs
@@ -50,6 +50,7 @@
     Fault(usize),
 }
 
+/// An event with its time, and its number in the order of insertion.
 #[derive(Debug)]
 struct Entry {
     at: Micros,
@@ -87,6 +88,7 @@
 }
 
 impl Queue {
+    /// Time of the last event that was removed.
     pub fn now(&self) -> Micros {
         self.now
     }
@@ -102,6 +104,7 @@
         self.heap.push(Entry { at: at.max(self.now), number: self.scheduled, event });
     }
 
+    /// Schedules an event of the network.
     pub fn put_link(&mut self, at: Micros, event: LinkEvent) {
         self.put(at, SimulationEvent::Link(event));
     }
--- a/crates/fleet_simulation/src/run.rs
+++ b/crates/fleet_simulation/src/run.rs
@@ -9,11 +9,16 @@
 use crate::mesh::{Mesh, MeshSettings};
 use crate::sparse::{router_list, Sparse, SparseSettings};
 use crate::world::{ChangeLogReach, World, WorldSettings};
-use crate::{micros, Micros};
+use crate::{micros, Micros, CONVERGENCE_MS};
 use basaltgw_config::fleet::FleetLimits;
 use basaltgw_transport::Limits;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Delay of an event between two threads of a process, ms.
+const THREAD_HOP_MS: f64 = 0.05;
+/// Processes start at random times within this time, ms.
+const START_WITHIN_MS: f64 = 1_000.0;
+
 /// What runs at each router.
 #[derive(Clone, Debug)]
 pub enum Kind {
@@ -143,12 +148,12 @@
             ring_entries: limits.ring_entries,
         },
         commit_ms: setup.commit_ms,
-        thread_hop_ms: 0.05,
-        start_within_ms: 1_000.0,
+        thread_hop_ms: THREAD_HOP_MS,
+        start_within_ms: START_WITHIN_MS,
         change_log: setup.change_log,
         change_log_delay_ms: setup.change_log_delay_ms,
         purges: (setup.purges_per_s, (begin_ms, begin_ms + measured_ms)),
-        convergence_ms: 6_100.0,
+        convergence_ms: CONVERGENCE_MS,
     };
     let measured = (micros(begin_ms), micros(begin_ms + measured_ms));
     let mut faults = setup.random_faults.draw(&fleet, setup.seed, measured);
@@ -167,9 +172,10 @@
     sorted.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
 }
 
-/// A figure of each router and second: its name in the figures, and how it is read.
+/// A figure of each router and second: its name in the figures, and how it is computed.
 type Column = (&'static str, fn(&Second) -> f64);
 
+/// The figures of [`Second`] that a run reports.
 const COLUMNS: [Column; 9] = [
     ("frames_out", |s| f64::from(s.frames_out)),
     ("frames_in", |s| f64::from(s.frames_in)),
@@ -182,6 +188,7 @@
     ("wire_out", |s| s.wire_out as f64),
 ];
 
+/// Computes the figures of a finished run.
 fn figures(setup: &Setup, world: &World, findings: &Findings) -> Figures {
     let counts: &Counts = &world.links.counts;
     let mut values = BTreeMap::new();
--- a/crates/fleet_simulation/src/sparse.rs
+++ b/crates/fleet_simulation/src/sparse.rs
@@ -2,6 +2,7 @@
 
 use crate::control_plane::{ControlPlane, ControlPlaneAction, ControlPlaneEvent, Notification, StartContext};
 use crate::fleet::{Fleet, FleetRouter};
+use crate::CONVERGENCE_MS;
 use basaltgw_config::fleet::FleetLimits;
 use basaltgw_control::{decode_purges, Purge, Purges, PURGES_SPACE};
 use basaltgw_overlay::{
@@ -15,8 +16,6 @@
 
 /// Time after which a dial without a link is given up, ms: one connect that times out, and a second one.
 const DIAL_TIMEOUT_MS: Ms = 1_500.0;
-/// Time after which a purge has converged, ms.
-const CONVERGENCE_MS: Ms = 6_100.0;
 /// Flips bits of group and object numbers, so that they take as many bytes as the hashes of a real deployment.
 const WIDE_NUMBER_MASK: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Unix time of the start of a run, ms, so that times take as many bytes as in a real deployment.
@@ -31,7 +30,7 @@
     pub shape: Shape,
     /// Bounds of links.
     pub limits: FleetLimits,
-    /// Time after which a purge has converged and is no longer kept, ms.
+    /// Time after which a purge has converged and is no longer stored, ms.
     pub convergence_ms: Ms,
     /// Whether purges take as many bytes as in a real deployment; otherwise their small numbers take few.
     pub full_size_purges: bool,
@@ -70,9 +69,10 @@
     list.map(Arc::new).map_err(|e| e.to_string())
 }
 
-/// The overlay of one router, with the purges that it keeps.
+/// The overlay of one router, with the purges that it stores.
 pub struct Sparse {
     overlay: Overlay,
+    /// Whether this router is a control machine.
     control: bool,
     settings: SparseSettings,
     purges: Purges,
@@ -91,7 +91,7 @@
     /// Starts the overlay with the purges on the disk.
     ///
     /// # Errors
-    /// If the disk holds malformed data, or a setting is invalid.
+    /// If the disk has malformed data, or a setting is invalid.
     pub fn start(
         settings: &SparseSettings,
         list: &Arc<RouterList>,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Returns whether a purge is new. A converged purge is not stored.
+    /// Stores a purge, and returns whether it is new. A converged purge is not stored.
     fn remember(&mut self, now: Ms, purge: Purge) -> bool {
         if purge.time as f64 + self.settings.convergence_ms <= now {
             return !self.purges.contains((purge.group, purge.object));
--- a/crates/fleet_simulation/src/world/happen.rs
+++ b/crates/fleet_simulation/src/world/external_events.rs
@@ -9,13 +9,15 @@
 use basaltgw_simulator::Rng;
 use rand::RngExt;
 
+const MICROS_PER_SECOND: f64 = 1_000_000.0;
+
 impl World<'_> {
     /// Makes a purge, and schedules when the change log delivers it to which routers.
     pub(super) fn make_purge(&mut self, number: usize) {
         let now = self.queue.now();
-        let (rate, (_, until)) = self.settings.purges;
-        let next = now + (1_000_000.0 / rate) as Micros;
-        if next < micros(until) {
+        let (per_second, (_, until_ms)) = self.settings.purges;
+        let next = now + (MICROS_PER_SECOND / per_second) as Micros;
+        if next < micros(until_ms) {
             self.queue.put(next, SimulationEvent::PurgeMade(number + 1));
         }
         let (group, time) = (number as u64 % GROUPS, ms(now) as u64);
@@ -49,6 +51,7 @@
             }
             ChangeLogReach::Polling { interval_ms } => {
                 let interval = micros(interval_ms).max(1);
+                // Each router polls at its offset, and then at each interval: the next poll from now on reads the purge.
                 for (router, offset) in self.poll_offsets.iter().enumerate() {
                     let phase = (offset * interval as f64) as Micros;
                     let poll = (now + interval - phase).div_ceil(interval) * interval + phase - interval;
@@ -71,7 +74,7 @@
         }
     }
 
-    /// The change log delivers a purge to a router.
+    /// Delivers a purge of the change log to a router, unless the router is down or the change log does not reach it.
     pub(super) fn read_change_log(&mut self, router: RouterIndex, number: usize) {
         let host = &mut self.hosts[router];
         if host.control_plane.is_none() || host.change_log_outages > 0 {
--- a/crates/fleet_simulation/src/world/mod.rs
+++ b/crates/fleet_simulation/src/world/mod.rs
@@ -1,7 +1,7 @@
 //! Time, processes, disks, faults and the change log around the control planes of a fleet.
 
-mod decide;
-mod happen;
+mod dispatch;
+mod external_events;
 mod process;
 
 use crate::checker::Checker;
@@ -21,7 +21,7 @@
 use rand::RngExt;
 use std::collections::VecDeque;
 
-/// Events that a process takes from its queue in one turn, as the control thread does.
+/// Events that a process takes from its inbox in one turn, as the control thread does.
 const EVENTS_PER_TURN: usize = 256;
 /// Random stream of the poll offsets of change log readers.
 const POLL_STREAM: u64 = 5;
@@ -79,19 +79,24 @@
     pub change_log: ChangeLogReach,
     /// Shortest and longest time from a purge until the change log delivers it, ms.
     pub change_log_delay_ms: (f64, f64),
-    /// Purges a second, with the first and the last time at which purges are made, ms.
+    /// Purges a second, with the time of the first purge, ms, and the time from which on none is made, ms.
     pub purges: (f64, (f64, f64)),
     /// Time within which a purge has to reach all routers, ms.
     pub convergence_ms: f64,
 }
 
+/// The machine of a router, with its process while one runs.
 struct Host {
+    /// `None` while no process runs.
     control_plane: Option<Box<dyn ControlPlane>>,
     /// Number of process starts so far.
     starts: u32,
+    /// The incarnation that the disk stores; `None` before the first start with this disk.
     incarnation: Option<Incarnation>,
     disk: Disk,
+    /// Events that the process has not handled yet.
     inbox: VecDeque<ControlPlaneEvent>,
+    /// Time of the next turn; `Micros::MAX` if none is scheduled.
     next_turn: Micros,
     /// Commits that are not durable yet.
     pending_commits: VecDeque<(u64, Vec<Write>)>,
@@ -99,6 +104,7 @@
     committing: bool,
     /// Number of change log outages that affect this router now.
     change_log_outages: usize,
+    /// When the router first had a placement table.
     first_table_at: Option<Micros>,
 }
 
@@ -120,6 +126,7 @@
     /// For each router, the offset of its change log polls as a share of the interval.
     poll_offsets: Vec<f64>,
     rng: Rng,
+    /// Pending actions of the control plane that handles an event.
     out: Vec<ControlPlaneAction>,
 }
 
@@ -157,8 +164,9 @@
                 first_table_at: None,
             });
         }
-        if settings.purges.0 > 0.0 {
-            queue.put(micros(settings.purges.1 .0), SimulationEvent::PurgeMade(0));
+        let (per_second, (from_ms, _)) = settings.purges;
+        if per_second > 0.0 {
+            queue.put(micros(from_ms), SimulationEvent::PurgeMade(0));
         }
         Self {
             fleet,
--- a/crates/fleet_simulation/src/world/process.rs
+++ b/crates/fleet_simulation/src/world/process.rs
@@ -10,6 +10,9 @@
 use rand::RngExt;
 use std::sync::Arc;
 
+/// Timers later than this are never due: it is after the end of any run, and far from an overflow of [`Micros`].
+const MAX_TIMER_MICROS: f64 = 1e15;
+
 impl World<'_> {
     /// Runs one turn of a process: its queued events, its timers, and the flush of its writes.
     pub(super) fn turn(&mut self, router: RouterIndex) -> Result<(), String> {
@@ -48,7 +51,7 @@
                 .put(now + duration, SimulationEvent::CommitFinished { router, start: host.starts });
         }
         let next_timer = match host.inbox.is_empty() {
-            true => (control_plane.next_timer() * 1_000.0).ceil().min(1e15) as Micros,
+            true => (control_plane.next_timer() * 1_000.0).ceil().min(MAX_TIMER_MICROS) as Micros,
             false => now,
         };
         let at = next_timer.max(now + 1);
@@ -58,7 +61,7 @@
         }
     }
 
-    /// The first pending commit of a process is durable, unless another process has started since.
+    /// Handles that the first pending commit of a process is durable. The commit is ignored if another process has started since.
     pub(super) fn commit_finished(&mut self, router: RouterIndex, start: u32) {
         let host = &mut self.hosts[router];
         if host.starts != start || host.control_plane.is_none() {
@@ -87,8 +90,8 @@
         let has_previous_data = host.incarnation.is_some();
         let incarnation = *host.incarnation.get_or_insert_with(|| Incarnation(self.rng.random()));
         host.starts += 1;
-        let place = &self.fleet.routers[router];
-        let me = Member { router: place.router.clone(), incarnation };
+        let fleet_router = &self.fleet.routers[router];
+        let me = Member { router: fleet_router.router.clone(), incarnation };
         let random: u128 = self.rng.random();
         let disk = &self.hosts[router].disk;
         let start = StartContext {
@@ -112,7 +115,7 @@
             protocol: PROTOCOL_VERSION,
             cluster: Arc::from(CLUSTER),
             member: me,
-            domain: place.domain.clone(),
+            domain: fleet_router.domain.clone(),
             table: table.unwrap_or((TableVersion(0), TableHash([0; 32]))),
         };
         self.links.start(router, hello, random as u64);
