--- a/crates/config/src/change_log.rs
+++ b/crates/config/src/change_log.rs
@@ -98,6 +98,7 @@
     up_since_ms: Option<f64>,
 }
 
+/// The state of a listed server.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 enum Phase {
--- a/crates/config/src/decision_settings.rs
+++ b/crates/config/src/decision_settings.rs
@@ -78,6 +78,7 @@
     contract: Option<Contract>,
 }
 
+/// An entry of `services`: a request class.
 #[derive(Deserialize, Validate)]
 #[serde(rename_all = "kebab-case")]
 #[garde(allow_unvalidated)]
@@ -99,6 +100,7 @@
     late_worth: Option<NonNegative>,
 }
 
+/// The key `family-info`: server kinds, routers by zone, parent caches, the freshness of copies, and purges.
 #[derive(Default, Deserialize, Validate)]
 #[serde(rename_all = "kebab-case")]
 #[garde(allow_unvalidated)]
@@ -129,6 +131,7 @@
     pace_kb_per_s: Option<NonNegative>,
 }
 
+/// The key `limits`: which attempts are allowed. The router process has the other keys in it.
 #[derive(Default, Deserialize, Validate)]
 #[serde(rename_all = "kebab-case")]
 #[garde(allow_unvalidated)]
@@ -141,6 +144,7 @@
     try_limit: Option<UnsignedInteger>,
 }
 
+/// The key `contract`: slow start and draining of edge caches.
 #[derive(Default, Deserialize, Validate)]
 #[serde(rename_all = "kebab-case")]
 struct Contract {
@@ -173,6 +177,7 @@
     Cell,
 }
 
+/// Which other edge caches may be the source of a fill.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Reach {
@@ -211,7 +216,7 @@
     FieldError::new(&format!("settings.family-info.{key}"), message)
 }
 
-/// Checks that a list of `family-info` is absent, empty, or has `len` entries.
+/// Checks that a list of `family-info` is absent, is empty, or has `len` entries.
 fn list_of_len<'a, T>(list: &'a Option<Vec<T>>, len: usize, key: &str) -> Result<&'a [T], FieldError> {
     let list = list.as_deref().unwrap_or_default();
     let error = || family_error(key, format!("expected {len} entries, found {}", list.len()));
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -30,10 +30,10 @@
     assert_eq!((c.seed, c.changelog.to_string().as_str()), (0x8c1f30d27a5be964, "127.2.0.1:4222"));
     assert_eq!((c.limits, c.last_known_seq), (Limits { memory_mb: 192, descriptors: 512 }, Seq(43)));
     assert_eq!((c.transport.connection_idle_timeout, c.transport.max_streams), (9000.0, 50));
-    let WatchEvent::EndpointList { complete: true, servers: members } = &c.known_events[0] else {
+    let WatchEvent::EndpointList { complete: true, servers } = &c.known_events[0] else {
         panic!("expected a complete endpoint list, found {:?}", c.known_events[0])
     };
-    let (edge, origin) = (&members[0], &members[1]);
+    let (edge, origin) = (&servers[0], &servers[1]);
     assert_eq!(
         (&*edge.endpoint.id.0, edge.address.port(), edge.endpoint.role),
         ("s-00c41f7a", 10080, Role::Edge)
