--- a/crates/fleet_simulation/src/links/conn.rs
+++ b/crates/fleet_simulation/src/links/conn.rs
@@ -5,7 +5,7 @@
 use basaltgw_types::link::{Hello, Lane};
 use std::collections::VecDeque;
 
-/// How far an end of a connection has come in the handshake.
+/// The state of an end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// The connect has not been answered, or the first hello has not arrived.
--- a/crates/fleet_simulation/src/links/net.rs
+++ b/crates/fleet_simulation/src/links/net.rs
@@ -25,7 +25,7 @@
     pub loss_share: f64,
     /// Bandwidth of a connection in each direction, bytes/s; unlimited if `None`.
     pub bytes_per_s: Option<u64>,
-    /// Bytes that the kernel buffers for a connection. Beyond these, frames wait in their lanes.
+    /// Bytes that the kernel buffers for a connection. Further frames wait in their lanes.
     pub socket_buffer_bytes: usize,
     /// Time without another write after which a keepalive is sent, ms, as on the links of `crates/transport`.
     pub keepalive_ms: f64,
--- a/crates/fleet_simulation/src/world/process.rs
+++ b/crates/fleet_simulation/src/world/process.rs
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    /// Schedules what comes next at a process: the end of its commit, or its next turn.
+    /// Schedules the next event of a process: the end of its commit, or its next turn.
     fn schedule_next(&mut self, router: RouterIndex) {
         let now = self.queue.now();
         let (min, max) = self.settings.commit_ms;
--- a/crates/registers/src/replica_sync.rs
+++ b/crates/registers/src/replica_sync.rs
@@ -302,7 +302,7 @@
         }
         let replies = || listing.replies.values();
         let listed = || replies().flat_map(|reply| &reply.registers);
-        // The ballot promised along with a listed value is one above it; the reads start beyond.
+        // The ballot promised along with a listed value is one above that of the value; the reads start above both.
         let counters = listed().filter_map(|r| r.accepted.as_ref()).map(|b| b.counter.saturating_add(1));
         proposer.observe_ballot(counters.max().unwrap_or(0));
         let truncated = replies().filter(|reply| reply.has_more);
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -161,7 +161,7 @@
 
 /// The most purges that are stored for each router and object or group; older ones are superseded by newer ones.
 const MAX_PURGES: usize = 8;
-/// How long an answered request is kept past its deadline: its earlier attempts may still end and report a copy's age.
+/// How long an answered request is stored past its deadline: its earlier attempts may still end and report a copy's age.
 const ANSWERED_REQUEST_RETENTION_MS: Ms = 2_000.0;
 
 /// Checks a run against the routing rules.
@@ -195,7 +195,7 @@
         entry.or_insert_with(|| (0, format!("at {now:.1} ms: {description}"))).0 += 1;
     }
 
-    /// Evaluates an event. Events have to come in order of time.
+    /// Evaluates an event. Events must be passed in order of time.
     pub fn observe(&mut self, now: Ms, observation: Observation) {
         match observation {
             Observation::RequestAccepted { request, non_idempotent, object, group, deadline } => {
--- a/crates/simulator/src/fleet/message.rs
+++ b/crates/simulator/src/fleet/message.rs
@@ -95,7 +95,7 @@
         /// The end of the fault.
         until: Ms,
     },
-    /// The node fills every miss from `source`, whatever its plan says.
+    /// The node fills every miss from `source` in place of its planned sources.
     WrongSource {
         /// The source that is used instead of the planned one.
         source: NodeIndex,
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Caches, the origin and the links between them: routers' requests go in, responses come out. The caller passes the time.
+//! Caches, the origin and the links between them: the input is routers' requests, the output responses. The caller passes the time.
 //!
 //! A response occupies one of the node's slots for its sending time. A miss is filled from the source that the router named, or, for
 //! requests of other nodes, from the source that the node's part of the plan names; without a plan, from the origin. A node runs at most
--- a/crates/simulator/src/spec.rs
+++ b/crates/simulator/src/spec.rs
@@ -200,7 +200,7 @@
     RefuseFills,
     /// The node loses the share `factor` of its responses for `for_ms`.
     LoseAnswers,
-    /// The node fills misses from `to`, whatever its plan says, for `for_ms`.
+    /// The node fills misses from `to` in place of its planned sources for `for_ms`.
     WrongSource,
     /// The share `factor` of all groups is purged.
     MassPurge,
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -123,12 +123,12 @@
         committed.map(|_| ())
     }
 
-    /// Writes a snapshot to the file `generation-N`, where N is the number of commits, and removes the oldest ones beyond `keep`.
+    /// Writes a snapshot to the file `generation-N`, where N is the number of commits, and removes the oldest ones except for the latest `keep`.
     ///
     /// Snapshots are for operators, to inspect them or to copy entries by hand. A store is never restored from one.
     ///
     /// # Errors
-    /// As [`Store::read`]. If the disk rejects the write, the older snapshots stay.
+    /// As [`Store::read`]. If the disk rejects the write, no snapshot is removed.
     pub fn snapshot(&self, keep: usize) -> Result<PathBuf, StorageError> {
         let folder = current(&self.folder);
         self.with_readable(|database| snapshot::write(&folder, database, self.summary, keep))
@@ -137,7 +137,7 @@
     /// Moves a damaged store to `damaged-N`, so that a new one can be created under another incarnation. To be requested by an operator.
     ///
     /// # Errors
-    /// [`StorageError::Locked`] if the store is open, [`StorageError::LimitExceeded`] if 16 quarantined stores are there,
+    /// [`StorageError::Locked`] if the store is open, [`StorageError::LimitExceeded`] if there are 16 quarantined stores,
     /// [`StorageError::Io`].
     pub fn quarantine(folder: &Path) -> Result<Option<PathBuf>, StorageError> {
         let _lock = lock(folder)?;
