--- a/crates/fleet_simulation/src/links/net.rs
+++ b/crates/fleet_simulation/src/links/net.rs
@@ -25,7 +25,7 @@
     pub loss_share: f64,
     /// Bandwidth of a connection in each direction, bytes/s; unlimited if `None`.
     pub bytes_per_s: Option<u64>,
-    /// Bytes that the kernel buffers for a connection. Beyond these, frames wait in their lanes.
+    /// Bytes that the kernel buffers for a connection. Further frames wait in their lanes.
     pub socket_buffer_bytes: usize,
     /// Time without another write after which a keepalive is sent, ms, as on the links of `crates/transport`.
     pub keepalive_ms: f64,
@@ -60,7 +60,7 @@
     Inbound,
 }
 
-/// Partitions that can be active at once: one bit each in a `u64`.
+/// The most partitions that can be active at once: each has one bit of a `u64`.
 const MAX_CUTS: usize = 64;
 
 /// The network with its active partitions.
@@ -112,6 +112,7 @@
             (false, false) => self.settings.inter_region_delay_ms,
         };
         let (low, high) = (a.min(b) as u64, a.max(b) as u64);
+        // Each pair of routers has a random stream of its own.
         let share = draw(&mut rng(self.seed ^ NETWORK_STREAM, low << 32 | high));
         micros(min + (max - min) * share)
     }
