--- a/crates/emulator/src/rig/fleet_cost/change_log_delivery_tests.rs
+++ b/crates/emulator/src/rig/fleet_cost/change_log_delivery_tests.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn watchers_hear_all_and_a_missing_purge_is_found() {
+fn watchers_receive_all_purges_and_a_missing_one_is_noticed() {
     let measured = measure_change_log_delivery(3, 50.0, Duration::from_secs(1)).expect("all purges received");
     assert!(measured["watchers"] == 3.0 && measured["heard_at_once"] >= 1.0, "{measured:?}");
     assert!(measured["apart_ms_median"] <= measured["apart_ms_most"], "{measured:?}");
--- a/crates/emulator/src/rig/router_process.rs
+++ b/crates/emulator/src/rig/router_process.rs
@@ -115,12 +115,12 @@
     }
 
     /// Whether the process has logged this text.
-    pub fn log_contains(&self, text: &str) -> bool {
+    pub fn has_logged(&self, text: &str) -> bool {
         self.process.as_ref().is_some_and(|p| p.has_logged(text))
     }
 
     /// Everything that the process has logged.
-    pub fn log(&self) -> String {
+    pub fn log_text(&self) -> String {
         self.process.as_ref().map(Process::log_text).unwrap_or_default()
     }
 
--- a/crates/emulator/src/rig/scenario.rs
+++ b/crates/emulator/src/rig/scenario.rs
@@ -94,7 +94,7 @@
 fn wait_until_all_serving(rig: &Rig) -> Result<(), String> {
     for router in 0..rig.len() {
         if !rig.wait_until_serving(router, START_TIMEOUT) {
-            let log = rig.routers[router].log();
+            let log = rig.routers[router].log_text();
             let last_line = log.lines().last().unwrap_or("its log is empty");
             return Err(format!("router {router} does not serve: {last_line}"));
         }
--- a/crates/experiments/src/partial/processes.rs
+++ b/crates/experiments/src/partial/processes.rs
@@ -162,7 +162,7 @@
     let spec = Spec { seed, scatter_gather: true, rules, ..Spec::new(&router_program()?, ROUTERS) };
     let rig = Rig::start(spec)?;
     if let Some(router) = (0..rig.len()).find(|router| !rig.wait_until_serving(*router, START_TIMEOUT)) {
-        return Err(format!("router {router} does not serve: {}", rig.routers[router].log()));
+        return Err(format!("router {router} does not serve: {}", rig.routers[router].log_text()));
     }
     rig.wait_until_bootstrapped(START_TIMEOUT)?;
     if !rig.wait_until_linked() {
--- a/crates/node/tests/fleet/crossings.rs
+++ b/crates/node/tests/fleet/crossings.rs
@@ -200,7 +200,7 @@
         .join("fleet.rules");
     std::fs::write(file, NEW_RULES).expect("the rules are written");
     fleet.rig.routers[0].reload();
-    wait_until("another router receives the proposal", || fleet.rig.routers[1].log_contains(" by r1 is "));
+    wait_until("another router receives the proposal", || fleet.rig.routers[1].has_logged(" by r1 is "));
     fleet.rig.request_shutdown(0);
     let (mut requests, start) = (Vec::new(), Instant::now());
     let all_have_version_above = |fleet: &FleetHarness, version: u64| {
--- a/crates/node/tests/fleet/harness.rs
+++ b/crates/node/tests/fleet/harness.rs
@@ -40,7 +40,7 @@
     /// Waits until a router is serving.
     pub fn wait_until_serving(&self, router: usize) {
         let serves = self.rig.wait_until_serving(router, WAIT_LIMIT);
-        assert!(serves, "router {router} does not serve: {}", tail(&self.rig.routers[router].log()));
+        assert!(serves, "router {router} does not serve: {}", tail(&self.rig.routers[router].log_text()));
     }
 
     /// Sets how long the archive takes to execute a checkout.
@@ -100,7 +100,7 @@
 
     /// The logs of all routers.
     pub fn logs(&self) -> String {
-        self.rig.routers.iter().map(|r| r.log()).collect::<Vec<_>>().join("\n----\n")
+        self.rig.routers.iter().map(|r| r.log_text()).collect::<Vec<_>>().join("\n----\n")
     }
 
     /// Presents new checkouts to a router until one is served; returns its id and bytes.
--- a/crates/node/tests/fleet/overlay.rs
+++ b/crates/node/tests/fleet/overlay.rs
@@ -60,7 +60,7 @@
     wait_until("the restarted router has received the purge", || count(&fleet, 1, "purges_from_peers") == 1);
     fleet.wait_until_purge_due();
     assert!(matches!(read(&mut fleet, 1, 5), Some(Outcome::Served(_))));
-    let log = fleet.rig.routers[1].log();
+    let log = fleet.rig.routers[1].log_text();
     println!(
         "the purge was known at the start: {}",
         !log.contains("purges from before this start are not available")
--- a/crates/node/tests/placement.rs
+++ b/crates/node/tests/placement.rs
@@ -93,7 +93,8 @@
 fn bootstrapped_fleet() -> (Rig, String, Vec<u8>) {
     let rig = Rig::start(Spec { rules: Some(INITIAL_RULES.into()), ..Spec::new(binary(), 3) })
         .expect("the rig starts");
-    (0..rig.len()).for_each(|r| assert!(rig.wait_until_serving(r, WAIT_LIMIT), "{}", rig.routers[r].log()));
+    (0..rig.len())
+        .for_each(|r| assert!(rig.wait_until_serving(r, WAIT_LIMIT), "{}", rig.routers[r].log_text()));
     rig.wait_until_bootstrapped(WAIT_LIMIT).expect("the fleet is bootstrapped");
     let id = format!("{:016x}", 0x91ace);
     match checkout(&rig, 0, &id) {
@@ -126,7 +127,7 @@
     // Rules that the fleet can't meet are rejected with their position, and nothing changes.
     std::fs::write(&file, INITIAL_RULES.replace("copies 3", "copies 5")).expect("the file is accessible");
     rig.routers[0].reload();
-    wait_until("the rules are rejected", || rig.routers[0].log_contains("fleet.rules:1:"));
+    wait_until("the rules are rejected", || rig.routers[0].has_logged("fleet.rules:1:"));
     wait_until("the rejection is counted", || rig.counters(0).get("reloads_refused") == Some(&1.0));
     // New rules are not adopted together with another change of the section.
     let settings = rig.routers[0].data_folder.with_file_name("router-0.yaml");
@@ -136,14 +137,14 @@
     std::fs::write(&file, NEW_RULES).expect("the file is accessible");
     rig.routers[0].reload();
     wait_until("the router warns about the other change", || {
-        rig.routers[0].log_contains("only the rules of fleet can change")
+        rig.routers[0].has_logged("only the rules of fleet can change")
     });
-    assert!(!rig.routers[0].log_contains("proposed to the fleet"));
+    assert!(!rig.routers[0].has_logged("proposed to the fleet"));
     std::fs::write(&settings, before).expect("the file is accessible");
     rig.routers[0].reload();
     wait_until("all routers have table version 2", || (0..3).all(|r| version(&rig, r) == 2.0));
     wait_until("all routers log the new table", || {
-        (0..3).all(|r| rig.routers[r].log_contains("table: version 2 "))
+        (0..3).all(|r| rig.routers[r].has_logged("table: version 2 "))
     });
     for router in 0..3 {
         assert_eq!(checkout(&rig, router, &id), Some(Outcome::Served(bytes.clone())));
@@ -161,14 +162,14 @@
     std::fs::write(&file, NEW_RULES).expect("the file is accessible");
     rig.routers[0].reload();
     wait_until("the proposal of the first router reaches another router", || {
-        rig.routers[1].log_contains(" by r1 is ")
+        rig.routers[1].has_logged(" by r1 is ")
     });
     std::fs::write(&file, format!("{NEW_RULES}# others\n")).expect("the file is accessible");
     rig.routers[1].reload();
     wait_until("the proposal of the second router is rejected", || {
-        rig.routers[1].log_contains("new rules rejected: ")
+        rig.routers[1].has_logged("new rules rejected: ")
     });
-    let log = rig.routers[1].log();
+    let log = rig.routers[1].log_text();
     let rejection = log.lines().find(|l| l.contains("new rules rejected: ")).unwrap_or_default();
     assert!(rejection.contains("r1") && rejection.contains('2'), "{rejection}");
     rig.resume(2);
