--- a/crates/experiments/src/capacity/data/slow_start.rs
+++ b/crates/experiments/src/capacity/data/slow_start.rs
@@ -36,14 +36,19 @@
 /// Step of the sum of the budgets over time.
 const STEP_MS: usize = 20;
 
-/// Something that happens at a router, given by its number.
+/// Something that happens at a router.
 enum Scheduled {
-    Request(usize),
-    Timer(usize),
-    Restart(usize),
-    Response(usize, Box<Outcome>),
+    /// A client sends a request.
+    Request { router: usize },
+    /// A timer expires.
+    Timer { router: usize },
+    /// The endpoint list with the restarted parent arrives.
+    Restart { router: usize },
+    /// A response arrives.
+    Response { router: usize, outcome: Box<Outcome> },
 }
 
+/// A fleet whose routers all use one restarted parent.
 struct Simulation {
     routers: Vec<Router>,
     /// What is scheduled, by time in microseconds and the order of scheduling.
@@ -108,8 +113,8 @@
             simulation.handle(START_MS, router, list_event(None));
             let first_request = simulation.next_interval();
             let list_delay = MAX_LIST_DELAY_MS * draw(&mut simulation.rng);
-            simulation.schedule(START_MS + first_request, Scheduled::Request(router));
-            simulation.schedule(RESTART_MS + list_delay, Scheduled::Restart(router));
+            simulation.schedule(START_MS + first_request, Scheduled::Request { router });
+            simulation.schedule(RESTART_MS + list_delay, Scheduled::Restart { router });
         }
         simulation
     }
@@ -130,7 +135,7 @@
         self.routers[router].handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Timer { delay, .. } => self.schedule(now + delay, Scheduled::Timer(router)),
+                Action::Timer { delay, .. } => self.schedule(now + delay, Scheduled::Timer { router }),
                 Action::StartAttempt(attempt) => {
                     if attempt.fill_source == self.restarted_parent {
                         self.arrivals.push(now);
@@ -148,7 +153,7 @@
                         load: LoadReport::default(),
                         body_complete: true,
                     };
-                    self.schedule(now + latency, Scheduled::Response(router, Box::new(outcome)));
+                    self.schedule(now + latency, Scheduled::Response { router, outcome: Box::new(outcome) });
                 }
                 Action::CancelAttempt { .. } | Action::Reject { .. } | Action::Fail(_) => {}
                 Action::WatchEndpoints | Action::Log(_) => {}
@@ -164,10 +169,10 @@
                 break;
             }
             match scheduled {
-                Scheduled::Request(router) => self.send_request(now, router),
-                Scheduled::Timer(router) => self.handle(now, router, Event::Timer(1)),
-                Scheduled::Restart(router) => self.handle(now, router, list_event(Some(RESTART_MS))),
-                Scheduled::Response(router, outcome) => self.handle(now, router, Event::Outcome(*outcome)),
+                Scheduled::Request { router } => self.send_request(now, router),
+                Scheduled::Timer { router } => self.handle(now, router, Event::Timer(1)),
+                Scheduled::Restart { router } => self.handle(now, router, list_event(Some(RESTART_MS))),
+                Scheduled::Response { router, outcome } => self.handle(now, router, Event::Outcome(*outcome)),
             }
         }
         self.arrivals.retain(|at| *at >= RESTART_MS);
@@ -177,7 +182,7 @@
     fn send_request(&mut self, now: Ms, router: usize) {
         let interval = self.next_interval();
         let object = (draw(&mut self.rng) * OBJECTS) as u64;
-        self.schedule(now + interval, Scheduled::Request(router));
+        self.schedule(now + interval, Scheduled::Request { router });
         let request = Request {
             id: RequestId(Arc::from(format!("r{}", self.scheduled))),
             class: Some(ClassId(0)),
--- a/crates/experiments/src/capacity/overlay.rs
+++ b/crates/experiments/src/capacity/overlay.rs
@@ -75,21 +75,27 @@
     regions: usize,
 }
 
+/// A position on the axis of one failure domain.
+struct DomainPoint {
+    axis: &'static str,
+    x: usize,
+    counts: DomainCounts,
+}
+
 impl Domains {
-    /// Returns each point: the axis, the position on it, and the numbers of failure domains.
-    fn points(&self) -> Vec<(&'static str, usize, DomainCounts)> {
+    fn points(&self) -> Vec<DomainPoint> {
         let default = self.default;
         let sites = self.sites.iter().map(|n| {
             let counts = DomainCounts { sites: *n, ..default };
-            ("sites of an overlay", *n, counts)
+            DomainPoint { axis: "sites of an overlay", x: *n, counts }
         });
         let zones = self.zones.iter().map(|n| {
             let counts = DomainCounts { zones: *n, ..default };
-            ("zones of an overlay", *n, counts)
+            DomainPoint { axis: "zones of an overlay", x: *n, counts }
         });
         let regions = self.regions.iter().map(|n| {
             let counts = DomainCounts { regions: *n, ..default };
-            ("regions of an overlay", *n, counts)
+            DomainPoint { axis: "regions of an overlay", x: *n, counts }
         });
         sites.chain(zones).chain(regions).collect()
     }
@@ -184,9 +190,11 @@
         let setup = Setup { change_log, ..reference(max_purges) };
         all.push(Measurement { setup, axis: "routers in an overlay", x: sizes.reference_routers, figures });
     }
-    for (axis, x, DomainCounts { sites, zones, regions }) in sizes.domains.points() {
+    for DomainPoint { axis, x, counts } in sizes.domains.points() {
         let mut setup = reference(max_purges);
-        (setup.shape.sites, setup.shape.zones, setup.shape.regions) = (sites, zones, regions);
+        setup.shape.sites = counts.sites;
+        setup.shape.zones = counts.zones;
+        setup.shape.regions = counts.regions;
         all.push(Measurement { setup, axis, x, figures: &FIGURES });
     }
     for n in &sizes.losses {
--- a/crates/experiments/src/partial.rs
+++ b/crates/experiments/src/partial.rs
@@ -5,8 +5,8 @@
 mod processes;
 
 use crate::comparison::{ChartLabels, ExperimentResult};
-use crate::experiment::{check_bounds_of_one_run, has_form, read_text, Bound, Variant};
-use crate::runs::{Figures, RunResult};
+use crate::experiment::{check_bounds_of_one_run, has_form, read_text, Bound};
+use crate::runs::Figures;
 use basaltgw_config::yaml::{compile_schema, Document, YamlError};
 use basaltgw_scatter_gather::sim::{compare_strategies, find_violations, Fault, Setup, StrategyKind};
 use serde::Deserialize;
@@ -124,19 +124,18 @@
     let seed = seed.unwrap_or(experiment.seed);
     println!("{}: {} Seed {seed}.", experiment.name, experiment.about);
     let started = Instant::now();
-    let (mut figures, seconds, mut messages) = processes::run(&experiment, quick, seed)?;
+    let mut run = processes::run(&experiment, quick, seed)?;
     let simulated_routers = experiment.simulated_routers.get(quick);
     let (simulated_figures, simulated_messages) = run_simulated(simulated_routers, seed)?;
-    figures.extend(simulated_figures);
-    messages.extend(simulated_messages);
-    figures.insert("simulated_routers".into(), simulated_routers as f64);
-    figures.insert("wall_s".into(), started.elapsed().as_secs_f64());
-    messages.iter().for_each(|message| println!("      {message}"));
-    let variant = Variant::Described;
+    run.figures.extend(simulated_figures);
+    run.messages.extend(simulated_messages);
+    run.figures.insert("simulated_routers".into(), simulated_routers as f64);
+    run.figures.insert("wall_s".into(), started.elapsed().as_secs_f64());
+    run.messages.iter().for_each(|message| println!("      {message}"));
     let result = ExperimentResult {
         name: experiment.name,
         seed,
-        runs: vec![RunResult { routers: processes::ROUTERS, variant, figures, seconds, messages }],
+        runs: vec![run],
         bounds: experiment.bounds,
         summary_figures: experiment.summary_figures,
         chart: ChartLabels { title: "answers", unit: "share complete or in part" },
--- a/crates/experiments/src/partial/processes.rs
+++ b/crates/experiments/src/partial/processes.rs
@@ -2,7 +2,8 @@
 
 use super::client::{find_violations, Client, Downtime, RequestLog, RequestRecord, COMPLETE, PARTIAL};
 use super::Experiment;
-use crate::runs::{answered_share, router_program, Figures};
+use crate::experiment::Variant;
+use crate::runs::{answered_share, router_program, Figures, RunResult};
 use basaltgw_emulator::rig::{Rig, Spec};
 use basaltgw_simulator::{draw, rng, Rng};
 use std::net::SocketAddr;
@@ -10,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Routers and sites of the experiment.
-pub const ROUTERS: usize = 3;
+const ROUTERS: usize = 3;
 /// Parts of each object, one in each branch.
 const PARTS: [u64; ROUTERS] = [0, 1, 2];
 /// Time within which a router has to serve after its start.
@@ -234,12 +235,8 @@
     }
 }
 
-/// Runs the router processes; returns the figures, the answered share of each second, and messages.
-pub fn run(
-    experiment: &Experiment,
-    quick: bool,
-    seed: u64,
-) -> Result<(Figures, Vec<f64>, Vec<String>), String> {
+/// Runs the router processes under all faults.
+pub fn run(experiment: &Experiment, quick: bool, seed: u64) -> Result<RunResult, String> {
     let rig = start_rig(experiment, seed)?;
     let addresses = rig.routers.iter().map(|router| router.client_relay.address).collect();
     let (log, ids) = (RequestLog::new(), AtomicU64::new(1));
@@ -268,7 +265,7 @@
     let seconds = answered_by_second(&records, log.now_ms());
     let mut messages = results.messages;
     messages.extend(violations.into_iter().take(MAX_REPORTED_VIOLATIONS));
-    Ok((figures, seconds, messages))
+    Ok(RunResult { routers: ROUTERS, variant: Variant::Described, figures, seconds, messages })
 }
 
 /// Returns the figures of all requests and faults.
