--- a/crates/emulator/src/rig/scenario.rs
+++ b/crates/emulator/src/rig/scenario.rs
@@ -13,7 +13,7 @@
 
 /// All routers have to serve within this time after their start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often due faults and purges are looked for.
+/// The time between two polls for faults and purges that are due.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The name in figures of faults that were due after the end of the run.
 const NOT_REACHED: &str = "not_reached";
@@ -94,7 +94,7 @@
 fn wait_until_all_serving(rig: &Rig) -> Result<(), String> {
     for router in 0..rig.len() {
         if !rig.wait_until_serving(router, START_TIMEOUT) {
-            let log = rig.routers[router].log();
+            let log = rig.routers[router].log_text();
             let last_line = log.lines().last().unwrap_or("its log is empty");
             return Err(format!("router {router} does not serve: {last_line}"));
         }
