--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -37,9 +37,14 @@
     TimersDue,
     /// A batch of events ends: all pending writes go into one [`Action::Commit`], if there are any.
     Flush,
-    /// The commit of this number is durable (`true`) or failed (`false`). Commits finish in the order of their numbers. The caller sends
-    /// [`Event::Flush`] afterwards, because the outcome may produce further writes.
-    CommitFinished(u64, bool),
+    /// A commit has finished. Commits finish in the order of their numbers. The caller sends [`Event::Flush`] afterwards, because the outcome
+    /// may produce further writes.
+    CommitFinished {
+        /// Number of the commit in [`Action::Commit`].
+        number: u64,
+        /// Whether its writes are durable; otherwise it failed.
+        durable: bool,
+    },
 }
 
 /// Output of [`crate::Control::handle`], to be executed in order.
@@ -56,9 +61,14 @@
         /// Encoded message.
         body: Vec<u8>,
     },
-    /// From now on a link to this router is wanted (`true`) or no longer wanted (`false`). Used with persistent links only. A wanted router is
-    /// dialed until it is connected; [`Event::LinkUp`] follows even if the link already existed.
-    SetLinkWanted(RouterId, bool),
+    /// Tell the transport whether a link to a router is wanted. Used with persistent links only. A wanted router is dialed until it is
+    /// connected; [`Event::LinkUp`] follows even if the link already existed.
+    SetLinkWanted {
+        /// Router to be linked.
+        router: RouterId,
+        /// Whether the link is wanted from now on.
+        wanted: bool,
+    },
     /// Advertise this table in the router's own hello from now on.
     AdvertiseTable(TableVersion, TableHash),
     /// Commit these writes atomically under this number; answered by [`Event::CommitFinished`].
@@ -102,9 +112,11 @@
     Response(RequestNumber, Response),
     /// Another router, or an earlier incarnation of this one, observed a purge.
     Purge(Purge),
-    /// The purges from before this start are complete (`true`) or can't be obtained (`false`). If they can't, the owner treats every cached
-    /// copy from before the start as purged.
-    PurgesKnown(bool),
+    /// The startup sync of the purges from before this start has ended.
+    PurgesKnown {
+        /// Whether these purges are complete. If they can't be obtained, the owner treats every cached copy from before the start as purged.
+        complete: bool,
+    },
     /// Purges were missed that no router can supply any more: the owner treats every cached copy as purged now. May occur repeatedly.
     PurgesMissed,
     /// Placement table in effect at this router.
--- a/crates/control/src/control/actions.rs
+++ b/crates/control/src/control/actions.rs
@@ -94,7 +94,7 @@
         for action in actions {
             match action {
                 membership::Action::Send(to, body) => self.send(0, to, Lane::Membership, body),
-                membership::Action::Timer(delay, token) => {
+                membership::Action::Timer { delay, token } => {
                     self.timers.schedule(now + delay, Timer::Membership(token));
                 }
                 membership::Action::StateChanged(presence, state) => {
--- a/crates/control/src/control/mod.rs
+++ b/crates/control/src/control/mod.rs
@@ -138,7 +138,7 @@
             Event::Request(request) => self.on_request(now, request),
             Event::TimersDue => self.on_timers_due(now),
             Event::Flush => self.flush(now),
-            Event::CommitFinished(number, durable) => self.on_commit_finished(now, number, durable),
+            Event::CommitFinished { number, durable } => self.on_commit_finished(now, number, durable),
         }
         self.update_links(now);
         actions.append(&mut self.actions);
--- a/crates/control/src/control/persistent_links.rs
+++ b/crates/control/src/control/persistent_links.rs
@@ -295,8 +295,9 @@
                 links.closing.insert(router.clone());
             }
         }
-        self.actions.extend(added.into_iter().map(|router| Action::SetLinkWanted(router, true)));
-        self.actions.extend(removed.into_iter().map(|router| Action::SetLinkWanted(router, false)));
+        self.actions.extend(added.into_iter().map(|router| Action::SetLinkWanted { router, wanted: true }));
+        self.actions
+            .extend(removed.into_iter().map(|router| Action::SetLinkWanted { router, wanted: false }));
     }
 
     fn report_failed_sends(&mut self, now: Ms) {
--- a/crates/control/src/control/startup.rs
+++ b/crates/control/src/control/startup.rs
@@ -59,7 +59,7 @@
         let is_complete = self.has_complete_startup_purges(now);
         if is_complete || now >= self.startup.started_at + STARTUP_TIMEOUT_MS {
             self.startup.finished = true;
-            self.notify(ControlNotification::PurgesKnown(is_complete));
+            self.notify(ControlNotification::PurgesKnown { complete: is_complete });
             self.fail_pending_dials(now);
         }
     }
--- a/crates/control/tests/control/commits.rs
+++ b/crates/control/tests/control/commits.rs
@@ -62,11 +62,11 @@
         match action {
             Action::Commit(number, writes) => commits.push((number, writes)),
             Action::Notify(ControlNotification::Table(version, _)) => tables.push(version.0),
-            Action::AdvertiseTable(..) | Action::Send { .. } | Action::SetLinkWanted(..) => {}
+            Action::AdvertiseTable(..) | Action::Send { .. } | Action::SetLinkWanted { .. } => {}
             Action::Notify(
                 ControlNotification::Response(..)
                 | ControlNotification::Purge(_)
-                | ControlNotification::PurgesKnown(_)
+                | ControlNotification::PurgesKnown { .. }
                 | ControlNotification::PurgesMissed,
             ) => {}
             Action::Notify(ControlNotification::Policies(_) | ControlNotification::Evidence(..)) => {}
@@ -110,14 +110,16 @@
     let (commits, tables) = handle(&mut control, 11.0, table_state(&first));
     assert!(tables.is_empty() && table_write(&commits[0].1).is_some());
     // The commit fails: the table does not take effect, and the next flush commits it again.
-    let (retries, tables) = handle(&mut control, 12.0, Event::CommitFinished(commits[0].0, false));
+    let (retries, tables) =
+        handle(&mut control, 12.0, Event::CommitFinished { number: commits[0].0, durable: false });
     assert!(tables.is_empty() && table_write(&retries[0].1) == table_write(&commits[0].1));
     assert!(control.counts().commits_failed == 1 && control.counts().tables_adopted == 0);
-    let (_, tables) = handle(&mut control, 13.0, Event::CommitFinished(retries[0].0, true));
+    let (_, tables) =
+        handle(&mut control, 13.0, Event::CommitFinished { number: retries[0].0, durable: true });
     assert_eq!((tables.len(), control.counts().tables_adopted), (1, 1));
     // A second outcome of the same commit is ignored.
     assert_eq!(
-        handle(&mut control, 14.0, Event::CommitFinished(retries[0].0, true)),
+        handle(&mut control, 14.0, Event::CommitFinished { number: retries[0].0, durable: true }),
         (Vec::new(), Vec::new())
     );
 }
@@ -145,14 +147,15 @@
             if durable {
                 apply_writes(&mut stored, writes);
             }
-            let (commits, tables) = handle(&mut control, 13.0, Event::CommitFinished(number, durable));
+            let (commits, tables) = handle(&mut control, 13.0, Event::CommitFinished { number, durable });
             assert!(durable || tables.is_empty(), "{tables:?} after a failure, {outcomes:?} {is_reversed}");
             notified.extend(tables);
             retries.extend(commits);
         }
         while let Some((number, writes)) = retries.pop() {
             apply_writes(&mut stored, writes);
-            let (commits, tables) = handle(&mut control, 14.0, Event::CommitFinished(number, true));
+            let (commits, tables) =
+                handle(&mut control, 14.0, Event::CommitFinished { number, durable: true });
             notified.extend(tables);
             retries.extend(commits);
         }
--- a/crates/control/tests/control/network/mod.rs
+++ b/crates/control/tests/control/network/mod.rs
@@ -199,7 +199,7 @@
     fn execute(&mut self, n: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::SetLinkWanted(router, wanted) => self.set_link_wanted(n, &router, wanted),
+                Action::SetLinkWanted { router, wanted } => self.set_link_wanted(n, &router, wanted),
                 Action::Send { number, to, lane, body } => self.send(n, number, &to, lane, body),
                 Action::AdvertiseTable(version, hash) => self.advertise_table(n, version, hash),
                 Action::Commit(number, writes) => {
@@ -277,7 +277,7 @@
         if durable {
             apply_writes(&mut self.nodes[n].stored, writes);
         }
-        self.deliver(n, Event::CommitFinished(number, durable));
+        self.deliver(n, Event::CommitFinished { number, durable });
     }
 
     /// Runs for a span of simulated milliseconds.
@@ -310,7 +310,7 @@
             ControlNotification::Response(of, response) if *of == number => Some(response),
             ControlNotification::Response(..)
             | ControlNotification::Purge(_)
-            | ControlNotification::PurgesKnown(_)
+            | ControlNotification::PurgesKnown { .. }
             | ControlNotification::PurgesMissed
             | ControlNotification::Table(..) => None,
             ControlNotification::Policies(_) | ControlNotification::Evidence(..) => None,
@@ -323,7 +323,7 @@
             ControlNotification::Table(version, _) => Some(version.0),
             ControlNotification::Response(..)
             | ControlNotification::Purge(_)
-            | ControlNotification::PurgesKnown(_)
+            | ControlNotification::PurgesKnown { .. }
             | ControlNotification::PurgesMissed => None,
             ControlNotification::Policies(_) | ControlNotification::Evidence(..) => None,
         });
@@ -333,7 +333,7 @@
     /// Whether the startup sync of router `n` succeeded.
     pub fn has_synced_purges(&self, n: usize) -> bool {
         let notifications = &self.nodes[n].notifications;
-        notifications.iter().any(|n| matches!(n, ControlNotification::PurgesKnown(true)))
+        notifications.iter().any(|n| matches!(n, ControlNotification::PurgesKnown { complete: true }))
     }
 
     fn state(&self) -> String {
--- a/crates/control/tests/control/network/node.rs
+++ b/crates/control/tests/control/network/node.rs
@@ -60,7 +60,7 @@
     for action in actions {
         match action {
             Action::Notify(notification) => notifications.push(notification),
-            Action::SetLinkWanted(..) => initial_actions.push(action),
+            Action::SetLinkWanted { .. } => initial_actions.push(action),
             Action::Send { .. } | Action::AdvertiseTable(..) | Action::Commit(..) => {}
         }
     }
--- a/crates/control/tests/control/overlay.rs
+++ b/crates/control/tests/control/overlay.rs
@@ -35,7 +35,7 @@
 /// Outcomes of the startup sync.
 fn startup_outcomes(net: &Network, n: usize) -> Vec<bool> {
     let outcome = |t: &ControlNotification| match t {
-        ControlNotification::PurgesKnown(complete) => Some(*complete),
+        ControlNotification::PurgesKnown { complete } => Some(*complete),
         ControlNotification::Response(..)
         | ControlNotification::Purge(_)
         | ControlNotification::PurgesMissed
--- a/crates/fleet_simulation/src/mesh.rs
+++ b/crates/fleet_simulation/src/mesh.rs
@@ -149,13 +149,13 @@
         let mut table_changed = false;
         out.extend(self.actions.drain(..).map(|action| match action {
             Action::Send { number, to, lane, body } => ControlPlaneAction::Send { number, to, lane, body },
-            Action::SetLinkWanted(router, true) => ControlPlaneAction::Dial(router),
-            Action::SetLinkWanted(router, false) => ControlPlaneAction::Close(router),
+            Action::SetLinkWanted { router, wanted: true } => ControlPlaneAction::Dial(router),
+            Action::SetLinkWanted { router, wanted: false } => ControlPlaneAction::Close(router),
             Action::AdvertiseTable(version, hash) => ControlPlaneAction::AdvertiseTable(version, hash),
             Action::Commit(number, writes) => ControlPlaneAction::Commit(number, writes),
             Action::Notify(notification) => ControlPlaneAction::Notify(match notification {
                 ControlNotification::Purge(purge) => Notification::Purge(purge),
-                ControlNotification::PurgesKnown(known) => Notification::PurgesKnown(known),
+                ControlNotification::PurgesKnown { complete } => Notification::PurgesKnown(complete),
                 ControlNotification::Table(version, hash) => {
                     table_changed = true;
                     Notification::Table(version, hash)
@@ -246,7 +246,7 @@
             ControlPlaneEvent::ChangeLogPurge(purge) => Event::Request(ControlRequest::Purge(purge)),
             ControlPlaneEvent::TimersDue => Event::TimersDue,
             ControlPlaneEvent::Flush => Event::Flush,
-            ControlPlaneEvent::CommitFinished(number, durable) => Event::CommitFinished(number, durable),
+            ControlPlaneEvent::CommitFinished(number, durable) => Event::CommitFinished { number, durable },
         };
         self.control.handle(now, event, &mut self.actions);
         self.translate_actions(out);
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -116,7 +116,7 @@
         if !self.updates.contains_key(&key) {
             if self.sites_of(&key.origin) >= settings.max_sites_per_router {
                 let limit = settings.max_sites_per_router;
-                return Err(MembershipError::LimitReached("sites of one router", limit));
+                return Err(MembershipError::LimitReached { limited: "sites of one router", limit });
             }
             if self.updates.len() >= settings.max_evidence && !self.evict_older(now, update.evidence.age_ms) {
                 return Ok(false);
@@ -177,16 +177,17 @@
 /// Checks the ranges of evidence.
 ///
 /// # Errors
-/// [`MembershipError::Evidence`] names the first field that is invalid.
+/// [`MembershipError::InvalidEvidence`] names the first field that is invalid.
 pub(crate) fn validate(evidence: &Evidence) -> Result<(), MembershipError> {
     let site = &evidence.site;
     if !(1..=MAX_SITE_BYTES).contains(&site.len()) || site.chars().any(char::is_control) {
-        let expected = format!("expected 1 to {MAX_SITE_BYTES} bytes of plain text");
-        return Err(MembershipError::Evidence("site", expected));
+        let problem = format!("expected 1 to {MAX_SITE_BYTES} bytes without control characters");
+        return Err(MembershipError::InvalidEvidence { field: "site", problem });
     }
     for (field, span) in [("latency", evidence.latency_ms), ("age", evidence.age_ms)] {
         if !(span.is_finite() && span >= 0.0) {
-            return Err(MembershipError::Evidence(field, format!("expected 0 ms or more, found {span}")));
+            let problem = format!("expected 0 ms or more, found {span}");
+            return Err(MembershipError::InvalidEvidence { field, problem });
         }
     }
     Ok(())
--- a/crates/membership/src/inbound.rs
+++ b/crates/membership/src/inbound.rs
@@ -64,8 +64,8 @@
 
     fn check_listed(&self, member: &Member) -> Result<(), MembershipError> {
         if member.router == self.me().member.router {
-            let says = self.me().member.clone();
-            return Err(MembershipError::SenderMismatch { from: member.clone(), says });
+            let claimed = self.me().member.clone();
+            return Err(MembershipError::SenderMismatch { from: member.clone(), claimed });
         }
         match self.settings.listed_routers.contains(&member.router) {
             true => Ok(()),
@@ -78,7 +78,7 @@
         let max = self.settings.max_members;
         match self.known.contains_key(&from.router) || self.known.len() + 1 < max {
             true => Ok(()),
-            false => Err(MembershipError::LimitReached("routers", max)),
+            false => Err(MembershipError::LimitReached { limited: "routers", limit: max }),
         }
     }
 
@@ -132,9 +132,10 @@
         let own_name = &self.me().member.router;
         let other = own.map(|known| &known.identity).filter(|identity| identity.router() != own_name);
         match Some(sender).filter(|sender| sender.member() != from).or(other) {
-            Some(identity) => {
-                Err(MembershipError::SenderMismatch { from: from.clone(), says: identity.member().clone() })
-            }
+            Some(identity) => Err(MembershipError::SenderMismatch {
+                from: from.clone(),
+                claimed: identity.member().clone(),
+            }),
             None => Ok(()),
         }
     }
@@ -201,8 +202,8 @@
         let mut message = SwimMessage::decode(bytes)?;
         let sender = &message.header.src;
         if sender.member() != from {
-            let says = sender.member().clone();
-            return Err(MembershipError::SenderMismatch { from: from.clone(), says });
+            let claimed = sender.member().clone();
+            return Err(MembershipError::SenderMismatch { from: from.clone(), claimed });
         }
         self.check_member_limit(from)?;
         let known = self.known.get(&from.router);
--- a/crates/membership/src/inbound/tests.rs
+++ b/crates/membership/src/inbound/tests.rs
@@ -63,7 +63,8 @@
     assert!(result.is_ok() && actions.iter().any(|a| matches!(a, Action::RemoteEvidence(..))), "{actions:?}");
     let (_, result, actions) = receive(&sender, vec![update(1.0), update(f64::NAN)]);
     assert!(
-        matches!(result, Err(MembershipError::Evidence("latency", _))) && actions.is_empty(),
+        matches!(result, Err(MembershipError::InvalidEvidence { field: "latency", .. }))
+            && actions.is_empty(),
         "{result:?} {actions:?}"
     );
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -91,7 +91,7 @@
     MessageReceived(Member, Vec<u8>),
     /// Evidence that this router has observed.
     LocalEvidence(Evidence),
-    /// The timer of this number expired; timers that expire together come in the order of their times. Unknown numbers have no effect.
+    /// The timer with this token has expired; timers are passed in the order in which they expire. An unknown token has no effect.
     Timer(u64),
     /// This router shuts down.
     Leave,
@@ -102,8 +102,13 @@
 pub enum Action {
     /// Sends bytes to another membership.
     Send(Member, Vec<u8>),
-    /// Starts a timer: the delay in milliseconds, and its number.
-    Timer(Ms, u64),
+    /// Starts a timer.
+    Timer {
+        /// The time after which it expires, in milliseconds.
+        delay: Ms,
+        /// The number that [`Event::Timer`] returns.
+        token: u64,
+    },
     /// A router's state has changed.
     StateChanged(Presence, State),
     /// Another router has observed evidence.
@@ -116,15 +121,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
     /// The router is not one that the configuration lists.
-    #[error("{0}: expected a router that is listed")]
+    #[error("{0} is not a listed router")]
     NotListed(RouterId),
-    /// A message speaks for another router than its sender, or for this router.
-    #[error("{from}: a message that speaks for {says}")]
+    /// A message names another router than its sender, or comes under the name of this router.
+    #[error("{from}: a message in the name of {claimed}")]
     SenderMismatch {
         /// The sender.
         from: Member,
-        /// The router in the message.
-        says: Member,
+        /// The router that the message names.
+        claimed: Member,
     },
     /// A message can't be decoded.
     #[error("membership message: {0}")]
@@ -138,12 +143,27 @@
         found_bytes: usize,
     },
     /// A limit is reached.
-    #[error("{0}: the limit of {1} is reached")]
-    LimitReached(&'static str, usize),
+    #[error("{limited}: the limit of {limit} is reached")]
+    LimitReached {
+        /// What is limited.
+        limited: &'static str,
+        /// The limit.
+        limit: usize,
+    },
     /// A field of evidence is out of range.
-    #[error("evidence: {0}: {1}")]
-    Evidence(&'static str, String),
+    #[error("evidence: {field}: {problem}")]
+    InvalidEvidence {
+        /// The first field that is out of range.
+        field: &'static str,
+        /// What was expected, and what was found.
+        problem: String,
+    },
     /// A setting is out of range.
-    #[error("roster.{0}: expected {1}")]
-    Setting(&'static str, &'static str),
+    #[error("roster.{setting}: expected {expected}")]
+    Setting {
+        /// Its name in the configuration.
+        setting: &'static str,
+        /// The expected values.
+        expected: &'static str,
+    },
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -37,8 +37,8 @@
     pub library_errors: u64,
     /// Times that this router returned after others considered it down.
     pub rejoins: u64,
-    /// Events after the end.
-    pub after_end: u64,
+    /// Events after this router has left, or was replaced by another incarnation.
+    pub after_leaving: u64,
 }
 
 /// The current identity of a name, and its state.
@@ -94,7 +94,7 @@
         let start = rng.next_u64();
         let identity = RouterIdentity::new(me);
         if !identity.is_valid() {
-            return Err(MembershipError::Setting("me", "plain names"));
+            return Err(MembershipError::Setting { setting: "me", expected: "plain names" });
         }
         Ok(Self {
             swim: Foca::new(identity, settings.swim_config(), rng, PostcardCodec),
@@ -138,7 +138,7 @@
         actions: &mut Vec<Action>,
     ) -> Result<(), MembershipError> {
         if self.has_left {
-            self.counters.after_end += 1;
+            self.counters.after_leaving += 1;
             return Ok(());
         }
         let result = match event {
@@ -180,7 +180,7 @@
     pub(crate) fn set_evidence_timer(&mut self, actions: &mut Vec<Action>) {
         if !self.evidence.timer_is_set && self.evidence.store.has_pending() {
             self.evidence.timer_is_set = true;
-            actions.push(Action::Timer(self.settings.gossip_interval, EVIDENCE_TIMER));
+            actions.push(Action::Timer { delay: self.settings.gossip_interval, token: EVIDENCE_TIMER });
         }
     }
 
@@ -231,7 +231,7 @@
         let number = self.timers.next_number;
         self.timers.next_number += 1;
         self.timers.by_number.insert(number, timer);
-        actions.push(Action::Timer(delay.as_secs_f64() * MS_PER_SECOND, number));
+        actions.push(Action::Timer { delay: delay.as_secs_f64() * MS_PER_SECOND, token: number });
     }
 
     /// Stores a router's identity and state, and reports what has changed.
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -107,7 +107,8 @@
             (evidence_fits, "evidence_bytes", "256 to 65,536"),
         ];
         let invalid = checks.into_iter().find(|(fits, _, _)| !fits);
-        invalid.map_or(Ok(()), |(_, name, expected)| Err(MembershipError::Setting(name, expected)))
+        invalid
+            .map_or(Ok(()), |(_, name, expected)| Err(MembershipError::Setting { setting: name, expected }))
     }
 
     /// The longest message between two memberships.
--- a/crates/membership/tests/bounds.rs
+++ b/crates/membership/tests/bounds.rs
@@ -27,7 +27,7 @@
                     sent.extend((at == 1).then(|| bytes.clone()));
                     events.push_back((1 - at, Event::MessageReceived(presence(at, 1).member, bytes)));
                 }
-                Action::Timer(_, number) => events.push_back((at, Event::Timer(number))),
+                Action::Timer { token, .. } => events.push_back((at, Event::Timer(token))),
                 Action::StateChanged(..) | Action::RemoteEvidence(..) | Action::Log(_) => {}
             }
         }
@@ -68,11 +68,11 @@
     let (mut membership, sent) = pair();
     let mut out = Vec::new();
     let mut rejection = |event| membership.handle(2.0, event, &mut out).expect_err("rejected").to_string();
-    assert_eq!(rejection(Event::LinkUp(presence(9, 1))), "r9: expected a router that is listed");
+    assert_eq!(rejection(Event::LinkUp(presence(9, 1))), "r9 is not a listed router");
     let own = rejection(Event::LinkUp(presence(0, 7)));
-    assert!(own.contains("a message that speaks for r0"), "{own}");
+    assert!(own.contains("a message in the name of r0"), "{own}");
     let other = rejection(Event::MessageReceived(presence(2, 1).member, sent[0].clone()));
-    assert!(other.contains("r2/") && other.contains("speaks for r1/"), "{other}");
+    assert!(other.contains("r2/") && other.contains("in the name of r1/"), "{other}");
     let long = rejection(Event::MessageReceived(presence(1, 1).member, vec![0; 100_000]));
     assert!(long.contains("expected at most") && long.contains("100000"), "{long}");
     for (site, latency, age) in [("", 0.0, 0.0), ("a", f64::NAN, 0.0), ("a", 0.0, -1.0), ("a\nb", 0.0, 0.0)] {
@@ -95,7 +95,8 @@
     assert!(error(Settings { max_members: 4, ..listed(3) }).starts_with("roster.most_members:"));
     let mut me: Presence = presence(0, 1);
     me.member.router = RouterId("a b".into());
-    assert_eq!(Membership::new(me, listed(3), 1).err(), Some(MembershipError::Setting("me", "plain names")));
+    let expected = MembershipError::Setting { setting: "me", expected: "plain names" };
+    assert_eq!(Membership::new(me, listed(3), 1).err(), Some(expected));
 }
 
 #[test]
@@ -129,7 +130,7 @@
         membership.handle(1.0, Event::LocalEvidence(evidence), &mut out)
     };
     assert!((0..4).all(|i| observe(i) == Ok(())));
-    assert_eq!(observe(4), Err(MembershipError::LimitReached("sites of one router", 4)));
+    assert_eq!(observe(4), Err(MembershipError::LimitReached { limited: "sites of one router", limit: 4 }));
     assert_eq!(observe(3), Ok(()), "newer evidence on a known site is accepted");
     assert_eq!(presence(0, 1).member.incarnation, Incarnation(1));
 }
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -140,7 +140,7 @@
                         self.schedule(delay, there, Event::MessageReceived(from, bytes));
                     }
                 }
-                Action::Timer(after, number) => self.schedule(after, at, Event::Timer(number)),
+                Action::Timer { delay, token } => self.schedule(delay, at, Event::Timer(token)),
                 Action::StateChanged(who, state) => {
                     self.nodes[at].states.insert(who.member, state);
                 }
--- a/crates/node/src/fleet/replication_thread.rs
+++ b/crates/node/src/fleet/replication_thread.rs
@@ -182,7 +182,7 @@
                         self.backlog.failed_sends.push(number);
                     }
                 }
-                Action::SetLinkWanted(router, wanted) => {
+                Action::SetLinkWanted { router, wanted } => {
                     self.backlog.wanted_links.insert(router, wanted);
                     self.send_wanted_links();
                 }
@@ -196,7 +196,7 @@
         self.actions = actions;
         let committed = commits.iter().any(|(_, ok)| *ok);
         for (number, ok) in commits {
-            self.handle(now, Event::CommitFinished(number, ok));
+            self.handle(now, Event::CommitFinished { number, durable: ok });
         }
         committed
     }
@@ -204,7 +204,7 @@
     /// Tells the transport which links are wanted, as far as its ring has capacity.
     fn send_wanted_links(&mut self) {
         while let Some((router, wanted)) = self.backlog.wanted_links.pop_first() {
-            if self.io.port.send(LinkCommand::SetWanted(router.clone(), wanted)).is_err() {
+            if self.io.port.send(LinkCommand::SetWanted { router: router.clone(), wanted }).is_err() {
                 self.backlog.wanted_links.insert(router, wanted);
                 return;
             }
--- a/crates/node/src/owner/fleet_events.rs
+++ b/crates/node/src/owner/fleet_events.rs
@@ -29,7 +29,7 @@
                 let (group, object) = (GroupId(purge.group), purge.object.map(ObjectId));
                 self.on_replicated_purge(Purged { object, group, time: purge.time as Ms });
             }
-            ControlNotification::PurgesKnown(known) => self.on_purges_known(known),
+            ControlNotification::PurgesKnown { complete } => self.on_purges_known(complete),
             ControlNotification::PurgesMissed => {
                 log::warn!(
                     "purges were missed: cached copies from before now are not served until purges converge"
--- a/crates/overlay/src/frame.rs
+++ b/crates/overlay/src/frame.rs
@@ -123,7 +123,7 @@
     /// Decodes a frame of at most `max_bytes`.
     pub fn decode(&mut self, bytes: &[u8], max_bytes: usize) -> Result<Vec<Part>, OverlayError> {
         if bytes.len() > max_bytes {
-            return Err(OverlayError::TooLong { most: max_bytes, found: bytes.len() });
+            return Err(OverlayError::TooLong { max_bytes, found_bytes: bytes.len() });
         }
         let malformed = |error| OverlayError::MalformedFrame(format!("can't be decoded: {error}"));
         let (frame, remainder): (Frame, _) = postcard::take_from_bytes(bytes).map_err(malformed)?;
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -143,9 +143,14 @@
 /// Error of an overlay. The state is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverlayError {
-    /// A setting is out of its bounds: its name, and the expected values.
-    #[error("overlay.{0}: expected {1}")]
-    Setting(&'static str, &'static str),
+    /// A setting is out of its bounds.
+    #[error("overlay.{setting}: expected {expected}")]
+    Setting {
+        /// Its name in the configuration.
+        setting: &'static str,
+        /// The expected values.
+        expected: &'static str,
+    },
     /// A router is listed twice.
     #[error("list: {0} is listed twice")]
     DuplicateRouter(RouterId),
@@ -153,11 +158,11 @@
     #[error("overlay frame: {0}")]
     MalformedFrame(String),
     /// A frame is too long.
-    #[error("overlay frame: expected at most {most} bytes, found {found}")]
+    #[error("overlay frame: expected at most {max_bytes} bytes, found {found_bytes}")]
     TooLong {
         /// Largest accepted size in bytes.
-        most: usize,
+        max_bytes: usize,
         /// Size of the frame in bytes.
-        found: usize,
+        found_bytes: usize,
     },
 }
--- a/crates/overlay/src/router_list.rs
+++ b/crates/overlay/src/router_list.rs
@@ -94,10 +94,10 @@
     /// If a router is listed twice, a number of the shape is 0, or its fan-out is below 2.
     pub fn new(version: u64, shape: Shape, mut all: Vec<RouterEntry>) -> Result<Self, OverlayError> {
         if shape.relays == 0 || shape.fan_out < 2 || shape.control_eager == 0 {
-            return Err(OverlayError::Setting(
-                "shape",
-                "1 relay or more, a fan-out of 2 or more, 1 or more at a control machine",
-            ));
+            return Err(OverlayError::Setting {
+                setting: "shape",
+                expected: "1 relay or more, a fan-out of 2 or more, 1 or more at a control machine",
+            });
         }
         all.sort_by(|a, b| a.router.cmp(&b.router));
         if let Some(pair) = all.windows(2).find(|pair| pair[0].router == pair[1].router) {
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -151,7 +151,10 @@
         ];
         let bad_time = times.into_iter().find(|(ms, _)| !(*ms > 0.0 && *ms <= MAX_TIME_MS));
         if let Some((_, name)) = bad_time {
-            return Err(OverlayError::Setting(name, "more than 0 and at most a day in ms"));
+            return Err(OverlayError::Setting {
+                setting: name,
+                expected: "more than 0 and at most a day in ms",
+            });
         }
         let checks = [
             (self.max_push_children > 0, "most_eager", "1 or more"),
@@ -180,6 +183,6 @@
             (self.frame_overhead_bytes <= 1500, "frame_bytes", "at most 1,500"),
         ];
         let first = checks.into_iter().find(|(fits, _, _)| !fits);
-        first.map_or(Ok(()), |(_, name, expected)| Err(OverlayError::Setting(name, expected)))
+        first.map_or(Ok(()), |(_, name, expected)| Err(OverlayError::Setting { setting: name, expected }))
     }
 }
--- a/crates/transport/src/codec.rs
+++ b/crates/transport/src/codec.rs
@@ -70,12 +70,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum BadFrame {
     /// The length is out of range.
-    #[error("a frame of {found} bytes, expected 1 to {most}")]
+    #[error("a frame of {found} bytes, expected 1 to {max}")]
     Length {
         /// The length in the header.
         found: usize,
-        /// The longest length.
-        most: usize,
+        /// The longest length that the kind may have.
+        max: usize,
     },
     /// The checksum does not match.
     #[error("a frame with checksum {found:08x}, expected {expected:08x}")]
@@ -105,9 +105,9 @@
     type Error = BadFrame;
 
     fn encode(&mut self, (kind, body): Self::Item<'_>, to: &mut BytesMut) -> Result<(), BadFrame> {
-        let most = kind.max_body_bytes(self.max_body_bytes);
-        let length = u32::try_from(body.len() + 1).ok().filter(|_| body.len() <= most);
-        let length = length.ok_or(BadFrame::Length { found: body.len() + 1, most: most + 1 })?;
+        let max = kind.max_body_bytes(self.max_body_bytes);
+        let length = u32::try_from(body.len() + 1).ok().filter(|_| body.len() <= max);
+        let length = length.ok_or(BadFrame::Length { found: body.len() + 1, max: max + 1 })?;
         to.reserve(HEADER_BYTES + 1 + body.len());
         to.put_u32(length);
         to.put_u32(checksum(kind.number(), body));
@@ -127,9 +127,9 @@
         // The longest length follows from the kind, and is checked before memory is reserved.
         let Some(number) = from.get(HEADER_BYTES).copied() else { return Ok(None) };
         let kind = Kind::from_number(number).ok_or(BadFrame::Kind(number))?;
-        let most = kind.max_body_bytes(self.max_body_bytes) + 1;
-        if found == 0 || found > most {
-            return Err(BadFrame::Length { found, most });
+        let max = kind.max_body_bytes(self.max_body_bytes) + 1;
+        if found == 0 || found > max {
+            return Err(BadFrame::Length { found, max });
         }
         let Some(body) = from.get(HEADER_BYTES + 1..HEADER_BYTES + found) else {
             from.reserve(HEADER_BYTES + found - from.len());
--- a/crates/transport/src/connection_manager.rs
+++ b/crates/transport/src/connection_manager.rs
@@ -231,7 +231,7 @@
             LinkCommand::Send { number, to, lane, body } => {
                 self.queue_frame(to, QueuedFrame { number, user, lane, body });
             }
-            LinkCommand::SetWanted(router, wanted) => self.set_wanted(user, router, wanted),
+            LinkCommand::SetWanted { router, wanted } => self.set_wanted(user, router, wanted),
             LinkCommand::AdvertiseTable(version, hash) => {
                 self.me.borrow_mut().hello.table = (version, hash);
                 for link in self.links.borrow().values() {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -77,7 +77,12 @@
     },
     /// Whether the user wants a link to a router; only with [`DialPolicy::OnDemand`]. While any user wants one, the router is dialled until a
     /// link is up, and each failure is reported by [`LinkEvent::DialFailed`]. An existing link is reported again, and not closed as idle.
-    SetWanted(RouterId, bool),
+    SetWanted {
+        /// The router.
+        router: RouterId,
+        /// Whether the user wants a link to it from now on.
+        wanted: bool,
+    },
     /// The table that this router's hello names from now on.
     AdvertiseTable(TableVersion, TableHash),
     /// Graceful shutdown.
--- a/crates/transport/src/port.rs
+++ b/crates/transport/src/port.rs
@@ -127,7 +127,7 @@
     pub(crate) fn body_bytes(&self) -> usize {
         match self {
             Self::Send { body, .. } => body.len(),
-            Self::SetWanted(..) | Self::AdvertiseTable(..) | Self::Shutdown => 0,
+            Self::SetWanted { .. } | Self::AdvertiseTable(..) | Self::Shutdown => 0,
         }
     }
 }
--- a/crates/transport/tests/on_loopback/on_demand.rs
+++ b/crates/transport/tests/on_loopback/on_demand.rs
@@ -21,7 +21,7 @@
 }
 
 fn want(port: &mut Port, router: &Member, wanted: bool) {
-    let command = LinkCommand::SetWanted(router.router.clone(), wanted);
+    let command = LinkCommand::SetWanted { router: router.router.clone(), wanted };
     wait("capacity for a command", || port.send(command.clone()).ok());
 }
 
