--- a/crates/emulator/src/world/events.rs
+++ b/crates/emulator/src/world/events.rs
@@ -4,7 +4,7 @@
 
 /// The time between two periodic checks.
 const CHECK_INTERVAL_MS: Ms = 1_000.0;
-/// Random purges hit one of so many most popular objects of a class.
+/// The number of a class's most popular objects from which random purges are drawn.
 const PURGED_OBJECTS: u64 = 200;
 
 /// A client's request, over all retries.
--- a/crates/emulator/src/world/soak.rs
+++ b/crates/emulator/src/world/soak.rs
@@ -16,9 +16,9 @@
 const REQUESTS_AFTER_TERM_MS: Ms = 200.0;
 /// The most purges in a configuration.
 const MAX_KNOWN_PURGES: usize = 200;
-/// During [`SoakFault::CacheHalf`] one answer of so many is cut.
+/// The inverse of the probability that an answer is cut during [`SoakFault::CacheHalf`].
 const CUT_ANSWER_ONE_IN: f64 = 8.0;
-/// One client's request of so many is cancelled before its deadline.
+/// The inverse of the probability that a client cancels its request before the deadline.
 pub(super) const CANCEL_ONE_IN: f64 = 12.0;
 /// The shortest and the longest time until such a cancellation.
 pub(super) const CANCEL_DELAY_MS: [Ms; 2] = [2.0, 400.0];
--- a/crates/emulator/src/world/start.rs
+++ b/crates/emulator/src/world/start.rs
@@ -152,7 +152,7 @@
 }
 
 impl SocketRunMetrics {
-    /// Metrics of a run over so many seconds of arrivals, before its start.
+    /// Metrics of a run with this number of seconds of arrivals, before its start.
     fn new(seconds: usize) -> Self {
         Self {
             weighted_in_time_share: 0.0,
