--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -215,31 +215,35 @@
 
     /// Returns the simulator's setup of one run: this variant, at `times` the size of the file, with this seed.
     pub fn setup(&self, variant: Variant, times: usize, seed: u64) -> Setup {
+        let districts =
+            DistrictScale { count: self.fleet.districts, spare: self.fleet.spare_districts, times };
         let mut fleet = self.fleet.clone();
         fleet.zones *= times;
-        let scaled = |count: usize, spare: usize| (count - spare) * times + spare;
-        let (districts, spares) = (fleet.districts, fleet.spare_districts);
-        fleet.districts = scaled(districts, spares);
-        // Spare districts have the last numbers, so their numbers grow with the size.
-        let number = |d: usize| if d >= districts - spares { d + fleet.districts - districts } else { d };
-        let plans = self.plans.iter().map(|p| PlanShape {
-            districts: (0..times)
-                .flat_map(|k| {
-                    p.districts
-                        .iter()
-                        .filter(|d| **d < districts - spares)
-                        .map(move |d| d + k * (districts - spares))
-                })
-                .chain(p.districts.iter().filter(|d| **d >= districts - spares).map(|d| number(*d)))
-                .collect(),
-            ..p.clone()
-        });
-        let plans = plans.collect();
+        fleet.districts = districts.scaled_count();
+        let slow_start = basaltgw_hierarchy::SlowStart {
+            initial_share: fleet.rules.cold_parent.share,
+            ramp_duration: fleet.rules.cold_parent.span_ms,
+        };
+        Setup {
+            fleet,
+            load: self.load.clone(),
+            script: self.scaled_script(variant, &districts),
+            plans: self.plans.iter().map(|plan| districts.scaled_plan(plan)).collect(),
+            tree: basaltgw_hierarchy::Settings { slow_start, ..self.tree_settings(variant) },
+            length_ms: self.length_ms,
+            staged: variant != Variant::AtOnce,
+            loop_detection: variant != Variant::Blind,
+            seed,
+        }
+    }
+
+    /// Returns the script with the scaled numbers of districts; a still run has no changes of the tree.
+    fn scaled_script(&self, variant: Variant, districts: &DistrictScale) -> Vec<ScriptEvent> {
         let mut script = self.script.clone();
         for event in &mut script {
             for name in [&mut event.node, &mut event.to].into_iter().flatten() {
-                if let Some(d) = name.strip_prefix("district-").and_then(|d| d.parse::<usize>().ok()) {
-                    *name = format!("district-{}", number(d));
+                if let Some(number) = name.strip_prefix("district-").and_then(|n| n.parse::<usize>().ok()) {
+                    *name = format!("district-{}", districts.scaled_number(number));
                 }
             }
         }
@@ -253,12 +257,17 @@
             ];
             script.retain(|event| !changes.contains(&event.what));
         }
+        script
+    }
+
+    /// Returns the settings of the tree without its slow start.
+    fn tree_settings(&self, variant: Variant) -> basaltgw_hierarchy::Settings {
         let defaults = basaltgw_hierarchy::Settings {
             successes_per_step: 4,
             idle_step_duration: 2_000.0,
             ..Default::default()
         };
-        let tree = match (self.environment, variant) {
+        match (self.environment, variant) {
             // Router processes always shift traffic in steps, so the fastest steps stand in for a change applied at once.
             (Environment::Sockets, Variant::AtOnce) => basaltgw_hierarchy::Settings {
                 successes_per_step: 1,
@@ -274,24 +283,46 @@
                 ..defaults
             },
             (Environment::Simulated | Environment::Fleet, _) => defaults,
-        };
-        let slow_start = basaltgw_hierarchy::SlowStart {
-            initial_share: fleet.rules.cold_parent.share,
-            ramp_duration: fleet.rules.cold_parent.span_ms,
-        };
-        Setup {
-            fleet,
-            load: self.load.clone(),
-            script,
-            plans,
-            tree: basaltgw_hierarchy::Settings { slow_start, ..tree },
-            length_ms: self.length_ms,
-            staged: variant != Variant::AtOnce,
-            loop_detection: variant != Variant::Blind,
-            seed,
         }
     }
 }
 
+/// Scales the districts of a fleet. Spare districts have the last numbers and are not multiplied, so their numbers grow with the size.
+struct DistrictScale {
+    /// Districts in the file, spare ones included.
+    count: usize,
+    spare: usize,
+    times: usize,
+}
+
+impl DistrictScale {
+    /// Returns the number of districts that are multiplied.
+    fn regular(&self) -> usize {
+        self.count - self.spare
+    }
+
+    fn scaled_count(&self) -> usize {
+        self.regular() * self.times + self.spare
+    }
+
+    /// Returns the number of a district in the scaled fleet.
+    fn scaled_number(&self, district: usize) -> usize {
+        if district >= self.regular() {
+            district + self.scaled_count() - self.count
+        } else {
+            district
+        }
+    }
+
+    /// Returns a plan with all copies of its regular districts, followed by its spare ones.
+    fn scaled_plan(&self, plan: &PlanShape) -> PlanShape {
+        let regular = plan.districts.iter().filter(|district| **district < self.regular());
+        let spare = plan.districts.iter().filter(|district| **district >= self.regular());
+        let copies = (0..self.times).flat_map(|k| regular.clone().map(move |d| d + k * self.regular()));
+        let districts = copies.chain(spare.map(|district| self.scaled_number(*district))).collect();
+        PlanShape { districts, ..plan.clone() }
+    }
+}
+
 #[cfg(test)]
 mod tests;
