--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -106,6 +106,15 @@
     })
 }
 
+/// The number of a state in a record of the endpoint list.
+pub(crate) fn state_code(state: EndpointState) -> u8 {
+    match state {
+        EndpointState::Up => 0,
+        EndpointState::Draining => 1,
+        EndpointState::Removed => 2,
+    }
+}
+
 /// A node's record in an event of the endpoint list: id, address, state, zone, kind, cell, weight, start.
 pub fn record(node: &NodeInfo, address: SocketAddr, listed: EndpointState, started_ms: u64) -> Vec<u8> {
     let id = node
@@ -121,12 +130,7 @@
     };
     bytes.extend_from_slice(&octets);
     bytes.extend_from_slice(&address.port().to_be_bytes());
-    let state = match listed {
-        EndpointState::Up => 0,
-        EndpointState::Draining => 1,
-        EndpointState::Removed => 2,
-    };
-    bytes.extend_from_slice(&[state, node.zone as u8, kind_index(node) as u8, 0, 0]);
+    bytes.extend_from_slice(&[state_code(listed), node.zone as u8, kind_index(node) as u8, 0, 0]);
     bytes.extend_from_slice(&1000u32.to_be_bytes());
     bytes.extend_from_slice(&started_ms.to_be_bytes());
     bytes
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -2,6 +2,7 @@
 //!
 //! They pass messages on and decide nothing.
 
+use self::frame_kind::HEARTBEAT;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -61,8 +62,6 @@
 const MAX_UNSENT_MESSAGES: usize = 4_096;
 /// The number of checks per heartbeat of a change log: a heartbeat each half second.
 const POLLS_PER_HEARTBEAT: u32 = 50;
-/// The kind of a heartbeat frame.
-const HEARTBEAT: u8 = 0;
 /// The time after which a misbehaving client disconnects.
 const MISBEHAVING_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -276,10 +275,24 @@
     }
 }
 
+/// The kinds of the change log's frames.
+pub mod frame_kind {
+    /// No event; the frame carries the number of the newest one.
+    pub const HEARTBEAT: u8 = 0;
+    /// The complete endpoint list.
+    pub const COMPLETE_LIST: u8 = 1;
+    /// Changes of the endpoint list.
+    pub const LIST_UPDATE: u8 = 2;
+    /// The purge of an object.
+    pub const PURGE_OBJECT: u8 = 3;
+    /// The purge of a group.
+    pub const PURGE_GROUP: u8 = 4;
+}
+
 /// Encoded events with their numbers.
 pub type Frames = Rc<RefCell<Vec<(u64, Vec<u8>)>>>;
 
-/// Encodes an event of the change log.
+/// Encodes a frame of the change log; `kind` is one of [`frame_kind`], or unknown to routers.
 pub fn frame(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let mut bytes = (9 + payload.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(&number.to_be_bytes());
--- a/crates/emulator/src/standin/changelog.rs
+++ b/crates/emulator/src/standin/changelog.rs
@@ -1,6 +1,10 @@
 //! The stand-in for the change log: it sends each connection the events after the position that the router names.
 
-pub use crate::net::frame;
+use super::config::EDGE_KIND;
+use crate::config::state_code;
+use crate::net::frame_kind::HEARTBEAT;
+pub use crate::net::{frame, frame_kind};
+use basaltgw::api::EndpointState;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -8,8 +12,6 @@
 use std::thread;
 use std::time::Duration;
 
-/// The kind of a heartbeat frame.
-const HEARTBEAT: u8 = 0;
 /// The time between two heartbeats, and between two checks for new events.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 /// The time between two checks whether a silent connection may be written to again.
@@ -142,19 +144,20 @@
         half.map(|_| frame_bytes / 2).or(after.map(|(_, bytes)| bytes))
     }
 
-    /// Publishes an event.
+    /// Publishes an event; `kind` is one of [`frame_kind`], or unknown to routers.
     pub fn publish(&self, number: u64, kind: u8, payload: &[u8]) {
         self.frames.lock().expect("lock").push((number, frame(number, kind, payload)));
     }
 }
 
-/// A server's record in an event of the endpoint list; the address has to be an IPv4 address.
-pub fn record(id: u32, address: SocketAddr, state: u8, kind: u8) -> Vec<u8> {
+/// A server's record in an event of the endpoint list. The address has to be an IPv4 address; `kind` is [`EDGE_KIND`] or another index in the
+/// kinds of [`super::configuration`]. An edge cache is in the zone of the router, any other server in the first zone.
+pub fn record(id: u32, address: SocketAddr, state: EndpointState, kind: u8) -> Vec<u8> {
     let SocketAddr::V4(v4) = address else { panic!("{address} is not an IPv4 address") };
     let mut bytes = id.to_be_bytes().to_vec();
     bytes.extend_from_slice(&v4.ip().octets());
     bytes.extend_from_slice(&v4.port().to_be_bytes());
-    bytes.extend_from_slice(&[state, u8::from(kind == 0), kind, 0, 0]);
+    bytes.extend_from_slice(&[state_code(state), u8::from(kind == EDGE_KIND), kind, 0, 0]);
     bytes.extend_from_slice(&1000u32.to_be_bytes());
     bytes.extend_from_slice(&0u64.to_be_bytes());
     bytes
--- a/crates/emulator/src/standin/config.rs
+++ b/crates/emulator/src/standin/config.rs
@@ -48,6 +48,11 @@
     })
 }
 
+/// The index of `box`, the kind of edge caches, in the kinds of [`configuration`].
+pub const EDGE_KIND: u8 = 0;
+/// The index of `origin` in the kinds of [`configuration`].
+pub const ORIGIN_KIND: u8 = 2;
+
 /// The id of the edge cache of [`edge_parent_origin`].
 pub const EDGE: u32 = 0x0a;
 /// The id of the edge cache of [`add_second_edge`].
--- a/crates/emulator/src/standin/mod.rs
+++ b/crates/emulator/src/standin/mod.rs
@@ -8,12 +8,14 @@
 mod config;
 
 pub use cache::{part_body, Cache, FetchBehaviour, ProbeBehaviour, ReceivedFetch};
-pub use changelog::{frame, record, ChangeLog};
+pub use changelog::{frame, frame_kind, record, ChangeLog};
 pub use client::{Client, ClientAnswer};
 pub use config::{
-    add_second_edge, configuration, edge_parent_origin, ListedServer, EDGE, EDGE_2, ORIGIN, PARENT,
+    add_second_edge, configuration, edge_parent_origin, ListedServer, EDGE, EDGE_2, EDGE_KIND, ORIGIN,
+    ORIGIN_KIND, PARENT,
 };
 
+pub use basaltgw::api::EndpointState;
 use basaltgw_resp::MessageLimits;
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/emulator/src/world/script.rs
+++ b/crates/emulator/src/world/script.rs
@@ -1,13 +1,7 @@
 //! The script of a run, and what the change log publishes: listed nodes, purges and plans.
 
 use super::*;
-
-/// The kind of an event of the endpoint list.
-const LIST_UPDATE: u8 = 2;
-/// The kind of an event that purges an object.
-const PURGE_OBJECT: u8 = 3;
-/// The kind of an event that purges a group.
-const PURGE_GROUP: u8 = 4;
+use crate::net::frame_kind::{LIST_UPDATE, PURGE_GROUP, PURGE_OBJECT};
 
 impl World<'_> {
     /// Closes a node's connections; new ones are refused.
--- a/crates/experiments/src/capacity/data/change_log.rs
+++ b/crates/experiments/src/capacity/data/change_log.rs
@@ -2,15 +2,12 @@
 
 use super::{Expected, Sizes};
 use crate::capacity::row::{Kind, Row};
-use basaltgw_emulator::standin::{frame, record};
+use basaltgw_emulator::standin::frame_kind::{
+    COMPLETE_LIST, HEARTBEAT, LIST_UPDATE, PURGE_GROUP, PURGE_OBJECT,
+};
+use basaltgw_emulator::standin::{frame, record, EndpointState, EDGE_KIND};
 use std::net::SocketAddr;
 
-/// Kinds of frames.
-const HEARTBEAT: u8 = 0;
-const COMPLETE_LIST: u8 = 1;
-const CHANGE: u8 = 2;
-const PURGE_OBJECT: u8 = 3;
-const PURGE_GROUP: u8 = 4;
 /// Bytes of a purge of an object, without its frame.
 const PURGE_OBJECT_BYTES: usize = 16;
 /// Bytes of a purge of a group, without its frame.
@@ -32,7 +29,8 @@
 /// Returns the bytes of a frame that lists servers.
 fn list_bytes(kind: u8, servers: usize) -> f64 {
     let address = SocketAddr::from(([127, 0, 0, 1], 80));
-    let records: Vec<u8> = (0..servers as u32).flat_map(|n| record(n, address, 0, 0)).collect();
+    let records: Vec<u8> =
+        (0..servers as u32).flat_map(|n| record(n, address, EndpointState::Up, EDGE_KIND)).collect();
     frame_bytes(kind, &records)
 }
 
@@ -46,7 +44,7 @@
         Row::new(one, ("frame_empty", heartbeat, "bytes"), Kind::Measured),
         Row::new(one, ("frame_purge_object", purge, "bytes"), Kind::Measured),
         Row::new(one, ("frame_purge_group", group_purge, "bytes"), Kind::Measured),
-        Row::new(one, ("frame_change", list_bytes(CHANGE, 1), "bytes"), Kind::Measured),
+        Row::new(one, ("frame_change", list_bytes(LIST_UPDATE, 1), "bytes"), Kind::Measured),
     ];
     for n in &sizes.servers {
         let point = ("servers listed", *n as f64);
@@ -55,7 +53,7 @@
     let heartbeats_per_s = HEARTBEATS_PER_S * (heartbeat + HEADER_BYTES);
     let purges_per_s = expected.purges_per_s * (purge + HEADER_BYTES);
     let events_per_s = expected.restarts_per_day * EVENTS_PER_RESTART / SECONDS_PER_DAY;
-    let changes_per_s = events_per_s * (list_bytes(CHANGE, 1) + HEADER_BYTES);
+    let changes_per_s = events_per_s * (list_bytes(LIST_UPDATE, 1) + HEADER_BYTES);
     let servers = expected.caches + expected.caches.div_ceil(expected.caches_per_parent) + 1;
     for routers in [300, 1_000, 2_000, expected.routers, 2 * expected.routers] {
         let n = routers as f64;
--- a/crates/node/tests/crossing/watches.rs
+++ b/crates/node/tests/crossing/watches.rs
@@ -2,6 +2,7 @@
 
 mod lists;
 
+use crate::common::frame_kind::{COMPLETE_LIST, PURGE_OBJECT};
 use crate::common::*;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -49,7 +50,7 @@
     wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
     harness.log.heartbeats_carry_newest.store(true, Ordering::SeqCst);
     harness.log.events_withheld_up_to.store(1, Ordering::SeqCst);
-    harness.log.publish(2, 3, &purge(77));
+    harness.log.publish(2, PURGE_OBJECT, &purge(77));
     wait_until("the event is received", || harness.router.counter("purges") == 1);
     assert_eq!((connection_count(&harness.log), harness.router.counter("log_behind")), (2, 1));
     assert_eq!(
@@ -58,7 +59,7 @@
         "the router requests the events after the last known one"
     );
     // The new connection stays, and sends the later events.
-    harness.log.publish(3, 3, &purge(78));
+    harness.log.publish(3, PURGE_OBJECT, &purge(78));
     wait_until("the next event is received", || harness.router.counter("purges") == 2);
 }
 
@@ -69,7 +70,7 @@
     wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
     harness.log.heartbeats_carry_newest.store(true, Ordering::SeqCst);
     harness.log.events_withheld_up_to.store(usize::MAX, Ordering::SeqCst);
-    harness.log.publish(2, 3, &purge(77));
+    harness.log.publish(2, PURGE_OBJECT, &purge(77));
     // Reconnects follow after 0.1, 0.2, 0.4, 0.8 and 1.6 s.
     wait_until("the router has reconnected several times", || connection_count(&harness.log) >= 6);
     assert!(start.elapsed() >= Duration::from_millis(3100), "{:?}", start.elapsed());
@@ -89,7 +90,7 @@
     wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
     let stopped = Instant::now();
     harness.log.silent_up_to.store(2, Ordering::SeqCst);
-    harness.log.publish(2, 3, &purge(77));
+    harness.log.publish(2, PURGE_OBJECT, &purge(77));
     wait_until("the event is received", || harness.router.counter("purges") == 1);
     // An event counts as received 4 s after the watch stopped, so it has to arrive before that.
     assert!(stopped.elapsed() < Duration::from_secs(4), "{:?}", stopped.elapsed());
@@ -125,12 +126,12 @@
     let mut from = [0; 8];
     socket.read_exact(&mut from).expect("the router sends its last event");
     assert_eq!(u64::from_be_bytes(from), 1);
-    let third = frame(3, 3, &purge(3));
+    let third = frame(3, PURGE_OBJECT, &purge(3));
     socket
-        .write_all(&[&frame(2, 3, &purge(2)), &third[..third.len() - 1]].concat())
+        .write_all(&[&frame(2, PURGE_OBJECT, &purge(2)), &third[..third.len() - 1]].concat())
         .expect("the socket takes the bytes");
     wait_until("event 2 is received", || harness.router.counter("purges") == 1);
-    (2..=4).for_each(|n| harness.log.publish(n, 3, &purge(n)));
+    (2..=4).for_each(|n| harness.log.publish(n, PURGE_OBJECT, &purge(n)));
     let original = harness.log.address;
     reload(&mut harness, original);
     wait_until("the remaining events are received", || harness.router.counter("purges") == 3);
@@ -150,10 +151,10 @@
     let mut harness = start_router();
     wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
     let other = ChangeLog::start();
-    (2..=5).for_each(|n| other.publish(n, 3, &purge(n)));
+    (2..=5).for_each(|n| other.publish(n, PURGE_OBJECT, &purge(n)));
     // The resumed router sees two events on the old connection and the reload that replaces it at once.
     harness.router.signal("STOP");
-    (2..=3).for_each(|n| harness.log.publish(n, 3, &purge(n)));
+    (2..=3).for_each(|n| harness.log.publish(n, PURGE_OBJECT, &purge(n)));
     wait_until("both events are written", || harness.log.written_up_to.load(Ordering::SeqCst) == 3);
     harness.config["changelog"] = json!(other.address.to_string());
     harness.router.write_configuration(&harness.config.to_string());
@@ -193,7 +194,7 @@
         // The router has left the original log, and retries the other address without end.
         let failures = harness.router.counter("log_lost");
         wait_until("two connects have failed", || harness.router.counter("log_lost") >= failures + 2);
-        harness.log.publish(2 + round, 3, &purge(round));
+        harness.log.publish(2 + round, PURGE_OBJECT, &purge(round));
         let connections = connection_count(&harness.log);
         reload(&mut harness, original);
         wait_until("the event is received", || harness.router.counter("purges") == 1 + round);
@@ -210,7 +211,7 @@
     for round in 0..5 {
         let start = Instant::now();
         reload(&mut harness, silent.address);
-        harness.log.publish(2 + round, 3, &purge(round));
+        harness.log.publish(2 + round, PURGE_OBJECT, &purge(round));
         reload(&mut harness, original);
         wait_until("the event is received", || harness.router.counter("purges") == 1 + round);
         quickest = quickest.min(start.elapsed());
@@ -226,11 +227,11 @@
 fn frame_cut_at_any_byte_is_notified_once_by_the_next_connection() {
     let harness = start_router();
     wait_until("the router follows the change log", || connection_count(&harness.log) == 1);
-    let frame_length = frame(2, 3, &purge(2)).len();
+    let frame_length = frame(2, PURGE_OBJECT, &purge(2)).len();
     for cut in 0..frame_length {
         let number = 2 + cut as u64;
         *harness.log.cut_after.lock().expect("lock") = Some((number, cut));
-        harness.log.publish(number, 3, &purge(number));
+        harness.log.publish(number, PURGE_OBJECT, &purge(number));
         wait_until("the event is received", || harness.router.counter("purges") == 1 + cut as u64);
     }
     assert_eq!(harness.router.counter("log_lost"), frame_length as u64);
@@ -277,8 +278,12 @@
     assert_ne!(request_objects(&mut client, 2), 20, "no server is known");
     harness.log.publish(
         1,
-        1,
-        &[record(EDGE, harness.edge.address, 0, 0), record(ORIGIN, harness.origin.address, 0, 2)].concat(),
+        COMPLETE_LIST,
+        &[
+            record(EDGE, harness.edge.address, EndpointState::Up, EDGE_KIND),
+            record(ORIGIN, harness.origin.address, EndpointState::Up, ORIGIN_KIND),
+        ]
+        .concat(),
     );
     let log_up = Instant::now();
     harness.log.down.store(false, Ordering::SeqCst);
@@ -314,7 +319,7 @@
         .collect();
     // Of 64 descriptors a third is reserved for servers, and 16 for the process itself.
     wait_until("all client slots are taken", || router.counter("clients_now") == 27);
-    log.publish(2, 3, &purge(77));
+    log.publish(2, PURGE_OBJECT, &purge(77));
     log.down.store(false, Ordering::SeqCst);
     wait_until("the change log is reached again", || router.counter("purges") == 1);
     assert_eq!(router.counter("closed_idle"), 0, "no slot was freed by an idle timeout");
--- a/crates/node/tests/crossing/watches/lists.rs
+++ b/crates/node/tests/crossing/watches/lists.rs
@@ -1,6 +1,7 @@
 //! Endpoint lists at the same time as connection losses, other lists and requests.
 
 use super::{request_objects, start_router, start_router_with, unresponsive_server, RouterHarness};
+use crate::common::frame_kind::{COMPLETE_LIST, LIST_UPDATE};
 use crate::common::*;
 use serde_json::json;
 use std::sync::atomic::Ordering;
@@ -21,24 +22,28 @@
     assert!(before > 0);
     harness.log.down.store(true, Ordering::SeqCst);
     wait_until("the change log is lost", || harness.router.counter("log_lost") >= 1);
-    harness.log.publish(2, 1, &record(ORIGIN, harness.origin.address, 0, 2));
+    harness.log.publish(
+        2,
+        COMPLETE_LIST,
+        &record(ORIGIN, harness.origin.address, EndpointState::Up, ORIGIN_KIND),
+    );
     harness.log.down.store(false, Ordering::SeqCst);
     wait_until("the list is applied", || harness.router.counter("lists") == 2);
     assert_eq!(harness.router.counter("servers_now"), 1);
     request_objects(&mut client, 101);
     assert_eq!(harness.edge.fetch_count(), before, "a cache that is no longer listed got a request");
     // Each request is answered even if no server is listed.
-    send_list(&harness, 3, 1, &[]);
+    send_list(&harness, 3, COMPLETE_LIST, &[]);
     assert_eq!((harness.router.counter("servers_now"), request_objects(&mut client, 201)), (0, 0));
     // Changes of unknown servers, in any state.
     let (edge, unknown) = (harness.edge.address, unresponsive_server().address);
     let changes = [
-        record(0x77, unknown, 2, 0),
-        record(0x78, unknown, 1, 0),
-        record(EDGE, edge, 0, 0),
-        record(ORIGIN, harness.origin.address, 0, 2),
+        record(0x77, unknown, EndpointState::Removed, EDGE_KIND),
+        record(0x78, unknown, EndpointState::Draining, EDGE_KIND),
+        record(EDGE, edge, EndpointState::Up, EDGE_KIND),
+        record(ORIGIN, harness.origin.address, EndpointState::Up, ORIGIN_KIND),
     ];
-    send_list(&harness, 4, 2, &changes);
+    send_list(&harness, 4, LIST_UPDATE, &changes);
     assert_eq!(harness.router.counter("servers_now"), 3);
     assert_eq!(request_objects(&mut client, 301), 20);
     assert!(harness.edge.fetch_count() > before, "the cache is used again");
@@ -49,7 +54,15 @@
     let harness = start_router();
     let mut client = harness.router.client();
     let (edge, moved_cache) = (harness.edge.address, Cache::with_all_objects());
-    send_list(&harness, 2, 2, &[record(EDGE, edge, 1, 0), record(EDGE, moved_cache.address, 0, 0)]);
+    send_list(
+        &harness,
+        2,
+        LIST_UPDATE,
+        &[
+            record(EDGE, edge, EndpointState::Draining, EDGE_KIND),
+            record(EDGE, moved_cache.address, EndpointState::Up, EDGE_KIND),
+        ],
+    );
     assert_eq!(request_objects(&mut client, 1), 20);
     assert_eq!(harness.edge.fetch_count(), 0);
     let before = moved_cache.fetch_count();
@@ -57,8 +70,11 @@
     send_list(
         &harness,
         3,
-        2,
-        &[record(EDGE, moved_cache.address, 0, 0), record(EDGE, moved_cache.address, 1, 0)],
+        LIST_UPDATE,
+        &[
+            record(EDGE, moved_cache.address, EndpointState::Up, EDGE_KIND),
+            record(EDGE, moved_cache.address, EndpointState::Draining, EDGE_KIND),
+        ],
     );
     request_objects(&mut client, 101);
     assert_eq!(moved_cache.fetch_count(), before, "a draining cache got a request");
@@ -74,8 +90,11 @@
     send_list(
         &harness,
         2,
-        2,
-        &[record(EDGE, harness.edge.address, 2, 0), record(EDGE_2, harness.edge.address, 0, 0)],
+        LIST_UPDATE,
+        &[
+            record(EDGE, harness.edge.address, EndpointState::Removed, EDGE_KIND),
+            record(EDGE_2, harness.edge.address, EndpointState::Up, EDGE_KIND),
+        ],
     );
     assert_eq!(request_objects(&mut client, 101), 20);
     let later_fetches = harness.edge.fetches().split_off(before);
@@ -102,7 +121,11 @@
         let number = 2 + 2 * round;
         let lists = harness.router.counter("lists");
         harness.router.signal("STOP");
-        harness.log.publish(number, 2, &record(EDGE, harness.edge.address, 1, 0));
+        harness.log.publish(
+            number,
+            LIST_UPDATE,
+            &record(EDGE, harness.edge.address, EndpointState::Draining, EDGE_KIND),
+        );
         wait_until("the drain is sent", || harness.log.written_up_to.load(Ordering::SeqCst) == number);
         (from + 100..from + 120).for_each(|t| {
             client.send_request(t, "pages", t * 7919, "", b"");
@@ -111,6 +134,11 @@
         (0..20).for_each(|_| assert_eq!(client.expect_answer().status, "200"));
         assert_eq!(harness.router.counter("lists"), lists + 1);
         assert_eq!(harness.edge.fetch_count(), before, "a draining cache got a request");
-        send_list(&harness, number + 1, 2, &[record(EDGE, harness.edge.address, 0, 0)]);
+        send_list(
+            &harness,
+            number + 1,
+            LIST_UPDATE,
+            &[record(EDGE, harness.edge.address, EndpointState::Up, EDGE_KIND)],
+        );
     }
 }
--- a/crates/node/tests/restarted_caches/cold.rs
+++ b/crates/node/tests/restarted_caches/cold.rs
@@ -142,11 +142,11 @@
     /// Announces the start of the cold cache to all routers; returns its time.
     fn start_cold(&self) -> u64 {
         let started = unix_ms();
-        let mut record = record(COLD_ID, self.cold.address, 0, 0);
+        let mut record = record(COLD_ID, self.cold.address, EndpointState::Up, EDGE_KIND);
         let end = record.len();
         record[end - 12..end - 8].copy_from_slice(&((self.size * 1000.0) as u32).to_be_bytes());
         record[end - 8..].copy_from_slice(&started.to_be_bytes());
-        self.log.publish(2, 2, &record);
+        self.log.publish(2, frame_kind::LIST_UPDATE, &record);
         started
     }
 
--- a/crates/node/tests/restarted_caches/slow_start.rs
+++ b/crates/node/tests/restarted_caches/slow_start.rs
@@ -122,11 +122,11 @@
 /// Announces that the cache has started now; returns that time.
 fn announce_start(log: &ChangeLog, address: SocketAddr, window_ms: u64) -> u64 {
     let started = unix_ms();
-    let mut record = record(RESTARTED, address, 0, 0);
+    let mut record = record(RESTARTED, address, EndpointState::Up, EDGE_KIND);
     let end = record.len();
     record[end - 12..end - 8].copy_from_slice(&((listed_size(window_ms) * 1000.0) as u32).to_be_bytes());
     record[end - 8..].copy_from_slice(&started.to_be_bytes());
-    log.publish(2, 2, &record);
+    log.publish(2, frame_kind::LIST_UPDATE, &record);
     started
 }
 
--- a/crates/node/tests/service/main.rs
+++ b/crates/node/tests/service/main.rs
@@ -7,6 +7,7 @@
 mod servers;
 
 use basaltgw_node::resp::encode;
+use common::frame_kind::PURGE_OBJECT;
 use common::*;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -64,11 +65,11 @@
     let mut harness = start_router();
     let mut client = harness.router.client();
     assert_served(&mut client, 1);
-    harness.log.publish(2, 3, &purge(77));
+    harness.log.publish(2, PURGE_OBJECT, &purge(77));
     wait_until("an event is received", || harness.router.counter("purges") == 1);
     let new_log = ChangeLog::start();
-    new_log.publish(2, 3, &purge(77));
-    new_log.publish(3, 3, &purge(5));
+    new_log.publish(2, PURGE_OBJECT, &purge(77));
+    new_log.publish(3, PURGE_OBJECT, &purge(5));
     harness.config["changelog"] = json!(new_log.address.to_string());
     harness.router.write_configuration(&harness.config.to_string());
     harness.router.signal("HUP");
@@ -89,8 +90,8 @@
     harness.config["changelog"] = json!(harness.log.address.to_string());
     harness.router.write_configuration(&harness.config.to_string());
     harness.router.signal("HUP");
-    harness.log.publish(4, 3, &purge(6));
-    harness.log.publish(3, 3, &purge(6));
+    harness.log.publish(4, PURGE_OBJECT, &purge(6));
+    harness.log.publish(3, PURGE_OBJECT, &purge(6));
     wait_until("the original change log is followed again", || {
         harness.log.resume_positions.lock().expect("lock").contains(&3)
     });
@@ -114,7 +115,7 @@
         wait_until("the reload is rejected", || harness.router.counter("reloads_refused") == rejected + 1);
         assert!(harness.router.has_logged(fault), "{fault}");
     }
-    harness.log.publish(2, 3, &purge(1));
+    harness.log.publish(2, PURGE_OBJECT, &purge(1));
     wait_until("the change log is still followed", || harness.router.counter("purges") == 1);
     // A change that needs a restart is logged and has no effect.
     harness.config["limits"]["sockets"] = json!(512);
--- a/crates/node/tests/service/servers.rs
+++ b/crates/node/tests/service/servers.rs
@@ -1,5 +1,6 @@
 //! Misbehaving servers and change logs.
 
+use crate::common::frame_kind::{LIST_UPDATE, PURGE_OBJECT};
 use crate::common::*;
 use crate::*;
 
@@ -142,13 +143,13 @@
     });
     *harness.log.cut_in_half.lock().expect("lock") = Some(3);
     for (number, object) in [(2, 1), (2, 1), (3, 2), (4, 3), (4, 3)] {
-        harness.log.publish(number, 3, &purge(object));
+        harness.log.publish(number, PURGE_OBJECT, &purge(object));
     }
     wait_until("all events are received", || harness.router.counter("purges") >= 3);
     wait_until("the router reconnects after the cut", || {
         harness.log.resume_positions.lock().expect("lock").contains(&2)
     });
-    harness.log.publish(5, 3, &purge(4));
+    harness.log.publish(5, PURGE_OBJECT, &purge(4));
     wait_until("the next event is received", || harness.router.counter("purges") >= 4);
     assert_eq!((harness.router.counter("purges"), harness.router.counter("log_lost")), (4, 1));
     let mut client = harness.router.client();
@@ -166,9 +167,11 @@
     let address = harness.edge.address;
     for round in 0..40u32 {
         let ids = (0..50).map(|n| 0x1000 + 50 * round + n);
-        let all = |state: u8| ids.clone().flat_map(|id| record(id, address, state, 0)).collect::<Vec<u8>>();
-        harness.log.publish(u64::from(2 + 2 * round), 2, &all(0));
-        harness.log.publish(u64::from(3 + 2 * round), 2, &all(2));
+        let all = |state: EndpointState| {
+            ids.clone().flat_map(|id| record(id, address, state, EDGE_KIND)).collect::<Vec<u8>>()
+        };
+        harness.log.publish(u64::from(2 + 2 * round), LIST_UPDATE, &all(EndpointState::Up));
+        harness.log.publish(u64::from(3 + 2 * round), LIST_UPDATE, &all(EndpointState::Removed));
     }
     wait_until("2,000 servers were added and removed", || harness.router.counter("lists") == 81);
     assert_eq!(harness.router.counter("servers_now"), 3);
--- a/crates/node/tests/sockets/changelog.rs
+++ b/crates/node/tests/sockets/changelog.rs
@@ -1,17 +1,21 @@
 //! The change log, endpoint lists, and the shutdown.
 
+use crate::common::frame_kind::{COMPLETE_LIST, LIST_UPDATE, PURGE_GROUP, PURGE_OBJECT};
 use crate::common::*;
 use crate::*;
 
+/// A frame kind that the router does not know.
+const UNKNOWN_KIND: u8 = 9;
+
 #[test]
 fn gap_in_the_change_log_is_requested_again_without_repeats() {
     let harness = start_router(Cache::with_all_objects());
     *harness.log.skip_once.lock().expect("lock") = Some(2);
     let mut purge = 1u64.to_be_bytes().to_vec();
     purge.extend_from_slice(&unix_ms().to_be_bytes());
-    harness.log.publish(2, 3, &purge);
+    harness.log.publish(2, PURGE_OBJECT, &purge);
     purge[7] = 2;
-    harness.log.publish(3, 3, &purge);
+    harness.log.publish(3, PURGE_OBJECT, &purge);
     wait_until("the router has reconnected", || {
         harness.log.resume_positions.lock().expect("lock").len() >= 2
     });
@@ -42,8 +46,8 @@
     });
     harness.log.heartbeats.store(true, Ordering::SeqCst);
     let connected = harness.log.resume_positions.lock().expect("lock").len();
-    harness.log.publish(2, 9, b"nonsense");
-    harness.log.publish(3, 4, &[&17u16.to_be_bytes()[..], &unix_ms().to_be_bytes()[..]].concat());
+    harness.log.publish(2, UNKNOWN_KIND, b"nonsense");
+    harness.log.publish(3, PURGE_GROUP, &[&17u16.to_be_bytes()[..], &unix_ms().to_be_bytes()[..]].concat());
     // The unreadable frame ends a connection; received a second time, it is skipped, and the next event is applied.
     wait_until("the readable event is received", || harness.router.counter("purges") == 1);
     assert!(harness.log.resume_positions.lock().expect("lock").len() > connected);
@@ -63,11 +67,11 @@
     let harness = start_router(Cache::with_all_objects());
     // A purge that arrives without delay also shows the current time: the router's own wall clock may be wrong.
     let first_purge = unix_ms();
-    harness.log.publish(2, 3, &[8u64.to_be_bytes(), first_purge.to_be_bytes()].concat());
+    harness.log.publish(2, PURGE_OBJECT, &[8u64.to_be_bytes(), first_purge.to_be_bytes()].concat());
     wait_until("the event is received", || harness.router.counter("purges") == 1);
     std::thread::sleep(std::time::Duration::from_millis(1700));
     let purged = first_purge + 100;
-    harness.log.publish(3, 3, &[1u64.to_be_bytes(), purged.to_be_bytes()].concat());
+    harness.log.publish(3, PURGE_OBJECT, &[1u64.to_be_bytes(), purged.to_be_bytes()].concat());
     wait_until("the event is received", || harness.router.counter("purges") == 2);
     let mut client = harness.router.client();
     client.send_request(1, "pages", 1, "", b"");
@@ -112,13 +116,13 @@
     round(&mut client, 1);
     let before = edge.fetch_count();
     assert!(before > 0 && second.fetch_count() > 0, "both caches are in use");
-    log.publish(2, 2, &record(EDGE, edge.address, 1, 0));
+    log.publish(2, LIST_UPDATE, &record(EDGE, edge.address, EndpointState::Draining, EDGE_KIND));
     wait_until("the event is received", || router.counter("lists") == 2);
     round(&mut client, 101);
     assert_eq!(edge.fetch_count(), before, "a draining cache got a request");
     // The server returns under its id at another address; the old address is no longer its own.
     let moved_cache = Cache::with_all_objects();
-    log.publish(3, 2, &record(EDGE, moved_cache.address, 0, 0));
+    log.publish(3, LIST_UPDATE, &record(EDGE, moved_cache.address, EndpointState::Up, EDGE_KIND));
     wait_until("the event is received", || router.counter("lists") == 3);
     round(&mut client, 201);
     assert_eq!(edge.fetch_count(), before);
@@ -138,8 +142,12 @@
     let mut client = router.client();
     client.send_message("PING", 8);
     assert_eq!(client.expect_answer().status, "not_serving");
-    let list = [record(EDGE, edge.address, 0, 0), record(ORIGIN, origin.address, 0, 2)].concat();
-    log.publish(1, 1, &list);
+    let list = [
+        record(EDGE, edge.address, EndpointState::Up, EDGE_KIND),
+        record(ORIGIN, origin.address, EndpointState::Up, ORIGIN_KIND),
+    ]
+    .concat();
+    log.publish(1, COMPLETE_LIST, &list);
     wait_until("the list is applied", || router.counter("lists") == 1);
     client.send_message("PING", 9);
     let answer = client.expect_answer();
--- a/crates/node/tests/wall_clock.rs
+++ b/crates/node/tests/wall_clock.rs
@@ -11,8 +11,6 @@
 const HOUR_MS: i64 = 3_600_000;
 /// The object that is purged.
 const PURGED: u64 = 1;
-/// The kind of a change-log frame that purges an object.
-const OBJECT_PURGE_FRAME: u8 = 3;
 /// The time after which a purge is in effect, with an allowance for a slow machine.
 const PURGE_DELAY: std::time::Duration = std::time::Duration::from_millis(400);
 
@@ -66,7 +64,7 @@
     /// Sends the purge of an object that happened `age_ms` ago, and waits until it is in effect.
     fn purge(&self, age_ms: u64) {
         let payload = [PURGED.to_be_bytes(), (unix_ms() - age_ms).to_be_bytes()].concat();
-        self.log.publish(2, OBJECT_PURGE_FRAME, &payload);
+        self.log.publish(2, frame_kind::PURGE_OBJECT, &payload);
         self.router.wait_for_counter("purges", 1);
         std::thread::sleep(PURGE_DELAY);
     }
--- a/crates/node/tests/watch.rs
+++ b/crates/node/tests/watch.rs
@@ -7,6 +7,7 @@
 use basaltgw_node::changelog::{Decoder, Follower, Frame};
 use basaltgw_node::limits::{CHANGELOG_FRAME_MAX_BYTES, READ_BYTES};
 use common::frame;
+use common::frame_kind::{HEARTBEAT, PURGE_OBJECT};
 use proptest::prelude::*;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,16 +26,19 @@
 
 /// A purge event whose object id is its sequence number.
 fn purge_event(n: u64) -> Frame {
-    decode_frame(&frame(n, 3, &[n.to_be_bytes(), [0; 8]].concat()))
+    decode_frame(&frame(n, PURGE_OBJECT, &[n.to_be_bytes(), [0; 8]].concat()))
 }
 
+/// A frame kind that the router does not know.
+const UNKNOWN_KIND: u8 = 9;
+
 /// An event of an unknown kind, which the decoder can't read.
 fn unreadable_event(n: u64) -> Frame {
-    decode_frame(&frame(n, 9, &[]))
+    decode_frame(&frame(n, UNKNOWN_KIND, &[]))
 }
 
 fn empty_frame(n: u64) -> Frame {
-    decode_frame(&frame(n, 0, &[]))
+    decode_frame(&frame(n, HEARTBEAT, &[]))
 }
 
 /// A fault that an event has once, on the first connection that reaches it.
