--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,6 +1,6 @@
 //! A connection: the handshake, then reading and writing until the link goes down.
 //!
-//! A link goes down if its peer is silent, sends malformed data or too many control frames, takes no bytes, or closes it; if it is idle and not
+//! A link goes down if its peer is silent, sends malformed data or too many control frames, reads no bytes, or closes it; if it is idle and not
 //! wanted; at shutdown. Inputs: the frames, the timeouts of the settings and of [`crate::limits`].
 
 use crate::codec::{BadFrame, Codec, Frame, Kind};
@@ -27,18 +27,18 @@
 
 const ONE_SECOND: Duration = Duration::from_secs(1);
 
-/// What became of a connection.
+/// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// It was a link for at least [`GOOD`].
+    /// It was a link for at least [`STABLE_LINK_AGE`].
     Stable,
-    /// It was a link.
+    /// It was a link for a shorter time.
     ShortLived,
     /// It was lost, or closed by the peer, during the handshake.
     ClosedInHandshake,
-    /// There is a link already.
+    /// A link to the router was up already.
     Duplicate,
-    /// Nobody answered, or the peer was rejected.
+    /// The connect failed, the handshake timed out, or the peer was rejected.
     Failed,
 }
 
@@ -49,7 +49,7 @@
     dialled: Option<&RouterId>,
     slot: Option<DialSlot>,
 ) -> ConnectionEnd {
-    // Frames are complete messages: delaying them gains nothing.
+    // Disables Nagle's algorithm: frames are complete messages, and delaying them gains nothing.
     let _ = stream.get_ref().set_nodelay(true);
     let stream = Rc::new(stream);
     let last_received = Rc::new(Cell::new(Instant::now()));
@@ -72,24 +72,23 @@
 
 /// Counts and logs a failed handshake.
 fn on_handshake_failed(manager: &ConnectionManager, error: HandshakeError) -> ConnectionEnd {
-    let counts = &manager.counts;
     match error {
         HandshakeError::TimedOut => {
-            manager.reject(&counts.peer_no_hello, "no complete handshake in time");
+            manager.reject(&manager.counters.peer_no_hello, "the handshake was not complete in time");
             ConnectionEnd::Failed
         }
         HandshakeError::ConnectionLost => {
-            increment(&counts.peer_unmet);
+            increment(&manager.counters.peer_unmet);
             ConnectionEnd::ClosedInHandshake
         }
         HandshakeError::Duplicate => {
-            increment(&counts.peer_second);
+            increment(&manager.counters.peer_second);
             ConnectionEnd::Duplicate
         }
         HandshakeError::Rejected(rejection) => {
             let counter = match rejection.error {
-                LinkError::MalformedFrame => &counts.peer_garbled,
-                _ => &counts.peer_stranger,
+                LinkError::MalformedFrame => &manager.counters.peer_garbled,
+                _ => &manager.counters.peer_stranger,
             };
             manager.reject(counter, &rejection.reason);
             ConnectionEnd::Failed
@@ -142,7 +141,7 @@
     }
 }
 
-/// What was read from a link in the present second.
+/// Bytes and control frames read from a link in the present second.
 struct ReadRate {
     started_at: Instant,
     bytes: usize,
@@ -187,7 +186,7 @@
             return error;
         }
         if rate.bytes > MAX_READ_BYTES_PER_SECOND {
-            increment(&manager.counts.peer_paced);
+            increment(&manager.counters.peer_paced);
             Timer::at(rate.started_at + ONE_SECOND).await;
             last_received.set(Instant::now());
         }
@@ -209,14 +208,14 @@
     match future::or(async { Ok(frames.next().await) }, silence).await? {
         Some(Ok(frame)) => Ok(frame),
         None | Some(Err(BadFrame::Io(_))) => Err(LinkError::ConnectionLost),
-        Some(Err(bad)) => {
-            log::warn!("peers: {} sent {bad}", link.member());
+        Some(Err(error)) => {
+            log::warn!("peers: {} sent {error}", link.member());
             Err(LinkError::MalformedFrame)
         }
     }
 }
 
-/// Returns once no byte was received for the timeout, or the frame is not complete in time.
+/// Returns once no byte was received for `timeout`, or the frame that is being read is not complete in time.
 async fn wait_for_silence(last_received: &Cell<Instant>, timeout: Duration) {
     let started_at = Instant::now();
     loop {
@@ -251,14 +250,14 @@
 
 /// Delivers a frame to the users of its lane. The link is not read while a user's ring is full, so that only its peer waits.
 async fn deliver(manager: &ConnectionManager, link: &Link, lane: Lane, body: &[u8]) {
-    increment(&manager.counts.peer_frames_in);
-    add(&manager.counts.peer_bytes_in, body.len());
+    increment(&manager.counters.peer_frames_in);
+    add(&manager.counters.peer_bytes_in, body.len());
     let from = link.member();
-    let mut pending = [true; 2];
-    while !manager.deliver(&from, lane, body, &mut pending) {
-        increment(&manager.counts.peer_ring_waits);
+    let mut pending_users = [true; 2];
+    while !manager.deliver(&from, lane, body, &mut pending_users) {
+        increment(&manager.counters.peer_ring_waits);
         let listener = manager.capacity_freed.listen();
-        if !manager.deliver(&from, lane, body, &mut pending) {
+        if !manager.deliver(&from, lane, body, &mut pending_users) {
             listener.await;
         }
     }
@@ -279,8 +278,8 @@
             return error;
         }
         if let Some(frame) = link.in_progress.take() {
-            increment(&manager.counts.peer_frames_out);
-            add(&manager.counts.peer_bytes_out, frame.body.len());
+            increment(&manager.counters.peer_frames_out);
+            add(&manager.counters.peer_bytes_out, frame.body.len());
             link.last_used.set(Instant::now());
         }
         if link.is_closing.get() {
@@ -301,11 +300,11 @@
 ) -> Result<(), LinkError> {
     let timeout = WRITE_TIMEOUT.max(2 * manager.settings.peer_timeout);
     while !bytes.is_empty() {
-        let stuck = async {
+        let no_progress = async {
             Timer::after(timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        match future::or(stream.write(bytes), stuck).await {
+        match future::or(stream.write(bytes), no_progress).await {
             Ok(written @ 1..) => bytes = bytes.get(written..).unwrap_or_default(),
             Err(e) if e.kind() == io::ErrorKind::TimedOut => return Err(LinkError::PeerTimeout),
             Ok(0) | Err(_) => return Err(LinkError::ConnectionLost),
@@ -338,16 +337,16 @@
     if manager.is_shutting_down.get() {
         return Err(LinkError::ConnectionLost);
     }
-    let notified = async {
+    let has_work = async {
         listener.await;
-        false
+        true
     };
-    let interval = async {
+    let interval_elapsed = async {
         Timer::after(manager.settings.keepalive_interval).await;
-        true
+        false
     };
-    if future::or(notified, interval).await {
-        // No frame was queued meanwhile, so a close loses nothing.
+    if !future::or(has_work, interval_elapsed).await {
+        // No frame was queued during the interval, so a close loses nothing.
         link.is_closing.set(manager.is_idle(link));
         let kind = if link.is_closing.get() { Kind::Close } else { Kind::Alive };
         let _ = codec.encode((kind, &[]), bytes);
@@ -355,7 +354,8 @@
     Ok(())
 }
 
-/// Closes the writing side. What the peer has written is still read; the peer closes when it reads the close frame, within a timeout.
+/// Closes the writing side, and waits while [`read_frames`] reads what the peer still writes. The peer closes when it reads the close frame;
+/// otherwise the link ends after a timeout.
 async fn half_close(stream: &Async<TcpStream>) -> LinkError {
     if stream.get_ref().shutdown(Shutdown::Write).is_ok() {
         Timer::after(HANDSHAKE_TIMEOUT).await;
--- a/crates/transport/src/connection_manager.rs
+++ b/crates/transport/src/connection_manager.rs
@@ -41,6 +41,7 @@
     pub is_closing: Cell<bool>,
     /// This router's table has changed since it was last written.
     pub table_changed: Cell<bool>,
+    /// It has been removed and reported as down.
     pub is_down: Cell<bool>,
     /// Notified when it goes down.
     pub went_down: Event,
@@ -67,7 +68,7 @@
     }
 }
 
-/// What the transport is started with.
+/// The configuration of a [`ConnectionManager`].
 pub struct ManagerConfig {
     pub me: SessionHello,
     pub listed: BTreeMap<RouterId, PeerConfig>,
@@ -75,7 +76,7 @@
     pub settings: Settings,
 }
 
-/// The shared state; see the module.
+/// The state that the tasks of the transport's thread share.
 pub struct ConnectionManager {
     pub me: RefCell<SessionHello>,
     pub listed: BTreeMap<RouterId, PeerConfig>,
@@ -84,7 +85,7 @@
     pub dials: Dials,
     pub links: RefCell<BTreeMap<RouterId, Rc<Link>>>,
     pub endpoints: [RefCell<UserEndpoint>; 2],
-    pub counts: Arc<Counters>,
+    pub counters: Arc<Counters>,
     pub rng: RefCell<fastrand::Rng>,
     /// Accepted connections without a complete handshake.
     pub in_handshake: Cell<usize>,
@@ -93,13 +94,13 @@
     /// Notified when a ring of events may have capacity.
     pub capacity_freed: Event,
     pub is_shutting_down: Cell<bool>,
-    /// The panic of a task.
+    /// The panic of a task, which ends the thread.
     pub panic: RefCell<Option<Box<dyn Any + Send>>>,
     logged_rejections: RefCell<BTreeSet<String>>,
 }
 
 impl ConnectionManager {
-    pub fn new(config: ManagerConfig, endpoints: [UserEndpoint; 2], counts: Arc<Counters>) -> Self {
+    pub fn new(config: ManagerConfig, endpoints: [UserEndpoint; 2], counters: Arc<Counters>) -> Self {
         let ManagerConfig { me, listed, limits, settings } = config;
         Self {
             rng: RefCell::new(fastrand::Rng::with_seed(me.session_id)),
@@ -110,7 +111,7 @@
             dials: Dials::default(),
             links: RefCell::default(),
             endpoints: endpoints.map(RefCell::new),
-            counts,
+            counters,
             in_handshake: Cell::new(0),
             changed: Event::new(),
             capacity_freed: Event::new(),
@@ -132,7 +133,7 @@
         link.is_some_and(|l| l.session.borrow().session_id == session.session_id)
     }
 
-    /// A link is up. An existing one goes down: its peer has restarted, or selected another connection.
+    /// Adds a link that is up. An existing link to the router goes down: its peer has restarted, or selected another connection.
     pub fn link_up(&self, session: SessionHello, was_dialled: bool) -> Rc<Link> {
         let hello = session.hello.clone();
         let router = hello.member.router.clone();
@@ -146,20 +147,20 @@
         }
         let link = Rc::new(Link::new(session, was_dialled, &self.limits));
         self.links.borrow_mut().insert(router, link.clone());
-        increment(&self.counts.peer_up);
+        increment(&self.counters.peer_up);
         self.report_link_up(&hello);
         self.changed.notify(usize::MAX);
         link
     }
 
-    /// Reports a link that is up, or its peer's table, to both users.
+    /// Reports a link that is up, or its peer's new table, to both users.
     pub fn report_link_up(&self, hello: &Hello) {
         for endpoint in &self.endpoints {
             endpoint.borrow_mut().link_up(&hello.member.router, LinkEvent::LinkUp(hello.clone()));
         }
     }
 
-    /// A link is down: its queued frames have failed. Has no effect the second time.
+    /// Removes a link that is down, and reports it and the frames that it has not written. Has no effect on a link that was removed before.
     pub fn link_down(&self, link: &Rc<Link>, error: LinkError) {
         if link.is_down.replace(true) {
             return;
@@ -195,15 +196,15 @@
 
     fn count_link_down(&self, error: LinkError) {
         increment(match error {
-            LinkError::PeerTimeout => &self.counts.peer_silent,
-            LinkError::MalformedFrame => &self.counts.peer_garbled,
-            LinkError::RateExceeded => &self.counts.peer_flooded,
-            LinkError::Replaced => &self.counts.peer_replaced,
-            LinkError::Idle => &self.counts.peer_idle,
+            LinkError::PeerTimeout => &self.counters.peer_silent,
+            LinkError::MalformedFrame => &self.counters.peer_garbled,
+            LinkError::RateExceeded => &self.counters.peer_flooded,
+            LinkError::Replaced => &self.counters.peer_replaced,
+            LinkError::Idle => &self.counters.peer_idle,
             LinkError::NotConnected
             | LinkError::QueueFull
             | LinkError::ConnectionLost
-            | LinkError::PeerMismatch => &self.counts.peer_broken,
+            | LinkError::PeerMismatch => &self.counters.peer_broken,
         });
     }
 
@@ -211,14 +212,14 @@
     fn send_failed(&self, user: UserIndex, number: u64, to: Member, error: LinkError) {
         increment(match error {
             LinkError::NotConnected | LinkError::PeerMismatch | LinkError::Idle => {
-                &self.counts.peer_unsent_no_link
+                &self.counters.peer_unsent_no_link
             }
-            LinkError::QueueFull => &self.counts.peer_unsent_full,
+            LinkError::QueueFull => &self.counters.peer_unsent_full,
             LinkError::ConnectionLost
             | LinkError::PeerTimeout
             | LinkError::MalformedFrame
             | LinkError::RateExceeded
-            | LinkError::Replaced => &self.counts.peer_unsent_broken,
+            | LinkError::Replaced => &self.counters.peer_unsent_broken,
         });
         if let Some(endpoint) = self.endpoint(user) {
             endpoint.borrow_mut().send_failed(number, to, error);
@@ -264,7 +265,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Delivers a frame to the users of its lane that are still `pending`; true if none is left.
+    /// Delivers a frame to the users of its lane that are still `pending`, by index; true if none is left.
     pub fn deliver(&self, from: &Member, lane: Lane, body: &[u8], pending: &mut [bool; 2]) -> bool {
         for (endpoint, pending) in self.endpoints.iter().zip(pending.iter_mut()) {
             let mut endpoint = endpoint.borrow_mut();
--- a/crates/transport/src/counters.rs
+++ b/crates/transport/src/counters.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-macro_rules! counts {
+macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
         /// Counters of the links, printed as `name=value` pairs. A counter's printed name is that of its field.
         #[derive(Debug, Default)]
@@ -12,7 +12,7 @@
         }
 
         impl Counters {
-            /// All names and values, in this order.
+            /// The names and values of all counters, in the order of the fields.
             pub fn all(&self) -> Vec<(&'static str, u64)> {
                 vec![$((stringify!($name), self.$name.load(Relaxed)),)*]
             }
@@ -20,7 +20,7 @@
     };
 }
 
-counts! {
+counters! {
     /// Connections accepted.
     peer_accepted,
     /// Failed accepts.
--- a/crates/transport/src/dialling.rs
+++ b/crates/transport/src/dialling.rs
@@ -1,7 +1,7 @@
 //! Which routers are dialled, and how many at a time.
 //!
 //! With [`DialPolicy::All`] each listed router is dialled while there is no link to it. With [`DialPolicy::OnDemand`] only routers that a user
-//! wants are, at most [`MAX_CONCURRENT_DIALS`] at a time, and idle links that this router dialled are closed once nobody wants them.
+//! wants are, at most [`MAX_CONCURRENT_DIALS`] at a time, and idle links that this router dialled are closed once no user wants them.
 
 use crate::connection_manager::{ConnectionManager, Link};
 use crate::counters::increment;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A user wants a link to a router, or does not want it any more.
+    /// Stores whether a user wants a link to a router, and starts a dial task if needed.
     pub fn set_wanted(&self, user: UserIndex, router: RouterId, wanted: bool) {
         if self.settings.dial_policy == DialPolicy::All {
             return;
@@ -50,7 +50,7 @@
             return;
         }
         self.report_existing_link(user, &router);
-        // Also if there is a link, for when it goes down.
+        // The task starts even if there is a link, so that it dials once that link goes down.
         if self.dials.with_task.borrow_mut().insert(router.clone()) {
             self.dials.to_start.borrow_mut().push_back(router);
             self.changed.notify(usize::MAX);
@@ -60,7 +60,9 @@
     fn store_wanted(&self, user: UserIndex, router: &RouterId, wanted: bool) {
         let mut wanted_by = self.dials.wanted_by.borrow_mut();
         let users = wanted_by.entry(router.clone()).or_default();
-        users.get_mut(user.0).into_iter().for_each(|by| *by = wanted);
+        if let Some(wants) = users.get_mut(user.0) {
+            *wants = wanted;
+        }
         if *users == [false; 2] {
             wanted_by.remove(router);
         }
@@ -79,7 +81,7 @@
         self.dials.to_start.borrow_mut().pop_front()
     }
 
-    /// True if nobody wants the router; its dial task counts as ended then.
+    /// Marks the dial task of a router as ended if no user wants the router; true if so.
     pub fn end_dial_task_if_unwanted(&self, router: &RouterId) -> bool {
         let unwanted = !self.is_wanted(router);
         if unwanted {
@@ -111,7 +113,7 @@
     }
 
     fn report_dial_failed(&self, user: UserIndex, router: &RouterId) {
-        increment(&self.counts.peer_unreached);
+        increment(&self.counters.peer_unreached);
         if let Some(endpoint) = self.endpoint(user) {
             endpoint.borrow_mut().dial_failed(router);
         }
--- a/crates/transport/src/dials.rs
+++ b/crates/transport/src/dials.rs
@@ -1,4 +1,4 @@
-//! The state of on-demand dials; `dialling` decides by it.
+//! The state of on-demand dials. The rules are in `dialling`.
 
 use basaltgw_types::RouterId;
 use event_listener::Event;
@@ -8,7 +8,7 @@
 /// The dials of on-demand links.
 #[derive(Default)]
 pub struct Dials {
-    /// Which of the users want a router.
+    /// Which of the two users want a router, by index.
     pub wanted_by: RefCell<BTreeMap<RouterId, [bool; 2]>>,
     /// Routers that have a dial task, or will have one.
     pub with_task: RefCell<BTreeSet<RouterId>>,
@@ -16,5 +16,6 @@
     pub to_start: RefCell<VecDeque<RouterId>>,
     /// Dials in progress.
     pub active: Cell<usize>,
+    /// Notified when a dial has ended.
     pub slot_freed: Event,
 }
--- a/crates/transport/src/handshake.rs
+++ b/crates/transport/src/handshake.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct Rejection {
     pub error: LinkError,
-    /// For the log.
+    /// What was expected and found, for the log.
     pub reason: String,
 }
 
@@ -28,7 +28,7 @@
 pub enum HandshakeError {
     /// The handshake took too long.
     TimedOut,
-    /// The connection was lost or closed by the peer, usually as a duplicate.
+    /// The connection was lost, or closed by the peer, usually as a duplicate.
     ConnectionLost,
     /// There is a link already.
     Duplicate,
@@ -59,12 +59,12 @@
 
     /// Decodes a hello, and checks that its sender is a listed peer.
     fn check_hello(&self, body: &[u8]) -> Result<SessionHello, Rejection> {
-        // The protocol comes first: other versions may encode the rest differently.
+        // The protocol version comes first: other versions may encode the rest differently.
         let Ok((protocol, _)) = postcard::take_from_bytes::<u16>(body) else {
-            return Err(malformed("a hello without a protocol"));
+            return Err(malformed("a hello without a protocol version"));
         };
         if protocol != PROTOCOL_VERSION {
-            return Err(mismatch(format!("protocol {protocol}, expected {PROTOCOL_VERSION}")));
+            return Err(mismatch(format!("protocol version {protocol}, expected {PROTOCOL_VERSION}")));
         }
         let Ok((session, [])) = postcard::take_from_bytes::<SessionHello>(body) else {
             return Err(malformed("a hello that can't be decoded"));
@@ -80,11 +80,11 @@
             return Err(mismatch(reason));
         }
         match self.listed.get(router) {
-            // This router's own name is never listed.
-            None => Err(mismatch(format!("router {router}, not listed"))),
+            // The own name is never listed, so a connection to itself is rejected as well.
+            None => Err(mismatch(format!("router {router} is not listed"))),
             Some(listed) if listed.domain != hello.domain => {
                 let (found, expected) = (&hello.domain, &listed.domain);
-                Err(mismatch(format!("router {router} in {found:?}, listed in {expected:?}")))
+                Err(mismatch(format!("router {router} in {found:?}, but listed in {expected:?}")))
             }
             Some(_) => Ok(session),
         }
@@ -118,7 +118,7 @@
     let session = manager.check_hello(&body).map_err(HandshakeError::Rejected)?;
     let router = &session.hello.member.router;
     if let Some(expected) = dialled.filter(|d| *d != router) {
-        let reason = format!("dialled {expected}, found {router}");
+        let reason = format!("dialled router {expected}, found router {router}");
         return Err(HandshakeError::Rejected(mismatch(reason)));
     }
     if manager.selects_connection(router) {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -44,7 +44,7 @@
     pub router: RouterId,
     /// The address on which it accepts links.
     pub address: SocketAddr,
-    /// The failure domain; its hello must match.
+    /// The failure domain, which its hello must name.
     pub domain: Domain,
 }
 
@@ -53,9 +53,9 @@
 pub struct Limits {
     /// Frames in a queue.
     pub max_queued_frames: usize,
-    /// Body bytes in a queue, and in each of a user's two rings; at least one frame.
+    /// Body bytes in a queue, and in each of a user's two rings; at least `max_frame_bytes`.
     pub max_queued_bytes: usize,
-    /// The longest frame, in bytes.
+    /// The longest body of a frame, in bytes.
     pub max_frame_bytes: usize,
     /// Entries of a ring.
     pub ring_entries: usize,
@@ -66,7 +66,7 @@
 pub enum LinkCommand {
     /// Sends bytes to a router. Its number is returned by [`LinkEvent::SendFailed`] if they were not written completely.
     Send {
-        /// The sender's number.
+        /// Chosen by the user, and not interpreted.
         number: u64,
         /// The recipient; only this incarnation of it.
         to: Member,
@@ -83,9 +83,9 @@
         /// Whether the user wants a link to it from now on.
         wanted: bool,
     },
-    /// The table that this router's hello names from now on.
+    /// Sets the table that this router's hello names from now on.
     AdvertiseTable(TableVersion, TableHash),
-    /// Graceful shutdown.
+    /// Shuts the transport down gracefully.
     Shutdown,
 }
 
@@ -94,11 +94,11 @@
 pub enum LinkEvent {
     /// A link is up, or its peer uses another table.
     LinkUp(Hello),
-    /// A link is down.
+    /// A link is down, for this reason.
     LinkDown(Member, LinkError),
     /// A dial to a router that this user wants has failed. It is repeated while the router is wanted.
     DialFailed(RouterId),
-    /// Bytes were received.
+    /// A frame was received.
     MessageReceived {
         /// The sender.
         from: Member,
@@ -107,9 +107,9 @@
         /// The bytes.
         body: Vec<u8>,
     },
-    /// Bytes were not written completely. They were not received, or (with [`LinkError::ConnectionLost`]) may have been.
+    /// A frame was not written completely. The recipient did not receive it, or (with [`LinkError::ConnectionLost`]) may have.
     SendFailed {
-        /// The sender's number.
+        /// Its number in [`LinkCommand::Send`].
         number: u64,
         /// The recipient.
         to: Member,
--- a/crates/transport/src/port.rs
+++ b/crates/transport/src/port.rs
@@ -25,7 +25,7 @@
     #[error("the ring of commands is full")]
     QueueFull(LinkCommand),
     /// The body is longer than a frame may be.
-    #[error("a frame longer than {max_bytes} bytes")]
+    #[error("the body is longer than the {max_bytes} bytes of a frame")]
     FrameTooLong {
         /// The command.
         command: LinkCommand,
@@ -37,7 +37,7 @@
     Ended(LinkCommand),
 }
 
-/// The cause of an end that was not requested.
+/// The transport's thread ended by a panic, with this message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the transport's thread ended: {0}")]
 pub struct TransportEnded(pub String);
@@ -73,7 +73,7 @@
     /// Waits for the end of the thread.
     ///
     /// # Errors
-    /// [`TransportEnded`] with the cause if the end was caused neither by [`LinkCommand::Shutdown`] nor by a dropped [`Port`].
+    /// [`TransportEnded`] if the thread panicked: its end was caused neither by [`LinkCommand::Shutdown`] nor by a dropped [`Port`].
     pub fn join(self) -> Result<(), TransportEnded> {
         self.thread.join().map_err(|panic| TransportEnded(panic_message(panic)))
     }
@@ -96,12 +96,12 @@
     }
 }
 
-/// A user's end: commands in, events out, without waiting. Dropping one of the two ports shuts the transport down gracefully.
+/// A user's end of the transport: takes commands and returns events without waiting. Dropping one of the two ports shuts the transport down gracefully.
 #[derive(Debug)]
 pub struct Port {
     pub(crate) commands: Producer<LinkCommand>,
     pub(crate) events: Consumer<LinkEvent>,
-    /// Signals the transport's thread that there are commands, or capacity for events.
+    /// Notifies the transport's thread of commands, or of capacity for events.
     pub(crate) signal: Sender<()>,
     /// Set while the transport's thread waits for capacity.
     pub(crate) awaits_capacity: Arc<AtomicBool>,
--- a/crates/transport/src/thread.rs
+++ b/crates/transport/src/thread.rs
@@ -41,9 +41,12 @@
     users: [TransportUser; 2],
 ) -> io::Result<Links> {
     check_limits(&limits)?;
-    settings.check().map_err(|what| invalid(format!("settings of links: {what}")))?;
+    settings.check().map_err(|problem| invalid(format!("settings of links: {problem}")))?;
     if me.protocol != PROTOCOL_VERSION {
-        return Err(invalid(format!("the own protocol is {}, expected {PROTOCOL_VERSION}", me.protocol)));
+        return Err(invalid(format!(
+            "protocol version of this router: expected {PROTOCOL_VERSION}, found {}",
+            me.protocol
+        )));
     }
     if let Some(lane) = LANES.iter().find(|l| !users.iter().any(|u| u.lanes.contains(l))) {
         return Err(invalid(format!("no user receives the lane {lane:?}")));
@@ -52,23 +55,23 @@
     let listener = TcpListener::bind(listen)?;
     let address = listener.local_addr()?;
     let listener = Async::new(listener)?;
-    let counts = Arc::new(Counters::default());
+    let counters = Arc::new(Counters::default());
     let [first, second] = users.map(|user| create_port(user, &limits));
     let PortPair { port: first_port, endpoint: first_endpoint } = first;
     let PortPair { port: second_port, endpoint: second_endpoint } = second;
-    let thread_counts = counts.clone();
+    let thread_counters = counters.clone();
     let run_thread = move || {
         let me = SessionHello { hello: me, session_id };
         let config = ManagerConfig { me, listed, limits, settings };
-        run(listener, ConnectionManager::new(config, [first_endpoint, second_endpoint], thread_counts));
+        run(listener, ConnectionManager::new(config, [first_endpoint, second_endpoint], thread_counters));
     };
     let thread = std::thread::Builder::new().name("peers".into()).spawn(run_thread)?;
-    let handle = TransportHandle { thread, counters: counts, address };
+    let handle = TransportHandle { thread, counters, address };
     Ok(Links { ports: (first_port, second_port), handle })
 }
 
-fn invalid(what: String) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidInput, what)
+fn invalid(problem: String) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidInput, problem)
 }
 
 fn check_limits(limits: &Limits) -> io::Result<()> {
@@ -77,7 +80,9 @@
     let length_overflows = u32::try_from(max_frame_bytes).is_ok_and(|f| f == u32::MAX);
     if has_zero || max_queued_bytes < max_frame_bytes || length_overflows {
         return Err(invalid(format!(
-            "limits of links: expected frames, frame, ring over 0, bytes at least frame: {limits:?}"
+            "limits of links: expected max_queued_frames, max_frame_bytes and ring_entries of 1 or more, max_frame_bytes below {}, \
+             and max_queued_bytes of at least max_frame_bytes, found {limits:?}",
+            u32::MAX
         )));
     }
     Ok(())
@@ -88,14 +93,15 @@
     for peer in listed {
         let name = peer.router.clone();
         if name == me.member.router || by_name.insert(name.clone(), peer).is_some() {
-            let what = format!("peers: expected each other router once, found {name} again");
-            return Err(invalid(what));
+            let problem =
+                format!("peers: expected each other router once, found {name} twice or as this router");
+            return Err(invalid(problem));
         }
     }
     Ok(by_name)
 }
 
-/// What the main task does next.
+/// The next step of the main task.
 enum MainStep {
     /// A connection was accepted, or accepting failed.
     Accepted(io::Result<Async<TcpStream>>),
@@ -120,7 +126,7 @@
         close_links(&manager).await;
     };
     async_io::block_on(tasks.run(main));
-    // The thread ends with the task's panic, so that whoever joins it gets the cause.
+    // The thread ends with the task's panic, so that `TransportHandle::join` returns the cause.
     if let Some(panic) = manager.panic.take() {
         resume_unwind(panic);
     }
@@ -143,18 +149,18 @@
             MainStep::StartDialTask(name) => spawn_dial_task(tasks, manager, name),
             MainStep::Accepted(Ok(stream)) => on_accepted(stream, tasks, manager),
             MainStep::Accepted(Err(e)) => {
-                manager.reject(&manager.counts.peer_accept_failed, &format!("accept: {e}"));
+                manager.reject(&manager.counters.peer_accept_failed, &format!("accept failed: {e}"));
                 Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Starts the task of an accepted connection, unless too many are in their handshake.
+/// Starts the task of an accepted connection, unless too many connections are in their handshake.
 fn on_accepted(stream: Async<TcpStream>, tasks: &LocalExecutor<'_>, manager: &Rc<ConnectionManager>) {
-    increment(&manager.counts.peer_accepted);
+    increment(&manager.counters.peer_accepted);
     if manager.in_handshake.get() >= MAX_CONNECTIONS_IN_HANDSHAKE {
-        increment(&manager.counts.peer_no_place);
+        increment(&manager.counters.peer_no_place);
         return;
     }
     manager.in_handshake.set(manager.in_handshake.get() + 1);
@@ -163,7 +169,7 @@
     tasks.spawn(supervise(manager.clone(), connection)).detach();
 }
 
-/// Waits for a limited time until all links have written their queued frames, then closes the others.
+/// Waits up to [`SHUTDOWN_TIMEOUT`] until all links have written their queued frames and closed, then closes the others.
 async fn close_links(manager: &Rc<ConnectionManager>) {
     let all_closed = async {
         while manager.panic.borrow().is_none() {
@@ -286,7 +292,7 @@
     if manager.links.borrow().contains_key(name) || manager.end_dial_task_if_unwanted(name) {
         return None;
     }
-    increment(&manager.counts.peer_dialled);
+    increment(&manager.counters.peer_dialled);
     let timeout = async {
         Timer::after(CONNECT_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
@@ -294,7 +300,7 @@
     match future::or(Async::<TcpStream>::connect(address), timeout).await {
         Ok(stream) => Some(run_connection(manager, stream, Some(name), slot).await),
         Err(_) => {
-            increment(&manager.counts.peer_dial_failed);
+            increment(&manager.counters.peer_dial_failed);
             Some(ConnectionEnd::Failed)
         }
     }
