--- a/crates/membership/src/byte_tests.rs
+++ b/crates/membership/src/byte_tests.rs
@@ -1,4 +1,4 @@
-//! The bytes of the membership's messages, compared with those written down here.
+//! The encoding of the membership's messages, compared with recorded bytes.
 
 use crate::evidence::EvidenceUpdate;
 use crate::identity::RouterIdentity;
@@ -15,7 +15,7 @@
 fn identity(name: &str) -> RouterIdentity {
     let member = Member { router: RouterId(Arc::from(name)), incarnation: Incarnation(0x0102) };
     let domain = Domain { branch: Arc::from("b1"), machine: Arc::from("m1") };
-    let presence = Presence { member, address: "127.0.0.1:7400".parse().expect("an address"), domain };
+    let presence = Presence { member, address: "127.0.0.1:7400".parse().expect("a valid address"), domain };
     RouterIdentity { presence, generation: 300, replaced: Arc::from([Incarnation(9)]) }
 }
 
@@ -53,9 +53,9 @@
     let without =
         SwimMessage { header: header(SwimKind::Announce), updates: Vec::new(), has_update_count: false };
     for (swim, expected) in [(with_update, "0272318202007f000001e839026231026d31ac020109030272328202007f000001e839026231026d31ac0201090800010272338202007f000001e839026231026d31ac0201090000"), (without, "0272318202007f000001e839026231026d31ac020109030272328202007f000001e839026231026d31ac02010906")] {
-        let bytes = swim.encode().expect("plain values");
+        let bytes = swim.encode().expect("valid values are encoded");
         assert_eq!(hex(&bytes), expected);
-        let read = SwimMessage::decode(&bytes).expect("the bytes of a message");
-        assert_eq!(read.encode().ok(), Some(bytes));
+        let decoded = SwimMessage::decode(&bytes).expect("an encoded message is decoded");
+        assert_eq!(decoded.encode().ok(), Some(bytes));
     }
 }
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -1,7 +1,7 @@
-//! Evidence on sites: observed by one router, gossiped by all, older at each hop, dropped after a span.
+//! Evidence on sites: observed by one router, gossiped by all, and dropped at a maximum age, which grows on the way.
 //!
 //! It is attached to the SWIM library's messages instead of being one of its broadcasts: the library forwards broadcasts byte by byte, but
-//! the age of evidence grows while it waits. Inputs: own and received evidence, the limits of the settings; ages in milliseconds.
+//! the age of evidence must grow while it waits. Inputs: own and received evidence, the limits of the settings; ages in milliseconds.
 
 use crate::{Evidence, MembershipError, Settings};
 use basaltgw_types::{Member, Ms, RouterId};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The longest name of a site.
+/// The longest name of a site, in bytes.
 const MAX_SITE_BYTES: usize = 64;
 
 /// Evidence as it is gossiped.
@@ -19,7 +19,7 @@
     pub origin: Member,
     /// A random number of the origin's process; serials of different processes are not comparable.
     pub start: u64,
-    /// Counted up by the origin with each update.
+    /// The number of the update at its origin, which counts up.
     pub serial: u64,
     /// The evidence, with its age when the message was sent.
     pub evidence: Evidence,
@@ -40,8 +40,9 @@
 
 struct StoredUpdate {
     update: EvidenceUpdate,
-    /// When the update had the age that it says, on this router's clock.
+    /// When the update was received, on this router's clock; its `age_ms` is the age at that time.
     received_at: Ms,
+    /// Messages of this router that are still to carry the update.
     transmissions_left: u8,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// All evidence that this router knows.
+/// The evidence that this router knows: the latest update of each router on each site.
 pub(crate) struct EvidenceStore {
     updates: BTreeMap<EvidenceKey, StoredUpdate>,
     start: u64,
@@ -82,7 +83,7 @@
         self.insert(now, update, settings).map(|_| ())
     }
 
-    /// Stores valid evidence of another router; true if it is new.
+    /// Stores evidence of another router, which must be valid; true if it is newer than the stored one.
     ///
     /// # Errors
     /// If the origin's limit is reached.
@@ -133,25 +134,25 @@
         self.updates.range(first..).take_while(|(key, _)| key.origin == *origin).count()
     }
 
-    /// Evicts the oldest update, if it is older than that.
+    /// Evicts the oldest update if it is older than `age`; true if so.
     fn evict_older(&mut self, now: Ms, age: Ms) -> bool {
         let oldest = self.updates.iter().max_by(|a, b| a.1.age(now).total_cmp(&b.1.age(now)));
         let oldest = oldest.filter(|(_, stored)| stored.age(now) > age).map(|(key, _)| key.clone());
         oldest.is_some_and(|key| self.updates.remove(&key).is_some())
     }
 
-    /// Drops outdated evidence. True if evidence is still to be gossiped.
+    /// Drops evidence of the maximum age. True if some is still to be gossiped.
     pub fn expire(&mut self, now: Ms, settings: &Settings) -> bool {
         self.updates.retain(|_, stored| stored.age(now) < settings.max_evidence_age);
         self.has_pending()
     }
 
-    /// True if evidence is still to be gossiped.
+    /// True if some evidence is still to be gossiped.
     pub fn has_pending(&self) -> bool {
         self.updates.values().any(|stored| stored.transmissions_left > 0)
     }
 
-    /// The evidence for a message, up to the byte limit: the least often sent first, then the youngest.
+    /// Takes the evidence for a message, up to the limit in bytes: the least often sent first, then the youngest.
     pub fn take_for_message(&mut self, now: Ms, settings: &Settings) -> Vec<EvidenceUpdate> {
         let mut pending: Vec<_> = self.updates.values_mut().filter(|s| s.transmissions_left > 0).collect();
         pending.sort_by(|a, b| {
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -9,16 +9,16 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Replaced incarnations that an identity lists; a router gets a new one when it loses its disk.
+/// Replaced incarnations that an identity lists at most; a router gets a new incarnation when it loses its disk.
 const MAX_REPLACED: usize = 8;
-/// The highest generation.
+/// The highest generation; an identity above it is invalid.
 const MAX_GENERATION: u64 = 1 << 48;
 
 /// A router under one incarnation, with a generation that rises each time it returns after others considered it down.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RouterIdentity {
     pub presence: Presence,
-    /// Above that of every identity of this name that the router knew of.
+    /// Higher than that of every other identity of this name that the router knew when it chose this one.
     pub generation: u64,
     /// The incarnations that this one has replaced, the latest first.
     pub replaced: Arc<[Incarnation]>,
@@ -59,12 +59,13 @@
         self.lists(other) && self.is_current_over(other)
     }
 
-    /// This identity with a generation above the other's, and with the other's incarnations listed; `None` above [`MAX_GENERATION`].
+    /// This identity with a higher generation than `known` and with its incarnations listed as replaced; `None` above [`MAX_GENERATION`].
     pub fn raised_above(&self, known: &Self) -> Option<Self> {
         let generation = self.generation.max(known.generation) + 1;
         let mut replaced = Vec::new();
-        let theirs = std::iter::once(known.member().incarnation).chain(known.replaced.iter().copied());
-        for incarnation in theirs.chain(self.replaced.iter().copied()) {
+        let known_incarnations =
+            std::iter::once(known.member().incarnation).chain(known.replaced.iter().copied());
+        for incarnation in known_incarnations.chain(self.replaced.iter().copied()) {
             let is_new = incarnation != self.member().incarnation && !replaced.contains(&incarnation);
             if is_new && replaced.len() < MAX_REPLACED {
                 replaced.push(incarnation);
@@ -74,7 +75,7 @@
         (generation <= MAX_GENERATION).then_some(raised)
     }
 
-    /// True if the names are valid and the bounds are kept.
+    /// True if the names are valid, the bounds are kept, and the own incarnation is not listed as replaced.
     pub fn is_valid(&self) -> bool {
         let Presence { member, domain, .. } = &self.presence;
         [&member.router.0, &domain.branch, &domain.machine].iter().all(|n| parse_name(n).is_ok())
--- a/crates/membership/src/identity/tests.rs
+++ b/crates/membership/src/identity/tests.rs
@@ -23,10 +23,10 @@
             assert!(a.is_current_over(b) != b.is_current_over(a), "{a:?} {b:?}");
         }
     }
-    // Whatever generation the replaced incarnation still reaches.
+    // A replaced incarnation stays replaced, whatever generation it still reaches.
     assert!(identity(2, 1, &[9]).replaces(&identity(9, 400, &[])));
     assert!(!identity(9, 400, &[]).is_current_over(&identity(2, 1, &[9])));
-    // Two that each list the other: the generation decides.
+    // Of two identities that list each other, the generation decides.
     assert!(
         identity(9, 400, &[2]).replaces(&identity(2, 1, &[9]))
             && !identity(2, 1, &[9]).replaces(&identity(9, 400, &[2]))
@@ -35,12 +35,12 @@
 
 #[test]
 fn a_raised_identity_lists_the_other_and_has_a_higher_generation() {
-    let next = identity(5, 0, &[]).raised_above(&identity(9, 7, &[1, 5])).expect("above");
-    assert_eq!(next, identity(5, 8, &[9, 1]));
-    let back = identity(5, 8, &[9]).renew().expect("back");
-    assert_eq!(back, identity(5, 9, &[9]));
+    let raised = identity(5, 0, &[]).raised_above(&identity(9, 7, &[1, 5])).expect("a generation is left");
+    assert_eq!(raised, identity(5, 8, &[9, 1]));
+    let renewed = identity(5, 8, &[9]).renew().expect("a generation is left");
+    assert_eq!(renewed, identity(5, 9, &[9]));
     let most: Vec<u128> = (10..10 + MAX_REPLACED as u128).collect();
-    let full = identity(5, 0, &[]).raised_above(&identity(9, 7, &most)).expect("above");
+    let full = identity(5, 0, &[]).raised_above(&identity(9, 7, &most)).expect("a generation is left");
     assert!(full.is_valid() && full.replaced.len() == MAX_REPLACED && full.replaces(&identity(9, 7, &most)));
     assert_eq!(identity(5, 0, &[]).raised_above(&identity(9, MAX_GENERATION, &[])), None);
 }
--- a/crates/membership/src/inbound.rs
+++ b/crates/membership/src/inbound.rs
@@ -1,8 +1,8 @@
-//! Messages of other routers: which sender may speak for which name, which identity is current, and what reaches the SWIM library.
+//! Messages of other routers: which senders are accepted, which identity of a name is current, and what is passed to the SWIM library.
 //!
-//! A message is rejected if its sender is not listed, speaks for another router, or is new while the limit of members is reached. A sender
-//! that is not the current identity of its name gets a hello that says so. Updates on this router are answered here: if another incarnation
-//! has replaced it, it leaves; if others know it under an outdated identity or consider it down, it raises its generation.
+//! A message is rejected if its sender is not listed, names another router, or is new while the limit of members is reached. A sender that
+//! is not the current identity of its name gets a hello with the current one. Updates on this router are handled here: if another
+//! incarnation has replaced it, it leaves; if others know it under an outdated identity or consider it down, it raises its generation.
 
 use crate::evidence::{validate, EvidenceUpdate};
 use crate::identity::RouterIdentity;
@@ -11,7 +11,7 @@
 use crate::{Action, MembershipError, Presence, State};
 use basaltgw_types::{Member, Ms, RouterId};
 
-/// What was found in the updates of a message.
+/// The result of checking the updates of a message.
 #[derive(Default)]
 struct UpdateScan {
     /// Updates on this router that differ from its identity.
@@ -22,7 +22,7 @@
     dropped: usize,
 }
 
-/// Whether a message's evidence counts.
+/// Whether the sender of a message is accepted as the current identity of its name. Otherwise the message's evidence is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sender {
     Current,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Checks the limit of members for a message of this router.
+    /// Checks that a sender is known, or that the limit of members allows one more.
     fn check_member_limit(&self, from: &Member) -> Result<(), MembershipError> {
         let max = self.settings.max_members;
         match self.known.contains_key(&from.router) || self.known.len() + 1 < max {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sends this router's identity, and what it knows of the other's name.
+    /// Sends this router's identity, and what it knows of the recipient's name.
     fn send_hello(&mut self, to: &Member, actions: &mut Vec<Action>) {
         let known = self.known.get(&to.router).map(|known| KnownIdentity {
             identity: known.identity.clone(),
@@ -122,7 +122,7 @@
         Ok(())
     }
 
-    /// Checks that a hello speaks for its sender, and that what it knows is about this router.
+    /// Checks that a hello names its sender, and that the identity that it knows has the name of this router.
     fn check_hello(
         &self,
         from: &Member,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Passes a router to the SWIM library as alive; the first one is asked for its members.
+    /// Passes a router to the SWIM library as alive, and requests the members that it knows if it is the first one.
     fn add_member(&mut self, now: Ms, identity: RouterIdentity, actions: &mut Vec<Action>) {
         let is_first = self.swim.num_members() == 0;
         self.run_swim(now, actions, |swim, requests| {
@@ -153,7 +153,8 @@
         });
     }
 
-    /// Another router knows this one's name under `identity`, which may be outdated, this one, or its replacement.
+    /// Handles the identity under which another router knows this one's name: the present or an outdated one of this router, or that of
+    /// another incarnation.
     fn on_own_name(
         &mut self,
         now: Ms,
@@ -191,7 +192,7 @@
         self.run_swim(now, actions, |swim, requests| swim.change_identity(raised, requests));
     }
 
-    /// Checks a message of the SWIM library, and passes it on.
+    /// Checks a message of the SWIM library, and passes it to the library.
     fn on_swim(
         &mut self,
         now: Ms,
@@ -285,7 +286,7 @@
     }
 }
 
-/// True if the sender differs from what is known of it: each message says that its sender is alive.
+/// True if a message changes what is known of its sender: it shows that the sender is alive, under the identity in the header.
 fn changes_sender(known: Option<&KnownRouter>, message: &SwimMessage) -> bool {
     known.is_none_or(|k| k.identity != message.header.src || k.state != State::Alive)
 }
--- a/crates/membership/src/inbound/tests.rs
+++ b/crates/membership/src/inbound/tests.rs
@@ -9,7 +9,7 @@
     Presence { member, address: ([127, 0, 0, 1], 7101).into(), domain }
 }
 
-/// How r0, which knows the first incarnation of r1, handles a message of another identity of r1.
+/// Passes a message of an identity of r1 to r0, which knows the first incarnation of r1.
 fn receive(
     identity: &RouterIdentity,
     evidence: Vec<EvidenceUpdate>,
@@ -18,11 +18,14 @@
     let mut membership = Membership::new(presence("r0", 1), settings, 1).expect("valid settings");
     let (first, mut actions) = (RouterIdentity::new(presence("r1", 1)), Vec::new());
     let hello = Message::Hello(Box::new(Hello { me: first.clone(), known: None })).encode();
-    membership.handle(0.0, Event::MessageReceived(first.member().clone(), hello), &mut actions).expect("met");
+    membership
+        .handle(0.0, Event::MessageReceived(first.member().clone(), hello), &mut actions)
+        .expect("a hello is accepted");
     let (dst, message) = (RouterIdentity::new(presence("r0", 1)), SwimKind::Ping(1));
     let header = Header { src: identity.clone(), src_incarnation: 0, dst, message };
-    let bytes =
-        SwimMessage { header, updates: Vec::new(), has_update_count: false }.encode().expect("a message");
+    let bytes = SwimMessage { header, updates: Vec::new(), has_update_count: false }
+        .encode()
+        .expect("valid values are encoded");
     actions.clear();
     let event = Event::MessageReceived(identity.member().clone(), Message::Swim { bytes, evidence }.encode());
     let result = membership.handle(1.0, event, &mut actions);
@@ -40,11 +43,13 @@
         (Ok(()), vec![1], 1)
     );
     let [Action::Send(to, bytes)] = &actions[..] else { panic!("{actions:?}") };
-    let Ok(Message::Hello(hello)) = Message::decode(bytes, 1000) else { panic!("no hello") };
+    let Ok(Message::Hello(hello)) = Message::decode(bytes, 1000) else {
+        panic!("expected a hello, found {bytes:?}")
+    };
     let known = hello.known.map(|k| (k.identity.member().incarnation.0, k.is_down));
     assert_eq!((to, known), (new.member(), Some((1, false))));
-    let after = new.raised_above(&RouterIdentity::new(presence("r1", 1))).expect("a generation is left");
-    let (membership, result, _) = receive(&after, Vec::new());
+    let raised = new.raised_above(&RouterIdentity::new(presence("r1", 1))).expect("a generation is left");
+    let (membership, result, _) = receive(&raised, Vec::new());
     assert_eq!(
         (result, known_incarnations(&membership), membership.counters().not_current),
         (Ok(()), vec![7], 0)
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -58,7 +58,7 @@
 /// Observations of a site (a zone's caches, a router).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The site.
+    /// The name of the site.
     pub site: Arc<str>,
     /// Requests without a response.
     pub missed: u32,
@@ -75,17 +75,17 @@
 pub enum State {
     /// It answers probes.
     Alive,
-    /// It has not answered, and is probed through others.
+    /// It has not answered a probe, neither directly nor through other routers, and is considered down after a timeout.
     Suspect,
     /// It is considered down. It returns as the same member if it was cut off or paused, but never once another incarnation of its name is
-    /// known. Reported of the own member: another incarnation has replaced it, and it sends nothing more.
+    /// known. Reported for this router itself if another incarnation has replaced it; it sends nothing more then.
     Down,
 }
 
 /// An input of [`Membership::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A link to a listed router is up, with this hello. It precedes the router's messages.
+    /// A link to a listed router is up. It precedes the router's messages.
     LinkUp(Presence),
     /// The bytes of a message from another membership.
     MessageReceived(Member, Vec<u8>),
@@ -109,15 +109,15 @@
         /// The number that [`Event::Timer`] returns.
         token: u64,
     },
-    /// A router's state has changed.
+    /// A router's state, address or domain has changed.
     StateChanged(Presence, State),
-    /// Another router has observed evidence.
+    /// Another router has reported evidence.
     RemoteEvidence(Member, Evidence),
     /// A log line.
     Log(String),
 }
 
-/// Why an event was rejected; it changed nothing.
+/// Why an event was rejected. A rejected event has changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
     /// The router is not one that the configuration lists.
@@ -134,7 +134,7 @@
     /// A message can't be decoded.
     #[error("membership message: {0}")]
     MalformedMessage(String),
-    /// A message is longer than any membership sends.
+    /// A message is longer than any that a membership sends.
     #[error("membership message: expected at most {max_bytes} bytes, found {found_bytes}")]
     TooLong {
         /// The limit.
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -11,12 +11,12 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// The timer of evidence gossip; the library's timers start at 1.
+/// The token of the evidence gossip's timer; those of the library's timers start at 1.
 const EVIDENCE_TIMER: u64 = 0;
 
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Counted since the start of the program.
+/// Counters since the membership was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Messages sent.
@@ -33,7 +33,7 @@
     pub updates_dropped: u64,
     /// Evidence dropped: its origin is not current, or a limit is reached.
     pub evidence_dropped: u64,
-    /// Messages and timers that the library did not accept.
+    /// Messages and timers that the SWIM library rejected.
     pub library_errors: u64,
     /// Times that this router returned after others considered it down.
     pub rejoins: u64,
@@ -59,13 +59,13 @@
 /// The SWIM library with its types.
 pub(crate) type Swim = Foca<RouterIdentity, PostcardCodec, Xoshiro256PlusPlus, NoCustomBroadcast>;
 
-/// The library's timers, by number.
+/// The library's timers, by token.
 struct SwimTimers {
-    by_number: BTreeMap<u64, Timer<RouterIdentity>>,
-    next_number: u64,
+    by_token: BTreeMap<u64, Timer<RouterIdentity>>,
+    next_token: u64,
 }
 
-/// Evidence, and the timer that gossips it.
+/// Evidence, and whether the timer that gossips it is set.
 pub(crate) struct EvidenceGossip {
     pub store: EvidenceStore,
     timer_is_set: bool,
@@ -84,7 +84,7 @@
 }
 
 impl Membership {
-    /// A membership without peers. The same events and seed give the same actions.
+    /// A membership without peers. `seed` is a random number of the process; the same events and seed give the same actions.
     ///
     /// # Errors
     /// If a setting is out of range, or the router's own name is invalid.
@@ -100,7 +100,7 @@
             swim: Foca::new(identity, settings.swim_config(), rng, PostcardCodec),
             settings,
             known: BTreeMap::new(),
-            timers: SwimTimers { by_number: BTreeMap::new(), next_number: EVIDENCE_TIMER + 1 },
+            timers: SwimTimers { by_token: BTreeMap::new(), next_token: EVIDENCE_TIMER + 1 },
             evidence: EvidenceGossip { store: EvidenceStore::new(start), timer_is_set: false },
             has_left: false,
             counters: Counters::default(),
@@ -122,12 +122,12 @@
         self.known.values().map(|k| Peer { presence: &k.identity.presence, state: k.state })
     }
 
-    /// See [`Counters`].
+    /// The counters.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Handles an event; `now` in monotonic milliseconds.
+    /// Handles an event at the time `now`, in monotonic milliseconds, and appends the resulting actions.
     ///
     /// # Errors
     /// If the event is invalid; then it has changed nothing, and no action was added.
@@ -154,8 +154,8 @@
                 self.gossip_evidence(now, actions);
                 Ok(())
             }
-            Event::Timer(number) => {
-                if let Some(timer) = self.timers.by_number.remove(&number) {
+            Event::Timer(token) => {
+                if let Some(timer) = self.timers.by_token.remove(&token) {
                     self.run_swim(now, actions, |swim, requests| swim.handle_timer(timer, requests));
                 }
                 Ok(())
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Sends a round of gossip, to which pending evidence is attached.
+    /// Sends a round of gossip if evidence is pending, which is attached to it.
     fn gossip_evidence(&mut self, now: Ms, actions: &mut Vec<Action>) {
         self.evidence.timer_is_set = false;
         if self.evidence.store.expire(now, &self.settings) {
@@ -227,11 +227,11 @@
     /// Starts a timer; those of an earlier run of the library are dropped.
     fn start_timer(&mut self, StartedTimer { timer, delay }: StartedTimer, actions: &mut Vec<Action>) {
         let run = timer_token(&timer);
-        self.timers.by_number.retain(|_, t| timer_token(t) == run);
-        let number = self.timers.next_number;
-        self.timers.next_number += 1;
-        self.timers.by_number.insert(number, timer);
-        actions.push(Action::Timer { delay: delay.as_secs_f64() * MS_PER_SECOND, token: number });
+        self.timers.by_token.retain(|_, t| timer_token(t) == run);
+        let token = self.timers.next_token;
+        self.timers.next_token += 1;
+        self.timers.by_token.insert(token, timer);
+        actions.push(Action::Timer { delay: delay.as_secs_f64() * MS_PER_SECOND, token });
     }
 
     /// Stores a router's identity and state, and reports what has changed.
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -20,11 +20,11 @@
     },
 }
 
-/// What a router knows of the other's name.
+/// What the sender of a hello knows of the recipient's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct KnownIdentity {
     pub identity: RouterIdentity,
-    /// The router considers it down.
+    /// The sender considers it down.
     pub is_down: bool,
 }
 
@@ -39,11 +39,11 @@
 
 impl Message {
     pub fn encode(&self) -> Vec<u8> {
-        // Plain types in a growing buffer are always encoded.
+        // Encoding plain types into a growing buffer does not fail.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Decodes a message of at most so many bytes.
+    /// Decodes a message of at most `max_bytes`.
     ///
     /// # Errors
     /// If it is longer or malformed, has bytes left over, or an identity in it is invalid.
@@ -77,7 +77,7 @@
 pub(crate) struct SwimMessage {
     pub header: Header<RouterIdentity>,
     pub updates: Vec<Member<RouterIdentity>>,
-    /// Whether the message has a number of updates at all: some kinds have none.
+    /// Whether the message has the field with the number of updates, which some kinds lack.
     pub has_update_count: bool,
 }
 
--- a/crates/membership/src/runtime.rs
+++ b/crates/membership/src/runtime.rs
@@ -18,7 +18,7 @@
     pub delay: Duration,
 }
 
-/// The requests, collected until the library returns.
+/// The library's requests, collected until it returns.
 #[derive(Default)]
 pub(crate) struct CollectedRequests {
     pub messages: Vec<OutgoingMessage>,
@@ -47,7 +47,7 @@
     }
 
     fn submit_after(&mut self, event: Timer<RouterIdentity>, after: Duration) {
-        // The library does not notify of a suspicion that starts here.
+        // The library does not notify of a suspicion that begins at this router.
         if let Timer::ChangeSuspectToDown { member_id, .. } = &event {
             self.changed_routers.insert(member_id.router().clone());
         }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -10,40 +10,40 @@
 /// Intervals and limits of the membership; spans in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Routers with which links may come up.
+    /// Routers from which events and messages are accepted.
     pub listed_routers: BTreeSet<RouterId>,
-    /// The interval in which one router is probed.
+    /// The interval at which this router probes another one, each in turn.
     pub probe_period: Ms,
-    /// The time after which a probe is repeated through other routers; less than half a period.
+    /// The time after which a probe without an answer is repeated through other routers; less than half of `probe_period`.
     pub probe_timeout: Ms,
-    /// The routers of an indirect probe, and the recipients of one round of gossip.
+    /// The number of routers in an indirect probe, and of recipients of one round of gossip.
     pub fanout: usize,
     /// The time after which a suspect that does not answer is considered down.
     pub suspicion_timeout: Ms,
     /// The interval of gossip while there are updates.
     pub gossip_interval: Ms,
-    /// Messages of each router that carry an update.
+    /// The number of messages in which each router passes on an update.
     pub transmissions: u8,
-    /// The interval in which routers that are considered down are contacted, so that a partition heals.
+    /// The interval at which routers that are considered down are contacted, so that the membership recovers from a partition.
     pub down_announce_interval: Ms,
-    /// The interval in which a router is asked for its members.
+    /// The interval at which this router requests the members that another one knows.
     pub announce_interval: Ms,
-    /// The longest message of the SWIM library.
+    /// The longest message of the SWIM library, in bytes.
     pub max_packet_bytes: usize,
-    /// Names of routers, this one included.
+    /// The largest number of router names, the own one included.
     pub max_members: usize,
     /// The age at which evidence is dropped.
     pub max_evidence_age: Ms,
-    /// Evidence of all routers on all sites.
+    /// The largest number of stored updates of evidence: one of each router on each site.
     pub max_evidence: usize,
-    /// Sites of which one router's evidence is stored.
+    /// The largest number of sites of which one router's evidence is stored.
     pub max_sites_per_router: usize,
-    /// Bytes of evidence attached to a message.
+    /// The most bytes of evidence attached to a message.
     pub max_evidence_bytes: usize,
 }
 
 impl Default for Settings {
-    /// With up to 1,000 routers, a lost one is down everywhere within twelve periods, at about two messages a period from each router.
+    /// With up to 1,000 routers, all consider a lost one down within twelve probe periods, at about two messages of each router in a period.
     fn default() -> Self {
         Self {
             listed_routers: BTreeSet::new(),
@@ -52,12 +52,12 @@
             fanout: 3,
             suspicion_timeout: 3000.0,
             gossip_interval: 200.0,
-            // An update misses one of 1,000 routers with a probability of 1000 * e^-15, less than 1 in 3,000.
+            // An update fails to reach one of 1,000 routers with a probability of 1000 * e^-15, less than 1 in 3,000.
             transmissions: 15,
             down_announce_interval: 5000.0,
             announce_interval: 30_000.0,
             max_packet_bytes: 8192,
-            // As many as the configuration may list.
+            // The configuration lists at most as many routers.
             max_members: 1024,
             max_evidence_age: 10_000.0,
             max_evidence: 1024,
@@ -69,13 +69,13 @@
 
 /// The shortest packet that fits two routers with the longest names and the most replaced incarnations.
 const MIN_PACKET_BYTES: usize = 2048;
-/// The longest packet and the most bytes of evidence.
-const MAX_MESSAGE_BYTES: usize = 65_536;
-/// The fewest bytes of evidence.
+/// The upper bound of `max_packet_bytes`, and of `max_evidence_bytes`.
+const MAX_PART_BYTES: usize = 65_536;
+/// The lower bound of `max_evidence_bytes`.
 const MIN_EVIDENCE_BYTES: usize = 256;
 /// The longest span: a day.
 const MAX_SPAN_MS: Ms = 86_400_000.0;
-/// The lengths and the kind in a message beside the packet and the evidence.
+/// The upper bound of a message's encoded kind and lengths, without the packet and the evidence.
 const MESSAGE_OVERHEAD_BYTES: usize = 64;
 const MS_PER_SECOND: f64 = 1000.0;
 
@@ -87,8 +87,8 @@
     pub(crate) fn check(&self) -> Result<(), MembershipError> {
         let is_span = |ms: Ms| ms > 0.0 && ms <= MAX_SPAN_MS;
         let span = "more than 0 and at most a day in ms";
-        let packet_fits = (MIN_PACKET_BYTES..=MAX_MESSAGE_BYTES).contains(&self.max_packet_bytes);
-        let evidence_fits = (MIN_EVIDENCE_BYTES..=MAX_MESSAGE_BYTES).contains(&self.max_evidence_bytes);
+        let packet_fits = (MIN_PACKET_BYTES..=MAX_PART_BYTES).contains(&self.max_packet_bytes);
+        let evidence_fits = (MIN_EVIDENCE_BYTES..=MAX_PART_BYTES).contains(&self.max_evidence_bytes);
         let timeout_fits = is_span(self.probe_timeout) && self.probe_timeout < self.probe_period / 2.0;
         let checks = [
             (is_span(self.probe_period), "period", span),
@@ -129,7 +129,7 @@
             num_indirect_probes: NonZeroUsize::new(self.fanout).unwrap_or(NonZeroUsize::MIN),
             max_transmissions: NonZeroU8::new(self.transmissions).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: duration(self.suspicion_timeout),
-            // The names are bounded, and a replaced incarnation must not be forgotten.
+            // Members are never removed: their names are bounded, and a replaced incarnation must not be forgotten.
             remove_down_after: None,
             max_packet_size: NonZeroUsize::new(self.max_packet_bytes).unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
