--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -57,7 +57,7 @@
             down_announce_interval: 5000.0,
             announce_interval: 30_000.0,
             max_packet_bytes: 8192,
-            // The configuration lists at most as many routers.
+            // As many as the configuration may list.
             max_members: 1024,
             max_evidence_age: 10_000.0,
             max_evidence: 1024,
--- a/crates/overlay/src/anti_entropy.rs
+++ b/crates/overlay/src/anti_entropy.rs
@@ -1,7 +1,7 @@
-//! Anti-entropy: neighbors compare digests of their known updates, which also tells each router how far behind it may be.
+//! Anti-entropy: neighbors compare digests of their known updates, which also shows each router how far behind it may be.
 //!
 //! Inputs: digests, buckets and vectors of neighbors, time in milliseconds. A digest names the streams that changed recently and hashes all
-//! others. After [`MIN_COMPARED`] differing digests the neighbors compare the hashes of buckets, and then vectors of the differing ones.
+//! others. After [`MIN_DIFFERING_DIGESTS`] consecutive differing digests the neighbors compare the hashes of buckets, and then vectors of the differing ones.
 
 use crate::frame::{Digest, Part, Vector, BUCKETS};
 use crate::injected_bug::InjectedBug;
@@ -16,6 +16,8 @@
 const TARGET_TIMEOUT_COMPARES: f64 = 4.0;
 /// Number of neighbors to compare with before a router counts as caught up: one may lack what the other has.
 const MIN_COMPARED: usize = 2;
+/// Consecutive differing digests after which the neighbors compare buckets.
+const MIN_DIFFERING_DIGESTS: usize = 2;
 /// Largest number of streams remembered for a neighbor, as a multiple of the streams in a digest.
 const NEIGHBOR_STREAMS_FACTOR: usize = 4;
 const MS_PER_SECOND: f64 = 1_000.0;
@@ -46,7 +48,7 @@
     pub delivered_hashes: usize,
     /// Updates that wait for another router to publish them.
     pub pending_updates: usize,
-    /// Spans being repaired.
+    /// Streams being repaired.
     pub repairs: usize,
 }
 
@@ -114,7 +116,7 @@
         ages.min_by(f64::total_cmp).filter(|_| self.has_compared)
     }
 
-    /// Checks the sync targets, and sends the digests that are due.
+    /// Checks the sync targets, and adds the digests that are due to the next frames.
     pub(crate) fn compare(&mut self, now: Ms) {
         self.check_sync_targets();
         if !self.links.values().any(|link| link.next_digest_at <= now) {
@@ -161,7 +163,7 @@
         self.has_compared |= compared >= MIN_COMPARED.min(others);
     }
 
-    /// A neighbor's digest.
+    /// Compares a neighbor's digest, and begins a comparison of buckets if it keeps differing.
     pub(crate) fn on_digest(&mut self, now: Ms, from: &RouterId, digest: Digest) {
         self.on_neighbor_streams(now, from, &digest.recent, false);
         let (hash, count) = self.log.hash_without(&digest.recent);
@@ -181,7 +183,7 @@
         self.counters.differing_digests += 1;
         link.differing_digests = link.differing_digests.saturating_add(1);
         // A closer comparison must not displace requested updates: without budget the next digest starts it.
-        if usize::from(link.differing_digests) >= MIN_COMPARED && self.rate_limit.allows_others() {
+        if usize::from(link.differing_digests) >= MIN_DIFFERING_DIGESTS && self.rate_limit.allows_others() {
             link.differing_digests = 0;
             self.counters.vectors += 1;
             let named = self.log.recent(now, self.settings.recent_ms, self.settings.max_recent);
--- a/crates/overlay/src/counters.rs
+++ b/crates/overlay/src/counters.rs
@@ -17,7 +17,7 @@
     pub escalated: u64,
     /// Updates that a child queried and that were not known here.
     pub unknown: u64,
-    /// Escalated updates rejected without capacity; children escalate them again.
+    /// Escalated updates rejected for lack of capacity; children escalate them again.
     pub escalations_rejected: u64,
     /// Pending updates that another router published in time, or that the parent knows.
     pub pending_resolved: u64,
@@ -57,13 +57,13 @@
     pub reported_gaps: u64,
     /// Ticks in which updates of a kind waited for the budget, by kind.
     pub budget_waits: [u64; 4],
-    /// Updates dropped before the end of the retention.
+    /// Updates dropped before the end of the retention, because the log was full.
     pub log_full: u64,
-    /// Streams not accepted without capacity.
+    /// Streams not accepted for lack of capacity.
     pub streams_full: u64,
-    /// Repairs not started without capacity.
+    /// Repairs not started for lack of capacity.
     pub missing_full: u64,
-    /// Fetch requests and queries of neighbors dropped without capacity.
+    /// Fetch requests and queries of neighbors dropped for lack of capacity.
     pub requests_dropped: u64,
     /// Streams forgotten after a long time without an update.
     pub forgotten: u64,
@@ -71,9 +71,9 @@
     pub dials: u64,
     /// Dials that failed or timed out.
     pub dials_failed: u64,
-    /// Links that the neighbor rejected without capacity.
+    /// Links that the neighbor rejected for lack of capacity.
     pub links_rejected_by_neighbor: u64,
-    /// Links rejected here without capacity.
+    /// Links rejected here for lack of capacity.
     pub links_rejected: u64,
     /// Links closed here because the neighbor is not listed, or is this router.
     pub not_listed: u64,
@@ -95,7 +95,7 @@
     pub vectors: u64,
     /// Malformed frames; the link is closed.
     pub malformed_frames: u64,
-    /// Events about a router without such a link.
+    /// Events, frames and parts of frames that match no link or pending request.
     pub stray_events: u64,
     /// Updates too long to be published.
     pub oversized_updates: u64,
--- a/crates/overlay/src/escalation.rs
+++ b/crates/overlay/src/escalation.rs
@@ -1,8 +1,8 @@
 //! Escalation: queries of pending updates at the publisher or parent, and the updates that it does not know.
 //!
 //! A query names updates by short hashes under the neighbor's key; once repeated, or between control machines, by full hashes. Unknown updates
-//! are escalated to the neighbor, which publishes or escalates them in turn. Without an answer a query is repeated after `again_ms`, between
-//! control machines after twice `hold_ms`.
+//! are escalated to the neighbor, which publishes or escalates them in turn. Without an answer a query is repeated after
+//! `query_retry_ms`, between control machines after twice `publisher_wait_ms`.
 
 use crate::deduplication::{keyed_hash, short_hash, PendingUpdate};
 use crate::frame::{pack, Part, MAX_HASHES};
@@ -16,7 +16,7 @@
 
 /// Largest number of escalated updates in one frame.
 const MAX_ESCALATED: usize = 256;
-/// Largest total size of escalated updates in one frame.
+/// Largest total size of escalated updates in one frame, in bytes.
 const MAX_ESCALATED_BYTES: usize = 16_384;
 
 /// Updates to query or escalate, by the neighbor that receives them.
@@ -42,7 +42,7 @@
     /// Collects what fits into one frame, and marks it as sent.
     fn take_escalation_batch(&mut self, now: Ms, neighbor_key: u64, hashes: Vec<u64>) -> EscalationBatch {
         let is_control = self.own_level() == Some(Level::Control);
-        let (retry_ms, hold_ms) = (self.settings.query_retry_ms, self.settings.publisher_wait_ms);
+        let (retry_ms, publisher_wait_ms) = (self.settings.query_retry_ms, self.settings.publisher_wait_ms);
         let mut batch = EscalationBatch::default();
         for hash in hashes {
             let Some(pending) = self.deduplication.pending.get_mut(&hash) else { continue };
@@ -61,7 +61,7 @@
             }
             self.counters.queried_again += u64::from(pending.was_sent_before);
             (pending.is_sent, pending.was_sent_before) = (true, true);
-            pending.due = now + if is_control { 2.0 * hold_ms } else { retry_ms };
+            pending.due = now + if is_control { 2.0 * publisher_wait_ms } else { retry_ms };
         }
         batch
     }
--- a/crates/overlay/src/forwarding.rs
+++ b/crates/overlay/src/forwarding.rs
@@ -14,8 +14,8 @@
 
 /// Largest number of streams in one announcement.
 const MAX_ANNOUNCED: usize = 512;
-/// Bytes of a frame that are reserved for parts without updates; see the checks of the settings.
-const RESERVED_FRAME_BYTES: usize = 40_960;
+/// Bytes of a frame that are reserved for parts without updates, such as a vector and a digest.
+pub(crate) const RESERVED_FRAME_BYTES: usize = 40_960;
 /// Upper bound of the encoded size of a part with updates, without the updates.
 const PART_OVERHEAD_BYTES: usize = 16;
 /// Upper bound of the encoded size of an update besides its bytes.
@@ -34,7 +34,7 @@
 }
 
 impl Overlay {
-    /// The next update of a stream.
+    /// Adds the next update of a stream to the log, and delivers it unless its content was delivered before.
     pub(crate) fn accept(&mut self, now: Ms, stream: StreamId, update: Vec<u8>, actions: &mut Vec<Action>) {
         if self.bugs.has(InjectedBug::DropsForwarding) {
             let number = self.log.last(stream) + 1;
@@ -110,7 +110,7 @@
         self.deduplication.rotate(now, self.settings.retention_ms);
     }
 
-    /// Fills and sends the frames.
+    /// Fills and sends one frame for each link that has parts to send.
     fn send_frames(&mut self, now: Ms, actions: &mut Vec<Action>) {
         let mut order: Vec<RouterId> = self.links.keys().cloned().collect();
         if order.is_empty() {
@@ -163,8 +163,7 @@
     fn push_updates(&mut self, now: Ms, router: &RouterId, kind: Kind, used_bytes: &mut usize) -> bool {
         let is_due = |link: &&Link| link.pushes && !link.dirty.is_empty() && link.next_push_at <= now;
         let Some(link) = self.links.get(router).filter(is_due) else { return true };
-        let of_kind = StreamId((kind as u64) << 62)..=StreamId((kind as u64) << 62 | (u64::MAX >> 2));
-        for stream in link.dirty.range(of_kind).copied().collect::<Vec<_>>() {
+        for stream in link.dirty.range(StreamId::range_of(kind)).copied().collect::<Vec<_>>() {
             let neighbor_last =
                 self.links.get(router).and_then(|link| link.neighbor_last.get(&stream).copied());
             let (from, to) = (neighbor_last.unwrap_or(0) + 1, self.log.last(stream));
@@ -273,6 +272,7 @@
         next - 1
     }
 
+    /// Sends the collected parts of a link as one frame, if there are any.
     fn send_frame(&mut self, now: Ms, router: &RouterId, used_bytes: usize, actions: &mut Vec<Action>) {
         let has_parts = |link: &&mut Link| !link.parts.is_empty();
         let Some(link) = self.links.get_mut(router).filter(has_parts) else { return };
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -11,7 +11,7 @@
 //! | --- | --- |
 //! | `router_list`, `topology` | places of the listed routers; which routers a router dials |
 //! | `link_selection`, `candidates` | dials, closed links, the primary parent |
-//! | `publication`, `escalation` | which router publishes an update that several know; how it gets there |
+//! | `publication`, `escalation` | which router publishes an update that several know; how the update reaches that router |
 //! | `deduplication` | which updates are new |
 //! | `forwarding`, `rate_limit` | what goes into the next frames; the budget |
 //! | `repair`, `anti_entropy` | fetching missing updates; comparison of digests, and the lag of a router |
@@ -121,7 +121,7 @@
     Dial(RouterId),
     /// Close a link after its sent frames; [`Event::LinkDown`] need not follow.
     Close(Member),
-    /// Send a frame with this highest priority.
+    /// Send a frame. The kind is the highest priority of its parts.
     Send(Member, Kind, Vec<u8>),
     /// A new update with its publisher: this router itself for one that a child escalated.
     Deliver(Kind, Vec<u8>, Origin),
--- a/crates/overlay/src/link.rs
+++ b/crates/overlay/src/link.rs
@@ -54,10 +54,13 @@
 /// Queries of the neighbor that the next frame answers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct QueryAnswers {
+    /// Short hashes of updates that are not known here.
     unknown: Vec<[u8; 4]>,
+    /// Full hashes of known updates.
     known: Vec<[u8; 8]>,
 }
 
+/// Link to a neighbor.
 #[derive(Clone, Debug)]
 pub(crate) struct Link {
     pub member: Member,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Adds a part to the next frame; false without capacity. Of the kinds of which one says all, a new part replaces the earlier one.
+    /// Adds a part to the next frame; false without capacity. A part that describes a whole state replaces an earlier one of its kind.
     pub fn enqueue(&mut self, part: Part) -> bool {
         let replaces_earlier = match &part {
             Part::Announcement(_) | Part::Digest(_) | Part::Buckets { .. } | Part::Vector(_) => true,
@@ -162,7 +165,7 @@
         has_capacity
     }
 
-    /// The neighbor has a stream up to this number, or was sent it.
+    /// Records that the neighbor has a stream up to a number, or was sent it.
     pub fn observe_last(&mut self, stream: StreamId, last: u64) {
         let neighbor_last = self.neighbor_last.entry(stream).or_insert(last);
         *neighbor_last = last.max(*neighbor_last);
--- a/crates/overlay/src/link_selection.rs
+++ b/crates/overlay/src/link_selection.rs
@@ -1,8 +1,8 @@
 //! Link selection: which routers are dialed, which links are closed, and which parent pushes updates.
 //!
 //! Inputs: the candidates of the topology, links, time in milliseconds. In each group the best candidates that are not backing off are
-//! dialed, as many as the group needs, and more while every parent rejects to push. A worse link closes once the better ones have been up for
-//! `late_ms`. The primary parent is the first one in the order of candidates that accepts to push; it changes only to a parent that has been
+//! dialed, as many as the group needs, and more while every parent rejects the push request. A worse link closes once the better ones have been up for
+//! `late_ms`. The primary parent is the first one in the order of candidates that accepts to push updates; it changes only to a parent that has been
 //! linked for `stable_ms`.
 
 use crate::candidates::{Candidate, CandidateState, Group};
@@ -23,7 +23,7 @@
     is_outside: bool,
 }
 
-/// Largest number of links beyond the needed ones that are tried while every parent rejects to push.
+/// Largest number of links beyond the needed ones that are tried while every parent rejects the push request.
 const MAX_EXTRA_LINKS: usize = 8;
 /// Random part of a backoff, relative to it.
 const BACKOFF_JITTER: f64 = 0.5;
@@ -31,6 +31,7 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
 impl Overlay {
+    /// Takes over a changed list: computes the groups of candidates anew, and closes the links to routers that are not listed.
     pub(crate) fn set_list(&mut self, now: Ms, list: Arc<RouterList>, actions: &mut Vec<Action>) {
         let mut before: BTreeMap<RouterId, Candidate> = BTreeMap::new();
         for candidate in self.groups.drain(..).flat_map(|g| g.candidates) {
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Number of links beyond the needed ones: one for each parent that rejects to push, while there is no primary parent.
+    /// Number of links beyond the needed ones: one for each parent that rejects the push request, while there is no primary parent.
     fn extra_links(&self, now: Ms) -> usize {
         let rejects = |link: &&Link| link.role == Role::Parent && link.push_rejected_until > now;
         match self.primary {
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Parents that were dialed by an earlier list, once the links of the present one are established.
+    /// Parents that were candidates of an earlier list, once the links of the present one are established.
     fn surplus_unlisted(&self, now: Ms) -> Vec<RouterId> {
         let is_candidate = |router: &RouterId| {
             self.groups.iter().flat_map(|group| &group.candidates).any(|c| c.router == *router)
--- a/crates/overlay/src/overlay.rs
+++ b/crates/overlay/src/overlay.rs
@@ -20,6 +20,9 @@
 /// A timer may fire this early, because callers' timers round.
 const TIMER_TOLERANCE_MS: Ms = 1.0;
 
+/// Salt of the random numbers.
+const RANDOM_SALT: u64 = 0x6f76;
+
 /// Parent to which updates are escalated.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EscalationParent {
@@ -44,7 +47,7 @@
     pub(crate) primary_lags: u32,
     pub(crate) log: UpdateLog,
     pub(crate) deduplication: Deduplication,
-    /// When a parent last sent anything; the time of the first tick before that.
+    /// When a parent last sent anything; until then the time of the first tick.
     pub(crate) parent_received_at: Ms,
     pub(crate) escalation_parent: Option<EscalationParent>,
     pub(crate) repairs: Repairs,
@@ -52,7 +55,7 @@
     pub(crate) counters: Counters,
     /// Time of the first event.
     pub(crate) started_at: Option<Ms>,
-    /// Set once two neighbors were compared with.
+    /// Whether this router has reached the state of enough neighbors since its start; see `check_sync_targets`.
     pub(crate) has_compared: bool,
     pub(crate) tick_count: usize,
     pub(crate) next_tick_at: Ms,
@@ -113,7 +116,7 @@
 
     /// A random number between 0 and 1.
     pub(crate) fn random(&mut self) -> f64 {
-        self.seed = mix(self.seed, 0x6f76);
+        self.seed = mix(self.seed, RANDOM_SALT);
         unit_interval(self.seed)
     }
 
@@ -230,7 +233,7 @@
         Ok(())
     }
 
-    /// A child starts or stops the push of updates to it.
+    /// Starts, rejects or stops the push of updates that a child requests.
     fn on_push_request(&mut self, now: Ms, router: &RouterId, enabled: bool, known: &Vector) {
         let is_accepted = enabled && self.accepts_push(router);
         let Some(link) = self.links.get_mut(router).filter(|link| link.role == Role::Child) else { return };
@@ -294,6 +297,7 @@
         self.publish(now, kind, &update);
     }
 
+    /// Publishes an update as the next one of this router's own stream.
     pub(crate) fn publish(&mut self, now: Ms, kind: Kind, update: &[u8]) {
         self.counters.published += 1;
         let stream = self.own_stream(kind);
--- a/crates/overlay/src/publication.rs
+++ b/crates/overlay/src/publication.rs
@@ -19,8 +19,8 @@
 const QUERY_AHEAD_BATCHES: f64 = 2.0;
 /// Smallest delay of a query: updates from the parent usually arrive a little late.
 const MIN_QUERY_DELAY_BATCHES: f64 = 2.0;
-/// Relays of a partitioned region publish this many `hold_ms` apart: their updates travel through all tiers.
-const PARTITION_TURN_HOLDS: f64 = 4.0;
+/// Relays of a partitioned region publish this many `publisher_wait_ms` apart: their updates travel through all tiers.
+const PARTITION_TURN_WAITS: f64 = 4.0;
 /// A neighbor that was silent for this many `compare_ms` is not queried.
 const RESPONSIVE_COMPARES: f64 = 2.0;
 /// A relay without a message from a parent for this many `compare_ms` may have no parent.
@@ -37,7 +37,7 @@
 }
 
 impl Overlay {
-    /// An update that other routers probably know as well.
+    /// Stores an update that other routers probably know as well, until one of them publishes it.
     pub(crate) fn on_already_known(
         &mut self,
         now: Ms,
@@ -113,7 +113,7 @@
         let region = &list.at(index).region;
         let own_relays = list.relays().iter().map(|i| list.at(*i)).filter(|entry| entry.region == *region);
         let earlier = own_relays.filter(|entry| score(&entry.router) > score(&self.me)).count();
-        Publisher::This { delay: earlier as f64 * PARTITION_TURN_HOLDS * self.settings.publisher_wait_ms }
+        Publisher::This { delay: earlier as f64 * PARTITION_TURN_WAITS * self.settings.publisher_wait_ms }
     }
 
     /// The primary parent if it is responsive, or else another responsive parent.
@@ -126,7 +126,7 @@
     }
 
     /// How long an update is left to others before the parent is queried. Lower tiers query sooner, because an update that only they know has
-    /// the longest way.
+    /// the longest path to a publisher.
     fn publication_delay(&self, now: Ms, content_hash: u64) -> Ms {
         let settings = &self.settings;
         let place = self.list.as_ref().and_then(|list| Some(list.place(list.index(&self.me)?)));
@@ -170,6 +170,7 @@
         self.send_escalations(now, escalations);
     }
 
+    /// Updates the time at which a parent last sent anything.
     fn observe_parents(&mut self, now: Ms) {
         let first = if self.parent_received_at == 0.0 { now } else { self.parent_received_at };
         let parents = self.links.values().filter(|link| link.role == Role::Parent);
@@ -205,7 +206,7 @@
                     self.publish_pending(now, hash);
                 }
             }
-            // A control machine that does not answer.
+            // The control machine that was queried did not answer in time.
             Publisher::Other(_) if is_control && is_sent && due <= now => {
                 self.counters.published_for_others += 1;
                 self.publish_pending(now, hash);
--- a/crates/overlay/src/repair.rs
+++ b/crates/overlay/src/repair.rs
@@ -16,6 +16,7 @@
 const MAX_SOURCES: usize = 4;
 /// Largest number of fetches in one tick.
 const MAX_FETCHES_PER_TICK: usize = 64;
+/// Number of lags in a row after which the primary parent is replaced.
 const MAX_PRIMARY_LAGS: u32 = 2;
 
 /// Fetch that waits for updates.
@@ -102,7 +103,7 @@
     ) {
         let late_ms = self.settings.late_ms;
         let Some(link) = self.links.get_mut(from) else { return };
-        // Updates of a child take the way up and down again, and neighbors outside the region may have them long before the own parents.
+        // A child's updates travel up the tree and down again, and neighbors outside the region may have updates long before the own parents.
         let wait = match (is_backfill, link.role, link.is_outside) {
             (true, _, _) => 0.0,
             (false, Role::Parent, false) | (false, Role::Peer, _) => late_ms,
@@ -185,7 +186,7 @@
         self.choose_primary(now);
     }
 
-    /// Consecutive updates of a stream from a neighbor.
+    /// Accepts consecutive updates of a stream from a neighbor, or starts a repair if earlier ones are missing.
     pub(crate) fn on_updates(
         &mut self,
         now: Ms,
@@ -234,7 +235,7 @@
         }
     }
 
-    /// A fetch has brought updates: the next one may follow at once.
+    /// Ends a fetch that was answered, so that the next one may follow at once.
     fn continue_repair(&mut self, now: Ms, from: &RouterId, stream: StreamId) {
         if let Some(repair) = self.repairs.by_stream.get_mut(&stream) {
             if repair.is_fetching_from(from) {
@@ -244,8 +245,8 @@
         }
     }
 
-    /// A neighbor has no updates of a stream before `first`, the last of which is at least `age` milliseconds old. Only a neighbor from which
-    /// updates are being fetched is believed, and only about those.
+    /// Skips the updates of a stream before `first`, which a neighbor does not have; the last of them is at least `age` milliseconds old. Only
+    /// the neighbor from which updates are being fetched may report them, and only those.
     pub(crate) fn on_unavailable(
         &mut self,
         now: Ms,
--- a/crates/overlay/src/router_list.rs
+++ b/crates/overlay/src/router_list.rs
@@ -80,11 +80,14 @@
 }
 
 /// Bits of the hash of a name that identify a router in a stream.
-const SHORT_NAME_BITS: u32 = 30;
+pub(crate) const SHORT_NAME_BITS: u32 = 30;
+
+/// Salt of the short names.
+const SHORT_NAME_SALT: u64 = 0x7368;
 
 /// Short form of a router's name, used in streams.
 pub(crate) fn short_name(router: &RouterId) -> u32 {
-    (mix(fnv1a(&router.0), 0x7368) >> (64 - SHORT_NAME_BITS)) as u32
+    (mix(fnv1a(&router.0), SHORT_NAME_SALT) >> (64 - SHORT_NAME_BITS)) as u32
 }
 
 impl RouterList {
@@ -253,7 +256,7 @@
     ranked
 }
 
-/// Zone (depth 2), site (1) or rack (0) of a router, with the domains that contain it.
+/// Zone (depth 2), site (depth 1) or rack (depth 0) of a router, with the domains that contain it.
 pub(crate) fn failure_domain(entry: &RouterEntry, depth: usize) -> (&str, &str, &str, &str) {
     match depth {
         2 => (&entry.region, &entry.zone, "", ""),
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -1,5 +1,6 @@
 //! Settings of an overlay, and the check of their bounds.
 
+use crate::forwarding::RESERVED_FRAME_BYTES;
 use crate::OverlayError;
 use basaltgw_types::Ms;
 
@@ -46,7 +47,7 @@
     pub recent_ms: Ms,
     /// Largest number of streams named in a digest.
     pub max_recent: usize,
-    /// Largest number of streams in one vector.
+    /// Largest number of streams in one vector, which compares a page of the differing buckets.
     pub page: usize,
     /// Retention of updates, ms.
     pub retention_ms: Ms,
@@ -171,9 +172,9 @@
             (self.max_repairs > 0, "most_missing", "1 or more"),
             ((1..=65_536).contains(&self.max_update_bytes), "most_word", "1 to 65,536 bytes"),
             (self.max_log_bytes >= self.max_update_bytes, "most_log_bytes", "most_word or more"),
-            // One frame fits an update, a page and a digest.
+            // One frame fits an update, a vector of a page, and a digest.
             (
-                self.max_frame_bytes >= self.max_update_bytes + 40_960,
+                self.max_frame_bytes >= self.max_update_bytes + RESERVED_FRAME_BYTES,
                 "most_frame",
                 "most_word and 40,960 or more",
             ),
--- a/crates/overlay/src/topology.rs
+++ b/crates/overlay/src/topology.rs
@@ -56,6 +56,7 @@
     candidates.into_iter().filter(|c| !c.routers.is_empty()).map(choice).collect()
 }
 
+/// Candidates of a relay: control machines, relays of other regions, and at last relays of its own region.
 fn relay_candidates(list: &RouterList, index: usize) -> Vec<Candidates> {
     let region = &list.at(index).region;
     // Each relay of a region tries another control machine first.
@@ -78,18 +79,19 @@
     }
 }
 
+/// Candidates of a router of a tier below the relays, the tier above first.
 fn tier_candidates(
     list: &RouterList,
     index: usize,
     region: usize,
-    rank_here: usize,
+    own_rank: usize,
     tier: usize,
 ) -> Vec<usize> {
     let above = list.tier(region, tier - 1);
     let mut found = separate_first_two(list, ordered_for(list, index, above));
     found.truncate(MAX_PARENT_CANDIDATES);
     // If the tier above is lost, the first routers of this tier take its place, and find their parents outside.
-    let earlier = list.tier(region, tier).iter().copied().filter(|i| rank(list, *i) < rank_here);
+    let earlier = list.tier(region, tier).iter().copied().filter(|i| rank(list, *i) < own_rank);
     found.extend(earlier.take(MAX_FALLBACK_CANDIDATES));
     let relays = ordered_for(list, index, list.tier(region, 0));
     found.extend(relays.into_iter().filter(|i| tier > 1 && !above.contains(i)));
@@ -100,6 +102,7 @@
     found
 }
 
+/// Rank of a router within its region; 0 for a control machine.
 fn rank(list: &RouterList, index: usize) -> usize {
     match list.place(index) {
         Place::Tier { rank, .. } => rank,
@@ -112,6 +115,7 @@
     by_rendezvous(list, list.hash(index), routers)
 }
 
+/// Rendezvous order of routers for a key.
 fn by_rendezvous(list: &RouterList, key: u64, routers: &[usize]) -> Vec<usize> {
     let mut order = routers.to_vec();
     order.sort_by_key(|i| (Reverse(mix(key, list.hash(*i))), *i));
--- a/crates/overlay/src/update_log.rs
+++ b/crates/overlay/src/update_log.rs
@@ -1,31 +1,48 @@
 //! Known updates by stream, in order. Recent updates are retained for neighbors that fetch them.
 
 use crate::frame::BUCKETS;
-use crate::router_list::short_name;
+use crate::router_list::{short_name, SHORT_NAME_BITS};
 use crate::Kind;
 use basaltgw_structures::hash::mix;
 use basaltgw_types::{Ms, RouterId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::ops::RangeInclusive;
 
 /// Id of a stream: the updates of one kind from one incarnation of a router. Each kind is ordered and does not wait for the others.
 ///
-/// Two bits for the kind, 30 for the hash of the router's name, 32 for its random incarnation: the numbers restart with each incarnation.
+/// Two bits for the kind, 30 for the hash of the router's name, 32 for its random incarnation: the numbers of updates restart with each
+/// incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub(crate) struct StreamId(pub u64);
 
+/// Position of the kind in a stream id.
+const KIND_SHIFT: u32 = 62;
+/// Position of the router's short name in a stream id.
+const ROUTER_SHIFT: u32 = 32;
+
 impl StreamId {
     pub fn new(kind: Kind, router: &RouterId, incarnation: u32) -> Self {
-        Self((kind as u64) << 62 | u64::from(short_name(router)) << 32 | u64::from(incarnation))
+        Self(
+            (kind as u64) << KIND_SHIFT
+                | u64::from(short_name(router)) << ROUTER_SHIFT
+                | u64::from(incarnation),
+        )
+    }
+
+    /// All ids of a kind.
+    pub fn range_of(kind: Kind) -> RangeInclusive<Self> {
+        let first = (kind as u64) << KIND_SHIFT;
+        Self(first)..=Self(first | ((1 << KIND_SHIFT) - 1))
     }
 
     pub fn kind(self) -> Kind {
-        Kind::ALL[(self.0 >> 62) as usize]
+        Kind::ALL[(self.0 >> KIND_SHIFT) as usize]
     }
 
     /// Short form of the router's name.
     pub fn router(self) -> u32 {
-        (self.0 >> 32) as u32 & 0x3fff_ffff
+        (self.0 >> ROUTER_SHIFT) as u32 & ((1 << SHORT_NAME_BITS) - 1)
     }
 
     pub fn incarnation(self) -> u32 {
@@ -36,6 +53,7 @@
         mix(self.0, 0) as usize % BUCKETS
     }
 
+    /// Hash of the stream with its last number.
     pub fn hash(self, last: u64) -> u64 {
         mix(self.0, mix(last, 1))
     }
@@ -43,6 +61,7 @@
 
 /// Resolution of the stored times: coarse, to store them in four bytes.
 const TICK_MS: Ms = 100.0;
+const TICKS_PER_SECOND: u32 = 10;
 
 #[derive(Clone, Debug)]
 struct Stream {
@@ -74,16 +93,20 @@
     by_change: BTreeSet<(u32, StreamId)>,
     /// By tick of the oldest retained update.
     by_oldest: BTreeSet<(u32, StreamId)>,
+    /// XOR of the hashes of all streams.
     hash: u64,
+    /// XOR of the hashes of the streams of each bucket.
     buckets: Vec<u64>,
+    /// Bytes of the retained updates with their overhead.
     pub bytes: usize,
     /// Injected bug: see `InjectedBug::DigestOmitsStreams`.
     pub omits_odd: bool,
 }
 
-/// Memory of a retained update besides its bytes.
+/// Memory of a retained update besides its bytes, in bytes.
 const UPDATE_OVERHEAD_BYTES: usize = 8;
 
+/// The tick of a time.
 pub(crate) fn ticks(now: Ms) -> u32 {
     (now / TICK_MS) as u32
 }
@@ -284,8 +307,8 @@
         let in_bucket =
             |b: usize| self.all.iter().filter(move |(id, _)| id.bucket() == b && !self.is_omitted(**id));
         let order = (0..BUCKETS).map(|b| (b + start) % BUCKETS).filter(|b| differ.contains(b));
-        let idle = |s: &Stream| ticks(now).saturating_sub(s.changed) / 10;
-        order.flat_map(in_bucket).take(max).map(|(id, s)| (*id, s.last, idle(s))).collect()
+        let idle_seconds = |s: &Stream| ticks(now).saturating_sub(s.changed) / TICKS_PER_SECOND;
+        order.flat_map(in_bucket).take(max).map(|(id, s)| (*id, s.last, idle_seconds(s))).collect()
     }
 }
 
