--- a/crates/emulator/src/rig/archive.rs
+++ b/crates/emulator/src/rig/archive.rs
@@ -24,9 +24,9 @@
 pub struct Archive {
     state: Arc<Mutex<State>>,
     /// Delay of the response to a checkout, in milliseconds; the checkout is executed on arrival.
-    pub effect_duration_ms: Arc<AtomicU64>,
+    pub checkout_delay_ms: Arc<AtomicU64>,
     /// Delay of the response to a read, in milliseconds.
-    pub read_duration_ms: Arc<AtomicU64>,
+    pub read_delay_ms: Arc<AtomicU64>,
     history: History,
 }
 
@@ -35,8 +35,8 @@
     pub fn new(history: History) -> Self {
         Self {
             state: Arc::default(),
-            effect_duration_ms: Arc::default(),
-            read_duration_ms: Arc::default(),
+            checkout_delay_ms: Arc::default(),
+            read_delay_ms: Arc::default(),
             history,
         }
     }
@@ -76,7 +76,7 @@
         };
         self.history.record(Event::Executed { id: fetch.id.clone() });
         let body = format!("receipt {} run {execution}", fetch.id).into_bytes();
-        let delay_ms = self.effect_duration_ms.load(Ordering::SeqCst);
+        let delay_ms = self.checkout_delay_ms.load(Ordering::SeqCst);
         let fields = format!("ver=1,born={now},note=via_origin,waited=0");
         FetchBehaviour::OkWithFields { delay_ms, fields, body }
     }
@@ -86,7 +86,7 @@
         let part = format!("{object}/{}", fetch.field("p").unwrap_or("?"));
         let max_age_ms: f64 = fetch.field("oldest").and_then(|age| age.parse().ok()).unwrap_or(0.0);
         let copied_at = self.copy_no_older_than(object, max_age_ms);
-        let delay_ms = self.read_duration_ms.load(Ordering::SeqCst);
+        let delay_ms = self.read_delay_ms.load(Ordering::SeqCst);
         let fields = format!("ver={copied_at:x},born={copied_at},note=hit,waited=0");
         FetchBehaviour::OkWithFields { delay_ms, fields, body: copy_body(&part, copied_at) }
     }
--- a/crates/emulator/src/rig/load.rs
+++ b/crates/emulator/src/rig/load.rs
@@ -95,7 +95,7 @@
     load: Load,
     addresses: Vec<SocketAddr>,
     history: History,
-    effect_duration_ms: Arc<AtomicU64>,
+    checkout_delay_ms: Arc<AtomicU64>,
     /// The connections to each router.
     connections: Vec<Vec<Connection>>,
     open: Vec<OpenRequest>,
@@ -112,7 +112,7 @@
             load: load.clone(),
             addresses: rig.routers.iter().map(|r| r.client_relay.address).collect(),
             history: rig.history.clone(),
-            effect_duration_ms: Arc::clone(&rig.archive.effect_duration_ms),
+            checkout_delay_ms: Arc::clone(&rig.archive.checkout_delay_ms),
             connections: rig.routers.iter().map(|_| Vec::new()).collect(),
             open: Vec::new(),
             retries: Vec::new(),
@@ -131,7 +131,7 @@
             let now_ms = self.history.now_ms() - start_ms;
             if now_ms / 1000 >= next_second {
                 next_second += 1;
-                self.draw_effect_duration();
+                self.draw_checkout_delay();
             }
             while next_ms <= now_ms as f64 {
                 let delay_ms = now_ms - next_ms as u64;
@@ -149,10 +149,10 @@
         self.statistics
     }
 
-    fn draw_effect_duration(&mut self) {
+    fn draw_checkout_delay(&mut self) {
         let [min, max] = self.load.effect_ms;
         let duration_ms = min + (max - min).max(0.0) * draw(&mut self.rng);
-        self.effect_duration_ms.store(duration_ms as u64, Ordering::SeqCst);
+        self.checkout_delay_ms.store(duration_ms as u64, Ordering::SeqCst);
     }
 
     fn send_new_request(&mut self) {
--- a/crates/emulator/src/rig/spec.rs
+++ b/crates/emulator/src/rig/spec.rs
@@ -16,9 +16,10 @@
 
 /// The kinds of registers that routers replicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct ReplicatedRegisters {
-    /// Leases and outcomes of checkouts and other requests that are unsafe to repeat.
-    pub effects: bool,
+pub struct ReplicatedKinds {
+    /// Executions of checkouts and other requests that are unsafe to repeat: their leases and outcomes.
+    #[serde(rename = "effects")]
+    pub executions: bool,
     /// Purges that may not have taken effect at all caches yet.
     pub purges: bool,
     /// Tickets: the times at which rejected clients may retry.
@@ -39,7 +40,7 @@
     /// Replicas of each register: 3 or 5.
     pub replicas: usize,
     /// The kinds of registers that are replicated.
-    pub replicated: ReplicatedRegisters,
+    pub replicated: ReplicatedKinds,
     /// Whether scatter-gather requests are accepted.
     pub scatter_gather: bool,
     /// The text of the placement rules file, which all routers share.
@@ -65,7 +66,7 @@
             seed: 1,
             fleet: true,
             replicas: 3,
-            replicated: ReplicatedRegisters { effects: true, purges: true, tickets: true },
+            replicated: ReplicatedKinds { executions: true, purges: true, tickets: true },
             scatter_gather: false,
             rules: None,
             // A busy machine syncs its disk slowly, and the speed of the disk is not what is tested.
--- a/crates/node/tests/fleet/checkouts.rs
+++ b/crates/node/tests/fleet/checkouts.rs
@@ -7,7 +7,7 @@
 #[test]
 fn the_same_checkout_through_two_routers_at_once_runs_once_with_one_outcome() {
     let mut fleet = start_fleet(3);
-    fleet.set_effect_duration_ms(60);
+    fleet.set_checkout_delay_ms(60);
     for round in 0..12 {
         let id = fleet.new_id();
         let (one, other) = (fleet.connect_client(round % 3), fleet.connect_client((round + 1) % 3));
@@ -39,14 +39,14 @@
 
 /// Kills router 0 while it executes a checkout, and deletes its disk if `wiped`; returns the id of the checkout.
 fn kill_with_open_checkout(fleet: &mut FleetHarness, wiped: bool) -> String {
-    fleet.set_effect_duration_ms(30_000);
+    fleet.set_checkout_delay_ms(30_000);
     let (id, _client, request) = fleet.start_checkout(0);
     match wiped {
         true => fleet.rig.kill_and_wipe(0).expect("the directory is deleted"),
         false => fleet.rig.kill(0),
     }
     assert_eq!(fleet.wait_for_outcome(request), None, "the connection is lost with its router");
-    fleet.set_effect_duration_ms(0);
+    fleet.set_checkout_delay_ms(0);
     id
 }
 
@@ -88,7 +88,7 @@
 #[test]
 fn machine_lost_at_each_step_of_a_lease_leaves_one_outcome() {
     let mut fleet = start_fleet(3);
-    fleet.set_effect_duration_ms(40);
+    fleet.set_checkout_delay_ms(40);
     // Messages between routers are delayed, so that each step lasts long enough to be observed.
     for step in 0..5 {
         for (a, b) in [(0, 1), (0, 2), (1, 0), (2, 0)] {
--- a/crates/node/tests/fleet/crossings.rs
+++ b/crates/node/tests/fleet/crossings.rs
@@ -97,7 +97,7 @@
     let mut fleet = start_fleet_with(Spec::new(binary(), 5));
     // Of some registers the router is not a replica: then its own disk has no record of the first lease.
     let ids: Vec<String> = (0..10).map(|_| fleet.new_id()).collect();
-    fleet.set_effect_duration_ms(30_000);
+    fleet.set_checkout_delay_ms(30_000);
     reject_after_partial_commit(&mut fleet, 0, &ids);
     // The same checkouts are presented again while the links come up, and their execution takes long.
     let again: Vec<ClientConnection> = ids.iter().map(|_| fleet.connect_client(0)).collect();
@@ -146,7 +146,7 @@
     // again.
     for retries_left in (0..4).rev() {
         let mut fleet = start_fleet(3);
-        fleet.set_effect_duration_ms(100);
+        fleet.set_checkout_delay_ms(100);
         let (id, client) = (fleet.new_id(), fleet.connect_client(0));
         // The request is answered at this deadline, since its outcome can't be committed; it leaves a busy machine time to execute it.
         let request = client.checkout(&id, 1_500);
@@ -185,7 +185,7 @@
         place.branch = branch.into();
     }
     let mut fleet = start_fleet_with(spec);
-    fleet.set_effect_duration_ms(40);
+    fleet.set_checkout_delay_ms(40);
     let mut served: Vec<_> = (0..20).map(|n| fleet.serve_checkout(n % 5)).collect();
     // Messages are delayed, so that leases are requested under one table and granted under another.
     for (a, b) in (0..5).flat_map(|a| (0..5).map(move |b| (a, b))).filter(|(a, b)| a != b) {
--- a/crates/node/tests/fleet/harness.rs
+++ b/crates/node/tests/fleet/harness.rs
@@ -44,8 +44,8 @@
     }
 
     /// Sets how long the archive takes to execute a checkout.
-    pub fn set_effect_duration_ms(&self, ms: u64) {
-        self.rig.archive.effect_duration_ms.store(ms, Ordering::SeqCst);
+    pub fn set_checkout_delay_ms(&self, ms: u64) {
+        self.rig.archive.checkout_delay_ms.store(ms, Ordering::SeqCst);
     }
 
     /// Connects a client to a router.
--- a/crates/node/tests/fleet/sparse.rs
+++ b/crates/node/tests/fleet/sparse.rs
@@ -107,7 +107,7 @@
 fn the_same_checkout_through_two_routers_at_once_runs_once_with_one_outcome() {
     let _guard = exclusive();
     let mut fleet = idle_fleet_with_standing_links();
-    fleet.set_effect_duration_ms(60);
+    fleet.set_checkout_delay_ms(60);
     for round in 0..ROUTERS {
         let id = fleet.new_id();
         let (one, other) = (fleet.connect_client(round), fleet.connect_client((round + 4) % ROUTERS));
@@ -134,7 +134,7 @@
     for wiped in [false, true] {
         let mut fleet = idle_fleet_with_standing_links();
         let served_checkouts: Vec<_> = (0..ROUTERS).map(|r| fleet.serve_eventually(r)).collect();
-        fleet.set_effect_duration_ms(30_000);
+        fleet.set_checkout_delay_ms(30_000);
         let (id, client) = (fleet.new_id(), fleet.connect_client(0));
         let request = client.checkout(&id, DEADLINE_MS);
         fleet.wait_until_executed(&id);
@@ -144,7 +144,7 @@
             false => fleet.rig.kill(0),
         }
         assert_eq!(fleet.wait_for_outcome(request), None, "the connection is lost with its router");
-        fleet.set_effect_duration_ms(0);
+        fleet.set_checkout_delay_ms(0);
         for router in [1, 4, 8] {
             let outcome = fleet.checkout(router, &id);
             assert!(is_outcome_unknown(&outcome), "router {router}: {outcome:?}");
@@ -173,7 +173,7 @@
     let _guard = exclusive();
     let mut fleet = idle_fleet_with_standing_links();
     for owner in [0, 3, 7] {
-        fleet.set_effect_duration_ms(4_000);
+        fleet.set_checkout_delay_ms(4_000);
         let (id, client) = (fleet.new_id(), fleet.connect_client(owner));
         let request = client.checkout(&id, 4 * DEADLINE_MS);
         fleet.wait_until_executed(&id);
@@ -183,7 +183,7 @@
         assert!(!matches!(early, Some(Outcome::Served(_))), "{early:?}");
         let own_outcome = fleet.wait_for_outcome(request);
         assert!(matches!(own_outcome, Some(Outcome::Served(_))), "{own_outcome:?}");
-        fleet.set_effect_duration_ms(0);
+        fleet.set_checkout_delay_ms(0);
         for router in 0..ROUTERS {
             assert_eq!(fleet.checkout(router, &id), own_outcome, "router {router}");
         }
--- a/crates/node/tests/rig.rs
+++ b/crates/node/tests/rig.rs
@@ -10,7 +10,7 @@
 fn start_rig() -> Rig {
     let rig = Rig::start(Spec { fleet: false, ..Spec::new(binary(), 3) }).expect("the rig starts");
     (0..3).for_each(|r| assert!(rig.wait_until_serving(r, WAIT_LIMIT)));
-    rig.archive.effect_duration_ms.store(20, std::sync::atomic::Ordering::SeqCst);
+    rig.archive.checkout_delay_ms.store(20, std::sync::atomic::Ordering::SeqCst);
     rig
 }
 
@@ -32,7 +32,7 @@
     assert!(served(rig.history.wait_for_outcome(first.checkout("00000000000000a1", 5_000), WAIT_LIMIT)));
     assert_eq!(violated_rules(&rig), []);
     // The router is killed while it executes another checkout, and the client resends that to another router.
-    rig.archive.effect_duration_ms.store(30_000, std::sync::atomic::Ordering::SeqCst);
+    rig.archive.checkout_delay_ms.store(30_000, std::sync::atomic::Ordering::SeqCst);
     let open_checkout = first.checkout("00000000000000a2", 5_000);
     wait_until("the archive executes the checkout", || rig.archive.executions("00000000000000a2") == 1);
     rig.kill(0);
@@ -41,7 +41,7 @@
         Some(None),
         "the connection is lost with its router"
     );
-    rig.archive.effect_duration_ms.store(0, std::sync::atomic::Ordering::SeqCst);
+    rig.archive.checkout_delay_ms.store(0, std::sync::atomic::Ordering::SeqCst);
     let second = rig.connect_client(1).expect("a connection");
     assert!(served(rig.history.wait_for_outcome(second.checkout("00000000000000a2", 5_000), WAIT_LIMIT)));
     assert_eq!(rig.archive.executions("00000000000000a2"), 2);
