--- a/crates/config/src/change_log.rs
+++ b/crates/config/src/change_log.rs
@@ -1,4 +1,4 @@
-//! The watch events of the change log: their types, and the decoding of those that the configuration file contains.
+//! The watch events of the change log, and the decoding of the known events in the configuration file.
 
 use crate::router_config::parse_address;
 use crate::typed::{deserialize, unchanged, UnsignedInteger};
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Seq(pub u64);
 
-/// A server's process, identified by its address and start: another address or start is another process.
+/// A server's process, identified by its address and start time: a server with another address or start time is another process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerProcess {
     /// The address at which it accepts connections.
@@ -27,7 +27,7 @@
 /// A server of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
-    /// The entry for the decision module.
+    /// The server's entry in the endpoint list of the decision module.
     pub endpoint: Endpoint,
     /// The address at which the server accepts connections.
     pub address: SocketAddr,
@@ -43,7 +43,7 @@
 /// An event of the change log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
-    /// An endpoint list.
+    /// An endpoint list, or the changes of one.
     EndpointList {
         /// Whether the list is complete, so that servers that it omits are removed; else it contains the changed servers only.
         complete: bool,
@@ -61,7 +61,7 @@
     },
 }
 
-/// An event as the file has it.
+/// An entry of `known.results`.
 #[derive(Deserialize, Validate)]
 #[garde(allow_unvalidated)]
 struct EventFile<'a> {
@@ -72,6 +72,7 @@
     invalidate: Option<PurgeFile<'a>>,
 }
 
+/// The key `fleet` of an event: an endpoint list.
 #[derive(Deserialize)]
 struct ListFile<'a> {
     complete: Option<bool>,
@@ -79,6 +80,7 @@
     members: Option<Vec<ServerFile<'a>>>,
 }
 
+/// The key `invalidate` of an event: a purge of an object, or of a group.
 #[derive(Deserialize)]
 struct PurgeFile<'a> {
     time: f64,
@@ -86,6 +88,7 @@
     bucket: Option<UnsignedInteger>,
 }
 
+/// An entry of `fleet.members`: a listed server.
 #[derive(Deserialize)]
 struct ServerFile<'a> {
     id: &'a str,
@@ -107,7 +110,7 @@
     Deleted,
 }
 
-/// Decodes an event of the configuration file's array `known.results`.
+/// Decodes an entry of the configuration file's array `known.results`.
 ///
 /// # Errors
 /// The first invalid field.
--- a/crates/config/src/decision_settings.rs
+++ b/crates/config/src/decision_settings.rs
@@ -1,61 +1,15 @@
-//! The key `settings` of the configuration file, mapped to the settings of the decision module, and the names that messages use.
+//! The key `settings` of the configuration file, mapped to the settings of the decision module and to the names that messages contain.
 
 use crate::typed::{deserialize, in_range, kebab_case, NonNegative, UnsignedInteger};
 use crate::value::FieldError;
+use crate::WireNames;
 use basaltgw::api;
 use basaltgw::api::*;
 use garde::Validate;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// The names of classes, zones and server kinds in messages, by the settings.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct WireNames {
-    pub(crate) classes: Vec<String>,
-    pub(crate) zones: Vec<String>,
-    pub(crate) kinds: Vec<String>,
-    /// The index of the kind whose servers are parent caches.
-    pub(crate) parent_kind: Option<usize>,
-    /// The index of the kind whose servers are the origin.
-    pub(crate) origin_kind: Option<usize>,
-}
-
-impl WireNames {
-    /// The class of that name.
-    pub fn class(&self, name: &str) -> Option<ClassId> {
-        index_of(&self.classes, name).map(ClassId)
-    }
-
-    /// The zone of that name.
-    pub fn zone(&self, name: &str) -> Option<ZoneId> {
-        index_of(&self.zones, name).map(ZoneId)
-    }
-
-    /// The zone at an index of the list `areas`.
-    pub fn zone_by_index(&self, index: usize) -> Option<ZoneId> {
-        (index < self.zones.len()).then_some(ZoneId(index))
-    }
-
-    /// The role of the servers of a kind, by the kind's name.
-    pub fn role(&self, kind: &str) -> Option<Role> {
-        self.role_by_index(index_of(&self.kinds, kind)?)
-    }
-
-    /// The role of the servers of a kind, by the kind's index in the list `kinds`.
-    pub fn role_by_index(&self, index: usize) -> Option<Role> {
-        (index < self.kinds.len()).then_some(match Some(index) {
-            kind if kind == self.parent_kind => Role::Parent,
-            kind if kind == self.origin_kind => Role::Origin,
-            _ => Role::Edge,
-        })
-    }
-}
-
-fn index_of(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|n| n == name)
-}
-
-/// The settings as the file has them; [`module_settings`] has the defaults of keys that are absent or null.
+/// The settings as the file has them; [`module_settings`] applies the defaults of keys that are absent or null.
 #[derive(Deserialize, Validate)]
 #[serde(rename_all = "kebab-case")]
 #[garde(allow_unvalidated)]
@@ -160,6 +114,7 @@
     drain_grace: Option<NonNegative>,
 }
 
+/// Whether requests of a class may be repeated.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Idempotency {
@@ -169,6 +124,7 @@
     NonIdempotent,
 }
 
+/// The servers that recognise an idempotency key.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Scope {
@@ -186,6 +142,7 @@
     Any,
 }
 
+/// Whether the router is sent the endpoint list, or has to request it.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Discovery {
@@ -193,25 +150,32 @@
     Subscribe,
 }
 
+/// How exact the weights of listed servers are.
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum WeightKind {
+    /// Exact weights.
     Nominal,
+    /// Approximate weights.
     Rough,
+    /// No weights.
     Silent,
+    /// Approximate weights that follow the servers' load.
     Live,
 }
 
-/// The path of an invalid key as errors name it: with the file's spelling, `services[]` for each entry of that list, and no index for other
+/// The path of an invalid key as errors name it: with dashes for underscores, `services[]` for each entry of that list, and no index for other
 /// lists.
 fn key_path(path: &str) -> String {
     let mut names = kebab_case(path);
+    // Parentheses stand for the brackets that remain, so that the search for the next index does not find them again.
     while let Some((open, close)) = names.find('[').zip(names.find(']')) {
         names.replace_range(open..=close, if names.starts_with("services[") { "()" } else { "" });
     }
     names.replace("()", "[]")
 }
 
+/// An error of a key of `family-info`.
 fn family_error(key: &str, message: String) -> FieldError {
     FieldError::new(&format!("settings.family-info.{key}"), message)
 }
@@ -312,18 +276,19 @@
     Ok((names, module_settings(file, &family, classes, topology)))
 }
 
-/// The router's zone, and the routers and parent caches around it.
+/// The router's zone, the numbers of routers, and the parent caches of each zone.
 struct Topology {
     zone: ZoneId,
+    /// The number of all routers.
     routers: usize,
-    /// The routers of the router's zone.
+    /// The number of routers in the router's zone.
     zone_routers: usize,
     /// For each zone, the zone whose parent caches its caches use.
     zone_parent_group: Vec<ZoneId>,
 }
 
 fn topology(file: &File, family: &Family, names: &WireNames) -> Result<Topology, FieldError> {
-    // A misspelt name must not pass: the router would send to the caches of another zone.
+    // A misspelt name has to be rejected: with a default zone the router would send to the caches of another zone.
     let zone = match &file.my_zone {
         Some(name) => names.zone(name).ok_or_else(|| {
             FieldError::new("settings.my-zone", format!("expected one of settings.areas, found {name:?}"))
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -25,7 +25,7 @@
     pub domain: Domain,
     /// The address at which the router accepts links of its peers.
     pub listen: SocketAddr,
-    /// The folder of durable data, as the file names it; its existence is not checked.
+    /// The folder of durable data, as the file names it; whether it exists is not checked.
     pub folder: PathBuf,
     /// The other routers that the file lists.
     pub peers: Vec<Peer>,
@@ -61,13 +61,13 @@
 /// The text of the placement rules, not compiled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementRules {
-    /// The path of the file, for messages.
+    /// The file's path, for error messages.
     pub file: PathBuf,
     /// The file's text.
     pub text: String,
 }
 
-/// The kinds of registers that are replicated; others are handled by each router alone.
+/// The kinds of registers that are replicated; each router keeps those of other kinds for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct ReplicatedKinds {
@@ -76,7 +76,7 @@
     pub executions: bool,
     /// Purges of objects and groups.
     pub purges: bool,
-    /// Tickets.
+    /// Tickets: the times at which rejected clients may retry.
     pub tickets: bool,
 }
 
@@ -114,10 +114,10 @@
     /// The capacity of a ring between two threads, in entries.
     #[serde(rename = "ring")]
     pub ring_entries: usize,
-    /// The time in which a lease is replicated or rejected, in milliseconds.
+    /// The time within which a lease is either replicated or rejected, in milliseconds.
     #[serde(rename = "promise_ms")]
     pub lease_timeout_ms: f64,
-    /// The registers of a batch when a replica is synchronized.
+    /// The number of registers that are sent in one batch when a replica is synchronized.
     #[serde(rename = "fill_portion")]
     pub sync_batch: usize,
     /// The pause between two such batches, in milliseconds.
@@ -155,14 +155,14 @@
 }
 
 impl Fleet {
-    /// Whether only the placement rules differ, which is the one change that a running router applies.
+    /// Whether all settings but the placement rules are equal. A running router applies a change of the rules only.
     pub fn equals_except_rules(&self, other: &Self) -> bool {
         let without_rules = |fleet: &Self| Self { rules: None, ..fleet.clone() };
         without_rules(self) == without_rules(other)
     }
 }
 
-/// The section as the file has it.
+/// The section `fleet` as the file has it.
 #[derive(Deserialize)]
 pub(crate) struct FleetFile {
     cluster: String,
@@ -185,6 +185,7 @@
     limits: FleetLimits,
 }
 
+/// An entry of `peers`.
 #[derive(Deserialize)]
 struct PeerFile {
     name: String,
@@ -196,7 +197,7 @@
 
 const DEFAULT_REPLICAS: usize = 3;
 const DEFAULT_SHARDS: u16 = 64;
-/// Keepalives within the peer timeout at the least, so that two may be lost or late.
+/// The peer timeout is at least this many keepalive intervals, so that two keepalives may be lost or late.
 const MIN_KEEPALIVES: f64 = 3.0;
 
 /// Checks what the schema can't express, and reads the placement rules.
@@ -305,7 +306,8 @@
     Ok(())
 }
 
-/// Checks limits that depend on one another.
+/// Checks limits that depend on one another: the registers have room for an outcome, a frame for two, a lane for a frame, and the peer
+/// timeout allows for lost keepalives.
 fn check_limits(document: &Document, limits: &FleetLimits) -> Result<(), YamlError> {
     let outcome_bytes = limits.max_outcome_bytes;
     let frame_bytes = limits.max_frame_bytes;
@@ -329,6 +331,7 @@
     Ok(())
 }
 
+/// Reads the file of placement rules, whose path is relative to the settings file.
 fn read_rules(document: &Document, file: &Path) -> Result<PlacementRules, YamlError> {
     let path = document.resolve_path(file);
     let error = |message: String| document.error_at("/fleet/rules", format!("{}: {message}", path.display()));
@@ -337,8 +340,8 @@
         return Err(error("expected a file".into()));
     }
     let mut text = String::new();
-    let open = std::fs::File::open(&path).map_err(|e| error(e.to_string()))?;
-    open.take(MAX_RULES_FILE_BYTES + 1).read_to_string(&mut text).map_err(|e| error(e.to_string()))?;
+    let file = std::fs::File::open(&path).map_err(|e| error(e.to_string()))?;
+    file.take(MAX_RULES_FILE_BYTES + 1).read_to_string(&mut text).map_err(|e| error(e.to_string()))?;
     if text.len() as u64 > MAX_RULES_FILE_BYTES {
         return Err(error(format!("expected at most {MAX_RULES_FILE_BYTES} bytes")));
     }
--- a/crates/config/src/hierarchy.rs
+++ b/crates/config/src/hierarchy.rs
@@ -1,5 +1,5 @@
-//! The section `hierarchy` of the settings file: the plan of the cache tree and the settings of topology changes; and the fill plan that the
-//! decision module gets of a tree.
+//! The section `hierarchy` of the settings file: the plan of the cache tree and the settings of topology changes. Also converts the source
+//! table of a tree to the fill plan of the decision module.
 
 use crate::yaml::{Document, YamlError};
 use basaltgw::api::{FillPlan, ServerId, SourceShare};
@@ -9,16 +9,16 @@
 use serde::Deserialize;
 use std::sync::Arc;
 
-/// The cache tree.
+/// The settings of the cache tree.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hierarchy {
-    /// The plan; it is valid by itself, but not checked against the endpoint list.
+    /// The plan. It is valid in itself, but its nodes are not checked against the endpoint list.
     pub plan: PlanSpec,
     /// The settings of topology changes.
     pub settings: Settings,
 }
 
-/// The section as the file has it.
+/// The section `hierarchy` as the file has it.
 #[derive(Deserialize)]
 pub(crate) struct HierarchyFile {
     plan: PlanFile,
@@ -26,12 +26,14 @@
     reshape: ReshapeFile,
 }
 
+/// The key `plan`.
 #[derive(Deserialize)]
 struct PlanFile {
     version: u64,
     nodes: Vec<NodeFile>,
 }
 
+/// An entry of `plan.nodes`.
 #[derive(Deserialize)]
 struct NodeFile {
     id: String,
@@ -45,6 +47,7 @@
     sources: Vec<String>,
 }
 
+/// The key `reshape`: the settings of topology changes.
 #[derive(Default, Deserialize)]
 struct ReshapeFile {
     behind: Option<usize>,
@@ -108,19 +111,19 @@
     }
 }
 
-/// The fill plan of a tree's source table.
+/// Converts a tree's source table to the fill plan of the decision module.
 pub fn fill_plan(tree: &SourceTable) -> FillPlan {
-    // Nodes that share a list of sources in the tree share one in the fill plan too.
-    let mut shared: Vec<(*const Vec<PermittedSource>, Arc<Vec<SourceShare>>)> = Vec::new();
+    // Nodes that share a list of sources in the tree share one in the fill plan too: the converted lists, by the address of the tree's list.
+    let mut converted: Vec<(*const Vec<PermittedSource>, Arc<Vec<SourceShare>>)> = Vec::new();
     let mut requesters: Vec<_> = tree.sources.iter().collect();
     requesters.sort_unstable_by(|a, b| a.0.cmp(b.0));
     let mut plan = FillPlan::default();
     for (requester, sources) in requesters {
         let list = Arc::as_ptr(sources);
-        let known = shared.iter().find(|(known, _)| *known == list).map(|(_, shares)| Arc::clone(shares));
-        let shares = known.unwrap_or_else(|| {
+        let existing = converted.iter().find(|(address, _)| *address == list);
+        let shares = existing.map(|(_, shares)| Arc::clone(shares)).unwrap_or_else(|| {
             let shares = Arc::new(sources.iter().map(source_share).collect::<Vec<_>>());
-            shared.push((list, Arc::clone(&shares)));
+            converted.push((list, Arc::clone(&shares)));
             shares
         });
         plan.sources.insert(server_id(requester), shares);
--- a/crates/config/src/overlay.rs
+++ b/crates/config/src/overlay.rs
@@ -1,4 +1,4 @@
-//! The key `overlay` of the section `fleet`: a router's position in the dissemination overlay, and the overlay's bounds and timeouts.
+//! The key `fleet.overlay` of the settings file: a router's position in the dissemination overlay, and the overlay's bounds and timeouts.
 
 use crate::yaml::{Document, YamlError};
 use basaltgw_types::{Domain, Ms};
@@ -15,8 +15,8 @@
     pub position: OverlayPosition,
     /// The time for which a router collects updates into a batch, in milliseconds.
     pub batch_interval_ms: Ms,
-    /// The time for which updates are retained for routers that missed them, in milliseconds; `None`: as long as purges need, at least
-    /// [`DEFAULT_RETENTION_MS`].
+    /// The time for which updates are retained for routers that missed them, in milliseconds. If `None`, it follows from the convergence time
+    /// of purges and is at least [`DEFAULT_RETENTION_MS`]; see [`Overlay::retention`].
     pub retention_ms: Option<Ms>,
     /// The bandwidth budget in bytes per second, for both directions together.
     pub budget_bytes_per_s: f64,
@@ -27,11 +27,11 @@
 /// Which links a router keeps open.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkPolicy {
-    /// A link to each listed router.
+    /// The router keeps a link to each listed router.
     Mesh,
-    /// Links to the router's neighbours in the overlay and in the ring of names, and others while they are in use.
+    /// The router keeps links to its neighbours in the overlay and in the ring of names, and other links while they are in use.
     Sparse {
-        /// The time after which another link that is not in use is closed, in milliseconds.
+        /// The time without use after which one of the other links is closed, in milliseconds.
         idle_timeout_ms: Ms,
     },
 }
@@ -51,13 +51,13 @@
     pub control: bool,
 }
 
-/// The default of `keep_ms`.
+/// The shortest default of `keep_ms`, in milliseconds.
 pub const DEFAULT_RETENTION_MS: Ms = 120_000.0;
 const DEFAULT_BATCH_INTERVAL_MS: Ms = 250.0;
 const DEFAULT_BUDGET_BYTES_PER_S: f64 = 20_000.0;
 const DEFAULT_IDLE_TIMEOUT_MS: Ms = 10_000.0;
 
-/// The key as the file has it.
+/// The key `overlay` as the file has it.
 #[derive(Deserialize)]
 pub(crate) struct OverlayFile {
     #[serde(flatten)]
@@ -78,7 +78,7 @@
     Sparse,
 }
 
-/// A position as the file has it.
+/// A router's position as the file has it: in the key `overlay` of the section, or of a peer.
 #[derive(Default, Deserialize)]
 pub(crate) struct PositionFile {
     region: Option<String>,
--- a/crates/config/src/router_config.rs
+++ b/crates/config/src/router_config.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The default limits of the machine: the least that a deployment has.
+/// The defaults of [`Limits`]: the resources of the smallest machine of a deployment.
 const DEFAULT_MEMORY_MB: u64 = 192;
 const DEFAULT_DESCRIPTORS: u64 = 1024;
 /// The bounds of the connect timeout.
@@ -43,7 +43,7 @@
 /// The settings of connections to servers and of open requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Transport {
-    /// The time after which an idle connection to a server is closed, in milliseconds.
+    /// How long a connection to a server may be idle before it is closed, in milliseconds.
     pub connection_idle_timeout: Ms,
     /// The connect timeout in milliseconds.
     pub connect_timeout: Ms,
@@ -53,12 +53,12 @@
     pub max_open_requests: usize,
 }
 
-/// What a running router applies of a reloaded configuration, and what it doesn't.
+/// The result of a reload: the address that a running router applies, and the changes that it does not apply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reload {
     /// The address of the change log.
     pub changelog: SocketAddr,
-    /// The changed keys that have no effect until a restart.
+    /// The changed keys that take effect after a restart only.
     pub restart_required: Vec<&'static str>,
 }
 
@@ -67,19 +67,19 @@
 pub struct RouterConfig {
     /// The router's name.
     pub name: String,
-    /// The address at which it accepts clients.
+    /// The address at which the router accepts clients.
     pub listen: SocketAddr,
-    /// The seed of its random numbers.
+    /// The seed of the router's random numbers.
     pub seed: u64,
-    /// The resources that it may use on its machine.
+    /// The resources that the router may use on its machine.
     pub limits: Limits,
     /// The address of the change log.
     pub changelog: SocketAddr,
-    /// The number of the last event of the change log that the file contains.
+    /// The sequence number of the change log's last event that the file contains.
     pub last_known_seq: Seq,
-    /// The events that the file contains, oldest first.
+    /// The events of the change log that the file contains, oldest first.
     pub known_events: Vec<WatchEvent>,
-    /// The errors of contained events that can't be decoded; they don't prevent a start.
+    /// The errors of events in the file that can't be decoded; they don't prevent a start.
     pub undecodable_events: Vec<FieldError>,
     /// The settings of the decision module.
     pub settings: Settings,
@@ -94,7 +94,7 @@
 pub struct Environment {
     /// `GW_NAME`: the router's name.
     pub name: Option<String>,
-    /// `GW_LISTEN`: the address at which it accepts clients.
+    /// `GW_LISTEN`: the address at which the router accepts clients.
     pub listen: Option<String>,
     /// `GW_CONFIG`: the path of the configuration file.
     pub config: Option<String>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Reads the file that the environment names. Variables override the file.
+/// Reads the configuration file that `GW_CONFIG` names. The other variables override its keys.
 ///
 /// # Errors
 /// If the file can't be read or is not JSON, or a key or variable is invalid.
@@ -121,7 +121,7 @@
     parse_config(&value, env).map_err(|e| if e.field().starts_with("GW_") { e } else { e.in_file(path) })
 }
 
-/// The file's keys, except for the settings and the events: those are decoded one by one.
+/// The configuration file's keys, except for the settings and the known events, which are decoded separately.
 #[derive(Deserialize, Validate)]
 #[garde(allow_unvalidated)]
 struct File {
@@ -134,6 +134,7 @@
     known: Option<KnownFile>,
 }
 
+/// The key `limits`.
 #[derive(Default, Deserialize, Validate)]
 #[garde(allow_unvalidated)]
 struct LimitsFile {
@@ -156,6 +157,7 @@
     in_range(n.0, MIN_CONNECT_TIMEOUT_MS, MAX_CONNECT_TIMEOUT_MS)
 }
 
+/// The key `known`, without the events.
 #[derive(Deserialize)]
 struct KnownFile {
     seq: Option<UnsignedInteger>,
@@ -174,7 +176,7 @@
     most_held: Option<UnsignedInteger>,
 }
 
-/// Parses the JSON of a configuration file. Variables override it.
+/// Parses the JSON of a configuration file. The variables of the environment override its keys.
 ///
 /// # Errors
 /// The first invalid key or variable.
--- a/crates/config/src/settings_file.rs
+++ b/crates/config/src/settings_file.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
 
-/// The sections of the settings file; each may be absent.
+/// The settings of the file by section; each section may be absent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouterSettings {
     /// The cache tree; without it the router has no plan.
@@ -30,6 +30,7 @@
     pub max_age: Ms,
 }
 
+/// The sections as the file has them.
 #[derive(Deserialize)]
 struct File {
     hierarchy: Option<HierarchyFile>,
@@ -37,15 +38,17 @@
     fleet: Option<FleetFile>,
 }
 
+/// The section `carry`.
 #[derive(Deserialize)]
 struct CarryFile {
     file: PathBuf,
     oldest_s: Option<f64>,
 }
 
-/// The default of `oldest_s`: the state of servers is out of date after ten minutes.
+/// The default of `carry.oldest_s`: the state of servers is out of date after ten minutes.
 const DEFAULT_MAX_AGE_S: f64 = 600.0;
 
+/// The schema of the settings file.
 fn validator() -> &'static Validator {
     static SCHEMA: OnceLock<Validator> = OnceLock::new();
     SCHEMA.get_or_init(|| compile_schema(include_str!("../../../deploy/basaltgw.schema.json")))
--- a/crates/config/src/settings_file/tests.rs
+++ b/crates/config/src/settings_file/tests.rs
@@ -23,10 +23,12 @@
     proofs: 5
 ";
 
-/// The error of the valid text with one replacement.
-fn error(from: &str, to: &str) -> String {
-    assert!(VALID.contains(from), "{from} is not in the text");
-    parse_settings_file("b.yaml", &VALID.replace(from, to), SLOW_START).expect_err("an error").to_string()
+/// The error message of the valid text with `from` replaced by `to`.
+fn error_after_replacing(from: &str, to: &str) -> String {
+    assert!(VALID.contains(from), "the valid text does not contain {from}");
+    parse_settings_file("b.yaml", &VALID.replace(from, to), SLOW_START)
+        .expect_err("settings with an invalid key")
+        .to_string()
 }
 
 #[test]
@@ -44,17 +46,17 @@
 
 #[test]
 fn error_names_file_line_and_key() {
-    let text = error("tier: 3", "tier: 9");
+    let text = error_after_replacing("tier: 3", "tier: 9");
     assert!(text.starts_with("b.yaml:9: hierarchy.plan.nodes[3].tier: 9 is"), "{text}");
-    let text = error("s-00000003]", "s-00000009]");
+    let text = error_after_replacing("s-00000003]", "s-00000009]");
     assert_eq!(text, "b.yaml:8: hierarchy.plan.nodes[3]: node s-00000004: unknown source s-00000009");
-    let text = error("proofs: 5", "prooves: 5");
+    let text = error_after_replacing("proofs: 5", "prooves: 5");
     assert!(text.starts_with("b.yaml:12: hierarchy.reshape") && text.contains("prooves"), "{text}");
-    let text = error("demand: 20", "demand: 120");
+    let text = error_after_replacing("demand: 20", "demand: 120");
     assert!(text.contains("without") && text.contains("can take 50.0"), "{text}");
-    assert!(error("version: 3", "version: 0").contains("hierarchy.plan.version"));
-    assert!(error("version: 3", "version: x").contains("hierarchy.plan.version"));
-    assert!(error("hierarchy:", "hierarchie:").contains("hierarchie"));
+    assert!(error_after_replacing("version: 3", "version: 0").contains("hierarchy.plan.version"));
+    assert!(error_after_replacing("version: 3", "version: x").contains("hierarchy.plan.version"));
+    assert!(error_after_replacing("hierarchy:", "hierarchie:").contains("hierarchie"));
 }
 
 #[test]
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,8 +1,8 @@
 //! The snapshot file: what the decision module of one process hands over to the next.
 //!
 //! The first line names the format, its version and a hash of the rest; the rest is JSON. Times are written as ages, so that they are valid
-//! by the reader's clock. A file that is truncated, altered, of another version, too old or out of range is rejected as a whole. The word
-//! `learnt` in errors is the name of the format.
+//! by the reader's clock. A file that is truncated, altered, of another version or too old, or that contains a value out of range, is rejected
+//! as a whole. Errors name the file by the format's name, `learnt`.
 
 use crate::typed::{deserialize, unchanged, UnsignedInteger};
 use crate::value::FieldError;
@@ -15,14 +15,14 @@
 use serde_json::{json, Value};
 use std::sync::Arc;
 
-/// The first line's words, before the hash.
+/// The first two words of the first line; the third is the hash.
 const FORMAT: &str = "basaltgw-learnt";
 const VERSION: &str = "1";
 /// The most entries of each list: servers, sending times of classes, purges.
 const MAX_ENTRIES: usize = 100_000;
 /// The largest absolute value of the logarithm of a latency ratio or weight penalty.
 const MAX_RATIO_LOG: f64 = 20.0;
-/// The longest sending time in milliseconds: no client waits longer.
+/// The longest sending time in milliseconds; no client waits longer for a response.
 const MAX_SENDING_MS: Ms = 600_000.0;
 /// The largest file, in bytes.
 pub const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
@@ -51,6 +51,7 @@
     format!("{FORMAT} {VERSION} {}\n{body}\n", checksum(&body))
 }
 
+/// The hash of the text after the first line, in hex.
 fn checksum(body: &str) -> String {
     format!("{:016x}", fnv1a(body))
 }
@@ -83,7 +84,7 @@
     FieldError::new("learnt", message)
 }
 
-/// The text after the first line, if the first line matches it.
+/// The text after the first line, if the first line has the right format, version and hash.
 fn checked_body(text: &str) -> Result<&str, FieldError> {
     let (header, body) = text.split_once('\n').ok_or_else(|| error("cut off in its first line"))?;
     let body = body.strip_suffix('\n').ok_or_else(|| error("cut off"))?;
@@ -103,7 +104,7 @@
         weight_penalty_log: file.cut,
         latency_ratio_log: file.lag,
         ejected: file.out,
-        // A server warms up while no router runs, too.
+        // A server also warms up while no router runs.
         warmup_started: file.cold_for_ms.map(|age| written - age),
     }
 }
--- a/crates/config/src/snapshot/tests.rs
+++ b/crates/config/src/snapshot/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// A snapshot with all kinds of entries, and with optional values that are present and absent.
 fn sample() -> Snapshot {
     let server = |id: &str, ejected| ServerSnapshot {
         id: ServerId(Arc::from(id)),
@@ -47,7 +48,7 @@
 #[test]
 fn rejected_file_is_reported_with_its_reason() {
     let text = write(&sample(), 10_000.0);
-    let error = |text: &str, now| read(text, now, 5000.0).expect_err("an error").to_string();
+    let error = |text: &str, now| read(text, now, 5000.0).expect_err("an invalid snapshot").to_string();
     assert!(error(&text, 15_001.0).contains("written 5001 ms ago, at most 5000"));
     assert!(error(&text, 9_999.0).contains("written -1 ms ago"));
     assert!(error(&text.replacen(" 1 ", " 2 ", 1), 10_000.0).contains("of version 2, not 1"));
--- a/crates/config/src/typed.rs
+++ b/crates/config/src/typed.rs
@@ -1,4 +1,4 @@
-//! Deserializes JSON with serde and validates it with garde; an error names the field and what was expected.
+//! Deserialization of JSON with serde and validation with garde; an error names the field, what was expected and what was found.
 
 use crate::value::{FieldError, MIN_INEXACT_FLOAT};
 use garde::Validate;
@@ -17,7 +17,7 @@
 {
     let field = |path: &str| join_paths(outer, &key(path));
     let value = T::deserialize(v).or_else(|_| {
-        // Deserialized again for the path to the error: tracking it doubles the cost, and most values are valid.
+        // Deserialized a second time to learn the path of the invalid field: tracking paths doubles the cost, and most values are valid.
         serde_path_to_error::deserialize(v).map_err(|e| {
             let (path, message) = (e.path().to_string(), e.inner().to_string());
             match missing_field(&message) {
@@ -40,7 +40,7 @@
 /// The message of an error of a required field that is absent.
 const MISSING: &str = "expected, found nothing";
 
-/// The path of a field of the value at the path `outer`; the path of the value itself is empty or a dot.
+/// The whole path of a field, whose path within the value at `outer` is `inner`; the value itself has the inner path "" or ".".
 fn join_paths(outer: &str, inner: &str) -> String {
     match (outer, inner) {
         (outer, "" | ".") => outer.to_string(),
@@ -49,22 +49,22 @@
     }
 }
 
-/// A path whose fields have the same names in Rust and in the document.
+/// Converts no names: the fields have the same names in Rust and in the document.
 pub(crate) fn unchanged(path: &str) -> String {
     path.to_string()
 }
 
-/// A path whose fields have dashes in the document.
+/// Converts names of fields to names with dashes.
 pub(crate) fn kebab_case(path: &str) -> String {
     path.replace('_', "-")
 }
 
-/// The field that is absent, by a message of serde.
+/// The name of the absent field, if this is serde's message of a missing field.
 fn missing_field(message: &str) -> Option<&str> {
     message.strip_prefix("missing field `")?.split_once('`').map(|(name, _)| name)
 }
 
-/// Rewords a message of serde in the form of the other messages: what was expected, then what was found.
+/// Rewords a message of serde in the form of this package's own messages: what was expected, then what was found.
 fn expected_found(message: &str) -> String {
     let invalid = message.strip_prefix("invalid type: ").or_else(|| message.strip_prefix("invalid value: "));
     if let Some((found, expected)) = invalid.and_then(|rest| rest.rsplit_once(", expected ")) {
@@ -113,10 +113,11 @@
     }
 }
 
-/// The largest value of [`NonNegative`], thirty years in milliseconds; larger floats lose their fractions.
+/// The largest value of [`NonNegative`], thirty years in milliseconds. A float of this size still has fractions of a millisecond, which larger
+/// ones lose.
 const MAX_NUMBER: f64 = 1e12;
 
-/// A number from 0 to [`MAX_NUMBER`]: a time, a share, a factor.
+/// A number from 0 to [`MAX_NUMBER`], such as a time, a share or a factor.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Deserialize, Validate)]
 #[garde(transparent)]
 #[serde(transparent)]
--- a/crates/config/src/yaml.rs
+++ b/crates/config/src/yaml.rs
@@ -7,12 +7,12 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// The largest file, in bytes: ten times a plan with the most nodes.
+/// The largest file, in bytes: ten times the size of a plan with the most nodes.
 const MAX_FILE_BYTES: u64 = 32 * 1024 * 1024;
-/// The longest message of a schema error; such messages contain the invalid value, which may be a whole section.
+/// Longer messages of schema errors are shortened to this many characters: they contain the invalid value, which may be a whole section.
 const MAX_MESSAGE_CHARS: usize = 300;
 
-/// An error of a file and its position.
+/// An error of a YAML file, and the position of the error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct YamlError {
     /// The file's name.
@@ -26,6 +26,7 @@
 }
 
 impl YamlError {
+    /// An error that concerns the whole file.
     fn of_file(file: &str, message: String) -> Self {
         Self { file: file.to_string(), line: 0, key: String::new(), message }
     }
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The line of a key; if the document lacks the key, that of the innermost key that contains it.
+    /// The line of the key at a path; if the document lacks the key, the line of the innermost key around it.
     fn line_of(&self, steps: &[String]) -> usize {
         let mut node = Some(&self.root);
         let mut line = start_line(&self.root).unwrap_or(0);
@@ -125,7 +126,7 @@
     /// Deserializes the content.
     ///
     /// # Errors
-    /// If a value does not match the type, which may be stricter than the schema.
+    /// If a value does not match the type `T`, which may be stricter than the schema.
     pub fn deserialize<T: serde::de::DeserializeOwned>(&self) -> Result<T, YamlError> {
         serde_path_to_error::deserialize(&self.value).map_err(|e| {
             let step = |s: &Segment| match s {
@@ -137,7 +138,7 @@
         })
     }
 
-    /// The path of a file that the document names, relative to the document's folder.
+    /// Resolves the path of a file that the document names, which is relative to the document's folder.
     pub fn resolve_path(&self, file: &Path) -> PathBuf {
         Path::new(&self.file).parent().unwrap_or(Path::new("")).join(file)
     }
@@ -164,11 +165,12 @@
     path
 }
 
+/// The line on which a node starts, from 1.
 fn start_line(node: &Node) -> Option<usize> {
     node.span().start().map(|start| start.line())
 }
 
-/// Converts YAML to JSON.
+/// Converts a YAML node to JSON; scalars without quotes are typed.
 fn to_json(node: &Node) -> Value {
     match node {
         Node::Scalar(scalar) if scalar.may_coerce() => plain_scalar(scalar.as_str()),
@@ -192,7 +194,7 @@
     if let Ok(integer) = text.parse::<i64>() {
         return Value::from(integer);
     }
-    // Rust would parse words such as `inf` and `nan` too, which are strings here.
+    // Rust also parses words such as `inf` and `nan` as floats; here they are strings.
     let is_numeric = text.starts_with(['-', '+', '.', '0', '1', '2', '3', '4', '5', '6', '7', '8', '9']);
     let float = text.parse().ok().filter(|_| is_numeric).and_then(Number::from_f64);
     float.map_or_else(|| Value::from(text), Value::Number)
--- a/crates/config/src/yaml/tests.rs
+++ b/crates/config/src/yaml/tests.rs
@@ -10,14 +10,15 @@
     )
 }
 
+/// The error message of an invalid text.
 fn error(text: &str) -> String {
-    Document::parse("f.yaml", text, &schema()).err().expect("an error").to_string()
+    Document::parse("f.yaml", text, &schema()).err().expect("an invalid document").to_string()
 }
 
 #[test]
 fn plain_scalars_are_typed_and_quoted_ones_are_strings() {
     let text = "a: 1\nb: 1.5\nc: \"1\"\nd: yes\ne: ~\nf: [true, x, -3, 1e3, e5]\n";
-    let doc = Document::parse("f.yaml", text, &compile_schema("{}")).expect("a document");
+    let doc = Document::parse("f.yaml", text, &compile_schema("{}")).expect("a valid document");
     let expected = serde_json::json!({"a": 1, "b": 1.5, "c": "1", "d": "yes", "e": null, "f": [true, "x", -3, 1000.0, "e5"]});
     assert_eq!(doc.value, expected);
 }
