--- a/crates/experiments/src/capacity/table.rs
+++ b/crates/experiments/src/capacity/table.rs
@@ -12,11 +12,11 @@
 /// Returns the table of all points.
 fn points_csv(rows: &[Row], provenance: &Provenance) -> String {
     let mut text = String::from("axis,x,figure,value,unit,kind,seed,commit,cores,file\n");
-    let Provenance { seed, commit, cores, file } = provenance;
+    let Provenance { seed, commit, cores, file_hash } = provenance;
     for row in rows {
         let _ = writeln!(
             text,
-            "{},{},{},{},{},{},{seed},{commit},{cores},{file}",
+            "{},{},{},{},{},{},{seed},{commit},{cores},{file_hash}",
             row.axis,
             row.x,
             row.figure,
--- a/crates/experiments/src/command_line.rs
+++ b/crates/experiments/src/command_line.rs
@@ -5,13 +5,13 @@
 
 /// The help text.
 pub const HELP: &str = "\
-basaltgw-experiments: experiments on an emulated fleet
+basaltgw-experiments: experiments on simulated and emulated fleets
 
 Usage: basaltgw-experiments COMMAND
 
 Commands:
   list                   list the built-in experiments
-  run EXPERIMENT         run an experiment, named or in a file; exit code 0: all bounds met, 1: a bound exceeded, 2: bad input
+  run EXPERIMENT         run an experiment, named or in a file; exit code 0: all bounds met, 1: a bound not met, 2: bad input
       --quick            take less than a minute
       --real             capacity: also measure router processes on loopback (some minutes more; needs cargo build --release)
       --seed N           replace the seed of the file
@@ -20,9 +20,9 @@
       --breaks           soak: run a program built with the feature `breaks`; exit code 0 if every injected bug is caught
       --router PROGRAM   soak: run another router program than the one beside this one
       --out DIR          write a table (CSV) and charts (SVG) to DIR
-  page FILE DIR          compare the marked figures of a page with the tables of `capacity` in DIR; exit code 0: all agree, 1: not
+  page FILE DIR          compare the marked figures of a page with the tables of `capacity` in DIR; exit code 0: all agree, 1: some do not
   report DIR             write a page (index.html) of the tables and charts in DIR
-  demo                   show the main job: a fleet under load, a change of the tree, a summary
+  demo                   run the quick form of `reshape-simulated`: a fleet under load, a change of its cache tree, a summary
 
 Options:
   -h, --help             print this
@@ -74,20 +74,20 @@
     pub seeds: Option<RangeInclusive<u64>>,
     /// Seeds that run at the same time.
     pub jobs: Option<usize>,
-    /// Whether injected bugs have to be caught.
+    /// Whether to check that injected bugs are caught, in place of an ordinary run.
     pub breaks: bool,
     /// The router program.
     pub router: Option<PathBuf>,
 }
 
 impl SoakArguments {
-    /// Whether any of them is set.
+    /// Whether any option of the soak experiment is given.
     pub fn any(&self) -> bool {
         self.breaks || self.seeds.is_some() || self.jobs.is_some() || self.router.is_some()
     }
 }
 
-/// Parses `A..B`, both included.
+/// Parses a range of seeds, `A..B`; both ends are included.
 fn parse_seeds(text: &str) -> Result<RangeInclusive<u64>, String> {
     let invalid = || format!("expected A..B with A up to B, found {text:?}");
     let (from, to) = text.split_once("..").ok_or_else(invalid)?;
@@ -103,7 +103,7 @@
     error.to_string()
 }
 
-/// Parses the arguments of the process.
+/// Parses the command line of the process.
 pub fn parse() -> Result<Command, String> {
     let mut args = pico_args::Arguments::from_env();
     if args.contains(["-h", "--help"]) {
@@ -113,11 +113,11 @@
         Some("list") => Command::List,
         Some("run") => Command::Run(parse_run(&mut args)?),
         Some("report") => {
-            Command::Report(args.free_from_str().map_err(|_| "report: expected a folder".to_string())?)
+            Command::Report(args.free_from_str().map_err(|_| "report: expected a directory".to_string())?)
         }
         Some("page") => {
             let mut next =
-                || args.free_from_str().map_err(|_| "page: expected a file and a folder".to_string());
+                || args.free_from_str().map_err(|_| "page: expected a file and a directory".to_string());
             Command::Page { file: next()?, dir: next()? }
         }
         Some("demo") => Command::Run(RunCommand { name: DEMO.into(), quick: true, ..RunCommand::default() }),
--- a/crates/experiments/src/comparison.rs
+++ b/crates/experiments/src/comparison.rs
@@ -7,13 +7,13 @@
 use crate::{fleet, partial};
 use std::path::Path;
 
-/// The results of an experiment, and what is checked, printed and written of them.
+/// The results of an experiment, with the bounds to check and the labels of the output.
 pub struct ExperimentResult {
     /// The name of the experiment.
     pub name: String,
     /// The seed of its runs.
     pub seed: u64,
-    /// The runs.
+    /// The results of its runs.
     pub runs: Vec<RunResult>,
     /// The bounds of figures.
     pub bounds: Vec<Bound>,
@@ -26,9 +26,9 @@
 /// What the chart by second shows.
 #[derive(Clone, Copy)]
 pub struct ChartLabels {
-    /// The figure.
+    /// What the values are: the title of the chart.
     pub title: &'static str,
-    /// The label of its axis.
+    /// The unit of the values: the label of the vertical axis.
     pub unit: &'static str,
 }
 
@@ -57,7 +57,7 @@
     Ok(met == count)
 }
 
-/// Checks and prints all bounds at each size; returns how many are met, and how many there are.
+/// Checks and prints all bounds at each size; returns the number of bounds that are met, and of all.
 fn check_bounds(result: &ExperimentResult) -> Result<(usize, usize), String> {
     let mut sizes: Vec<usize> = result.runs.iter().map(|r| r.routers).collect();
     sizes.dedup();
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -64,7 +64,7 @@
     pub at_least: Option<f64>,
     /// The maximum.
     pub at_most: Option<f64>,
-    /// The run whose value of the same figure multiplies the numbers above.
+    /// The run whose value of the same figure multiplies `is`, `at_least` and `at_most`.
     pub times_of: Option<Variant>,
 }
 
@@ -76,9 +76,9 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scale {
-    /// The factor for zones and districts.
+    /// The factor for zones and regular districts; spare districts are not multiplied.
     pub times: usize,
-    /// Whether quick runs leave this size out.
+    /// Whether this size is measured only by the full form of the experiment.
     #[serde(default)]
     pub full: bool,
 }
@@ -137,7 +137,8 @@
     }
 }
 
-/// Whether the experiment has this form, which its key `on` names.
+/// Whether the key `on` of the experiment with this name or file names this form. False if the file is unreadable or not YAML: the loader of
+/// [`Experiment`] reports that.
 pub fn has_form(built_in: (&str, &str), name: &str, form: &str) -> bool {
     let document =
         read_text(built_in, name).and_then(|t| Document::parse(name, &t, &compile_schema("{}")).ok());
@@ -169,7 +170,7 @@
     for (i, bound) in bounds.iter().enumerate() {
         let other_run = bound.run != Variant::Described || bound.times_of.is_some();
         if other_run || [bound.is, bound.at_least, bound.at_most] == [None; 3] {
-            let message = "expected `is`, `at_least` or `at_most` of the run described";
+            let message = "expected `is`, `at_least` or `at_most` for the described run";
             return Err(document.error_at(&format!("{section}/must/{i}"), message));
         }
     }
@@ -260,7 +261,7 @@
         script
     }
 
-    /// Returns the settings of the tree without its slow start.
+    /// Returns the settings of the tree without its slow start. Steps are shorter than with the default settings, and shorter still on sockets.
     fn tree_settings(&self, variant: Variant) -> basaltgw_hierarchy::Settings {
         let defaults = basaltgw_hierarchy::Settings {
             successes_per_step: 4,
@@ -291,21 +292,24 @@
 struct DistrictScale {
     /// Districts in the file, spare ones included.
     count: usize,
+    /// Spare districts in the file.
     spare: usize,
+    /// The factor for regular districts.
     times: usize,
 }
 
 impl DistrictScale {
-    /// Returns the number of districts that are multiplied.
+    /// Returns the count of regular districts in the file.
     fn regular(&self) -> usize {
         self.count - self.spare
     }
 
+    /// Returns the count of all districts in the scaled fleet.
     fn scaled_count(&self) -> usize {
         self.regular() * self.times + self.spare
     }
 
-    /// Returns the number of a district in the scaled fleet.
+    /// Returns the number that a district of the file has in the scaled fleet.
     fn scaled_number(&self, district: usize) -> usize {
         if district >= self.regular() {
             district + self.scaled_count() - self.count
@@ -318,7 +322,8 @@
     fn scaled_plan(&self, plan: &PlanShape) -> PlanShape {
         let regular = plan.districts.iter().filter(|district| **district < self.regular());
         let spare = plan.districts.iter().filter(|district| **district >= self.regular());
-        let copies = (0..self.times).flat_map(|k| regular.clone().map(move |d| d + k * self.regular()));
+        let copies = (0..self.times)
+            .flat_map(|copy| regular.clone().map(move |district| district + copy * self.regular()));
         let districts = copies.chain(spare.map(|district| self.scaled_number(*district))).collect();
         PlanShape { districts, ..plan.clone() }
     }
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -36,7 +36,7 @@
     pub name: String,
     /// The purpose of the experiment in a sentence.
     pub about: String,
-    #[allow(dead_code)] // `load` reads this key before the others.
+    #[allow(dead_code)] // `load` has read this key by then, to tell the form of the file.
     on: String,
     /// The seed of runs without `--seed`.
     pub seed: u64,
@@ -48,11 +48,11 @@
     /// Further keys of each router's section `fleet`.
     #[serde(default)]
     section: Value,
-    /// The rules file at the start.
+    /// The text of the rules file with which the routers start.
     rules: Option<String>,
     /// The time after which a purge has settled; until then caches may hold older copies.
     settles_ms: u64,
-    /// Range of the latency of a link.
+    /// Range of the one-way latency of a link between routers.
     link_ms: [f64; 2],
     load: Load,
     purges_per_s: f64,
@@ -87,7 +87,7 @@
         Some((_, text)) => (format!("{name}.yaml"), (*text).to_string()),
         None => match std::fs::read_to_string(Path::new(name)) {
             Ok(text) => (name.to_string(), text),
-            // The loader of the other form reports the error.
+            // The loader of the other forms reports that the file cannot be read.
             Err(_) => return Ok(None),
         },
     };
@@ -103,7 +103,7 @@
 }
 
 impl Experiment {
-    /// Rejects script events at a router that does not exist, and changes of the rules without the rules.
+    /// Rejects script events at a router that does not exist, and changes of the rules without the text of the new or the first rules.
     fn check_script(&self, document: &Document) -> Result<(), YamlError> {
         let routers = self.routers.len();
         for (i, event) in self.script.iter().enumerate() {
@@ -167,9 +167,9 @@
     }
 }
 
-/// Violations that the output describes.
+/// The maximum number of violations of a run that the output describes.
 const MAX_REPORTED_VIOLATIONS: usize = 12;
-/// Violations that the output describes of a run without the section `fleet`: they are expected there.
+/// The same for a run without the section `fleet`, where violations are expected.
 const MAX_REPORTED_BASELINE_VIOLATIONS: usize = 2;
 
 /// Runs all variants of an experiment; `on_result` is called after each run.
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Executes a command; returns false if a bound is exceeded or a page does not agree with its tables.
+/// Executes a command; returns false if a bound is not met or a page does not agree with its tables.
 fn execute(command: Command) -> Result<bool, String> {
     match command {
         Command::Help => {
@@ -78,7 +78,7 @@
     let RunCommand { name, quick, real, seed, out, soak } = command;
     let (is_capacity, is_soak) = (capacity::is_capacity(name), soak::is_soak(name));
     if *real && !is_capacity {
-        return Err(format!("--real: {name} has no real routers"));
+        return Err(format!("--real: {name} has no real routers; only a capacity experiment has"));
     }
     if soak.any() && !is_soak {
         return Err(format!("--seeds, --jobs, --breaks and --router: {name} is not a soak experiment"));
@@ -121,7 +121,7 @@
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let check = capacity::page::check(&text, &capacity::page::Tables::read(dir)?);
     if check.figures == 0 {
-        return Err(format!("{}: no figure with a mark", file.display()));
+        return Err(format!("{}: the page has no figure with a mark", file.display()));
     }
     check.mismatches.iter().for_each(|mismatch| println!("{}: {mismatch}", file.display()));
     println!("page: {} of {} figures agree", check.figures - check.mismatches.len(), check.figures);
--- a/crates/experiments/src/out.rs
+++ b/crates/experiments/src/out.rs
@@ -15,15 +15,15 @@
     /// The number of cores of the machine.
     pub cores: usize,
     /// A hash of the experiment's file.
-    pub file: String,
+    pub file_hash: String,
 }
 
 impl Provenance {
     /// Returns the provenance of a run on this machine with this seed and text of the experiment's file.
     pub fn new(seed: u64, text: &str) -> Self {
-        let file = format!("{:016x}", basaltgw::hash::fnv1a(text));
+        let file_hash = format!("{:016x}", basaltgw::hash::fnv1a(text));
         let cores = std::thread::available_parallelism().map_or(0, usize::from);
-        Self { seed, commit: checked_out_commit(), cores, file }
+        Self { seed, commit: checked_out_commit(), cores, file_hash }
     }
 }
 
@@ -34,7 +34,7 @@
     text.map_or_else(|| "unknown".to_string(), |t| t.trim().to_string())
 }
 
-/// Returns the table of all runs.
+/// Returns the table of all runs as CSV; figures that a run does not have are NaN.
 pub fn csv(results: &[RunResult], provenance: &Provenance) -> String {
     let names: BTreeSet<&String> = results.iter().flat_map(|r| r.figures.keys()).collect();
     let mut text = String::from("routers,run,seed,commit,cores,file");
@@ -42,9 +42,10 @@
         let _ = write!(text, ",{name}");
     });
     text.push('\n');
-    let Provenance { seed, commit, cores, file } = provenance;
+    let Provenance { seed, commit, cores, file_hash } = provenance;
     for result in results {
-        let _ = write!(text, "{},{},{seed},{commit},{cores},{file}", result.routers, result.variant.name());
+        let _ =
+            write!(text, "{},{},{seed},{commit},{cores},{file_hash}", result.routers, result.variant.name());
         for name in &names {
             let value = result.figures.get(*name).copied().unwrap_or(f64::NAN);
             let _ = write!(text, ",{}", number(value));
@@ -54,6 +55,7 @@
     text
 }
 
+/// Formats a whole number in full, any other one with five decimals.
 fn number(value: f64) -> String {
     if value.fract() == 0.0 && value.abs() < 1e15 {
         format!("{value:.0}")
@@ -62,7 +64,7 @@
     }
 }
 
-/// Formats a figure for a line of output.
+/// Formats a figure for a line of output: a whole number of two digits or more in full, any other one with four decimals.
 pub fn format_short(value: f64) -> String {
     if value.fract() == 0.0 && value.abs() >= 10.0 {
         format!("{value:.0}")
@@ -71,17 +73,22 @@
     }
 }
 
+/// Colours of the lines of a chart, in their order.
 const COLOURS: [RGBColor; 4] =
     [RGBColor(0, 90, 160), RGBColor(120, 120, 120), RGBColor(200, 80, 0), RGBColor(150, 0, 100)];
 /// Width and height of a chart in pixels.
 const CHART_SIZE: (u32, u32) = (760, 340);
+/// Height of a chart as a multiple of its largest value.
+const HEADROOM: f64 = 1.08;
+/// Minimum length of an axis: an axis of length 0 cannot be drawn.
+const MIN_AXIS: f64 = 1e-9;
 
 /// A line of a chart: its name and its points.
 pub type Line = (String, Vec<(f64, f64)>);
 
-/// Writes a chart of these lines.
+/// Writes a chart of these lines as SVG; `axes` are the labels of the horizontal and the vertical axis.
 pub fn write_chart(path: &Path, title: &str, axes: (&str, &str), lines: &[Line]) -> Result<(), String> {
-    draw_chart(path, title, axes, lines).map_err(|e| e.to_string())
+    draw_chart(path, title, axes, lines).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 fn draw_chart(
@@ -91,8 +98,8 @@
     lines: &[Line],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let points = || lines.iter().flat_map(|line| line.1.iter()).filter(|p| is_finite(p));
-    let max = |coordinate: fn(&(f64, f64)) -> f64| points().map(coordinate).fold(0.0, f64::max).max(1e-9);
-    let (right, top) = (max(|p| p.0), max(|p| p.1) * 1.08);
+    let max = |coordinate: fn(&(f64, f64)) -> f64| points().map(coordinate).fold(0.0, f64::max).max(MIN_AXIS);
+    let (right, top) = (max(|p| p.0), max(|p| p.1) * HEADROOM);
     let root = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
--- a/crates/experiments/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -25,7 +25,7 @@
     pub variant: Variant,
     /// The figures of the run.
     pub figures: Figures,
-    /// For each second, the weight of the requests answered in time as a share of the weight of all requests.
+    /// The values of the chart by second, each a share; [`crate::comparison::ChartLabels`] says of what.
     pub seconds: Vec<f64>,
     /// Violated rules, rejected plans, and faults that did not heal.
     pub messages: Vec<String>,
@@ -34,6 +34,7 @@
 /// A decision module that adds up the time of its calls.
 struct TimedRouter {
     router: Router,
+    /// The time of the calls of all routers of the run.
     spent: Rc<Cell<Duration>>,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// Rejected plans that a run reports, at most.
+/// The maximum number of rejected plans that the messages of a run describe.
 const MAX_REPORTED_PLANS: usize = 3;
 
 /// Runs a setup in simulated time.
@@ -70,15 +71,15 @@
     Ok(RunResult { routers, variant, figures, seconds, messages })
 }
 
-/// The maximum p99 delay of the load generator in milliseconds. A run above it measures the machine and not the routers.
+/// The maximum p99 delay of the load generator, ms. A run above it measures the machine and not the routers.
 const MAX_GENERATOR_DELAY_MS: f64 = 50.0;
 
-/// Attempts at a run on sockets.
-const MAX_ATTEMPTS: usize = 2;
+/// How often a run on sockets is tried until the load generator is on time.
+const MAX_TRIES: usize = 2;
 
-/// Returns the path of the router program, which stands beside this one.
+/// Returns the path of the router program, which is expected in the directory of this program.
 pub fn router_program() -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
+    let own = std::env::current_exe().map_err(|e| format!("cannot find the path of this program: {e}"))?;
     let program = own.with_file_name("basaltgw");
     match program.exists() {
         true => Ok(program),
@@ -89,18 +90,19 @@
 /// Runs a setup on sockets, and a second time if the machine delayed the load generator.
 pub fn run_on_sockets(setup: &Setup, variant: Variant) -> Result<RunResult, String> {
     let program = router_program()?;
-    let dir = tempfile::tempdir().map_err(|e| format!("cannot create a directory for routers: {e}"))?;
-    let mut attempts = 0;
+    let dir = tempfile::tempdir()
+        .map_err(|e| format!("cannot create a temporary directory for the routers' files: {e}"))?;
+    let mut tries = 0;
     let (metrics, wall) = loop {
         let started = Instant::now();
         let metrics = basaltgw_emulator::run(setup, &program, dir.path())?;
-        attempts += 1;
+        tries += 1;
         if metrics.generator_late_p99_ms <= MAX_GENERATOR_DELAY_MS {
             break (metrics, started.elapsed());
         }
-        if attempts == MAX_ATTEMPTS {
+        if tries == MAX_TRIES {
             return Err(format!(
-                "the load generator was late by {:.0} ms in the last of {attempts} attempts: the machine is too busy for a valid run",
+                "the load generator was late by {:.0} ms in the last of {tries} tries: the machine is too busy for a valid run",
                 metrics.generator_late_p99_ms
             ));
         }
@@ -113,7 +115,7 @@
     Ok(RunResult { routers, variant, figures, seconds, messages })
 }
 
-/// Returns the answered part of what was requested in a second, NaN if nothing was.
+/// Returns the answered share of what was requested in a second, NaN if nothing was requested.
 pub fn answered_share((requested, answered): &(f64, f64)) -> f64 {
     if *requested > 0.0 {
         answered / requested
@@ -206,7 +208,20 @@
     named_figures(own, &metrics.counts)
 }
 
-/// A bound compared with the runs of one size.
+/// One of the limits of a bound, compared with the value of its figure.
+struct LimitCheck {
+    met: bool,
+    /// The limit, as the line of its bound shows it.
+    description: String,
+}
+
+impl LimitCheck {
+    fn new(met: bool, description: String) -> Self {
+        Self { met, description }
+    }
+}
+
+/// The result of the comparison of a bound with the runs of one size.
 pub struct BoundCheck {
     /// Whether the figure is within the bound.
     pub met: bool,
@@ -224,11 +239,13 @@
 /// Compares a bound with the runs of one size.
 ///
 /// # Errors
-/// If there is no such run or figure.
+/// If the bound names a run or a figure that does not exist.
 pub fn check_bound(bound: &Bound, runs: &[&RunResult]) -> Result<BoundCheck, String> {
     let figure_of = |variant: Variant| -> Result<f64, String> {
-        let run =
-            runs.iter().find(|r| r.variant == variant).ok_or_else(|| format!("no run {}", variant.name()))?;
+        let run = runs
+            .iter()
+            .find(|r| r.variant == variant)
+            .ok_or_else(|| format!("bound of {}: no run {}", bound.figure, variant.name()))?;
         let known = || run.figures.keys().cloned().collect::<Vec<_>>().join(", ");
         run.figures
             .get(&bound.figure)
@@ -238,13 +255,17 @@
     let value = figure_of(bound.run)?;
     let factor = bound.times_of.map(figure_of).transpose()?.unwrap_or(1.0);
     let limits = [
-        bound.is.map(|limit| (value == limit * factor, format!("is {}", limit * factor))),
-        bound.at_least.map(|limit| (value >= limit * factor, format!("at least {:.4}", limit * factor))),
-        bound.at_most.map(|limit| (value <= limit * factor, format!("at most {:.4}", limit * factor))),
+        bound.is.map(|limit| LimitCheck::new(value == limit * factor, format!("is {}", limit * factor))),
+        bound
+            .at_least
+            .map(|limit| LimitCheck::new(value >= limit * factor, format!("at least {:.4}", limit * factor))),
+        bound
+            .at_most
+            .map(|limit| LimitCheck::new(value <= limit * factor, format!("at most {:.4}", limit * factor))),
     ];
-    let limits: Vec<(bool, String)> = limits.into_iter().flatten().collect();
-    let met = limits.iter().all(|limit| limit.0);
-    let expected = limits.into_iter().map(|limit| limit.1).collect::<Vec<_>>().join(", ");
+    let limits: Vec<LimitCheck> = limits.into_iter().flatten().collect();
+    let met = limits.iter().all(|limit| limit.met);
+    let expected = limits.into_iter().map(|limit| limit.description).collect::<Vec<_>>().join(", ");
     let routers = runs.first().map_or(0, |r| r.routers);
     let line = format!("{routers} routers, {}: {} {value:.4}, {expected}", bound.run.name(), bound.figure);
     Ok(BoundCheck { met, line })
@@ -268,7 +289,10 @@
             let result = match experiment.environment {
                 Environment::Simulated => run_simulated(&setup, *variant)?,
                 Environment::Sockets => run_on_sockets(&setup, *variant)?,
-                Environment::Fleet => return Err("an experiment with `on: fleet` has another form".into()),
+                Environment::Fleet => {
+                    let name = &experiment.name;
+                    return Err(format!("{name}: an experiment with `on: fleet` has a file of another form"));
+                }
             };
             on_result(&result);
             results.push(result);
