--- a/crates/experiments/src/partial.rs
+++ b/crates/experiments/src/partial.rs
@@ -46,10 +46,10 @@
     /// Clients of each router.
     #[serde(rename = "clients")]
     clients_per_router: u64,
-    /// Time between two requests of a client.
+    /// Time between an answer and the next request of a client.
     #[serde(rename = "rest_ms")]
     pause_ms: u64,
-    /// Objects that clients request.
+    /// The number of objects that clients request.
     objects: u64,
     /// The deadline of requests.
     #[serde(rename = "within_ms")]
@@ -60,7 +60,7 @@
     flap_ms: [f64; 2],
     /// Routers in simulated time.
     simulated_routers: ByForm<usize>,
-    /// The rules file of the routers.
+    /// The text of the routers' rules file.
     rules: String,
     #[serde(rename = "must")]
     bounds: Vec<Bound>,
@@ -94,15 +94,15 @@
     Ok((experiment, text))
 }
 
-/// Runs all strategies under each fault in simulated time. The figure `*_ahead` is the difference of answered weight between the engine and
-/// the best baseline.
+/// Runs all strategies under each fault in simulated time. The names of the figures contain the `Debug` names of faults and strategies. The figure
+/// `*_ahead` is the difference between the answered weight of the engine and that of the best baseline.
 fn run_simulated(routers: usize, seed: u64) -> Result<(Figures, Vec<String>), String> {
     let (mut figures, mut messages) = (Figures::new(), Vec::new());
     for fault in Fault::ALL {
         let rows = compare_strategies(&Setup::new(routers, fault, seed)).map_err(|e| e.to_string())?;
         let name = format!("sim_{fault:?}").to_lowercase();
-        let weights = |engine: bool| {
-            let rows = rows.iter().filter(move |row| (row.strategy == StrategyKind::Weighed) == engine);
+        let weights = |of_engine: bool| {
+            let rows = rows.iter().filter(move |row| (row.strategy == StrategyKind::Weighed) == of_engine);
             rows.map(|row| row.result.answered_weight_share)
         };
         let ahead = weights(true).sum::<f64>() - weights(false).fold(0.0, f64::max);
--- a/crates/experiments/src/partial/client.rs
+++ b/crates/experiments/src/partial/client.rs
@@ -11,7 +11,7 @@
 
 /// Branches in the order of their routers; branch n has part n.
 const BRANCHES: [&str; 3] = ["north", "south", "east"];
-/// Limits of an answer.
+/// Limits of a message with an answer.
 const ANSWER_LIMITS: MessageLimits = MessageLimits { max_elements: 8, max_bytes: 300_000 };
 /// Time beyond the deadline in which an answer still counts: the 50 ms that the users allow, and the delay of a busy machine.
 const SLACK_MS: u64 = 50 + 450;
@@ -21,6 +21,12 @@
 pub const COMPLETE: &str = "200";
 /// Status of an answer with some parts and a continuation.
 pub const PARTIAL: &str = "206";
+/// Status of an answer that rejects the request.
+pub const REJECTED: &str = "503";
+/// Status of an answer that reports a failed request.
+pub const FAILED: &str = "500";
+/// The purge group of all requested objects.
+const PURGE_GROUP: u64 = 17;
 
 /// What a partial answer left out, and how to request it.
 #[derive(Clone, Debug)]
@@ -38,8 +44,10 @@
 pub struct Answer {
     /// Time of arrival, in the log's milliseconds.
     pub at_ms: u64,
+    /// One of [`COMPLETE`], [`PARTIAL`], [`REJECTED`] and [`FAILED`], or another status.
     pub status: String,
     pub fields: String,
+    /// The bytes of all parts, one after the other.
     pub body: Vec<u8>,
 }
 
@@ -72,12 +80,13 @@
 impl RequestRecord {
     /// Checks that an answer with status `200` or `206` has the requested parts, as its fields describe them.
     fn validate(&self, answer: &Answer) -> Result<ValidAnswer, String> {
-        let fields = Fields::parse(answer.fields.as_bytes()).ok_or("unreadable fields")?;
+        let fields = Fields::parse(answer.fields.as_bytes())
+            .ok_or_else(|| format!("unreadable fields {:?}", answer.fields))?;
         let (received, version) = self.validate_parts(&fields, &answer.body)?;
         let missing = fields
             .get("missing")
             .map_or(Some(BTreeSet::new()), part_numbers)
-            .ok_or("unreadable missing parts")?;
+            .ok_or_else(|| format!("unreadable field missing in {:?}", answer.fields))?;
         let expected: Vec<u64> = self.parts.iter().copied().filter(|part| !missing.contains(part)).collect();
         if received != expected || missing.iter().any(|part| !self.parts.contains(part)) {
             return Err(format!("requested {:?}, received {received:?}, missing {missing:?}", self.parts));
@@ -100,26 +109,36 @@
     /// Checks the bytes of all parts in a body; returns the parts and their common version.
     fn validate_parts(&self, fields: &Fields, body: &[u8]) -> Result<(Vec<u64>, u64), String> {
         let (mut rest, mut versions, mut parts) = (body, BTreeSet::new(), Vec::new());
-        for pair in fields.get("parts").ok_or("no field parts")?.split('+') {
-            let (part, length) = pair.split_once(':').ok_or("a part without a length")?;
-            let part = parse_integer(part).ok_or("a part that is not a number")?;
-            let length =
-                parse_integer(length).and_then(|n| usize::try_from(n).ok()).ok_or("an invalid length")?;
-            let (bytes, after) =
-                rest.split_at_checked(length).ok_or("fewer bytes than the fields announce")?;
+        for pair in fields.get("parts").ok_or("the answer has no field parts")?.split('+') {
+            let (part, length) =
+                pair.split_once(':').ok_or_else(|| format!("field parts: no length in {pair:?}"))?;
+            let part = parse_integer(part)
+                .ok_or_else(|| format!("field parts: the part in {pair:?} is not a number"))?;
+            let length = parse_integer(length)
+                .and_then(|n| usize::try_from(n).ok())
+                .ok_or_else(|| format!("field parts: the length in {pair:?} is invalid"))?;
+            let (bytes, after) = rest.split_at_checked(length).ok_or_else(|| {
+                format!("the body has fewer bytes than the field parts announces for part {part}")
+            })?;
             rest = after;
             if !bytes.starts_with(format!("{:016x}/{part}@", self.object).as_bytes()) {
-                return Err(format!("bytes of another part: {}", String::from_utf8_lossy(bytes)));
+                return Err(format!(
+                    "part {part} has the bytes of another part: {}",
+                    String::from_utf8_lossy(bytes)
+                ));
             }
-            versions.insert(copy_creation_ms(bytes).ok_or("bytes without a version")?);
+            versions.insert(
+                copy_creation_ms(bytes).ok_or_else(|| format!("the bytes of part {part} have no version"))?,
+            );
             parts.push(part);
         }
         if !rest.is_empty() {
-            return Err("more bytes than the fields announce".into());
+            return Err(format!("the body has {} bytes more than the field parts announces", rest.len()));
         }
-        match versions.into_iter().collect::<Vec<_>>()[..] {
+        let versions: Vec<u64> = versions.into_iter().collect();
+        match versions[..] {
             [version] => Ok((parts, version)),
-            _ => Err("parts of several versions".into()),
+            _ => Err(format!("the parts are of several versions: {versions:?}")),
         }
     }
 
@@ -217,7 +236,7 @@
     log: &'a RequestLog,
     deadline_ms: u64,
     connection: Option<Connection>,
-    /// Source of request ids, which all clients share.
+    /// The next request id, which all clients share.
     ids: &'a AtomicU64,
 }
 
@@ -265,6 +284,7 @@
     }
 }
 
+/// Encodes a request of the class `pages` for parts of an object, or for a continuation that completes it.
 fn encode_request(
     id: u64,
     deadline_ms: u64,
@@ -276,7 +296,8 @@
         parts.iter().map(|part| format!("{part}@{}", BRANCHES[*part as usize % BRANCHES.len()])).collect();
     let parts = parts.join("+");
     let debt = continuation.map(|c| format!(",debt={}", c.name)).unwrap_or_default();
-    let fields = format!("i={id:016x},d={deadline_ms},o={object:016x},nth=0,batch=17,parts={parts}{debt}");
+    let fields =
+        format!("i={id:016x},d={deadline_ms},o={object:016x},nth=0,batch={PURGE_GROUP},parts={parts}{debt}");
     encode(&[b"DO", id.to_string().as_bytes(), b"pages", fields.as_bytes(), b""])
 }
 
@@ -308,11 +329,11 @@
             [] if was_down => None,
             [] => Some(match record.lost_ms {
                 Some(at_ms) => {
-                    format!("connection lost without an answer after {} ms", at_ms - record.sent_ms)
+                    format!("the connection ended without an answer after {} ms", at_ms - record.sent_ms)
                 }
-                None => "no answer".to_string(),
+                None => format!("no answer within {} ms", latest_ms - record.sent_ms),
             }),
-            [..] => Some(format!("{} answers", record.answers.len())),
+            [..] => Some(format!("{} answers to one request", record.answers.len())),
         };
         let describe = |violation| format!("router {}, object {}: {violation}", record.router, record.object);
         violations.extend(violation.map(describe));
--- a/crates/experiments/src/partial/processes.rs
+++ b/crates/experiments/src/partial/processes.rs
@@ -1,6 +1,8 @@
 //! Router processes with clients, and faults of one site after the other.
 
-use super::client::{find_violations, Client, Downtime, RequestLog, RequestRecord, COMPLETE, PARTIAL};
+use super::client::{
+    find_violations, Client, Downtime, RequestLog, RequestRecord, COMPLETE, FAILED, PARTIAL, REJECTED,
+};
 use super::Experiment;
 use crate::experiment::Variant;
 use crate::runs::{answered_share, router_program, Figures, RunResult};
@@ -10,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Routers and sites of the experiment.
+/// The number of routers, each at a site of its own.
 const ROUTERS: usize = 3;
 /// Parts of each object, one in each branch.
 const PARTS: [u64; ROUTERS] = [0, 1, 2];
@@ -20,21 +22,27 @@
 const CONTINUATION_TIMEOUT: Duration = Duration::from_secs(8);
 /// Time between two requests for the same continuation.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Continuations of one fault that are requested, the latest ones.
+/// The maximum number of continuations of one fault that are requested, the latest ones.
 const MAX_CONTINUATIONS: usize = 40;
-/// Violations that the output describes.
+/// The maximum number of violations that the output describes.
 const MAX_REPORTED_VIOLATIONS: usize = 12;
-/// Random stream of the faults.
+/// Number of the random stream of the faults.
 const FAULT_STREAM: u64 = 7_001;
-/// Random stream of the first client; the others follow.
+/// Number of the random stream of the first client; those of the others follow.
 const CLIENT_STREAM: u64 = 7_100;
+/// The pause before each fault is the duration of a fault divided by this.
+const PAUSE_DIVISOR: u32 = 4;
 
 /// The fault of a site.
 #[derive(Clone, Copy, PartialEq)]
 enum SiteFault {
+    /// Its links to other sites have a high latency.
     Slow,
+    /// It is partitioned from the other sites.
     Lost,
+    /// Its links to other sites are cut and restored again and again.
     Flapping,
+    /// Its router is killed, and started again at the end of the fault.
     Killed,
 }
 
@@ -136,12 +144,13 @@
     counts
 }
 
-/// What the faults led to.
+/// The results of all faults.
 #[derive(Default)]
 struct FaultResults {
     figures: Figures,
     /// Faults that did not heal.
     messages: Vec<String>,
+    /// The times during which killed routers were down.
     downtimes: Vec<Downtime>,
     continuations: ContinuationCounts,
     /// Faults that made a site unreachable and affected requests.
@@ -154,6 +163,7 @@
     rig: Rig,
     addresses: Vec<SocketAddr>,
     log: &'a RequestLog,
+    /// The next request id.
     ids: &'a AtomicU64,
 }
 
@@ -163,11 +173,14 @@
     let spec = Spec { seed, scatter_gather: true, rules, ..Spec::new(&router_program()?, ROUTERS) };
     let rig = Rig::start(spec)?;
     if let Some(router) = (0..rig.len()).find(|router| !rig.wait_until_serving(*router, START_TIMEOUT)) {
-        return Err(format!("router {router} does not serve: {}", rig.routers[router].log_text()));
+        return Err(format!(
+            "router {router} does not serve after its start; its log: {}",
+            rig.routers[router].log_text()
+        ));
     }
     rig.wait_until_bootstrapped(START_TIMEOUT)?;
     if !rig.wait_until_linked() {
-        return Err("links between routers do not come up".into());
+        return Err("the links between the routers are not all up after the start".into());
     }
     Ok(rig)
 }
@@ -186,7 +199,7 @@
         for i in 0..SiteFault::ALL.len() {
             let fault = SiteFault::ALL[(i + first_fault) % SiteFault::ALL.len()];
             let site = (first_site + i) % ROUTERS;
-            std::thread::sleep(duration / 4);
+            std::thread::sleep(duration / PAUSE_DIVISOR);
             let (from_ms, before) = (self.log.now_ms(), self.log.records().len());
             if let Err(message) =
                 inject_fault(&mut self.rig, fault, site, self.experiment, duration, &mut rng)
@@ -283,8 +296,8 @@
         ("asked", first().count() as f64),
         ("whole", with_status(COMPLETE)),
         ("part", with_status(PARTIAL)),
-        ("refused", with_status("503")),
-        ("failed", with_status("500")),
+        ("refused", with_status(REJECTED)),
+        ("failed", with_status(FAILED)),
         ("lost", unanswered as f64),
         ("debts_kept", partial as f64),
         ("debts_paid", results.continuations.completed as f64),
--- a/crates/experiments/src/soak.rs
+++ b/crates/experiments/src/soak.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// The size of a run.
+/// The size of a run of one seed.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
@@ -26,7 +26,7 @@
     pub routers_per_zone: usize,
     /// The time during which clients send requests.
     pub length_ms: f64,
-    /// Groups of faults that begin at about the same time.
+    /// The number of groups of faults; the faults of a group begin at about the same time.
     pub groups: usize,
     /// Faults of caches and parents, run by the emulator's script.
     #[serde(rename = "moments")]
@@ -53,9 +53,9 @@
 /// The built-in experiment: name and text of the file.
 pub const BUILT_IN: (&str, &str) = ("soak", include_str!("../experiments/soak.yaml"));
 
-/// The maximum p99 delay of the load generator. A run above it measures the machine and not the routers.
+/// The maximum p99 delay of the load generator, ms. A run above it measures the machine and not the routers.
 const MAX_GENERATOR_DELAY_MS: f64 = 100.0;
-/// The maximum share of responses that remain unjudged because the harness was late.
+/// The maximum share of requests whose missing response is not judged because the harness was late.
 const MAX_UNJUDGED_SHARE: f64 = 0.02;
 
 /// Whether the experiment has this form.
@@ -99,7 +99,7 @@
         !self.metrics.violations.is_empty() || !self.report.violations.is_empty()
     }
 
-    /// Describes the violations, and what makes the run invalid.
+    /// Describes the violations, and what makes the run invalid; empty if the seed passed.
     fn failures(&self) -> Vec<String> {
         let mut failures: Vec<String> = Vec::new();
         for (rule, (count, first)) in &self.metrics.violations {
@@ -121,7 +121,10 @@
         }
         let unjudged = self.report.unjudged as f64 / self.metrics.requests.max(1) as f64;
         if unjudged > MAX_UNJUDGED_SHARE {
-            failures.push(format!("{:.1}% of the responses could not be judged", unjudged * 100.0));
+            failures.push(format!(
+                "{:.1}% of the requests could not be judged, because the harness was late",
+                unjudged * 100.0
+            ));
         }
         failures
     }
@@ -137,7 +140,8 @@
 ) -> Result<SeedResult, String> {
     let size = if quick { experiment.quick } else { experiment.full };
     let plan = SeedPlan::draw(&experiment.fleet, &experiment.load, size, seed);
-    let mut dir = tempfile::tempdir().map_err(|e| format!("cannot create a directory for routers: {e}"))?;
+    let mut dir = tempfile::tempdir()
+        .map_err(|e| format!("cannot create a temporary directory for the routers' files: {e}"))?;
     let (metrics, report) = run_soak(&plan.setup, &plan.faults, &plan.limits, program, dir.path())?;
     let result = SeedResult { seed, metrics, report };
     if let Some(out) = out.filter(|_| !result.failures().is_empty()) {
@@ -152,6 +156,7 @@
     Ok(result)
 }
 
+/// Returns the line of output for a seed.
 fn summary_line(result: &SeedResult, failures: usize) -> String {
     let metrics = &result.metrics;
     format!(
@@ -169,6 +174,7 @@
     )
 }
 
+/// Returns the table of all seeds as CSV, with a column for each kind of fault that was triggered.
 fn csv(results: &[SeedResult], provenance: &Provenance, quick: bool) -> String {
     let kinds: std::collections::BTreeSet<&str> =
         results.iter().flat_map(|r| r.report.triggered.keys().copied()).collect();
@@ -209,7 +215,10 @@
     text
 }
 
-/// The bugs that a router program built with the feature `breaks` can inject, by their values of `GW_BREAK`.
+/// The environment variable that selects the bug of a router program built with the feature `breaks`.
+const BUG_VARIABLE: &str = "GW_BREAK";
+
+/// The bugs of such a program: the values of [`BUG_VARIABLE`].
 const INJECTED_BUGS: [&str; 8] = [
     "purge_ignored",
     "second_answer",
@@ -221,10 +230,10 @@
     "stale_deadline",
 ];
 
-/// The seeds that are run against each injected bug unless others are given.
+/// The seeds that run with each injected bug unless `--seeds` gives others.
 const BUG_SEEDS: RangeInclusive<u64> = 1..=8;
 
-/// Runs seeds with each injected bug, until one run violates a rule or an invariant; returns whether each bug was caught.
+/// Runs seeds with each injected bug, until a run violates a rule or an invariant: the bug is caught. Returns whether all bugs were caught.
 pub fn check_injected_bugs(name: &str, options: &Options<'_>) -> Result<bool, String> {
     let (experiment, _) = load(name).map_err(|e| e.to_string())?;
     let program =
@@ -232,40 +241,47 @@
     let seeds = options.seeds.clone().unwrap_or(BUG_SEEDS);
     let mut caught = 0;
     for bug in INJECTED_BUGS {
-        // Router processes inherit the variable.
-        std::env::set_var("GW_BREAK", bug);
+        // Router processes inherit the environment variable.
+        std::env::set_var(BUG_VARIABLE, bug);
         let violations = first_violations(&experiment, options, &program, &seeds)?;
-        match violations.iter().min_by_key(|(seed, _)| *seed) {
-            Some((seed, violation)) => {
+        match violations.iter().min_by_key(|violation| violation.seed) {
+            Some(SeedViolation { seed, description }) => {
                 caught += 1;
-                println!("  {bug}: caught by {} seeds, first {seed}: {violation}", violations.len());
+                println!("  {bug}: caught by {} seeds, first {seed}: {description}", violations.len());
             }
             None => println!("  {bug}: NOT caught by seeds {} to {}", seeds.start(), seeds.end()),
         }
     }
-    std::env::remove_var("GW_BREAK");
+    std::env::remove_var(BUG_VARIABLE);
     println!("{name} --breaks: {caught} of {} caught", INJECTED_BUGS.len());
     Ok(caught == INJECTED_BUGS.len())
 }
 
-/// Runs seeds in batches until a batch has a violation; returns its seeds with a violation, and the first violation of each.
+/// The first violation in the run of a seed.
+struct SeedViolation {
+    seed: u64,
+    description: String,
+}
+
+/// Runs seeds in batches until a batch has a violation; returns the first violation of each seed of that batch. A seed that cannot be run counts
+/// as one without a violation.
 fn first_violations(
     experiment: &Experiment,
     options: &Options<'_>,
     program: &Path,
     seeds: &RangeInclusive<u64>,
-) -> Result<Vec<(u64, String)>, String> {
+) -> Result<Vec<SeedViolation>, String> {
     let all: Vec<u64> = seeds.clone().collect();
-    let found: Mutex<Vec<(u64, String)>> = Mutex::default();
+    let found: Mutex<Vec<SeedViolation>> = Mutex::default();
     for batch in all.chunks(options.jobs.max(1)) {
         std::thread::scope(|scope| {
             for seed in batch {
                 scope.spawn(|| {
                     let result = run_seed(experiment, options.quick, *seed, program, None);
                     let violated = result.ok().filter(SeedResult::violated);
-                    let violation = violated.and_then(|result| result.failures().into_iter().next());
-                    if let (Some(violation), Ok(mut found)) = (violation, found.lock()) {
-                        found.push((*seed, violation));
+                    let first = violated.and_then(|result| result.failures().into_iter().next());
+                    if let (Some(description), Ok(mut found)) = (first, found.lock()) {
+                        found.push(SeedViolation { seed: *seed, description });
                     }
                 });
             }
@@ -281,15 +297,15 @@
 #[derive(Default)]
 struct SeedResults {
     completed: Vec<SeedResult>,
-    /// Why seeds could not be run.
+    /// For each seed that could not be run, the reason.
     errors: Vec<String>,
 }
 
 /// Runs the seeds of these options; returns whether all passed.
 pub fn run(name: &str, options: &Options<'_>) -> Result<bool, String> {
     let (experiment, text) = load(name).map_err(|e| e.to_string())?;
-    let one = options.seed.unwrap_or(experiment.seed);
-    let seeds = options.seeds.clone().unwrap_or(one..=one);
+    let seed = options.seed.unwrap_or(experiment.seed);
+    let seeds = options.seeds.clone().unwrap_or(seed..=seed);
     let program = match &options.router {
         Some(program) => program.clone(),
         None => router_program()?,
--- a/crates/experiments/src/soak/seed_plan.rs
+++ b/crates/experiments/src/soak/seed_plan.rs
@@ -5,9 +5,9 @@
 use basaltgw_emulator::{PlannedFault, SoakFault, SoakLimits};
 use basaltgw_simulator::sim::Setup;
 use basaltgw_simulator::spec::{FleetSpec, LoadSpec, ScriptAction, ScriptEvent};
-use basaltgw_simulator::{draw as unit, rng, Rng};
+use basaltgw_simulator::{draw as draw_unit, rng, Rng};
 
-/// Random stream of the plan.
+/// Number of the random stream that plans are drawn from.
 const PLAN_STREAM: u64 = 4_021;
 /// Time without faults at the start, in which routers connect to their caches.
 const QUIET_START_MS: f64 = 1_500.0;
@@ -15,10 +15,22 @@
 const QUIET_END_MS: f64 = 3_000.0;
 /// Time within which the faults of a group begin.
 const GROUP_MS: f64 = 600.0;
-/// Share of a group's faults that hit the same router.
+/// Probability that a fault hits the router of its group, in place of any router.
 const SAME_ROUTER_SHARE: f64 = 0.7;
-/// Share of node faults that hit an edge cache; the others hit a parent.
+/// Probability that a node fault hits an edge cache; the others hit a parent.
 const EDGE_SHARE: f64 = 0.75;
+/// Maximum latency objective of a class, as a share of its deadline.
+const MAX_OBJECTIVE_SHARE: f64 = 0.6;
+/// Number of equally probable cases of [`draw_fault`], of which the more frequent faults have several.
+const FAULT_CASES: usize = 22;
+/// Number of kinds of node faults in [`draw_script`].
+const NODE_FAULT_KINDS: usize = 7;
+/// How many times as long a slow node takes to send.
+const SLOW_FACTOR: f64 = 4.0;
+/// Share of its responses that a node with [`ScriptAction::LoseAnswers`] loses.
+const LOST_RESPONSE_SHARE: f64 = 0.3;
+/// Share of all groups that a mass purge purges.
+const MASS_PURGE_SHARE: f64 = 0.3;
 const HOUR_MS: i64 = 3_600_000;
 
 /// What a run of one seed does.
@@ -31,14 +43,17 @@
     pub limits: SoakLimits,
 }
 
+/// Draws a number from this range.
 fn uniform(rng: &mut Rng, min: f64, max: f64) -> f64 {
-    min + (max - min) * unit(rng)
+    min + (max - min) * draw_unit(rng)
 }
 
+/// Draws an index below `count`.
 fn index(rng: &mut Rng, count: usize) -> usize {
-    ((unit(rng) * count as f64) as usize).min(count.saturating_sub(1))
+    ((draw_unit(rng) * count as f64) as usize).min(count.saturating_sub(1))
 }
 
+/// Draws one of the values.
 fn choose<T: Copy>(rng: &mut Rng, values: &[T]) -> T {
     values[index(rng, values.len())]
 }
@@ -54,7 +69,7 @@
         for class in &mut load.classes {
             let factor = choose(&mut rng, &[1.0, 0.5, 0.25]);
             class.deadline_ms = (class.deadline_ms * factor).round();
-            class.aim_ms = class.aim_ms.min(class.deadline_ms * 0.6).round();
+            class.aim_ms = class.aim_ms.min(class.deadline_ms * MAX_OBJECTIVE_SHARE).round();
         }
         let limits = SoakLimits {
             connect_timeout_ms: choose(&mut rng, &[400.0, 1_000.0, 150.0]),
@@ -91,7 +106,7 @@
         let start = QUIET_START_MS + span * group as f64 / size.groups as f64;
         let group_router = index(rng, routers);
         for _ in 0..2 + index(rng, 2) {
-            let same = unit(rng) < SAME_ROUTER_SHARE;
+            let same = draw_unit(rng) < SAME_ROUTER_SHARE;
             let router = if same { group_router } else { index(rng, routers) };
             let at_ms = start + uniform(rng, 0.0, GROUP_MS);
             let (fault, for_ms) = draw_fault(rng);
@@ -106,7 +121,7 @@
     let step = uniform(rng, 1_000.0, 30_000.0) as i64;
     let steps = [HOUR_MS, -HOUR_MS, step, -step];
     let calls = [Fault::Accept, Fault::Short, Fault::Interrupted, Fault::Broken];
-    match index(rng, 22) {
+    match index(rng, FAULT_CASES) {
         0 | 1 => (SoakFault::Terminate, 0.0),
         2 => (SoakFault::Kill, 0.0),
         3 | 4 => (SoakFault::Stop, uniform(rng, 100.0, 2_000.0)),
@@ -140,20 +155,20 @@
     (0..size.node_faults)
         .map(|_| {
             let edge = format!("edge-{}-{}", 1 + index(rng, fleet.zones), index(rng, fleet.edges_per_zone));
-            let hits_edge = unit(rng) < EDGE_SHARE;
+            let hits_edge = draw_unit(rng) < EDGE_SHARE;
             let node = if hits_edge { edge } else { format!("district-{}", index(rng, fleet.districts)) };
-            let (what, for_ms, factor) = match choose(rng, &[0, 1, 2, 3, 4, 5, 6]) {
+            let (what, for_ms, factor) = match index(rng, NODE_FAULT_KINDS) {
                 0 => (ScriptAction::Crash, uniform(rng, 900.0, 2_000.0), 0.0),
                 1 => (ScriptAction::Hang, uniform(rng, 300.0, 2_000.0), 0.0),
                 2 => (ScriptAction::Vanish, uniform(rng, 900.0, 2_500.0), 0.0),
-                3 => (ScriptAction::Slow, uniform(rng, 500.0, 3_000.0), 4.0),
-                4 => (ScriptAction::LoseAnswers, uniform(rng, 500.0, 2_000.0), 0.3),
+                3 => (ScriptAction::Slow, uniform(rng, 500.0, 3_000.0), SLOW_FACTOR),
+                4 => (ScriptAction::LoseAnswers, uniform(rng, 500.0, 2_000.0), LOST_RESPONSE_SHARE),
                 5 => (ScriptAction::Drain, 0.0, 0.0),
-                _ => (ScriptAction::MassPurge, 0.0, 0.3),
+                _ => (ScriptAction::MassPurge, 0.0, MASS_PURGE_SHARE),
             };
-            // A mass purge has no node.
+            // A mass purge applies to the whole fleet and not to a node.
             let node = (what != ScriptAction::MassPurge).then_some(node);
-            let at_ms = QUIET_START_MS + span * unit(rng);
+            let at_ms = QUIET_START_MS + span * draw_unit(rng);
             ScriptEvent { at_ms, what, node, for_ms, factor, to: None, plan: None }
         })
         .collect()
