--- a/crates/experiments/src/capacity/control.rs
+++ b/crates/experiments/src/capacity/control.rs
@@ -125,13 +125,13 @@
 /// Time of a commit of the store of router processes, ms.
 const PROCESS_COMMIT_MS: (f64, f64) = (0.4, 5.0);
 
-/// A run, and its rows.
+/// A run, the position of its rows, and the figures that become rows.
 struct Measurement {
     setup: Setup,
     axis: &'static str,
     x: usize,
     figures: &'static [RunFigure],
-    /// The name of the share of routers with a table, if it becomes a row.
+    /// The name of the row with the share of routers that have a table; `None` if there is no such row.
     founded_share: Option<&'static str>,
 }
 
@@ -163,6 +163,7 @@
     setup
 }
 
+/// Returns all runs, axis by axis.
 fn measurements(sizes: &Sizes, seed: u64) -> Vec<Measurement> {
     let mesh = |routers: usize| founded_mesh(sizes, routers, seed);
     let founded_share = Some("mesh_founded");
@@ -230,7 +231,7 @@
     setup
 }
 
-/// Returns the setup of a mesh at the default latency and with the default back-off.
+/// Returns the setup of a mesh at the default latency and with the default back-off. Only its founding counts, so the seconds after it are few.
 fn default_latency(routers: usize, seed: u64) -> Setup {
     let mut setup = Setup::mesh(routers, seed);
     (setup.measured_s, setup.drain_s) = (1.0, 1.0);
--- a/crates/experiments/src/capacity/data/change_log.rs
+++ b/crates/experiments/src/capacity/data/change_log.rs
@@ -19,6 +19,8 @@
 const HEARTBEATS_PER_S: f64 = 2.0;
 /// Events of a machine that restarts: it drains, is removed, is up.
 const EVENTS_PER_RESTART: f64 = 3.0;
+/// Sizes of smaller fleets, for comparison with the expected one and one of twice its size.
+const SMALLER_FLEETS: [usize; 3] = [300, 1_000, 2_000];
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
 /// Returns the bytes of a frame with this payload.
@@ -39,12 +41,12 @@
     let heartbeat = frame_bytes(HEARTBEAT, &[]);
     let purge = frame_bytes(PURGE_OBJECT, &[0; PURGE_OBJECT_BYTES]);
     let group_purge = frame_bytes(PURGE_GROUP, &[0; PURGE_GROUP_BYTES]);
-    let one = ("events", 1.0);
+    let one_event = ("events", 1.0);
     let mut rows = vec![
-        Row::new(one, ("frame_empty", heartbeat, "bytes"), Kind::Measured),
-        Row::new(one, ("frame_purge_object", purge, "bytes"), Kind::Measured),
-        Row::new(one, ("frame_purge_group", group_purge, "bytes"), Kind::Measured),
-        Row::new(one, ("frame_change", list_bytes(LIST_UPDATE, 1), "bytes"), Kind::Measured),
+        Row::new(one_event, ("frame_empty", heartbeat, "bytes"), Kind::Measured),
+        Row::new(one_event, ("frame_purge_object", purge, "bytes"), Kind::Measured),
+        Row::new(one_event, ("frame_purge_group", group_purge, "bytes"), Kind::Measured),
+        Row::new(one_event, ("frame_change", list_bytes(LIST_UPDATE, 1), "bytes"), Kind::Measured),
     ];
     for n in &sizes.servers {
         let point = ("servers listed", *n as f64);
@@ -55,7 +57,7 @@
     let events_per_s = expected.restarts_per_day * EVENTS_PER_RESTART / SECONDS_PER_DAY;
     let changes_per_s = events_per_s * (list_bytes(LIST_UPDATE, 1) + HEADER_BYTES);
     let servers = expected.caches + expected.caches.div_ceil(expected.caches_per_parent) + 1;
-    for routers in [300, 1_000, 2_000, expected.routers, 2 * expected.routers] {
+    for routers in SMALLER_FLEETS.into_iter().chain([expected.routers, 2 * expected.routers]) {
         let n = routers as f64;
         let row = |name, bytes, unit| Row::new(("routers", n), (name, bytes, unit), Kind::Computed);
         rows.extend([
--- a/crates/experiments/src/capacity/data/decisions.rs
+++ b/crates/experiments/src/capacity/data/decisions.rs
@@ -31,7 +31,7 @@
     rows
 }
 
-/// Returns the processor time of a decision in microseconds.
+/// Returns the processor time of a decision in microseconds: the mean of a batch, for the fastest batch.
 fn decision_us(driver: &mut RouterDriver, requests: usize, objects: usize, rng: &mut Rng) -> f64 {
     let batch = requests / BATCHES;
     let mut send_batch = || measure_cpu_us(|| driver.request_random_objects(batch, objects, rng)).1;
--- a/crates/experiments/src/capacity/data/slow_start.rs
+++ b/crates/experiments/src/capacity/data/slow_start.rs
@@ -31,9 +31,11 @@
 const DEMAND_FACTOR: f64 = 3.0;
 /// Objects that are requested.
 const OBJECTS: f64 = 500.0;
+/// Edge caches of the fleet.
 const CACHES: usize = 4;
+/// Parents of the fleet, the restarted one included.
 const PARENTS: usize = 2;
-/// Step of the sum of the budgets over time.
+/// Step of the sum of the budgets over time, ms.
 const STEP_MS: usize = 20;
 
 /// Something that happens at a router.
@@ -41,7 +43,7 @@
     /// A client sends a request.
     Request { router: usize },
     /// A timer expires.
-    Timer { router: usize },
+    Timer { router: usize, token: u64 },
     /// The endpoint list with the restarted parent arrives.
     Restart { router: usize },
     /// A response arrives.
@@ -53,6 +55,7 @@
     routers: Vec<Router>,
     /// What is scheduled, by time in microseconds and the order of scheduling.
     queue: BTreeMap<(u64, u64), Scheduled>,
+    /// How much has been scheduled so far: it orders what is scheduled for the same time.
     scheduled: u64,
     rng: Rng,
     /// Mean time between two requests at a router.
@@ -68,7 +71,8 @@
     policy.overload_factor * policy.initial_share * SERVER_CAPACITY * policy.overload_window / SERVICE_MS
 }
 
-/// Returns the budget with a margin for random variation; only what is above is the fault of the routers.
+/// Returns the budget with a margin for random variation, two standard deviations of a Poisson count and two requests. Only what is above is the
+/// fault of the routers.
 fn budget_with_margin(budget: f64) -> f64 {
     budget + 2.0 * budget.sqrt() + 2.0
 }
@@ -135,7 +139,9 @@
         self.routers[router].handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Timer { delay, .. } => self.schedule(now + delay, Scheduled::Timer { router }),
+                Action::Timer { delay, token } => {
+                    self.schedule(now + delay, Scheduled::Timer { router, token })
+                }
                 Action::StartAttempt(attempt) => {
                     if attempt.fill_source == self.restarted_parent {
                         self.arrivals.push(now);
@@ -170,7 +176,7 @@
             }
             match scheduled {
                 Scheduled::Request { router } => self.send_request(now, router),
-                Scheduled::Timer { router } => self.handle(now, router, Event::Timer(1)),
+                Scheduled::Timer { router, token } => self.handle(now, router, Event::Timer(token)),
                 Scheduled::Restart { router } => self.handle(now, router, list_event(Some(RESTART_MS))),
                 Scheduled::Response { router, outcome } => self.handle(now, router, Event::Outcome(*outcome)),
             }
--- a/crates/experiments/src/capacity/data/state.rs
+++ b/crates/experiments/src/capacity/data/state.rs
@@ -19,10 +19,14 @@
 const FULL_STATE_OBJECTS: usize = 4 * SHADOW_ENTRIES;
 /// Requests over which the lookup of purges is averaged.
 const LOOKUP_REQUESTS: usize = 4000;
-/// Rates of purges at an expected rate of 100 per second.
+/// The expected rate of purges that [`PURGE_RATES`] belong to; at another one they are scaled.
+const REFERENCE_PURGES_PER_S: f64 = 100.0;
+/// Rates of purges per second at an expected rate of [`REFERENCE_PURGES_PER_S`].
 const PURGE_RATES: [f64; 5] = [10.0, 25.0, 50.0, 100.0, 200.0];
 /// Simulated seconds of purges: three times as long as a purge is remembered.
 const PURGE_RATE_S: f64 = 220.0;
+/// The number of remembered purges is read once in this many purges, since a snapshot copies them all.
+const SNAPSHOT_INTERVAL: u64 = 100;
 /// Share of objects that are requested a second time at once, so that the state of repeated objects counts as well.
 const REPEATED_SHARE: f64 = 0.1;
 
@@ -84,6 +88,7 @@
     rows
 }
 
+/// Returns the purge with this number, of an object or of a group.
 fn purge(n: u64) -> Event {
     let group = GroupId(n);
     let object = (!n.is_multiple_of(GROUP_PURGE_INTERVAL)).then_some(ObjectId(n));
@@ -98,13 +103,14 @@
         rows.extend(by_purges(*count, expected, seed));
     }
     for rate in PURGE_RATES {
-        let rate = rate * expected.purges_per_s / 100.0;
+        let rate = rate * expected.purges_per_s / REFERENCE_PURGES_PER_S;
         let known = remembered_purges(rate, expected);
         rows.push(Row::new(("purges a second", rate), ("purges_known", known, "purges"), Kind::Simulated));
     }
     rows
 }
 
+/// Returns the costs of this number of remembered purges.
 fn by_purges(count: usize, expected: &Expected, seed: u64) -> [Row; 3] {
     let mut driver = RouterDriver::expected(expected);
     let add_all = |driver: &mut RouterDriver| (0..count as u64).for_each(|n| driver.handle(purge(n)));
@@ -135,7 +141,7 @@
     for n in 0..(rate * PURGE_RATE_S) as u64 {
         driver.advance(1000.0 / rate);
         driver.handle(purge(n));
-        if n % 100 == 0 {
+        if n.is_multiple_of(SNAPSHOT_INTERVAL) {
             max = max.max(driver.router.snapshot().purges.len());
         }
     }
--- a/crates/experiments/src/capacity/figures.rs
+++ b/crates/experiments/src/capacity/figures.rs
@@ -1,4 +1,4 @@
-//! Rows from the figures of simulated runs: their names here, and the means of repeated points.
+//! Rows from the figures of simulated runs: which figures become rows, their names in the table, and the means of rows of the same point.
 
 use super::row::{Kind, Row};
 use basaltgw_fleet_simulation::run::Figures;
@@ -26,7 +26,10 @@
     RunFigure { run_name, name, unit, kind: Kind::Measured }
 }
 
-/// Returns one figure of a run.
+/// Returns the figure of a run with this name.
+///
+/// # Errors
+/// If the run has no such figure.
 pub(super) fn figure(figures: &Figures, name: &str) -> Result<f64, String> {
     figures.values.get(name).copied().ok_or_else(|| format!("the simulated run has no figure {name}"))
 }
--- a/crates/experiments/src/capacity/file.rs
+++ b/crates/experiments/src/capacity/file.rs
@@ -89,6 +89,7 @@
     Ok((experiment, text))
 }
 
+/// Rejects counts and rates of the expected fleet that are out of range.
 fn check_expected(document: &Document, expected: &data::Expected) -> Result<(), YamlError> {
     let counts = [
         ("routers", expected.routers),
@@ -107,14 +108,14 @@
     let rates = [("requests_per_s", expected.requests_per_s), ("purges_per_s", expected.purges_per_s)];
     for (key, rate) in rates {
         if !(rate.is_finite() && rate > 0.0) {
-            let message = format!("expected over 0, found {rate}");
+            let message = format!("expected a number over 0, found {rate}");
             return Err(document.error_at(&format!("/expected/{key}"), message));
         }
     }
     Ok(())
 }
 
-/// Rejects lists of sizes that are too short for a curve or not rising.
+/// Rejects lists of sizes that are too short for a curve, not rising or not above 0, and too few requests for an average.
 fn check_sizes(document: &Document, form: &str, sizes: &Sizes) -> Result<(), YamlError> {
     let Sizes { data, control, overlay, .. } = sizes;
     let lists = [
@@ -138,7 +139,8 @@
     for (key, list) in lists {
         let rising = list.windows(2).all(|w| w[0] < w[1]);
         if list.len() < fit::MIN_POINTS || !rising || list[0] == 0 {
-            let message = format!("expected {} rising sizes over 0, or more", fit::MIN_POINTS);
+            let message =
+                format!("expected at least {} rising sizes over 0, found {list:?}", fit::MIN_POINTS);
             return Err(document.error_at(&format!("/sizes/{form}/{key}"), message));
         }
     }
--- a/crates/experiments/src/capacity/file_tests.rs
+++ b/crates/experiments/src/capacity/file_tests.rs
@@ -28,7 +28,8 @@
     ] {
         assert!(BUILT_IN.1.contains(from), "the experiment does not contain {from:?}");
         std::fs::write(file.path(), BUILT_IN.1.replacen(from, to, 1)).expect("the file is written");
-        let error = load(&path).expect_err(to).to_string();
+        let Err(error) = load(&path) else { panic!("the file with {to:?} is accepted") };
+        let error = error.to_string();
         assert!(is_capacity(&path) && error.contains(key), "{to}: {error}");
     }
     assert!(load(BUILT_IN.0).is_ok() && is_capacity(BUILT_IN.0) && !is_capacity("holds"));
--- a/crates/experiments/src/capacity/mod.rs
+++ b/crates/experiments/src/capacity/mod.rs
@@ -6,7 +6,10 @@
 //! - [`scenarios`]: scripted faults of a fleet with the overlay;
 //! - [`parallel`]: simulated runs on several threads;
 //! - [`processes`]: router processes on loopback, with `--real`;
-//! - [`fit`]: curves; [`table`]: tables and charts; [`page`]: compares the figures of a page with the tables.
+//! - [`file`]: the experiment's file; [`meter`]: memory and processor time of a piece of work;
+//! - [`row`]: a row of the table; [`figures`]: rows from the figures of simulated runs;
+//! - [`fit`]: the form of a curve; [`curve`]: the curves of a run;
+//! - [`table`]: tables and charts; [`page`]: compares the figures of a page with the tables.
 
 mod control;
 mod curve;
--- a/crates/experiments/src/capacity/overlay.rs
+++ b/crates/experiments/src/capacity/overlay.rs
@@ -83,6 +83,7 @@
 }
 
 impl Domains {
+    /// Returns the positions on the three axes.
     fn points(&self) -> Vec<DomainPoint> {
         let default = self.default;
         let sites = self.sites.iter().map(|n| {
@@ -101,7 +102,7 @@
     }
 }
 
-/// Figures of a run.
+/// Figures where the change log misses some routers and is late at others, as in [`setup`].
 const FIGURES: [RunFigure; 20] = [
     simulated("wire_bytes_mean", "sparse_wire", "bytes/s"),
     simulated("wire_bytes_p99", "sparse_wire_p99", "bytes/s"),
@@ -150,7 +151,7 @@
     (ChangeLogReach::ControlMachines, &CONTROL_MACHINES_FIGURES),
 ];
 
-/// A run, and its rows.
+/// A run, the position of its rows, and the figures that become rows.
 struct Measurement {
     setup: Setup,
     axis: &'static str,
@@ -174,6 +175,7 @@
     Ok(rows)
 }
 
+/// Returns all runs without a fault scenario, axis by axis.
 fn measurements(sizes: &Sizes, seed: u64) -> Vec<Measurement> {
     let max_purges = sizes.purges.iter().max().copied().unwrap_or(0) as f64;
     let reference = |purges_per_s: f64| setup(sizes, sizes.reference_routers, purges_per_s, seed);
@@ -208,7 +210,7 @@
     all
 }
 
-/// Returns the setup of a run without faults.
+/// Returns the setup of a run without faults, whose change log reaches routers as the sizes say.
 pub(super) fn setup(sizes: &Sizes, routers: usize, purges_per_s: f64, seed: u64) -> Setup {
     let mut setup = Setup::sparse(routers, seed);
     (setup.purges_per_s, setup.measured_s, setup.measure_cpu) = (purges_per_s, sizes.seconds, true);
--- a/crates/experiments/src/capacity/page.rs
+++ b/crates/experiments/src/capacity/page.rs
@@ -38,7 +38,7 @@
     Number {
         /// The value in the unit of the figure.
         value: f64,
-        /// The factor of the unit in terms of [`SCALES`].
+        /// The factor of the unit in terms of [`SCALES`], 1 for a unit that is no scale.
         unit_factor: f64,
     },
     /// A word, which has to stand before the mark.
@@ -120,6 +120,7 @@
     rows.into_iter().filter_map(|[figure, unit]| Some((figure, factor(&unit)?))).collect()
 }
 
+/// Adds the entries of the table of all points.
 fn add_points(
     text: &str,
     unit_factors: &BTreeMap<String, f64>,
@@ -133,6 +134,7 @@
     Ok(())
 }
 
+/// Adds the entries of the table of the curves: the form, the residual, and the value at the expected position.
 fn add_curves(
     text: &str,
     unit_factors: &BTreeMap<String, f64>,
@@ -159,6 +161,10 @@
     Ok(())
 }
 
+/// Adds the entries of the table of router processes.
+///
+/// # Errors
+/// If a run has two rows for one rate of purges, so that a mark would be ambiguous.
 fn add_processes(text: &str, entries: &mut BTreeMap<String, Entry>) -> Result<(), String> {
     let runs = read_columns(text, &["run", "purges_per_s"], PROCESSES_FILE)?;
     for (n, [run, purges]) in runs.iter().enumerate() {
@@ -239,7 +245,7 @@
         None => Err(format!("unknown mark {key:?}; {}", tables.suggestions(key))),
         Some(Entry::Unreliable) => Err(format!("{key}: the curve is not to be reckoned with there")),
         Some(Entry::Word(word)) if before.trim_end().ends_with(word.as_str()) => Ok(()),
-        Some(Entry::Word(word)) => Err(format!("{key} is {word:?}, the page says another")),
+        Some(Entry::Word(word)) => Err(format!("{key} is {word:?}, the page says another word")),
         Some(Entry::Number { value, unit_factor }) => {
             let written = WrittenNumber::last_in(before, *unit_factor)
                 .ok_or_else(|| format!("{key}: no number before the mark"))?;
@@ -256,7 +262,7 @@
 struct WrittenNumber {
     /// The number in the unit of the figure.
     value: f64,
-    /// Half of the last significant digit.
+    /// The largest difference from the value: half a unit of the last significant digit.
     tolerance: f64,
 }
 
--- a/crates/experiments/src/capacity/parallel.rs
+++ b/crates/experiments/src/capacity/parallel.rs
@@ -1,5 +1,5 @@
-//! Simulated runs in parallel, one per thread. In simulated time they give the same bytes as one after the other. Only processor times grow,
-//! where threads share the caches and execution units of a core, so the table has the load of the machine as well.
+//! Simulated runs in parallel, one per thread. Their figures in simulated time and of memory equal those of runs one after the other. Only
+//! processor times grow, where threads share the caches and execution units of a core, so the table has the load of the machine as well.
 
 use super::row::{Kind, Row};
 use basaltgw_fleet_simulation::run::{run, Figures, Setup};
@@ -17,9 +17,9 @@
     let mut order: Vec<usize> = (0..setups.len()).collect();
     order.sort_by_key(|index| Reverse(estimated_work(&setups[*index])));
     let run_one = |index: usize| Ok((index, run(&setups[index])?));
-    let mut done = order.into_iter().par_bridge().map(run_one).collect::<Result<Vec<_>, String>>()?;
-    done.sort_by_key(|(index, _)| *index);
-    Ok(done.into_iter().map(|(_, figures)| figures).collect())
+    let mut completed = order.into_iter().par_bridge().map(run_one).collect::<Result<Vec<_>, String>>()?;
+    completed.sort_by_key(|(index, _)| *index);
+    Ok(completed.into_iter().map(|(_, figures)| figures).collect())
 }
 
 /// Returns the number of threads of the runs, and the load of the machine in the last minute: processor times depend on both.
--- a/crates/experiments/src/capacity/processes.rs
+++ b/crates/experiments/src/capacity/processes.rs
@@ -24,11 +24,12 @@
     unit: &'static str,
 }
 
+/// A figure: its name in the measurement, its name in the table, its unit.
 const fn figure(source: &'static str, name: &'static str, unit: &'static str) -> ProcessFigure {
     ProcessFigure { source, name, unit }
 }
 
-/// Figures for each router and second.
+/// Figures of a window of the measurement. Rates are for each router and second.
 const FIGURES: [ProcessFigure; 7] = [
     figure("peers_up", "real_peers_up", "links"),
     figure("links_bytes_out_per_s", "real_bytes_out", "bytes/s"),
--- a/crates/experiments/src/capacity/scenarios.rs
+++ b/crates/experiments/src/capacity/scenarios.rs
@@ -113,6 +113,7 @@
     Ok(fault_kinds(scenario, &fleet)?.into_iter().enumerate().map(fault).collect())
 }
 
+/// Returns the faults of a scenario in their order, without their times.
 fn fault_kinds(scenario: Scenario, fleet: &Fleet) -> Result<Vec<FaultKind>, String> {
     let list = router_list(fleet, SparseSettings::default().shape)?;
     let is_control = |index: &RouterIndex| fleet.routers[*index].control;
@@ -154,11 +155,13 @@
     free.unwrap_or_else(|| domain_of(fleet.routers.len() - 1))
 }
 
+/// Returns the permanent loss of each router.
 fn lose(routers: impl IntoIterator<Item = RouterIndex>) -> Vec<FaultKind> {
     let vanish = |router| FaultKind::Vanish { router, duration: micros(LOSS_MS) };
     routers.into_iter().map(vanish).collect()
 }
 
+/// Returns the partition of these routers from all others.
 fn cut(routers: Vec<RouterIndex>) -> Vec<FaultKind> {
     vec![FaultKind::Cut { routers, direction: CutDirection::Both, duration: micros(CUT_MS) }]
 }
@@ -183,15 +186,16 @@
     run: &Figures,
     baseline: &Figures,
 ) -> Result<(), String> {
-    let more = failed_links(run)? - failed_links(baseline)?;
-    match affected > 0 && more > 0.0 {
+    let additional = failed_links(run)? - failed_links(baseline)?;
+    match affected > 0 && additional > 0.0 {
         true => Ok(()),
-        false => {
-            Err(format!("{scenario:?} had no effect: {affected} routers affected, {more} more failed links"))
-        }
+        false => Err(format!(
+            "{scenario:?} had no effect: {affected} routers affected, {additional} more failed links"
+        )),
     }
 }
 
+/// Returns the rows of a run at position `x`, with the number of affected routers and of additional failed links.
 fn scenario_rows(x: usize, affected: usize, run: &Figures, baseline: &Figures) -> Result<Vec<Row>, String> {
     let row = |name, value, unit| Row::new((AXIS, x as f64), (name, value, unit), Kind::Simulated);
     let mut rows = vec![
