--- a/crates/emulator/src/rig/archive.rs
+++ b/crates/emulator/src/rig/archive.rs
@@ -1,4 +1,5 @@
-//! The archive behind the stand-in caches: it executes and counts every checkout that reaches any cache, and makes the copies of objects.
+//! The archive behind the stand-in caches. It executes and counts every checkout that reaches a cache, and makes the copies of objects that
+//! caches serve.
 
 use super::history::{Event, History};
 use crate::standin::{unix_ms, Cache, FetchBehaviour, ReceivedFetch};
@@ -23,9 +24,9 @@
 #[derive(Clone)]
 pub struct Archive {
     state: Arc<Mutex<State>>,
-    /// Delay of the response to a checkout, in milliseconds; the checkout is executed on arrival.
+    /// The delay of the response to a checkout, in milliseconds. The checkout itself is executed on arrival.
     pub checkout_delay_ms: Arc<AtomicU64>,
-    /// Delay of the response to a read, in milliseconds.
+    /// The delay of the response to a read, in milliseconds.
     pub read_delay_ms: Arc<AtomicU64>,
     history: History,
 }
@@ -50,14 +51,14 @@
         self.state().executions.get(id).copied().unwrap_or(0)
     }
 
-    /// The number of executed checkouts, and of executions.
+    /// The number of checkouts that were executed, and the number of all executions.
     pub fn totals(&self) -> (u64, u64) {
         let state = self.state();
         (state.executions.len() as u64, state.executions.values().sum())
     }
 
-    /// Starts a cache in front of the archive. The cache answers a read with its copy unless that is older than the fetch allows; then it
-    /// makes a new one.
+    /// Starts a cache in front of the archive. The cache answers a read with its copy; if that is older than the fetch allows, it makes a new
+    /// copy first.
     pub fn cache(&self) -> Cache {
         let archive = self.clone();
         Cache::start(move |fetch| match fetch.field("c") {
@@ -91,7 +92,7 @@
         FetchBehaviour::OkWithFields { delay_ms, fields, body: copy_body(&part, copied_at) }
     }
 
-    /// The creation time of a copy of the object, which is made anew if it is too old; 0 allows any age.
+    /// The creation time of the object's copy, in Unix milliseconds; a copy that is too old is replaced first. 0 allows any age.
     fn copy_no_older_than(&self, object: String, max_age_ms: f64) -> u64 {
         let now = unix_ms();
         let mut state = self.state();
@@ -108,7 +109,7 @@
     format!("{part}@{copied_at}").into_bytes()
 }
 
-/// When the copy with this body was made, in Unix milliseconds; `None` if it is no body of a copy.
+/// When the copy with this body was made, in Unix milliseconds; `None` if this is not the body of a copy.
 pub fn copy_creation_ms(body: &[u8]) -> Option<u64> {
     std::str::from_utf8(body).ok()?.rsplit_once('@')?.1.parse().ok()
 }
--- a/crates/emulator/src/rig/availability.rs
+++ b/crates/emulator/src/rig/availability.rs
@@ -1,5 +1,5 @@
-//! Which routers are unavailable and which are isolated by that, and waiting for a fleet to recover: links up, tables adopted, registers
-//! replicated.
+//! Tracks which routers are unavailable and which are isolated by that, and waits for a fleet to recover: links up, tables adopted,
+//! registers replicated.
 
 use super::link::LinkConditions;
 use super::{Event, Rig};
@@ -26,14 +26,14 @@
         self.record_isolation();
     }
 
-    /// Records which routers are isolated: those that miss more others than the replicas tolerate, one of three or two of five.
+    /// Records which routers are isolated: those that can't reach more of the others than the replicas tolerate, one of three or two of five.
     pub(super) fn record_isolation(&self) {
         let unavailable = self.unavailable.borrow();
         for router in 0..self.len() {
-            let misses = |other: &usize| {
+            let is_missing = |other: &usize| {
                 unavailable.contains(other) || !self.is_open(router, *other) || !self.is_open(*other, router)
             };
-            let missing = (0..self.len()).filter(|other| *other != router).filter(misses).count();
+            let missing = (0..self.len()).filter(|other| *other != router).filter(is_missing).count();
             let isolated = missing > self.spec.replicas / 2;
             self.history.record(Event::RouterIsolated { router, isolated });
         }
@@ -45,28 +45,28 @@
         !conditions.cut && !conditions.black_hole
     }
 
-    /// Removes all faults of the links between routers, and waits until these are up; returns whether they are in time.
+    /// Removes all faults of the links between routers, and waits until the links are up; returns false on a time-out.
     pub fn heal(&self) -> bool {
         self.record_fault("links between routers are healed".into());
         let healthy = LinkConditions { delay_ms: self.default_delay_ms, ..LinkConditions::default() };
         self.router_links().for_each(|link| link.configure(|conditions| *conditions = healthy));
-        // Until its links are up a router cannot know more than before, and counts as isolated.
+        // Until its links are up, a router learns nothing from the others, and still counts as isolated.
         let linked = self.wait_until_linked();
         self.record_isolation();
         linked
     }
 
-    /// Waits until all active routers are linked to each other; returns whether they are in time.
+    /// Waits until all active routers are linked to each other; returns false on a time-out.
     pub fn wait_until_linked(&self) -> bool {
         let active: Vec<usize> = self.active_routers().collect();
         let linked = |router: &usize| self.counter(*router, "peers_up") as usize + 1 >= active.len();
         !self.spec.fleet || wait_up_to(LINKED_WITHIN, || active.iter().all(linked))
     }
 
-    /// Waits until the registers that a router lost with its disk are replicated to it again; returns whether they are in time.
+    /// Waits until the registers that a router lost with its disk are replicated to it again; returns false on a time-out.
     ///
-    /// `before` has the table versions before the loss. The fleet replaces the router's old folder by its new one in a later table, whose
-    /// version it adopts only when the registers have been moved: that all routers adopted a later version shows that they are replicated.
+    /// `before` has the table versions before the loss. A later table replaces the router's old folder by its new one. Routers adopt that table
+    /// only after the registers were moved, so once all routers have adopted a later version, the registers are replicated.
     pub fn wait_until_replicated(&self, router: usize, before: &BTreeMap<usize, u64>) -> bool {
         let old_version = before.values().max().copied().unwrap_or(0);
         let all_later = || {
@@ -84,7 +84,7 @@
     /// Waits until all active routers have a placement table: the fleet is bootstrapped.
     ///
     /// # Errors
-    /// If a router has none in time; names the table versions of the others.
+    /// If a router has none in time; the error has the table versions of the others.
     pub fn wait_until_bootstrapped(&self, timeout: Duration) -> Result<(), String> {
         let all_have_tables = || self.active_routers().all(|r| self.counter(r, "table_version") > 0.0);
         if !self.spec.fleet || wait_up_to(timeout, all_have_tables) {
--- a/crates/emulator/src/rig/checker.rs
+++ b/crates/emulator/src/rig/checker.rs
@@ -10,18 +10,30 @@
 use checkouts::check_checkouts;
 use observations::{Observations, ObservedRequest};
 
+/// How long after its deadline a client still accepts a response, in milliseconds.
+const CLIENT_SLACK_MS: u64 = 50;
+/// The tolerance for delays of a busy machine, in milliseconds.
+const MACHINE_DELAY_MS: u64 = 450;
+/// The grace period of purges, `heed-within` of the stand-ins' configuration, in milliseconds.
+const PURGE_GRACE_MS: u64 = 300;
+/// The tolerance that is added to the grace period of a purge, in milliseconds.
+const PURGE_SLACK_MS: u64 = 50;
+
 /// Tolerances of the checker, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// How late a response may be: the 50 ms that clients allow, and the delays of a busy machine.
+    /// How late a response may be: what clients allow, and the delays of a busy machine.
     pub response_slack_ms: u64,
-    /// From the announcement of a purge to the first request that it has to affect.
+    /// The time from the announcement of a purge to the first request that it has to affect.
     pub purge_effect_ms: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { response_slack_ms: 50 + 450, purge_effect_ms: 300 + 50 }
+        Self {
+            response_slack_ms: CLIENT_SLACK_MS + MACHINE_DELAY_MS,
+            purge_effect_ms: PURGE_GRACE_MS + PURGE_SLACK_MS,
+        }
     }
 }
 
@@ -39,9 +51,9 @@
     ServedNeverRejected,
     /// A rejected request was not executed before its rejection, nor because of it.
     RejectedNeverExecuted,
-    /// The responses of all routers to one checkout are linearizable as those of one register.
+    /// The responses of all routers to one checkout are linearizable as the responses of a single register.
     Linearizable,
-    /// After a purge only copies made since are served.
+    /// After a purge of an object only copies made since the purge are served.
     PurgeTakesEffect,
     /// The history has all events.
     HistoryComplete,
@@ -78,13 +90,14 @@
 /// A violated rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
     /// What happened, with ids and times.
     pub description: String,
 }
 
-/// What a history contains, so that an experiment can verify that it provoked what it meant to.
+/// The number of requests and checkouts in a history by what happened to them. Experiments check with these that the faults that they test
+/// did occur.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HistoryCounts {
     /// Requests that clients sent.
@@ -99,7 +112,7 @@
     pub failed: u64,
     /// Requests without a response because their router was down or their client disconnected.
     pub lost: u64,
-    /// Checkouts, by their ids.
+    /// Checkouts, counted by their ids.
     pub checkouts: u64,
     /// Checkouts that were presented more than once.
     pub checkouts_presented_again: u64,
@@ -116,7 +129,7 @@
     pub reads_after_purge: u64,
 }
 
-/// Violations and counts as they accumulate.
+/// The violations and counts found so far.
 #[derive(Default)]
 struct Report {
     violations: Vec<Violation>,
@@ -141,7 +154,7 @@
     }
     let observations = Observations::collect(events);
     for (at_ms, outcome) in &observations.unmatched_responses {
-        let description = format!("a response to no request at {at_ms} ms: {outcome:?}");
+        let description = format!("a response to an unknown request at {at_ms} ms: {outcome:?}");
         report.violation(Rule::OneResponse, description);
     }
     for request in observations.requests.values() {
--- a/crates/emulator/src/rig/checker/checkouts.rs
+++ b/crates/emulator/src/rig/checker/checkouts.rs
@@ -10,7 +10,7 @@
 struct Checkout<'a> {
     id: &'a str,
     requests: Vec<&'a ObservedRequest<'a>>,
-    /// The times at which it was executed.
+    /// The times at which the checkout was executed, in milliseconds.
     executions: &'a [u64],
 }
 
@@ -35,7 +35,7 @@
         checkout.check_outcomes(report, &observations.isolated);
         checkout.check_rejections(report, &observations.isolated);
         if !is_linearizable(&checkout.requests, checkout.executed_at_ms(), &observations.isolated) {
-            let description = format!("{id}: no order of its responses is that of one register");
+            let description = format!("{id}: its responses are not linearizable as those of one register");
             report.violation(Rule::Linearizable, description);
         }
     }
--- a/crates/emulator/src/rig/checker/linearizability.rs
+++ b/crates/emulator/src/rig/checker/linearizability.rs
@@ -4,7 +4,7 @@
 use crate::rig::history::Outcome;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
-/// Requests of one checkout that the tester considers, the first ones.
+/// The most requests of one checkout that the tester considers; later ones are ignored.
 const MAX_REQUESTS: usize = 12;
 
 /// A checkout as a register: not executed, or executed with one receipt.
@@ -14,7 +14,7 @@
     executed: bool,
 }
 
-/// What the register returns to a request.
+/// The register's response to a request.
 #[derive(Clone, Debug, PartialEq)]
 enum Response {
     Served(Vec<u8>),
@@ -41,10 +41,11 @@
     }
 }
 
-/// The start (`None`) or the end of an operation on the register.
+/// The start or the end of an operation on the register.
 struct Step {
     at_ms: u64,
     operation: usize,
+    /// The response at the operation's end; `None` at its start.
     response: Option<Response>,
 }
 
--- a/crates/emulator/src/rig/checker/observations.rs
+++ b/crates/emulator/src/rig/checker/observations.rs
@@ -11,7 +11,7 @@
     pub(super) kind: &'a RequestKind,
     pub(super) timeout_ms: u64,
     pub(super) sent_at_ms: u64,
-    /// The responses with their times; more than one violates a rule.
+    /// The responses with their times; more than one violates [`Rule::OneResponse`](crate::rig::Rule::OneResponse).
     pub(super) responses: Vec<(u64, &'a Outcome)>,
     pub(super) connection_lost_at_ms: Option<u64>,
     pub(super) client_disconnected: bool,
@@ -66,7 +66,7 @@
     }
 }
 
-/// The content of a history, in the form that the rules need.
+/// The events of a history, grouped as the rules need them.
 #[derive(Default)]
 pub(super) struct Observations<'a> {
     pub(super) requests: BTreeMap<RequestNumber, ObservedRequest<'a>>,
@@ -76,9 +76,9 @@
     pub(super) executions: BTreeMap<&'a str, Vec<u64>>,
     /// The purges of each object.
     pub(super) purges: BTreeMap<u64, Vec<Purge>>,
-    /// When routers were down.
+    /// The times at which routers were down.
     pub(super) down: Intervals,
-    /// When routers were isolated.
+    /// The times at which routers were isolated.
     pub(super) isolated: Intervals,
     /// The time of the last event.
     pub(super) end_ms: u64,
--- a/crates/emulator/src/rig/client_connection.rs
+++ b/crates/emulator/src/rig/client_connection.rs
@@ -1,4 +1,5 @@
-//! A client of the rig: one connection to one router. It records what it sends and receives in the history.
+//! A client of the rig: one connection to one router. The client records the requests that it sends and the responses that it receives in
+//! the history.
 
 use super::archive::{CHECKOUT_CLASS, READ_CLASS};
 use super::history::{Event, History, Outcome, RequestKind, RequestNumber};
@@ -16,10 +17,12 @@
 const PING_TAG: u64 = 999_999_999;
 /// The body of a checkout.
 const CHECKOUT_BODY: &[u8] = b"borrow";
-/// The object that all checkouts are of.
+/// The object of every checkout.
 const CHECKOUT_OBJECT: u64 = 1;
+/// The purge group of all objects; the rig purges single objects only.
+const OBJECT_GROUP: u64 = 17;
 
-/// A request of a connection.
+/// A request that was sent on a connection.
 struct TaggedRequest {
     number: RequestNumber,
     answered: bool,
@@ -28,7 +31,7 @@
 /// What the connection and its reading thread share.
 #[derive(Default)]
 struct State {
-    /// The requests by tag. Answered requests remain, so that a second response is noticed.
+    /// The requests by tag. Answered requests are kept, so that a second response to one is noticed.
     requests: BTreeMap<u64, TaggedRequest>,
     last_tag: u64,
     serving: bool,
@@ -53,7 +56,7 @@
     state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// A request as it is to be written.
+/// The content of a request before it is encoded.
 struct Message<'a> {
     id: &'a str,
     kind: RequestKind,
@@ -61,7 +64,7 @@
     class: &'a str,
     object: u64,
     body: &'a [u8],
-    /// Whether the id has been or is presented to another router too, which the protocol requires a client to declare.
+    /// Whether the id is also presented to another router, now or earlier. The protocol requires that a client declares this.
     presented_again: bool,
 }
 
@@ -143,14 +146,14 @@
 
     fn send(&self, message: Message<'_>) -> RequestNumber {
         let request = self.history.next_request_number();
-        let (tag, open) = {
+        let (tag, connected) = {
             let mut state = lock(&self.state);
             state.last_tag += 1;
-            let (tag, open) = (state.last_tag, !state.closed);
-            if open {
+            let (tag, connected) = (state.last_tag, !state.closed);
+            if connected {
                 state.requests.insert(tag, TaggedRequest { number: request, answered: false });
             }
-            (tag, open)
+            (tag, connected)
         };
         let bytes = message.encode(tag);
         self.history.record(Event::RequestSent {
@@ -161,7 +164,7 @@
             timeout_ms: message.timeout_ms,
         });
         let mut socket = &self.socket;
-        if !open {
+        if !connected {
             self.history.record(Event::ConnectionLost(request));
         } else if socket.write_all(&bytes).is_err() {
             // The reader then finds the connection closed, and records its unanswered requests as lost.
@@ -175,7 +178,7 @@
     fn encode(&self, tag: u64) -> Vec<u8> {
         let Self { id, timeout_ms, object, .. } = self;
         let again = if self.presented_again { ",again=1" } else { "" };
-        let fields = format!("i={id},d={timeout_ms},o={object:016x},nth=0,batch=17{again}");
+        let fields = format!("i={id},d={timeout_ms},o={object:016x},nth=0,batch={OBJECT_GROUP}{again}");
         let tag = tag.to_string();
         encode(&[b"DO", tag.as_bytes(), self.class.as_bytes(), fields.as_bytes(), self.body])
     }
@@ -225,8 +228,8 @@
             "200" => Outcome::Served(elements.get(3).cloned().unwrap_or_default()),
             "503" => {
                 let fields = elements.get(2).map(Vec::as_slice).unwrap_or_default();
-                let wait_ms = Fields::parse(fields).and_then(|fields| fields.decimal("w"));
-                Outcome::Rejected { retry_after_ms: wait_ms.map(|ms| ms as u64) }
+                let retry_after_ms = Fields::parse(fields).and_then(|fields| fields.decimal("w"));
+                Outcome::Rejected { retry_after_ms: retry_after_ms.map(|ms| ms as u64) }
             }
             status => Outcome::Failed(status.to_string()),
         };
--- a/crates/emulator/src/rig/faults.rs
+++ b/crates/emulator/src/rig/faults.rs
@@ -1,4 +1,5 @@
-//! Injects faults of links and processes into a rig, one after another: each fault ends, and the routers recover, before the next one.
+//! Injects faults of links and processes into a rig, one after another: the next fault begins after the previous one has ended and the
+//! routers have recovered.
 
 mod kind;
 mod purge_receiver_loss;
@@ -15,9 +16,9 @@
 
 /// A router has to serve again within this time after a fault ended.
 const SERVING_WITHIN: Duration = Duration::from_secs(15);
-/// Corrupted or duplicated chunks, or resets, in one fault.
+/// The number of corrupted or duplicated chunks, or of resets, in one fault.
 const REPETITIONS: u32 = 6;
-/// The bytes per tick of a throttled link.
+/// The number of bytes that a throttled link delivers per tick.
 const THROTTLED_BYTES_PER_TICK: usize = 48;
 /// The range of delays of a slow link, in milliseconds.
 const SLOW_LINK_DELAY_MS: (f64, f64) = (10.0, 90.0);
@@ -29,17 +30,18 @@
     rig: &'a mut Rig,
     /// How many faults of each kind were injected, by the kind's name.
     pub injected: BTreeMap<&'static str, u64>,
-    /// What did not recover in time, as descriptions.
+    /// Descriptions of what failed or did not recover in time.
     pub unrecovered: Vec<String>,
     /// The counters of routers before they were killed.
     pub counters_before_kill: Vec<BTreeMap<String, f64>>,
     /// The last object that [`FaultKind::LosePurgeReceiver`] purged.
     last_object: u64,
+    /// The id of the last read that a fault made.
     last_id: u64,
 }
 
 impl<'a> FaultInjector<'a> {
-    /// Injects into this rig.
+    /// Creates an injector of faults into this rig.
     pub fn new(rig: &'a mut Rig) -> Self {
         Self {
             rig,
@@ -151,7 +153,7 @@
         self.rig.set_disk_full(router, true);
         std::thread::sleep(fault.duration());
         self.rig.set_disk_full(router, false);
-        // Only a restart shows in which state the full disk left the store.
+        // The router is restarted, because only then it reads the store that the full disk left.
         self.rig.kill(router);
         self.start_router(router);
         self.wait_until_serving(router);
@@ -204,7 +206,7 @@
 
     fn heal(&mut self) {
         if !self.rig.heal() {
-            self.unrecovered.push("links between routers are not up again".into());
+            self.unrecovered.push("the links between routers are not up again after they were healed".into());
         }
     }
 
--- a/crates/emulator/src/rig/faults/kind.rs
+++ b/crates/emulator/src/rig/faults/kind.rs
@@ -45,16 +45,16 @@
     Duplicate,
     /// The connections to the other router are reset.
     Reset,
-    /// The router is the only one that receives a purge, and is lost with its disk; then all restart while the change log is down.
+    /// The router is the only one that receives a purge, and is lost with its disk; then all routers restart while the change log is down.
     #[serde(rename = "dark")]
     LosePurgeReceiver,
     /// The rules file is replaced, and all routers reload it.
     #[serde(rename = "rules")]
     ReplaceRules,
-    /// The rules file is replaced, and only this router reloads it; all have to adopt the new table.
+    /// The rules file is replaced, and only the router reloads it; all routers have to adopt the new table.
     #[serde(rename = "rules_one")]
     RulesAtOneRouter,
-    /// Two operators change the rules at the same time: this router reloads others than the second one.
+    /// Two operators change the rules at the same time: the router and the other one reload different rules.
     #[serde(rename = "rules_two")]
     ConflictingRules,
     /// The router proposes new rules while the other one is suspended, until the table is withdrawn.
--- a/crates/emulator/src/rig/faults/purge_receiver_loss.rs
+++ b/crates/emulator/src/rig/faults/purge_receiver_loss.rs
@@ -1,5 +1,5 @@
-//! A purge that only one router receives: the router is lost with its disk, and then all routers restart while the change log is down. The
-//! other routers have to know the purge from the registers.
+//! The fault of a lost purge receiver: only one router receives a purge and is then lost with its disk, and all routers restart while the
+//! change log is down. The other routers have to learn of the purge from the registers.
 
 use super::{FaultInjector, SERVING_WITHIN};
 use crate::rig::{Limits, Outcome};
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How long the fault's reads wait, in milliseconds.
+/// The deadline of the fault's reads, in milliseconds.
 const READ_TIMEOUT_MS: u64 = 3_000;
 
 impl FaultInjector<'_> {
@@ -15,8 +15,10 @@
         let routers = self.rig.len();
         self.last_object += 1;
         let object = self.last_object;
-        if !self.read((receiver + 1) % routers, object) {
-            self.unrecovered.push("an object could not be read before its purge".into());
+        let reader = (receiver + 1) % routers;
+        if !self.read(reader, object) {
+            self.unrecovered
+                .push(format!("router {reader} serves no read of object {object} before its purge"));
         }
         self.purge_at(receiver, object);
         self.set_change_logs_down(true);
@@ -29,7 +31,7 @@
         for router in 0..routers {
             if !self.read(router, object) {
                 let description =
-                    format!("router {router} serves no read after a restart without the change log");
+                    format!("router {router} serves no read of object {object} after a restart without the change log");
                 self.unrecovered.push(description);
             }
         }
@@ -47,7 +49,8 @@
         if self.rig.spec.fleet && committed_before.is_some() {
             let this = &*self;
             if !wait_up_to(SERVING_WITHIN, || committed(this) > committed_before) {
-                self.unrecovered.push(format!("router {receiver} does not replicate a purge"));
+                self.unrecovered
+                    .push(format!("router {receiver} does not replicate the purge of object {object}"));
             }
         }
         let effective_at_ms = purged_at_ms + Limits::default().purge_effect_ms;
--- a/crates/emulator/src/rig/faults/schedule.rs
+++ b/crates/emulator/src/rig/faults/schedule.rs
@@ -1,22 +1,22 @@
-//! The faults of a run with their times: scripted, or drawn from a seed.
+//! The schedule of a run's faults: scripted ones, and random ones drawn from a seed.
 
 use super::FaultKind;
 use basaltgw_simulator::{draw, rng};
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Random stream of the faults.
+/// The random stream of the faults.
 const FAULT_STREAM: u64 = 9_001;
 /// The duration of a scripted fault that names none.
 const DEFAULT_DURATION_MS: f64 = 1_000.0;
 
-/// A fault with its time.
+/// A fault, its time and its parameters.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledFault {
     /// When the fault begins, in milliseconds; later if the routers have not recovered from the previous one.
     pub at_ms: f64,
-    /// What fails.
+    /// The kind of the fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
     /// The router that fails, counted from 0.
@@ -59,7 +59,7 @@
     pub kinds: Vec<FaultKind>,
 }
 
-/// All faults of a run, in order of time.
+/// The scripted and random faults of a run, in order of time.
 pub fn schedule(
     scripted: &[ScheduledFault],
     random: Option<&RandomFaults>,
--- a/crates/emulator/src/rig/faults/table_faults.rs
+++ b/crates/emulator/src/rig/faults/table_faults.rs
@@ -11,13 +11,14 @@
 const RELOADED_WITHIN: Duration = Duration::from_secs(5);
 /// All routers have to adopt a new table within this time.
 const ADOPTED_WITHIN: Duration = Duration::from_secs(15);
-/// A table that makes no progress has to be withdrawn within this time. Routers withdraw one after 6 s, and consider a
-/// silent router lost after 10 s.
+/// A table that makes no progress has to be withdrawn within this time. It is between the 6 s after which routers withdraw a table, and the
+/// 10 s after which they consider a silent router lost.
 const WITHDRAWN_WITHIN: Duration = Duration::from_millis(9_500);
 /// Counters of tables that become figures.
 const TABLE_COUNTERS: [&str; 4] =
     ["tables_adopted", "tables_taken_back", "tables_refused", "members_replaced"];
-/// Of these, the ones that each router counts for itself; the others count events that all routers see.
+/// Those of [`TABLE_COUNTERS`] that count a router's own events, and are added up. The others count events of the fleet, which each router
+/// counts, so the highest value is taken.
 const OWN_COUNTERS: [&str; 2] = ["tables_refused", "members_replaced"];
 
 impl Rig {
@@ -44,7 +45,7 @@
         self.table_versions().into_values().max().unwrap_or(0)
     }
 
-    /// Waits until all routers have the same table, of a later version than this; returns whether they do in time.
+    /// Waits until all routers have the same table, of a later version than this; returns false on a time-out.
     fn wait_for_table_after(&self, version: u64) -> bool {
         wait_up_to(ADOPTED_WITHIN, || {
             let versions = self.table_versions();
@@ -53,14 +54,14 @@
         })
     }
 
-    /// The number of routers without the last table version; all if there is no table.
+    /// The number of routers that do not have the last table version; all of them if there is no table.
     fn routers_behind(&self) -> usize {
         let versions = self.table_versions();
         let last = versions.values().max().copied();
         self.len() - versions.values().filter(|version| Some(**version) == last).count()
     }
 
-    /// The figures of tables, from the routers' counters now and before they were killed, after a wait for all to have the last version.
+    /// The figures of tables, from the routers' counters now and before they were killed. Waits until all routers have the last version.
     pub(in crate::rig) fn table_figures(
         &self,
         counters_before_kill: &[BTreeMap<String, f64>],
@@ -118,7 +119,9 @@
         if !rig.spec.fleet {
             std::thread::sleep(fault.duration());
         } else if !wait_up_to(WITHDRAWN_WITHIN, || withdrawn(rig) > withdrawn_before) {
-            self.unrecovered.push(format!("the table that router {router} proposed is not withdrawn"));
+            self.unrecovered.push(format!(
+                "the table that router {router} proposed without router {missing} is not withdrawn"
+            ));
         }
         if suspend {
             self.rig.resume(missing);
--- a/crates/emulator/src/rig/faults/tests.rs
+++ b/crates/emulator/src/rig/faults/tests.rs
@@ -15,10 +15,10 @@
         rules: None,
         other_rules: None,
     };
-    let faults_of = |seed| schedule(std::slice::from_ref(&scripted), Some(&random), 5, 30_000.0, seed);
-    let faults = faults_of(3);
-    assert_eq!(faults, faults_of(3));
-    assert_ne!(faults, faults_of(4));
+    let faults_by_seed = |seed| schedule(std::slice::from_ref(&scripted), Some(&random), 5, 30_000.0, seed);
+    let faults = faults_by_seed(3);
+    assert_eq!(faults, faults_by_seed(3));
+    assert_ne!(faults, faults_by_seed(4));
     assert_eq!(faults[0], scripted);
     for round in faults[1..].chunks_exact(kinds.len()) {
         let mut drawn: Vec<FaultKind> = round.iter().map(|fault| fault.kind).collect();
--- a/crates/emulator/src/rig/fleet_cost.rs
+++ b/crates/emulator/src/rig/fleet_cost.rs
@@ -1,7 +1,8 @@
-//! The resources that many routers use, at rest and under purges, as the kernel counts them. The routers are processes that are linked to
-//! each other directly: [`Rig`] puts a relay on each link, whose cost would be counted as well.
+//! Measures the resources that many routers use, at rest and under purges, as the kernel counts them. The routers are processes that are
+//! linked to each other directly: [`Rig`] puts a relay on each link, whose cost would be counted as well.
 //!
-//! Processes start in small groups and every wait has a time-out. Processes end with the [`RouterFleet`], also if a run fails.
+//! Processes start in small groups, and every wait has a time-out. The processes end when the [`RouterFleet`] is dropped, also if a run
+//! fails.
 //!
 //! [`Rig`]: super::Rig
 
@@ -26,22 +27,22 @@
 use tempfile::TempDir;
 use usage::CounterSample;
 
-/// Routers of a fleet when it is bootstrapped, which 64 can be at most; a larger one begins with these, and the others join.
+/// The number of routers with which a larger fleet is bootstrapped before the others join. At most 64 can bootstrap a fleet.
 pub const MAX_FOUNDERS: usize = 60;
-/// Routers of a fleet; each needs an address of the subnet.
+/// The most routers of a fleet; each needs an address of the subnet.
 pub const MAX_ROUTERS: usize = 200;
-/// How long counters are waited for: a machine with more processes than cores is slow.
+/// The time-out of a query of counters, which is slow on a machine with more processes than cores.
 const COUNTERS_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long purges run before a window begins, and links rest after a start.
+/// How long purges are made before a window begins, and how long a started fleet is left at rest.
 const WARM_UP: Duration = Duration::from_secs(2);
 /// The time after which a purge has taken effect, as the platform's configuration has it.
 const PURGE_SETTLES_MS: u64 = 6_000;
 /// The interval of the stand-in's heartbeats.
 const DEFAULT_HEARTBEAT: Duration = Duration::from_millis(50);
-/// How long heartbeats are switched on for one or two of them: the stand-in sends one every 50 ms.
+/// How long the stand-in's heartbeats are enabled at a time. It sends one every 50 ms, so this sends one or two.
 const HEARTBEAT_PULSE: Duration = Duration::from_millis(55);
 
-/// What is measured.
+/// The fleet that is measured, and the windows of the measurement.
 #[derive(Clone, Debug)]
 pub struct FleetSetup {
     /// The router's program.
@@ -56,7 +57,7 @@
     pub seed: u64,
     /// The interval of the change log's heartbeats; the stand-in's 50 ms if `None`.
     pub heartbeat: Option<Duration>,
-    /// Whether the routers are a fleet. Without it each is on its own, as a baseline.
+    /// Whether the routers are a fleet. Otherwise they replicate nothing, which is the baseline.
     pub fleet: bool,
     /// Whether purges are disseminated by the overlay.
     pub overlay: bool,
@@ -84,7 +85,7 @@
 /// Measures a fleet; returns the figures of each window.
 ///
 /// # Errors
-/// If a router does not start, or gives no counters; with its last log lines. All processes have ended by then.
+/// If a router does not start, in which case the error has its last log lines, or returns no counters. All processes have ended by then.
 pub fn measure_fleet(setup: &FleetSetup) -> Result<Vec<Figures>, String> {
     let mut fleet = RouterFleet::start(setup)?;
     let mut windows = Vec::new();
@@ -102,9 +103,11 @@
 /// The change logs of a fleet, and the purges that they announce.
 #[derive(Clone)]
 struct PurgeSource {
-    /// The first one is followed by the first router alone, the other one by all others.
+    /// The first change log is watched by the first router alone, the second one by all other routers.
     change_logs: [ChangeLog; 2],
+    /// The number of purges made so far.
     purges: Arc<AtomicU64>,
+    /// The seed of the purged objects.
     seed: u64,
     /// Held while a purge is made, so that sequence numbers are in order.
     announcing: Arc<Mutex<()>>,
@@ -120,13 +123,13 @@
         }
     }
 
-    /// Purges an object, which the change log of the first router announces alone; returns the object.
+    /// Purges a new object, which only the change log of the first router announces; returns the object.
     fn purge_at_first_router(&self) -> u64 {
         let _announcing = self.announcing.lock();
         announce_purge(&[&self.change_logs[0]], &self.purges, self.seed)
     }
 
-    /// Purges at a rate, announced to all routers, until `active` is cleared.
+    /// Makes purges at a rate, announced to all routers, until `active` is cleared.
     fn purge_at_rate(&self, purges_per_s: f64, active: &Arc<AtomicBool>) {
         if purges_per_s <= 0.0 {
             return;
@@ -164,10 +167,11 @@
 
 /// Makes these change logs announce a purge of a new object; returns the object.
 fn announce_purge(change_logs: &[&ChangeLog], purges: &AtomicU64, seed: u64) -> u64 {
+    // The objects of runs with different seeds differ.
     let object = (seed << 40) + purges.fetch_add(1, Ordering::SeqCst) + 1;
     let payload = [object.to_be_bytes(), unix_ms().to_be_bytes()].concat();
     for log in change_logs {
-        // Number 1 is the configuration that routers start with.
+        // Sequence number 1 is that of the configuration with which routers start.
         let sequence_number = log.frames.lock().map_or(0, |frames| frames.len() as u64) + 2;
         log.publish(sequence_number, super::PURGE_EVENT, &payload);
     }
@@ -176,7 +180,7 @@
 
 /// A fleet of running routers. Dropping it ends them.
 pub struct RouterFleet {
-    /// The processes.
+    /// The routers' processes.
     pub routers: Vec<Process>,
     purge_source: PurgeSource,
     /// The subnet of the routers' addresses. Each run has its own, since others may run at the same time.
@@ -195,7 +199,7 @@
     /// Measures a window with purges at a rate.
     ///
     /// # Errors
-    /// If a router has ended, or gives no counters.
+    /// If a router has ended, or returns no counters.
     pub fn measure_window(&mut self, setup: &FleetSetup, purges_per_s: f64) -> Result<Figures, String> {
         let purging = Arc::new(AtomicBool::new(true));
         self.purge_source.purge_at_rate(purges_per_s, &purging);
@@ -229,7 +233,7 @@
         Ok(figures)
     }
 
-    /// The counters of all routers, each with its time.
+    /// The counters of all routers, each sample with its time.
     fn sample_counters(&self) -> Result<Vec<CounterSample>, String> {
         let sample = |router: &Process| {
             let counters = router.counters(COUNTERS_TIMEOUT)?;
@@ -239,10 +243,12 @@
             let threads: Vec<_> = self.routers.iter().map(|r| scope.spawn(move || sample(r))).collect();
             threads.into_iter().map(|thread| thread.join().unwrap_or(None)).collect()
         });
-        samples.into_iter().collect::<Option<_>>().ok_or_else(|| "a router gives no counters".to_string())
+        let missing = |router| format!("router {router} returns no counters within {COUNTERS_TIMEOUT:?}");
+        let samples = samples.into_iter().enumerate();
+        samples.map(|(router, sample)| sample.ok_or_else(|| missing(router))).collect()
     }
 
-    /// Shuts all routers down gracefully, and waits for their ends; kills those that do not end.
+    /// Shuts all routers down gracefully, and waits until they have ended; kills those that do not end.
     pub fn shut_down(&mut self) {
         self.routers.iter().for_each(Process::terminate);
         for router in &mut self.routers {
--- a/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
+++ b/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
@@ -1,5 +1,5 @@
-//! How the stand-in's change log delivers purges: how far apart its watchers receive the same purge, and how many purges one receives at
-//! once. The change log of the fleet simulation is modelled after these figures.
+//! Measures how the stand-in's change log delivers purges: how far apart in time its watchers receive the same purge, and how many purges a
+//! watcher receives at once. The change log of the fleet simulation is modelled after these figures.
 
 use super::{announce_purge, Figures};
 use crate::rig::PURGE_EVENT;
@@ -11,15 +11,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a watcher reads before it checks its deadline.
+/// The longest time that a watcher waits for bytes before it checks its deadline.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long the last purge is waited for.
+/// How long the last purges are waited for after the window.
 const LAST_PURGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Purges received within this time count as one delivery.
 const SAME_DELIVERY: Duration = Duration::from_millis(1);
-/// Bytes of a frame's length, which does not count itself.
+/// The size of a frame's length field in bytes. The length does not include the field itself.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of a frame before its payload: length, sequence number, kind.
+/// The size of a frame's header in bytes: length, sequence number and kind.
 const HEADER_BYTES: usize = 13;
 
 /// When a watcher received each purge, by sequence number.
@@ -62,7 +62,7 @@
     Ok(socket)
 }
 
-/// Reads until all purges are received or the deadline has passed.
+/// Reads until all purges are received, the deadline has passed, or the change log has closed the connection.
 fn watch(mut socket: TcpStream, purges: u64, deadline: Instant) -> Receipts {
     let (mut receipts, mut unread, mut buffer) = (Receipts::new(), Vec::new(), [0; 4_096]);
     while (receipts.len() as u64) < purges && Instant::now() < deadline {
@@ -82,7 +82,7 @@
     receipts
 }
 
-/// Removes a complete frame from the front.
+/// Removes the first frame, if it is complete, from the bytes.
 fn take_frame(bytes: &mut Vec<u8>) -> Option<Vec<u8>> {
     let length = u32::from_be_bytes(bytes.first_chunk().copied()?) as usize;
     (bytes.len() >= LENGTH_BYTES + length).then(|| bytes.drain(..LENGTH_BYTES + length).collect())
@@ -94,8 +94,9 @@
     Some((u64::from_be_bytes(header.first_chunk().copied()?), *header.last()?))
 }
 
-/// The figures; `None` if a watcher did not receive all purges, or there is none.
+/// The figures of the delivery; `None` if a watcher did not receive all purges, or there is no watcher.
 pub(super) fn delivery_figures(receipts: &[Receipts], purges: usize) -> Option<Figures> {
+    // The time between the first and the last receipt of each purge.
     let mut spreads_ms: Vec<f64> = Vec::new();
     for sequence_number in receipts.first()?.keys() {
         let times: Vec<Instant> = receipts.iter().filter_map(|r| r.get(sequence_number).copied()).collect();
@@ -116,7 +117,7 @@
     Some(figures.into_iter().map(|(name, value)| (name.to_string(), value)).collect())
 }
 
-/// How often a watcher received something.
+/// The number of deliveries to a watcher: purges that it received at the same time are one delivery.
 fn count_deliveries(receipts: &Receipts) -> usize {
     let times: Vec<Instant> = receipts.values().copied().collect();
     1 + times.windows(2).filter(|pair| pair[1] - pair[0] > SAME_DELIVERY).count()
--- a/crates/emulator/src/rig/fleet_cost/purge_latency.rs
+++ b/crates/emulator/src/rig/fleet_cost/purge_latency.rs
@@ -1,4 +1,4 @@
-//! How long it takes until a purge that only the first router receives is in effect at all routers.
+//! Measures how long it takes until a purge that only the first router receives is in effect at all routers.
 
 use super::{Figures, RouterFleet};
 use crate::standin::Client;
@@ -12,7 +12,8 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 impl RouterFleet {
-    /// Purges an object at the first router and reads it through all others, until each requests a copy made after the purge from its cache.
+    /// Purges an object at the first router, and reads the object through all others until each of them requires a copy made after the purge
+    /// from its cache; repeats this `probes` times.
     pub(super) fn measure_purge_latency(&self, probes: usize) -> Figures {
         let mut latencies_ms: Vec<f64> = Vec::new();
         let mut completions_ms: Vec<f64> = Vec::new();
@@ -48,7 +49,7 @@
     TIMEOUT.as_secs_f64() * 1000.0
 }
 
-/// Reads the object until the purge is in effect at the router; returns the milliseconds since the start.
+/// Reads the object until the purge is in effect at the router; returns the time since `start` in milliseconds.
 fn wait_for_purge(address: SocketAddr, object: u64, start: Instant) -> f64 {
     let Ok(socket) = TcpStream::connect(address) else { return timeout_ms() };
     let mut client = Client::new(socket);
--- a/crates/emulator/src/rig/fleet_cost/start.rs
+++ b/crates/emulator/src/rig/fleet_cost/start.rs
@@ -1,4 +1,4 @@
-//! Starting a fleet: its addresses, its processes, and waiting until it is linked and bootstrapped.
+//! Starts a fleet: reserves its addresses, starts its processes, and waits until it is linked and bootstrapped.
 
 use super::{
     Figures, FleetSetup, PurgeSource, ResourceUsage, RouterFleet, COUNTERS_TIMEOUT, MAX_FOUNDERS,
@@ -16,18 +16,19 @@
 use std::time::Instant;
 use tempfile::TempDir;
 
-/// Processes that start at the same time: each opens a store, and the machine is shared.
+/// The number of processes that start at the same time: each opens a store, and the machine is shared.
 const START_GROUP: usize = 6;
-/// The port of all routers. Each has an address of its own, so no outgoing connection can have taken the port.
+/// The port of all routers. Each router has an address of its own, so that no outgoing connection can have taken the port there.
 const PORT: u16 = 17_101;
-/// Subnets that are tried for a free one.
+/// The number of subnets that are tried until one is free.
 const SUBNETS: u64 = 64;
-/// The last octet of the address that reserves a subnet: higher than those of the routers.
+/// The last octet of the address that reserves a subnet. Those of routers are lower.
 const RESERVATION_OCTET: u8 = 250;
 /// The fleet has to be linked, and to be bootstrapped, within this multiple of the counters' time-out each.
 const START_TIMEOUT_FACTOR: u32 = 3;
 
-/// Reserves a subnet of loopback addresses: whoever listens at its reservation address owns it.
+/// Reserves a subnet of loopback addresses, from 127.64.0.0/24 to 127.127.255.0/24: the process that listens at a subnet's reservation
+/// address owns it. The process id and the seed determine the first subnet that is tried, so that concurrent runs rarely collide.
 fn reserve_subnet(seed: u64) -> Result<(Ipv4Addr, TcpListener), String> {
     let first = u64::from(std::process::id()) ^ seed << 9;
     let reserved = (first..first + SUBNETS).find_map(|number| {
@@ -40,7 +41,7 @@
     reserved.ok_or_else(|| format!("none of {SUBNETS} subnets of loopback addresses is free"))
 }
 
-/// Starts a cache whose copies are as old as a fetch allows: the body is the age limit, which shows whether a purge is in effect.
+/// Starts a cache that returns the age limit of a fetch as the body, which shows whether a purge is in effect at the router.
 fn start_cache() -> Cache {
     Cache::start(|fetch| FetchBehaviour::Ok(fetch.field("oldest").unwrap_or("any").into()))
 }
@@ -57,7 +58,7 @@
     pub fn start(setup: &FleetSetup) -> Result<Self, String> {
         let count = setup.routers;
         if !(3..=MAX_ROUTERS).contains(&count) {
-            return Err(format!("from 3 to {MAX_ROUTERS} routers, not {count}"));
+            return Err(format!("expected from 3 to {MAX_ROUTERS} routers, found {count}"));
         }
         let folder = TempDir::new().map_err(|e| format!("creating the fleet's folder: {e}"))?;
         let (subnet, reservation) = reserve_subnet(setup.seed)?;
@@ -129,7 +130,7 @@
         let kinds = [(EDGE, "box"), (PARENT, "parent"), (ORIGIN, "origin")];
         let listed = |((id, kind), cache): (_, &Cache)| ListedServer { id, address: cache.address, kind };
         let servers: Vec<ListedServer> = kinds.into_iter().zip(&self.caches).map(listed).collect();
-        // The first router follows a change log of its own.
+        // The first router watches a change log of its own.
         let change_log = &self.purge_source.change_logs[usize::from(router > 0)];
         let config = router_config(spec, router, &servers, change_log.address);
         let others = (0..spec.locations.len()).filter(|peer| *peer != router);
@@ -151,7 +152,7 @@
         if self.wait_for_counter(setup, "peers_up", |up| up >= links) {
             Ok(())
         } else {
-            Err("not all routers are linked to each other".into())
+            Err(format!("not all of {} routers are linked to each other", self.routers.len()))
         }
     }
 
@@ -159,12 +160,11 @@
         if self.wait_for_counter(setup, "table_version", |version| version > 0.0) {
             Ok(())
         } else {
-            Err("not all routers have a placement table".into())
+            Err(format!("not all of {} routers have a placement table", self.routers.len()))
         }
     }
 
-    /// Waits until a counter of each router fulfils a condition; returns whether all do in time. Without a fleet there is nothing to wait
-    /// for.
+    /// Waits until a counter of each router fulfils a condition; returns false on a time-out. Routers that are no fleet are not waited for.
     fn wait_for_counter(&self, setup: &FleetSetup, name: &str, fulfils: impl Fn(f64) -> bool) -> bool {
         let router_fulfils = |router: &Process| {
             let counters = router.counters(COUNTERS_TIMEOUT).unwrap_or_default();
--- a/crates/emulator/src/rig/fleet_cost/usage.rs
+++ b/crates/emulator/src/rig/fleet_cost/usage.rs
@@ -1,4 +1,4 @@
-//! The resources that processes have used, as the kernel counts them, and the figures per router and second.
+//! The resources that the routers' processes have used, as the kernel counts them, and the figures per router and second.
 
 use crate::process::Process;
 use procfs::process::Process as KernelProcess;
@@ -38,7 +38,7 @@
 ];
 /// Counters of the routers whose mean value becomes a figure.
 const LEVELS: [&str; 4] = ["peers_up", "table_version", "holds", "peer_up"];
-/// The names of a router's threads, and the names of their figures; other threads count as [`OTHER_THREADS`].
+/// The names of a router's threads, each with its name in figures; other threads are added up as [`OTHER_THREADS`].
 const THREADS: [(&str, &str); 4] =
     [("basaltgw", "main"), ("async-io", "async_io"), ("peers", "peers"), ("copies", "copies")];
 /// The name in figures of threads that are not in [`THREADS`].
@@ -60,19 +60,19 @@
     }
 }
 
-/// What threads have used so far.
+/// The CPU time and context switches of threads so far.
 #[derive(Clone, Copy, Default)]
 struct ThreadUsage {
-    /// Time on a core, in ns.
+    /// The time on a core, in ns.
     on_cpu_ns: f64,
-    /// Time waiting for a core, in ns.
+    /// The time spent waiting for a core, in ns.
     waiting_ns: f64,
-    /// Voluntary context switches.
+    /// The number of voluntary context switches.
     sleeps: f64,
 }
 
 impl ThreadUsage {
-    fn of(task: &procfs::process::Task) -> Result<Self, String> {
+    fn from_task(task: &procfs::process::Task) -> Result<Self, String> {
         let schedule = task.schedstat().map_err(proc_error)?;
         let status = task.status().map_err(proc_error)?;
         Ok(Self {
@@ -82,7 +82,7 @@
         })
     }
 
-    /// Each value combined with that of another usage.
+    /// Combines each value with that of another usage.
     fn combine(self, other: Self, f: impl Fn(f64, f64) -> f64) -> Self {
         Self {
             on_cpu_ns: f(self.on_cpu_ns, other.on_cpu_ns),
@@ -96,7 +96,7 @@
     }
 }
 
-/// What processes have read and written so far.
+/// The bytes that processes have written to disk so far, and their calls to read and write.
 #[derive(Clone, Copy, Default)]
 struct IoUsage {
     disk_bytes: f64,
@@ -111,15 +111,15 @@
     packets: f64,
 }
 
-/// What all routers have used so far.
+/// The resources that all routers have used so far.
 pub struct ResourceUsage {
     at: Instant,
-    /// By the threads' name in figures.
+    /// The usage of threads, by their name in figures.
     threads: BTreeMap<&'static str, ThreadUsage>,
     io: IoUsage,
-    /// On the loopback interface, which the whole machine shares.
+    /// The traffic of the loopback interface, which the whole machine shares.
     loopback: Traffic,
-    /// Sent on the links between routers, including headers; `None` if `ss` is missing or fails.
+    /// The traffic sent on the links between routers, including headers; `None` if `ss` is missing or fails.
     links: Option<Traffic>,
 }
 
@@ -131,8 +131,8 @@
     KernelProcess::new(process.id() as i32).map_err(proc_error)
 }
 
-/// The traffic that the sockets of a subnet have sent, from the tool `ss`, which queries the kernel for each socket. The loopback interface's counters
-/// include the traffic of other processes.
+/// The traffic that the sockets of a subnet have sent, from the tool `ss`, which queries the kernel for each socket. The counters of the
+/// loopback interface can't be used for this: they include the traffic of other processes.
 fn link_traffic(subnet: Ipv4Addr) -> Option<Traffic> {
     let filter = format!("src {subnet}/24 or dst {subnet}/24");
     let output = Command::new("ss").args(["-tinOH", "state", "established"]).arg(filter).output().ok()?;
@@ -155,7 +155,7 @@
 }
 
 impl ResourceUsage {
-    /// The usage until now.
+    /// Reads the usage until now.
     ///
     /// # Errors
     /// If a process has ended, or `/proc` can't be read.
@@ -168,7 +168,7 @@
                 let name = task.stat().map_err(proc_error)?.comm;
                 let known = THREADS.iter().find(|(thread, _)| *thread == name);
                 let sum = threads.entry(known.map_or(OTHER_THREADS, |(_, figure)| figure)).or_default();
-                *sum = sum.plus(ThreadUsage::of(&task)?);
+                *sum = sum.plus(ThreadUsage::from_task(&task)?);
             }
             let counted = process.io().map_err(proc_error)?;
             io.disk_bytes += counted.write_bytes as f64;
--- a/crates/emulator/src/rig/history.rs
+++ b/crates/emulator/src/rig/history.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Events that a history stores. A longer run counts the omitted ones and then violates [`Rule::HistoryComplete`].
+/// The most events that a history stores. Further events are counted as omitted, which violates [`Rule::HistoryComplete`].
 ///
 /// [`Rule::HistoryComplete`]: super::Rule::HistoryComplete
 const MAX_EVENTS: usize = 1_000_000;
@@ -39,7 +39,7 @@
     Failed(String),
 }
 
-/// One observation.
+/// An event that a client, a stand-in or the rig observed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A client wrote a request.
@@ -89,7 +89,7 @@
     },
     /// A router lost or regained the replicas that a quorum needs. It is isolated if more other routers are missing than the replicas
     /// tolerate (one of three, two of five). A router is missing if it is down, suspended, partitioned from this one, has a full disk, or
-    /// lost its disk and has not got its replicas back.
+    /// lost its disk and its registers are not replicated to it again.
     RouterIsolated {
         /// The router.
         router: usize,
@@ -112,13 +112,13 @@
 #[derive(Default)]
 struct State {
     events: Vec<TimedEvent>,
-    /// The end of each finished request; `None` if its connection was lost.
+    /// The outcome of each request that has ended; `None` if its connection was lost.
     outcomes: BTreeMap<RequestNumber, Option<Outcome>>,
     last_request: u64,
     omitted_events: u64,
 }
 
-/// A history, shared by all that record events.
+/// A history. Clones share it, so that all clients and stand-ins record into one.
 #[derive(Clone)]
 pub struct History {
     start: Instant,
@@ -170,7 +170,7 @@
         self.shared.1.notify_all();
     }
 
-    /// Waits until a request has ended: `None` on a time-out, `Some(None)` if its connection was lost.
+    /// Waits until a request has ended; returns its outcome, which is `Some(None)` if its connection was lost, or `None` on a time-out.
     pub fn wait_for_outcome(&self, request: RequestNumber, timeout: Duration) -> Option<Option<Outcome>> {
         let state = self.state();
         let (state, _) = self
--- a/crates/emulator/src/rig/link.rs
+++ b/crates/emulator/src/rig/link.rs
@@ -1,6 +1,6 @@
-//! One direction of a link between two endpoints: the bytes that one sends the other, on whichever connections, and the faults that they meet.
+//! One direction of a link between two endpoints: it passes on the bytes that one sends the other on all their connections, and injects faults.
 //!
-//! A partition of one direction therefore affects all connections between the two, no matter which of them opened the connection.
+//! A partition of one direction therefore affects all connections between the two, whichever of them opened the connection.
 
 use async_io::{Async, Timer};
 use basaltgw_simulator::{draw, rng, Rng};
@@ -14,17 +14,19 @@
 const MAX_CHUNK_BYTES: usize = 8 * 1024;
 /// Chunks in transit on one direction of a connection; at this limit nothing more is read.
 const MAX_CHUNKS_IN_TRANSIT: usize = 64;
-/// How often a throttled link delivers some bytes.
+/// The interval at which a throttled link delivers some bytes.
 const THROTTLE_TICK: Duration = Duration::from_millis(10);
+/// The bit that is inverted in a corrupted byte.
+const CORRUPTED_BIT: u8 = 0x10;
 
-/// How a link treats bytes, until changed.
+/// How a link treats all bytes until its conditions are changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkConditions {
     /// The range of each chunk's delay, in milliseconds. Delays are random; the order of chunks is kept.
     pub delay_ms: (f64, f64),
-    /// The link delivers nothing until it heals, and then everything; connections opened meanwhile are silent until then.
+    /// Whether the link is cut: it delivers nothing until it heals, and then everything. New connections are established only then.
     pub cut: bool,
-    /// The link discards what is sent.
+    /// Whether the link discards all bytes.
     pub black_hole: bool,
     /// Bytes delivered in each tick of 10 ms; unlimited if `None`.
     pub bytes_per_tick: Option<usize>,
@@ -39,7 +41,7 @@
     Corrupt,
 }
 
-/// What a link has done so far.
+/// Counters of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkStatistics {
     /// Bytes that were sent into the link.
@@ -72,9 +74,9 @@
 
 struct State {
     conditions: LinkConditions,
-    /// Faults of the next chunks, the last one first.
+    /// Faults of the next chunks; the next chunk gets the last of them.
     chunk_faults: Vec<ChunkFault>,
-    /// How often all connections were to be reset.
+    /// How often a reset of all connections was requested.
     reset_requests: u64,
     statistics: LinkStatistics,
     rng: Rng,
@@ -131,12 +133,12 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// What the link has done so far.
+    /// The link's counters.
     pub fn statistics(&self) -> LinkStatistics {
         self.state().statistics
     }
 
-    /// Waits until `get` returns a value of the link's state.
+    /// Waits until `get` returns a value for the link's state; checks it after every change.
     async fn wait_for<T>(&self, get: impl Fn(&State) -> Option<T>) -> T {
         loop {
             let changed = self.changed.listen();
@@ -152,7 +154,7 @@
         self.wait_for(|state| (!state.conditions.cut && !state.conditions.black_hole).then_some(())).await;
     }
 
-    /// Waits until a new connection may be established: its first packet does not pass a cut, so the connection remains silent.
+    /// Waits until a new connection may be established: the first packet of a connection does not pass a cut.
     pub(super) async fn wait_until_connectable(&self) {
         self.count_if_cut();
         self.wait_until_open().await;
@@ -168,16 +170,16 @@
         self.state().reset_requests
     }
 
-    /// Waits for a reset after the first `seen` ones, and counts it.
-    pub(super) async fn wait_for_reset(&self, seen: u64) {
-        self.wait_for(|state| (state.reset_requests != seen).then_some(())).await;
+    /// Waits until a reset is requested after the first `earlier_requests`, and counts it.
+    pub(super) async fn wait_for_reset(&self, earlier_requests: u64) {
+        self.wait_for(|state| (state.reset_requests != earlier_requests).then_some(())).await;
         self.state().statistics.resets += 1;
     }
 
     /// Copies bytes from one connection to the other until the source ends, under the link's conditions.
     pub(super) async fn copy(&self, from: &Async<TcpStream>, to: &Async<TcpStream>) {
         let (sender, receiver) = async_channel::bounded::<DelayedChunk>(MAX_CHUNKS_IN_TRANSIT);
-        // Each half owns its end of the queue: if delivering fails, reading ends too.
+        // Each half owns its end of the queue: if delivery fails, the queue is closed, and reading ends too.
         future::zip(self.read_chunks(from, sender), self.deliver_chunks(receiver, to)).await;
     }
 
@@ -209,7 +211,7 @@
             Some(ChunkFault::Corrupt) => {
                 let index = (draw(&mut state.rng) * bytes.len() as f64) as usize;
                 if let Some(byte) = bytes.get_mut(index) {
-                    *byte ^= 0x10;
+                    *byte ^= CORRUPTED_BIT;
                 }
                 state.statistics.corrupted_chunks += 1;
             }
--- a/crates/emulator/src/rig/load.rs
+++ b/crates/emulator/src/rig/load.rs
@@ -1,5 +1,5 @@
-//! A load generator: checkouts and reads at a rate, whatever the responses. A client that gets no response to a checkout, or is rejected,
-//! presents the same checkout again to another router.
+//! A load generator: it sends checkouts and reads at a rate that does not depend on responses. A client that gets no response to a
+//! checkout, or whose checkout is rejected, presents the same checkout again to another router.
 
 use super::{ClientConnection, History, Outcome, RequestNumber, Rig};
 use basaltgw_simulator::{draw, rng, Rng};
@@ -11,20 +11,22 @@
 
 /// The time between two polls for responses.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Attempts of one client at one checkout.
+/// The most attempts of one client at one checkout.
 const MAX_ATTEMPTS: u32 = 4;
-/// A client gives up if it may retry only after a longer time, in milliseconds.
+/// The longest time that a rejected client waits to retry, in milliseconds; if it may retry only later, it gives up.
 const MAX_RETRY_AFTER_MS: u64 = 1_500;
-/// Open requests of one connection, the limit of the protocol.
+/// The most open requests of one connection, which is the limit of the protocol.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Connections to one router. A request that finds all of them full is not sent, and counted.
+/// The most connections to one router. A request is not sent if all of them are full; it is counted in [`LoadStatistics::not_sent`].
 const MAX_CONNECTIONS: usize = 16;
-/// How long after its deadline a client still waits before it tries another router.
+/// How long after its deadline a response is still waited for before the client retries, in milliseconds.
 const RESPONSE_GRACE_MS: u64 = 500;
-/// Random stream of the load.
+/// The random stream of the load.
 const LOAD_STREAM: u64 = 9_002;
 /// The first request id.
 const FIRST_ID: u64 = 0xc1_u64 << 48;
+/// The lowest rate of requests: a rate of 0 would have no time between requests.
+const MIN_REQUESTS_PER_S: f64 = 0.001;
 
 /// The requests of clients.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
@@ -42,7 +44,7 @@
     /// The share of checkouts that are presented to two routers at the same time.
     #[serde(rename = "twice")]
     pub concurrent_share: f64,
-    /// The range of the archive's response delay to a checkout, in milliseconds; it changes every second.
+    /// The range of the archive's response delay to checkouts, in milliseconds; a new delay is drawn every second.
     pub effect_ms: [f64; 2],
 }
 
@@ -55,7 +57,7 @@
     pub resent_after_rejection: u64,
     /// Requests that were not sent because all connections were full.
     pub not_sent: u64,
-    /// The most that a request was sent too late, in milliseconds: a delay of the machine, not of the routers.
+    /// The longest time by which a request was sent later than planned, in milliseconds: a delay of the machine, not of the routers.
     pub max_delay_ms: u64,
 }
 
@@ -65,12 +67,12 @@
     open: Vec<RequestNumber>,
 }
 
-/// A request that has not ended for its client.
+/// A request whose client still waits for its end.
 struct OpenRequest {
     number: RequestNumber,
     router: usize,
     due_ms: u64,
-    /// The attempt at a checkout; `None` for a read.
+    /// The attempt at a checkout, which may be repeated; `None` for a read, which is not.
     attempt: Option<Attempt>,
 }
 
@@ -83,14 +85,14 @@
     concurrent: bool,
 }
 
-/// An attempt that is to be made.
+/// A further attempt at a checkout, to be made at a later time.
 struct Retry {
     at_ms: u64,
     router: usize,
     attempt: Attempt,
 }
 
-/// The clients of one run.
+/// All clients of one run.
 pub struct LoadGenerator {
     load: Load,
     addresses: Vec<SocketAddr>,
@@ -106,7 +108,7 @@
 }
 
 impl LoadGenerator {
-    /// Clients of all routers of a rig.
+    /// Creates a load generator for all routers of a rig.
     pub fn new(rig: &Rig, load: &Load) -> Self {
         Self {
             load: load.clone(),
@@ -136,7 +138,8 @@
             while next_ms <= now_ms as f64 {
                 let delay_ms = now_ms - next_ms as u64;
                 self.statistics.max_delay_ms = self.statistics.max_delay_ms.max(delay_ms);
-                next_ms -= (1.0 - draw(&mut self.rng)).ln() * 1000.0 / requests_per_s.max(0.001);
+                // Requests are a Poisson process: the times between them are distributed exponentially.
+                next_ms -= (1.0 - draw(&mut self.rng)).ln() * 1000.0 / requests_per_s.max(MIN_REQUESTS_PER_S);
                 self.send_new_request();
             }
             self.poll();
@@ -166,7 +169,7 @@
             self.send_checkout(router, Attempt { id: id.clone(), number: 1, concurrent });
             if concurrent {
                 let other = (router + 1 + self.draw_index(routers - 1)) % routers;
-                // This is another client's attempt, which is not repeated.
+                // This attempt is another client's. It counts as the last one, so that it is not repeated.
                 self.send_checkout(other, Attempt { id, number: MAX_ATTEMPTS, concurrent });
             }
         } else {
@@ -244,8 +247,8 @@
                 Some(Some(Outcome::Rejected { retry_after_ms })) => retry_after_ms.unwrap_or(0),
                 None | Some(None) => 0,
             };
-            let repeated = |a: &mut Attempt| a.number < MAX_ATTEMPTS && retry_after_ms <= MAX_RETRY_AFTER_MS;
-            if let Some(attempt) = request.attempt.take_if(repeated) {
+            let may_retry = |a: &mut Attempt| a.number < MAX_ATTEMPTS && retry_after_ms <= MAX_RETRY_AFTER_MS;
+            if let Some(attempt) = request.attempt.take_if(may_retry) {
                 match outcome {
                     Some(Some(_)) => statistics.resent_after_rejection += 1,
                     None | Some(None) => statistics.resent_without_response += 1,
--- a/crates/emulator/src/rig/mod.rs
+++ b/crates/emulator/src/rig/mod.rs
@@ -1,11 +1,11 @@
 //! A test rig: several routers as processes, a relay on each link between any two endpoints, faults of links and processes, and a checker
 //! that knows only what clients, stand-ins and links observed.
 //!
-//! - [`spec`]: what a rig consists of, and the settings of its routers;
+//! - [`spec`]: the specification of a rig, and the settings of its routers;
 //! - [`link`], [`relay`]: links that delay, cut, drop, throttle, duplicate, corrupt and reset;
 //! - [`router_process`]: a router's process, folders and addresses;
 //! - [`availability`]: unavailable and isolated routers, and waiting for the fleet to recover;
-//! - [`archive`], [`client_connection`]: what routers fetch from, and who sends them requests;
+//! - [`archive`], [`client_connection`]: the archive behind the caches, and the clients of the routers;
 //! - [`history`], [`checker`]: the observations, and whether they conform to the guarantees;
 //! - [`faults`], [`load`], [`scenario`]: scripted and random faults, a load generator, and a whole run of both;
 //! - [`fleet_cost`]: the resources that many routers without relays use.
@@ -34,7 +34,7 @@
 pub use spec::{Location, Spec};
 
 use crate::standin::{unix_ms, Cache, ChangeLog};
-use router_process::Surroundings;
+use router_process::RouterSetup;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -43,11 +43,11 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// The numbers of routers that a rig can have.
-const ROUTERS: RangeInclusive<usize> = 3..=9;
-/// The caches of a rig: an edge cache, a parent and the origin.
+/// The possible numbers of routers of a rig.
+const ROUTER_COUNTS: RangeInclusive<usize> = 3..=9;
+/// The number of caches of a rig: an edge cache, a parent and the origin.
 const CACHES: usize = 3;
-/// The change log's kind of a purge event.
+/// The number of the event kind "purge" in frames of the change log.
 const PURGE_EVENT: u8 = 3;
 /// The time-out of a probe of whether a router serves.
 const SERVING_PROBE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -65,16 +65,16 @@
     Clients,
 }
 
-/// The links of a rig: each direction between two endpoints.
+/// The links of a rig, by the sender and the receiver of the direction.
 type Links = BTreeMap<(Endpoint, Endpoint), Link>;
 
-/// The rig. Dropping it ends all that it started.
+/// A running rig. Dropping it ends the processes and threads that it started.
 pub struct Rig {
-    /// What the rig consists of.
+    /// The specification of the rig.
     pub spec: Spec,
     /// The archive behind all caches.
     pub archive: Archive,
-    /// What was observed.
+    /// Everything that was observed so far.
     pub history: History,
     /// An edge cache, a parent and the origin.
     pub caches: Vec<Cache>,
@@ -88,7 +88,7 @@
     default_delay_ms: (f64, f64),
     /// Routers whose replicas are unavailable to the others.
     unavailable: RefCell<BTreeSet<usize>>,
-    /// Routers that lost their disk and have not served since.
+    /// Routers that lost their disk and have not served requests since.
     wiped: RefCell<BTreeSet<usize>>,
     rules_file: Option<PathBuf>,
     _relay_thread: RelayThread,
@@ -99,7 +99,7 @@
     /// Sets up a rig and starts all routers; they may not be serving yet.
     ///
     /// # Errors
-    /// If the number of routers is not from 3 to 9, or a router does not start; ends with its last log lines.
+    /// If the number of routers is not from 3 to 9, or a router does not start; the error ends with the router's last log lines.
     pub fn start(spec: Spec) -> Result<Self, String> {
         let mut rig = Self::set_up(spec)?;
         for router in 0..rig.len() {
@@ -111,11 +111,11 @@
     /// Sets up a rig without starting a router.
     ///
     /// # Errors
-    /// If the number of routers is not from 3 to 9, or a folder or port can't be had.
+    /// If the number of routers is not from 3 to 9, a folder can't be created, or a port can't be bound.
     pub fn set_up(spec: Spec) -> Result<Self, String> {
         let router_count = spec.locations.len();
-        if !ROUTERS.contains(&router_count) {
-            let (min, max) = (ROUTERS.start(), ROUTERS.end());
+        if !ROUTER_COUNTS.contains(&router_count) {
+            let (min, max) = (ROUTER_COUNTS.start(), ROUTER_COUNTS.end());
             return Err(format!("expected from {min} to {max} routers, found {router_count}"));
         }
         let folder = TempDir::new().map_err(|e| format!("creating the rig's folder: {e}"))?;
@@ -128,23 +128,24 @@
         let relays = RelayThread::start()?;
         let mut routers = Vec::new();
         for (router, change_log) in change_logs.iter().enumerate() {
-            let me = Endpoint::Router(router);
+            let endpoint = Endpoint::Router(router);
             let relay = |from: Endpoint, to: Endpoint, target: Option<SocketAddr>| {
                 relays.start_relay(links[&(from, to)].clone(), links[&(to, from)].clone(), target)
             };
-            let to_peer = |peer| Ok((peer, relay(me, Endpoint::Router(peer), None)?));
-            let to_cache = |(i, cache): (usize, &Cache)| relay(me, Endpoint::Cache(i), Some(cache.address));
+            let to_peer = |peer| Ok((peer, relay(endpoint, Endpoint::Router(peer), None)?));
+            let to_cache =
+                |(i, cache): (usize, &Cache)| relay(endpoint, Endpoint::Cache(i), Some(cache.address));
             let peers = (0..router_count).filter(|peer| *peer != router);
-            let surroundings = Surroundings {
+            let setup = RouterSetup {
                 peer_relays: peers.map(to_peer).collect::<Result<_, String>>()?,
                 server_relays: caches.iter().enumerate().map(to_cache).collect::<Result<_, String>>()?,
-                client_relay: relay(Endpoint::Clients, me, None)?,
+                client_relay: relay(Endpoint::Clients, endpoint, None)?,
                 change_log: change_log.address,
                 rules: rules_file.clone(),
                 spec: &spec,
             };
             let home = folder.path().join(spec::router_name(router));
-            routers.push(RouterProcess::new(router, home, surroundings)?);
+            routers.push(RouterProcess::new(router, home, setup)?);
         }
         Ok(Self {
             spec,
@@ -179,7 +180,7 @@
     /// Starts a router that is not running.
     ///
     /// # Errors
-    /// If the router does not listen in time; ends with its last log lines.
+    /// If the router does not listen in time; the error ends with its last log lines.
     pub fn start_router(&mut self, router: usize) -> Result<(), String> {
         self.routers[router].start(&self.spec)?;
         self.update_relay_targets();
@@ -220,7 +221,7 @@
         self.set_unavailable(router, true);
     }
 
-    /// Kills a router and deletes its durable data: it returns with another disk.
+    /// Kills a router and deletes its durable data, as if it got another disk.
     ///
     /// # Errors
     /// If the data can't be deleted.
@@ -253,7 +254,7 @@
         self.routers[router].signal("CONT");
     }
 
-    /// Waits until a router is serving, and records that; returns whether it is in time.
+    /// Waits until a router is serving, and records that it is; returns false on a time-out.
     pub fn wait_until_serving(&self, router: usize, timeout: Duration) -> bool {
         let start = Instant::now();
         let remaining = || timeout.saturating_sub(start.elapsed());
--- a/crates/emulator/src/rig/relay.rs
+++ b/crates/emulator/src/rig/relay.rs
@@ -1,4 +1,4 @@
-//! Relays: a TCP proxy before each endpoint of the rig, which passes bytes on through the two directions of a [`Link`].
+//! Relays: TCP proxies between the endpoints of the rig. Each passes bytes on through a [`Link`] per direction.
 //!
 //! All relays run on one thread. The chunks that wait in a relay are bounded; a full relay stops reading.
 
@@ -14,7 +14,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Open connections of one relay; further ones are closed at once.
+/// The most open connections of one relay; further ones are closed at once.
 const MAX_CONNECTIONS: usize = 512;
 
 /// A relay: a connection to its address is passed on to its target.
@@ -22,9 +22,9 @@
 pub struct Relay {
     /// The address at which the relay listens.
     pub address: SocketAddr,
-    /// The direction from whoever connects to the target.
+    /// The direction from the connecting side to the target.
     pub to_target: Link,
-    /// The direction from the target back.
+    /// The direction from the target to the connecting side.
     pub from_target: Link,
     target: Arc<Mutex<Option<SocketAddr>>>,
 }
@@ -39,7 +39,7 @@
 }
 
 impl Relay {
-    /// Sets the target of new connections; they are reset while it is `None`.
+    /// Sets the target of new connections; without a target they are reset.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         *self.lock_target() = target;
     }
@@ -54,7 +54,7 @@
 
     async fn run(self, executor: Rc<LocalExecutor<'static>>, listener: TcpListener) {
         let Ok(listener) = Async::new(listener) else { return };
-        // Each open connection has a clone.
+        // Counts connections: each open one holds a clone.
         let open_connections = Rc::new(());
         while let Ok((client, _)) = listener.accept().await {
             if Rc::strong_count(&open_connections) > MAX_CONNECTIONS {
@@ -70,11 +70,15 @@
     }
 
     async fn run_connection(&self, client: &Async<TcpStream>) {
-        let (seen_to, seen_from) = (self.to_target.reset_requests(), self.from_target.reset_requests());
+        let resets_to = self.to_target.reset_requests();
+        let resets_from = self.from_target.reset_requests();
         let _ = client.get_ref().set_nodelay(true);
         let reset = async {
-            future::or(self.to_target.wait_for_reset(seen_to), self.from_target.wait_for_reset(seen_from))
-                .await;
+            future::or(
+                self.to_target.wait_for_reset(resets_to),
+                self.from_target.wait_for_reset(resets_from),
+            )
+            .await;
             ConnectionEnd::Reset
         };
         if future::or(self.pass_on(client), reset).await == ConnectionEnd::Reset {
--- a/crates/emulator/src/rig/router_process.rs
+++ b/crates/emulator/src/rig/router_process.rs
@@ -12,7 +12,7 @@
 
 /// Attempts to start a router: another process may take the chosen port before the router binds it.
 const MAX_START_ATTEMPTS: usize = 3;
-/// How long a router's counters are waited for.
+/// The time-out of a query of a router's counters.
 const COUNTERS_TIMEOUT: Duration = standin::WAIT_LIMIT;
 
 /// A router of the rig, whether its process runs or not.
@@ -20,9 +20,11 @@
     /// The process, if it runs or is suspended.
     process: Option<Process>,
     router: usize,
+    /// The folder of the router's files.
     home: PathBuf,
     /// The folder of the router's durable data, which does not exist after a wipe.
     pub data_folder: PathBuf,
+    /// The placement rules file, if the rig has one.
     rules: Option<PathBuf>,
     /// The address at which the router listens for peers.
     pub peer_address: SocketAddr,
@@ -30,17 +32,18 @@
     pub peer_relays: BTreeMap<usize, Relay>,
     /// The relay through which clients reach the router.
     pub client_relay: Relay,
+    /// The configuration that the next start uses.
     config: Value,
     suspended: bool,
 }
 
-/// The relays and servers that surround a router.
-pub(super) struct Surroundings<'a> {
+/// What a router of the rig is set up with: its relays, its change log and its rules.
+pub(super) struct RouterSetup<'a> {
     /// The relays to the other routers.
     pub(super) peer_relays: BTreeMap<usize, Relay>,
     /// The relays to the edge cache, the parent and the origin.
     pub(super) server_relays: Vec<Relay>,
-    /// The relay in front of the router.
+    /// The relay through which clients reach the router.
     pub(super) client_relay: Relay,
     /// The address of the router's change log.
     pub(super) change_log: SocketAddr,
@@ -72,28 +75,28 @@
     config["settings"]["peers-total"] = json!(spec.locations.len());
     config["settings"]["family-info"]["purge-settles"] = json!(spec.purge_settles_ms as f64);
     config["settings"]["services"][0]["slo"] = json!(spec.latency_objective_ms as f64);
-    // Connecting is slow on a busy machine, and no cache of the rig may be taken for down because of that.
+    // Connecting is slow on a busy machine; a shorter timeout would make routers consider a cache down.
     config["settings"]["limits"]["connect-timeout"] = json!(5_000.0);
     config
 }
 
 impl RouterProcess {
     /// A router that has never run.
-    pub(super) fn new(router: usize, home: PathBuf, surroundings: Surroundings<'_>) -> Result<Self, String> {
+    pub(super) fn new(router: usize, home: PathBuf, setup: RouterSetup<'_>) -> Result<Self, String> {
         let kinds = [(EDGE, "box"), (PARENT, "parent"), (ORIGIN, "origin")];
         let listed = |(relay, (id, kind)): (&Relay, _)| ListedServer { id, address: relay.address, kind };
-        let servers: Vec<ListedServer> = surroundings.server_relays.iter().zip(kinds).map(listed).collect();
-        let config = router_config(surroundings.spec, router, &servers, surroundings.change_log);
+        let servers: Vec<ListedServer> = setup.server_relays.iter().zip(kinds).map(listed).collect();
+        let config = router_config(setup.spec, router, &servers, setup.change_log);
         create_folder(&home)?;
         Ok(Self {
             process: None,
             router,
             data_folder: home.join("lasting"),
             home,
-            rules: surroundings.rules,
+            rules: setup.rules,
             peer_address: unused_address()?,
-            peer_relays: surroundings.peer_relays,
-            client_relay: surroundings.client_relay,
+            peer_relays: setup.peer_relays,
+            client_relay: setup.client_relay,
             config,
             suspended: false,
         })
@@ -197,7 +200,7 @@
         Ok(())
     }
 
-    /// Sends the process a signal, as `kill` names it.
+    /// Sends the process a signal, named as for the command `kill`.
     pub(super) fn signal(&mut self, name: &str) {
         if let Some(process) = &self.process {
             process.signal(name);
--- a/crates/emulator/src/rig/scenario.rs
+++ b/crates/emulator/src/rig/scenario.rs
@@ -1,4 +1,4 @@
-//! A whole run of the rig: load, faults and purges, then an audit of all served checkouts, and the run's figures.
+//! A whole run of the rig: load, faults and purges, then an audit of served checkouts, and the figures of the run.
 
 mod audit;
 mod figures;
@@ -11,17 +11,19 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
+/// The difference between the numbers of two objects that are purged one after the other.
+const PURGED_OBJECT_STEP: u64 = 7;
 /// All routers have to serve within this time after their start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time between two polls for faults and purges that are due.
+/// The interval at which faults and purges that are due are looked for.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The name in figures of faults that were due after the end of the run.
+/// The name in figures of scheduled faults whose time did not come before the end of the run.
 const NOT_REACHED: &str = "not_reached";
 
-/// What is run.
+/// A run's rig, load, purges and faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The rig.
+    /// The specification of the rig.
     pub spec: Spec,
     /// The requests of clients.
     pub load: Load,
@@ -47,14 +49,14 @@
     pub figures: BTreeMap<String, f64>,
     /// For each second: checkouts that were first presented in it, and how many of these were served in the end.
     pub seconds: Vec<(f64, f64)>,
-    /// What did not recover from a fault in time, as descriptions.
+    /// Descriptions of what did not recover from a fault in time.
     pub unrecovered: Vec<String>,
 }
 
-/// What happened while requests were sent.
+/// The results of the phase in which requests are sent.
 struct LoadPhase {
     load: LoadStatistics,
-    /// Injected faults by name, and those that were not reached.
+    /// The number of injected faults by name, and under [`NOT_REACHED`] the number of others.
     faults: BTreeMap<&'static str, u64>,
     unrecovered: Vec<String>,
     counters_before_kill: Vec<BTreeMap<String, f64>>,
@@ -73,7 +75,7 @@
     let phase = run_load_and_faults(&mut rig, scenario, start_ms);
     let (mut violations, counts) = check(&rig);
     let mut audit = AuditCounts::default();
-    // Routers without a fleet guarantee nothing beyond one router, so that an audit would only execute checkouts again.
+    // Without a fleet routers guarantee nothing across routers, so an audit would only execute checkouts again.
     if scenario.spec.fleet {
         audit = audit_outcomes(&rig);
         (violations, _) = check(&rig);
@@ -149,7 +151,7 @@
         }
         if scenario.purges_per_s > 0.0 && purges * 1000.0 / scenario.purges_per_s <= now_ms {
             purges += 1.0;
-            let object = 1 + (purges as u64 * 7) % scenario.load.objects.max(1);
+            let object = 1 + (purges as u64 * PURGED_OBJECT_STEP) % scenario.load.objects.max(1);
             let all_routers: Vec<usize> = (0..injector.rig().len()).collect();
             injector.rig().purge(object, &all_routers);
         }
--- a/crates/emulator/src/rig/scenario/audit.rs
+++ b/crates/emulator/src/rig/scenario/audit.rs
@@ -1,19 +1,19 @@
-//! The audit at the end of a run: presents served checkouts again, each to another router, which has to return the same body.
+//! The audit at the end of a run. It presents served checkouts again, each to another router than before, which has to return the same body.
 
 use crate::rig::{ClientConnection, Event, Outcome, RequestKind, RequestNumber, Rig};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Checkouts that are audited; of more, those with the highest ids.
+/// The most checkouts that are audited: those with the highest ids.
 const MAX_AUDITED: usize = 400;
-/// Checkouts that are presented at the same time.
+/// The number of checkouts that are presented at the same time.
 const BATCH: usize = 24;
-/// How long a client of the audit waits, in milliseconds.
+/// The deadline of the audit's requests, in milliseconds.
 const TIMEOUT_MS: u64 = 5_000;
 /// How long after its deadline a response is still waited for, in milliseconds.
 const RESPONSE_GRACE_MS: u64 = 1_000;
 
-/// The outcomes of audited checkouts.
+/// The numbers of audited checkouts by outcome.
 #[derive(Default)]
 pub(super) struct AuditCounts {
     audited: u64,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A checkout as it was last served.
+/// A checkout, and the last response that served it.
 struct ServedCheckout {
     id: String,
     router: usize,
@@ -68,7 +68,7 @@
     counts
 }
 
-/// The checkouts that were served, by descending id.
+/// The served checkouts with the highest ids, in descending order.
 fn served_checkouts(rig: &Rig) -> Vec<ServedCheckout> {
     let (events, _) = rig.history.events();
     let mut presented = BTreeMap::new();
--- a/crates/emulator/src/rig/scenario/figures.rs
+++ b/crates/emulator/src/rig/scenario/figures.rs
@@ -16,6 +16,8 @@
     ["holds_", "peers_", "table_", "gather_", "storage_", "rosters_", "shards_"];
 /// Longer latencies are recorded as this one, in milliseconds.
 const MAX_LATENCY_MS: u64 = 600_000;
+/// The significant decimal digits of recorded latencies.
+const LATENCY_DIGITS: u8 = 3;
 
 fn named<const N: usize>(figures: [(&str, u64); N]) -> Figures {
     figures.map(|(name, value)| (name.to_string(), value as f64)).into()
@@ -85,7 +87,7 @@
     figures
 }
 
-/// The latencies of served requests: the median and the 99th percentile, in milliseconds.
+/// The median and the 99th percentile of the latencies of served reads and checkouts, in milliseconds.
 pub(super) fn latency_figures(rig: &Rig) -> Figures {
     let (events, _) = rig.history.events();
     let mut figures = Figures::new();
@@ -97,8 +99,9 @@
     figures
 }
 
+/// The 50th and the 99th percentile of the latencies of served reads or checkouts, in milliseconds.
 fn latency_percentiles(events: &[TimedEvent], reads: bool) -> [f64; 2] {
-    let Ok(mut latencies) = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_MS, 3) else {
+    let Ok(mut latencies) = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_MS, LATENCY_DIGITS) else {
         return [f64::NAN; 2];
     };
     let mut sent_at = BTreeMap::new();
--- a/crates/emulator/src/rig/spec.rs
+++ b/crates/emulator/src/rig/spec.rs
@@ -1,11 +1,11 @@
-//! What a rig consists of, and the settings files with which its routers start.
+//! The specification of a rig, and the settings files with which its routers start.
 
 use serde::Serialize;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The failure domains of a router.
+/// A router's failure domains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Location {
     /// The router's branch.
@@ -26,16 +26,16 @@
     pub tickets: bool,
 }
 
-/// What a rig consists of.
+/// The specification of a rig.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// The router's program.
     pub binary: PathBuf,
-    /// The location of each router; from 3 to 9.
+    /// The location of each router; there are from 3 to 9.
     pub locations: Vec<Location>,
     /// The seed of link delays and corrupted bytes.
     pub seed: u64,
-    /// Whether routers have a section `fleet`. Without it each router is on its own, as a baseline.
+    /// Whether the settings of routers have the section `fleet`. Without it routers replicate nothing, which is the baseline of comparisons.
     pub fleet: bool,
     /// Replicas of each register: 3 or 5.
     pub replicas: usize,
@@ -47,7 +47,7 @@
     pub rules: Option<String>,
     /// Further keys of the section `fleet`, such as `limits`.
     pub extra_settings: Value,
-    /// The time after which a purge has taken effect at all caches, in milliseconds; until then a cache may serve older copies.
+    /// The time after which a purge has taken effect at all caches, in milliseconds. Until then a cache may serve copies made before the purge.
     pub purge_settles_ms: u64,
     /// The latency objective of reads and checkouts, in milliseconds.
     pub latency_objective_ms: u64,
@@ -69,7 +69,7 @@
             replicated: ReplicatedKinds { executions: true, purges: true, tickets: true },
             scatter_gather: false,
             rules: None,
-            // A busy machine syncs its disk slowly, and the speed of the disk is not what is tested.
+            // Syncing the disk is slow on a busy machine, and its speed is not under test: leases get a longer timeout.
             extra_settings: json!({"limits": {"promise_ms": 2000}}),
             purge_settles_ms: 60_000,
             latency_objective_ms: 400,
--- a/crates/node/tests/many.rs
+++ b/crates/node/tests/many.rs
@@ -51,8 +51,8 @@
 #[test]
 fn failure_to_start_a_router_is_reported() {
     for (setup, reason) in [
-        (FleetSetup { routers: 2, ..three_routers() }, "from 3 to 200 routers, not 2"),
-        (FleetSetup { routers: 201, ..three_routers() }, "from 3 to 200 routers, not 201"),
+        (FleetSetup { routers: 2, ..three_routers() }, "expected from 3 to 200 routers, found 2"),
+        (FleetSetup { routers: 201, ..three_routers() }, "expected from 3 to 200 routers, found 201"),
         (FleetSetup::new(Path::new("/nowhere/basaltgw"), 3), "the router ended before it was listening"),
     ] {
         let error = measure_fleet(&setup).expect_err("the measurement fails");
