--- a/crates/node/tests/service/main.rs
+++ b/crates/node/tests/service/main.rs
@@ -7,6 +7,7 @@
 mod servers;
 
 use basaltgw_node::resp::encode;
+use common::frame_kind::PURGE_OBJECT;
 use common::*;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -64,16 +65,20 @@
     let mut harness = start_router();
     let mut client = harness.router.client();
     assert_served(&mut client, 1);
-    harness.log.publish(2, 3, &purge(77));
+    harness.log.publish(2, PURGE_OBJECT, &purge(77));
     wait_until("an event is received", || harness.router.counter("purges") == 1);
     let new_log = ChangeLog::start();
-    new_log.publish(2, 3, &purge(77));
-    new_log.publish(3, 3, &purge(5));
+    new_log.publish(2, PURGE_OBJECT, &purge(77));
+    new_log.publish(3, PURGE_OBJECT, &purge(5));
     harness.config["changelog"] = json!(new_log.address.to_string());
     harness.router.write_configuration(&harness.config.to_string());
     harness.router.signal("HUP");
     wait_until("the next event is received", || harness.router.counter("purges") == 2);
-    assert_eq!(new_log.resume_positions.lock().expect("lock")[..], [2], "after the last event");
+    assert_eq!(
+        new_log.resume_positions.lock().expect("lock")[..],
+        [2],
+        "the router resumes after the last event"
+    );
     // Connections stay open, and received purges stay in effect.
     assert_served(&mut client, 5);
     assert!(harness.edge.fetches()[1].field("oldest").is_some());
@@ -85,8 +90,8 @@
     harness.config["changelog"] = json!(harness.log.address.to_string());
     harness.router.write_configuration(&harness.config.to_string());
     harness.router.signal("HUP");
-    harness.log.publish(4, 3, &purge(6));
-    harness.log.publish(3, 3, &purge(6));
+    harness.log.publish(4, PURGE_OBJECT, &purge(6));
+    harness.log.publish(3, PURGE_OBJECT, &purge(6));
     wait_until("the original change log is followed again", || {
         harness.log.resume_positions.lock().expect("lock").contains(&3)
     });
@@ -110,7 +115,7 @@
         wait_until("the reload is rejected", || harness.router.counter("reloads_refused") == rejected + 1);
         assert!(harness.router.has_logged(fault), "{fault}");
     }
-    harness.log.publish(2, 3, &purge(1));
+    harness.log.publish(2, PURGE_OBJECT, &purge(1));
     wait_until("the change log is still followed", || harness.router.counter("purges") == 1);
     // A change that needs a restart is logged and has no effect.
     harness.config["limits"]["sockets"] = json!(512);
@@ -129,15 +134,15 @@
 fn misbehaving_clients_do_not_delay_shutdown() {
     let slow = Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 1200, body: part_body(s) });
     let mut harness = start_router_with(slow, |_| {});
-    let mut good = harness.router.client();
+    let mut well_behaved = harness.router.client();
     let silent: Vec<Client> = (0..100).map(|_| harness.router.client()).collect();
     let mut partial: Vec<Client> = (0..100).map(|_| harness.router.client()).collect();
     partial.iter_mut().for_each(|c| c.write(b"*5\r\n$2\r\nDO\r\n"));
-    good.send_request(1, "pages", 1, "", b"");
+    well_behaved.send_request(1, "pages", 1, "", b"");
     wait_until("the request is open", || harness.router.counter("requests") == 1);
     let start = Instant::now();
     harness.router.signal("TERM");
-    assert_eq!(good.expect_answer().status, "200");
+    assert_eq!(well_behaved.expect_answer().status, "200");
     assert!(harness.router.expect_exit().success());
     assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
     drop((silent, partial));
--- a/crates/overlay/src/lib.rs
+++ b/crates/overlay/src/lib.rs
@@ -11,7 +11,7 @@
 //! | --- | --- |
 //! | `router_list`, `topology` | places of the listed routers; which routers a router dials |
 //! | `link_selection`, `candidates` | dials, closed links, the primary parent |
-//! | `publication`, `escalation` | which router publishes an update that several know; how it gets there |
+//! | `publication`, `escalation` | which router publishes an update that several know; how the update reaches that router |
 //! | `deduplication` | which updates are new |
 //! | `forwarding`, `rate_limit` | what goes into the next frames; the budget |
 //! | `repair`, `anti_entropy` | fetching missing updates; comparison of digests, and the lag of a router |
@@ -121,7 +121,7 @@
     Dial(RouterId),
     /// Close a link after its sent frames; [`Event::LinkDown`] need not follow.
     Close(Member),
-    /// Send a frame with this highest priority.
+    /// Send a frame. The kind is the highest priority of its parts.
     Send(Member, Kind, Vec<u8>),
     /// A new update with its publisher: this router itself for one that a child escalated.
     Deliver(Kind, Vec<u8>, Origin),
@@ -143,9 +143,14 @@
 /// Error of an overlay. The state is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverlayError {
-    /// A setting is out of its bounds: its name, and the expected values.
-    #[error("overlay.{0}: expected {1}")]
-    Setting(&'static str, &'static str),
+    /// A setting is out of its bounds.
+    #[error("overlay.{setting}: expected {expected}")]
+    Setting {
+        /// Its name in the configuration.
+        setting: &'static str,
+        /// The expected values.
+        expected: &'static str,
+    },
     /// A router is listed twice.
     #[error("list: {0} is listed twice")]
     DuplicateRouter(RouterId),
@@ -153,11 +158,11 @@
     #[error("overlay frame: {0}")]
     MalformedFrame(String),
     /// A frame is too long.
-    #[error("overlay frame: expected at most {most} bytes, found {found}")]
+    #[error("overlay frame: expected at most {max_bytes} bytes, found {found_bytes}")]
     TooLong {
         /// Largest accepted size in bytes.
-        most: usize,
+        max_bytes: usize,
         /// Size of the frame in bytes.
-        found: usize,
+        found_bytes: usize,
     },
 }
--- a/crates/overlay/src/settings.rs
+++ b/crates/overlay/src/settings.rs
@@ -1,5 +1,6 @@
 //! Settings of an overlay, and the check of their bounds.
 
+use crate::forwarding::RESERVED_FRAME_BYTES;
 use crate::OverlayError;
 use basaltgw_types::Ms;
 
@@ -46,7 +47,7 @@
     pub recent_ms: Ms,
     /// Largest number of streams named in a digest.
     pub max_recent: usize,
-    /// Largest number of streams in one vector.
+    /// Largest number of streams in one vector, which compares a page of the differing buckets.
     pub page: usize,
     /// Retention of updates, ms.
     pub retention_ms: Ms,
@@ -151,7 +152,10 @@
         ];
         let bad_time = times.into_iter().find(|(ms, _)| !(*ms > 0.0 && *ms <= MAX_TIME_MS));
         if let Some((_, name)) = bad_time {
-            return Err(OverlayError::Setting(name, "more than 0 and at most a day in ms"));
+            return Err(OverlayError::Setting {
+                setting: name,
+                expected: "more than 0 and at most a day in ms",
+            });
         }
         let checks = [
             (self.max_push_children > 0, "most_eager", "1 or more"),
@@ -168,9 +172,9 @@
             (self.max_repairs > 0, "most_missing", "1 or more"),
             ((1..=65_536).contains(&self.max_update_bytes), "most_word", "1 to 65,536 bytes"),
             (self.max_log_bytes >= self.max_update_bytes, "most_log_bytes", "most_word or more"),
-            // One frame fits an update, a page and a digest.
+            // One frame fits an update, a vector of a page, and a digest.
             (
-                self.max_frame_bytes >= self.max_update_bytes + 40_960,
+                self.max_frame_bytes >= self.max_update_bytes + RESERVED_FRAME_BYTES,
                 "most_frame",
                 "most_word and 40,960 or more",
             ),
@@ -180,6 +184,6 @@
             (self.frame_overhead_bytes <= 1500, "frame_bytes", "at most 1,500"),
         ];
         let first = checks.into_iter().find(|(fits, _, _)| !fits);
-        first.map_or(Ok(()), |(_, name, expected)| Err(OverlayError::Setting(name, expected)))
+        first.map_or(Ok(()), |(_, name, expected)| Err(OverlayError::Setting { setting: name, expected }))
     }
 }
