--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -96,8 +96,13 @@
     ChangeInBackground(RecordKey, Change),
     /// The change log reported a purge.
     Purge(Purge),
-    /// Propose placement rules, given as file name and text.
-    Rules(String, String),
+    /// Propose placement rules.
+    Rules {
+        /// Name of the file with the rules, for diagnostics.
+        file_name: String,
+        /// Text of the rules.
+        text: String,
+    },
     /// Gossip an observation about a site, made by scatter-gather requests.
     ReportEvidence(membership::Evidence),
     /// Shut down gracefully: wait a bounded time for background changes, and release the leases acquired by these requests, given in ascending
--- a/crates/control/src/control/mod.rs
+++ b/crates/control/src/control/mod.rs
@@ -225,7 +225,7 @@
                 self.start_background_change(now, key, background::Operation::Apply(change));
             }
             ControlRequest::Purge(purge) => self.on_local_purge(now, purge),
-            ControlRequest::Rules(name, text) => self.parts.table.set_rules(name, text),
+            ControlRequest::Rules { file_name, text } => self.parts.table.set_rules(file_name, text),
             ControlRequest::ReportEvidence(evidence) => {
                 self.handle_membership(now, membership::Event::LocalEvidence(evidence));
             }
--- a/crates/control/tests/control/arbitrary_input.rs
+++ b/crates/control/tests/control/arbitrary_input.rs
@@ -49,7 +49,7 @@
         1 => any::<u64>().prop_map(Event::SendFailed),
         1 => (0..40u64, any::<bool>()).prop_map(|(number, durable)| Event::CommitFinished { number, durable }),
         1 => any::<u64>().prop_map(purge),
-        1 => Just(()).prop_map(|()| Event::Request(ControlRequest::Rules("r".into(), "holds {".into()))),
+        1 => Just(()).prop_map(|()| Event::Request(ControlRequest::Rules { file_name: "r".into(), text: "holds {".into() })),
         2 => Just(()).prop_map(|()| Event::TimersDue),
         2 => Just(()).prop_map(|()| Event::Flush),
     ]
--- a/crates/control/tests/control/network/mod.rs
+++ b/crates/control/tests/control/network/mod.rs
@@ -132,7 +132,7 @@
     pub fn change_rules(&mut self, n: usize) {
         let before = self.table_version(n);
         let rules = RULES.replace("machines", "branches");
-        self.deliver(n, Event::Request(ControlRequest::Rules("new".into(), rules)));
+        self.deliver(n, Event::Request(ControlRequest::Rules { file_name: "new".into(), text: rules }));
         self.run_until(20_000.0, |net| (0..net.nodes.len()).all(|n| net.table_version(n) > before));
         self.run_for(2_000.0);
     }
--- a/crates/fleet_simulation/src/mesh.rs
+++ b/crates/fleet_simulation/src/mesh.rs
@@ -192,7 +192,7 @@
             self.base_rules
         );
         out.push(ControlPlaneAction::Notify(Notification::ConfigChangeMade));
-        let rules = Event::Request(ControlRequest::Rules("rules".into(), text));
+        let rules = Event::Request(ControlRequest::Rules { file_name: "rules".into(), text });
         self.control.handle(now, rules, &mut self.actions);
     }
 }
--- a/crates/node/src/fleet/handle.rs
+++ b/crates/node/src/fleet/handle.rs
@@ -213,7 +213,7 @@
 
     /// Proposes placement rules, by file name and text.
     pub fn propose_rules(&mut self, file: String, text: String) {
-        self.push_or_queue(ControlRequest::Rules(file, text));
+        self.push_or_queue(ControlRequest::Rules { file_name: file, text });
     }
 
     /// Reports a site's health to other routers. The report is advisory and is dropped if the ring is full.
