--- a/crates/experiments/src/capacity/overlay.rs
+++ b/crates/experiments/src/capacity/overlay.rs
@@ -210,7 +210,7 @@
     all
 }
 
-/// Returns the setup of a run without faults, whose change log reaches routers as the sizes say.
+/// Returns the setup of a run without faults, with the change log that `sizes` describes.
 pub(super) fn setup(sizes: &Sizes, routers: usize, purges_per_s: f64, seed: u64) -> Setup {
     let mut setup = Setup::sparse(routers, seed);
     (setup.purges_per_s, setup.measured_s, setup.measure_cpu) = (purges_per_s, sizes.seconds, true);
--- a/crates/experiments/src/capacity/page.rs
+++ b/crates/experiments/src/capacity/page.rs
@@ -41,8 +41,8 @@
         /// The factor of the unit in terms of [`SCALES`], 1 for a unit that is no scale.
         unit_factor: f64,
     },
-    /// A word, which has to stand before the mark.
-    Word(String),
+    /// A text that the page has directly before the mark.
+    Text(String),
     /// The value of an unreliable curve.
     Unreliable,
 }
@@ -95,8 +95,8 @@
     /// Lists the known entries of the figure that a wrong mark names.
     fn suggestions(&self, key: &str) -> String {
         let figure_name = |key: &str| {
-            let words = if key.starts_with("real ") { 2 } else { 1 };
-            key.split(' ').take(words).collect::<Vec<_>>().join(" ")
+            let parts = if key.starts_with("real ") { 2 } else { 1 };
+            key.split(' ').take(parts).collect::<Vec<_>>().join(" ")
         };
         let figure = figure_name(key);
         let same_figure = |known: &&String| figure_name(known) == figure;
@@ -147,7 +147,7 @@
             continue;
         }
         let residual = parse_number(&residual, FITS_FILE)?;
-        entries.insert(format!("{name}:form"), Entry::Word(form));
+        entries.insert(format!("{name}:form"), Entry::Text(form));
         entries.insert(format!("{name}:residual"), Entry::Number { value: residual, unit_factor: 1.0 });
         if !at.is_empty() {
             let unit_factor = unit_factors.get(&figure).copied().unwrap_or(1.0);
@@ -244,8 +244,8 @@
     match tables.0.get(key) {
         None => Err(format!("unknown mark {key:?}; {}", tables.suggestions(key))),
         Some(Entry::Unreliable) => Err(format!("{key}: the curve is not to be reckoned with there")),
-        Some(Entry::Word(word)) if before.trim_end().ends_with(word.as_str()) => Ok(()),
-        Some(Entry::Word(word)) => Err(format!("{key} is {word:?}, the page says another word")),
+        Some(Entry::Text(text)) if before.trim_end().ends_with(text.as_str()) => Ok(()),
+        Some(Entry::Text(text)) => Err(format!("{key} is {text:?}, the page says another word")),
         Some(Entry::Number { value, unit_factor }) => {
             let written = WrittenNumber::last_in(before, *unit_factor)
                 .ok_or_else(|| format!("{key}: no number before the mark"))?;
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -36,7 +36,7 @@
     pub name: String,
     /// The purpose of the experiment in a sentence.
     pub about: String,
-    #[allow(dead_code)] // `load` has read this key by then, to tell the form of the file.
+    #[allow(dead_code)] // `load` has read this key by then, to find out the form of the file.
     on: String,
     /// The seed of runs without `--seed`.
     pub seed: u64,
--- a/crates/experiments/src/runs.rs
+++ b/crates/experiments/src/runs.rs
@@ -25,7 +25,7 @@
     pub variant: Variant,
     /// The figures of the run.
     pub figures: Figures,
-    /// The values of the chart by second, each a share; [`crate::comparison::ChartLabels`] says of what.
+    /// The values of the chart by second, each a share of what [`crate::comparison::ChartLabels::unit`] names.
     pub seconds: Vec<f64>,
     /// Violated rules, rejected plans, and faults that did not heal.
     pub messages: Vec<String>,
