--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,4 +1,4 @@
-//! What routers of the simulated fleet are given: configuration, plan file, and records of the endpoint list.
+//! Input of the routers around a simulated fleet: the configuration, the plan file, and records of the endpoint list.
 
 use basaltgw::api::EndpointState;
 use basaltgw_hierarchy::{PlanSpec, Settings};
@@ -106,6 +106,9 @@
     })
 }
 
+/// The weight 1 in a record of the endpoint list, in thousandths.
+pub(crate) const UNIT_WEIGHT: u32 = 1000;
+
 /// The number of a state in a record of the endpoint list.
 pub(crate) fn state_code(state: EndpointState) -> u8 {
     match state {
@@ -131,7 +134,7 @@
     bytes.extend_from_slice(&octets);
     bytes.extend_from_slice(&address.port().to_be_bytes());
     bytes.extend_from_slice(&[state_code(listed), node.zone as u8, kind_index(node) as u8, 0, 0]);
-    bytes.extend_from_slice(&1000u32.to_be_bytes());
+    bytes.extend_from_slice(&UNIT_WEIGHT.to_be_bytes());
     bytes.extend_from_slice(&started_ms.to_be_bytes());
     bytes
 }
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -53,6 +53,7 @@
     },
 }
 
+/// The size limits of a message from a router.
 const MESSAGE_LIMITS: MessageLimits = MessageLimits { max_elements: 8, max_bytes: 300_000 };
 /// The size of the buffer that a connection is read into.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
@@ -292,9 +293,12 @@
 /// Encoded events with their numbers.
 pub type Frames = Rc<RefCell<Vec<(u64, Vec<u8>)>>>;
 
+/// The bytes of a frame's event number and kind, which count in its length.
+const FRAME_HEADER_BYTES: u32 = 9;
+
 /// Encodes a frame of the change log; `kind` is one of [`frame_kind`], or unknown to routers.
 pub fn frame(number: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
-    let mut bytes = (9 + payload.len() as u32).to_be_bytes().to_vec();
+    let mut bytes = (FRAME_HEADER_BYTES + payload.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(&number.to_be_bytes());
     bytes.push(kind);
     bytes.extend_from_slice(payload);
--- a/crates/emulator/src/standin/changelog.rs
+++ b/crates/emulator/src/standin/changelog.rs
@@ -1,7 +1,7 @@
 //! The stand-in for the change log: it sends each connection the events after the position that the router names.
 
 use super::config::EDGE_KIND;
-use crate::config::state_code;
+use crate::config::{state_code, UNIT_WEIGHT};
 use crate::net::frame_kind::HEARTBEAT;
 pub use crate::net::{frame, frame_kind};
 use basaltgw::api::EndpointState;
@@ -158,7 +158,7 @@
     bytes.extend_from_slice(&v4.ip().octets());
     bytes.extend_from_slice(&v4.port().to_be_bytes());
     bytes.extend_from_slice(&[state_code(state), u8::from(kind == EDGE_KIND), kind, 0, 0]);
-    bytes.extend_from_slice(&1000u32.to_be_bytes());
+    bytes.extend_from_slice(&UNIT_WEIGHT.to_be_bytes());
     bytes.extend_from_slice(&0u64.to_be_bytes());
     bytes
 }
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -25,7 +25,7 @@
             .min_by_key(|c| connections[*c].open.len())
     }
 
-    /// Sends a client's request to a router, if that accepts requests and a connection is free.
+    /// Sends a client's request to a router, if the router accepts requests and a connection is free.
     pub(super) async fn send_request(&mut self, now: Ms, r: usize, client: ClientRequest) {
         if !self.accepts_requests(now, r) {
             return;
@@ -75,7 +75,7 @@
         let request =
             OpenRequest { router: r, client, answered: false, attempts: 0, conn, tag, sent_at: now };
         self.requests.insert(number, request);
-        // In a soak run every missing answer is judged, with the slack of sockets.
+        // A soak run judges every missing answer, with the slack of sockets.
         let slack = if self.soak.is_some() { SOCKET_SLACK_MS } else { 0.0 };
         self.schedule(deadline + slack, WorldEvent::Deadline { request: number });
         if self.soak.is_some() && self.draw_between([0.0, CANCEL_ONE_IN]) < 1.0 {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A request's deadline is over: its client cancels it and needs no answer any more.
+    /// Ends a request at its deadline: if it is unanswered, its client cancels it and needs no answer any more.
     pub(super) fn deadline_passed(&mut self, now: Ms, number: u64) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         if !std::mem::replace(&mut request.answered, true) {
@@ -102,7 +102,7 @@
         self.schedule(now + LEAVE_CROSSING_MS, WorldEvent::ClientLeft { request: number });
     }
 
-    /// A router answered a client.
+    /// Processes a router's answer to a client.
     pub(super) fn client_answered(&mut self, now: Ms, router: usize, conn: ConnId, elements: &[Vec<u8>]) {
         let text = |i: usize| elements.get(i).and_then(|e| std::str::from_utf8(e).ok()).unwrap_or_default();
         let Ok(tag) = text(0).parse::<u64>() else { return };
@@ -174,7 +174,7 @@
         }
     }
 
-    /// A client's connection was closed by its router.
+    /// Removes a client's connection that its router closed, and ends the requests on it.
     pub(super) fn client_connection_closed(&mut self, now: Ms, router: usize, conn: ConnId) {
         let connections = &mut self.routers[router].connections;
         let Some(index) = connections.iter().position(|c| c.id == conn) else { return };
--- a/crates/emulator/src/world/events.rs
+++ b/crates/emulator/src/world/events.rs
@@ -4,7 +4,7 @@
 
 /// The time between two periodic checks.
 const CHECK_INTERVAL_MS: Ms = 1_000.0;
-/// Random purges hit one of so many most popular objects of a class.
+/// Random purges are of the most popular objects of a class, this number of them.
 const PURGED_OBJECTS: u64 = 200;
 
 /// A client's request, over all retries.
@@ -24,11 +24,11 @@
         router: usize,
         client: ClientRequest,
     },
-    /// The deadline of a request is over.
+    /// The deadline of a request has passed.
     Deadline {
         request: u64,
     },
-    /// No more attempts of a request can arrive whose client has left.
+    /// The client of a request has left, and no more of its attempts can be on their way.
     ClientLeft {
         request: u64,
     },
@@ -77,7 +77,7 @@
 }
 
 impl World<'_> {
-    /// Advances the simulated fleet to now, and passes its events on.
+    /// Advances the simulated fleet to the current time, and processes its events.
     pub(super) fn advance_fleet(&mut self, events: &mut Vec<FleetEvent>) {
         let now = self.now();
         self.fleet.advance(now, events);
--- a/crates/emulator/src/world/nodes.rs
+++ b/crates/emulator/src/world/nodes.rs
@@ -2,8 +2,13 @@
 
 use super::*;
 
+/// The low bits of a node request's number, which are those of the attempt; the others are the number of the client's request.
+const ATTEMPT_BITS: u32 = 4;
+/// The highest number of an attempt in these bits.
+const MAX_ATTEMPT: u64 = (1 << ATTEMPT_BITS) - 1;
+
 impl World<'_> {
-    /// Processes what a socket's task reported.
+    /// Processes an input that a socket's task reported.
     pub(super) fn process_input(&mut self, input: Input) {
         let now = self.now();
         match input {
@@ -24,7 +29,7 @@
         }
     }
 
-    /// A node received a router's message.
+    /// Processes a router's message to a node.
     fn node_received(
         &mut self,
         now: Ms,
@@ -54,7 +59,8 @@
         let attempt = request.attempts;
         request.attempts += 1;
         self.metrics.attempts += 1;
-        let id = NodeRequestId { router, number: number << 4 | (attempt as u64).min(15) };
+        let number_with_attempt = number << ATTEMPT_BITS | (attempt as u64).min(MAX_ATTEMPT);
+        let id = NodeRequestId { router, number: number_with_attempt };
         let arrival = request.client.arrival.clone();
         let fill_source = fields.get("from").and_then(|id| self.fleet.node_by_id(&NodeId::new(id)));
         self.checker.observe(
@@ -102,7 +108,7 @@
         }
     }
 
-    /// A node answered an attempt.
+    /// Processes a node's response to an attempt.
     pub(super) fn node_responded(&mut self, now: Ms, id: NodeRequestId, response: NodeResponse) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.attempts_by_wire_id.remove(&(attempt.conn, attempt.wire_id.clone()));
@@ -177,7 +183,7 @@
     }
 }
 
-/// The fill report of an answer on the wire.
+/// The field `note` of an answer on the wire; `None` if the node reports nothing about the fill.
 fn fill_note(report: FillReport) -> Option<&'static str> {
     match report {
         FillReport::NotReported => None,
--- a/crates/emulator/src/world/soak.rs
+++ b/crates/emulator/src/world/soak.rs
@@ -12,13 +12,13 @@
 
 /// The time between two checks of the process of a router that ends or starts.
 const PROCESS_CHECK_INTERVAL_MS: Ms = 10.0;
-/// After SIGTERM, requests are sent on open connections for this long.
+/// How long after SIGTERM requests are sent to the router on open connections.
 const REQUESTS_AFTER_TERM_MS: Ms = 200.0;
 /// The most purges in a configuration.
 const MAX_KNOWN_PURGES: usize = 200;
-/// During [`SoakFault::CacheHalf`] one answer of so many is cut.
+/// During [`SoakFault::CacheHalf`] one in this many answers is cut.
 const CUT_ANSWER_ONE_IN: f64 = 8.0;
-/// One client's request of so many is cancelled before its deadline.
+/// One in this many clients' requests is cancelled before its deadline.
 pub(super) const CANCEL_ONE_IN: f64 = 12.0;
 /// The shortest and the longest time until such a cancellation.
 pub(super) const CANCEL_DELAY_MS: [Ms; 2] = [2.0, 400.0];
@@ -40,7 +40,7 @@
 const HARNESS_DELAY_RETENTION_MS: Ms = 1_000.0;
 /// After an outage of its change log a router may need this long until it reconnects.
 const CHANGE_LOG_RECONNECT_MS: Ms = 1_000.0;
-/// The most violations of an invariant that are described.
+/// The most violations of an invariant that the report describes.
 const MAX_DESCRIBED_VIOLATIONS: usize = 5;
 
 /// A fault of a soak run.
@@ -167,9 +167,9 @@
     pub planned: BTreeMap<&'static str, u64>,
     /// The number of faults that were triggered, by name.
     pub triggered: BTreeMap<&'static str, u64>,
-    /// Missing answers that were not judged since the harness was late.
+    /// The number of missing answers that were not judged since the harness was late.
     pub unjudged: u64,
-    /// Router processes that were started.
+    /// The number of router processes that were started.
     pub processes: u64,
 }
 
--- a/crates/emulator/src/world/soak/inject.rs
+++ b/crates/emulator/src/world/soak/inject.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::net::{run_misbehaving_client, Misbehaviour};
 
-/// Connections that are opened while accepts fail, so that some of them do.
+/// The number of connections that are opened while accepts fail, so that some of them are affected.
 const CONNECTS_UNDER_FAULT: usize = 16;
 /// A fault that needs a running router is delayed by this while the router isn't up.
 const FAULT_RETRY_MS: Ms = 100.0;
@@ -141,7 +141,7 @@
     pub(in crate::world) fn release_request(&mut self, now: Ms, number: u64) {
         if let Some(request) = self.requests.get_mut(&number) {
             request.answered = true;
-            // Attempts that cross the client's leaving are no violation; later ones are judged when they are received.
+            // Attempts that cross the end of the request are no violation; later ones are judged when they are received.
             self.schedule(now + LEAVE_CROSSING_MS, WorldEvent::ClientLeft { request: number });
         }
         self.soak.iter_mut().for_each(|soak| soak.client_left(now, number));
--- a/crates/emulator/src/world/soak/routers.rs
+++ b/crates/emulator/src/world/soak/routers.rs
@@ -3,11 +3,11 @@
 use super::*;
 use serde_json::json;
 
-/// How long a process that doesn't end is waited for to log its counters.
+/// How long to wait for the counters in the log of a process that doesn't end.
 const LAST_COUNTERS_TIMEOUT: Duration = Duration::from_millis(300);
 /// The last lines of a crashed router's log that are reported.
 const REPORTED_LOG_LINES: usize = 3;
-/// Added to a router's seed for each of its processes.
+/// The difference between the seeds of two successive processes of a router.
 const SEED_STEP: u64 = 1_000;
 /// The line of a router's log that describes a violation of its own invariants.
 const OWN_VIOLATION: &str = "invariant violated";
@@ -54,7 +54,7 @@
 
     /// Restarts a router whose process ended after SIGTERM.
     fn process_ended(&mut self, now: Ms, r: usize) {
-        // The log has to be read for the wait for its end to succeed.
+        // The process's exit is waited for up to the end of its log, which therefore has to be read.
         self.routers[r].process.set_log_reading(true);
         let status = self.routers[r].process.wait_for_exit();
         if !status.is_some_and(|s| s.success()) {
--- a/crates/emulator/src/world/soak/state.rs
+++ b/crates/emulator/src/world/soak/state.rs
@@ -7,11 +7,11 @@
     /// Faults of the process's system calls; `None` if it runs without the fault injection library.
     pub faults: Option<Faults>,
     pub process_state: ProcessState,
-    /// Missing answers are not judged before this: the router was stopped.
+    /// Before this time missing answers are not judged, since the router was stopped.
     pub excused_until: Ms,
-    /// Before this, connections may break because of an injected fault.
+    /// Before this time connections may break because of an injected fault.
     pub connections_break_until: Ms,
-    /// Before this, the router receives nothing from its change log; events count as received no earlier.
+    /// Before this time the router receives nothing from its change log; events count as received no earlier.
     pub change_log_outage_end: Ms,
     /// The number of processes of the router before the current one.
     pub generation: u64,
@@ -38,11 +38,11 @@
 /// The state of a router's process.
 pub(in crate::world) enum ProcessState {
     Up,
-    /// It was sent SIGTERM.
+    /// The process was sent SIGTERM.
     Ending {
         since: Ms,
     },
-    /// Its successor is being started on another thread.
+    /// The next process is being started on another thread.
     Starting {
         started: mpsc::Receiver<Result<Process, String>>,
     },
@@ -52,11 +52,11 @@
 pub(in crate::world) struct PublishedPurge {
     pub object: Option<u64>,
     pub group: u64,
-    /// In Unix milliseconds.
+    /// The time of the purge, in Unix milliseconds.
     pub time: u64,
 }
 
-/// How late the harness was, and when.
+/// A delay of the harness: by how much it was late, and when.
 #[derive(Default)]
 struct HarnessDelay {
     delay: Ms,
--- a/crates/emulator/src/world/start.rs
+++ b/crates/emulator/src/world/start.rs
@@ -85,7 +85,7 @@
         Ok(world)
     }
 
-    /// Starts the next router, in this zone, with listeners of all nodes and a change log of its own.
+    /// Starts the next router, in this zone, with its own change log and with its own listener for each node.
     fn start_router(&self, zone: usize, binary: &Path, dir: &Path) -> Result<RouterState, String> {
         let r = self.routers.len();
         let mut node_addresses = Vec::new();
@@ -152,7 +152,7 @@
 }
 
 impl SocketRunMetrics {
-    /// Metrics of a run over so many seconds of arrivals, before its start.
+    /// The metrics before the start of a run in which requests arrive for this many seconds.
     fn new(seconds: usize) -> Self {
         Self {
             weighted_in_time_share: 0.0,
