--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Starts the tested router as a process between the emulator's stand-ins of clients, caches and the change log.
+//! Starts the tested router as a process between the emulator's stand-ins for clients, caches and the change log.
 #![allow(dead_code, unused_imports)]
 
 pub use basaltgw_emulator::process::Process;
@@ -38,7 +38,7 @@
     (reserved, address)
 }
 
-/// As `wait_until`, without a pause between checks, for a condition that acts and waits itself.
+/// Like `wait_until`, without a pause between checks: for a condition that acts and waits by itself.
 pub fn poll_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
     while !condition() {
@@ -56,7 +56,7 @@
     command.output().expect("the program runs")
 }
 
-/// Output of the program as text.
+/// The output of the program as text.
 pub fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
--- a/crates/node/tests/crossing/closing.rs
+++ b/crates/node/tests/crossing/closing.rs
@@ -41,11 +41,11 @@
 fn held_cache() -> (Cache, Arc<AtomicBool>) {
     let released = Arc::new(AtomicBool::new(false));
     let released_flag = Arc::clone(&released);
-    let edge = Cache::start(move |s| {
+    let edge = Cache::start(move |fetch| {
         while !released_flag.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(2));
         }
-        FetchBehaviour::Ok(part_body(s))
+        FetchBehaviour::Ok(part_body(fetch))
     });
     (edge, released)
 }
@@ -63,9 +63,9 @@
 
 /// A client with a small receive buffer, so that answers are buffered in the router.
 fn slow_reader(router: &Process) -> Client {
-    let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
+    let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket is created");
     sockopt::set_socket_recv_buffer_size(&socket, 4096).expect("a small receive buffer");
-    connect(&socket, &router.address).expect("a connection");
+    connect(&socket, &router.address).expect("the router accepts a connection");
     Client::new(TcpStream::from(socket))
 }
 
@@ -76,9 +76,9 @@
 
 /// Whether neither bytes nor a close have arrived.
 fn is_open(client: &Client) -> bool {
-    client.socket.set_nonblocking(true).expect("a socket");
+    client.socket.set_nonblocking(true).expect("the socket takes the option");
     let received = client.socket.peek(&mut [0; 1]).map_err(|e| e.kind());
-    client.socket.set_nonblocking(false).expect("a socket");
+    client.socket.set_nonblocking(false).expect("the socket takes the option");
     received == Err(ErrorKind::WouldBlock)
 }
 
@@ -96,7 +96,7 @@
     let id = "00000000000000aa";
     let fields = format!("i={id},d=5000,o={id},nth=0,batch=17");
     let repeated = basaltgw_node::resp::encode(&[b"DO", b"1", b"pages", fields.as_bytes(), b""]);
-    let mut socket = client.socket.try_clone().expect("a socket");
+    let mut socket = client.socket.try_clone().expect("the socket is duplicated");
     let writer = thread::spawn(move || socket.write_all(&[repeated, pings(5000)].concat()));
     wait_until("the router closes the connection", || harness.router.counter("closed_broken_rule") == 1);
     let _ = writer.join().expect("the writer thread ends");
@@ -110,9 +110,9 @@
 fn malformed_bytes_fail_open_requests_and_lose_no_written_answer() {
     let released = Arc::new(AtomicBool::new(false));
     let released_flag = Arc::clone(&released);
-    let harness = start_router(Cache::start(move |s| match s.field("k") {
+    let harness = start_router(Cache::start(move |fetch| match fetch.field("k") {
         Some("0000000000000001") => FetchBehaviour::Ok(vec![b'x'; 100_000]),
-        _ => FetchBehaviour::OkOnRelease { released: Arc::clone(&released_flag), body: part_body(s) },
+        _ => FetchBehaviour::OkOnRelease { released: Arc::clone(&released_flag), body: part_body(fetch) },
     }));
     let mut client = slow_reader(&harness.router);
     client.send_request(1, "pages", 1, "", b"");
--- a/crates/node/tests/crossing/leaving.rs
+++ b/crates/node/tests/crossing/leaving.rs
@@ -105,16 +105,16 @@
         Self { router: router(&config), edge, others: [second, parent, origin], _log: log }
     }
 
-    /// A client whose messages are each sent at once.
+    /// Connects a client whose socket sends each message at once.
     fn client(&self) -> Client {
         let client = self.router.client();
-        client.socket.set_nodelay(true).expect("a socket");
+        client.socket.set_nodelay(true).expect("the socket takes the option");
         client
     }
 
     /// The request ids of all fetches at all caches.
     fn fetched(&self) -> Vec<String> {
-        self.others.iter().chain([&self.edge]).flat_map(Cache::fetches).map(|s| s.id).collect()
+        self.others.iter().chain([&self.edge]).flat_map(Cache::fetches).map(|fetch| fetch.id).collect()
     }
 
     /// Sends requests of another client until the edge cache has served one. Earlier requests that waited for the single connection to that
@@ -126,7 +126,7 @@
             tag += 1;
             ids.push(other.send_request_with_deadline(DEADLINE_MS, tag, "pages", 100 + tag, "", b""));
             assert_eq!(other.expect_answer().status, "200");
-            self.edge.fetches().iter().any(|s| ids.contains(&s.id))
+            self.edge.fetches().iter().any(|fetch| ids.contains(&fetch.id))
         });
         assert_eq!(other.answers_before_pong(), []);
     }
@@ -147,7 +147,7 @@
         held.wait();
         ProbeBehaviour::Yes
     };
-    Cache::start_with_probes(answer_probe, |s| FetchBehaviour::Ok(part_body(s)))
+    Cache::start_with_probes(answer_probe, |fetch| FetchBehaviour::Ok(part_body(fetch)))
 }
 
 /// Fills a listener's backlog, until no connection comes up any more.
@@ -299,9 +299,9 @@
             let latch = Latch::default();
             let (answer_latch, received) = (latch.clone(), Latch::default());
             let received_latch = received.clone();
-            let behaviour = move |s: &ReceivedFetch| {
+            let behaviour = move |fetch: &ReceivedFetch| {
                 if answer_latch.is_released() {
-                    return FetchBehaviour::Ok(part_body(s));
+                    return FetchBehaviour::Ok(part_body(fetch));
                 }
                 received_latch.release();
                 answer_latch.wait();
--- a/crates/node/tests/crossing/leaving/memory.rs
+++ b/crates/node/tests/crossing/leaving/memory.rs
@@ -6,15 +6,15 @@
 /// released by the first fetch of that object.
 fn start_router_with_delayed_writes(writes: &Latch, misses: &Latch, received: &Latch) -> RouterHarness {
     let (writes, misses, received) = (writes.clone(), misses.clone(), received.clone());
-    let behaviour = move |s: &ReceivedFetch| {
-        if s.field("c") == Some("loan") {
+    let behaviour = move |fetch: &ReceivedFetch| {
+        if fetch.field("c") == Some("loan") {
             writes.wait();
-        } else if s.field("k") == Some("0000000000000001") && !misses.is_released() {
+        } else if fetch.field("k") == Some("0000000000000001") && !misses.is_released() {
             received.release();
             misses.wait();
             return FetchBehaviour::Answer { status: "nothing", fields: "note=src_lacks" };
         }
-        FetchBehaviour::Ok(part_body(s))
+        FetchBehaviour::Ok(part_body(fetch))
     };
     // A connection with an unanswered write counts as silent after 0.8 s and gets no more requests, so each write has its own connection.
     let limits = |c: &mut Value| {
--- a/crates/node/tests/crossing/leaving/socket_table.rs
+++ b/crates/node/tests/crossing/leaving/socket_table.rs
@@ -7,7 +7,9 @@
 /// The bytes in the queues of a socket.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) struct QueuedBytes {
+    /// Sent, and not yet acknowledged by the peer's kernel.
     pub(super) unacknowledged: u64,
+    /// Received, and not yet read by the process.
     pub(super) unread: u64,
 }
 
--- a/crates/node/tests/crossing/retries.rs
+++ b/crates/node/tests/crossing/retries.rs
@@ -6,26 +6,26 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Lets the window of an idempotency key end while the retry of its request waits for a connection, with other requests queued behind it.
-/// Returns false if the machine was so slow that none of those was sent on that connection, which gets no new requests after 0.8 s of
-/// silence.
+/// Asserts that a request is not sent again if the window of its idempotency key ends while its retry waits for a connection, with other
+/// requests queued behind it. Returns whether one of those was sent on that connection: on a slow machine none is, since a connection gets no
+/// new requests after 0.8 s of silence.
 fn run_probe_answered_after_key_window() -> bool {
     // Long enough for a busy machine to start the second attempt within the window.
     const WINDOW_MS: u64 = 3_000;
     let (first, conns) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
     let edge = || {
         let (first, conns) = (Arc::clone(&first), Arc::clone(&conns));
-        // The first connection answers its probe at once, the others when the test lets them.
-        let probe_answer = move |_| {
+        // The first connection answers its probe at once, the others once the test sets `resume`.
+        let probe = move |_| {
             if conns.fetch_add(1, Ordering::SeqCst) == 0 {
                 ProbeBehaviour::Yes
             } else {
                 ProbeBehaviour::BlockThenYes
             }
         };
-        Cache::start_with_probes(probe_answer, move |s| match first.swap(false, Ordering::SeqCst) {
+        Cache::start_with_probes(probe, move |fetch| match first.swap(false, Ordering::SeqCst) {
             true => FetchBehaviour::Answer { status: "error", fields: "-" },
-            false => FetchBehaviour::Ok(part_body(s)),
+            false => FetchBehaviour::Ok(part_body(fetch)),
         })
     };
     let edges = [edge(), edge()];
@@ -45,19 +45,19 @@
         fetches().len() == 1 && conns.load(Ordering::SeqCst) == 2 && router.counter("attempts") == 2
     });
     let (id, window_end) = (fetches()[0].id.clone(), fetches()[0].received_ms + WINDOW_MS);
-    // These requests are queued behind it on its connection.
+    // These requests are queued behind the retry, on its connection.
     (2..=9).for_each(|tag| drop(client.send_request_with_deadline(30_000, tag, "pages", tag, "", b"")));
     wait_until("the window of the key is over", || unix_ms() > window_end);
     edges.iter().for_each(|edge| edge.resume.store(true, Ordering::SeqCst));
     let answers: BTreeMap<u64, String> =
-        (0..9).map(|_| client.expect_answer()).map(|g| (g.tag, g.status)).collect();
+        (0..9).map(|_| client.expect_answer()).map(|answer| (answer.tag, answer.status)).collect();
     assert_eq!(answers.len(), 9);
     assert!(
         answers.iter().all(|(tag, status)| status == if *tag == 1 { "503" } else { "200" }),
         "{answers:?}"
     );
     assert_eq!(
-        fetches().iter().filter(|s| s.id == id).count(),
+        fetches().iter().filter(|fetch| fetch.id == id).count(),
         1,
         "the request was sent again after its window"
     );
@@ -65,9 +65,9 @@
     assert_eq!(client.answers_before_pong(), []);
     let other = edges
         .iter()
-        .find(|edge| edge.fetches().iter().all(|s| s.id != id))
+        .find(|edge| edge.fetches().iter().all(|fetch| fetch.id != id))
         .expect("one edge cache never got the request");
-    other.fetches().iter().any(|s| s.connection == 1)
+    other.fetches().iter().any(|fetch| fetch.connection == 1)
 }
 
 #[test]
@@ -102,7 +102,8 @@
 /// both. Returns after how many milliseconds the first was answered; `None` if the machine was too slow to send it within its deadline, or
 /// to send both on one connection.
 fn run_short_deadline(class: &str, status: &str) -> Option<u64> {
-    let (router, caches) = router_before_caches(|s| FetchBehaviour::BlockThenOk(part_body(s)), |_| {});
+    let (router, caches) =
+        router_before_caches(|fetch| FetchBehaviour::BlockThenOk(part_body(fetch)), |_| {});
     let mut client = router.client();
     let sent_at = unix_ms();
     client.send_request_with_deadline(150, 1, class, 1, "", b"body of it");
@@ -145,7 +146,7 @@
 #[test]
 fn answer_or_reset_after_a_cancellation_has_no_effect() {
     let behaviours: [fn(&ReceivedFetch) -> FetchBehaviour; 2] =
-        [|s| FetchBehaviour::BlockThenOk(part_body(s)), |_| FetchBehaviour::BlockThenReset];
+        [|fetch| FetchBehaviour::BlockThenOk(part_body(fetch)), |_| FetchBehaviour::BlockThenReset];
     for behaviour in behaviours {
         for class in ["pages", "loan"] {
             let (router, caches) = router_before_caches(behaviour, |_| {});
--- a/crates/node/tests/crossing/settings.rs
+++ b/crates/node/tests/crossing/settings.rs
@@ -37,9 +37,9 @@
     let released = Arc::new(AtomicBool::new(false));
     let released_flag = Arc::clone(&released);
     (
-        Cache::start(move |s| FetchBehaviour::OkOnRelease {
+        Cache::start(move |fetch| FetchBehaviour::OkOnRelease {
             released: Arc::clone(&released_flag),
-            body: part_body(s),
+            body: part_body(fetch),
         }),
         released,
     )
@@ -62,15 +62,16 @@
     client.send_request_with_deadline(150, 6, "pay", 6, "", b"pay");
     // Both caches hold their requests: all six requests are answered without them.
     let answers: BTreeMap<u64, String> =
-        (0..6).map(|_| client.expect_answer()).map(|g| (g.tag, g.status)).collect();
+        (0..6).map(|_| client.expect_answer()).map(|answer| (answer.tag, answer.status)).collect();
     assert!(!first_released.load(Ordering::SeqCst) && !second_released.load(Ordering::SeqCst));
     for tag in [1, 2, 3, 4] {
         assert_eq!(answers[&tag], "503", "{answers:?}");
     }
     // A request that has a narrow key scope, or must not be repeated, fails if it was sent, since it may have been executed. The server may
     // read it only later.
-    let was_sent =
-        |class| [&first, &second].iter().any(|c| c.fetches().iter().any(|s| s.field("c") == Some(class)));
+    let was_sent = |class| {
+        [&first, &second].iter().any(|c| c.fetches().iter().any(|fetch| fetch.field("c") == Some(class)))
+    };
     let writes = [(5, "tap"), (6, "pay")];
     for (tag, class) in writes {
         assert!(["500", "503"].contains(&answers[&tag].as_str()), "{answers:?}");
@@ -97,12 +98,12 @@
     // Each request is rejected once, which proves that it was not executed; after that it fails in a way that proves nothing.
     let behaviour = {
         let results = Arc::clone(&results);
-        move |s: &ReceivedFetch| {
+        move |fetch: &ReceivedFetch| {
             let mut results = results.lock().expect("lock");
-            let own_results = results.entry(s.id.clone()).or_default();
+            let own_results = results.entry(fetch.id.clone()).or_default();
             own_results.push(if own_results.is_empty() { "refused" } else { "error" });
-            match (s.field("c"), own_results.len()) {
-                (Some("fares"), 3..) => FetchBehaviour::Ok(part_body(s)),
+            match (fetch.field("c"), own_results.len()) {
+                (Some("fares"), 3..) => FetchBehaviour::Ok(part_body(fetch)),
                 (_, n) => {
                     FetchBehaviour::Answer { status: if n == 1 { "refused" } else { "error" }, fields: "-" }
                 }
@@ -168,13 +169,14 @@
     let open: Arc<Mutex<BTreeMap<usize, usize>>> = Arc::default();
     let behaviour = {
         let (released_flag, open) = (Arc::clone(&released), Arc::clone(&open));
-        move |s: &ReceivedFetch| {
-            *open.lock().expect("lock").entry(s.connection).or_default() += 1;
+        move |fetch: &ReceivedFetch| {
+            *open.lock().expect("lock").entry(fetch.connection).or_default() += 1;
             match released_flag.load(Ordering::SeqCst) {
-                true => FetchBehaviour::Ok(part_body(s)),
-                false => {
-                    FetchBehaviour::OkOnRelease { released: Arc::clone(&released_flag), body: part_body(s) }
-                }
+                true => FetchBehaviour::Ok(part_body(fetch)),
+                false => FetchBehaviour::OkOnRelease {
+                    released: Arc::clone(&released_flag),
+                    body: part_body(fetch),
+                },
             }
         }
     };
@@ -205,7 +207,7 @@
         router.log_text()
     );
     released.store(true, Ordering::SeqCst);
-    let mut tags: Vec<u64> = (0..capacity).map(|_| client.expect_answer()).map(|g| g.tag).collect();
+    let mut tags: Vec<u64> = (0..capacity).map(|_| client.expect_answer()).map(|answer| answer.tag).collect();
     tags.sort_unstable();
     assert_eq!(tags, (1..=capacity).collect::<Vec<_>>());
     client.send_request_with_deadline(60_000, 99, "fares", 99, "", b"");
--- a/crates/node/tests/crossing/stops.rs
+++ b/crates/node/tests/crossing/stops.rs
@@ -1,5 +1,5 @@
-//! The router process is stopped for a while, or an attempt waits for its connection: the deadlines that are forwarded after that, and the
-//! attempts that are no longer started.
+//! Pauses of the router process, and waits of attempts for their connections: the deadline that a cache is sent is reduced by the pause, and
+//! a request whose client disconnected during it is not sent.
 
 use crate::common::*;
 use serde_json::json;
@@ -13,9 +13,9 @@
 const DEADLINE_MS: u64 = 4_000;
 
 /// A router in front of three caches that answer the probe of a new connection like this.
-fn router_before_caches(proof: ProbeBehaviour) -> (Process, [Cache; 3]) {
-    let caches =
-        [(); 3].map(|()| Cache::start_with_probes(move |_| proof, |s| FetchBehaviour::Ok(part_body(s))));
+fn router_before_caches(probe: ProbeBehaviour) -> (Process, [Cache; 3]) {
+    let caches = [(); 3]
+        .map(|()| Cache::start_with_probes(move |_| probe, |fetch| FetchBehaviour::Ok(part_body(fetch))));
     let log = ChangeLog::start();
     let mut config = configuration(&edge_parent_origin(&caches[0], &caches[1], &caches[2]), log.address);
     config["settings"]["limits"]["connect-timeout"] = json!(20_000.0);
--- a/crates/node/tests/crossing/watches.rs
+++ b/crates/node/tests/crossing/watches.rs
@@ -71,7 +71,7 @@
     harness.log.heartbeats_carry_newest.store(true, Ordering::SeqCst);
     harness.log.events_withheld_up_to.store(usize::MAX, Ordering::SeqCst);
     harness.log.publish(2, PURGE_OBJECT, &purge(77));
-    // Reconnects follow after 0.1, 0.2, 0.4, 0.8 and 1.6 s.
+    // Reconnects follow after 0.1, 0.2, 0.4, 0.8 and 1.6 s, 3.1 s in all.
     wait_until("the router has reconnected several times", || connection_count(&harness.log) >= 6);
     assert!(start.elapsed() >= Duration::from_millis(3100), "{:?}", start.elapsed());
     assert_eq!(harness.router.counter("purges"), 0);
@@ -92,7 +92,7 @@
     harness.log.silent_up_to.store(2, Ordering::SeqCst);
     harness.log.publish(2, PURGE_OBJECT, &purge(77));
     wait_until("the event is received", || harness.router.counter("purges") == 1);
-    // An event counts as received 4 s after the watch stopped, so it has to arrive before that.
+    // From 4 s after its watch stopped, a router counts as notified of every event: the purge has to be received before that.
     assert!(stopped.elapsed() < Duration::from_secs(4), "{:?}", stopped.elapsed());
     assert_eq!((connection_count(&harness.log), harness.router.counter("log_quiet")), (3, 2));
 }
@@ -245,11 +245,11 @@
         client.send_request(t, "pages", t * 7919, "", b"");
     });
     let answers: Vec<ClientAnswer> = (0..20).map(|_| client.expect_answer()).collect();
-    let mut tags: Vec<u64> = answers.iter().map(|g| g.tag).collect();
+    let mut tags: Vec<u64> = answers.iter().map(|answer| answer.tag).collect();
     tags.sort_unstable();
     assert_eq!(tags, (from..from + 20).collect::<Vec<_>>());
     assert_eq!(client.answers_before_pong(), []);
-    answers.iter().filter(|g| g.status == "200").count()
+    answers.iter().filter(|answer| answer.status == "200").count()
 }
 
 // ---- No change log ----
@@ -270,8 +270,8 @@
     let log = ChangeLog::start();
     log.down.store(true, Ordering::SeqCst);
     let harness = start_router_with(log, |c| c["known"] = json!({"seq": 0, "results": []}));
-    // By then the pause between tries is the longest.
-    wait_until("the router has tried several times", || harness.router.counter("log_lost") >= 7);
+    // By then the backoff between connects is the longest.
+    wait_until("the router has failed to connect several times", || harness.router.counter("log_lost") >= 7);
     let mut client = harness.router.client();
     client.send_message("PING", 1);
     assert_eq!(client.expect_answer().status, "not_serving");
--- a/crates/node/tests/crossing/watches/lists.rs
+++ b/crates/node/tests/crossing/watches/lists.rs
@@ -99,7 +99,7 @@
     assert_eq!(request_objects(&mut client, 101), 20);
     let later_fetches = harness.edge.fetches().split_off(before);
     assert!(
-        !later_fetches.is_empty() && later_fetches.iter().all(|s| s.connection > old),
+        !later_fetches.is_empty() && later_fetches.iter().all(|fetch| fetch.connection > old),
         "the connections of the removed server are not reused"
     );
 }
--- a/crates/node/tests/fleet/crossings.rs
+++ b/crates/node/tests/fleet/crossings.rs
@@ -6,7 +6,7 @@
 use basaltgw_emulator::rig::{ClientConnection, Outcome, RequestNumber, Spec};
 use std::time::{Duration, Instant};
 
-/// The bytes that a router has sent to each other router, as taken in by the links.
+/// The bytes that a router has sent to each other router, as the links have received them.
 fn sent_bytes(fleet: &FleetHarness, router: usize) -> Vec<u64> {
     let others = (0..fleet.rig.len()).filter(|o| *o != router);
     others.map(|o| fleet.rig.router_link(router, o).statistics().received_bytes).collect()
@@ -23,7 +23,8 @@
     });
 }
 
-/// Resets all links of a router, with the messages on them, and waits until that has happened. They must not have been reset before.
+/// Resets all links of a router, so that the messages that they hold back are lost, and waits until each pair of links was reset. The links
+/// must not have been reset before, since the wait is for a first reset.
 fn reset_links(fleet: &FleetHarness, router: usize) {
     for o in other_routers(fleet, router) {
         fleet.rig.router_link(router, o).reset_connections();
@@ -48,9 +49,12 @@
     let requests: Vec<_> = clients.iter().zip(ids).map(|(c, id)| c.checkout(id, DEADLINE_MS)).collect();
     wait_until("all leases are requested", || counter(fleet, router, "holds_rounds") >= rounds);
     other_routers(fleet, router).iter().for_each(|o| fleet.rig.router_link(router, *o).set_cut(true));
-    // Heartbeats are few and small; a lease request is retransmitted until it is answered, and so is a commit.
-    let has_grown =
-        |now: Vec<u64>, was: &[u64]| now.iter().zip(was).filter(|(n, w)| **n > **w + 300).count() >= 3;
+    // Heartbeats are few and small, so that growth beyond this on several links is due to leases; a lease request is retransmitted until it is
+    // answered, and so is a commit.
+    const HEARTBEAT_BYTES: u64 = 300;
+    let has_grown = |now: Vec<u64>, before: &[u64]| {
+        now.iter().zip(before).filter(|(now, before)| **now > **before + HEARTBEAT_BYTES).count() >= 3
+    };
     let received_bytes = |fleet: &FleetHarness| -> Vec<u64> {
         other_routers(fleet, router)
             .iter()
@@ -69,7 +73,7 @@
     assert!(ids.iter().all(|id| fleet.rig.archive.executions(id) == 0));
 }
 
-/// Presents checkouts to a router again until all are executed, or until some have been for 2 s and the others are still rejected.
+/// Presents checkouts to a router again until all are executed, or for 2 s after the first execution if the others are still rejected.
 fn retry_until_executed(fleet: &FleetHarness, ids: &[String], clients: &[ClientConnection]) {
     let mut requests: Vec<Option<RequestNumber>> = ids.iter().map(|_| None).collect();
     let (start, mut first_executed) = (Instant::now(), None);
@@ -95,7 +99,7 @@
 #[test]
 fn lease_taken_after_a_rejection_is_not_released_while_it_runs() {
     let mut fleet = start_fleet_with(Spec::new(binary(), 5));
-    // Of some registers the router is not a replica: then its own disk has no record of the first lease.
+    // The router is not a replica of some of the registers; its own disk has no record of the first lease in these.
     let ids: Vec<String> = (0..10).map(|_| fleet.new_id()).collect();
     fleet.set_effect_duration_ms(30_000);
     reject_after_partial_commit(&mut fleet, 0, &ids);
--- a/crates/node/tests/fleet/cuts.rs
+++ b/crates/node/tests/fleet/cuts.rs
@@ -152,6 +152,6 @@
     fleet.rig.start_router(0).expect("the router starts");
     fleet.wait_until_serving(0);
     fleet.serve_eventually(0);
-    assert_eq!(fleet.rig.history.count_events(|s| matches!(s, Event::ConnectionLost(_))), 0);
+    assert_eq!(fleet.rig.history.count_events(|event| matches!(event, Event::ConnectionLost(_))), 0);
     fleet.assert_history();
 }
--- a/crates/node/tests/fleet/harness.rs
+++ b/crates/node/tests/fleet/harness.rs
@@ -50,7 +50,7 @@
 
     /// Connects a client to a router.
     pub fn connect_client(&self, router: usize) -> ClientConnection {
-        self.rig.connect_client(router).expect("a connection")
+        self.rig.connect_client(router).expect("the router accepts a connection")
     }
 
     /// The outcome of a request: `None` if its connection was lost.
--- a/crates/node/tests/fleet/replaced.rs
+++ b/crates/node/tests/fleet/replaced.rs
@@ -12,7 +12,8 @@
         fleet.rig.change_peer_address(lost).expect("a free port");
         fleet.rig.start_router(lost).expect("the router starts");
         fleet.wait_until_serving(lost);
-        // A lease may be on only two of three disks: if its replicas were not restored between the losses, the next two would remove it.
+        // A lease may be on only two of the three disks. It survives the loss of one after the other only if its replicas are restored between
+        // the losses.
         assert!(
             fleet.rig.wait_until_replicated(lost, &before),
             "the replicas are not restored: {}\n{}",
--- a/crates/node/tests/fleet/sparse.rs
+++ b/crates/node/tests/fleet/sparse.rs
@@ -6,15 +6,16 @@
 use serde_json::{json, Value};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
+/// The routers of each fleet; they are in three branches in turn.
 const ROUTERS: usize = 9;
 
-/// Lets one fleet of this size run at a time, since the machine runs other tests beside it.
+/// Waits until no other fleet of this size runs, since the machine runs other tests at the same time.
 fn exclusive() -> MutexGuard<'static, ()> {
     static LOCK: Mutex<()> = Mutex::new(());
     LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Idle links are closed soon, and messages between routers are sent in small batches.
+/// Settings with `mesh` or `standing` links. Batches are short, and with standing links idle ones are closed after 1 s.
 fn settings(links: &str) -> Value {
     let mut overlay = json!({"batch_ms": 100, "links": links});
     if links == "standing" {
@@ -44,14 +45,17 @@
     });
 }
 
+/// A counter of a router.
 fn count(fleet: &FleetHarness, router: usize, name: &str) -> u64 {
     fleet.rig.counters(router).get(name).copied().unwrap_or(0.0) as u64
 }
 
+/// The number of links that each router has up.
 fn links(fleet: &FleetHarness) -> Vec<u64> {
     (0..ROUTERS).map(|r| count(fleet, r, "peers_up")).collect()
 }
 
+/// Reads an object through a router; returns the outcome.
 fn read(fleet: &mut FleetHarness, router: usize, object: u64) -> Option<Outcome> {
     let (id, client) = (fleet.new_id(), fleet.connect_client(router));
     fleet.wait_for_outcome(client.read(&id, object, DEADLINE_MS))
@@ -177,7 +181,7 @@
         let (id, client) = (fleet.new_id(), fleet.connect_client(owner));
         let request = client.checkout(&id, 4 * DEADLINE_MS);
         fleet.wait_until_executed(&id);
-        // Another router asks for it while it is executed, and must not take the lease from its owner.
+        // Another router gets the same checkout while it is executed, and must not take the lease from its owner.
         let other = fleet.connect_client((owner + 4) % ROUTERS);
         let early = fleet.wait_for_outcome(other.checkout(&id, 1_000));
         assert!(!matches!(early, Some(Outcome::Served(_))), "{early:?}");
@@ -230,7 +234,6 @@
     let _guard = exclusive();
     let mut fleet = idle_fleet_with_standing_links();
     let served_checkouts: Vec<_> = (0..ROUTERS).map(|r| fleet.serve_eventually(r)).collect();
-    // The routers are in three branches in turn.
     let cut_branch = [1, 4, 7];
     let rest: Vec<usize> = (0..ROUTERS).filter(|r| !cut_branch.contains(r)).collect();
     cut_branch.iter().for_each(|r| fleet.rig.partition(*r, &rest));
--- a/crates/node/tests/gather.rs
+++ b/crates/node/tests/gather.rs
@@ -14,6 +14,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
+/// Placement rules of three replicas each, and the scatter-gather rule of the class `pages`.
 const RULES: &str = "holds { shards 16 copies 3 spread machines }\nroot { copies 3 spread machines }\n\
                      gather class pages { at least 50% of parts  wait 300 ms  missing owed }\n";
 
@@ -44,13 +45,13 @@
         let cache = |r: usize| {
             let version = Arc::clone(&versions[r]);
             let branch = spec.locations[r].branch.clone();
-            Cache::start(move |s| {
+            Cache::start(move |fetch| {
                 let version = version.load(Ordering::SeqCst);
                 let fields = format!("ver=v{version},born={born},note=hit,waited=0");
                 FetchBehaviour::OkWithFields {
                     delay_ms: 0,
                     fields,
-                    body: part_bytes(s.field("p").unwrap_or("?"), &branch),
+                    body: part_bytes(fetch.field("p").unwrap_or("?"), &branch),
                 }
             })
         };
@@ -114,7 +115,10 @@
     assert_eq!(client.answers_before_pong(), []);
     for (r, part) in [(0, "0"), (1, "1"), (2, "3")] {
         let fetches = fleet.caches[r].fetches();
-        assert!(fetches.iter().all(|s| s.field("p") == Some(part)) && !fetches.is_empty(), "{fetches:?}");
+        assert!(
+            fetches.iter().all(|fetch| fetch.field("p") == Some(part)) && !fetches.is_empty(),
+            "{fetches:?}"
+        );
     }
     assert_eq!(fleet.router(0).counter("gathers_whole"), 1);
     assert_eq!(fleet.router(1).counter("parts_given") + fleet.router(2).counter("parts_given"), 2);
@@ -223,7 +227,7 @@
     client.send_request(2, "pages", 9, ",parts=2@east", b"");
     client.send_message("UNDO", 2);
     let rest = client.answers_before_pong();
-    assert!(rest.iter().all(|g| g.status != "200"), "{rest:?}");
+    assert!(rest.iter().all(|answer| answer.status != "200"), "{rest:?}");
     let counter = |c: &str| fleet.router(0).counter(c);
     assert_eq!(counter("gathers_left") + rest.len() as u64, 1);
     fleet.router(2).signal("CONT");
--- a/crates/node/tests/keyed.rs
+++ b/crates/node/tests/keyed.rs
@@ -28,8 +28,9 @@
     assert_eq!(client.expect_answer().status, "200");
     client.send_request(2, "loan", 2, "", b"borrow");
     assert_eq!(client.expect_answer().status, "200");
-    let keys =
-        |cache: &Cache| cache.fetches().iter().map(|s| s.field("i").map(str::to_string)).collect::<Vec<_>>();
+    let keys = |cache: &Cache| {
+        cache.fetches().iter().map(|fetch| fetch.field("i").map(str::to_string)).collect::<Vec<_>>()
+    };
     assert_eq!(keys(&origin), [Some(KEY.to_string()), None]);
     assert_eq!(keys(&parent), [Some(KEY.to_string()), None]);
     assert_eq!(client.answers_before_pong(), []);
--- a/crates/node/tests/placement.rs
+++ b/crates/node/tests/placement.rs
@@ -22,9 +22,9 @@
         "fleet:\n  cluster: t\n  name: r1\n  branch: b1\n  machine: m1\n  listen: 127.0.0.1:17101\n  \
          folder: lasting\n  rules: {name}.rules\n  peers:\n{peers}"
     );
-    std::fs::write(dir.join(format!("{name}.rules")), rules).expect("the file is accessible");
+    std::fs::write(dir.join(format!("{name}.rules")), rules).expect("the file is written");
     let file = dir.join(format!("{name}.yaml"));
-    std::fs::write(&file, yaml).expect("the file is accessible");
+    std::fs::write(&file, yaml).expect("the file is written");
     file
 }
 
@@ -33,7 +33,7 @@
     let dir = tempfile::tempdir().expect("a temporary directory");
     let config = dir.path().join("router.json");
     std::fs::write(&config, configuration(&[], ChangeLog::start().address).to_string())
-        .expect("the file is accessible");
+        .expect("the file is written");
     let check = |settings: PathBuf| {
         run(&["check-config", "--with", &settings.display().to_string()], config.to_str())
     };
@@ -112,7 +112,7 @@
 }
 
 fn checkout(rig: &Rig, router: usize, id: &str) -> Option<Outcome> {
-    let client = rig.connect_client(router).expect("a connection");
+    let client = rig.connect_client(router).expect("the router accepts a connection");
     rig.history.wait_for_outcome(client.checkout(id, DEADLINE_MS), WAIT_LIMIT).expect("the request ended")
 }
 
@@ -125,22 +125,22 @@
     let (mut rig, id, bytes) = bootstrapped_fleet();
     let file = rules_file(&rig);
     // Rules that the fleet can't meet are rejected with their position, and nothing changes.
-    std::fs::write(&file, INITIAL_RULES.replace("copies 3", "copies 5")).expect("the file is accessible");
+    std::fs::write(&file, INITIAL_RULES.replace("copies 3", "copies 5")).expect("the file is written");
     rig.routers[0].reload();
     wait_until("the rules are rejected", || rig.routers[0].has_logged("fleet.rules:1:"));
     wait_until("the rejection is counted", || rig.counters(0).get("reloads_refused") == Some(&1.0));
     // New rules are not adopted together with another change of the section.
     let settings = rig.routers[0].data_folder.with_file_name("router-0.yaml");
-    let before = std::fs::read_to_string(&settings).expect("the file is accessible");
+    let before = std::fs::read_to_string(&settings).expect("the file is written");
     std::fs::write(&settings, before.replace("\"copies\": 3", "\"copies\": 3, \"shards\": 9"))
-        .expect("the file is accessible");
-    std::fs::write(&file, NEW_RULES).expect("the file is accessible");
+        .expect("the file is written");
+    std::fs::write(&file, NEW_RULES).expect("the file is written");
     rig.routers[0].reload();
     wait_until("the router warns about the other change", || {
         rig.routers[0].has_logged("only the rules of fleet can change")
     });
     assert!(!rig.routers[0].has_logged("proposed to the fleet"));
-    std::fs::write(&settings, before).expect("the file is accessible");
+    std::fs::write(&settings, before).expect("the file is written");
     rig.routers[0].reload();
     wait_until("all routers have table version 2", || (0..3).all(|r| version(&rig, r) == 2.0));
     wait_until("all routers log the new table", || {
@@ -159,12 +159,12 @@
     let file = rules_file(&rig);
     // While one router does not answer, the first proposal is still in progress when the second is made.
     rig.suspend(2);
-    std::fs::write(&file, NEW_RULES).expect("the file is accessible");
+    std::fs::write(&file, NEW_RULES).expect("the file is written");
     rig.routers[0].reload();
     wait_until("the proposal of the first router reaches another router", || {
         rig.routers[1].has_logged(" by r1 is ")
     });
-    std::fs::write(&file, format!("{NEW_RULES}# others\n")).expect("the file is accessible");
+    std::fs::write(&file, format!("{NEW_RULES}# others\n")).expect("the file is written");
     rig.routers[1].reload();
     wait_until("the proposal of the second router is rejected", || {
         rig.routers[1].has_logged("new rules rejected: ")
--- a/crates/node/tests/reader.rs
+++ b/crates/node/tests/reader.rs
@@ -33,8 +33,8 @@
 impl ReaderHarness {
     fn new(queue_capacity: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let client_side =
-            TcpStream::connect(listener.local_addr().expect("a local address")).expect("a connection");
+        let client_side = TcpStream::connect(listener.local_addr().expect("a local address"))
+            .expect("the listener accepts a connection");
         let router_side = listener.accept().expect("an accepted connection").0;
         let (queue, inputs) = async_channel::bounded(queue_capacity);
         let context = ConnectionContext {
--- a/crates/node/tests/restarted_caches/cold.rs
+++ b/crates/node/tests/restarted_caches/cold.rs
@@ -20,15 +20,17 @@
 const MULTIPLE: f64 = 4.0;
 const WARM_AFTER_MS: f64 = 60_000.0;
 const WINDOW_MS: u64 = 3000;
+/// The server id of the third warm cache.
+const EDGE_3: u32 = 0x0f;
 /// The server id of the cache that starts cold.
 const COLD_ID: u32 = 0x0e;
 
 /// A cache that needs the mean work for each answer.
 fn working_cache() -> Cache {
-    Cache::start(|s| FetchBehaviour::OkWithFields {
+    Cache::start(|fetch| FetchBehaviour::OkWithFields {
         delay_ms: WORK_MS,
         fields: "ver=1,born=1,note=hit,waited=0".into(),
-        body: part_body(s),
+        body: part_body(fetch),
     })
 }
 
@@ -99,12 +101,12 @@
 
     fn configuration(&self, routers: usize, number: usize, cold_since: Option<u64>) -> Value {
         let listed =
-            [(EDGE, &self.warm[0]), (EDGE_2, &self.warm[1]), (0x0f, &self.warm[2]), (COLD_ID, &self.cold)];
+            [(EDGE, &self.warm[0]), (EDGE_2, &self.warm[1]), (EDGE_3, &self.warm[2]), (COLD_ID, &self.cold)];
         let mut servers: Vec<ListedServer> =
             listed.iter().map(|(id, c)| ListedServer { id: *id, address: c.address, kind: "box" }).collect();
         servers.push(ListedServer { id: PARENT, address: self.fill_sources[0].address, kind: "parent" });
         servers.push(ListedServer { id: ORIGIN, address: self.fill_sources[1].address, kind: "origin" });
-        servers.retain(|s| s.id != COLD_ID || cold_since.is_some());
+        servers.retain(|server| server.id != COLD_ID || cold_since.is_some());
         let mut config = configuration(&servers, self.log.address);
         // Routers take turns at the cold cache by their seeds, which differ between processes.
         config["seed"] = json!(format!("{:x}", 0x8c1f_30d2_7a5b * (number as u64 + 1)));
@@ -128,8 +130,8 @@
         let generation = self.loads.len() + 1;
         let configs: Vec<Value> =
             (0..routers).map(|n| self.configuration(routers, n + routers * generation, cold_since)).collect();
-        self.routers = thread::scope(|s| {
-            let all: Vec<_> = configs.iter().map(|c| s.spawn(move || router(c))).collect();
+        self.routers = thread::scope(|scope| {
+            let all: Vec<_> = configs.iter().map(|c| scope.spawn(move || router(c))).collect();
             all.into_iter().map(|r| r.join().expect("the router starts")).collect()
         });
         let open_requests = |n: usize| if n == 0 { 30 } else { self.budget_each.clamp(2.0, 30.0) as u64 };
@@ -143,6 +145,7 @@
     fn start_cold(&self) -> u64 {
         let started = unix_ms();
         let mut record = record(COLD_ID, self.cold.address, EndpointState::Up, EDGE_KIND);
+        // A record ends with the weight in thousandths and the time of the start.
         let end = record.len();
         record[end - 12..end - 8].copy_from_slice(&((self.size * 1000.0) as u32).to_be_bytes());
         record[end - 8..].copy_from_slice(&started.to_be_bytes());
@@ -158,7 +161,7 @@
 
     /// Asserts that no window has more requests than allowed, with an allowance for random deviation.
     fn assert_within_budget(&self, started: u64) {
-        let mut all: Vec<u64> = self.cold.fetches().iter().map(|s| s.received_ms).collect();
+        let mut all: Vec<u64> = self.cold.fetches().iter().map(|fetch| fetch.received_ms).collect();
         all.sort_unstable();
         let mut highest = 0f64;
         for (n, end) in all.iter().enumerate() {
--- a/crates/node/tests/restarted_caches/slow_start.rs
+++ b/crates/node/tests/restarted_caches/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start under faults: a single router of a zone has the whole budget of a restarted cache, and a demand of several times that. The
-//! stand-in counts a fetch when it reads it; the bound on the count is the documented one.
+//! Slow start under faults: the only router of a zone has the whole budget of a restarted cache, and the demand is several times that. The
+//! stand-in counts a fetch when it reads it, and [`bound`] is the documented limit of the count.
 
 use crate::common::*;
 use crate::run_alone;
@@ -18,6 +18,8 @@
 const WARM_AFTER_MS: f64 = 60_000.0;
 /// Requests of mean work that a cache may get in its first window.
 const FIRST_BUDGET: f64 = 40.0;
+/// The server id of the third warm cache.
+const EDGE_3: u32 = 0x0f;
 /// The server id of the cache that restarts.
 const RESTARTED: u32 = 0x0e;
 /// The number of client connections, and the open requests on each.
@@ -87,16 +89,16 @@
     let paused_until = Arc::clone(paused_until);
     Cache::start_with_probes(
         move |_| probe,
-        move |seen| {
-            let pause = paused_until.load(Ordering::SeqCst).saturating_sub(seen.received_ms);
-            match seen.field("seen") {
+        move |fetch| {
+            let pause = paused_until.load(Ordering::SeqCst).saturating_sub(fetch.received_ms);
+            match fetch.field("seen") {
                 Some(_) if pause == 0 => {
                     FetchBehaviour::Answer { status: "current", fields: "ver=1,born=1,note=hit,waited=0" }
                 }
                 _ => FetchBehaviour::OkWithFields {
                     delay_ms: WORK_MS.max(pause),
                     fields: "ver=1,born=1,note=hit,waited=0".into(),
-                    body: part_body(seen),
+                    body: part_body(fetch),
                 },
             }
         },
@@ -123,6 +125,7 @@
 fn announce_start(log: &ChangeLog, address: SocketAddr, window_ms: u64) -> u64 {
     let started = unix_ms();
     let mut record = record(RESTARTED, address, EndpointState::Up, EDGE_KIND);
+    // A record ends with the weight in thousandths and the time of the start.
     let end = record.len();
     record[end - 12..end - 8].copy_from_slice(&((listed_size(window_ms) * 1000.0) as u32).to_be_bytes());
     record[end - 8..].copy_from_slice(&started.to_be_bytes());
@@ -130,7 +133,8 @@
     started
 }
 
-/// The most fetches that a window may have: the budget at this age, with an allowance for random deviation.
+/// The most fetches that a window may have: the budget at this age, with an allowance for random deviation, whose standard deviation is the
+/// square root of the count. Budgets below 30 fetches have the wider allowance.
 fn bound(age_ms: f64) -> f64 {
     let share = SHARE + (1.0 - SHARE) * (age_ms / WARM_AFTER_MS).clamp(0.0, 1.0);
     let budget = FIRST_BUDGET * share / SHARE;
@@ -163,7 +167,7 @@
     let listed = [
         ListedServer { id: EDGE, address: warm[0].address, kind: "box" },
         ListedServer { id: EDGE_2, address: warm[1].address, kind: "box" },
-        ListedServer { id: 0x0f, address: warm[2].address, kind: "box" },
+        ListedServer { id: EDGE_3, address: warm[2].address, kind: "box" },
         ListedServer { id: PARENT, address: fill_sources[0].address, kind: "parent" },
         ListedServer { id: ORIGIN, address: fill_sources[1].address, kind: "origin" },
     ];
--- a/crates/node/tests/rig.rs
+++ b/crates/node/tests/rig.rs
@@ -28,7 +28,7 @@
 fn checkout_resent_through_another_router_runs_twice_without_replication() {
     let mut rig = start_rig();
     let served = |outcome| matches!(outcome, Some(Some(Outcome::Served(_))));
-    let first = rig.connect_client(0).expect("a connection");
+    let first = rig.connect_client(0).expect("the router accepts a connection");
     assert!(served(rig.history.wait_for_outcome(first.checkout("00000000000000a1", 5_000), WAIT_LIMIT)));
     assert_eq!(violated_rules(&rig), []);
     // The router is killed while it executes another checkout, and the client resends that to another router.
@@ -42,14 +42,14 @@
         "the connection is lost with its router"
     );
     rig.archive.effect_duration_ms.store(0, std::sync::atomic::Ordering::SeqCst);
-    let second = rig.connect_client(1).expect("a connection");
+    let second = rig.connect_client(1).expect("the router accepts a connection");
     assert!(served(rig.history.wait_for_outcome(second.checkout("00000000000000a2", 5_000), WAIT_LIMIT)));
     assert_eq!(rig.archive.executions("00000000000000a2"), 2);
     assert!(violated_rules(&rig).contains(&Rule::ExecutedOnce));
     // The router is restarted at the address that it had.
     rig.start_router(0).expect("the router starts");
     assert!(rig.wait_until_serving(0, WAIT_LIMIT));
-    let third = rig.connect_client(0).expect("a connection");
+    let third = rig.connect_client(0).expect("the router accepts a connection");
     assert!(served(rig.history.wait_for_outcome(third.checkout("00000000000000a3", 5_000), WAIT_LIMIT)));
 }
 
@@ -57,7 +57,7 @@
 fn purge_is_forgotten_by_a_router_restarted_while_discovery_is_down() {
     let mut rig = start_rig();
     let read = |rig: &Rig, r: usize, id: &str| {
-        let client = rig.connect_client(r).expect("a connection");
+        let client = rig.connect_client(r).expect("the router accepts a connection");
         let outcome = rig.history.wait_for_outcome(client.read(id, 5, 5_000), WAIT_LIMIT);
         assert!(matches!(outcome, Some(Some(Outcome::Served(_)))), "{outcome:?}");
     };
@@ -82,7 +82,7 @@
 #[test]
 fn stopped_router_answers_nothing_until_it_is_resumed() {
     let mut rig = start_rig();
-    let client = rig.connect_client(2).expect("a connection");
+    let client = rig.connect_client(2).expect("the router accepts a connection");
     rig.suspend(2);
     assert!(!client.is_serving(std::time::Duration::from_millis(200)));
     assert!(rig.counters(2).is_empty());
--- a/crates/node/tests/rule_coverage.rs
+++ b/crates/node/tests/rule_coverage.rs
@@ -5,7 +5,7 @@
 
 /// Entries of a cell that are not keys.
 const NO_KEYS: [&str; 3] = ["-", "open", "soak"];
-/// Sources that name the invariants and rules that the soak checks.
+/// The sources that name the invariants and rules that soak runs check.
 const SOAK_SOURCES: [&str; 2] = ["crates/emulator/src/world/soak.rs", "crates/simulator/src/checker.rs"];
 
 fn root() -> PathBuf {
--- a/crates/node/tests/service/clients.rs
+++ b/crates/node/tests/service/clients.rs
@@ -44,7 +44,7 @@
 #[test]
 fn client_with_an_open_request_keeps_its_slot() {
     let harness = start_router_with(
-        Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 1500, body: part_body(s) }),
+        Cache::start(|fetch| FetchBehaviour::OkAfter { delay_ms: 1500, body: part_body(fetch) }),
         with_sockets(64),
     );
     let mut busy: Vec<Client> = (0..27).map(|_| harness.router.client()).collect();
@@ -155,7 +155,7 @@
 #[test]
 fn open_request_id_is_not_shared_with_another_request() {
     let harness = start_router_with(
-        Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 500, body: part_body(s) }),
+        Cache::start(|fetch| FetchBehaviour::OkAfter { delay_ms: 500, body: part_body(fetch) }),
         |_| {},
     );
     let (mut first, mut second) = (harness.router.client(), harness.router.client());
@@ -171,7 +171,7 @@
 #[test]
 fn repeated_tag_closes_its_connection_without_an_answer() {
     let harness = start_router_with(
-        Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 300, body: part_body(s) }),
+        Cache::start(|fetch| FetchBehaviour::OkAfter { delay_ms: 300, body: part_body(fetch) }),
         |_| {},
     );
     let mut misbehaving = harness.router.client();
@@ -190,9 +190,9 @@
 #[test]
 fn hundreds_of_closes_and_cancellations_do_not_affect_others() {
     let harness = start_router_with(
-        Cache::start(|s| {
-            if s.field("k") == Some("0000000000000001") {
-                FetchBehaviour::Ok(part_body(s))
+        Cache::start(|fetch| {
+            if fetch.field("k") == Some("0000000000000001") {
+                FetchBehaviour::Ok(part_body(fetch))
             } else {
                 FetchBehaviour::NoAnswer
             }
--- a/crates/node/tests/service/main.rs
+++ b/crates/node/tests/service/main.rs
@@ -132,7 +132,7 @@
 
 #[test]
 fn misbehaving_clients_do_not_delay_shutdown() {
-    let slow = Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 1200, body: part_body(s) });
+    let slow = Cache::start(|fetch| FetchBehaviour::OkAfter { delay_ms: 1200, body: part_body(fetch) });
     let mut harness = start_router_with(slow, |_| {});
     let mut well_behaved = harness.router.client();
     let silent: Vec<Client> = (0..100).map(|_| harness.router.client()).collect();
--- a/crates/node/tests/service/servers.rs
+++ b/crates/node/tests/service/servers.rs
@@ -6,10 +6,10 @@
 
 #[test]
 fn answers_without_an_open_attempt_are_dropped() {
-    let edge = Cache::start(|s| match s.field("k") {
-        Some("0000000000000001") => FetchBehaviour::OkTwice(part_body(s)),
-        Some("0000000000000002") => FetchBehaviour::OkAfterUnknownId(part_body(s)),
-        _ => FetchBehaviour::Ok(part_body(s)),
+    let edge = Cache::start(|fetch| match fetch.field("k") {
+        Some("0000000000000001") => FetchBehaviour::OkTwice(part_body(fetch)),
+        Some("0000000000000002") => FetchBehaviour::OkAfterUnknownId(part_body(fetch)),
+        _ => FetchBehaviour::Ok(part_body(fetch)),
     });
     let harness = start_router_with(edge, |_| {});
     let mut client = harness.router.client();
@@ -26,9 +26,9 @@
 fn answer_never_counts_for_a_later_attempt() {
     // The cache answers the first attempt twice; the second answer must not count for the attempt after it.
     let first = AtomicBool::new(true);
-    let edge = Cache::start(move |s| match first.swap(false, Ordering::SeqCst) {
+    let edge = Cache::start(move |fetch| match first.swap(false, Ordering::SeqCst) {
         true => FetchBehaviour::AnswerTwice { status: "nothing" },
-        false => FetchBehaviour::OkAfter { delay_ms: 300, body: part_body(s) },
+        false => FetchBehaviour::OkAfter { delay_ms: 300, body: part_body(fetch) },
     });
     let harness = start_router_with(edge, |_| {});
     let mut client = harness.router.client();
@@ -50,10 +50,10 @@
     ];
     for malformed_answer in malformed_answers {
         // The first connection gets a malformed answer to its second request, and then no more bytes.
-        let edge = Cache::start(move |s| match (s.connection, s.field("k")) {
+        let edge = Cache::start(move |fetch| match (fetch.connection, fetch.field("k")) {
             (1, Some("0000000000000002")) => malformed_answer(),
             (1, _) => FetchBehaviour::NoAnswer,
-            _ => FetchBehaviour::Ok(part_body(s)),
+            _ => FetchBehaviour::Ok(part_body(fetch)),
         });
         let second = Cache::with_all_objects();
         let harness = start_router_with(edge, |c| add_second_edge(c, &second));
@@ -62,7 +62,7 @@
         client.send_request(1, "pages", 1, "", b"");
         client.send_request(2, "pages", 2, "", b"");
         let answers = [client.expect_answer(), client.expect_answer()];
-        assert!(answers.iter().all(|g| g.status == "200"), "{answers:?}");
+        assert!(answers.iter().all(|answer| answer.status == "200"), "{answers:?}");
         assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
         assert_eq!(client.answers_before_pong(), []);
     }
@@ -82,8 +82,8 @@
     };
     let first = Arc::new(AtomicBool::new(true));
     let other = Arc::clone(&first);
-    let edge = Cache::start_with_probes(silent_first(first), |s| FetchBehaviour::Ok(part_body(s)));
-    let second = Cache::start_with_probes(silent_first(other), |s| FetchBehaviour::Ok(part_body(s)));
+    let edge = Cache::start_with_probes(silent_first(first), |fetch| FetchBehaviour::Ok(part_body(fetch)));
+    let second = Cache::start_with_probes(silent_first(other), |fetch| FetchBehaviour::Ok(part_body(fetch)));
     let harness = start_router_with(edge, |c| {
         add_second_edge(c, &second);
         c["settings"]["limits"]["connect-timeout"] = json!(400.0);
@@ -97,7 +97,7 @@
 
 #[test]
 fn write_does_not_share_a_connection() {
-    let origin = Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 200, body: part_body(s) });
+    let origin = Cache::start(|fetch| FetchBehaviour::OkAfter { delay_ms: 200, body: part_body(fetch) });
     let log = ChangeLog::start();
     let edge = Cache::with_all_objects();
     let router =
@@ -107,8 +107,8 @@
         client.send_request(tag, "loan", tag, "", b"borrow");
     }
     let answers: Vec<ClientAnswer> = (0..8).map(|_| client.expect_answer()).collect();
-    assert!(answers.iter().all(|g| g.status == "200"));
-    let mut conns: Vec<usize> = origin.fetches().iter().map(|s| s.connection).collect();
+    assert!(answers.iter().all(|answer| answer.status == "200"));
+    let mut conns: Vec<usize> = origin.fetches().iter().map(|fetch| fetch.connection).collect();
     conns.sort_unstable();
     conns.dedup();
     assert_eq!((origin.fetch_count(), conns.len()), (8, 8), "each write has a connection of its own");
@@ -119,7 +119,7 @@
 fn write_on_a_closing_new_or_idle_connection_is_not_executed() {
     let origin = Cache::start_with_probes(
         |conn| if conn == 1 { ProbeBehaviour::Disconnect } else { ProbeBehaviour::Yes },
-        |s| FetchBehaviour::Ok(part_body(s)),
+        |fetch| FetchBehaviour::Ok(part_body(fetch)),
     );
     let parent = Cache::with_all_objects();
     let log = ChangeLog::start();
@@ -155,7 +155,7 @@
     let mut client = harness.router.client();
     (1..=5).for_each(|tag| assert_served(&mut client, tag));
     assert_eq!(client.answers_before_pong(), []);
-    let age_limited = harness.edge.fetches().iter().filter(|s| s.field("oldest").is_some()).count();
+    let age_limited = harness.edge.fetches().iter().filter(|fetch| fetch.field("oldest").is_some()).count();
     assert_eq!(age_limited, 4);
 }
 
--- a/crates/node/tests/snapshot.rs
+++ b/crates/node/tests/snapshot.rs
@@ -40,8 +40,8 @@
 impl Zone {
     fn new() -> Self {
         Self {
-            slow: Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 150, body: part_body(s) }),
-            fast: Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 5, body: part_body(s) }),
+            slow: Cache::start(|fetch| FetchBehaviour::OkAfter { delay_ms: 150, body: part_body(fetch) }),
+            fast: Cache::start(|fetch| FetchBehaviour::OkAfter { delay_ms: 5, body: part_body(fetch) }),
             parent: Cache::with_all_objects(),
             origin: Cache::with_all_objects(),
             log: ChangeLog::start(),
--- a/crates/node/tests/sockets/changelog.rs
+++ b/crates/node/tests/sockets/changelog.rs
@@ -110,7 +110,7 @@
         });
         let answers: Vec<ClientAnswer> = (0..20).map(|_| client.expect_answer()).collect();
         assert_eq!(tags(&answers), (from..from + 20).collect::<Vec<_>>());
-        assert!(answers.iter().all(|g| g.status == "200"));
+        assert!(answers.iter().all(|answer| answer.status == "200"));
         assert_eq!(client.answers_before_pong(), []);
     };
     round(&mut client, 1);
@@ -171,9 +171,9 @@
 fn sigterm_under_load_loses_no_request_before_exit() {
     const SLOW: u64 = 0xffff;
     let slow_object = format!("{SLOW:016x}");
-    let edge = Cache::start(move |s| FetchBehaviour::OkAfter {
-        delay_ms: if s.field("k") == Some(&slow_object) { 2000 } else { 150 },
-        body: part_body(s),
+    let edge = Cache::start(move |fetch| FetchBehaviour::OkAfter {
+        delay_ms: if fetch.field("k") == Some(&slow_object) { 2000 } else { 150 },
+        body: part_body(fetch),
     });
     let mut harness = start_router(edge);
     let (stop, answered) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
@@ -201,7 +201,7 @@
     let mut slow_client = harness.router.client();
     slow_client.send_request_with_deadline(60_000, 1, "pages", SLOW, "", b"");
     wait_until("the slow request reaches the cache", || {
-        harness.edge.fetches().iter().any(|s| s.field("k") == Some("000000000000ffff"))
+        harness.edge.fetches().iter().any(|fetch| fetch.field("k") == Some("000000000000ffff"))
     });
     harness.router.signal("TERM");
     wait_until("the shutdown has started", || harness.router.has_logged("shutdown requested"));
--- a/crates/node/tests/sockets/limits.rs
+++ b/crates/node/tests/sockets/limits.rs
@@ -115,7 +115,7 @@
     assert!(harness.router.counter("held") > 1_000_000, "the answers for the slow reader are still buffered");
     let answers: Vec<ClientAnswer> = (0..30).map(|_| slow.expect_answer()).collect();
     assert_eq!(tags(&answers), (1..=30).collect::<Vec<_>>());
-    assert!(answers.iter().all(|g| g.body.len() == 240_000));
+    assert!(answers.iter().all(|answer| answer.body.len() == 240_000));
     assert_eq!(slow.answers_before_pong(), []);
     wait_until("no bytes are buffered", || harness.router.counter("held") == 0);
 }
@@ -141,8 +141,9 @@
     for client in &mut slow {
         let answers: Vec<ClientAnswer> = (0..30).map(|_| client.expect_answer()).collect();
         assert_eq!(tags(&answers), (1..=30).collect::<Vec<_>>());
-        let complete_or_failed = |g: &ClientAnswer| {
-            (g.status == "200" && g.body.len() == 240_000) || (g.status == "500" && g.body.is_empty())
+        let complete_or_failed = |answer: &ClientAnswer| {
+            (answer.status == "200" && answer.body.len() == 240_000)
+                || (answer.status == "500" && answer.body.is_empty())
         };
         assert!(answers.iter().all(complete_or_failed));
         assert_eq!(client.answers_before_pong(), []);
@@ -181,7 +182,7 @@
     let answers = [client.expect_answer(), client.expect_answer()];
     assert_eq!(tags(&answers), [1, 2]);
     // The write may have been executed, so it fails instead of being rejected.
-    let status = |tag| answers.iter().find(|g| g.tag == tag).map(|g| g.status.as_str());
+    let status = |tag| answers.iter().find(|answer| answer.tag == tag).map(|answer| answer.status.as_str());
     assert_eq!((status(1), status(2)), (Some("503"), Some("500")));
     assert_eq!(client.answers_before_pong(), []);
     assert_eq!(harness.origin.fetch_count(), 1);
--- a/crates/node/tests/sockets/main.rs
+++ b/crates/node/tests/sockets/main.rs
@@ -49,14 +49,14 @@
     behaviour: fn() -> FetchBehaviour,
 ) -> impl Fn(&ReceivedFetch) -> FetchBehaviour + Clone + Send + Sync {
     let first = Arc::new(AtomicBool::new(true));
-    move |s| match first.swap(false, Ordering::SeqCst) {
+    move |fetch| match first.swap(false, Ordering::SeqCst) {
         true => behaviour(),
-        false => FetchBehaviour::Ok(part_body(s)),
+        false => FetchBehaviour::Ok(part_body(fetch)),
     }
 }
 
 fn tags(answers: &[ClientAnswer]) -> Vec<u64> {
-    let mut tags: Vec<u64> = answers.iter().map(|g| g.tag).collect();
+    let mut tags: Vec<u64> = answers.iter().map(|answer| answer.tag).collect();
     tags.sort_unstable();
     tags
 }
@@ -65,9 +65,9 @@
 fn pipelined_requests_are_answered_once_each_in_any_order() {
     // The first requests are answered last.
     let fetches = AtomicU64::new(0);
-    let edge = Cache::start(move |s| FetchBehaviour::OkAfter {
+    let edge = Cache::start(move |fetch| FetchBehaviour::OkAfter {
         delay_ms: 300u64.saturating_sub(10 * fetches.fetch_add(1, Ordering::SeqCst)),
-        body: part_body(s),
+        body: part_body(fetch),
     });
     let harness = start_router(edge);
     let mut client = harness.router.client();
@@ -76,7 +76,7 @@
     let answers: Vec<ClientAnswer> = (0..30).map(|_| client.expect_answer()).collect();
     assert_eq!(tags(&answers), (1..=30).collect::<Vec<_>>());
     assert_ne!(
-        answers.iter().map(|g| g.tag).collect::<Vec<_>>(),
+        answers.iter().map(|answer| answer.tag).collect::<Vec<_>>(),
         tags(&answers),
         "the answers came in the order of the requests"
     );
@@ -87,7 +87,10 @@
     assert_eq!(client.answers_before_pong(), []);
     let all_fetches = harness.edge.fetches();
     assert_eq!(all_fetches.len(), 30);
-    assert_eq!(all_fetches.iter().map(|s| s.id.clone()).collect::<BTreeSet<_>>(), ids.into_iter().collect());
+    assert_eq!(
+        all_fetches.iter().map(|fetch| fetch.id.clone()).collect::<BTreeSet<_>>(),
+        ids.into_iter().collect()
+    );
     assert_eq!(harness.edge.connections.load(Ordering::SeqCst), 8, "a few connections carry all requests");
     assert_eq!(all_fetches[0].field("from"), Some("s-0000000c"));
     assert_eq!((all_fetches[0].field("c"), all_fetches[0].field("p")), (Some("pages"), Some("0")));
@@ -98,7 +101,7 @@
 fn bodies_pass_unchanged_and_current_copies_are_reported() {
     let big: Vec<u8> = (0..240_000u32).map(|i| (i.wrapping_mul(2_654_435_761) >> 13) as u8).collect();
     let bytes = big.clone();
-    let edge = Cache::start(move |s| match s.field("seen") {
+    let edge = Cache::start(move |fetch| match fetch.field("seen") {
         Some(_) => {
             FetchBehaviour::Answer { status: "current", fields: "ver=4be0c1927d55a6f3,born=1,note=hit" }
         }
@@ -122,10 +125,10 @@
 
 #[test]
 fn cancelled_request_gets_no_answer_and_its_attempt_is_aborted() {
-    let harness = start_router(Cache::start(|s| match s.field("k") {
-        Some("0000000000000001") => FetchBehaviour::OkAfter { delay_ms: 400, body: part_body(s) },
+    let harness = start_router(Cache::start(|fetch| match fetch.field("k") {
+        Some("0000000000000001") => FetchBehaviour::OkAfter { delay_ms: 400, body: part_body(fetch) },
         Some("0000000000000003") => FetchBehaviour::NoAnswer,
-        _ => FetchBehaviour::Ok(part_body(s)),
+        _ => FetchBehaviour::Ok(part_body(fetch)),
     }));
     let mut client = harness.router.client();
     let id = client.send_request(1, "pages", 1, "", b"");
@@ -147,7 +150,7 @@
 
 #[test]
 fn cancelled_request_gets_no_answer_where_attempts_run_on() {
-    let edge = Cache::start(|s| FetchBehaviour::OkAfter { delay_ms: 400, body: part_body(s) });
+    let edge = Cache::start(|fetch| FetchBehaviour::OkAfter { delay_ms: 400, body: part_body(fetch) });
     let no_cancellation = |c: &mut Value| c["settings"]["limits"]["cancel"] = json!(false);
     let harness =
         start_router_with(edge, Cache::with_all_objects(), Cache::with_all_objects(), no_cancellation);
@@ -162,11 +165,11 @@
 
 #[test]
 fn closed_client_cancels_its_requests_only() {
-    let harness = start_router(Cache::start(|s| {
-        if s.field("k") == Some("0000000000000001") {
+    let harness = start_router(Cache::start(|fetch| {
+        if fetch.field("k") == Some("0000000000000001") {
             FetchBehaviour::NoAnswer
         } else {
-            FetchBehaviour::Ok(part_body(s))
+            FetchBehaviour::Ok(part_body(fetch))
         }
     }));
     let mut client = harness.router.client();
@@ -209,11 +212,11 @@
 
 #[test]
 fn silent_connection_takes_no_new_requests() {
-    let edge = Cache::start(|s| {
-        if s.connection == 1 {
+    let edge = Cache::start(|fetch| {
+        if fetch.connection == 1 {
             FetchBehaviour::NoAnswer
         } else {
-            FetchBehaviour::Ok(part_body(s))
+            FetchBehaviour::Ok(part_body(fetch))
         }
     });
     let harness = start_router(edge);
@@ -223,7 +226,7 @@
     thread::sleep(Duration::from_millis(1500));
     client.send_request_with_deadline(60_000, 2, "pages", 2, "", b"");
     assert_eq!(client.expect_answer().tag, 2, "the second is served on a connection of its own");
-    let conns: Vec<usize> = harness.edge.fetches().iter().map(|s| s.connection).collect();
+    let conns: Vec<usize> = harness.edge.fetches().iter().map(|fetch| fetch.connection).collect();
     assert_eq!(conns, [1, 2]);
     client.send_message("UNDO", 1);
     assert_eq!(client.answers_before_pong(), []);
@@ -233,11 +236,11 @@
 
 #[test]
 fn connection_with_only_cancelled_unanswered_attempts_is_not_reused() {
-    let edge = Cache::start(|s| {
-        if s.connection == 1 {
+    let edge = Cache::start(|fetch| {
+        if fetch.connection == 1 {
             FetchBehaviour::NoAnswer
         } else {
-            FetchBehaviour::Ok(part_body(s))
+            FetchBehaviour::Ok(part_body(fetch))
         }
     });
     let harness = start_router(edge);
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -34,7 +34,7 @@
     FaultHarness { router, faults, caches, _dir: dir }
 }
 
-/// All requests of one connection are served while one call in `one_in` has the fault.
+/// Asserts that all requests of one connection are served while one call in `one_in` has the fault.
 fn run_under_fault(fault: Fault, one_in: i64) {
     let harness = start_router();
     let mut client = harness.router.client();
@@ -45,7 +45,7 @@
         let answer = client.expect_answer();
         assert_eq!((answer.tag, answer.status.as_str()), (tag, "200"));
     }
-    assert!(harness.faults.hits(fault).expect("the hits are counted") > 0, "the fault occurred");
+    assert!(harness.faults.hits(fault).expect("the hits are counted") > 0, "no call had the fault");
 }
 
 #[test]
@@ -67,7 +67,7 @@
         client.send_request(tag, "pages", tag, "", b"");
         assert_eq!(client.expect_answer().status, "200");
     }
-    assert!(harness.faults.hits(Fault::Accept).expect("the hits are counted") > 0, "the fault occurred");
+    assert!(harness.faults.hits(Fault::Accept).expect("the hits are counted") > 0, "no call had the fault");
 }
 
 #[test]
--- a/crates/node/tests/tree.rs
+++ b/crates/node/tests/tree.rs
@@ -19,7 +19,7 @@
 
 /// Settings with a plan in which the edge cache fills from these parents, and from the origin after them.
 fn plan(version: u64, sources: &[u32]) -> String {
-    let sources: Vec<String> = sources.iter().chain([&ORIGIN]).map(|s| server_id(*s)).collect();
+    let sources: Vec<String> = sources.iter().chain([&ORIGIN]).map(|source| server_id(*source)).collect();
     let hub = |n| format!("      - {{id: {}, tier: 1, sources: [{}]}}\n", server_id(n), server_id(ORIGIN));
     format!(
         "hierarchy:\n  plan:\n    version: {version}\n    nodes:\n      - {{id: {}, tier: 0}}\n{}{}      - {{id: {}, tier: 3, sources: [{}]}}\n  \
@@ -64,8 +64,8 @@
     configuration(&listed, log.address)
 }
 
-fn filled(s: &ReceivedFetch) -> FetchBehaviour {
-    let _ = s;
+/// Answers that the cache filled the object.
+fn filled(_: &ReceivedFetch) -> FetchBehaviour {
     FetchBehaviour::Answer { status: "ok", fields: "ver=1,born=1,note=filled,waited=1" }
 }
 
@@ -80,7 +80,7 @@
         client.send_request(tag, "pages", 0x5000 + tag, "", b"");
         assert_eq!(client.expect_answer().status, "200");
     }
-    edge.fetches()[before..].iter().filter_map(|s| s.field("from").map(str::to_string)).collect()
+    edge.fetches()[before..].iter().filter_map(|fetch| fetch.field("from").map(str::to_string)).collect()
 }
 
 #[test]
@@ -137,9 +137,9 @@
 #[test]
 fn fill_loop_is_answered_by_the_other_parent_within_the_deadline() {
     let first = AtomicBool::new(true);
-    let edge = Cache::start(move |s| match first.swap(false, Ordering::SeqCst) {
+    let edge = Cache::start(move |fetch| match first.swap(false, Ordering::SeqCst) {
         true => FetchBehaviour::Answer { status: "nothing", fields: "note=src_looped" },
-        false => filled(s),
+        false => filled(fetch),
     });
     let log = ChangeLog::start();
     let settings = SettingsFile::new(&plan(1, &[PARENT, PARENT_2]));
@@ -149,7 +149,7 @@
     assert_eq!(client.expect_answer().status, "200");
     assert_eq!(client.answers_before_pong(), []);
     let used: Vec<String> =
-        edge.fetches().iter().filter_map(|s| s.field("from").map(str::to_string)).collect();
+        edge.fetches().iter().filter_map(|fetch| fetch.field("from").map(str::to_string)).collect();
     assert!(used.len() == 2 && used[0] != used[1], "{used:?}");
     assert_eq!(router.counter("loops"), 1);
 }
--- a/crates/node/tests/wall_clock.rs
+++ b/crates/node/tests/wall_clock.rs
@@ -11,7 +11,7 @@
 const HOUR_MS: i64 = 3_600_000;
 /// The object that is purged.
 const PURGED: u64 = 1;
-/// The time after which a purge is in effect, with an allowance for a slow machine.
+/// The time after which a purge is in effect, 300 ms by the settings (`heed-within`), with an allowance for a slow machine.
 const PURGE_DELAY: std::time::Duration = std::time::Duration::from_millis(400);
 
 /// How old a requested copy may be.
