--- a/crates/emulator/src/world/start.rs
+++ b/crates/emulator/src/world/start.rs
@@ -152,7 +152,7 @@
 }
 
 impl SocketRunMetrics {
-    /// The metrics before the start of a run in which requests arrive for this many seconds.
+    /// Metrics of a run with this number of seconds of arrivals, before its start.
     fn new(seconds: usize) -> Self {
         Self {
             weighted_in_time_share: 0.0,
