--- a/crates/emulator/src/rig/fleet_cost.rs
+++ b/crates/emulator/src/rig/fleet_cost.rs
@@ -16,6 +16,7 @@
 pub use change_log_delivery::measure_change_log_delivery;
 pub use usage::{Figures, ResourceUsage};
 
+use crate::net::frame_kind::PURGE_OBJECT;
 use crate::process::Process;
 use crate::standin::{unix_ms, Cache, ChangeLog};
 use std::net::{Ipv4Addr, TcpListener};
@@ -173,7 +174,7 @@
     for log in change_logs {
         // Sequence number 1 is that of the configuration with which routers start.
         let sequence_number = log.frames.lock().map_or(0, |frames| frames.len() as u64) + 2;
-        log.publish(sequence_number, super::PURGE_EVENT, &payload);
+        log.publish(sequence_number, PURGE_OBJECT, &payload);
     }
     object
 }
--- a/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
+++ b/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
@@ -2,7 +2,7 @@
 //! watcher receives at once. The change log of the fleet simulation is modelled after these figures.
 
 use super::{announce_purge, Figures};
-use crate::rig::PURGE_EVENT;
+use crate::net::frame_kind::PURGE_OBJECT;
 use crate::standin::ChangeLog;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -74,7 +74,7 @@
         }
         let now = Instant::now();
         while let Some(frame) = take_frame(&mut unread) {
-            if let Some((sequence_number, PURGE_EVENT)) = parse_header(&frame) {
+            if let Some((sequence_number, PURGE_OBJECT)) = parse_header(&frame) {
                 receipts.entry(sequence_number).or_insert(now);
             }
         }
--- a/crates/emulator/src/rig/mod.rs
+++ b/crates/emulator/src/rig/mod.rs
@@ -33,6 +33,7 @@
 pub use router_process::RouterProcess;
 pub use spec::{Location, Spec};
 
+use crate::net::frame_kind::PURGE_OBJECT;
 use crate::standin::{unix_ms, Cache, ChangeLog};
 use router_process::RouterSetup;
 use std::cell::RefCell;
@@ -47,8 +48,6 @@
 const ROUTER_COUNTS: RangeInclusive<usize> = 3..=9;
 /// The number of caches of a rig: an edge cache, a parent and the origin.
 const CACHES: usize = 3;
-/// The number of the event kind "purge" in frames of the change log.
-const PURGE_EVENT: u8 = 3;
 /// The time-out of a probe of whether a router serves.
 const SERVING_PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The time between two probes of whether a router serves.
@@ -348,7 +347,7 @@
             let sequence_number = &mut self.last_sequence_numbers[*router];
             *sequence_number += 1;
             self.history.record(Event::PurgeAnnounced { router: *router, object, purged_at_unix_ms });
-            self.change_logs[*router].publish(*sequence_number, PURGE_EVENT, &payload);
+            self.change_logs[*router].publish(*sequence_number, PURGE_OBJECT, &payload);
         }
         purged_at_unix_ms
     }
