--- a/crates/control/src/control/background.rs
+++ b/crates/control/src/control/background.rs
@@ -2,7 +2,7 @@
 //!
 //! Inputs: register responses, time in milliseconds. An unavailable change is retried after [`RETRY_DELAY_MS`] and abandoned after
 //! [`ABANDON_AFTER_MS`], or at once if [`MAX_BACKGROUND_CHANGES`] are pending. The lease of an abandoned change is no longer held here, so the
-//! next router that asks for it finds the outcome unknown.
+//! next router that requests it finds the outcome unknown.
 
 use super::requests::Requester;
 use super::timers::Timer;
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Releases a lease that this process acquired without reporting it. The owner may be acquiring it again at present: that lease stays.
+    /// Releases a lease that this process acquired without reporting it. While the owner is acquiring it again, the
+    /// release waits, so that it does not release that lease.
     fn release_unreported(&mut self, now: Ms, number: BackgroundChangeNumber, term: u32) {
         let Some(change) = self.background.pending.get_mut(&number) else { return };
         if self.requests.is_acquiring(&change.key) {
@@ -143,12 +144,13 @@
         self.timers.schedule(now + RETRY_DELAY_MS, Timer::BackgroundChange(number));
     }
 
+    /// Counts an abandoned change, and removes its lease.
     fn abandon(&mut self, change: &BackgroundChange) {
         self.counts.background_changes_abandoned += 1;
         self.remove_lease_of(change);
     }
 
-    /// A lease that was released or completed is no longer held, unless it was acquired again since.
+    /// Removes the lease that a change released or completed, unless it was acquired again since.
     fn remove_lease_of(&mut self, change: &BackgroundChange) {
         if let Operation::Apply(Change::Release(_, term) | Change::Complete(_, term, _)) = &change.operation {
             self.leases.remove_term(&change.key, *term);
--- a/crates/control/src/control/dissemination.rs
+++ b/crates/control/src/control/dissemination.rs
@@ -29,7 +29,7 @@
     batch_ms: Ms,
     /// Routers that the overlay dials and that are not connected yet.
     pending_dials: BTreeSet<RouterId>,
-    /// Purges were missed, and the owner has not been notified.
+    /// Whether purges were missed of which the owner has not been notified.
     has_missed_purges: bool,
 }
 
@@ -129,9 +129,14 @@
                 self.counts.unreadable += 1;
             }
             Action::GapDetected { kind: Kind::Purge, origin, from, to } => {
-                log::warn!("missed purges {from} to {to} of router {origin:?}");
                 if let Some(dissemination) = &mut self.dissemination {
                     dissemination.has_missed_purges = true;
+                    let router =
+                        dissemination.overlay.router_name(origin).map_or("(unlisted)", |router| &router.0);
+                    let incarnation = origin.incarnation;
+                    log::warn!(
+                        "missed purges {from} to {to} of router {router}, incarnation {incarnation:08x}"
+                    );
                 }
             }
             Action::GapDetected { kind: Kind::Table | Kind::Evidence | Kind::Background, .. } => {}
@@ -172,7 +177,7 @@
         }
     }
 
-    /// A router is connected: starts the overlay link that waits for it.
+    /// Starts the overlay link that waits for a router which is now connected.
     pub(super) fn start_pending_overlay_link(&mut self, now: Ms, member: &Member) {
         if !self.dissemination.as_mut().is_some_and(|d| d.end_dial(&member.router)) {
             return;
@@ -182,7 +187,7 @@
         }
     }
 
-    /// A link is closed, and with it the overlay's use of it.
+    /// Ends the overlay's use of a link that is closed.
     pub(super) fn on_overlay_link_lost(&mut self, now: Ms, member: &Member) {
         if self.dissemination.as_ref().is_some_and(|d| d.has_link(member)) {
             self.handle_overlay(now, Event::LinkDown(member.clone()));
@@ -209,7 +214,7 @@
         }
     }
 
-    /// The startup sync has ended: in a full mesh, pending dials have failed.
+    /// Fails the pending dials at the end of the startup sync; in a full mesh only.
     pub(super) fn fail_pending_dials(&mut self, now: Ms) {
         if self.persistent_links.is_some() {
             return;
--- a/crates/control/src/control/inbound.rs
+++ b/crates/control/src/control/inbound.rs
@@ -68,7 +68,7 @@
                 Some(message) => self.handle_message(now, &from, message),
                 None => self.counts.unreadable += 1,
             },
-            // Handled by the owner of the routing module, never here.
+            // The owner of the routing module receives this lane, so no such message is expected here.
             Lane::ScatterGather => self.counts.unreadable += 1,
         }
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A message that was sent earlier was not written completely.
+    /// Reports to the registers that a message was not written completely.
     pub(super) fn on_send_failed(&mut self, now: Ms, number: u64) {
         self.counts.failed_sends += 1;
         if number > 0 {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Sends all known purges in parts. The last part is marked as such only if this router can vouch for purges from before its start.
+    /// Sends all known purges in parts. The last part is marked as such only if this router knows the purges from before its start.
     fn send_known_purges(&mut self, to: &Member) {
         let known: Vec<Purge> = self.parts.purges.all().collect();
         let is_complete = self.startup.has_complete_purges();
--- a/crates/control/src/control/leases.rs
+++ b/crates/control/src/control/leases.rs
@@ -12,7 +12,7 @@
 use basaltgw_types::{Member, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An unreachable owner's lease is marked as "outcome unknown" after this time.
+/// Time from which the lease of an unreachable owner is marked as "outcome unknown".
 const OWNER_LOST_AFTER_MS: Ms = 500.0;
 /// Time limit of one request that marks an outcome as unknown.
 const MARK_UNKNOWN_TIMEOUT_MS: Ms = 250.0;
@@ -68,7 +68,7 @@
         acquired.map(|(key, lease)| (*key, lease.term)).collect()
     }
 
-    /// A request to mark an outcome as unknown has a response.
+    /// Records that a request to mark an outcome as unknown has a response.
     pub fn finish_marking(&mut self, key: &RecordKey) {
         self.unknown_outcomes.remove(key);
     }
@@ -79,8 +79,8 @@
 }
 
 impl Control {
-    /// The owner's request to acquire a lease has a response. A lease that may have been acquired although the response says unavailable is
-    /// released in the background, and so is one acquired during a shutdown.
+    /// Handles the response to the owner's request to acquire a lease. A lease that may have been acquired although the response says
+    /// unavailable is released in the background, and so is one acquired during a shutdown.
     pub(super) fn on_acquire_response(
         &mut self,
         now: Ms,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The owner's request to record an outcome has a response.
+    /// Handles the response to the owner's request to record an outcome; an unavailable change continues in the background.
     pub(super) fn on_complete_response(
         &mut self,
         now: Ms,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// A peer asks whether this router still holds a lease.
+    /// Answers a peer's query for a lease of this router: if it is no longer held, its outcome is marked as unknown.
     pub(super) fn on_lease_query(&mut self, now: Ms, key: RecordKey, term: u32) {
         if !self.leases.has_term(&key, term) && !self.background.is_changing(&key) {
             self.mark_outcome_unknown(now, key, term);
--- a/crates/control/src/control/mod.rs
+++ b/crates/control/src/control/mod.rs
@@ -1,7 +1,8 @@
 //! [`Control`]: the state of a router's control plane, and its entry points.
 //!
-//! Each event is passed to the packages concerned (registers, membership, table, overlay), and their actions are executed by the modules below.
-//! Durable writes are collected until [`Event::Flush`] and committed together; actions that depend on them follow [`Event::CommitFinished`].
+//! Each event is passed to the packages concerned (registers, membership, table, overlay), and their actions are executed by the modules
+//! below. Durable writes are collected until [`Event::Flush`] and committed together; actions that depend on them follow
+//! [`Event::CommitFinished`].
 //!
 //! | file | state or rule |
 //! | --- | --- |
--- a/crates/control/src/control/persistent_links.rs
+++ b/crates/control/src/control/persistent_links.rs
@@ -1,8 +1,9 @@
 //! Persistent links: to overlay neighbors and to watched routers. All other links are dialed when a message needs them.
 //!
-//! Inputs: link events, messages to send, the overlay, the ring of watched routers, time in milliseconds. A router without a link is not
-//! known to be unreachable: only a failed dial or a broken link says so, until it is reached again. It is dialed all that time, or else
-//! forgotten, so that no router is treated as lost on outdated knowledge. The transport closes an unwanted link once it is idle.
+//! Inputs: link events, messages to send, the overlay, the ring of watched routers, time in milliseconds. A router without a link is not known
+//! to be unreachable: it counts as unreachable from a failed dial or a broken link until it is reached again. An unreachable router is dialed
+//! all that time, or else forgotten, so that no router is treated as lost on outdated knowledge. The transport closes an unwanted link once it
+//! is idle.
 
 use super::link_queue::{LinkQueue, LinkQueueLimits, QueuedMessage};
 use super::Control;
@@ -14,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::Write as _;
 
-/// A router dialed for a message stays wanted for this long after the last message; longer than an unreachable owner of a lease is waited for.
+/// A router dialed for a message stays wanted for this long after the last message; longer than the wait for an unreachable owner of a lease.
 const WANTED_AFTER_USE_MS: Ms = 2_000.0;
 /// Largest number of routers that are wanted because of messages.
 const MAX_USED_ROUTERS: usize = 256;
@@ -31,7 +32,7 @@
     Replaced,
 }
 
-/// Whether a hello says anything new.
+/// Whether a hello changes what is known of its router: the connected incarnation, or the table that it advertises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HelloChange {
     Changed,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A message was sent to a router or came from it.
+    /// Records that a message was sent to a router or received from it.
     fn observe_use(&mut self, router: &RouterId) {
         if let Some(last_used) = self.last_used.get_mut(router) {
             *last_used = self.now;
@@ -182,14 +183,14 @@
         self.actions.push(Action::Send { number, to, lane, body });
     }
 
-    /// A message came from a router.
+    /// Records that a message was received from a router.
     pub(super) fn observe_use(&mut self, router: &RouterId) {
         if let Some(links) = &mut self.persistent_links {
             links.observe_use(router);
         }
     }
 
-    /// An unreachable router is still needed: it stays wanted.
+    /// Keeps an unreachable router wanted while it is still needed.
     pub(super) fn keep_dialing(&mut self, router: &RouterId) {
         self.observe_use(router);
     }
@@ -260,7 +261,7 @@
         }
     }
 
-    /// Incarnations of a router that the shard map assigns replicas to.
+    /// Incarnations of a router to which the shard map assigns replicas.
     fn replicas_at(&self, router: &RouterId) -> BTreeSet<Member> {
         let map = self.parts.table.map();
         let shards = map.iter().flat_map(|map| map.shards.iter().chain([&map.root]));
@@ -285,7 +286,7 @@
         links.fail_expired();
         self.report_failed_sends(now);
         let wanted = self.wanted_routers(now);
-        // A router that is not dialed may be back unnoticed.
+        // A router that is not dialed may have returned without notice.
         self.reachability.retain_unreachable(&wanted);
         self.parts.table.retain_lost(&wanted);
         let Some(links) = &mut self.persistent_links else { return };
--- a/crates/control/src/control/startup.rs
+++ b/crates/control/src/control/startup.rs
@@ -32,7 +32,7 @@
         self.finished
     }
 
-    /// Whether this router can vouch for purges from before its start: not with an empty data folder during the sync.
+    /// Whether this router knows the purges from before its start: not with an empty data folder during the sync.
     pub fn has_complete_purges(&self) -> bool {
         self.has_previous_data || self.finished
     }
--- a/crates/control/src/control/table_actions.rs
+++ b/crates/control/src/control/table_actions.rs
@@ -26,8 +26,8 @@
                     self.request_change(now, Requester::TableManager, key, change, timeout);
                 }
                 TableAction::Broadcast(message) => self.send_to_members(&message),
-                TableAction::SendToConnected { message, and } => {
-                    self.send_to_connected_and(&message, and.as_ref());
+                TableAction::SendToConnected { message, also_to } => {
+                    self.send_to_connected_and(&message, also_to.as_ref());
                 }
                 TableAction::HandleLocally(message) => {
                     let me = self.parts.me.clone();
--- a/crates/control/src/control/timers.rs
+++ b/crates/control/src/control/timers.rs
@@ -10,7 +10,7 @@
 
 const MICROS_PER_MS: f64 = 1_000.0;
 
-/// What a timer wakes.
+/// What is due when a timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// Registers, with their token.
--- a/crates/control/src/counts.rs
+++ b/crates/control/src/counts.rs
@@ -23,7 +23,7 @@
     pub purges_from_peers: u64,
     /// Register changes without a waiting requester that were unavailable. Printed as `unkept_unasked`.
     pub unavailable_unawaited: u64,
-    /// Background changes that were abandoned, including those pending at shutdown.
+    /// Background changes that were abandoned, including those pending at shutdown. Printed as `pursuits_dropped`.
     pub background_changes_abandoned: u64,
     /// Malformed or unexpected messages of peers. Printed as `peers_unreadable`.
     pub unreadable: u64,
--- a/crates/control/src/purges.rs
+++ b/crates/control/src/purges.rs
@@ -11,6 +11,10 @@
 /// Largest number of known purges. One more replaces all purges of the largest group by one purge of the whole group.
 pub const MAX_PURGES: usize = 65_536;
 
+/// Multiplier and mask that spread the objects of purges over the names of registers. All routers use the same ones.
+const OBJECT_MULTIPLIER: u64 = 0x2545_f491_4f6c_dd1d;
+const OBJECT_MASK: u64 = 0x9e37_79b9_7f4a_7c15;
+
 /// What a purge invalidates: an object or a whole group. Encoded as the key of a purge on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PurgeKey {
@@ -48,12 +52,12 @@
         PurgeKey { group: self.group, object: self.object }
     }
 
-    /// Register and change that replicate the purge; the same at every router.
+    /// Register and change that replicate the purge; the same at every router. The name of the register consists of the time and a hash of the
+    /// object and its group.
     pub fn record_change(&self) -> (RecordKey, Change) {
-        let object = self.object.map_or(0, |o| o ^ 0x9e37_79b9_7f4a_7c15);
-        let low = object.wrapping_mul(0x2545_f491_4f6c_dd1d)
-            ^ self.group
-            ^ (u64::from(self.object.is_some()) << 63);
+        let object = self.object.map_or(0, |o| o ^ OBJECT_MASK);
+        let low =
+            object.wrapping_mul(OBJECT_MULTIPLIER) ^ self.group ^ (u64::from(self.object.is_some()) << 63);
         let name = u128::from(self.time) << 64 | u128::from(low);
         let (group, object, time) = (self.group, self.object, self.time);
         (RecordKey { kind: Kind::Purge, name }, Change::Purge { group, object, time })
@@ -124,12 +128,12 @@
         self.latest.insert(PurgeKey { group, object: None }, latest);
     }
 
-    /// Removes the converged purges; see [`Purge::settled`].
+    /// Removes the converged purges; see [`Purge::has_converged`].
     pub fn remove_converged(&mut self, now: Ms, convergence_time: Ms) {
         self.take_converged(now, convergence_time);
     }
 
-    /// Removes and returns the converged purges; see [`Purge::settled`].
+    /// Removes and returns the converged purges; see [`Purge::has_converged`].
     pub fn take_converged(&mut self, now: Ms, convergence_time: Ms) -> Vec<Purge> {
         let converged: Vec<Purge> = self.all().filter(|p| p.has_converged(now, convergence_time)).collect();
         for purge in &converged {
--- a/crates/control/src/table/action.rs
+++ b/crates/control/src/table/action.rs
@@ -30,8 +30,8 @@
     SendToConnected {
         /// Message to send.
         message: Message,
-        /// Another receiver.
-        and: Option<RouterId>,
+        /// One more receiver.
+        also_to: Option<RouterId>,
     },
     /// Handle a message as if a peer had sent it.
     HandleLocally(Message),
--- a/crates/control/src/table/adoption.rs
+++ b/crates/control/src/table/adoption.rs
@@ -13,7 +13,7 @@
 use basaltgw_registers::{Change, Record, Response};
 use basaltgw_types::{Member, Ms, TableVersion};
 
-/// Where a content of the register came from.
+/// Source of a content of the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
     /// This router's own change or read of the register.
@@ -22,7 +22,7 @@
     Peer,
 }
 
-/// What a content of the register says about the table in effect.
+/// State of the tables in a content of the register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TableState {
     version: TableVersion,
@@ -116,12 +116,12 @@
         actions
     }
 
-    /// Sends a new content to routers that may not have it.
+    /// Sends a new content to routers that may not have it yet.
     fn announce(&self, content: TableRegister, source: Source) -> TableAction {
         let message = Message::TableState { serial: content.serial, body: content.body };
         match source {
             Source::Peer if self.peers.has_persistent_links() => {
-                TableAction::SendToConnected { message, and: None }
+                TableAction::SendToConnected { message, also_to: None }
             }
             Source::Peer | Source::Response => TableAction::Broadcast(message),
         }
@@ -172,7 +172,7 @@
         actions
     }
 
-    /// Requests a change of the register, unless another one is pending: the adoption requests it again.
+    /// Requests a change of the register, unless another one is pending; the adoption repeats the request later.
     fn change_register(&mut self, from: u64, to: &Register) -> Option<TableAction> {
         let body = match to.to_bytes() {
             Ok(body) => body,
--- a/crates/control/src/table/bootstrap.rs
+++ b/crates/control/src/table/bootstrap.rs
@@ -18,23 +18,23 @@
 /// Progress of the bootstrap.
 #[derive(Debug)]
 pub(super) struct Bootstrap {
-    /// The data folder was empty at the start of the process.
+    /// Whether the data folder was empty at the start of the process.
     started_empty: bool,
-    /// The fleet was bootstrapped during this incarnation.
+    /// Whether the fleet was bootstrapped during this incarnation.
     completed_here: bool,
-    /// Another router advertises a table: this router learns it instead.
-    completed_elsewhere: bool,
+    /// Whether another router advertises a table, which this router then learns instead of requesting the first one.
+    table_advertised: bool,
     /// Time from which all listed routers are connected, while there is no table.
     all_connected_since: Option<Ms>,
 }
 
 impl Bootstrap {
     pub fn new(started_empty: bool) -> Self {
-        Self { started_empty, completed_here: false, completed_elsewhere: false, all_connected_since: None }
+        Self { started_empty, completed_here: false, table_advertised: false, all_connected_since: None }
     }
 
     pub fn observe_advertised_table(&mut self) {
-        self.completed_elsewhere = true;
+        self.table_advertised = true;
     }
 }
 
@@ -46,7 +46,7 @@
 
     /// Whether no table is known to exist, so that all listed routers have to connect.
     pub fn needs_bootstrap(&self) -> bool {
-        self.register.is_none() && !self.bootstrap.completed_elsewhere
+        self.register.is_none() && !self.bootstrap.table_advertised
     }
 
     /// Requests the first table once all listed routers are connected and it is this router's turn.
@@ -86,8 +86,8 @@
         earlier.count().min(MAX_BOOTSTRAP_TURNS)
     }
 
-    /// The first content of the register was adopted. If it names the incarnation of a folder that was empty at the start of the process,
-    /// nothing was promised to a client before.
+    /// Records the adoption of the first content of the register. If that names the incarnation of a folder that was empty at the start of
+    /// the process, nothing was acknowledged to a client before.
     pub(super) fn observe_first_register(&mut self) {
         self.bootstrap.completed_here |= self.bootstrap.started_empty && self.is_member();
     }
--- a/crates/control/src/table/peers.rs
+++ b/crates/control/src/table/peers.rs
@@ -77,7 +77,7 @@
 }
 
 impl TableManager {
-    /// From now on links are persistent: not being connected does not mean being lost.
+    /// Switches to persistent links: from now on a router without a link is not lost by that alone.
     pub fn use_persistent_links(&mut self) {
         self.peers.mode = LinkMode::Persistent;
     }
@@ -121,7 +121,7 @@
         self.peers.mark_lost(now, router);
     }
 
-    /// Forgets lost routers that are not being dialed: they may be back unnoticed.
+    /// Forgets lost routers that are not being dialed, because they may have returned without notice.
     pub fn retain_lost(&mut self, dialed: &BTreeSet<RouterId>) {
         self.peers.lost_since.retain(|router, _| dialed.contains(router));
     }
--- a/crates/control/src/table/proposals.rs
+++ b/crates/control/src/table/proposals.rs
@@ -1,8 +1,8 @@
 //! Proposals: when this router proposes a table, or withdraws one that makes no progress.
 //!
 //! Inputs: connected and lost routers, the configured rules, the register, time in milliseconds. A table is proposed for new rules, by the
-//! router that has them, and for members that came, were lost for `replace_after`, or returned with another data folder. For members the first
-//! available member of the table proposes, or with persistent links the nearest watcher, so that one router proposes at a time.
+//! router that has them, and for members that joined, were lost for `replace_after`, or returned with another data folder. For members the
+//! first available member of the table proposes, or with persistent links the nearest watcher, so that one router proposes at a time.
 
 use super::adoption::progress_report;
 use super::bootstrap::join_lines;
@@ -30,7 +30,7 @@
     pub considered: BTreeSet<Member>,
     /// Members of the last table that did not compile: they are not tried again.
     uncompilable: Option<BTreeSet<Member>>,
-    /// New rules wait to be proposed.
+    /// Whether new rules wait to be proposed.
     has_new_rules: bool,
     register_changed_at: Ms,
     last_retry_at: Ms,
@@ -121,7 +121,8 @@
         actions
     }
 
-    /// An earlier report of this term may have been lost. A stalled adoption is reported to all.
+    /// Repeats the report of this router's progress in a term, because an earlier one may have been lost; to all routers if the adoption has
+    /// stalled.
     fn repeat_progress_report(&self, term: u64, is_stalled: bool) -> Option<TableAction> {
         let me = &self.config.me;
         let progress = self.adoption.member_progress();
--- a/crates/control/src/table/watch_ring.rs
+++ b/crates/control/src/table/watch_ring.rs
@@ -53,6 +53,6 @@
             return TableAction::Broadcast(message);
         }
         let proposal = self.adoption.register().and_then(Register::proposed);
-        TableAction::SendToConnected { message, and: proposal.map(|next| next.proposer.clone()) }
+        TableAction::SendToConnected { message, also_to: proposal.map(|next| next.proposer.clone()) }
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,8 +7,8 @@
 //!
 //! SWIM with suspicion (Das, Gupta, Motivala, *SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol*, DSN 2002)
 //! by the library `foca` 2 (MPL-2.0): without I/O, clock, timers or random numbers of its own, so that it runs in simulated time. The
-//! alternatives `memberlist` and `chitchat` bring sockets and an async runtime. This package decides what the library leaves open: which of two
-//! identities of one name is current, how routers learn of it ([`Event::LinkUp`]: hellos are exchanged before anything else), limits on
+//! alternatives `memberlist` and `chitchat` bring sockets and an async runtime. This package decides what the library leaves open: which of
+//! two identities of one name is current, how routers learn of it ([`Event::LinkUp`]: hellos are exchanged before anything else), limits on
 //! members, and evidence, whose age must grow while it waits (the library forwards broadcasts byte by byte).
 //!
 //! # Two incarnations of one name
--- a/crates/overlay/src/anti_entropy.rs
+++ b/crates/overlay/src/anti_entropy.rs
@@ -1,7 +1,8 @@
 //! Anti-entropy: neighbors compare digests of their known updates, which also shows each router how far behind it may be.
 //!
 //! Inputs: digests, buckets and vectors of neighbors, time in milliseconds. A digest names the streams that changed recently and hashes all
-//! others. After [`MIN_DIFFERING_DIGESTS`] consecutive differing digests the neighbors compare the hashes of buckets, and then vectors of the differing ones.
+//! others. After [`MIN_DIFFERING_DIGESTS`] consecutive differing digests the neighbors compare the hashes of buckets, and then vectors of the
+//! differing ones.
 
 use crate::frame::{Digest, Part, Vector, BUCKETS};
 use crate::injected_bug::InjectedBug;
--- a/crates/overlay/src/link_selection.rs
+++ b/crates/overlay/src/link_selection.rs
@@ -1,9 +1,9 @@
 //! Link selection: which routers are dialed, which links are closed, and which parent pushes updates.
 //!
-//! Inputs: the candidates of the topology, links, time in milliseconds. In each group the best candidates that are not backing off are
-//! dialed, as many as the group needs, and more while every parent rejects the push request. A worse link closes once the better ones have been up for
-//! `late_ms`. The primary parent is the first one in the order of candidates that accepts to push updates; it changes only to a parent that has been
-//! linked for `stable_ms`.
+//! Inputs: the candidates of the topology, links, time in milliseconds. In each group the best candidates that are not backing off are dialed,
+//! as many as the group needs, and more while every parent rejects the push request. A worse link closes once the better ones have been up for
+//! `late_ms`. The primary parent is the first one in the order of candidates that accepts to push updates; it changes only to a parent that
+//! has been linked for `stable_ms`.
 
 use crate::candidates::{Candidate, CandidateState, Group};
 use crate::frame::Part;
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -1,7 +1,7 @@
 //! A connection: the handshake, then reading and writing until the link goes down.
 //!
-//! A link goes down if its peer is silent, sends malformed data or too many control frames, reads no bytes, or closes it; if it is idle and not
-//! wanted; at shutdown. Inputs: the frames, the timeouts of the settings and of [`crate::limits`].
+//! A link goes down if its peer is silent, sends malformed data or too many control frames, reads no bytes, or closes it; if it is idle and
+//! not wanted; at shutdown. Inputs: the frames, the timeouts of the settings and of [`crate::limits`].
 
 use crate::codec::{BadFrame, Codec, Frame, Kind};
 use crate::connection_manager::{ConnectionManager, Link};
--- a/crates/transport/src/port.rs
+++ b/crates/transport/src/port.rs
@@ -96,7 +96,8 @@
     }
 }
 
-/// A user's end of the transport: takes commands and returns events without waiting. Dropping one of the two ports shuts the transport down gracefully.
+/// A user's end of the transport: takes commands and returns events without waiting. Dropping one of the two ports shuts the transport down
+/// gracefully.
 #[derive(Debug)]
 pub struct Port {
     pub(crate) commands: Producer<LinkCommand>,
