--- a/crates/emulator/src/rig/spec.rs
+++ b/crates/emulator/src/rig/spec.rs
@@ -1,11 +1,11 @@
-//! What a rig consists of, and the settings files with which its routers start.
+//! The specification of a rig, and the settings files with which its routers start.
 
 use serde::Serialize;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The failure domains of a router.
+/// A router's failure domains.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Location {
     /// The router's branch.
@@ -16,37 +16,38 @@
 
 /// The kinds of registers that routers replicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct ReplicatedRegisters {
-    /// Leases and outcomes of checkouts and other requests that are unsafe to repeat.
-    pub effects: bool,
+pub struct ReplicatedKinds {
+    /// Executions of checkouts and other requests that are unsafe to repeat: their leases and outcomes.
+    #[serde(rename = "effects")]
+    pub executions: bool,
     /// Purges that may not have taken effect at all caches yet.
     pub purges: bool,
     /// Tickets: the times at which rejected clients may retry.
     pub tickets: bool,
 }
 
-/// What a rig consists of.
+/// The specification of a rig.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// The router's program.
     pub binary: PathBuf,
-    /// The location of each router; from 3 to 9.
+    /// The location of each router; there are from 3 to 9.
     pub locations: Vec<Location>,
     /// The seed of link delays and corrupted bytes.
     pub seed: u64,
-    /// Whether routers have a section `fleet`. Without it each router is on its own, as a baseline.
+    /// Whether the settings of routers have the section `fleet`. Without it routers replicate nothing, which is the baseline of comparisons.
     pub fleet: bool,
     /// Replicas of each register: 3 or 5.
     pub replicas: usize,
     /// The kinds of registers that are replicated.
-    pub replicated: ReplicatedRegisters,
+    pub replicated: ReplicatedKinds,
     /// Whether scatter-gather requests are accepted.
     pub scatter_gather: bool,
     /// The text of the placement rules file, which all routers share.
     pub rules: Option<String>,
     /// Further keys of the section `fleet`, such as `limits`.
     pub extra_settings: Value,
-    /// The time after which a purge has taken effect at all caches, in milliseconds; until then a cache may serve older copies.
+    /// The time after which a purge has taken effect at all caches, in milliseconds. Until then a cache may serve copies made before the purge.
     pub purge_settles_ms: u64,
     /// The latency objective of reads and checkouts, in milliseconds.
     pub latency_objective_ms: u64,
@@ -65,10 +66,10 @@
             seed: 1,
             fleet: true,
             replicas: 3,
-            replicated: ReplicatedRegisters { effects: true, purges: true, tickets: true },
+            replicated: ReplicatedKinds { executions: true, purges: true, tickets: true },
             scatter_gather: false,
             rules: None,
-            // A busy machine syncs its disk slowly, and the speed of the disk is not what is tested.
+            // Syncing the disk is slow on a busy machine, and its speed is not under test: leases get a longer timeout.
             extra_settings: json!({"limits": {"promise_ms": 2000}}),
             purge_settles_ms: 60_000,
             latency_objective_ms: 400,
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -64,7 +64,7 @@
     pub at_least: Option<f64>,
     /// The maximum.
     pub at_most: Option<f64>,
-    /// The run whose value of the same figure multiplies the numbers above.
+    /// The run whose value of the same figure multiplies `is`, `at_least` and `at_most`.
     pub times_of: Option<Variant>,
 }
 
@@ -76,9 +76,9 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scale {
-    /// The factor for zones and districts.
+    /// The factor for zones and regular districts; spare districts are not multiplied.
     pub times: usize,
-    /// Whether quick runs leave this size out.
+    /// Whether this size is measured only by the full form of the experiment.
     #[serde(default)]
     pub full: bool,
 }
@@ -137,7 +137,8 @@
     }
 }
 
-/// Whether the experiment has this form, which its key `on` names.
+/// Whether the key `on` of the experiment with this name or file names this form. False if the file is unreadable or not YAML: the loader of
+/// [`Experiment`] reports that.
 pub fn has_form(built_in: (&str, &str), name: &str, form: &str) -> bool {
     let document =
         read_text(built_in, name).and_then(|t| Document::parse(name, &t, &compile_schema("{}")).ok());
@@ -169,7 +170,7 @@
     for (i, bound) in bounds.iter().enumerate() {
         let other_run = bound.run != Variant::Described || bound.times_of.is_some();
         if other_run || [bound.is, bound.at_least, bound.at_most] == [None; 3] {
-            let message = "expected `is`, `at_least` or `at_most` of the run described";
+            let message = "expected `is`, `at_least` or `at_most` for the described run";
             return Err(document.error_at(&format!("{section}/must/{i}"), message));
         }
     }
@@ -215,31 +216,35 @@
 
     /// Returns the simulator's setup of one run: this variant, at `times` the size of the file, with this seed.
     pub fn setup(&self, variant: Variant, times: usize, seed: u64) -> Setup {
+        let districts =
+            DistrictScale { count: self.fleet.districts, spare: self.fleet.spare_districts, times };
         let mut fleet = self.fleet.clone();
         fleet.zones *= times;
-        let scaled = |count: usize, spare: usize| (count - spare) * times + spare;
-        let (districts, spares) = (fleet.districts, fleet.spare_districts);
-        fleet.districts = scaled(districts, spares);
-        // Spare districts have the last numbers, so their numbers grow with the size.
-        let number = |d: usize| if d >= districts - spares { d + fleet.districts - districts } else { d };
-        let plans = self.plans.iter().map(|p| PlanShape {
-            districts: (0..times)
-                .flat_map(|k| {
-                    p.districts
-                        .iter()
-                        .filter(|d| **d < districts - spares)
-                        .map(move |d| d + k * (districts - spares))
-                })
-                .chain(p.districts.iter().filter(|d| **d >= districts - spares).map(|d| number(*d)))
-                .collect(),
-            ..p.clone()
-        });
-        let plans = plans.collect();
+        fleet.districts = districts.scaled_count();
+        let slow_start = basaltgw_hierarchy::SlowStart {
+            initial_share: fleet.rules.cold_parent.share,
+            ramp_duration: fleet.rules.cold_parent.span_ms,
+        };
+        Setup {
+            fleet,
+            load: self.load.clone(),
+            script: self.scaled_script(variant, &districts),
+            plans: self.plans.iter().map(|plan| districts.scaled_plan(plan)).collect(),
+            tree: basaltgw_hierarchy::Settings { slow_start, ..self.tree_settings(variant) },
+            length_ms: self.length_ms,
+            staged: variant != Variant::AtOnce,
+            loop_detection: variant != Variant::Blind,
+            seed,
+        }
+    }
+
+    /// Returns the script with the scaled numbers of districts; a still run has no changes of the tree.
+    fn scaled_script(&self, variant: Variant, districts: &DistrictScale) -> Vec<ScriptEvent> {
         let mut script = self.script.clone();
         for event in &mut script {
             for name in [&mut event.node, &mut event.to].into_iter().flatten() {
-                if let Some(d) = name.strip_prefix("district-").and_then(|d| d.parse::<usize>().ok()) {
-                    *name = format!("district-{}", number(d));
+                if let Some(number) = name.strip_prefix("district-").and_then(|n| n.parse::<usize>().ok()) {
+                    *name = format!("district-{}", districts.scaled_number(number));
                 }
             }
         }
@@ -253,12 +258,17 @@
             ];
             script.retain(|event| !changes.contains(&event.what));
         }
+        script
+    }
+
+    /// Returns the settings of the tree without its slow start. Steps are shorter than with the default settings, and shorter still on sockets.
+    fn tree_settings(&self, variant: Variant) -> basaltgw_hierarchy::Settings {
         let defaults = basaltgw_hierarchy::Settings {
             successes_per_step: 4,
             idle_step_duration: 2_000.0,
             ..Default::default()
         };
-        let tree = match (self.environment, variant) {
+        match (self.environment, variant) {
             // Router processes always shift traffic in steps, so the fastest steps stand in for a change applied at once.
             (Environment::Sockets, Variant::AtOnce) => basaltgw_hierarchy::Settings {
                 successes_per_step: 1,
@@ -274,24 +284,50 @@
                 ..defaults
             },
             (Environment::Simulated | Environment::Fleet, _) => defaults,
-        };
-        let slow_start = basaltgw_hierarchy::SlowStart {
-            initial_share: fleet.rules.cold_parent.share,
-            ramp_duration: fleet.rules.cold_parent.span_ms,
-        };
-        Setup {
-            fleet,
-            load: self.load.clone(),
-            script,
-            plans,
-            tree: basaltgw_hierarchy::Settings { slow_start, ..tree },
-            length_ms: self.length_ms,
-            staged: variant != Variant::AtOnce,
-            loop_detection: variant != Variant::Blind,
-            seed,
         }
     }
 }
 
+/// Scales the districts of a fleet. Spare districts have the last numbers and are not multiplied, so their numbers grow with the size.
+struct DistrictScale {
+    /// Districts in the file, spare ones included.
+    count: usize,
+    /// Spare districts in the file.
+    spare: usize,
+    /// The factor for regular districts.
+    times: usize,
+}
+
+impl DistrictScale {
+    /// Returns the count of regular districts in the file.
+    fn regular(&self) -> usize {
+        self.count - self.spare
+    }
+
+    /// Returns the count of all districts in the scaled fleet.
+    fn scaled_count(&self) -> usize {
+        self.regular() * self.times + self.spare
+    }
+
+    /// Returns the number that a district of the file has in the scaled fleet.
+    fn scaled_number(&self, district: usize) -> usize {
+        if district >= self.regular() {
+            district + self.scaled_count() - self.count
+        } else {
+            district
+        }
+    }
+
+    /// Returns a plan with all copies of its regular districts, followed by its spare ones.
+    fn scaled_plan(&self, plan: &PlanShape) -> PlanShape {
+        let regular = plan.districts.iter().filter(|district| **district < self.regular());
+        let spare = plan.districts.iter().filter(|district| **district >= self.regular());
+        let copies = (0..self.times)
+            .flat_map(|copy| regular.clone().map(move |district| district + copy * self.regular()));
+        let districts = copies.chain(spare.map(|district| self.scaled_number(*district))).collect();
+        PlanShape { districts, ..plan.clone() }
+    }
+}
+
 #[cfg(test)]
 mod tests;
