--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -61,8 +61,8 @@
         /// Encoded message.
         body: Vec<u8>,
     },
-    /// Tell the transport whether a link to a router is wanted. Used with persistent links only. A wanted router is dialed until it is
-    /// connected; [`Event::LinkUp`] follows even if the link already existed.
+    /// Request a link to a router from the transport, or end that request. Used with persistent links only. A wanted router is dialed until it
+    /// is connected; [`Event::LinkUp`] follows even if the link already existed.
     SetLinkWanted {
         /// Router to be linked.
         router: RouterId,
--- a/crates/control/src/control/commit_log.rs
+++ b/crates/control/src/control/commit_log.rs
@@ -94,7 +94,7 @@
         commit.waiting_actions.splice(0..0, waiting);
     }
 
-    /// Repeats failed removals, except of purges that were observed again.
+    /// Keeps failed removals for the next maintenance, except those of purges that were observed again.
     fn retry_removals(&mut self, removed: BTreeSet<PurgeKey>, known: &Purges) {
         self.failed_removals.extend(removed.into_iter().filter(|key| !known.contains(*key)));
         while self.failed_removals.len() > MAX_PURGES {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A commit has finished: executes the actions that waited for it, or collects what has to be committed again.
+    /// Handles the end of a commit: executes the actions that waited for it, or collects what has to be committed again.
     pub(super) fn on_commit_finished(&mut self, now: Ms, number: u64, durable: bool) {
         let Some(commit) = self.commits.in_flight.remove(&number) else { return };
         match durable {
--- a/crates/control/src/control/maintenance.rs
+++ b/crates/control/src/control/maintenance.rs
@@ -25,7 +25,7 @@
         self.commits.remove_purges(now, &converged);
     }
 
-    /// Learns purges from this router's register replicas. Their records outlive convergence: converged purges are skipped.
+    /// Learns purges from this router's register replicas. Converged purges are skipped, because their records outlive convergence.
     fn observe_replicated_purges(&mut self, now: Ms) {
         let convergence_time = self.parts.purge_convergence_time;
         let records = self.parts.registers.purges().filter_map(|(_, record, _)| Purge::from_record(record));
--- a/crates/control/src/control/overlay_parts.rs
+++ b/crates/control/src/control/overlay_parts.rs
@@ -14,7 +14,7 @@
 /// Streams without updates are remembered for this multiple of the retention, so that a router that returns finds its gap.
 const STREAM_RETENTION_FACTOR: f64 = 5.0;
 /// Paths of an announced update may differ by this many batches.
-const LATE_THRESPUBLISHER_WAIT_BATCHES: f64 = 3.0;
+const LATE_THRESHOLD_BATCHES: f64 = 3.0;
 /// Batch interval between two control machines, as a multiple of the router's.
 const PEER_BATCH_FACTOR: f64 = 2.0;
 /// One batch more than [`PEER_BATCH_FACTOR`]: a router waits this long for others to publish what all of them know.
@@ -64,10 +64,10 @@
     pub fn new(
         me: RouterId,
         list: RouterList,
-        times: OverlaySettings,
+        operator_settings: OverlaySettings,
         seed: u64,
     ) -> Result<Self, overlay::OverlayError> {
-        Self::with_links(me, list, times, None, seed)
+        Self::with_links(me, list, operator_settings, None, seed)
     }
 
     /// As [`Self::new`]; with persistent links the overlay's links are dialed and closed as needed.
@@ -77,32 +77,38 @@
     pub fn with_links(
         me: RouterId,
         list: RouterList,
-        times: OverlaySettings,
+        operator_settings: OverlaySettings,
         persistent_links: Option<LinkQueueLimits>,
         seed: u64,
     ) -> Result<Self, overlay::OverlayError> {
         let backoff = if persistent_links.is_some() { DIAL_BACKOFF } else { MESH_BACKOFF };
-        let overlay = Overlay::new(me, settings(times, backoff), seed)?;
-        Ok(Self { overlay, list: Arc::new(list), batch_ms: times.batch_interval, persistent_links })
+        let overlay = Overlay::new(me, settings(operator_settings, backoff), seed)?;
+        Ok(Self {
+            overlay,
+            list: Arc::new(list),
+            batch_ms: operator_settings.batch_interval,
+            persistent_links,
+        })
     }
 }
 
-fn settings(times: OverlaySettings, backoff: Backoff) -> overlay::Settings {
+/// The overlay's settings that follow from those of the operator.
+fn settings(operator: OverlaySettings, backoff: Backoff) -> overlay::Settings {
     let defaults = overlay::Settings::default();
     overlay::Settings {
-        batch_ms: times.batch_interval,
-        peer_batch_ms: PEER_BATCH_FACTOR * times.batch_interval,
-        publisher_wait_ms: PUBLISHER_WAIT_BATCHES * times.batch_interval,
-        query_delay_ms: QUERY_DELAY_BATCHES * times.batch_interval,
+        batch_ms: operator.batch_interval,
+        peer_batch_ms: PEER_BATCH_FACTOR * operator.batch_interval,
+        publisher_wait_ms: PUBLISHER_WAIT_BATCHES * operator.batch_interval,
+        query_delay_ms: QUERY_DELAY_BATCHES * operator.batch_interval,
         // A router that lags less than this counts as caught up, so it must still receive every update.
-        convergence_ms: (times.purge_convergence_time + overlay::CATCH_UP_MS).max(MAX_UPDATE_LAG_MS),
-        late_ms: defaults.late_ms.max(LATE_THRESPUBLISHER_WAIT_BATCHES * times.batch_interval),
+        convergence_ms: (operator.purge_convergence_time + overlay::CATCH_UP_MS).max(MAX_UPDATE_LAG_MS),
+        late_ms: defaults.late_ms.max(LATE_THRESHOLD_BATCHES * operator.batch_interval),
         backoff_ms: backoff.initial_ms,
         max_backoff_ms: backoff.max_ms,
-        retention_ms: times.retention,
-        forget_ms: STREAM_RETENTION_FACTOR * times.retention,
-        budget_bytes_per_s: times.budget_bytes_per_s,
-        burst_bytes: defaults.burst_bytes.max(BURST_SECONDS * times.budget_bytes_per_s),
+        retention_ms: operator.retention,
+        forget_ms: STREAM_RETENTION_FACTOR * operator.retention,
+        budget_bytes_per_s: operator.budget_bytes_per_s,
+        burst_bytes: defaults.burst_bytes.max(BURST_SECONDS * operator.budget_bytes_per_s),
         max_frame_bytes: MAX_OVERLAY_FRAME_BYTES,
         ..defaults
     }
--- a/crates/control/src/control/parts.rs
+++ b/crates/control/src/control/parts.rs
@@ -1,4 +1,4 @@
-//! What a control plane consists of.
+//! The packages and settings of which a control plane consists.
 
 use super::OverlayParts;
 use crate::purges::Purges;
--- a/crates/membership/tests/bounds.rs
+++ b/crates/membership/tests/bounds.rs
@@ -20,7 +20,7 @@
     for _ in 0..40 {
         let Some((at, event)) = events.pop_front() else { break };
         let mut out = Vec::new();
-        both[at].handle(1.0, event, &mut out).expect("accepted");
+        both[at].handle(1.0, event, &mut out).expect("a valid event is accepted");
         for action in out {
             match action {
                 Action::Send(_, bytes) => {
@@ -86,7 +86,9 @@
 
 #[test]
 fn settings_and_names_out_of_range_are_named_in_the_error() {
-    let error = |settings| Membership::new(presence(0, 1), settings, 1).err().expect("an error").to_string();
+    let error = |settings| {
+        Membership::new(presence(0, 1), settings, 1).err().expect("invalid settings are rejected").to_string()
+    };
     assert_eq!(
         error(Settings { probe_timeout: 900.0, ..listed(3) }),
         "roster.rtt: expected more than 0 and less than half a period"
