--- a/crates/fleet_simulation/tests/changes.rs
+++ b/crates/fleet_simulation/tests/changes.rs
@@ -11,7 +11,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A small fleet with delays that allow founding, and ten configuration changes a minute.
+/// A small fleet whose delays are short enough for bootstrapping, and ten configuration changes a minute.
 fn setup(seconds: f64) -> Setup {
     let mut setup = Setup::mesh(6, 3);
     setup.network.inter_region_delay_ms = (5.0, 20.0);
@@ -24,7 +24,7 @@
 
 #[test]
 fn every_config_change_reaches_all_routers() {
-    let figures = run(&setup(24.0)).expect("a run").values;
+    let figures = run(&setup(24.0)).expect("a valid setup").values;
     let figure = |name: &str| figures[name];
     assert_eq!(
         (figure("founded"), figure("changes"), figure("changes_lost")),
@@ -40,7 +40,7 @@
     let mut setup = setup(12.0);
     setup.scripted_faults =
         vec![Fault { at: 4_500_000, kind: FaultKind::Vanish { router: 5, duration: 600_000_000 } }];
-    let figures = run(&setup).expect("a run").values;
+    let figures = run(&setup).expect("a valid setup").values;
     assert_eq!((figures["changes"], figures["changes_lost"] > 0.0), (2.0, true), "{figures:#?}");
 }
 
@@ -51,12 +51,12 @@
     changes.applied(3_000, 0, 0);
     changes.applied(4_000, 1, 1);
     changes.applied(6_000, 0, 1);
-    // A repetition, a change that was never made, and a router that does not exist.
+    // These are ignored: a repetition, a change that was never made, and a router that does not exist.
     changes.applied(9_000, 0, 1);
     changes.applied(9_000, 1, 7);
     changes.applied(9_000, 2, 2);
-    let changed = changes.findings();
-    assert_eq!((changed.made, changed.lost(), changed.completion_ms), (3, 1, vec![3.0, 4.0]));
+    let findings = changes.findings();
+    assert_eq!((findings.made, findings.lost(), findings.completion_ms), (3, 1, vec![3.0, 4.0]));
 }
 
 /// Records when it reads each purge from the change log.
@@ -85,15 +85,15 @@
     let start = |start: &StartContext, _: &mut Vec<ControlPlaneAction>| {
         Ok((Box::new(PurgeRecorder(read_at[start.index].clone())) as Box<dyn ControlPlane>, None))
     };
-    run_with(&setup, &start).expect("a run");
+    run_with(&setup, &start).expect("a valid setup");
     let first_polls = read_at.each_ref().map(|times| {
-        let mut all = times.borrow().clone();
-        assert_eq!(all.len(), 100);
-        all.dedup();
-        // A poll at the very time of a purge may include it or not.
-        assert!((20..=21).contains(&all.len()), "{all:?}");
-        assert!(all.windows(2).all(|w| (w[1] - w[0] - 50.0).abs() < 1e-6), "{all:?}");
-        all[0]
+        let mut polls = times.borrow().clone();
+        assert_eq!(polls.len(), 100);
+        polls.dedup();
+        // A poll at the time of a purge may include the purge or not.
+        assert!((20..=21).contains(&polls.len()), "{polls:?}");
+        assert!(polls.windows(2).all(|w| (w[1] - w[0] - 50.0).abs() < 1e-6), "{polls:?}");
+        polls[0]
     });
     assert!(
         first_polls[0] != first_polls[1] && first_polls[1] != first_polls[2],
--- a/crates/fleet_simulation/tests/checker.rs
+++ b/crates/fleet_simulation/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker detects faulty control planes that drop, duplicate or delay purges, and accepts a correct one.
+//! The checker reports control planes that drop, duplicate or delay purges, and accepts a correct one.
 
 use basaltgw_control::Purge;
 use basaltgw_fleet_simulation::checker::Findings;
@@ -11,22 +11,25 @@
 use basaltgw_types::{Member, Ms};
 use std::collections::BTreeSet;
 
+/// A defect of a control plane.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Defect {
+    /// No defect.
     None,
     /// No notification for every seventh purge.
     Drops,
     /// Two notifications for every seventh purge.
     Duplicates,
-    /// Notifications of purges from other routers are this late.
-    Delays(Ms),
+    /// Late notifications of purges from other routers.
+    Delays { delay_ms: Ms },
 }
 
-/// Forwards purges from the change log over all links; purges from links are not forwarded.
+/// A control plane that forwards purges from the change log over all links; purges from links are not forwarded.
 struct Gossip {
     defect: Defect,
     links: BTreeSet<Member>,
     known: BTreeSet<Purge>,
+    /// Purges whose notification is delayed, with its time.
     delayed: Vec<(Ms, Purge)>,
 }
 
@@ -41,7 +44,7 @@
             Defect::Duplicates if seventh => {
                 out.extend([0, 0].map(|_| ControlPlaneAction::Notify(Notification::Purge(purge))));
             }
-            Defect::Delays(by) => self.delayed.push((now + by, purge)),
+            Defect::Delays { delay_ms } => self.delayed.push((now + delay_ms, purge)),
             Defect::None | Defect::Drops | Defect::Duplicates => {
                 out.push(ControlPlaneAction::Notify(Notification::Purge(purge)));
             }
@@ -57,7 +60,7 @@
             ControlPlaneEvent::ChangeLogPurge(purge) => {
                 self.known.insert(purge);
                 for to in self.links.iter().cloned() {
-                    let body = postcard::to_stdvec(&purge).expect("bytes");
+                    let body = postcard::to_stdvec(&purge).expect("an encoded purge");
                     out.push(ControlPlaneAction::Send { number: 0, to, lane: Lane::Table, body });
                 }
             }
@@ -66,8 +69,8 @@
                 self.notify(now, purge, out);
             }
             ControlPlaneEvent::TimersDue => {
-                let (due, left): (Vec<_>, Vec<_>) = self.delayed.drain(..).partition(|(at, _)| *at <= now);
-                self.delayed = left;
+                let (due, not_due): (Vec<_>, Vec<_>) = self.delayed.drain(..).partition(|(at, _)| *at <= now);
+                self.delayed = not_due;
                 out.extend(
                     due.into_iter().map(|(_, purge)| ControlPlaneAction::Notify(Notification::Purge(purge))),
                 );
@@ -83,6 +86,7 @@
     }
 }
 
+/// The checker's findings in a run with control planes of this defect.
 fn findings(defect: Defect) -> Findings {
     let mut setup = Setup::mesh(12, 5);
     (setup.warm_up_s, setup.measured_s, setup.purges_per_s, setup.change_log) =
@@ -94,7 +98,7 @@
         let (links, known) = (BTreeSet::new(), BTreeSet::new());
         Ok((Box::new(Gossip { defect, links, known, delayed: Vec::new() }) as Box<dyn ControlPlane>, None))
     };
-    run_with(&setup, &start).expect("a run").1
+    run_with(&setup, &start).expect("a valid setup").1
 }
 
 #[test]
@@ -120,9 +124,9 @@
 
 #[test]
 fn a_control_plane_that_delays_notifications_is_reported() {
-    let found = findings(Defect::Delays(6_200.0));
+    let found = findings(Defect::Delays { delay_ms: 6_200.0 });
     assert_eq!((found.lost.len(), found.duplicates, found.late), (0, 0, 100 * 11));
     assert!(found.completion_ms.iter().all(|ms| *ms > 6_100.0));
-    let found = findings(Defect::Delays(5_000.0));
+    let found = findings(Defect::Delays { delay_ms: 5_000.0 });
     assert_eq!((found.lost.len(), found.late), (0, 0), "in time");
 }
--- a/crates/fleet_simulation/tests/links.rs
+++ b/crates/fleet_simulation/tests/links.rs
@@ -1,4 +1,4 @@
-//! The link protocol, as a control plane observes it.
+//! The link protocol as a control plane observes it: one link per pair, keepalives, order of frames, time-outs and reconnects.
 
 use basaltgw_fleet_simulation::control_plane::{
     ControlPlane, ControlPlaneAction, ControlPlaneEvent, StartContext,
@@ -13,14 +13,16 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Time, router and description of each event.
+/// The events of all recorders: time, router and description of each.
 type EventLog = Rc<RefCell<Vec<(Ms, String, String)>>>;
 
-/// Records its events. Sends the next number on each link at an interval, if there is one, and checks the order of received numbers.
+/// A control plane that records its events. If it has an interval, it sends the next number on each link at that interval, and it checks the
+/// order of received numbers.
 struct Recorder {
     me: String,
     interval_ms: Option<Ms>,
     next: Ms,
+    /// The last number sent to each peer.
     links: BTreeMap<Member, u64>,
     /// The last number received from each peer.
     received: BTreeMap<Member, u64>,
@@ -30,8 +32,8 @@
 }
 
 impl Recorder {
-    fn record(&self, now: Ms, what: String) {
-        self.log.borrow_mut().push((now, self.me.clone(), what));
+    fn record(&self, now: Ms, description: String) {
+        self.log.borrow_mut().push((now, self.me.clone(), description));
     }
 }
 
@@ -54,14 +56,14 @@
                 let next = before.map_or(1, |n| n + 1);
                 assert!(
                     number == next || (number > next && self.may_refuse),
-                    "{number} of {from}, expected {next}"
+                    "received number {number} from {from}, expected {next}"
                 );
             }
             ControlPlaneEvent::TimersDue => {
                 self.next = now + self.interval_ms.unwrap_or(f64::INFINITY);
                 for (to, number) in &mut self.links {
                     *number += 1;
-                    let body = postcard::to_stdvec(number).expect("bytes");
+                    let body = postcard::to_stdvec(number).expect("an encoded number");
                     out.push(ControlPlaneAction::Send {
                         number: 7,
                         to: to.clone(),
@@ -70,7 +72,7 @@
                     });
                 }
             }
-            ControlPlaneEvent::SendFailed(no) => self.record(now, format!("unsent {no}")),
+            ControlPlaneEvent::SendFailed(number) => self.record(now, format!("unsent {number}")),
             ControlPlaneEvent::ChangeLogPurge(_)
             | ControlPlaneEvent::Flush
             | ControlPlaneEvent::CommitFinished(..) => {}
@@ -82,12 +84,14 @@
     }
 }
 
+/// Runs recorders on all routers; returns the figures and the log of their events.
 fn run_recorders(setup: &Setup, interval_ms: Option<Ms>) -> (Figures, Vec<(Ms, String, String)>) {
     let log = EventLog::default();
     let start = |start: &StartContext, out: &mut Vec<ControlPlaneAction>| {
         let others = start.fleet.routers.iter().filter(|s| s.router != start.me.router);
         out.extend(others.map(|s| ControlPlaneAction::Dial(s.router.clone())));
-        let (me, next) = (start.me.router.to_string(), interval_ms.map_or(f64::INFINITY, |e| start.now + e));
+        let (me, next) =
+            (start.me.router.to_string(), interval_ms.map_or(f64::INFINITY, |ms| start.now + ms));
         let (links, received, log) = (BTreeMap::new(), BTreeMap::new(), log.clone());
         let may_refuse = setup.network.bytes_per_s.is_some();
         Ok((
@@ -96,7 +100,7 @@
             None,
         ))
     };
-    let figures = run_with(setup, &start).expect("a run").0;
+    let figures = run_with(setup, &start).expect("a valid setup").0;
     let log = log.borrow().clone();
     (figures, log)
 }
@@ -143,57 +147,61 @@
 
 #[test]
 fn a_link_times_out_a_second_after_the_last_keepalive_and_is_restored() {
-    let mut troubled = setup(3);
-    troubled.scripted_faults = vec![cut(6_000_000, 4_000_000, CutDirection::Both)];
-    let (_, log) = run_recorders(&troubled, None);
-    let silent: Vec<_> = log.iter().filter(|(_, _, what)| what.ends_with("PeerTimeout")).collect();
-    assert_eq!(silent.len(), 4, "{log:?}");
+    let mut setup = setup(3);
+    setup.scripted_faults = vec![cut(6_000_000, 4_000_000, CutDirection::Both)];
+    let (_, log) = run_recorders(&setup, None);
+    let timed_out: Vec<_> = log.iter().filter(|(_, _, event)| event.ends_with("PeerTimeout")).collect();
+    assert_eq!(timed_out.len(), 4, "{log:?}");
     // The last keepalive was up to 250 ms old, and took up to 165 ms.
-    assert!(silent.iter().all(|(at, ..)| (6_750.0..7_166.0).contains(at)), "{silent:?}");
-    let back: Vec<_> = log.iter().filter(|(at, _, what)| *at > 8_000.0 && what.starts_with("up")).collect();
-    assert_eq!(back.len(), 4, "{log:?}");
-    assert!(back.iter().all(|(at, ..)| (10_000.0..12_500.0).contains(at)), "{back:?}");
+    assert!(timed_out.iter().all(|(at, ..)| (6_750.0..7_166.0).contains(at)), "{timed_out:?}");
+    let restored: Vec<_> =
+        log.iter().filter(|(at, _, event)| *at > 8_000.0 && event.starts_with("up")).collect();
+    assert_eq!(restored.len(), 4, "{log:?}");
+    assert!(restored.iter().all(|(at, ..)| (10_000.0..12_500.0).contains(at)), "{restored:?}");
 }
 
 #[test]
 fn a_short_partition_closes_no_link_and_lost_frames_arrive_after_it() {
-    let mut troubled = setup(3);
-    troubled.scripted_faults = vec![cut(6_000_000, 300_000, CutDirection::Both)];
-    let (figures, log) = run_recorders(&troubled, Some(10.0));
-    assert!(!log.iter().any(|(_, _, what)| what.starts_with("down")), "{log:?}");
+    let mut setup = setup(3);
+    setup.scripted_faults = vec![cut(6_000_000, 300_000, CutDirection::Both)];
+    let (figures, log) = run_recorders(&setup, Some(10.0));
+    assert!(!log.iter().any(|(_, _, event)| event.starts_with("down")), "{log:?}");
     assert!(figures.values["frames_in_mean"] > 0.99 * figures.values["frames_out_mean"]);
 }
 
 #[test]
 fn a_one_way_partition_closes_the_link_at_both_ends() {
-    let mut troubled = setup(2);
-    troubled.shape.zones = 1;
-    troubled.shape.regions = 1;
-    troubled.scripted_faults = vec![cut(6_000_000, 4_000_000, CutDirection::Outbound)];
-    let (_, log) = run_recorders(&troubled, None);
-    let down: Vec<_> = log.iter().filter(|(_, _, what)| what.starts_with("down")).collect();
+    let mut setup = setup(2);
+    setup.shape.zones = 1;
+    setup.shape.regions = 1;
+    setup.scripted_faults = vec![cut(6_000_000, 4_000_000, CutDirection::Outbound)];
+    let (_, log) = run_recorders(&setup, None);
+    let down: Vec<_> = log.iter().filter(|(_, _, event)| event.starts_with("down")).collect();
     // The end that receives nothing closes the link; its close still reaches the peer.
     assert_eq!(down.len(), 2, "{log:?}");
-    assert!(down.iter().any(|(_, me, what)| me == "r00001" && what.ends_with("PeerTimeout")), "{down:?}");
-    assert!(down.iter().any(|(_, me, what)| me == "r00000" && what.ends_with("ConnectionLost")), "{down:?}");
+    assert!(down.iter().any(|(_, me, event)| me == "r00001" && event.ends_with("PeerTimeout")), "{down:?}");
+    assert!(
+        down.iter().any(|(_, me, event)| me == "r00000" && event.ends_with("ConnectionLost")),
+        "{down:?}"
+    );
 }
 
 #[test]
 fn a_killed_process_is_noticed_at_once_and_a_vanished_machine_after_a_second() {
-    let mut troubled = setup(3);
-    troubled.scripted_faults = vec![
+    let mut setup = setup(3);
+    setup.scripted_faults = vec![
         Fault { at: 6_000_000, kind: FaultKind::Restart { router: 1, duration: 1_000_000 } },
         Fault { at: 10_000_000, kind: FaultKind::Vanish { router: 1, duration: 3_000_000 } },
     ];
-    let (_, log) = run_recorders(&troubled, None);
+    let (_, log) = run_recorders(&setup, None);
     let down = |reason: LinkError| {
-        let ends = format!("down r00001 {reason:?}");
-        log.iter().filter(|(_, _, what)| *what == ends).map(|(at, ..)| *at).collect::<Vec<_>>()
+        let expected = format!("down r00001 {reason:?}");
+        log.iter().filter(|(_, _, event)| *event == expected).map(|(at, ..)| *at).collect::<Vec<_>>()
     };
-    let (broken, silent) = (down(LinkError::ConnectionLost), down(LinkError::PeerTimeout));
-    assert!(broken.len() == 2 && broken.iter().all(|at| (6_000.0..6_166.0).contains(at)), "{log:?}");
-    assert!(silent.len() == 2 && silent.iter().all(|at| (10_750.0..11_166.0).contains(at)), "{log:?}");
-    let up = log.iter().filter(|(at, me, what)| *at > 13_000.0 && me != "r00001" && what == "up r00001");
+    let (lost, timed_out) = (down(LinkError::ConnectionLost), down(LinkError::PeerTimeout));
+    assert!(lost.len() == 2 && lost.iter().all(|at| (6_000.0..6_166.0).contains(at)), "{log:?}");
+    assert!(timed_out.len() == 2 && timed_out.iter().all(|at| (10_750.0..11_166.0).contains(at)), "{log:?}");
+    let up = log.iter().filter(|(at, me, event)| *at > 13_000.0 && me != "r00001" && event == "up r00001");
     assert_eq!(up.count(), 2, "{log:?}");
 }
 
@@ -203,5 +211,5 @@
     (slow.network.bytes_per_s, slow.network.socket_buffer_bytes) = (Some(2_000), 1_000);
     let (figures, log) = run_recorders(&slow, Some(1.0));
     assert!(figures.values["links_unsent_full"] > 0.0);
-    assert!(log.iter().any(|(_, _, what)| what == "unsent 7"));
+    assert!(log.iter().any(|(_, _, event)| event == "unsent 7"));
 }
--- a/crates/fleet_simulation/tests/process.rs
+++ b/crates/fleet_simulation/tests/process.rs
@@ -1,4 +1,4 @@
-//! Processes, disks and the placement of routers.
+//! Restarts and replacements of routers, and the distribution of a fleet's routers over failure domains.
 
 use basaltgw_fleet_simulation::control_plane::{
     ControlPlane, ControlPlaneAction, ControlPlaneEvent, StartContext,
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Commits a new number each millisecond, and records the last one that became durable.
+/// A control plane that commits a new number each millisecond, and records the last one that became durable.
 struct Writer {
     next: Ms,
     last: u32,
@@ -28,9 +28,9 @@
                 let write = Write::Put(Space(1), vec![1], self.last.to_be_bytes().to_vec());
                 out.push(ControlPlaneAction::Commit(u64::from(self.last), vec![write]));
             }
-            ControlPlaneEvent::CommitFinished(no, done) => {
-                assert!(done);
-                *self.stored.borrow_mut() = no as u32;
+            ControlPlaneEvent::CommitFinished(number, succeeded) => {
+                assert!(succeeded, "commit {number} failed");
+                *self.stored.borrow_mut() = number as u32;
             }
             ControlPlaneEvent::LinkUp(_)
             | ControlPlaneEvent::LinkDown(..)
@@ -57,14 +57,15 @@
     let starts = RefCell::new(Vec::new());
     let start = |start: &StartContext, _: &mut Vec<ControlPlaneAction>| {
         let own = if start.index == 1 { stored.clone() } else { Rc::default() };
-        let found = start.disk.get(Space(1), &[1]).map(|b| u32::from_be_bytes(b.try_into().expect("4")));
+        let found =
+            start.disk.get(Space(1), &[1]).map(|b| u32::from_be_bytes(b.try_into().expect("four bytes")));
         if start.index == 1 {
             starts.borrow_mut().push((start.has_previous_data, found, *own.borrow(), start.me.incarnation));
         }
         let writer = Writer { next: start.now, last: found.unwrap_or(0), stored: own };
         Ok((Box::new(writer) as Box<dyn ControlPlane>, None))
     };
-    run_with(&setup, &start).expect("a run");
+    run_with(&setup, &start).expect("a valid setup");
     let starts = starts.borrow();
     let [(false, None, 0, first), (true, Some(found), notified, again), (false, None, _, new)] = starts[..]
     else {
@@ -81,16 +82,19 @@
     assert_eq!((shape.sites, shape.zones, shape.regions, shape.control_machines), (210, 71, 21, 9));
     let fleet = Fleet::new(&shape, 7).expect("a fleet");
     assert_eq!(fleet.routers.len(), 4_300);
-    let many = |of: fn(&basaltgw_fleet_simulation::fleet::FleetRouter) -> usize| {
-        fleet.routers.iter().map(of).collect::<BTreeSet<_>>().len()
+    let count_distinct = |domain: fn(&basaltgw_fleet_simulation::fleet::FleetRouter) -> usize| {
+        fleet.routers.iter().map(domain).collect::<BTreeSet<_>>().len()
     };
-    assert_eq!((many(|s| s.site), many(|s| s.zone), many(|s| s.region)), (210, 71, 21));
+    assert_eq!(
+        (count_distinct(|s| s.site), count_distinct(|s| s.zone), count_distinct(|s| s.region)),
+        (210, 71, 21)
+    );
     let controls: Vec<usize> = fleet.routers.iter().filter(|s| s.control).map(|s| s.region).collect();
     assert_eq!((controls.len(), controls.iter().collect::<BTreeSet<_>>().len()), (9, 9));
-    for rack in 0..many(|s| s.rack) {
+    for rack in 0..count_distinct(|s| s.rack) {
         let within = fleet.routers_in(FailureDomain::Rack(rack));
         assert!((1..=40).contains(&within.len()));
-        let sites: BTreeSet<usize> = within.iter().map(|no| fleet.routers[*no].site).collect();
+        let sites: BTreeSet<usize> = within.iter().map(|index| fleet.routers[*index].site).collect();
         assert_eq!(sites.len(), 1);
     }
     assert_eq!(fleet, Fleet::new(&shape, 7).expect("a fleet"));
--- a/crates/fleet_simulation/tests/state.rs
+++ b/crates/fleet_simulation/tests/state.rs
@@ -1,4 +1,4 @@
-//! The state size covers what a control plane holds, not messages and commits in flight. The only test of its program, because the
+//! The state size covers what a control plane holds, not messages and commits in flight. This is the only test of its program, because the
 //! allocator counts the memory of all threads.
 
 use basaltgw_fleet_simulation::control_plane::{
@@ -21,7 +21,7 @@
 /// Bytes of each message and each commit.
 const TRANSIENT_BYTES: usize = 10_000;
 
-/// Grows its state each millisecond for a while, and keeps sending and committing more bytes than that.
+/// A control plane that grows its state each millisecond for a while, and all the time sends and commits more bytes than that.
 struct GrowingState {
     next: Ms,
     held: Vec<Vec<u8>>,
@@ -74,16 +74,16 @@
             GrowingState { next: start.now, held: Vec::with_capacity(GROWTH_MS), links: Vec::new() };
         Ok((Box::new(control_plane) as Box<dyn ControlPlane>, None))
     };
-    let figures = run_with(&setup, &start).expect("a run").0.values;
+    let figures = run_with(&setup, &start).expect("a valid setup").0.values;
     let held_bytes = (GROWTH_MS * GROWTH_BYTES + GROWTH_MS * size_of::<Vec<u8>>()) as f64;
     for name in ["state_bytes_mean", "state_bytes_most"] {
         // The control plane and its list of links add a few hundred bytes.
         let value = figures[name];
         assert!(
             (held_bytes..held_bytes + 1_000.0).contains(&value),
-            "{name}: {value}, expected {held_bytes} and a little\n{figures:#?}"
+            "{name}: {value}, expected {held_bytes} and less than 1,000 more\n{figures:#?}"
         );
     }
-    // A commit blocks the process for 0.3 to 3 ms: some 380 turns a second, with two messages each.
+    // A commit blocks the process for 0.3 to 3 ms, which leaves about 380 turns a second, each with two messages.
     assert!(figures["frames_in_mean"] > 500.0 && figures["commits_mean"] > 250.0, "{figures:#?}");
 }
--- a/crates/simulator/src/arrivals/tests.rs
+++ b/crates/simulator/src/arrivals/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `arrivals`.
+//! Tests of the arrivals of requests: reproducibility by seed, rate, popularity of objects, and sizes.
 
 use super::*;
 
@@ -27,13 +27,13 @@
         groups: 16,
         purges_per_s: 0.0,
     };
-    let take = |router| Arrivals::new(&load, 5, router).take(2_000).collect::<Vec<_>>();
-    assert_eq!(take(0), take(0));
-    assert_ne!(take(0), take(1));
-    let last = take(0).last().expect("one").at;
-    assert!((30_000.0..50_000.0).contains(&last), "at 50 requests a second: {last}");
-    let first = object_id(0, 0);
-    let often = take(0).iter().filter(|a| a.object == first).count();
-    assert!(often > 200, "the object of rank 0 is the most popular: {often}");
-    assert!(take(0).iter().all(|a| (10.0..=100.0).contains(&a.size_kb) && a.part < 3 && a.group < 16));
+    let arrivals = |router| Arrivals::new(&load, 5, router).take(2_000).collect::<Vec<_>>();
+    assert_eq!(arrivals(0), arrivals(0));
+    assert_ne!(arrivals(0), arrivals(1));
+    let last = arrivals(0).last().expect("2,000 arrivals").at;
+    assert!((30_000.0..50_000.0).contains(&last), "2,000 requests at 50 per second end at {last} ms");
+    let most_popular = object_id(0, 0);
+    let count = arrivals(0).iter().filter(|a| a.object == most_popular).count();
+    assert!(count > 200, "only {count} requests of the most popular object");
+    assert!(arrivals(0).iter().all(|a| (10.0..=100.0).contains(&a.size_kb) && a.part < 3 && a.group < 16));
 }
--- a/crates/simulator/src/checker/tests.rs
+++ b/crates/simulator/src/checker/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `checker`.
+//! Tests of the checker: which rules a sequence of observations violates.
 
 use super::*;
 use crate::spec::ColdSpec;
@@ -17,7 +17,7 @@
 
 const REQUEST: RequestKey = (0, 1);
 
-/// The rules violated by these observations, each with its time.
+/// The rules that these observations violate. Each observation has its time.
 fn violated_rules(observations: Vec<(Ms, Observation)>) -> Vec<Rule> {
     let mut checker = Checker::new(&limits());
     let mut last = 0.0;
@@ -98,13 +98,23 @@
 
 #[test]
 fn a_write_that_may_have_run_is_neither_resent_nor_rejected() {
-    let over = |execution| (5.0, ended(execution));
+    let attempt_ended = |execution| (5.0, ended(execution));
     assert_eq!(
-        violated_rules(vec![accepted(true), started(1.0, 0), over(Execution::NotExecuted), started(6.0, 1)]),
+        violated_rules(vec![
+            accepted(true),
+            started(1.0, 0),
+            attempt_ended(Execution::NotExecuted),
+            started(6.0, 1)
+        ]),
         []
     );
     assert_eq!(
-        violated_rules(vec![accepted(true), started(1.0, 0), over(Execution::Unknown), started(6.0, 1)]),
+        violated_rules(vec![
+            accepted(true),
+            started(1.0, 0),
+            attempt_ended(Execution::Unknown),
+            started(6.0, 1)
+        ]),
         [Rule::Twice]
     );
     assert_eq!(violated_rules(vec![accepted(true), started(1.0, 0), started(6.0, 1)]), [Rule::Twice]);
@@ -112,7 +122,7 @@
         violated_rules(vec![
             accepted(true),
             started(1.0, 0),
-            over(Execution::Unknown),
+            attempt_ended(Execution::Unknown),
             answered(9.0, ClientResult::Rejected)
         ]),
         [Rule::Twice]
@@ -121,7 +131,7 @@
         violated_rules(vec![
             accepted(true),
             started(1.0, 0),
-            over(Execution::Unknown),
+            attempt_ended(Execution::Unknown),
             answered(9.0, ClientResult::Failed)
         ]),
         []
@@ -130,7 +140,7 @@
         violated_rules(vec![
             accepted(false),
             started(1.0, 0),
-            over(Execution::Unknown),
+            attempt_ended(Execution::Unknown),
             started(6.0, 1),
             answered(7.0, ClientResult::Rejected)
         ]),
--- a/crates/simulator/tests/breakers.rs
+++ b/crates/simulator/tests/breakers.rs
@@ -1,4 +1,4 @@
-//! Routers that violate one rule each on purpose: the checker detects every violation from requests and responses alone.
+//! The checker detects routers that violate a rule on purpose, from requests and responses alone.
 
 mod common;
 use basaltgw::api::*;
@@ -26,6 +26,7 @@
     }
 }
 
+/// The rules that routers with manipulated decision modules violate; with unmanipulated ones the setup violates none.
 fn violated_rules<F>(setup: &Setup, manipulate: impl Fn() -> F) -> Vec<Rule>
 where
     F: FnMut(&mut Router, Ms, Event, &mut Vec<Action>, &mut HashMap<RequestId, AttemptSpec>) + 'static,
@@ -35,38 +36,39 @@
         Box::new(FaultyModule { router, manipulate: manipulate(), first_attempts: HashMap::new() })
             as Box<dyn DecisionModule>
     };
-    let figures = run(setup, faulty).expect("a run");
+    let metrics = run(setup, faulty).expect("a valid setup");
     assert!(
         run_setup(setup).violations.is_empty(),
         "the unmanipulated module violates no rule in this setup: {:?}",
         run_setup(setup).violations
     );
-    figures.violations.keys().copied().collect()
+    metrics.violations.keys().copied().collect()
 }
 
 /// A setup in which the origin hangs, so that routers have to reject or fail requests.
 fn setup_with_hung_origin() -> Setup {
-    let mut s = setup(11);
-    s.load.classes[0].objects = 5_000;
-    s.script = vec![on("archive", ScriptEvent { for_ms: 5_000.0, ..event(4_000.0, ScriptAction::Hang) })];
-    s
+    let mut setup = setup(11);
+    setup.load.classes[0].objects = 5_000;
+    setup.script =
+        vec![at_node("archive", ScriptEvent { for_ms: 5_000.0, ..event(4_000.0, ScriptAction::Hang) })];
+    setup
 }
 
 #[test]
 fn a_router_that_drops_rejections_and_failures_loses_requests() {
-    let drops_answers = || {
+    let drops_responses = || {
         |r: &mut Router, now, event, actions: &mut Vec<Action>, _: &mut _| {
             r.handle(now, event, actions);
             actions.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail(_)));
         }
     };
-    assert_eq!(violated_rules(&setup_with_hung_origin(), drops_answers), [Rule::Lost]);
+    assert_eq!(violated_rules(&setup_with_hung_origin(), drops_responses), [Rule::Lost]);
 }
 
 #[test]
 fn a_router_that_resends_writes_that_may_have_run_executes_them_twice() {
-    let mut s = setup_with_hung_origin();
-    s.script.push(on(
+    let mut setup = setup_with_hung_origin();
+    setup.script.push(at_node(
         "archive",
         ScriptEvent { for_ms: 8_000.0, factor: 0.5, ..event(10_000.0, ScriptAction::LoseAnswers) },
     ));
@@ -84,50 +86,52 @@
             };
             r.handle(now, event, actions);
             // A shorter timeout leaves time for the second attempt.
-            for act in actions.iter_mut() {
-                if let Action::StartAttempt(f) = act {
-                    f.timeout = f.timeout.min(900.0);
-                    first_attempts.entry(f.request.clone()).or_insert_with(|| f.clone());
+            for action in actions.iter_mut() {
+                if let Action::StartAttempt(attempt) = action {
+                    attempt.timeout = attempt.timeout.min(900.0);
+                    first_attempts.entry(attempt.request.clone()).or_insert_with(|| attempt.clone());
                 }
             }
-            if let Some(fetch) =
-                timed_out.and_then(|id| first_attempts.remove(&id)).filter(|f| f.rank == Rank::None)
+            if let Some(attempt) = timed_out
+                .and_then(|id| first_attempts.remove(&id))
+                .filter(|attempt| attempt.rank == Rank::None)
             {
-                actions.retain(|a| !matches!(a, Action::Fail(id) if *id == fetch.request));
-                actions.push(Action::StartAttempt(fetch));
+                actions.retain(|a| !matches!(a, Action::Fail(id) if *id == attempt.request));
+                actions.push(Action::StartAttempt(attempt));
             }
         }
     };
-    assert!(violated_rules(&s, resends).contains(&Rule::Twice));
+    assert!(violated_rules(&setup, resends).contains(&Rule::Twice));
 }
 
 #[test]
 fn a_router_that_ignores_drains_uses_draining_nodes() {
-    let mut s = setup(13);
-    s.script = vec![
-        on("edge-1-1", event(5_000.0, ScriptAction::Drain)),
-        on("district-1", event(8_000.0, ScriptAction::Drain)),
+    let mut setup = setup(13);
+    setup.script = vec![
+        at_node("edge-1-1", event(5_000.0, ScriptAction::Drain)),
+        at_node("district-1", event(8_000.0, ScriptAction::Drain)),
     ];
     let ignores = || {
         |r: &mut Router, now, event: Event, actions: &mut Vec<Action>, _: &mut _| {
-            if matches!(&event, Event::Endpoints { entries: e, .. } if e.iter().any(|e| e.state == EndpointState::Draining))
+            if matches!(&event, Event::Endpoints { entries, .. } if entries.iter().any(|e| e.state == EndpointState::Draining))
             {
                 return;
             }
             r.handle(now, event, actions);
         }
     };
-    assert_eq!(violated_rules(&s, ignores), [Rule::Drain]);
+    assert_eq!(violated_rules(&setup, ignores), [Rule::Drain]);
 }
 
 #[test]
 fn a_router_that_sends_everything_to_the_newest_cache_overloads_it() {
-    let mut s = setup(17);
-    s.load.per_router = 300.0;
-    s.fleet.edge.slots = 2;
-    s.fleet.rules.cold_edge.multiple = 0.8;
-    s.load.classes[0].kb = [40.0, 120.0];
-    s.script = vec![on("edge-1-1", ScriptEvent { for_ms: 3_000.0, ..event(6_000.0, ScriptAction::Crash) })];
+    let mut setup = setup(17);
+    setup.load.per_router = 300.0;
+    setup.fleet.edge.slots = 2;
+    setup.fleet.rules.cold_edge.multiple = 0.8;
+    setup.load.classes[0].kb = [40.0, 120.0];
+    setup.script =
+        vec![at_node("edge-1-1", ScriptEvent { for_ms: 3_000.0, ..event(6_000.0, ScriptAction::Crash) })];
     let prefers_newest = || {
         let mut newest: Option<ServerId> = None;
         move |r: &mut Router, now, event: Event, actions: &mut Vec<Action>, _: &mut _| {
@@ -136,21 +140,22 @@
                 newest = cold.map(|e| e.id.clone()).next().or(newest.take());
             }
             r.handle(now, event, actions);
-            for act in actions {
-                if let (Action::StartAttempt(f), Some(cold)) = (act, &newest) {
-                    f.server = if f.rank == Rank::None { f.server.clone() } else { cold.clone() };
+            for action in actions {
+                if let (Action::StartAttempt(attempt), Some(cold)) = (action, &newest) {
+                    let keeps_server = attempt.rank == Rank::None;
+                    attempt.server = if keeps_server { attempt.server.clone() } else { cold.clone() };
                 }
             }
         }
     };
-    assert!(violated_rules(&s, prefers_newest).contains(&Rule::Cold));
+    assert!(violated_rules(&setup, prefers_newest).contains(&Rule::Cold));
 }
 
 #[test]
 fn a_router_that_ignores_purges_serves_purged_copies() {
-    let mut s = setup(19);
-    s.fleet.news.cache_purge_ms = [2_000.0, 3_000.0];
-    s.script = vec![ScriptEvent { factor: 0.8, ..event(6_000.0, ScriptAction::MassPurge) }];
+    let mut setup = setup(19);
+    setup.fleet.news.cache_purge_ms = [2_000.0, 3_000.0];
+    setup.script = vec![ScriptEvent { factor: 0.8, ..event(6_000.0, ScriptAction::MassPurge) }];
     let ignores = || {
         |r: &mut Router, now, event: Event, actions: &mut Vec<Action>, _: &mut _| {
             if !matches!(event, Event::Purged { .. }) {
@@ -158,5 +163,5 @@
             }
         }
     };
-    assert_eq!(violated_rules(&s, ignores), [Rule::Purge]);
+    assert_eq!(violated_rules(&setup, ignores), [Rule::Purge]);
 }
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet for the simulator's tests.
+//! A small fleet, and helpers to script and run it, for the simulator's tests.
 #![allow(dead_code)]
 
 use basaltgw::routing::Router;
@@ -49,6 +49,7 @@
     }
 }
 
+/// A setup of the fleet with idempotent reads and non-idempotent checkouts, without scripted events.
 pub fn setup(seed: u64) -> Setup {
     let class = |name: &str, share, objects, effect| ClassSpec {
         name: name.into(),
@@ -79,7 +80,7 @@
             purges_per_s: 2.0,
         },
         script: Vec::new(),
-        plans: vec![shape("before", &[0, 1]), shape("after", &[0, 1, 2])],
+        plans: vec![plan_shape("before", &[0, 1]), plan_shape("after", &[0, 1, 2])],
         tree: Settings { successes_per_step: 4, ..Settings::default() },
         length_ms: 20_000.0,
         staged: true,
@@ -88,7 +89,8 @@
     }
 }
 
-pub fn shape(name: &str, hubs: &[usize]) -> PlanShape {
+/// A plan with these hubs and all districts.
+pub fn plan_shape(name: &str, hubs: &[usize]) -> PlanShape {
     PlanShape {
         name: name.into(),
         hubs: hubs.to_vec(),
@@ -99,19 +101,23 @@
     }
 }
 
+/// An event of the script at a time, without a node.
 pub fn event(at_ms: f64, what: ScriptAction) -> ScriptEvent {
     ScriptEvent { at_ms, what, node: None, for_ms: 0.0, factor: 0.0, to: None, plan: None }
 }
 
-pub fn on(node: &str, event: ScriptEvent) -> ScriptEvent {
+/// The event at a node.
+pub fn at_node(node: &str, event: ScriptEvent) -> ScriptEvent {
     ScriptEvent { node: Some(node.into()), ..event }
 }
 
-pub fn to_plan(at_ms: f64, plan: &str) -> ScriptEvent {
+/// The change to a plan at a time.
+pub fn change_to_plan(at_ms: f64, plan: &str) -> ScriptEvent {
     ScriptEvent { plan: Some(plan.into()), ..event(at_ms, ScriptAction::Plan) }
 }
 
+/// Runs a setup with unmodified routers.
 pub fn run_setup(setup: &Setup) -> RunMetrics {
     run(setup, |_, settings, seed| Box::new(Router::new(settings, seed)) as Box<dyn DecisionModule>)
-        .expect("a run")
+        .expect("a valid setup")
 }
