--- a/crates/config/src/decision_settings.rs
+++ b/crates/config/src/decision_settings.rs
@@ -164,8 +164,8 @@
     Live,
 }
 
-/// The path of an invalid key as errors name it: with dashes for underscores, `services[]` for each entry of that list, and no index for other
-/// lists.
+/// The path of an invalid key as errors name it: with dashes for underscores, `services[]` for each entry of that list, and no index for
+/// other lists.
 fn key_path(path: &str) -> String {
     let mut names = kebab_case(path);
     // Parentheses stand for the brackets that remain, so that the search for the next index does not find them again.
--- a/crates/config/src/hierarchy.rs
+++ b/crates/config/src/hierarchy.rs
@@ -113,7 +113,8 @@
 
 /// Converts a tree's source table to the fill plan of the decision module.
 pub fn fill_plan(tree: &SourceTable) -> FillPlan {
-    // Nodes that share a list of sources in the tree share one in the fill plan too: the converted lists, by the address of the tree's list.
+    // Nodes that share a list of sources in the tree share one in the fill plan too: the converted lists, by the address of the tree's
+    // list.
     let mut converted: Vec<(*const Vec<PermittedSource>, Arc<Vec<SourceShare>>)> = Vec::new();
     let mut requesters: Vec<_> = tree.sources.iter().collect();
     requesters.sort_unstable_by(|a, b| a.0.cmp(b.0));
--- a/crates/config/src/overlay.rs
+++ b/crates/config/src/overlay.rs
@@ -15,8 +15,8 @@
     pub position: OverlayPosition,
     /// The time for which a router collects updates into a batch, in milliseconds.
     pub batch_interval_ms: Ms,
-    /// The time for which updates are retained for routers that missed them, in milliseconds. If `None`, it follows from the convergence time
-    /// of purges and is at least [`DEFAULT_RETENTION_MS`]; see [`Overlay::retention`].
+    /// The time for which updates are retained for routers that missed them, in milliseconds. If `None`, it follows from the convergence
+    /// time of purges and is at least [`DEFAULT_RETENTION_MS`]; see [`Overlay::retention`].
     pub retention_ms: Option<Ms>,
     /// The bandwidth budget in bytes per second, for both directions together.
     pub budget_bytes_per_s: f64,
@@ -166,8 +166,8 @@
 }
 
 impl Overlay {
-    /// The retention time of updates in milliseconds, given the convergence time of purges. The minimum is twice that time: a router that was
-    /// unreachable for one convergence time still receives every purge that has not converged.
+    /// The retention time of updates in milliseconds, given the convergence time of purges. The minimum is twice that time: a router that
+    /// was unreachable for one convergence time still receives every purge that has not converged.
     ///
     /// # Errors
     /// If `keep_ms` is less than the minimum.
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,8 +1,8 @@
 //! The snapshot file: what the decision module of one process hands over to the next.
 //!
-//! The first line names the format, its version and a hash of the rest; the rest is JSON. Times are written as ages, so that they are valid
-//! by the reader's clock. A file that is truncated, altered, of another version or too old, or that contains a value out of range, is rejected
-//! as a whole. Errors name the file by the format's name, `learnt`.
+//! The first line names the format, its version and a hash of the rest; the rest is JSON. Times are written as ages, so that they are
+//! valid by the reader's clock. A file that is truncated, altered, of another version or too old, or that contains a value out of range,
+//! is rejected as a whole. Errors name the file by the format's name, `learnt`.
 
 use crate::typed::{deserialize, unchanged, UnsignedInteger};
 use crate::value::FieldError;
--- a/crates/config/src/typed.rs
+++ b/crates/config/src/typed.rs
@@ -113,8 +113,8 @@
     }
 }
 
-/// The largest value of [`NonNegative`], thirty years in milliseconds. A float of this size still has fractions of a millisecond, which larger
-/// ones lose.
+/// The largest value of [`NonNegative`], thirty years in milliseconds. A float of this size still has fractions of a millisecond, which
+/// larger ones lose.
 const MAX_NUMBER: f64 = 1e12;
 
 /// A number from 0 to [`MAX_NUMBER`], such as a time, a share or a factor.
--- a/crates/emulator/src/rig/archive.rs
+++ b/crates/emulator/src/rig/archive.rs
@@ -57,8 +57,8 @@
         (state.executions.len() as u64, state.executions.values().sum())
     }
 
-    /// Starts a cache in front of the archive. The cache answers a read with its copy; if that is older than the fetch allows, it makes a new
-    /// copy first.
+    /// Starts a cache in front of the archive. The cache answers a read with its copy; if that is older than the fetch allows, it makes a
+    /// new copy first.
     pub fn cache(&self) -> Cache {
         let archive = self.clone();
         Cache::start(move |fetch| match fetch.field("c") {
--- a/crates/emulator/src/rig/availability.rs
+++ b/crates/emulator/src/rig/availability.rs
@@ -26,7 +26,8 @@
         self.record_isolation();
     }
 
-    /// Records which routers are isolated: those that can't reach more of the others than the replicas tolerate, one of three or two of five.
+    /// Records which routers are isolated: those that can't reach more of the others than the replicas tolerate, one of three or two of
+    /// five.
     pub(super) fn record_isolation(&self) {
         let unavailable = self.unavailable.borrow();
         for router in 0..self.len() {
--- a/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
+++ b/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
@@ -51,7 +51,7 @@
     let receipts: Vec<Receipts> = threads.into_iter().filter_map(|thread| thread.join().ok()).collect();
     log.down.store(true, Ordering::SeqCst);
     delivery_figures(&receipts, purges as usize)
-        .ok_or_else(|| "a watcher did not receive all purges".to_string())
+        .ok_or_else(|| format!("not all of {watchers} watchers received all of {purges} purges"))
 }
 
 fn subscribe(log: &ChangeLog) -> std::io::Result<TcpStream> {
--- a/crates/emulator/src/rig/fleet_cost/purge_latency.rs
+++ b/crates/emulator/src/rig/fleet_cost/purge_latency.rs
@@ -12,8 +12,8 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 impl RouterFleet {
-    /// Purges an object at the first router, and reads the object through all others until each of them requires a copy made after the purge
-    /// from its cache; repeats this `probes` times.
+    /// Purges an object at the first router, and reads the object through all others until each of them requires a copy made after the
+    /// purge from its cache; repeats this `probes` times.
     pub(super) fn measure_purge_latency(&self, probes: usize) -> Figures {
         let mut latencies_ms: Vec<f64> = Vec::new();
         let mut completions_ms: Vec<f64> = Vec::new();
--- a/crates/emulator/src/rig/fleet_cost/start.rs
+++ b/crates/emulator/src/rig/fleet_cost/start.rs
@@ -114,9 +114,10 @@
                     let (fleet, spec) = (&*self, &spec);
                     scope.spawn(move || fleet.start_router(spec, router))
                 };
-                let threads: Vec<_> = group.iter().map(|router| start(*router)).collect();
-                let panicked = |_| Err("the start of a router panicked".into());
-                threads.into_iter().map(|thread| thread.join().unwrap_or_else(panicked)).collect()
+                let threads: Vec<_> = group.iter().map(|router| (*router, start(*router))).collect();
+                let panicked = |router| Err(format!("the thread that starts router {router} panicked"));
+                let results = threads.into_iter();
+                results.map(|(router, t)| t.join().unwrap_or_else(|_| panicked(router))).collect()
             });
             for process in started {
                 routers.push(process?);
--- a/crates/emulator/src/rig/link.rs
+++ b/crates/emulator/src/rig/link.rs
@@ -1,4 +1,5 @@
-//! One direction of a link between two endpoints: it passes on the bytes that one sends the other on all their connections, and injects faults.
+//! One direction of a link between two endpoints: it passes on the bytes that one sends the other on all their connections, and injects
+//! faults.
 //!
 //! A partition of one direction therefore affects all connections between the two, whichever of them opened the connection.
 
--- a/crates/emulator/src/rig/scenario/audit.rs
+++ b/crates/emulator/src/rig/scenario/audit.rs
@@ -1,4 +1,5 @@
-//! The audit at the end of a run. It presents served checkouts again, each to another router than before, which has to return the same body.
+//! The audit at the end of a run. It presents served checkouts again, each to another router than before, which has to return the same
+//! body.
 
 use crate::rig::{ClientConnection, Event, Outcome, RequestKind, RequestNumber, Rig};
 use std::collections::BTreeMap;
--- a/crates/emulator/src/rig/spec.rs
+++ b/crates/emulator/src/rig/spec.rs
@@ -35,7 +35,8 @@
     pub locations: Vec<Location>,
     /// The seed of link delays and corrupted bytes.
     pub seed: u64,
-    /// Whether the settings of routers have the section `fleet`. Without it routers replicate nothing, which is the baseline of comparisons.
+    /// Whether the settings of routers have the section `fleet`. Without it routers replicate nothing, which is the baseline of
+    /// comparisons.
     pub fleet: bool,
     /// Replicas of each register: 3 or 5.
     pub replicas: usize,
@@ -47,7 +48,8 @@
     pub rules: Option<String>,
     /// Further keys of the section `fleet`, such as `limits`.
     pub extra_settings: Value,
-    /// The time after which a purge has taken effect at all caches, in milliseconds. Until then a cache may serve copies made before the purge.
+    /// The time after which a purge has taken effect at all caches, in milliseconds. Until then a cache may serve copies made before the
+    /// purge.
     pub purge_settles_ms: u64,
     /// The latency objective of reads and checkouts, in milliseconds.
     pub latency_objective_ms: u64,
--- a/crates/fleet_simulation/tests/links.rs
+++ b/crates/fleet_simulation/tests/links.rs
@@ -16,8 +16,8 @@
 /// The events of all recorders: time, router and description of each.
 type EventLog = Rc<RefCell<Vec<(Ms, String, String)>>>;
 
-/// A control plane that records its events. If it has an interval, it sends the next number on each link at that interval, and it checks the
-/// order of received numbers.
+/// A control plane that records its events. If it has an interval, it sends the next number on each link at that interval, and it checks
+/// the order of received numbers.
 struct Recorder {
     me: String,
     interval_ms: Option<Ms>,
