--- a/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
+++ b/crates/emulator/src/rig/fleet_cost/change_log_delivery.rs
@@ -2,7 +2,7 @@
 //! watcher receives at once. The change log of the fleet simulation is modelled after these figures.
 
 use super::{announce_purge, Figures};
-use crate::rig::PURGE_EVENT;
+use crate::net::frame_kind::PURGE_OBJECT;
 use crate::standin::ChangeLog;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -51,7 +51,7 @@
     let receipts: Vec<Receipts> = threads.into_iter().filter_map(|thread| thread.join().ok()).collect();
     log.down.store(true, Ordering::SeqCst);
     delivery_figures(&receipts, purges as usize)
-        .ok_or_else(|| "a watcher did not receive all purges".to_string())
+        .ok_or_else(|| format!("not all of {watchers} watchers received all of {purges} purges"))
 }
 
 fn subscribe(log: &ChangeLog) -> std::io::Result<TcpStream> {
@@ -74,7 +74,7 @@
         }
         let now = Instant::now();
         while let Some(frame) = take_frame(&mut unread) {
-            if let Some((sequence_number, PURGE_EVENT)) = parse_header(&frame) {
+            if let Some((sequence_number, PURGE_OBJECT)) = parse_header(&frame) {
                 receipts.entry(sequence_number).or_insert(now);
             }
         }
