--- a/crates/registers/examples/fleet.rs
+++ b/crates/registers/examples/fleet.rs
@@ -8,7 +8,7 @@
 
 use basaltgw_registers::{Change, Event, Outcome, Record, Registers, Response, Settings};
 use basaltgw_types::{Member, ShardMap};
-use net::{execution, map, Faults, Net, Responded};
+use net::{execution, map, Faults, Net, ReturnedResponse};
 use std::collections::BTreeMap;
 use std::process::ExitCode;
 use std::time::Instant;
@@ -105,7 +105,7 @@
 
     fn read_responses(&mut self) {
         for i in self.responses_read..self.net.responses.len() {
-            let Responded { at, router, number, .. } = self.net.responses[i];
+            let ReturnedResponse { time: at, router, number, .. } = self.net.responses[i];
             let response = self.net.responses[i].response.clone();
             if let Some(requested) = self.requested.remove(&number) {
                 self.on_response(requested, at, router, response);
@@ -157,7 +157,7 @@
         // The open requests of the lost router are lost with it: nobody has a response.
         let member = self.net.nodes[lost].me.clone();
         self.requested.retain(|_, requested| requested.by != member);
-        erase(&mut self.net, lost);
+        erase_disk(&mut self.net, lost);
         self.totals.erased += 1;
         self.reconfiguring = Some(lost);
         if away != lost {
@@ -214,9 +214,9 @@
 }
 
 /// Erases a router's disk, and starts the reconfiguration to its next incarnation.
-fn erase(net: &mut Net, router: usize) {
+fn erase_disk(net: &mut Net, router: usize) {
     let old = net.nodes[router].me.clone();
-    net.erase(router);
+    net.erase_disk(router);
     net.start(router);
     (0..net.nodes.len())
         .filter(|r| *r != router)
--- a/crates/registers/src/byte_tests.rs
+++ b/crates/registers/src/byte_tests.rs
@@ -1,4 +1,5 @@
-//! The encodings on disk and between replicas, compared with the bytes written down here, so that builds of any version read each other's.
+//! Encodings of stored records and of messages between replicas, compared with recorded bytes: builds of different versions read each
+//! other's data.
 
 use crate::ballot::Ballot;
 use crate::durable_log::{register_key, Register, ReplicaMeta};
@@ -16,9 +17,9 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Asserts that the value has this encoding, and is decoded from it.
-fn same<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, expected: &str) {
-    let bytes = encode(&value).expect("plain values");
+/// Asserts that the value encodes to the recorded bytes, and that they decode to the value.
+fn assert_encoding<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, expected: &str) {
+    let bytes = encode(&value).expect("the value can be encoded");
     assert_eq!(hex(&bytes), expected, "{value:?}");
     assert_eq!(decode::<T>(&bytes).ok(), Some(value));
 }
@@ -41,54 +42,69 @@
 #[test]
 fn every_record_has_the_bytes_written_down() {
     let text = || Arc::from("v-1");
-    same(Record::Leased { owner: member(), term: 2 }, "0100027231909eb8e8c0e1828589909cb0d080c181820202");
-    same(Record::Released { term: 300 }, "0101ac02");
-    same(Record::Completed(Outcome::Served(b"body".to_vec())), "01020004626f6479");
-    same(Record::Completed(Outcome::ServedBodyOmitted), "010201");
-    same(Record::Completed(Outcome::Failed), "010202");
-    same(Record::OutcomeUnknown, "0103");
-    same(Record::Purged { group: 7, object: Some(9), time: 1_700_000_000_123 }, "0104070109fbd095ffbc31");
-    same(Record::Purged { group: 7, object: None, time: 1_700_000_000_123 }, "01040700fbd095ffbc31");
-    same(Record::Ticket { server: text(), by: member().router, used: true }, "010503762d3102723101");
-    same(
+    assert_encoding(
+        Record::Leased { owner: member(), term: 2 },
+        "0100027231909eb8e8c0e1828589909cb0d080c181820202",
+    );
+    assert_encoding(Record::Released { term: 300 }, "0101ac02");
+    assert_encoding(Record::Completed(Outcome::Served(b"body".to_vec())), "01020004626f6479");
+    assert_encoding(Record::Completed(Outcome::ServedBodyOmitted), "010201");
+    assert_encoding(Record::Completed(Outcome::Failed), "010202");
+    assert_encoding(Record::OutcomeUnknown, "0103");
+    assert_encoding(
+        Record::Purged { group: 7, object: Some(9), time: 1_700_000_000_123 },
+        "0104070109fbd095ffbc31",
+    );
+    assert_encoding(
+        Record::Purged { group: 7, object: None, time: 1_700_000_000_123 },
+        "01040700fbd095ffbc31",
+    );
+    assert_encoding(
+        Record::Ticket { server: text(), by: member().router, used: true },
+        "010503762d3102723101",
+    );
+    assert_encoding(
         Record::Continuation { object: 9, version: text(), missing: vec![1, 300] },
         "01060903762d310201ac02",
     );
-    same(Record::Table { serial: 5, body: vec![1, 2, 3] }, "01070503010203");
-    same(Record::Tombstone, "0108");
+    assert_encoding(Record::Table { serial: 5, body: vec![1, 2, 3] }, "01070503010203");
+    assert_encoding(Record::Tombstone, "0108");
 }
 
 #[test]
 fn every_change_has_the_bytes_written_down() {
     let text = || Arc::from("v-1");
-    same(Change::Acquire(member()), "0100027231909eb8e8c0e1828589909cb0d080c1818202");
-    same(Change::Release(member(), 2), "0101027231909eb8e8c0e1828589909cb0d080c181820202");
-    same(
+    assert_encoding(Change::Acquire(member()), "0100027231909eb8e8c0e1828589909cb0d080c1818202");
+    assert_encoding(Change::Release(member(), 2), "0101027231909eb8e8c0e1828589909cb0d080c181820202");
+    assert_encoding(
         Change::Complete(member(), 2, Outcome::Failed),
         "0102027231909eb8e8c0e1828589909cb0d080c18182020202",
     );
-    same(Change::MarkOutcomeUnknown(2), "010302");
-    same(Change::Purge { group: 7, object: Some(9), time: 1_700_000_000_123 }, "0104070109fbd095ffbc31");
-    same(Change::IssueTicket { server: text(), by: member().router }, "010503762d31027231");
-    same(Change::UseTicket, "0106");
-    same(
+    assert_encoding(Change::MarkOutcomeUnknown(2), "010302");
+    assert_encoding(
+        Change::Purge { group: 7, object: Some(9), time: 1_700_000_000_123 },
+        "0104070109fbd095ffbc31",
+    );
+    assert_encoding(Change::IssueTicket { server: text(), by: member().router }, "010503762d31027231");
+    assert_encoding(Change::UseTicket, "0106");
+    assert_encoding(
         Change::SetContinuation { object: 9, version: text(), missing: vec![1, 300] },
         "01070903762d310201ac02",
     );
-    same(Change::SetTable { from: 4, body: vec![1, 2, 3] }, "01080403010203");
-    same(Change::Read, "0109");
-    same(Change::Expire, "010a");
+    assert_encoding(Change::SetTable { from: 4, body: vec![1, 2, 3] }, "01080403010203");
+    assert_encoding(Change::Read, "0109");
+    assert_encoding(Change::Expire, "010a");
 }
 
 #[test]
 fn every_stored_record_has_the_bytes_written_down() {
-    same(
+    assert_encoding(
         ReplicaMeta { me: member(), run: 4, epoch: 5, removed_ballot_floor: 6 },
         "01027231909eb8e8c0e1828589909cb0d080c1818202040506",
     );
     let value = Value { record: Record::OutcomeUnknown, changes: vec![ballot(9), ballot(8)] };
-    same(Register { promised: ballot(10), accepted: Some(AcceptedValue { ballot: ballot(9), value }), epoch: 5 }, "010a027231909eb8e8c0e1828589909cb0d080c1818202030109027231909eb8e8c0e1828589909cb0d080c181820203030209027231909eb8e8c0e1828589909cb0d080c18182020308027231909eb8e8c0e1828589909cb0d080c18182020305");
-    same(
+    assert_encoding(Register { promised: ballot(10), accepted: Some(AcceptedValue { ballot: ballot(9), value }), epoch: 5 }, "010a027231909eb8e8c0e1828589909cb0d080c1818202030109027231909eb8e8c0e1828589909cb0d080c181820203030209027231909eb8e8c0e1828589909cb0d080c18182020308027231909eb8e8c0e1828589909cb0d080c18182020305");
+    assert_encoding(
         Register { promised: ballot(10), accepted: None, epoch: 0 },
         "010a027231909eb8e8c0e1828589909cb0d080c1818202030000",
     );
@@ -110,45 +126,45 @@
     let value = || Value { record: Record::Released { term: 1 }, changes: vec![ballot(9)] };
     let k = key(Kind::Execution);
     let rejected = |reason| envelope(Body::Rejected { ballot: ballot(9), reason });
-    same(envelope(Body::Prepare { key: k, ballot: ballot(9) }), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0000f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f09027231909eb8e8c0e1828589909cb0d080c181820203");
-    same(envelope(Body::Accept { key: k, ballot: ballot(9), value: value(), next: Some(ballot(10)) }), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0100f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f09027231909eb8e8c0e1828589909cb0d080c18182020301010109027231909eb8e8c0e1828589909cb0d080c181820203010a027231909eb8e8c0e1828589909cb0d080c181820203");
-    same(envelope(Body::Accept { key: k, ballot: ballot(9), value: value(), next: None }), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0100f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f09027231909eb8e8c0e1828589909cb0d080c18182020301010109027231909eb8e8c0e1828589909cb0d080c18182020300");
-    same(
+    assert_encoding(envelope(Body::Prepare { key: k, ballot: ballot(9) }), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0000f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f09027231909eb8e8c0e1828589909cb0d080c181820203");
+    assert_encoding(envelope(Body::Accept { key: k, ballot: ballot(9), value: value(), next: Some(ballot(10)) }), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0100f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f09027231909eb8e8c0e1828589909cb0d080c18182020301010109027231909eb8e8c0e1828589909cb0d080c181820203010a027231909eb8e8c0e1828589909cb0d080c181820203");
+    assert_encoding(envelope(Body::Accept { key: k, ballot: ballot(9), value: value(), next: None }), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0100f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f09027231909eb8e8c0e1828589909cb0d080c18182020301010109027231909eb8e8c0e1828589909cb0d080c18182020300");
+    assert_encoding(
         envelope(Body::ListRequest { partition: Partition::Shard(Shard(300)), after: Some(k), limit: 64 }),
         "01027231909eb8e8c0e1828589909cb0d080c1818202054d0200ac020100f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f40",
     );
-    same(
+    assert_encoding(
         envelope(Body::ListRequest { partition: Partition::Root, after: None, limit: 64 }),
         "01027231909eb8e8c0e1828589909cb0d080c1818202054d02010040",
     );
     let accepted = Some(AcceptedValue { ballot: ballot(8), value: value() });
-    same(envelope(Body::Promised { ballot: ballot(9), accepted }), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0309027231909eb8e8c0e1828589909cb0d080c1818202030108027231909eb8e8c0e1828589909cb0d080c18182020301010109027231909eb8e8c0e1828589909cb0d080c181820203");
-    same(
+    assert_encoding(envelope(Body::Promised { ballot: ballot(9), accepted }), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0309027231909eb8e8c0e1828589909cb0d080c1818202030108027231909eb8e8c0e1828589909cb0d080c18182020301010109027231909eb8e8c0e1828589909cb0d080c181820203");
+    assert_encoding(
         envelope(Body::Promised { ballot: ballot(9), accepted: None }),
         "01027231909eb8e8c0e1828589909cb0d080c1818202054d0309027231909eb8e8c0e1828589909cb0d080c18182020300",
     );
-    same(
+    assert_encoding(
         envelope(Body::Accepted { ballot: ballot(9) }),
         "01027231909eb8e8c0e1828589909cb0d080c1818202054d0409027231909eb8e8c0e1828589909cb0d080c181820203",
     );
-    same(rejected(RejectReason::BallotTooOld(12)), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0509027231909eb8e8c0e1828589909cb0d080c181820203000c");
-    same(
+    assert_encoding(rejected(RejectReason::BallotTooOld(12)), "01027231909eb8e8c0e1828589909cb0d080c1818202054d0509027231909eb8e8c0e1828589909cb0d080c181820203000c");
+    assert_encoding(
         rejected(RejectReason::StaleEpoch),
         "01027231909eb8e8c0e1828589909cb0d080c1818202054d0509027231909eb8e8c0e1828589909cb0d080c18182020301",
     );
-    same(
+    assert_encoding(
         rejected(RejectReason::FutureEpoch),
         "01027231909eb8e8c0e1828589909cb0d080c1818202054d0509027231909eb8e8c0e1828589909cb0d080c18182020302",
     );
-    same(
+    assert_encoding(
         rejected(RejectReason::NotReplica),
         "01027231909eb8e8c0e1828589909cb0d080c1818202054d0509027231909eb8e8c0e1828589909cb0d080c18182020303",
     );
-    same(
+    assert_encoding(
         rejected(RejectReason::StorageFailed),
         "01027231909eb8e8c0e1828589909cb0d080c1818202054d0509027231909eb8e8c0e1828589909cb0d080c18182020304",
     );
-    same(
+    assert_encoding(
         rejected(RejectReason::ResourceExhausted),
         "01027231909eb8e8c0e1828589909cb0d080c1818202054d0509027231909eb8e8c0e1828589909cb0d080c18182020305",
     );
@@ -158,5 +174,5 @@
     ];
     let partition = Partition::Shard(Shard(1));
     let list = ListReply { partition, after: None, registers, has_more: true };
-    same(envelope(Body::ListReply(list)), "01027231909eb8e8c0e1828589909cb0d080c1818202054d060001000200f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f0109027231909eb8e8c0e1828589909cb0d080c18182020301f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f0001");
+    assert_encoding(envelope(Body::ListReply(list)), "01027231909eb8e8c0e1828589909cb0d080c1818202054d060001000200f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f0109027231909eb8e8c0e1828589909cb0d080c18182020301f7ccd5a2b4c6c88880c28caaf6b0eae5ed1f0001");
 }
--- a/crates/registers/src/model_tests.rs
+++ b/crates/registers/src/model_tests.rs
@@ -25,7 +25,7 @@
 
 const KEY: RecordKey = RecordKey { kind: Kind::Execution, name: 1 };
 
-/// A request that becomes possible once the map of an epoch is published; else in any order.
+/// A request that may be made once the map of `from_epoch` is published. Requests are otherwise made in any order.
 #[derive(Clone)]
 struct ScenarioRequest {
     router: usize,
@@ -37,7 +37,7 @@
     ScenarioRequest { router, change, from_epoch }
 }
 
-/// A scenario.
+/// A model to check: the requests, and the faults that may happen.
 #[derive(Clone)]
 struct Scenario {
     requests: Vec<ScenarioRequest>,
@@ -55,18 +55,18 @@
     registers: Registers,
     disk: BTreeMap<Vec<u8>, Vec<u8>>,
     store: Option<(u64, Vec<DiskWrite>)>,
-    /// The present timer of each request.
+    /// The latest timer token of each request, by request id.
     timers: BTreeMap<u64, u64>,
     sync_timer_set: bool,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct System {
     nodes: Vec<Node>,
-    wire: Vec<(Member, Member, Vec<u8>)>,
+    in_transit: Vec<(Member, Member, Vec<u8>)>,
     requested: Vec<bool>,
     operations: Vec<Operation>,
-    /// Requests and responses so far.
+    /// Number of requests and responses so far.
     history_length: usize,
     fault_happened: bool,
     synced: bool,
@@ -79,21 +79,21 @@
 enum Step {
     Request(usize),
     Deliver(usize),
-    Timer(usize, u64),
+    Timer { router: usize, token: u64 },
     StoreBatch(usize),
     Crash,
     LoseDisk,
-    AdoptMap(usize, u64),
+    AdoptMap { router: usize, epoch: u64 },
     PublishMap(u64),
 }
 
-impl Hash for World {
+impl Hash for System {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.fingerprint.hash(state);
     }
 }
 
-impl PartialEq for World {
+impl PartialEq for System {
     fn eq(&self, other: &Self) -> bool {
         self.fingerprint == other.fingerprint
     }
@@ -126,8 +126,8 @@
 impl Scenario {
     fn node(&self, me: Member, disk: BTreeMap<Vec<u8>, Vec<u8>>) -> Node {
         let records: Vec<(Vec<u8>, Vec<u8>)> = disk.clone().into_iter().collect();
-        let mut registers =
-            Registers::new(me.clone(), settings(self.max_attempts), records, 1).expect("own records");
+        let mut registers = Registers::new(me.clone(), settings(self.max_attempts), records, 1)
+            .expect("records that this member wrote are valid");
         registers.inject_bug(self.injected_bug);
         Node { me, registers, disk, store: None, timers: BTreeMap::new(), sync_timer_set: false }
     }
@@ -137,15 +137,15 @@
         self.crash && router == 2
     }
 
-    fn handle(&self, world: &mut World, router: usize, event: Event) {
+    fn handle(&self, state: &mut System, router: usize, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let mut actions = Vec::new();
-            let node = &mut world.nodes[router];
+            let node = &mut state.nodes[router];
             node.registers.handle(0.0, event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Send(_, to, bytes) => world.wire.push((node.me.clone(), to, bytes)),
+                    Action::Send(_, to, bytes) => state.in_transit.push((node.me.clone(), to, bytes)),
                     Action::Store(number, records) if self.has_delayed_disk(router) => {
                         node.store = Some((number, records))
                     }
@@ -159,43 +159,43 @@
                     Action::Timer(_, token) => node.sync_timer_set |= token == SYNC_TIMER,
                     Action::Respond(RequestNumber(number), _, response) => {
                         node.timers.clear();
-                        world.history_length += 1;
-                        let at = world.history_length;
-                        world.operations[number as usize].completed = Some(Completion { at, response });
+                        state.history_length += 1;
+                        let at = state.history_length;
+                        state.operations[number as usize].completed = Some(Completion { at, response });
                     }
-                    Action::ShardSynced(2, None) => world.synced |= router == 2,
+                    Action::ShardSynced(2, None) => state.synced |= router == 2,
                     Action::ShardSynced(..) | Action::StaleEpoch(..) | Action::Log(_) => {}
                 }
             }
         }
     }
 
-    fn normalized(&self, mut world: World) -> World {
-        let nodes = std::mem::take(&mut world.nodes);
+    fn normalized(&self, mut state: System) -> System {
+        let nodes = std::mem::take(&mut state.nodes);
         let ignores_replies =
             |to: &Member| nodes.iter().any(|n| n.me == *to && !n.registers.awaits_replies());
-        world.wire.retain(|(_, to, bytes)| {
+        state.in_transit.retain(|(_, to, bytes)| {
             !(ignores_replies(to) && Envelope::decode(bytes).is_ok_and(|e| e.body.is_reply()))
         });
-        world.nodes = nodes;
-        world.wire.sort();
-        world.wire.dedup();
-        let nodes: Vec<_> = world
+        state.nodes = nodes;
+        state.in_transit.sort();
+        state.in_transit.dedup();
+        let nodes: Vec<_> = state
             .nodes
             .iter()
             .map(|n| (n.registers.digest(), &n.store, &n.timers, n.sync_timer_set))
             .collect();
         let text = format!(
             "{nodes:?} {:?} {:?} {:?} {:?}",
-            world.wire,
-            world.operations,
-            world.requested,
-            (world.fault_happened, world.synced, world.latest_epoch)
+            state.in_transit,
+            state.operations,
+            state.requested,
+            (state.fault_happened, state.synced, state.latest_epoch)
         );
         let mut hasher = std::hash::DefaultHasher::new();
         text.hash(&mut hasher);
-        world.fingerprint = hasher.finish();
-        world
+        state.fingerprint = hasher.finish();
+        state
     }
 }
 
@@ -209,19 +209,19 @@
 }
 
 impl Model for Scenario {
-    type State = World;
+    type State = System;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<System> {
         let nodes = (0..3).map(|r| self.node(member(r, 1), BTreeMap::new())).collect();
         let operation = |request: &ScenarioRequest| Operation {
             invoked: usize::MAX,
             change: request.change.clone(),
             completed: None,
         };
-        let mut world = World {
+        let mut state = System {
             nodes,
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             requested: vec![false; self.requests.len()],
             operations: self.requests.iter().map(operation).collect(),
             history_length: 0,
@@ -230,107 +230,110 @@
             latest_epoch: 1,
             fingerprint: 0,
         };
-        (0..3).for_each(|r| self.handle(&mut world, r, Event::ShardMap(map(1))));
-        vec![self.normalized(world)]
+        (0..3).for_each(|r| self.handle(&mut state, r, Event::ShardMap(map(1))));
+        vec![self.normalized(state)]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let is_due = |i: &usize| !world.requested[*i] && world.latest_epoch >= self.requests[*i].from_epoch;
+    fn actions(&self, state: &System, steps: &mut Vec<Step>) {
+        let is_due = |i: &usize| !state.requested[*i] && state.latest_epoch >= self.requests[*i].from_epoch;
         steps.extend((0..self.requests.len()).filter(is_due).map(Step::Request));
-        steps.extend((0..world.wire.len()).map(Step::Deliver));
-        for (r, node) in world.nodes.iter().enumerate() {
+        steps.extend((0..state.in_transit.len()).map(Step::Deliver));
+        for (r, node) in state.nodes.iter().enumerate() {
             let is_due = |token: &&u64| node.registers.awaits_timer(Token::from_u64(**token).request_id);
-            steps.extend(node.timers.values().filter(is_due).map(|token| Step::Timer(r, *token)));
+            steps.extend(
+                node.timers.values().filter(is_due).map(|token| Step::Timer { router: r, token: *token }),
+            );
             steps.extend(node.store.iter().map(|_| Step::StoreBatch(r)));
             steps.extend(
-                (world.latest_epoch > node.registers.epoch())
-                    .then_some(Step::AdoptMap(r, world.latest_epoch)),
+                (state.latest_epoch > node.registers.epoch())
+                    .then_some(Step::AdoptMap { router: r, epoch: state.latest_epoch }),
             );
             steps.extend(
-                (self.disk_loss && r == 2 && node.sync_timer_set).then_some(Step::Timer(r, SYNC_TIMER)),
+                (self.disk_loss && r == 2 && node.sync_timer_set)
+                    .then_some(Step::Timer { router: r, token: SYNC_TIMER }),
             );
         }
-        if !world.fault_happened {
+        if !state.fault_happened {
             steps.extend(self.crash.then_some(Step::Crash));
-            steps.extend((self.disk_loss && world.requested[0]).then_some(Step::LoseDisk));
+            steps.extend((self.disk_loss && state.requested[0]).then_some(Step::LoseDisk));
         }
         steps.extend(
-            (world.fault_happened && self.disk_loss && world.latest_epoch == 1)
+            (state.fault_happened && self.disk_loss && state.latest_epoch == 1)
                 .then_some(Step::PublishMap(2)),
         );
-        steps.extend((world.synced && world.latest_epoch == 2).then_some(Step::PublishMap(3)));
+        steps.extend((state.synced && state.latest_epoch == 2).then_some(Step::PublishMap(3)));
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, last: &System, step: Step) -> Option<System> {
+        let mut state = last.clone();
         match step {
             Step::Request(i) => {
-                world.requested[i] = true;
-                world.history_length += 1;
-                world.operations[i].invoked = world.history_length;
+                state.requested[i] = true;
+                state.history_length += 1;
+                state.operations[i].invoked = state.history_length;
                 let ScenarioRequest { router, change, .. } = self.requests[i].clone();
                 self.handle(
-                    &mut world,
+                    &mut state,
                     router,
                     Event::Request { number: RequestNumber(i as u64), key: KEY, change, timeout: 1e9 },
                 );
             }
             Step::Deliver(i) => {
-                let (from, to, bytes) = world.wire.remove(i);
-                let router = world.nodes.iter().position(|n| n.me.router == to.router)?;
-                self.handle(&mut world, router, Event::MessageReceived(from, bytes));
+                let (from, to, bytes) = state.in_transit.remove(i);
+                let router = state.nodes.iter().position(|n| n.me.router == to.router)?;
+                self.handle(&mut state, router, Event::MessageReceived(from, bytes));
             }
-            Step::Timer(router, SYNC_TIMER) => {
-                world.nodes[router].sync_timer_set = false;
-                self.handle(&mut world, router, Event::Timer(SYNC_TIMER));
+            Step::Timer { router, token: SYNC_TIMER } => {
+                state.nodes[router].sync_timer_set = false;
+                self.handle(&mut state, router, Event::Timer(SYNC_TIMER));
             }
-            Step::Timer(router, token) => {
-                world.nodes[router].timers.remove(&Token::from_u64(token).request_id);
-                self.handle(&mut world, router, Event::Timer(token));
+            Step::Timer { router, token } => {
+                state.nodes[router].timers.remove(&Token::from_u64(token).request_id);
+                self.handle(&mut state, router, Event::Timer(token));
             }
             Step::StoreBatch(router) => {
-                let (number, records) = world.nodes[router].store.take()?;
-                write(&mut world.nodes[router].disk, &records);
-                self.handle(&mut world, router, Event::BatchStored(number, true));
+                let (number, records) = state.nodes[router].store.take()?;
+                write(&mut state.nodes[router].disk, &records);
+                self.handle(&mut state, router, Event::BatchStored(number, true));
             }
             Step::Crash => {
-                world.fault_happened = true;
-                world.nodes[2] = self.node(member(2, 1), world.nodes[2].disk.clone());
-                self.handle(&mut world, 2, Event::ShardMap(map(1)));
+                state.fault_happened = true;
+                state.nodes[2] = self.node(member(2, 1), state.nodes[2].disk.clone());
+                self.handle(&mut state, 2, Event::ShardMap(map(1)));
             }
             Step::LoseDisk => {
-                world.fault_happened = true;
-                world.wire.retain(|(_, to, _)| to.router != member(2, 1).router);
-                world.nodes[2] = self.node(member(2, 2), BTreeMap::new());
-                self.handle(&mut world, 2, Event::ShardMap(map(1)));
+                state.fault_happened = true;
+                state.in_transit.retain(|(_, to, _)| to.router != member(2, 1).router);
+                state.nodes[2] = self.node(member(2, 2), BTreeMap::new());
+                self.handle(&mut state, 2, Event::ShardMap(map(1)));
             }
-            Step::AdoptMap(router, epoch) => self.handle(&mut world, router, Event::ShardMap(map(epoch))),
-            Step::PublishMap(epoch) => world.latest_epoch = epoch,
+            Step::AdoptMap { router, epoch } => self.handle(&mut state, router, Event::ShardMap(map(epoch))),
+            Step::PublishMap(epoch) => state.latest_epoch = epoch,
         }
-        Some(self.normalized(world))
+        Some(self.normalized(state))
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("responses are linearizable", |_: &Self, world: &World| {
-                let invoked = world.operations.iter().filter(|o| o.invoked < usize::MAX);
+            Property::always("responses are linearizable", |_: &Self, state: &System| {
+                let invoked = state.operations.iter().filter(|o| o.invoked < usize::MAX);
                 is_linearizable(&invoked.cloned().collect::<Vec<Operation>>())
             }),
-            Property::sometimes("all requests are completed, and one is committed", |_, world: &World| {
+            Property::sometimes("all requests are completed, and one is committed", |_, state: &System| {
                 let is_committed = |o: &Operation| matches!(o.response(), Some(Response::Committed(_)));
-                world.operations.iter().all(|o| o.completed.is_some())
-                    && world.operations.iter().any(is_committed)
+                state.operations.iter().all(|o| o.completed.is_some())
+                    && state.operations.iter().any(is_committed)
             }),
-            Property::sometimes("all replicas adopt the last map", |model: &Self, world: &World| {
+            Property::sometimes("all replicas adopt the last map", |model: &Self, state: &System| {
                 !model.disk_loss
-                    || world.nodes.iter().all(|n| n.registers.epoch() == 3)
-                        && world.operations.iter().all(|o| o.completed.is_some())
+                    || state.nodes.iter().all(|n| n.registers.epoch() == 3)
+                        && state.operations.iter().all(|o| o.completed.is_some())
             }),
         ]
     }
 }
 
-/// A check that takes longer has not reached all states, and fails.
+/// Longest duration of a check; one that takes longer has not reached all states, and fails.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn check_all_states(model: Scenario) {
@@ -366,7 +369,7 @@
     });
 }
 
-/// There are too many states to visit all: random walks from a fixed seed, through 40,000 of them.
+/// The model has too many states to visit all, so random walks from a fixed seed visit 40,000 of them.
 #[test]
 fn reads_are_linearizable_when_a_replica_loses_its_disk_and_is_synchronised() {
     let requests = vec![request(0, Change::Acquire(member(0, 1)), 1), request(1, Change::Read, 3)];
--- a/crates/registers/src/transition/tests.rs
+++ b/crates/registers/src/transition/tests.rs
@@ -63,7 +63,7 @@
     ]
 }
 
-/// The whole table: for each record the indexes in [`changes`] of those that apply.
+/// The whole transition table: for each record, the indexes in [`changes`] of the changes that apply.
 #[test]
 fn each_record_allows_exactly_the_listed_changes() {
     let allowed = |current: Option<&Record>| -> Vec<usize> {
@@ -84,7 +84,7 @@
         &[13, 14, 19], // a continuation: fewer parts only
         &[19],         // a continuation of one part
         &[17],         // the table at serial 1
-        &[8, 9],       // a tombstone: only a purge may be stored anew
+        &[8, 9],       // a tombstone: only a purge may replace it
     ];
     for (record, row) in records().iter().zip(rows) {
         assert_eq!(allowed(Some(record)), row, "{record:?}");
@@ -107,8 +107,11 @@
     for record in records() {
         for change in changes() {
             if let Ok(next) = transition(Some(&record), &change) {
-                let stored_anew = record == Record::Tombstone && matches!(next, Record::Purged { .. });
-                assert!(stored_anew || progress(&next) > progress(&record), "{record:?} {change:?} {next:?}");
+                let replaces_tombstone = record == Record::Tombstone && matches!(next, Record::Purged { .. });
+                assert!(
+                    replaces_tombstone || progress(&next) > progress(&record),
+                    "{record:?} {change:?} {next:?}"
+                );
             }
         }
     }
--- a/crates/registers/tests/chaos.rs
+++ b/crates/registers/tests/chaos.rs
@@ -1,5 +1,5 @@
-//! Random requests and faults from a seed. The checker knows only the responses: they must be linearizable, up to the last reads after all
-//! faults are repaired. Builds with an injected bug must be detected.
+//! Random requests and faults from a seed. The responses must be linearizable, including the last reads after all faults are
+//! repaired; the checker uses nothing but the responses. Injected bugs must be detected.
 
 mod net;
 
@@ -10,11 +10,11 @@
 use std::collections::BTreeMap;
 
 const ROUTERS: usize = 6;
-/// Records in a run.
+/// Number of records in a run.
 const RECORDS: u128 = 6;
-/// Requests in a run.
+/// Number of requests in a run.
 const STEPS: usize = 60;
-/// Steps after which a fault is repaired.
+/// Number of steps after which a fault is repaired.
 const REPAIR_STEPS: usize = 4;
 
 #[derive(Default)]
@@ -31,7 +31,7 @@
 struct Requested {
     name: u128,
     /// The position in the history.
-    at: usize,
+    position: usize,
     change: Change,
 }
 
@@ -41,13 +41,13 @@
     repaired_at: usize,
 }
 
-/// A run of the test.
+/// One run with random requests and faults.
 struct Run {
     net: Net,
     requested: BTreeMap<u64, Requested>,
-    last_seen: BTreeMap<u128, Record>,
+    last_known: BTreeMap<u128, Record>,
     faults: Vec<ActiveFault>,
-    /// The router that lost its disk, until the reconfiguration for it is complete.
+    /// The router that lost its disk, until the reconfiguration to its next incarnation is complete.
     reconfiguring: Option<usize>,
     totals: Totals,
 }
@@ -71,7 +71,7 @@
         Self {
             net,
             requested: BTreeMap::new(),
-            last_seen: BTreeMap::new(),
+            last_known: BTreeMap::new(),
             faults: Vec::new(),
             reconfiguring: None,
             totals: Totals::default(),
@@ -90,15 +90,15 @@
         self.net.run(pause);
         for responded in &self.net.responses {
             if let Response::Committed(record) | Response::Conflict(Some(record)) = &responded.response {
-                self.last_seen.insert(responded.key.name, record.clone());
+                self.last_known.insert(responded.key.name, record.clone());
             }
         }
     }
 
-    /// A change that a router might request after what it last saw of the record.
+    /// A random change that a router might request, given the last known state of the record.
     fn random_change(&mut self, router: usize, name: u128) -> Change {
         let me = self.net.nodes[router].me.clone();
-        let term = match self.last_seen.get(&name) {
+        let term = match self.last_known.get(&name) {
             Some(Record::Leased { term, .. } | Record::Released { term }) => *term,
             Some(_) | None => 0,
         };
@@ -113,9 +113,9 @@
 
     fn request(&mut self, router: usize, name: u128, change: Change, timeout: f64) -> u64 {
         // The position among the responses, which have the odd positions.
-        let at = 2 * self.net.responses.len();
+        let position = 2 * self.net.responses.len();
         let number = self.net.request(router, execution(name), change.clone(), timeout);
-        self.requested.insert(number, Requested { name, at, change });
+        self.requested.insert(number, Requested { name, position, change });
         number
     }
 
@@ -144,39 +144,42 @@
                 let other = self.net.random_index(ROUTERS);
                 self.net.partitioned.insert((router, other));
             }
-            _ if self.reconfiguring.is_none() => return self.erase(router),
+            _ if self.reconfiguring.is_none() => return self.erase_disk(router),
             _ => return,
         }
         self.faults.push(ActiveFault { router, repaired_at: step + REPAIR_STEPS });
     }
 
     /// Erases a router's disk, and starts the reconfiguration to its next incarnation.
-    fn erase(&mut self, router: usize) {
-        self.net.erase(router);
+    fn erase_disk(&mut self, router: usize) {
+        self.net.erase_disk(router);
         self.net.start(router);
         self.reconfiguring = Some(router);
         self.totals.erased += 1;
-        let to = present_map(&self.net, self.net.map.epoch + 2);
-        let [both, _] = net::joint(&self.net.map, &to);
+        let to = current_map(&self.net, self.net.map.epoch + 2);
+        let [joint_map, _] = net::joint(&self.net.map, &to);
         self.net.synced.clear();
-        self.net.publish_map(both, 40.0);
+        self.net.publish_map(joint_map, 40.0);
     }
 
     fn finish_reconfiguration(&mut self) {
-        let next = present_map(&self.net, self.net.map.epoch + 1);
+        let next = current_map(&self.net, self.net.map.epoch + 1);
         self.net.publish_map(next, 20.0);
         self.reconfiguring = None;
         self.totals.reconfigured += 1;
     }
 
     /// Repairs all faults.
-    fn heal(&mut self) {
+    fn repair_all(&mut self) {
         self.net.faults = Faults::none();
         self.net.partitioned.clear();
         (0..ROUTERS).for_each(|r| repair(&mut self.net, r));
         self.net.run(500.0);
         if self.reconfiguring.is_some() {
-            assert!(self.net.run_until(20_000.0, Net::all_synced), "all replicas are synchronised");
+            assert!(
+                self.net.run_until(20_000.0, Net::all_synced),
+                "not all replicas were synchronised within 20 s"
+            );
             self.finish_reconfiguration();
         }
         self.net.run(500.0);
@@ -210,11 +213,11 @@
     /// The requests with their responses, by record.
     fn histories(&self) -> BTreeMap<u128, Vec<Operation>> {
         let mut histories: BTreeMap<u128, Vec<Operation>> = BTreeMap::new();
-        for (number, Requested { name, at, change }) in &self.requested {
-            let position = self.net.responses.iter().position(|r| r.number == *number);
-            let completed = position
-                .map(|i| Completion { at: 2 * i + 1, response: self.net.responses[i].response.clone() });
-            let operation = Operation { invoked: *at, change: change.clone(), completed };
+        for (number, Requested { name, position, change }) in &self.requested {
+            let index = self.net.responses.iter().position(|r| r.number == *number);
+            let completed =
+                index.map(|i| Completion { at: 2 * i + 1, response: self.net.responses[i].response.clone() });
+            let operation = Operation { invoked: *position, change: change.clone(), completed };
             histories.entry(*name).or_default().push(operation);
         }
         histories
@@ -224,15 +227,15 @@
 fn run(seed: u64, replicas: usize, bug: InjectedBug) -> Totals {
     let mut run = Run::new(seed, replicas, bug);
     (0..STEPS).for_each(|step| run.step(step));
-    run.heal();
+    run.repair_all();
     run.read_all(seed);
     run.count_responses();
     run.totals.linearizable = run.histories().values().all(|operations| is_linearizable(operations));
     run.totals
 }
 
-/// The map of the present members.
-fn present_map(net: &Net, epoch: u64) -> ShardMap {
+/// The map of the current members.
+fn current_map(net: &Net, epoch: u64) -> ShardMap {
     let members: Vec<Member> = net.nodes.iter().map(|n| n.me.clone()).collect();
     map(epoch, net.map.shards.len(), net.map.shards[0].groups[0].members.len(), &members)
 }
@@ -262,9 +265,9 @@
         "committed {} unavailable {} (not executed {}) erased {} reconfigured {}",
         sum.committed, sum.unavailable, sum.not_executed, sum.erased, sum.reconfigured
     );
-    let provoked =
+    let counts =
         [sum.committed, sum.unavailable - sum.not_executed, sum.not_executed, sum.erased, sum.reconfigured];
-    assert!(provoked.iter().all(|n| *n > 20), "{provoked:?}");
+    assert!(counts.iter().all(|n| *n > 20), "{counts:?}");
 }
 
 #[test]
--- a/crates/registers/tests/crashes.rs
+++ b/crates/registers/tests/crashes.rs
@@ -6,18 +6,18 @@
 use basaltgw_types::Member;
 use net::{execution, map, Net};
 
-/// Steps after which the request was answered long ago.
+/// Number of steps at which a crash is tested: more than a request needs until its response.
 const STEPS: usize = 40;
 
-/// What a crash does to the disk.
+/// Effect of a crash on the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disk {
     Survives,
     Erased,
 }
 
-/// Crashes machines at a step of a request, and checks its record afterwards. True if the request was committed.
-fn survives_crash(replicas: usize, victims: &[usize], step: usize, disk: Disk, seed: u64) -> bool {
+/// Crashes machines at a step of a request, and checks the record afterwards. Returns whether the request was committed.
+fn commits_despite_crash(replicas: usize, victims: &[usize], step: usize, disk: Disk, seed: u64) -> bool {
     let mut net = Net::new(replicas, 1, replicas, seed);
     net.run(10.0);
     let owner = net.nodes[0].me.clone();
@@ -27,7 +27,7 @@
     }
     for victim in victims {
         match disk {
-            Disk::Erased => net.erase(*victim),
+            Disk::Erased => net.erase_disk(*victim),
             Disk::Survives => net.kill(*victim),
         }
         net.start(*victim);
@@ -35,11 +35,11 @@
     if disk == Disk::Erased {
         let members: Vec<Member> = net.nodes.iter().map(|n| n.me.clone()).collect();
         let next = map(3, 1, replicas, &members);
-        assert!(net.reconfigure(&next, 5_000.0), "synchronised within 5 s");
+        assert!(net.reconfigure(&next, 5_000.0), "not synchronised within 5 s");
     }
     net.run(1_000.0);
     let response = net.response(number).cloned();
-    // Every router reads the same record, repeatedly.
+    // Two routers read the same record, one after the other.
     let last = replicas - 1;
     let found = net.call(last, execution(1), Change::Read);
     assert_eq!(net.call(1, execution(1), Change::Read), found);
@@ -51,8 +51,8 @@
                 (leased.clone(), Response::Conflict(Some(leased))),
                 "{victims:?} {step} {disk:?}"
             );
-            // All replicas are complete again: losing another one loses nothing.
-            net.erase(1);
+            // All replicas have the record again, so the loss of another one does not lose it.
+            net.erase_disk(1);
             assert!(matches!(net.call(last, execution(1), Change::Read), Response::Conflict(Some(_))));
             true
         }
@@ -64,7 +64,7 @@
             assert!([Response::Conflict(None), Response::Conflict(Some(leased))].contains(&found));
             false
         }
-        Some(Response::Conflict(found)) => panic!("no other request was made: {found:?}"),
+        Some(Response::Conflict(found)) => panic!("conflict without another request: {found:?}"),
     }
 }
 
@@ -72,7 +72,7 @@
 fn a_committed_record_survives_the_loss_of_one_machine_of_three_at_every_step() {
     for disk in [Disk::Survives, Disk::Erased] {
         for victim in 0..3 {
-            let committed = |step: &usize| survives_crash(3, &[victim], *step, disk, *step as u64);
+            let committed = |step: &usize| commits_despite_crash(3, &[victim], *step, disk, *step as u64);
             let committed = (0..STEPS).filter(committed).count();
             assert!(committed > 5, "{victim} {disk:?}: {committed}");
         }
@@ -83,7 +83,7 @@
 fn a_committed_record_survives_the_loss_of_two_machines_of_five_at_every_step() {
     for disk in [Disk::Survives, Disk::Erased] {
         for (a, b) in [(0, 1), (0, 4), (1, 2), (2, 3), (3, 4)] {
-            let committed = |step: &usize| survives_crash(5, &[a, b], *step, disk, *step as u64);
+            let committed = |step: &usize| commits_despite_crash(5, &[a, b], *step, disk, *step as u64);
             let committed = (0..STEPS).filter(committed).count();
             assert!(committed > 5, "{a} {b} {disk:?}: {committed}");
         }
@@ -110,7 +110,7 @@
     assert_eq!(
         net.response(delayed),
         Some(&Response::Conflict(Some(Record::OutcomeUnknown))),
-        "the owner may not reply any more"
+        "the former owner may not reply"
     );
     assert_eq!(
         net.call(1, execution(1), Change::Acquire(second)),
@@ -126,7 +126,7 @@
         let members: Vec<Member> = net.nodes.iter().map(|n| n.me.clone()).collect();
         let is_across = |a: usize, b: usize| (a < 2) != (b < 2);
         let links = (0..5).flat_map(|a| (0..5).map(move |b| (a, b))).filter(|(a, b)| is_across(*a, *b));
-        // In one direction only, for every other seed.
+        // For every other seed the partition is in one direction only.
         net.partitioned.extend(links.filter(|(a, _)| seed % 2 == 0 || *a < 2));
         let minority = net.request(0, execution(1), Change::Acquire(members[0].clone()), 100.0);
         let majority = net.request(3, execution(1), Change::Acquire(members[3].clone()), 100.0);
--- a/crates/registers/tests/expiry.rs
+++ b/crates/registers/tests/expiry.rs
@@ -1,4 +1,4 @@
-//! Expiry: requested by the replicas, with tombstones for delayed messages, until nothing is left.
+//! Expiry: replicas expire records, keep tombstones against delayed messages, and then remove the registers from disk.
 
 mod net;
 
--- a/crates/registers/tests/net/linearizability.rs
+++ b/crates/registers/tests/net/linearizability.rs
@@ -49,7 +49,7 @@
     Return,
 }
 
-/// True if one order of the changes explains all responses. Changes that were provably not executed are left out; those that may have been
+/// True if some order of the changes explains all responses. Changes that were provably not executed are left out; those that may have been
 /// executed may take effect or not.
 pub fn is_linearizable(operations: &[Operation]) -> bool {
     let mut history: Vec<(usize, usize, HistoryEvent)> = Vec::new();
@@ -71,14 +71,14 @@
         let operation = &operations[thread];
         let returned = match (event, operation.response()) {
             (HistoryEvent::Invoke, _) | (HistoryEvent::Return, None) => {
-                tester.on_invoke(thread, operation.change.clone()).expect("one request for each thread");
+                tester.on_invoke(thread, operation.change.clone()).expect("each thread makes one request");
                 continue;
             }
             (HistoryEvent::Return, Some(Response::Committed(record))) => Ok(record.clone()),
             (HistoryEvent::Return, Some(Response::Conflict(record))) => Err(record.clone()),
             (HistoryEvent::Return, Some(Response::Unavailable { .. })) => continue,
         };
-        tester.on_return(thread, returned).expect("one response for each request");
+        tester.on_return(thread, returned).expect("each request gets one response");
     }
     tester.is_consistent()
 }
--- a/crates/registers/tests/net/members.rs
+++ b/crates/registers/tests/net/members.rs
@@ -36,14 +36,14 @@
     }
 }
 
-/// The joint map with the groups of both maps, then the new map alone.
+/// The maps of a reconfiguration: the joint map with the groups of both maps, and the new map alone.
 pub fn joint(old: &ShardMap, new: &ShardMap) -> [ShardMap; 2] {
-    let both = |a: &ReplicaSet, b: &ReplicaSet| match a == b {
+    let joint_set = |a: &ReplicaSet, b: &ReplicaSet| match a == b {
         true => a.clone(),
         false => ReplicaSet { groups: vec![a.groups[0].clone(), b.groups[0].clone()] },
     };
-    let shards = old.shards.iter().zip(&new.shards).map(|(a, b)| both(a, b)).collect();
-    let root = both(&old.root, &new.root);
-    let first = ShardMap { epoch: old.epoch + 1, shards, root, ..old.clone() };
-    [first, ShardMap { epoch: old.epoch + 2, ..new.clone() }]
+    let shards = old.shards.iter().zip(&new.shards).map(|(a, b)| joint_set(a, b)).collect();
+    let root = joint_set(&old.root, &new.root);
+    let joint_map = ShardMap { epoch: old.epoch + 1, shards, root, ..old.clone() };
+    [joint_map, ShardMap { epoch: old.epoch + 2, ..new.clone() }]
 }
--- a/crates/registers/tests/net/mod.rs
+++ b/crates/registers/tests/net/mod.rs
@@ -1,10 +1,10 @@
 //! Registers on a simulated network, in simulated time; all faults are sampled from a seed.
-#![allow(dead_code)] // Each test uses another part.
+#![allow(dead_code)] // Each test program uses only some of these items.
 
 pub mod linearizability;
 mod members;
 
-/// What the checker imports; unit tests of the crate provide it under the same name.
+/// Items that the linearizability checker imports; the crate's unit tests provide them in a module of the same name.
 mod api {
     pub use basaltgw_registers::{transition, Change, Record, Response};
 }
@@ -44,23 +44,24 @@
     Event { router: usize, event: Event },
 }
 
-/// Timers later than this never expire in a test.
+/// Longest delay of a timer: longer than any test runs.
 const MAX_DELAY_MS: f64 = 1e9;
 
-/// A router: its process, and the disk that outlives it.
+/// A router: its process, and its disk, which survives a restart of the process.
 pub struct Node {
     pub me: Member,
     pub registers: Option<Registers>,
     pub disk: BTreeMap<Vec<u8>, Vec<u8>>,
     pub disk_full: bool,
-    /// Processes started or killed so far; timers and writes of earlier ones are void.
+    /// Number of process starts and kills so far. Timers and disk writes of earlier processes are ignored.
     process: u64,
-    /// What happens to a process that is suspended, until it resumes.
+    /// Events that wait until a suspended process resumes; `None` while it is not suspended.
     suspended: Option<Vec<Scheduled>>,
 }
 
-pub struct Responded {
-    pub at: f64,
+/// A response to a request, and the time at which it was returned.
+pub struct ReturnedResponse {
+    pub time: f64,
     pub router: usize,
     pub number: u64,
     pub key: RecordKey,
@@ -80,7 +81,7 @@
     pub faults: Faults,
     pub settings: Settings,
     pub map: Arc<ShardMap>,
-    pub responses: Vec<Responded>,
+    pub responses: Vec<ReturnedResponse>,
     pub synced: Vec<Synced>,
     pub stale_epochs: u64,
     /// Routers that report a later epoch receive its map.
@@ -149,8 +150,8 @@
         let seed = mix(self.seed, router as u64);
         let node = &mut self.nodes[router];
         let records: Vec<(Vec<u8>, Vec<u8>)> = node.disk.clone().into_iter().collect();
-        let mut registers =
-            Registers::new(node.me.clone(), self.settings.clone(), records, seed).expect("own records");
+        let mut registers = Registers::new(node.me.clone(), self.settings.clone(), records, seed)
+            .expect("records that this member wrote are valid");
         registers.inject_bug(self.injected_bug);
         node.registers = Some(registers);
         node.process += 1;
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Kills a router's process and erases its disk; the next process is another member.
-    pub fn erase(&mut self, router: usize) {
+    /// Kills a router's process and erases its disk; the next process has another incarnation.
+    pub fn erase_disk(&mut self, router: usize) {
         self.kill(router);
         self.last_incarnation += 1;
         self.nodes[router].disk.clear();
@@ -195,33 +196,34 @@
 
     pub fn resume(&mut self, router: usize) {
         let delayed = self.nodes[router].suspended.take().unwrap_or_default();
-        delayed.into_iter().for_each(|scheduled| self.happen(scheduled));
+        delayed.into_iter().for_each(|scheduled| self.dispatch(scheduled));
     }
 
-    /// Delivers a map to all routers, each within so many milliseconds.
-    pub fn publish_map(&mut self, map: ShardMap, within: f64) {
+    /// Delivers a map to each router after a random delay of at most `within_ms`.
+    pub fn publish_map(&mut self, map: ShardMap, within_ms: f64) {
         self.map = Arc::new(map);
         for r in 0..self.nodes.len() {
-            let delay = self.random() * within;
+            let delay = self.random() * within_ms;
             let event = Event::ShardMap(self.map.clone());
             self.schedule(delay, Scheduled::Event { router: r, event });
         }
     }
 
-    /// Moves to another map through the joint one: true if all routers were synchronised in time. Earlier reports of synchronisation are cleared.
-    pub fn reconfigure(&mut self, to: &ShardMap, within: f64) -> bool {
-        let [both, new] = joint(&self.map, to);
+    /// Moves to another map through the joint map. Returns false if not all routers were synchronised with the joint map within `within_ms`.
+    /// Earlier reports of synchronisation are cleared.
+    pub fn reconfigure(&mut self, to: &ShardMap, within_ms: f64) -> bool {
+        let [joint_map, new_map] = joint(&self.map, to);
         self.synced.clear();
-        self.publish_map(both, 20.0);
-        if !self.run_until(within, |net| net.all_synced()) {
+        self.publish_map(joint_map, 20.0);
+        if !self.run_until(within_ms, |net| net.all_synced()) {
             return false;
         }
-        self.publish_map(new, 20.0);
+        self.publish_map(new_map, 20.0);
         self.run(30.0);
         true
     }
 
-    /// True if all routers whose processes run are synchronised.
+    /// True if every router whose process is running is synchronised.
     pub fn all_synced(&self) -> bool {
         let mut running = (0..self.nodes.len()).filter(|r| self.nodes[*r].registers.is_some());
         running.all(|r| self.is_synced(r))
@@ -234,7 +236,7 @@
 
     /// The router's registers; it must be running.
     pub fn registers(&self, router: usize) -> &Registers {
-        self.nodes[router].registers.as_ref().expect("a running process")
+        self.nodes[router].registers.as_ref().expect("the router's process is running")
     }
 
     /// Starts a request, and returns its number.
@@ -242,7 +244,7 @@
         self.last_request += 1;
         let number = RequestNumber(self.last_request);
         let event = Event::Request { number, key, change, timeout };
-        self.happen(Scheduled::Event { router, event });
+        self.dispatch(Scheduled::Event { router, event });
         self.last_request
     }
 
@@ -250,7 +252,7 @@
     pub fn call(&mut self, router: usize, key: RecordKey, change: Change) -> Response {
         let number = self.request(router, key, change, 2_000.0);
         self.run_until(5_000.0, |net| net.response(number).is_some());
-        self.response(number).cloned().expect("a response to each request")
+        self.response(number).cloned().expect("each request gets a response")
     }
 
     pub fn response(&self, number: u64) -> Option<&Response> {
@@ -263,10 +265,10 @@
         self.now = until;
     }
 
-    /// Runs until the condition holds; false if it does not within that time.
-    pub fn run_until(&mut self, ms: f64, mut done: impl FnMut(&Self) -> bool) -> bool {
+    /// Runs until the condition is true; returns false if it is not within `ms`.
+    pub fn run_until(&mut self, ms: f64, mut condition: impl FnMut(&Self) -> bool) -> bool {
         let until = self.now + ms;
-        while !done(self) {
+        while !condition(self) {
             if !self.step(until) {
                 return false;
             }
@@ -274,7 +276,7 @@
         true
     }
 
-    /// Runs what is scheduled next, if it is due by then.
+    /// Dispatches the next scheduled event; returns false if none is due by `until`.
     pub fn step(&mut self, until: f64) -> bool {
         let Some(entry) = self.queue.first_entry() else { return false };
         let at = entry.key().0 as f64 / 1e3;
@@ -283,11 +285,11 @@
         }
         self.now = self.now.max(at);
         let scheduled = entry.remove();
-        self.happen(scheduled);
+        self.dispatch(scheduled);
         true
     }
 
-    fn happen(&mut self, scheduled: Scheduled) {
+    fn dispatch(&mut self, scheduled: Scheduled) {
         let router = match &scheduled {
             Scheduled::Message { to, .. } => index(to),
             Scheduled::Timer { router, .. }
@@ -298,15 +300,15 @@
         if let Some(delayed) = &mut self.nodes[router].suspended {
             return delayed.push(scheduled);
         }
-        let present = self.nodes[router].process;
+        let current_process = self.nodes[router].process;
         match scheduled {
             Scheduled::Message { from, bytes, .. } => {
                 self.handle(router, Event::MessageReceived(from, bytes))
             }
-            Scheduled::Timer { process, token, .. } if process == present => {
+            Scheduled::Timer { process, token, .. } if process == current_process => {
                 self.handle(router, Event::Timer(token));
             }
-            Scheduled::DiskWrite { process, number, writes, durable, .. } if process == present => {
+            Scheduled::DiskWrite { process, number, writes, durable, .. } if process == current_process => {
                 if durable {
                     write(&mut self.nodes[router].disk, &writes);
                 }
@@ -336,7 +338,7 @@
                 self.schedule(delay, Scheduled::DiskWrite { router, process, number, writes, durable });
             }
             Action::Respond(RequestNumber(number), key, response) => {
-                self.responses.push(Responded { at: self.now, router, number, key, response });
+                self.responses.push(ReturnedResponse { time: self.now, router, number, key, response });
             }
             Action::Timer(delay, token) => self.schedule(delay, Scheduled::Timer { router, process, token }),
             Action::ShardSynced(epoch, shard) if epoch == self.map.epoch => {
--- a/crates/registers/tests/reconfiguration.rs
+++ b/crates/registers/tests/reconfiguration.rs
@@ -18,8 +18,8 @@
     }
 }
 
-/// The map in which these routers, in this order, replicate all shards.
-fn map_of(net: &Net, routers: &[usize]) -> basaltgw_types::ShardMap {
+/// A map in which these routers, in this order, replicate all shards.
+fn map_with_replicas(net: &Net, routers: &[usize]) -> basaltgw_types::ShardMap {
     let members: Vec<Member> = routers.iter().map(|r| net.nodes[*r].me.clone()).collect();
     map(net.map.epoch + 2, 4, 3, &members)
 }
@@ -27,10 +27,10 @@
 #[test]
 fn records_move_to_a_disjoint_group() {
     let mut net = Net::new(6, 4, 3, 1);
-    let first = map_of(&net, &[0, 1, 2]);
+    let first = map_with_replicas(&net, &[0, 1, 2]);
     assert!(net.reconfigure(&first, 5_000.0));
     assert!((0..300).all(|name| acquire(&mut net, (name % 6) as usize, name)));
-    let second = map_of(&net, &[3, 4, 5]);
+    let second = map_with_replicas(&net, &[3, 4, 5]);
     assert!(net.reconfigure(&second, 20_000.0));
     assert_eq!(
         net.synced.iter().filter(|s| s.shard.is_some()).count(),
@@ -38,7 +38,7 @@
         "each new replica has synchronised each shard"
     );
     // The old group and one member of the new one lose their disks.
-    [0, 1, 2, 5].into_iter().for_each(|r| net.erase(r));
+    [0, 1, 2, 5].into_iter().for_each(|r| net.erase_disk(r));
     assert_all_leased(&mut net, 3, 0..300);
 }
 
@@ -46,41 +46,41 @@
 fn an_erased_replica_does_not_vote_as_its_old_incarnation_and_is_synchronised_before_it_counts() {
     let mut net = Net::new(3, 4, 3, 2);
     assert!((0..50).all(|name| acquire(&mut net, 0, name)));
-    net.erase(2);
+    net.erase_disk(2);
     net.start(2);
-    // Its new incarnation is in no group, and messages to the old one are dropped.
+    // The new incarnation is in no group, and messages to the old incarnation are dropped.
     net.kill(1);
     assert!(!acquire(&mut net, 0, 50));
     assert!(net.nodes[2].registers.as_ref().is_some_and(|r| r.counters().misaddressed_messages > 0));
     net.start(1);
-    let next = map_of(&net, &[0, 1, 2]);
+    let next = map_with_replicas(&net, &[0, 1, 2]);
     assert!(net.reconfigure(&next, 20_000.0));
     let has_record =
         |n| net.nodes[2].registers.as_ref().is_some_and(|r| r.local_record(&execution(n)).is_some());
     assert!((0..50).all(has_record), "a synchronised replica has each record");
-    // It forms a quorum with any other.
-    net.erase(0);
+    // The synchronised replica forms a quorum with either of the others.
+    net.erase_disk(0);
     assert_all_leased(&mut net, 2, 0..50);
 }
 
 #[test]
 fn a_joint_map_needs_quorums_of_both_groups_and_can_be_cancelled() {
     let mut net = Net::new(6, 4, 3, 3);
-    let first = map_of(&net, &[0, 1, 2]);
+    let first = map_with_replicas(&net, &[0, 1, 2]);
     assert!(net.reconfigure(&first, 5_000.0));
     assert!((0..40).all(|name| acquire(&mut net, 0, name)));
-    let [both, _] = net::joint(&net.map, &map_of(&net, &[3, 4, 5]));
-    net.publish_map(both.clone(), 5.0);
+    let [joint_map, _] = net::joint(&net.map, &map_with_replicas(&net, &[3, 4, 5]));
+    net.publish_map(joint_map.clone(), 5.0);
     net.run(10.0);
     assert!((40..60).all(|name| acquire(&mut net, 0, name)));
-    net.erase(4);
-    net.erase(5);
+    net.erase_disk(4);
+    net.erase_disk(5);
     assert!(!acquire(&mut net, 0, 60), "the new group has no quorum");
     // Back to the old group alone, under a later epoch: no record committed meanwhile is lost.
-    let back = basaltgw_types::ShardMap { epoch: both.epoch + 1, ..first };
-    net.publish_map(back, 20.0);
+    let reverted = basaltgw_types::ShardMap { epoch: joint_map.epoch + 1, ..first };
+    net.publish_map(reverted, 20.0);
     net.run(30.0);
-    net.erase(0);
+    net.erase_disk(0);
     assert_all_leased(&mut net, 1, 0..60);
 }
 
@@ -96,7 +96,7 @@
             .all(|n| net.nodes[2].registers.as_ref().is_some_and(|r| r.local_record(&execution(n)).is_some()))
     };
     assert!(net.run_until(10_000.0, has));
-    net.erase(0);
+    net.erase_disk(0);
     assert_all_leased(&mut net, 2, 0..80);
 }
 
@@ -105,13 +105,13 @@
     let mut net = Net::new(4, 4, 3, 5);
     net.run(10.0);
     net.suspend(3);
-    let next = map_of(&net, &[0, 1, 2]);
-    let [both, new] = net::joint(&net.map, &next);
-    net.publish_map(both, 1.0);
+    let next = map_with_replicas(&net, &[0, 1, 2]);
+    let [joint_map, new_map] = net::joint(&net.map, &next);
+    net.publish_map(joint_map, 1.0);
     net.run(10.0);
-    net.publish_map(new, 1.0);
+    net.publish_map(new_map, 1.0);
     net.run(10.0);
-    // It resumes with the old map and a request under it; the replicas reject its messages, it fetches the map, and retries.
+    // Router 3 resumes with a request under the old map. The replicas reject its messages, so it fetches the new map and retries.
     let me: Member = member(3, 4);
     let number = net.request(3, execution(7), Change::Acquire(me), 5_000.0);
     assert!(net.response(number).is_none());
@@ -123,14 +123,14 @@
 #[test]
 fn synchronisation_waits_until_a_quorum_of_old_replicas_rejects_the_old_epoch() {
     let mut net = Net::new(6, 1, 3, 6);
-    let old = map_of(&net, &[0, 1, 2]);
+    let old = map_with_replicas(&net, &[0, 1, 2]);
     assert!(net.reconfigure(&old, 5_000.0));
-    let [both, _] = net::joint(&net.map, &map_of(&net, &[3, 4, 5]));
-    net.map = both.into();
+    let [joint_map, _] = net::joint(&net.map, &map_with_replicas(&net, &[3, 4, 5]));
+    net.map = joint_map.into();
     net.synced.clear();
     net.maps_are_fetched = false;
     (3..6).for_each(|r| net.handle(r, Event::ShardMap(net.map.clone())));
-    // Under the old epoch the old group alone still commits: an earlier list would miss the record.
+    // Under the old epoch the old group still commits on its own: a list made before this commit would miss its record.
     net.run(500.0);
     assert!(acquire(&mut net, 0, 1));
     assert_eq!(net.synced, [], "synchronised from replicas that accept messages of the old epoch");
@@ -143,13 +143,13 @@
 #[test]
 fn a_new_replica_with_a_failing_disk_is_not_synchronised() {
     let mut net = Net::new(4, 1, 3, 7);
-    let old = map_of(&net, &[0, 1, 2]);
+    let old = map_with_replicas(&net, &[0, 1, 2]);
     assert!(net.reconfigure(&old, 5_000.0));
     assert!((0..5).all(|name| acquire(&mut net, 0, name)));
-    let [both, _] = net::joint(&net.map, &map_of(&net, &[0, 1, 3]));
+    let [joint_map, _] = net::joint(&net.map, &map_with_replicas(&net, &[0, 1, 3]));
     net.nodes[3].disk_full = true;
     net.synced.clear();
-    net.publish_map(both, 5.0);
+    net.publish_map(joint_map, 5.0);
     // The others form a quorum for each record, but the new replica stores nothing.
     assert!(!net.run_until(2_000.0, |net| net.is_synced(3)));
     net.nodes[3].disk_full = false;
--- a/crates/registers/tests/requests.rs
+++ b/crates/registers/tests/requests.rs
@@ -10,7 +10,9 @@
 fn unavailable(response: Response) -> (bool, UnavailableReason) {
     match response {
         Response::Unavailable { not_executed, reason, .. } => (not_executed, reason),
-        Response::Committed(_) | Response::Conflict(_) => panic!("not unavailable: {response:?}"),
+        Response::Committed(_) | Response::Conflict(_) => {
+            panic!("expected an unavailable response, found {response:?}")
+        }
     }
 }
 
@@ -57,7 +59,7 @@
         net.call(2, execution(1), Change::MarkOutcomeUnknown(1)),
         Response::Committed(Record::OutcomeUnknown)
     );
-    // The suspended owner learns that it may not reply.
+    // The former owner gets a conflict, and so may not reply to its client.
     let resumed = net.call(1, execution(1), Change::Complete(b, 1, Outcome::ServedBodyOmitted));
     assert_eq!(resumed, Response::Conflict(Some(Record::OutcomeUnknown)));
     assert_eq!(
@@ -135,13 +137,13 @@
     for other in &others {
         net.handle(0, Event::PeerReachable(other.clone(), false));
     }
-    let (at, sent) = (net.now, net.messages);
+    let (time, sent) = (net.now, net.messages);
     let number = net.request(0, execution(1), Change::Acquire(a.clone()), 2_000.0);
     assert_eq!(
         unavailable(net.response(number).cloned().expect("an immediate response")),
         (true, UnavailableReason::NoQuorum)
     );
-    assert_eq!((net.now, net.messages), (at, sent));
+    assert_eq!((net.now, net.messages), (time, sent));
     net.handle(0, Event::PeerReachable(others[0].clone(), true));
     assert!(matches!(net.call(0, execution(1), Change::Acquire(a)), Response::Committed(_)));
 }
@@ -206,7 +208,7 @@
     let before = net.messages;
     net.call(0, execution(1), Change::Complete(a, 0, Outcome::Failed));
     net.run(10.0);
-    // A message to each of the two others, and its reply.
+    // One message to each of the two other replicas, and their replies.
     assert_eq!(net.messages - before, 4);
     assert_eq!(net.nodes[0].registers.as_ref().map(|r| r.counters().one_phase_rounds), Some(1));
 }
--- a/crates/registers/tests/untrusted_input.rs
+++ b/crates/registers/tests/untrusted_input.rs
@@ -30,8 +30,8 @@
     Event::Request { number: RequestNumber(1), key: execution(1), change, timeout: 100.0 }
 }
 
-/// A router with a shard map and an open request, and the messages of the request.
-fn requesting() -> (Registers, Vec<(Member, Vec<u8>)>) {
+/// Returns a router with a shard map and an open request, and the request's messages.
+fn router_with_open_request() -> (Registers, Vec<(Member, Vec<u8>)>) {
     let mut registers = open(0, Settings::standard());
     let mut actions = Vec::new();
     registers.handle(0.0, shard_map(1), &mut actions);
@@ -47,7 +47,7 @@
 proptest! {
     #[test]
     fn arbitrary_bytes_are_dropped_and_counted(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let (mut registers, _) = requesting();
+        let (mut registers, _) = router_with_open_request();
         let mut actions = Vec::new();
         registers.handle(1.0, Event::MessageReceived(members()[1].clone(), bytes), &mut actions);
         let counters = registers.counters();
@@ -57,7 +57,7 @@
 
     #[test]
     fn a_truncated_or_corrupted_message_never_causes_a_response(position in 0usize..200, flip in any::<u8>(), corrupt in any::<bool>()) {
-        let (_, sent) = requesting();
+        let (_, sent) = router_with_open_request();
         let (to, bytes) = &sent[0];
         let mut bytes = bytes.clone();
         let at = position % bytes.len();
@@ -65,7 +65,7 @@
             true => bytes[at] ^= flip,
             false => bytes.truncate(at),
         }
-        let (mut other, _) = requesting();
+        let (mut other, _) = router_with_open_request();
         let mut actions = Vec::new();
         other.handle(1.0, Event::MessageReceived(members()[0].clone(), bytes), &mut actions);
         prop_assert!(!actions.iter().any(|action| matches!(action, Action::Respond(..))), "{} {:?}", to, actions);
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_map_without_intersecting_quorums_or_of_an_earlier_epoch_is_dropped() {
-    let (mut registers, _) = requesting();
+    let (mut registers, _) = router_with_open_request();
     let duplicate = vec![members()[0].clone(), members()[0].clone(), members()[1].clone()];
     let invalid = [
         QuorumGroup { members: members(), quorum: 1 },
@@ -173,7 +173,7 @@
     registers.handle(0.0, acquire(), &mut actions);
     assert!(
         !actions.iter().any(|action| matches!(action, Action::Send(..))),
-        "no ballot before the run's number is durable"
+        "a ballot was sent before the run's number was durable"
     );
     registers.handle(0.0, Event::BatchStored(1, true), &mut actions);
     let sent: Vec<u64> = actions.iter().filter_map(sent_number).collect();
@@ -220,7 +220,7 @@
 
 #[test]
 fn a_removed_register_still_rejects_ballots_below_its_promise() {
-    let (_, sent) = requesting();
+    let (_, sent) = router_with_open_request();
     let settings = Settings { tombstone_retention_ms: 10.0, ..Settings::standard() };
     let mut replica = open(1, settings);
     let mut actions = Vec::new();
@@ -232,7 +232,7 @@
     replica.handle(1_000.0, Event::BatchStored(2, true), &mut actions);
     replica.handle(1_000.0, Event::Timer(0), &mut actions);
     assert_eq!(replica.size().0, 0);
-    // The same message again, delayed: it is rejected, and no register is created.
+    // A delayed copy of the same message is rejected, and creates no register.
     replica.handle(1_000.0, message(), &mut actions);
     assert_eq!(replica.size().0, 0);
 }
@@ -240,8 +240,8 @@
 #[test]
 fn two_runs_never_use_the_same_ballot() {
     let first_message = |records: Vec<(Vec<u8>, Vec<u8>)>| {
-        let mut registers =
-            Registers::new(members()[0].clone(), Settings::standard(), records, 1).expect("own records");
+        let mut registers = Registers::new(members()[0].clone(), Settings::standard(), records, 1)
+            .expect("records that this member wrote are valid");
         let mut actions = Vec::new();
         registers.handle(0.0, shard_map(1), &mut actions);
         registers.handle(0.0, Event::BatchStored(1, true), &mut actions);
