--- a/crates/control/tests/control/bootstrap.rs
+++ b/crates/control/tests/control/bootstrap.rs
@@ -61,7 +61,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// A simulation advances its clock to `next_timer`: each time a timer must have fired.
+    /// A simulation advances its clock to `next_timer`. Its clock would stop if a timer that fired were still due.
     #[test]
     fn the_next_timer_is_later_after_due_timers_fired(start in prop_oneof![0.0..10.0, 1.0e12..2.0e12f64]) {
         let mut actions = Vec::new();
@@ -74,7 +74,7 @@
             now = due;
             actions.clear();
             control.handle(now, Event::TimersDue, &mut actions);
-            prop_assert!(control.next_timer() > now, "due again at once at {now}");
+            prop_assert!(control.next_timer() > now, "the next timer is not later than {now}");
             prop_assert!(actions.iter().all(|a| !matches!(a, Action::Notify(ControlNotification::Table(..)))));
         }
     }
--- a/crates/control/tests/control/commits.rs
+++ b/crates/control/tests/control/commits.rs
@@ -1,4 +1,4 @@
-//! Actions that depend on a commit follow once it is durable, and not otherwise.
+//! Actions that depend on a commit are taken only once it is durable.
 
 use crate::network::{apply_writes, hello, member, parts, Disk, Network};
 use basaltgw_control::message::Message;
@@ -85,7 +85,7 @@
 /// Table register of a fleet after its bootstrap, and after a change of its rules.
 fn table_registers() -> [TableRegister; 2] {
     let mut net = Network::bootstrapped(Disk::Commits(1.0));
-    let register = |net: &Network| net.nodes[0].control.table().register().expect("a register");
+    let register = |net: &Network| net.nodes[0].control.table().register().expect("a table register");
     let first = register(&net);
     net.change_rules(0);
     [first, register(&net)]
@@ -160,7 +160,7 @@
             retries.extend(commits);
         }
         let register = basaltgw_control::decode_table_register(&stored[&(TABLE_SPACE.0, Vec::new())])
-            .expect("a register");
+            .expect("a table register");
         assert_eq!(register, second, "{outcomes:?} {is_reversed}");
         assert!(notified.is_sorted() && notified.len() == 2, "{notified:?} {outcomes:?} {is_reversed}");
     }
--- a/crates/control/tests/control/lost_routers.rs
+++ b/crates/control/tests/control/lost_routers.rs
@@ -9,7 +9,7 @@
     RecordKey { kind: Kind::Execution, name }
 }
 
-/// The agreed record, as router `n` reads it.
+/// The record that router `n` reads from a quorum.
 fn read(net: &mut Network, n: usize, name: u128) -> Option<Record> {
     let number = net.request(n, key(name), Change::Read, 1_000.0);
     net.run_until(2_000.0, |net| net.response(n, number).is_some());
@@ -20,8 +20,8 @@
     }
 }
 
-/// Some routers' messages fail from some step of the acquisition on: the requester gets no response, and releases a lease that it may have
-/// acquired.
+/// All sends of some routers fail from some millisecond of the acquisition on. The requester gets no response, so it releases the lease that
+/// it may have acquired.
 #[test]
 fn a_lease_whose_acquisition_was_not_confirmed_is_released() {
     let mut ambiguous = 0;
@@ -39,7 +39,7 @@
         ambiguous += match net.response(0, number) {
             Some(Response::Unavailable { not_executed: false, .. }) => 1,
             Some(Response::Unavailable { not_executed: true, .. }) => 0,
-            // The last response had been sent already.
+            // The last response was sent before sends failed.
             Some(Response::Committed(_)) => continue,
             Some(Response::Conflict(_)) | None => panic!("{:?}", net.response(0, number)),
         };
--- a/crates/control/tests/control/network/links.rs
+++ b/crates/control/tests/control/network/links.rs
@@ -22,7 +22,7 @@
 
 /// Router that dials, and the router that it dials.
 type Dial = (usize, usize);
-/// Both ends of a link, the smaller one first.
+/// Routers at both ends of a link, the smaller number first.
 type LinkEnds = (usize, usize);
 
 struct Link {
@@ -37,7 +37,7 @@
     pub mesh: BTreeSet<usize>,
     established: BTreeMap<LinkEnds, Link>,
     wanted: BTreeSet<Dial>,
-    /// Pending dials, and when each is decided.
+    /// Pending dials, and the time at which each succeeds or fails.
     dials: BTreeMap<Dial, Ms>,
     stopped: BTreeSet<usize>,
     pending_events: VecDeque<(usize, Event)>,
@@ -61,7 +61,7 @@
         net
     }
 
-    /// A process starts and requests its links.
+    /// Handles the start of a process, which requests its links.
     pub(super) fn on_process_start(&mut self, n: usize) {
         let Some(links) = &mut self.links else { return };
         links.stopped.remove(&n);
@@ -88,17 +88,17 @@
         self.links.as_ref().is_none_or(|l| l.established.contains_key(&ends(a, b)))
     }
 
-    pub(super) fn observe_use(&mut self, a: usize, b: usize) {
+    pub(super) fn record_use(&mut self, a: usize, b: usize) {
         let now = self.now;
         let link = self.links.as_mut().and_then(|l| l.established.get_mut(&ends(a, b)));
         link.into_iter().for_each(|link| link.last_used = now);
     }
 
     pub(super) fn set_link_wanted(&mut self, n: usize, router: &RouterId, wanted: bool) {
-        // A router that has not started yet has no node, so its number is taken from its name.
+        // A router that has not started yet has no node, so its number is parsed from its name.
         let number = router.0.strip_prefix('r').and_then(|number| number.parse::<usize>().ok());
-        let to = number.expect("a router's name");
-        let Some(links) = &mut self.links else { panic!("{router} is wanted in a mesh") };
+        let to = number.expect("router names are r<number>");
+        let Some(links) = &mut self.links else { panic!("link to {router} requested in a full mesh") };
         if !wanted {
             links.wanted.remove(&(n, to));
             return;
@@ -138,7 +138,7 @@
             let is_severed = self.severed.contains(&(from, to)) || self.severed.contains(&(to, from));
             if both_run && !is_severed {
                 links.dials.remove(&(from, to));
-                // The other router may have dialed too, and been faster.
+                // The other router may have dialed as well, and its dial may have succeeded first.
                 if let Entry::Vacant(entry) = links.established.entry(ends(from, to)) {
                     entry.insert(Link { dialed_by: from, last_used: now });
                     established.push((from, to));
--- a/crates/control/tests/control/network/mod.rs
+++ b/crates/control/tests/control/network/mod.rs
@@ -28,7 +28,8 @@
 pub const LONG_CONVERGENCE_MS: Ms = 30_000.0;
 const LINK_DELAY_MS: Ms = 1.0;
 
-struct Transit {
+/// Message on its way to a router.
+struct MessageInTransit {
     due: Ms,
     from: usize,
     to: usize,
@@ -47,10 +48,10 @@
     /// Number of messages sent, and their bytes.
     pub sent: (u64, u64),
     severed: BTreeSet<(usize, usize)>,
-    /// Links that are dialed and closed; `None` for a full mesh.
+    /// Links that are dialed on demand; `None` for a full mesh.
     pub links: Option<Links>,
     pub nodes: Vec<Node>,
-    in_transit: VecDeque<Transit>,
+    in_transit: VecDeque<MessageInTransit>,
     last_request: u64,
 }
 
@@ -226,8 +227,14 @@
         };
         match receiver.filter(is_sendable) {
             Some(to) => {
-                self.observe_use(n, to);
-                self.in_transit.push_back(Transit { due: self.now + LINK_DELAY_MS, from: n, to, lane, body });
+                self.record_use(n, to);
+                self.in_transit.push_back(MessageInTransit {
+                    due: self.now + LINK_DELAY_MS,
+                    from: n,
+                    to,
+                    lane,
+                    body,
+                });
             }
             None => self.nodes[n].failed_sends.push(number),
         }
@@ -245,12 +252,14 @@
         }
     }
 
-    /// A millisecond passes.
+    /// Advances the simulation by one millisecond.
     pub fn step(&mut self) {
         self.now += 1.0;
         self.dial_and_close();
         while self.in_transit.front().is_some_and(|message| message.due <= self.now) {
-            let Some(Transit { from, to, lane, body, .. }) = self.in_transit.pop_front() else { break };
+            let Some(MessageInTransit { from, to, lane, body, .. }) = self.in_transit.pop_front() else {
+                break;
+            };
             let from = self.nodes[from].hello.member.clone();
             self.deliver(to, Event::MessageReceived { from, lane, body });
         }
@@ -292,7 +301,7 @@
     pub fn run_until(&mut self, timeout: Ms, condition: impl Fn(&Self) -> bool) {
         let end = self.now + timeout;
         while !condition(self) {
-            assert!(self.now < end, "not within {timeout} ms: {}", self.state());
+            assert!(self.now < end, "the condition was not met within {timeout} ms: {}", self.state());
             self.step();
         }
     }
@@ -307,7 +316,7 @@
 
     pub fn response(&self, n: usize, number: RequestNumber) -> Option<&Response> {
         self.nodes[n].notifications.iter().find_map(|notification| match notification {
-            ControlNotification::Response(of, response) if *of == number => Some(response),
+            ControlNotification::Response(answered, response) if *answered == number => Some(response),
             ControlNotification::Response(..)
             | ControlNotification::Purge(_)
             | ControlNotification::PurgesKnown { .. }
--- a/crates/control/tests/control/network/node.rs
+++ b/crates/control/tests/control/network/node.rs
@@ -28,6 +28,7 @@
     pub writes: Vec<Write>,
 }
 
+/// A simulated router.
 pub struct Node {
     pub control: Control,
     pub hello: Hello,
@@ -37,10 +38,10 @@
     pub notifications: Vec<ControlNotification>,
     /// Tables that the router has advertised.
     pub advertised_tables: Vec<TableVersion>,
-    /// Every message that the router sends fails.
+    /// Every send of the router fails.
     pub drops_sends: bool,
     pub failed_sends: Vec<u64>,
-    /// Link requests of the process before its first event.
+    /// Link requests that the process made before its first event.
     pub initial_actions: Vec<Action>,
 }
 
--- a/crates/control/tests/control/network/overlay.rs
+++ b/crates/control/tests/control/network/overlay.rs
@@ -23,7 +23,9 @@
         rack: text("k"),
         control: false,
     };
-    let list = || RouterList::new(1, Shape::default(), (0..count).map(entry).collect()).expect("a list");
+    let list = || {
+        RouterList::new(1, Shape::default(), (0..count).map(entry).collect()).expect("a valid router list")
+    };
     let times = OverlaySettings {
         batch_interval: BATCH_MS,
         retention,
@@ -32,5 +34,5 @@
     };
     let limits = has_persistent_links.then_some(QUEUE_LIMITS);
     let parts = || OverlayParts::with_links(member(n).router, list(), times, limits, seed);
-    (regions > 0).then(|| parts().expect("an overlay"))
+    (regions > 0).then(|| parts().expect("valid overlay settings"))
 }
--- a/crates/control/tests/control/network/parts.rs
+++ b/crates/control/tests/control/network/parts.rs
@@ -22,7 +22,8 @@
         rules: vec![("rules".into(), RULES.into())],
         replace_after: 10_000.0,
     };
-    let table = space(TABLE_SPACE.0).next().map(|(_, v)| decode_table_register(v).expect("a register"));
+    let table =
+        space(TABLE_SPACE.0).next().map(|(_, v)| decode_table_register(v).expect("a valid table register"));
     let presence = Presence { member: member(n), address: address(n), domain: domain(n) };
     let listed = (0..count).filter(|other| *other != n).map(|other| member(other).router).collect();
     let membership_settings = MembershipSettings { listed_routers: listed, ..MembershipSettings::default() };
@@ -33,10 +34,11 @@
         me: member(n),
         has_previous_data: !stored.is_empty(),
         registers: Registers::new(member(n), register_settings, entries(REGISTERS_SPACE.0), n as u64)
-            .expect("registers"),
-        membership: Membership::new(presence, membership_settings, n as u64).expect("a membership"),
-        table: TableManager::new(config, table).expect("a table"),
-        purges: decode_purges(entries(PURGES_SPACE.0)).expect("purges"),
+            .expect("valid stored registers"),
+        membership: Membership::new(presence, membership_settings, n as u64)
+            .expect("valid membership settings"),
+        table: TableManager::new(config, table).expect("a valid table configuration"),
+        purges: decode_purges(entries(PURGES_SPACE.0)).expect("valid stored purges"),
         purge_convergence_time: CONVERGENCE_MS,
         shutdown_timeout: 1_000.0,
         scatter_gather_classes: None,
--- a/crates/control/tests/control/overlay.rs
+++ b/crates/control/tests/control/overlay.rs
@@ -29,10 +29,10 @@
     net.nodes[n].control.refresh_counts();
     let text = net.nodes[n].control.counts().to_string();
     let value = text.split(' ').find_map(|w| w.strip_prefix(&format!("{name}=")).map(str::to_string));
-    value.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
+    value.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("no counter {name} in {text}"))
 }
 
-/// Outcomes of the startup sync.
+/// Outcomes of the startup sync of router `n`: whether each was complete.
 fn startup_outcomes(net: &Network, n: usize) -> Vec<bool> {
     let outcome = |t: &ControlNotification| match t {
         ControlNotification::PurgesKnown { complete } => Some(*complete),
@@ -83,11 +83,11 @@
 fn a_purge_reaches_the_other_routers_when_any_router_or_link_fails() {
     let mut net = Network::bootstrapped_with_overlay(5, 1);
     let mut object = 100;
-    let mut publish = |net: &mut Network, at: usize, except: Option<usize>| {
+    let mut publish = |net: &mut Network, publisher: usize, stopped: Option<usize>| {
         object += 1;
         let one = purge(net, object);
-        net.deliver(at, Event::Request(ControlRequest::Purge(one)));
-        let is_running = |n: &usize| Some(*n) != except;
+        net.deliver(publisher, Event::Request(ControlRequest::Purge(one)));
+        let is_running = |n: &usize| Some(*n) != stopped;
         net.run_until(2.0 * DISSEMINATION_MS, |net| (0..5).filter(is_running).all(|n| knows(net, n, one)));
         assert!((0..5).all(|n| notification_count(net, n, one) <= 1));
     };
@@ -132,7 +132,7 @@
     let mut net = Network::bootstrapped_with_overlay(5, 1);
     let one = purge(&net, 1);
     net.deliver(3, Event::Request(ControlRequest::Purge(one)));
-    // Stored there, and too recent to be stored anywhere else.
+    // Router 3 has stored the purge, which is too recent to be stored by any other router.
     net.run_until(2.0 * BATCH_MS, |net| {
         net.nodes[3].stored.keys().any(|(s, _)| *s == basaltgw_control::PURGES_SPACE.0)
     });
@@ -157,7 +157,7 @@
         net.link(4);
         net.run_until(DISSEMINATION_MS, |net| !startup_outcomes(net, 4).is_empty());
         let is_synced = startup_outcomes(&net, 4) == [true];
-        assert!(!(is_synced && is_silenced), "synced though no router sent anything");
+        assert!(!(is_synced && is_silenced), "synced although no router sent a message");
         assert!(!is_synced || knows(&net, 4, one));
         println!("others silenced {is_silenced}: synced {is_synced}");
         if !is_silenced {
--- a/crates/control/tests/control/persistent_links.rs
+++ b/crates/control/tests/control/persistent_links.rs
@@ -1,4 +1,4 @@
-//! Persistent links: each router has few, others are dialed for messages, and a router without a link does not count as lost.
+//! Persistent links: each router has few of them and dials others when it has messages. A router without a link does not count as lost.
 
 use crate::network::{member, Network, IDLE_TIMEOUT_MS};
 use basaltgw_control::{ControlNotification, ControlRequest, Event, Purge};
@@ -18,19 +18,19 @@
     net.nodes[n].control.refresh_counts();
     let text = net.nodes[n].control.counts().to_string();
     let value = text.split(' ').find_map(|w| w.strip_prefix(&format!("{name}=")).map(str::to_string));
-    value.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
+    value.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("no counter {name} in {text}"))
 }
 
 fn change(net: &mut Network, n: usize, key: RecordKey, change: Change) -> Response {
     let number = net.request(n, key, change, 400.0);
     net.run_until(1_000.0, |net| net.response(n, number).is_some());
-    net.response(n, number).cloned().expect("a response")
+    net.response(n, number).cloned().expect("the change gets a response")
 }
 
 fn acquire(net: &mut Network, n: usize, name: u128) -> u32 {
     match change(net, n, key(name), Change::Acquire(member(n))) {
         Response::Committed(Record::Leased { owner, term }) if owner == member(n) => term,
-        other => panic!("r{n}: {other:?}"),
+        other => panic!("r{n} did not acquire the lease: {other:?}"),
     }
 }
 
@@ -42,7 +42,9 @@
 fn an_idle_fleet_has_few_links_and_closes_others_after_use() {
     for (count, regions) in [(9, 3), (24, 3)] {
         let mut net = Network::with_persistent_links(count, regions, &[]);
-        let max_links = |net: &Network| (0..count).map(|n| net.linked_with(n).len()).max().expect("routers");
+        let max_links = |net: &Network| {
+            (0..count).map(|n| net.linked_with(n).len()).max().expect("the fleet has routers")
+        };
         // Two parents, a bounded number of children, two watched routers and two watchers, whatever the size.
         println!("{count} routers in {regions} regions: {} links at most", max_links(&net));
         assert!(
@@ -50,13 +52,16 @@
             "{} links",
             max_links(&net)
         );
-        let before = net.links.as_ref().expect("links").closed;
+        let before = net.links.as_ref().expect("the network has persistent links").closed;
         for name in 0..60u128 {
             acquire(&mut net, name as usize % count, name);
         }
         net.run_for(LINKS_IDLE_MS + 2_000.0);
         assert!(max_links(&net) <= 16);
-        assert!(net.links.as_ref().expect("links").closed > before, "links were dialed for the leases");
+        assert!(
+            net.links.as_ref().expect("the network has persistent links").closed > before,
+            "links were dialed for the leases"
+        );
         assert!((0..count).map(|n| counter(&mut net, n, "words_waited")).sum::<u64>() > 0);
         // No router counts as lost, and no table was proposed because of it.
         assert!((0..count).all(|n| counter(&mut net, n, "links_gone") == 0 && net.table_version(n) == 1));
@@ -81,7 +86,7 @@
     assert!((0..11).all(|n| notification_count(n) == 1) && notification_count(11) == 0);
 }
 
-/// A router without a link to the owner of a lease asks for it: the owner is running, and still holds the lease.
+/// A router without a link to the owner of a lease tries to acquire it. The owner is running and keeps the lease.
 #[test]
 fn a_lease_of_a_running_owner_without_a_link_does_not_become_unknown() {
     let count = 12;
@@ -124,10 +129,10 @@
                 Response::Conflict(Some(Record::Leased { .. })) | Response::Unavailable { .. } => {}
                 other => panic!("{other:?}"),
             }
-            assert!(net.now < started_at + 4_000.0, "the outcome is not unknown");
+            assert!(net.now < started_at + 4_000.0, "the outcome did not become unknown within 4 s");
             net.run_for(100.0);
         }
-        // Not before the owner has been unreachable for long enough to count as lost.
+        // The owner must have been unreachable for long enough to count as lost.
         assert!(net.now >= started_at + 500.0);
     }
 }
@@ -151,7 +156,7 @@
         net.run_for(100.0);
     }
     assert_eq!(rejected, 20);
-    // By now every replica is known to be unreachable.
+    // Every replica is now known to be unreachable, so requests fail without a timeout.
     for name in 100..110u128 {
         let started_at = net.now;
         assert!(matches!(
@@ -176,7 +181,7 @@
 fn a_router_lost_for_long_is_replaced_by_its_watcher_and_one_that_returns_in_time_is_not() {
     let count = 9;
     let mut net = Network::with_persistent_links(count, 3, &[]);
-    // It returns in time: the table does not change.
+    // The lost router returns in time, so the table does not change.
     net.kill(2);
     net.run_for(6_000.0);
     net.start_process(2);
@@ -187,7 +192,7 @@
         (0..count).map(|n| net.table_version(n)).collect::<Vec<_>>()
     );
     // Two adjacent routers of the ring are lost for longer. They share no group, or two of its three replicas would be lost.
-    let map = net.nodes[0].control.table().map().expect("a map");
+    let map = net.nodes[0].control.table().map().expect("an adopted table has a map");
     let groups = || map.shards.iter().chain([&map.root]).flat_map(|k| &k.groups);
     let share_no_group =
         |n: &usize| !groups().any(|g| [member(*n), member(n + 1)].iter().all(|m| g.members.contains(m)));
@@ -204,11 +209,11 @@
     for name in 0..30u128 {
         acquire(&mut net, requesters[name as usize % requesters.len()], 400 + name);
     }
-    // They return with their data, and become members again.
+    // Both routers restart with their data, and become members again.
     net.start_process(lost);
     net.start_process(lost + 1);
-    let includes = |net: &Network, n: usize, who: usize| {
-        net.nodes[n].control.table().members().any(|m| m == member(who))
+    let includes = |net: &Network, n: usize, router: usize| {
+        net.nodes[n].control.table().members().any(|m| m == member(router))
     };
     net.run_until(60_000.0, |net| (0..count).all(|n| includes(net, n, lost) && includes(net, n, lost + 1)));
 }
--- a/crates/control/tests/control/purges.rs
+++ b/crates/control/tests/control/purges.rs
@@ -65,7 +65,7 @@
     net.run_until(2_000.0, |net| (0..3).all(|n| !is_stored(net, n)));
 }
 
-/// The register of a purge outlives its convergence.
+/// The register of a purge still exists when the purge has converged, and must not be notified as a new purge.
 #[test]
 fn a_converged_purge_is_not_notified_again_while_its_register_exists() {
     let mut net = Network::bootstrapped(Disk::Commits(1.0));
@@ -76,7 +76,7 @@
     net.run_until(1_000.0, is_replicated);
     net.run_until(CONVERGENCE_MS + 1_000.0, |net| net.nodes.iter().all(|n| n.control.purges().is_empty()));
     net.run_for(CONVERGENCE_MS / 2.0);
-    assert!(is_replicated(&net), "the register outlives convergence");
+    assert!(is_replicated(&net), "the register was removed with the converged purge");
     for node in &net.nodes {
         let count = node
             .notifications
