--- a/crates/membership/src/byte_tests.rs
+++ b/crates/membership/src/byte_tests.rs
@@ -1,4 +1,4 @@
-//! The encoding of the membership's messages, compared with recorded bytes.
+//! Encodings of membership messages, compared with recorded bytes.
 
 use crate::evidence::EvidenceUpdate;
 use crate::identity::RouterIdentity;
--- a/crates/membership/src/inbound/tests.rs
+++ b/crates/membership/src/inbound/tests.rs
@@ -9,7 +9,7 @@
     Presence { member, address: ([127, 0, 0, 1], 7101).into(), domain }
 }
 
-/// Passes a message of an identity of r1 to r0, which knows the first incarnation of r1.
+/// Passes a message from an identity of r1 to r0, which knows the first incarnation of r1.
 fn receive(
     identity: &RouterIdentity,
     evidence: Vec<EvidenceUpdate>,
@@ -48,7 +48,9 @@
     };
     let known = hello.known.map(|k| (k.identity.member().incarnation.0, k.is_down));
     assert_eq!((to, known), (new.member(), Some((1, false))));
-    let raised = new.raised_above(&RouterIdentity::new(presence("r1", 1))).expect("a generation is left");
+    let raised = new
+        .raised_above(&RouterIdentity::new(presence("r1", 1)))
+        .expect("the generation is below its maximum");
     let (membership, result, _) = receive(&raised, Vec::new());
     assert_eq!(
         (result, known_incarnations(&membership), membership.counters().not_current),
--- a/crates/membership/tests/bounds.rs
+++ b/crates/membership/tests/bounds.rs
@@ -1,6 +1,6 @@
-//! Messages from outside, and limits: nothing panics or grows beyond its limit, and rejected events change nothing.
+//! Untrusted messages and limits: no event causes a panic or exceeds a limit, and a rejected event changes nothing.
 
-#[allow(dead_code)] // Other tests use the rest.
+#[allow(dead_code)] // Other test programs use the remaining items.
 mod net;
 
 use basaltgw_membership::{Action, Event, Evidence, Membership, MembershipError, Presence, Settings, State};
@@ -9,9 +9,9 @@
 use proptest::prelude::*;
 use std::collections::VecDeque;
 
-/// A membership with a link to r1, and the messages that r1 has sent; timers expire at once.
+/// Returns the membership of r0, which has a link to r1, and the messages that r1 has sent. Timers expire at once.
 fn pair() -> (Membership, Vec<Vec<u8>>) {
-    let mut both =
+    let mut memberships =
         [0, 1].map(|i| Membership::new(presence(i, 1), listed(3), i as u64).expect("valid settings"));
     let evidence = Evidence { site: "east".into(), missed: 1, answered: 2, latency_ms: 3.0, age_ms: 4.0 };
     let links = [0, 1].map(|i| (i, Event::LinkUp(presence(1 - i, 1))));
@@ -20,7 +20,7 @@
     for _ in 0..40 {
         let Some((at, event)) = events.pop_front() else { break };
         let mut out = Vec::new();
-        both[at].handle(1.0, event, &mut out).expect("accepted");
+        memberships[at].handle(1.0, event, &mut out).expect("the event is accepted");
         for action in out {
             match action {
                 Action::Send(_, bytes) => {
@@ -32,7 +32,7 @@
             }
         }
     }
-    let [a, _] = both;
+    let [a, _] = memberships;
     assert!(a.peers().any(|p| p.presence.member == presence(1, 1).member));
     assert!(sent.len() >= 3, "{}", sent.len());
     (a, sent)
@@ -67,7 +67,8 @@
 fn events_of_unlisted_or_mismatched_routers_are_rejected_by_name() {
     let (mut membership, sent) = pair();
     let mut out = Vec::new();
-    let mut rejection = |event| membership.handle(2.0, event, &mut out).expect_err("rejected").to_string();
+    let mut rejection =
+        |event| membership.handle(2.0, event, &mut out).expect_err("the event is rejected").to_string();
     assert_eq!(rejection(Event::LinkUp(presence(9, 1))), "r9 is not a listed router");
     let own = rejection(Event::LinkUp(presence(0, 7)));
     assert!(own.contains("a message in the name of r0"), "{own}");
@@ -86,7 +87,9 @@
 
 #[test]
 fn settings_and_names_out_of_range_are_named_in_the_error() {
-    let error = |settings| Membership::new(presence(0, 1), settings, 1).err().expect("an error").to_string();
+    let error = |settings| {
+        Membership::new(presence(0, 1), settings, 1).err().expect("the settings are rejected").to_string()
+    };
     assert_eq!(
         error(Settings { probe_timeout: 900.0, ..listed(3) }),
         "roster.rtt: expected more than 0 and less than half a period"
--- a/crates/membership/tests/fleets.rs
+++ b/crates/membership/tests/fleets.rs
@@ -12,7 +12,7 @@
     Evidence { site: "east".into(), missed: 7, answered: 1, latency_ms: 12.5, age_ms: age }
 }
 
-/// The cost of a quiet fleet, and the time until a lost router is down everywhere.
+/// Messages of an idle fleet, and the periods until all routers consider a lost one down.
 struct Detection {
     periods: f64,
     messages_per_second: f64,
@@ -69,13 +69,13 @@
 
 #[test]
 fn an_incarnation_with_another_disk_replaces_the_former_one_for_good() {
-    // Before it is suspected, and once it is considered down; each time the former process resumes.
+    // The new incarnation starts before the former one is suspected, and after it is considered down. The former process resumes in both cases.
     for (missing, seed) in [(0.5, 6), (15.0, 7)] {
         let mut net = Net::with_routers(12, seed);
         let former = net.member(3);
         net.nodes[3].suspended = true;
         net.run(missing * PERIOD);
-        // Its incarnation is the lower number, so that it does not win by the order of incarnations.
+        // The new incarnation has the lower number, so it doesn't replace the former one by the order of incarnations.
         let new = net.start(3, 0, 12);
         (0..12).filter(|i| *i != 3).for_each(|i| net.link(i, new));
         let current = net.member(new);
@@ -90,7 +90,7 @@
             net.run_until(net.now + 3.0 * PERIOD, |n| n.nodes[3].membership.has_left()),
             "the former incarnation does not leave"
         );
-        assert_eq!(net.nodes[3].states.get(&former), Some(&State::Down), "its own state is reported");
+        assert_eq!(net.nodes[3].states.get(&former), Some(&State::Down), "it did not report its own state");
         net.nodes[3].suspended = true;
         net.run(20.0 * PERIOD);
         assert!(replaced(&net) && !net.nodes[new].membership.has_left());
@@ -156,21 +156,21 @@
     let mut net = Net::with_routers(60, 12);
     let start = net.now;
     net.handle(0, Event::LocalEvidence(evidence(100.0)));
-    let all = |n: &Net| n.nodes.iter().skip(1).all(|n| !n.evidence.is_empty());
-    assert!(net.run_until(start + 5.0 * PERIOD, all), "evidence does not reach all routers");
+    let has_reached_all = |n: &Net| n.nodes.iter().skip(1).all(|n| !n.evidence.is_empty());
+    assert!(net.run_until(start + 5.0 * PERIOD, has_reached_all), "evidence does not reach all routers");
     println!("evidence reached 60 routers after {:.0} ms", net.now - start);
     net.run(5.0 * PERIOD);
     for node in &net.nodes[1..] {
-        let [(at, origin, what)] = &node.evidence[..] else {
-            panic!("reported {} times", node.evidence.len())
+        let [(reported_at, origin, reported)] = &node.evidence[..] else {
+            panic!("evidence was reported {} times", node.evidence.len())
         };
-        let (least, most) = (100.0, 100.0 + (at - start));
-        assert!(*origin == net.member(0) && (least..=most).contains(&what.age_ms), "{}", what.age_ms);
-        // Only the time on the wire is not counted: at most 5 ms a hop.
-        assert!(what.age_ms >= most - 60.0, "{} of {most}", what.age_ms);
-        assert_eq!(Evidence { age_ms: 100.0, ..what.clone() }, evidence(100.0));
+        let (least, most) = (100.0, 100.0 + (reported_at - start));
+        assert!(*origin == net.member(0) && (least..=most).contains(&reported.age_ms), "{}", reported.age_ms);
+        // The age leaves out the time in transit only, which is at most 5 ms a hop.
+        assert!(reported.age_ms >= most - 60.0, "{} of {most}", reported.age_ms);
+        assert_eq!(Evidence { age_ms: 100.0, ..reported.clone() }, evidence(100.0));
     }
-    // Newer evidence on the same site is gossiped too, and both have expired after their span.
+    // Newer evidence on the same site is gossiped as well, and both have expired once their retention is over.
     net.handle(0, Event::LocalEvidence(evidence(0.0)));
     net.run(15.0 * PERIOD);
     assert!(net.nodes[1..].iter().all(|n| n.evidence.len() == 2));
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -1,4 +1,4 @@
-//! Memberships in simulated time: messages take 0.5 to 5 ms and may be lost, by a seed, or blocked by a partition.
+//! Memberships in simulated time. A message takes 0.5 to 5 ms, and may be lost at random by a seed or blocked by a partition.
 
 use basaltgw_membership::{Action, Event, Evidence, Membership, Presence, Settings, State};
 use basaltgw_types::{Domain, Incarnation, Member, Ms, RouterId};
@@ -10,19 +10,20 @@
 /// Times in microseconds, sequence numbers and nodes of the scheduled events.
 type Queue = BinaryHeap<Reverse<(u64, u64, usize)>>;
 
+/// A simulated router.
 pub struct Node {
     pub membership: Membership,
     /// The last reported state of each member.
     pub states: BTreeMap<Member, State>,
     pub evidence: Vec<(Ms, Member, Evidence)>,
-    /// The process is suspended: messages are lost, timers wait.
+    /// True while the process is suspended: messages to it are lost, and its timers wait.
     pub suspended: bool,
     waiting_timers: Vec<Event>,
 }
 
 pub struct Net {
     pub nodes: Vec<Node>,
-    /// The node that runs a member.
+    /// The node that runs each member.
     current: BTreeMap<Member, usize>,
     queue: Queue,
     scheduled: BTreeMap<u64, Event>,
@@ -31,9 +32,9 @@
     rng: Xoshiro256PlusPlus,
     /// The probability that a message is lost.
     pub loss: f64,
-    /// Nodes on the other side of a partition.
+    /// Whether each node is on the other side of a partition.
     pub partitioned: Vec<bool>,
-    /// Events may be rejected: not every router is listed.
+    /// True if events may be rejected because not every router is listed.
     pub allow_rejections: bool,
 }
 
@@ -44,7 +45,7 @@
     Presence { member, address: ([127, 0, 0, 1], 7100 + name as u16).into(), domain }
 }
 
-/// Settings that list that many routers and one more.
+/// Settings that list `routers` routers and one more.
 pub fn listed(routers: usize) -> Settings {
     Settings {
         listed_routers: (0..=routers).map(|i| presence(i, 0).member.router).collect(),
@@ -83,9 +84,10 @@
 
     /// Starts a router; returns the index of its node.
     pub fn start(&mut self, name: usize, incarnation: u128, routers: usize) -> usize {
-        let who = presence(name, incarnation);
-        self.current.insert(who.member.clone(), self.nodes.len());
-        let membership = Membership::new(who, listed(routers), self.rng.random()).expect("valid settings");
+        let presence = presence(name, incarnation);
+        self.current.insert(presence.member.clone(), self.nodes.len());
+        let membership =
+            Membership::new(presence, listed(routers), self.rng.random()).expect("valid settings");
         self.nodes.push(Node {
             membership,
             states: BTreeMap::new(),
@@ -99,52 +101,54 @@
 
     /// Brings a link between two nodes up.
     pub fn link(&mut self, a: usize, b: usize) {
-        for (at, other) in [(a, b), (b, a)] {
+        for (node, other) in [(a, b), (b, a)] {
             let event = Event::LinkUp(self.nodes[other].membership.me().clone());
-            self.schedule(0.0, at, event);
+            self.schedule(0.0, node, event);
         }
     }
 
-    fn schedule(&mut self, after: Ms, at: usize, event: Event) {
+    fn schedule(&mut self, after: Ms, node: usize, event: Event) {
         self.last_sequence += 1;
         self.scheduled.insert(self.last_sequence, event);
-        self.queue.push(Reverse((((self.now + after) * 1000.0) as u64, self.last_sequence, at)));
+        self.queue.push(Reverse((((self.now + after) * 1000.0) as u64, self.last_sequence, node)));
     }
 
     /// Resumes a suspended process.
-    pub fn resume(&mut self, at: usize) {
-        self.nodes[at].suspended = false;
-        for event in std::mem::take(&mut self.nodes[at].waiting_timers) {
-            self.schedule(0.0, at, event);
+    pub fn resume(&mut self, node: usize) {
+        self.nodes[node].suspended = false;
+        for event in std::mem::take(&mut self.nodes[node].waiting_timers) {
+            self.schedule(0.0, node, event);
         }
     }
 
-    pub fn handle(&mut self, at: usize, event: Event) {
-        let node = &mut self.nodes[at];
-        if node.suspended {
-            node.waiting_timers.extend(matches!(event, Event::Timer(_)).then_some(event));
+    pub fn handle(&mut self, node: usize, event: Event) {
+        let state = &mut self.nodes[node];
+        if state.suspended {
+            state.waiting_timers.extend(matches!(event, Event::Timer(_)).then_some(event));
             return;
         }
         let mut actions = Vec::new();
-        let result = self.nodes[at].membership.handle(self.now, event, &mut actions);
+        let result = self.nodes[node].membership.handle(self.now, event, &mut actions);
         assert!(result.is_ok() || self.allow_rejections, "{result:?}");
         for action in actions {
             match action {
                 Action::Send(to, bytes) => {
-                    let Some(&there) = self.current.get(&to) else { continue };
-                    let from = self.nodes[at].membership.me().member.clone();
-                    if self.partitioned[at] == self.partitioned[there]
+                    let Some(&receiver) = self.current.get(&to) else { continue };
+                    let from = self.nodes[node].membership.me().member.clone();
+                    if self.partitioned[node] == self.partitioned[receiver]
                         && self.rng.random::<f64>() >= self.loss
                     {
                         let delay = self.rng.random_range(0.5..5.0);
-                        self.schedule(delay, there, Event::MessageReceived(from, bytes));
+                        self.schedule(delay, receiver, Event::MessageReceived(from, bytes));
                     }
                 }
-                Action::Timer { delay, token } => self.schedule(delay, at, Event::Timer(token)),
-                Action::StateChanged(who, state) => {
-                    self.nodes[at].states.insert(who.member, state);
+                Action::Timer { delay, token } => self.schedule(delay, node, Event::Timer(token)),
+                Action::StateChanged(presence, state) => {
+                    self.nodes[node].states.insert(presence.member, state);
+                }
+                Action::RemoteEvidence(observer, evidence) => {
+                    self.nodes[node].evidence.push((self.now, observer, evidence));
                 }
-                Action::RemoteEvidence(who, what) => self.nodes[at].evidence.push((self.now, who, what)),
                 Action::Log(_) => {}
             }
         }
@@ -155,15 +159,15 @@
         self.run_until(end, |_| false);
     }
 
-    /// Runs until the condition is true, or the time has come; returns the condition.
+    /// Runs until the condition is true or the time is `end`; returns whether the condition is true.
     pub fn run_until(&mut self, end: Ms, condition: impl Fn(&Self) -> bool) -> bool {
         let mut next_check = self.now;
-        while let Some(Reverse((at, _, _))) = self.queue.peek() {
-            if *at as f64 / 1000.0 > end {
+        while let Some(Reverse((time, _, _))) = self.queue.peek() {
+            if *time as f64 / 1000.0 > end {
                 break;
             }
-            let Some(Reverse((at, number, node))) = self.queue.pop() else { break };
-            self.now = self.now.max(at as f64 / 1000.0);
+            let Some(Reverse((time, number, node))) = self.queue.pop() else { break };
+            self.now = self.now.max(time as f64 / 1000.0);
             if self.now >= next_check {
                 if condition(self) {
                     return true;
@@ -178,7 +182,7 @@
         condition(self)
     }
 
-    /// True if all running nodes except some consider a member to be in that state.
+    /// True if all running nodes except those in `except` consider the member to be in this state.
     pub fn all_consider(&self, member: &Member, state: State, except: &[usize]) -> bool {
         let mut nodes = self.nodes.iter().enumerate().filter(|(i, n)| !n.suspended && !except.contains(i));
         nodes.all(|(_, n)| n.membership.me().member == *member || n.states.get(member) == Some(&state))
@@ -189,13 +193,13 @@
         self.nodes.iter().all(|n| self.all_consider(&n.membership.me().member, State::Alive, &[]))
     }
 
-    pub fn member(&self, at: usize) -> Member {
-        self.nodes[at].membership.me().member.clone()
+    pub fn member(&self, node: usize) -> Member {
+        self.nodes[node].membership.me().member.clone()
     }
 
     /// Messages and bytes sent so far by all nodes.
     pub fn sent(&self) -> (u64, u64) {
-        let of = self.nodes.iter().map(|n| n.membership.counters());
-        of.fold((0, 0), |(n, b), c| (n + c.sent, b + c.sent_bytes))
+        let counters = self.nodes.iter().map(|n| n.membership.counters());
+        counters.fold((0, 0), |(n, b), c| (n + c.sent, b + c.sent_bytes))
     }
 }
--- a/crates/storage/tests/bytes.rs
+++ b/crates/storage/tests/bytes.rs
@@ -1,4 +1,4 @@
-//! The names and bytes of a store's files, compared with those written down here.
+//! Names and contents of a store's files, compared with recorded names and bytes.
 
 use basaltgw_storage::{FolderState, Limits, Space, Store, Write};
 use redb::{ReadableDatabase, ReadableTable, TableDefinition};
@@ -11,7 +11,7 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The start and the checksum of a block.
+/// The first bytes and the checksum of a block.
 fn start_and_checksum(block: &[u8]) -> String {
     format!("{} .. {}", hex(&block[..40]), hex(&block[BLOCK - 16..]))
 }
@@ -53,7 +53,7 @@
     let superblock = fs::read(current.join("life")).unwrap();
     assert_eq!(superblock.len(), 3 * BLOCK);
     assert_eq!(start_and_checksum(&superblock[..BLOCK]), "4247574c4946450a0100100f0e0d0c0b0a0908070605040302010000000000000000000000000000 .. f12cbff21c1e3625d5ecbb69904190a0");
-    // Without the length of the database's file, which its library decides.
+    // The length of the database's file is left out, because the database library determines it.
     assert_eq!(hex(&superblock[BLOCK..BLOCK + 8]), "0200000000000000");
     assert_eq!(hex(&superblock[2 * BLOCK..2 * BLOCK + 8]), "0300000000000000");
     assert_eq!(hex(&superblock[BLOCK + 16..BLOCK + 32]), "100f0e0d0c0b0a090807060504030201");
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Processes are killed during commits, and a disk is full. The test program starts itself again as that process.
+//! Processes that are killed during commits, and a full disk. The test program starts itself again as the process under test.
 
 use basaltgw_storage::{Limits, Space, StorageError, Store, Write};
 use proptest::prelude::*;
@@ -10,10 +10,10 @@
 
 const LIMITS: Limits = Limits { max_entries: 100_000, max_bytes: 64 << 20, max_entry_bytes: 1 << 20 };
 const FOLDER: &str = "STORAGE_TEST_FOLDER";
-/// Entries of each batch.
+/// Number of entries in each batch.
 const BATCH_ENTRIES: u64 = 20;
 
-/// Starts the test `name` of this program in a process of its own, after a line of shell.
+/// Runs the test `name` of this program in a child process, after the shell command `shell`.
 fn child(name: &str, folder: &Path, shell: &str) -> Child {
     let line = format!("{shell} exec \"$0\" --exact {name} --nocapture --include-ignored");
     let mut command = Command::new("sh");
@@ -47,7 +47,7 @@
     for kill in 0..25 {
         let mut process = child("writes_until_killed", folder.path(), "");
         let mut lines = BufReader::new(process.stdout.take().unwrap()).lines().map(Result::unwrap);
-        // A little later in each round; the time from the line to the kill depends on the machine.
+        // The process is killed after one to five reported rounds; the time from the report to the kill depends on the machine.
         let reported =
             lines.by_ref().filter_map(|l| l.strip_prefix("round ").map(|n| n.parse::<u64>().unwrap()));
         let mut reported = reported.skip(kill % 5).take(1);
@@ -84,7 +84,7 @@
         error = store.commit(&[large(committed)]).err();
     }
     assert!(matches!(error, Some(StorageError::Io { .. })), "{error:?}");
-    // Acknowledged entries can be read repeatedly while not a byte can be written, and the next commit tries again.
+    // While no byte can be written, acknowledged entries can be read repeatedly, and a later commit is attempted again.
     limit_file_size(Some(0));
     for _ in 0..3 {
         let entries = store.read(Space(2)).unwrap();
@@ -104,7 +104,7 @@
 #[test]
 fn a_full_disk_fails_commits_and_stays_readable() {
     let folder = tempfile::tempdir().unwrap();
-    // With the signal ignored, the system reports the limit by an error.
+    // With the signal ignored, a write over the limit returns an error.
     let process = child("writes_until_the_disk_is_full", folder.path(), "trap '' XFSZ;");
     let output = process.wait_with_output().unwrap();
     let text = String::from_utf8_lossy(&output.stdout);
@@ -129,10 +129,10 @@
         for (reopen, batch) in steps {
             let mut next = model.clone();
             let mut writes = Vec::new();
-            let mut long = false;
+            let mut has_oversized_entry = false;
             for (put, space, key, length) in batch {
                 let (key, value) = (vec![key; usize::from(key)], vec![key; length]);
-                long |= put && key.len() + length > limits.max_entry_bytes;
+                has_oversized_entry |= put && key.len() + length > limits.max_entry_bytes;
                 match put {
                     true => next.insert((space, key.clone()), value.clone()),
                     false => next.remove(&(space, key.clone())),
@@ -140,9 +140,9 @@
                 writes.push(if put { Write::Put(Space(space), key, value) } else { Write::Remove(Space(space), key) });
             }
             let bytes: usize = next.iter().map(|((_, k), v)| k.len() + v.len()).sum();
-            let fits = !long && next.len() <= 12 && bytes <= 1200;
-            let done = store.commit(&writes);
-            prop_assert_eq!(done.is_ok(), fits, "{:?}", done);
+            let fits = !has_oversized_entry && next.len() <= 12 && bytes <= 1200;
+            let result = store.commit(&writes);
+            prop_assert_eq!(result.is_ok(), fits, "{:?}", result);
             if fits {
                 model = next;
             }
--- a/crates/storage/tests/damaged_files.rs
+++ b/crates/storage/tests/damaged_files.rs
@@ -1,4 +1,4 @@
-//! Real files are damaged in every way: a store that opens has everything that was acknowledged.
+//! Damaged store files: a store that opens has every acknowledged entry; otherwise opening it returns an error.
 
 use basaltgw_storage::{read_snapshot, FolderState, Limits, Pairs, Space, StorageError, Store, Write};
 use basaltgw_types::Incarnation;
@@ -13,7 +13,7 @@
     Write::Put(SPACE, n.to_be_bytes().to_vec(), value.to_vec())
 }
 
-/// Creates a store with some commits, and closes it; returns its entries.
+/// Creates a store with some commits, closes it, and returns its entries.
 fn create_store(folder: &Path) -> Pairs {
     let (mut store, found) = Store::open(folder, LIMITS, 7).unwrap();
     assert_eq!(found, FolderState::New(Incarnation(7)));
@@ -89,7 +89,7 @@
     let all = create_store(folder.path());
     for file in ["life", "data"] {
         let length = fs::metadata(folder.path().join("current").join(file)).unwrap().len() as usize;
-        // The last block of the database may be free: removing it loses nothing.
+        // The last blocks of the database may be free, and removing free blocks loses no entry.
         let mut truncated = 0;
         for cut in (0..length).step_by(4096) {
             let damaged = copy_with_change(folder.path(), file, |bytes| bytes.truncate(cut));
@@ -147,7 +147,7 @@
     let damaged = copy_with_change(folder.path(), "data", |bytes| *bytes = older);
     let error = open(damaged.path()).unwrap_err();
     assert!(matches!(error, StorageError::Truncated { .. }) && error.requires_new_incarnation(), "{error}");
-    // It does not open with a corrupted newer mark either.
+    // It does not open when one of the marks is corrupted either.
     let path = damaged.path().join("current/life");
     for mark in [4096, 8192] {
         let mut superblock = fs::read(&path).unwrap();
