--- a/crates/transport/src/byte_tests.rs
+++ b/crates/transport/src/byte_tests.rs
@@ -1,4 +1,4 @@
-//! The bytes of hellos and frames, compared with those written down here.
+//! Encodings of hellos and frames, compared with recorded bytes.
 
 use crate::codec::{Codec, Frame, Kind};
 use crate::connection_manager::SessionHello;
@@ -27,10 +27,10 @@
         table: table(),
     };
     let session = SessionHello { hello, session_id: 0x1122_3344_5566_7788 };
-    let bytes = postcard::to_stdvec(&session).expect("plain values");
+    let bytes = postcard::to_stdvec(&session).expect("the value can be encoded");
     assert_eq!(hex(&bytes), "0105666c656574027231909eb8e8c0e1828589909cb0d080c1818202026231026d31ac02070707070707070707070707070707070707070707070707070707070707070788ef99abc5e88c9111");
     assert_eq!(postcard::from_bytes(&bytes), Ok(session));
-    let bytes = postcard::to_stdvec(&table()).expect("plain values");
+    let bytes = postcard::to_stdvec(&table()).expect("the value can be encoded");
     assert_eq!(hex(&bytes), "ac020707070707070707070707070707070707070707070707070707070707070707");
 }
 
@@ -50,7 +50,7 @@
     let mut codec = Codec { max_body_bytes: 100 };
     for (kind, body, expected) in cases {
         let mut bytes = BytesMut::new();
-        codec.encode((kind, body), &mut bytes).expect("a short body");
+        codec.encode((kind, body), &mut bytes).expect("the body is within the limit");
         assert_eq!(hex(&bytes), expected, "{kind:?}");
         assert_eq!(codec.decode(&mut bytes).ok().flatten(), Some(Frame { kind, body: body.to_vec() }));
     }
--- a/crates/transport/tests/on_loopback/common.rs
+++ b/crates/transport/tests/on_loopback/common.rs
@@ -21,7 +21,7 @@
     ring_entries: 256,
 };
 
-/// A loopback address of its own: by process id and a counter.
+/// A loopback address that no other test uses, from the process id and a counter.
 pub fn address() -> SocketAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -52,10 +52,11 @@
     PeerConfig { router: member(name, 0).router, address, domain: domain(name) }
 }
 
-/// A router's transport: the owner's port receives scatter-gather and membership frames, the other one the rest and membership frames.
+/// A router's transport with two users: the owner's port receives scatter-gather frames, the control port register and table frames, and
+/// both receive membership frames.
 pub struct Node {
     pub owner: Port,
-    pub copies: Port,
+    pub control: Port,
     pub handle: TransportHandle,
     pub me: Member,
     pub address: SocketAddr,
@@ -69,15 +70,15 @@
         peers: &[PeerConfig],
         limits: Limits,
     ) -> Self {
-        Self::with(name, incarnation, address, peers, (limits, Settings::default()))
+        Self::with_settings(name, incarnation, address, peers, (limits, Settings::default()))
     }
 
-    pub fn with(
+    pub fn with_settings(
         name: &str,
         incarnation: u128,
         address: SocketAddr,
         peers: &[PeerConfig],
-        set: (Limits, Settings),
+        settings: (Limits, Settings),
     ) -> Self {
         let user = |lanes: &[Lane]| TransportUser { lanes: lanes.to_vec(), wake: Box::new(|| ()) };
         let users = [
@@ -85,9 +86,10 @@
             user(&[Lane::Registers, Lane::Table, Lane::Membership]),
         ];
         let session_id = incarnation as u64 * 1000 + u64::from(address.port());
-        let links = start(hello(name, incarnation), address, peers.to_vec(), set, session_id, users).unwrap();
-        let (owner, copies, handle) = links.split();
-        Self { owner, copies, handle, me: member(name, incarnation), address }
+        let links =
+            start(hello(name, incarnation), address, peers.to_vec(), settings, session_id, users).unwrap();
+        let (owner, control, handle) = links.split();
+        Self { owner, control, handle, me: member(name, incarnation), address }
     }
 
     pub fn count(&self, name: &str) -> u64 {
@@ -101,10 +103,10 @@
 }
 
 /// Waits until the closure returns a value.
-pub fn wait<T>(what: &str, mut until: impl FnMut() -> Option<T>) -> T {
+pub fn wait<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(found) = until() {
+        if let Some(found) = condition() {
             return found;
         }
         assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting for {what}");
@@ -113,24 +115,27 @@
 }
 
 /// Waits for an event of a kind; other events are dropped.
-pub fn wait_for_event<T>(port: &mut Port, what: &str, mut which: impl FnMut(&LinkEvent) -> Option<T>) -> T {
-    wait(what, || port.find_map(|t| which(&t)))
+pub fn wait_for_event<T>(port: &mut Port, what: &str, mut select: impl FnMut(&LinkEvent) -> Option<T>) -> T {
+    wait(what, || port.find_map(|t| select(&t)))
 }
 
-pub fn up(port: &mut Port, member: &Member) -> Hello {
-    wait_for_event(port, &format!("{member} up"), |t| match t {
+/// Waits until the link to `member` is reported as up; returns its hello.
+pub fn wait_for_link_up(port: &mut Port, member: &Member) -> Hello {
+    wait_for_event(port, &format!("the link to {member} to be up"), |t| match t {
         LinkEvent::LinkUp(hello) if hello.member == *member => Some(hello.clone()),
         _ => None,
     })
 }
 
-pub fn down(port: &mut Port, member: &Member) -> basaltgw_transport::LinkError {
-    wait_for_event(port, &format!("{member} down"), |t| match t {
-        LinkEvent::LinkDown(m, why) if m == member => Some(*why),
+/// Waits until the link to `member` is reported as down; returns the cause.
+pub fn wait_for_link_down(port: &mut Port, member: &Member) -> basaltgw_transport::LinkError {
+    wait_for_event(port, &format!("the link to {member} to be down"), |t| match t {
+        LinkEvent::LinkDown(m, error) if m == member => Some(*error),
         _ => None,
     })
 }
 
+/// Waits for a frame of `member`.
 pub fn receive(port: &mut Port, member: &Member) -> (Lane, Vec<u8>) {
     wait_for_event(port, &format!("a frame of {member}"), |t| match t {
         LinkEvent::MessageReceived { from, lane, body } if from == member => Some((*lane, body.clone())),
@@ -145,31 +150,31 @@
 }
 
 impl Raw {
-    /// Connects, and sends a hello of the given session.
-    pub fn dial(to: SocketAddr, hello: &Hello, start: u64) -> Self {
+    /// Connects, and sends the hello of a session.
+    pub fn dial(to: SocketAddr, hello: &Hello, session_id: u64) -> Self {
         let stream = TcpStream::connect(to).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         let mut raw = Self { stream, buffer: BytesMut::new() };
-        raw.write(Kind::Hello, &postcard::to_stdvec(&(hello, start)).unwrap()).unwrap();
+        raw.write(Kind::Hello, &postcard::to_stdvec(&(hello, session_id)).unwrap()).unwrap();
         raw
     }
 
-    /// A connection that was accepted.
+    /// Wraps an accepted connection.
     pub fn from(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         Self { stream, buffer: BytesMut::new() }
     }
 
-    /// As [`Raw::dial`], up to the link: the dialled router has the smaller name, and selects the connection.
-    pub fn up(to: SocketAddr, hello: &Hello, start: u64) -> Self {
-        let mut raw = Self::dial(to, hello, start);
+    /// As [`Raw::dial`], and waits until the link is up: the dialled router has the smaller name, so it selects the connection.
+    pub fn link(to: SocketAddr, hello: &Hello, session_id: u64) -> Self {
+        let mut raw = Self::dial(to, hello, session_id);
         assert_eq!([raw.read().unwrap().kind, raw.read().unwrap().kind], [Kind::Hello, Kind::Go]);
         raw
     }
 
-    /// As [`Raw::up`], and sends keepalives until it is dropped.
-    pub fn alive(to: SocketAddr, hello: &Hello, start: u64) -> Self {
-        let raw = Self::up(to, hello, start);
+    /// As [`Raw::link`], and sends keepalives until it is dropped.
+    pub fn link_with_keepalives(to: SocketAddr, hello: &Hello, session_id: u64) -> Self {
+        let raw = Self::link(to, hello, session_id);
         let mut stream = raw.stream.try_clone().unwrap();
         std::thread::spawn(move || {
             while stream.write_all(&bytes(Kind::Alive, &[])).is_ok() {
@@ -191,10 +196,10 @@
             {
                 return Some(frame);
             }
-            let mut some = [0; 4096];
-            match self.stream.read(&mut some) {
+            let mut chunk = [0; 4096];
+            match self.stream.read(&mut chunk) {
                 Ok(0) => return None,
-                Ok(n) => self.buffer.extend_from_slice(&some[..n]),
+                Ok(n) => self.buffer.extend_from_slice(&chunk[..n]),
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return None,
                 Err(e) => panic!("{e}"),
             }
@@ -204,7 +209,7 @@
 
 impl Drop for Raw {
     fn drop(&mut self) {
-        // The keepalive thread has the socket too.
+        // The keepalive thread has a handle of the same socket.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/transport/tests/on_loopback/links.rs
+++ b/crates/transport/tests/on_loopback/links.rs
@@ -12,25 +12,25 @@
     let (at_a, at_b) = (address(), address());
     let mut a = Node::new("a", 1, at_a, &[listed("b", at_b)], LIMITS);
     let mut b = Node::new("b", 2, at_b, &[listed("a", at_a)], LIMITS);
-    for port in [&mut a.owner, &mut a.copies] {
-        assert_eq!(up(port, &b.me), hello("b", 2));
+    for port in [&mut a.owner, &mut a.control] {
+        assert_eq!(wait_for_link_up(port, &b.me), hello("b", 2));
     }
-    for port in [&mut b.owner, &mut b.copies] {
-        assert_eq!(up(port, &a.me), hello("a", 1));
+    for port in [&mut b.owner, &mut b.control] {
+        assert_eq!(wait_for_link_up(port, &a.me), hello("a", 1));
     }
     for number in 0..50u64 {
         for (lane, long) in
             [(Lane::ScatterGather, 10), (Lane::Membership, 0), (Lane::Registers, 100), (Lane::Table, 50_000)]
         {
             send(&mut a.owner, number, &b.me, lane, &vec![number as u8; long]);
-            send(&mut b.copies, number, &a.me, lane, &vec![number as u8; long]);
+            send(&mut b.control, number, &a.me, lane, &vec![number as u8; long]);
         }
     }
     // Each user receives its lanes, each lane in order, and no link went down.
     for (node, from) in [(&mut a, &member("b", 2)), (&mut b, &member("a", 1))] {
         for (port, lanes) in [
             (&mut node.owner, [(Lane::ScatterGather, 10), (Lane::Membership, 0), (Lane::Membership, 0)]),
-            (&mut node.copies, [(Lane::Registers, 100), (Lane::Membership, 0), (Lane::Table, 50_000)]),
+            (&mut node.control, [(Lane::Registers, 100), (Lane::Membership, 0), (Lane::Table, 50_000)]),
         ] {
             let mut next = [0; 4];
             let total = if lanes[1] == lanes[2] { 100 } else { 150 };
@@ -55,26 +55,26 @@
     let at_a = address();
     let mut a = Node::new("a", 1, at_a, &[listed("b", address())], LIMITS);
     let mut b = Node::new("b", 2, address(), &[listed("a", at_a)], LIMITS);
-    up(&mut a.owner, &b.me);
-    up(&mut b.copies, &a.me);
+    wait_for_link_up(&mut a.owner, &b.me);
+    wait_for_link_up(&mut b.control, &a.me);
     let table = (TableVersion(2), TableHash([9; 32]));
-    a.copies.send(LinkCommand::AdvertiseTable(table.0, table.1)).unwrap();
-    assert_eq!(up(&mut b.copies, &a.me).table, table);
+    a.control.send(LinkCommand::AdvertiseTable(table.0, table.1)).unwrap();
+    assert_eq!(wait_for_link_up(&mut b.control, &a.me).table, table);
 }
 
 #[test]
 fn another_incarnation_replaces_the_link() {
     let mut a = Node::new("a", 1, address(), &[listed("z", address())], LIMITS);
     let (first, second) = (member("z", 1), member("z", 2));
-    let mut old = Raw::alive(a.address, &hello("z", 1), 1);
-    up(&mut a.owner, &first);
+    let mut old = Raw::link_with_keepalives(a.address, &hello("z", 1), 1);
+    wait_for_link_up(&mut a.owner, &first);
     // A second connection of the same session is closed without a frame.
     assert_eq!(Raw::dial(a.address, &hello("z", 1), 1).read(), None);
     assert_eq!(a.count("peer_second"), 1);
-    let mut new = Raw::alive(a.address, &hello("z", 2), 2);
-    assert_eq!(down(&mut a.owner, &first), LinkError::Replaced);
-    up(&mut a.owner, &second);
-    wait("the old connection's end", || old.read().is_none().then_some(()));
+    let mut new = Raw::link_with_keepalives(a.address, &hello("z", 2), 2);
+    assert_eq!(wait_for_link_down(&mut a.owner, &first), LinkError::Replaced);
+    wait_for_link_up(&mut a.owner, &second);
+    wait("the old connection to be closed", || old.read().is_none().then_some(()));
     // Frames for the old incarnation do not reach the new one.
     send(&mut a.owner, 1, &first, Lane::Registers, b"old");
     send(&mut a.owner, 2, &second, Lane::Registers, b"new");
@@ -91,24 +91,24 @@
     let at_a = address();
     let mut a = Node::new("a", 1, at_a, &[listed("b", address())], LIMITS);
     let mut b = Node::new("b", 2, address(), &[listed("a", at_a)], LIMITS);
-    up(&mut a.copies, &b.me);
-    up(&mut b.copies, &a.me);
+    wait_for_link_up(&mut a.control, &b.me);
+    wait_for_link_up(&mut b.control, &a.me);
     for number in 0..50 {
-        send(&mut b.copies, number, &a.me, Lane::Registers, &[number as u8; 1000]);
+        send(&mut b.control, number, &a.me, Lane::Registers, &[number as u8; 1000]);
     }
-    b.copies.send(LinkCommand::Shutdown).unwrap();
+    b.control.send(LinkCommand::Shutdown).unwrap();
     for number in 0..50 {
-        assert_eq!(receive(&mut a.copies, &b.me), (Lane::Registers, vec![number; 1000]));
+        assert_eq!(receive(&mut a.control, &b.me), (Lane::Registers, vec![number; 1000]));
     }
-    down(&mut a.copies, &b.me);
-    wait("the end", || b.handle.has_ended().then_some(()));
+    wait_for_link_down(&mut a.control, &b.me);
+    wait("the transport's thread to end", || b.handle.has_ended().then_some(()));
     assert!(
         b.owner.has_ended()
             && matches!(b.owner.send(LinkCommand::Shutdown), Err(CommandError::Ended(LinkCommand::Shutdown)))
     );
     assert_eq!(b.handle.join(), Ok(()));
     let b = Node::new("b", 2, address(), &[listed("a", at_a)], LIMITS);
-    up(&mut a.copies, &b.me);
+    wait_for_link_up(&mut a.control, &b.me);
 }
 
 #[test]
@@ -131,6 +131,6 @@
             .unwrap();
     let (mut one, two, handle) = links.split();
     send(&mut one, 1, &member("b", 1), Lane::Registers, b"");
-    wait("the end", || two.has_ended().then_some(()));
+    wait("the transport's thread to end", || two.has_ended().then_some(()));
     assert_eq!(handle.join().unwrap_err().0, "woken");
 }
--- a/crates/transport/tests/on_loopback/main.rs
+++ b/crates/transport/tests/on_loopback/main.rs
@@ -1,4 +1,4 @@
-//! The links with real threads and sockets.
+//! Links with real threads and sockets on loopback addresses.
 
 mod common;
 mod faulty_peers;
--- a/crates/transport/tests/on_loopback/on_demand.rs
+++ b/crates/transport/tests/on_loopback/on_demand.rs
@@ -10,30 +10,30 @@
 use std::time::Duration;
 
 /// Short idle times and keepalive intervals.
-fn set(idle_ms: u64) -> Settings {
+fn settings(idle_ms: u64) -> Settings {
     let (dials, alive) =
         (DialPolicy::OnDemand { idle: Duration::from_millis(idle_ms) }, Duration::from_millis(20));
     Settings { dial_policy: dials, keepalive_interval: alive, ..Settings::default() }
 }
 
 fn node(name: &str, incarnation: u128, address: SocketAddr, peers: &[PeerConfig], idle_ms: u64) -> Node {
-    Node::with(name, incarnation, address, peers, (LIMITS, set(idle_ms)))
+    Node::with_settings(name, incarnation, address, peers, (LIMITS, settings(idle_ms)))
 }
 
-fn want(port: &mut Port, router: &Member, wanted: bool) {
+fn set_wanted(port: &mut Port, router: &Member, wanted: bool) {
     let command = LinkCommand::SetWanted { router: router.router.clone(), wanted };
     wait("capacity for a command", || port.send(command.clone()).ok());
 }
 
 fn expect_dial_failed(port: &mut Port, router: &Member) {
-    let of = wait_for_event(port, "unreached", |t| match t {
-        LinkEvent::DialFailed(of) => Some(of.clone()),
+    let dialled = wait_for_event(port, "a failed dial", |t| match t {
+        LinkEvent::DialFailed(router) => Some(router.clone()),
         LinkEvent::LinkUp(_)
         | LinkEvent::LinkDown(..)
         | LinkEvent::MessageReceived { .. }
         | LinkEvent::SendFailed { .. } => None,
     });
-    assert_eq!(of, router.router);
+    assert_eq!(dialled, router.router);
 }
 
 #[test]
@@ -42,16 +42,16 @@
     let mut a = node("a", 1, at_a, &[listed("b", at_b), listed("c", at_c)], 60_000);
     let mut b = node("b", 2, at_b, &[listed("a", at_a), listed("c", at_c)], 60_000);
     let c = node("c", 3, at_c, &[listed("a", at_a), listed("b", at_b)], 60_000);
-    want(&mut a.copies, &b.me, true);
-    for port in [&mut a.owner, &mut a.copies] {
-        assert_eq!(up(port, &b.me), hello("b", 2));
+    set_wanted(&mut a.control, &b.me, true);
+    for port in [&mut a.owner, &mut a.control] {
+        assert_eq!(wait_for_link_up(port, &b.me), hello("b", 2));
     }
-    up(&mut b.copies, &a.me);
-    send(&mut b.copies, 1, &a.me, Lane::Registers, b"there and back");
-    assert_eq!(receive(&mut a.copies, &b.me), (Lane::Registers, b"there and back".to_vec()));
+    wait_for_link_up(&mut b.control, &a.me);
+    send(&mut b.control, 1, &a.me, Lane::Registers, b"there and back");
+    assert_eq!(receive(&mut a.control, &b.me), (Lane::Registers, b"there and back".to_vec()));
     // Wanted again, the link is reported again, to the user that wants it.
-    want(&mut a.copies, &b.me, true);
-    up(&mut a.copies, &b.me);
+    set_wanted(&mut a.control, &b.me, true);
+    wait_for_link_up(&mut a.control, &b.me);
     assert_eq!(a.owner.next(), None);
     assert_eq!((a.count("peer_dialled"), b.count("peer_dialled"), c.count("peer_up")), (1, 0, 0));
 }
@@ -64,43 +64,46 @@
         let mut a = node(one, 1, at_a, &[listed(other, at_b), listed("c", at_c)], 100);
         let mut b = node(other, 2, at_b, &[listed(one, at_a)], 100);
         let c = node("c", 3, at_c, &[listed(one, at_a)], 100);
-        want(&mut a.copies, &b.me, true);
-        up(&mut a.copies, &b.me);
-        up(&mut b.copies, &a.me);
-        // Wanted by both users, the link stays as long as one of them wants it, while another unwanted one is closed repeatedly.
-        up(&mut a.owner, &b.me);
-        want(&mut a.owner, &b.me, true);
+        set_wanted(&mut a.control, &b.me, true);
+        wait_for_link_up(&mut a.control, &b.me);
+        wait_for_link_up(&mut b.control, &a.me);
+        // Wanted by both users, the link remains up as long as one of them wants it, while another, unwanted link is closed repeatedly.
+        wait_for_link_up(&mut a.owner, &b.me);
+        set_wanted(&mut a.owner, &b.me, true);
         // Commands of the two users are not ordered: this one is executed before the next is sent.
-        up(&mut a.owner, &b.me);
-        want(&mut a.copies, &b.me, false);
+        wait_for_link_up(&mut a.owner, &b.me);
+        set_wanted(&mut a.control, &b.me, false);
         for times in 1..=3 {
-            want(&mut a.copies, &c.me, true);
-            up(&mut a.copies, &c.me);
-            want(&mut a.copies, &c.me, false);
-            assert_eq!((down(&mut a.copies, &c.me), a.count("peer_idle")), (LinkError::Idle, times));
+            set_wanted(&mut a.control, &c.me, true);
+            wait_for_link_up(&mut a.control, &c.me);
+            set_wanted(&mut a.control, &c.me, false);
+            assert_eq!(
+                (wait_for_link_down(&mut a.control, &c.me), a.count("peer_idle")),
+                (LinkError::Idle, times)
+            );
         }
         assert_eq!((b.count("peer_idle"), b.count("peer_up")), (0, 1));
-        send(&mut a.copies, 1, &b.me, Lane::Registers, b"");
-        receive(&mut b.copies, &a.me);
-        want(&mut a.owner, &b.me, false);
-        assert_eq!(down(&mut a.copies, &b.me), LinkError::Idle);
-        assert_eq!(down(&mut b.copies, &a.me), LinkError::Idle);
+        send(&mut a.control, 1, &b.me, Lane::Registers, b"");
+        receive(&mut b.control, &a.me);
+        set_wanted(&mut a.owner, &b.me, false);
+        assert_eq!(wait_for_link_down(&mut a.control, &b.me), LinkError::Idle);
+        assert_eq!(wait_for_link_down(&mut b.control, &a.me), LinkError::Idle);
         for (counts, idle) in [(&a, 4), (&b, 1)] {
             assert_eq!([counts.count("peer_idle"), counts.count("peer_broken")], [idle, 0]);
             assert_eq!([counts.count("peer_silent"), counts.count("peer_unsent_broken")], [0, 0]);
         }
         // A frame for it fails; wanted again, the link returns, from either end.
-        send(&mut a.copies, 7, &b.me, Lane::Registers, b"");
-        let failed = wait_for_event(&mut a.copies, "a failed send", |t| {
+        send(&mut a.control, 7, &b.me, Lane::Registers, b"");
+        let failed = wait_for_event(&mut a.control, "a failed send", |t| {
             matches!(t, LinkEvent::SendFailed { .. }).then(|| t.clone())
         });
         assert_eq!(
             failed,
             LinkEvent::SendFailed { number: 7, to: b.me.clone(), error: LinkError::NotConnected }
         );
-        want(&mut b.copies, &a.me, true);
-        up(&mut a.copies, &b.me);
-        up(&mut b.copies, &a.me);
+        set_wanted(&mut b.control, &a.me, true);
+        wait_for_link_up(&mut a.control, &b.me);
+        wait_for_link_up(&mut b.control, &a.me);
     }
 }
 
@@ -108,16 +111,16 @@
 fn the_accepting_router_keeps_an_unwanted_link() {
     let mut a = node("a", 1, address(), &[listed("z", address())], 1);
     let z = member("z", 2);
-    let mut raw = Raw::alive(a.address, &hello("z", 2), 5);
-    up(&mut a.copies, &z);
-    want(&mut a.copies, &z, true);
-    up(&mut a.copies, &z);
-    want(&mut a.copies, &z, false);
-    // It could have been closed at each keepalive.
+    let mut raw = Raw::link_with_keepalives(a.address, &hello("z", 2), 5);
+    wait_for_link_up(&mut a.control, &z);
+    set_wanted(&mut a.control, &z, true);
+    wait_for_link_up(&mut a.control, &z);
+    set_wanted(&mut a.control, &z, false);
+    // Idle links are checked at each keepalive, and this one is not closed.
     for _ in 0..20 {
         assert_eq!(raw.read().map(|f| f.kind), Some(Kind::Alive));
     }
-    send(&mut a.copies, 1, &z, Lane::Registers, b"x");
+    send(&mut a.control, 1, &z, Lane::Registers, b"x");
     wait("the frame", || raw.read().filter(|f| f.kind == Kind::Lane(Lane::Registers)));
     assert_eq!((a.count("peer_idle"), a.count("peer_up"), a.count("peer_dialled")), (0, 1, 0));
 }
@@ -127,27 +130,27 @@
     let (at_a, at_b) = (address(), address());
     let stranger = member("nobody", 1);
     let mut a = node("a", 1, at_a, &[listed("b", at_b), listed("c", address())], 60_000);
-    want(&mut a.copies, &stranger, true);
-    expect_dial_failed(&mut a.copies, &stranger);
+    set_wanted(&mut a.control, &stranger, true);
+    expect_dial_failed(&mut a.control, &stranger);
     let wanted = member("b", 2);
-    want(&mut a.copies, &wanted, true);
-    (0..3).for_each(|_| expect_dial_failed(&mut a.copies, &wanted));
+    set_wanted(&mut a.control, &wanted, true);
+    (0..3).for_each(|_| expect_dial_failed(&mut a.control, &wanted));
     let b = node("b", 2, at_b, &[listed("a", at_a)], 60_000);
-    up(&mut a.copies, &b.me);
+    wait_for_link_up(&mut a.control, &b.me);
     // The user that did not want it was notified of the link, and of nothing else.
     let all: Vec<LinkEvent> = std::iter::from_fn(|| a.owner.next()).collect();
     assert_eq!(all, [LinkEvent::LinkUp(hello("b", 2))]);
     drop(b);
-    down(&mut a.copies, &wanted);
-    expect_dial_failed(&mut a.copies, &wanted);
-    want(&mut a.copies, &wanted, false);
+    wait_for_link_down(&mut a.control, &wanted);
+    expect_dial_failed(&mut a.control, &wanted);
+    set_wanted(&mut a.control, &wanted, false);
     // The dial in progress may still fail; no other follows, while another router is dialled repeatedly.
     let other = member("c", 3);
     let before = a.count("peer_dialled");
-    want(&mut a.copies, &other, true);
+    set_wanted(&mut a.control, &other, true);
     let mut failures = 0;
     wait("failed dials", || {
-        let event = a.copies.next()?;
+        let event = a.control.next()?;
         failures += u64::from(event == LinkEvent::DialFailed(other.router.clone()));
         (failures == 6).then_some(())
     });
@@ -162,21 +165,24 @@
     let at = |n: usize| silent[n].local_addr().unwrap();
     let peers: Vec<PeerConfig> = (0..40).map(|n| listed(&name(n), at(n))).collect();
     let mut a = node("a", 1, address(), &peers, 60_000);
-    (0..40).for_each(|n| want(&mut a.copies, &member(&name(n), 1), true));
+    (0..40).for_each(|n| set_wanted(&mut a.control, &member(&name(n), 1), true));
     let open = |a: &Node| a.count("peer_dialled") - a.count("peer_no_hello");
-    let (mut most, mut seen) = (0, std::collections::BTreeSet::new());
-    wait("all to have been dialled", || {
-        most = most.max(open(&a));
-        seen.extend(a.copies.find_map(|t| match t {
+    let (mut max_open, mut dialled) = (0, std::collections::BTreeSet::new());
+    wait("all routers to have been dialled", || {
+        max_open = max_open.max(open(&a));
+        dialled.extend(a.control.find_map(|t| match t {
             LinkEvent::DialFailed(router) => Some(router),
             LinkEvent::LinkUp(_)
             | LinkEvent::LinkDown(..)
             | LinkEvent::MessageReceived { .. }
             | LinkEvent::SendFailed { .. } => None,
         }));
-        (seen.len() == 40).then_some(())
+        (dialled.len() == 40).then_some(())
     });
-    assert!(most <= basaltgw_transport::limits::MAX_CONCURRENT_DIALS as u64 && most > 8, "{most}");
+    assert!(
+        max_open <= basaltgw_transport::limits::MAX_CONCURRENT_DIALS as u64 && max_open > 8,
+        "{max_open}"
+    );
 }
 
 #[test]
@@ -185,30 +191,30 @@
     let mut a = node("a", 1, at_a, &[listed("z", at_z)], 60_000);
     let z = member("z", 2);
     let listener = TcpListener::bind(at_z).unwrap();
-    want(&mut a.copies, &z, true);
+    set_wanted(&mut a.control, &z, true);
     let (stream, _) = listener.accept().unwrap();
     let mut raw = Raw::from(stream);
     assert_eq!(raw.read().unwrap().kind, Kind::Hello);
     raw.write(Kind::Hello, &postcard::to_stdvec(&(hello("z", 2), 5u64)).unwrap()).unwrap();
     assert_eq!(raw.read().unwrap().kind, Kind::Go);
-    up(&mut a.copies, &z);
+    wait_for_link_up(&mut a.control, &z);
     // More than the kernel buffers while nothing is read.
     for number in 0..60 {
-        send(&mut a.copies, number, &z, Lane::Registers, &[0; 65_536]);
+        send(&mut a.control, number, &z, Lane::Registers, &[0; 65_536]);
     }
     drop(raw);
-    let why = down(&mut a.copies, &z);
-    assert!(matches!(why, LinkError::ConnectionLost | LinkError::PeerTimeout), "{why:?}");
-    let mut back = std::collections::BTreeSet::new();
-    wait("all to be written or to fail", || {
-        if let Some(LinkEvent::SendFailed { number, .. }) = a.copies.next() {
-            assert!(back.insert(number), "{number} twice");
+    let error = wait_for_link_down(&mut a.control, &z);
+    assert!(matches!(error, LinkError::ConnectionLost | LinkError::PeerTimeout), "{error:?}");
+    let mut failed = std::collections::BTreeSet::new();
+    wait("every frame to be written or to fail", || {
+        if let Some(LinkEvent::SendFailed { number, .. }) = a.control.next() {
+            assert!(failed.insert(number), "the send of {number} failed twice");
         }
-        (back.len() as u64 + a.count("peer_frames_out") == 60).then_some(())
+        (failed.len() as u64 + a.count("peer_frames_out") == 60).then_some(())
     });
     let written = a.count("peer_frames_out");
-    assert!(written < 60 && back.into_iter().eq(written..60), "{written}");
-    assert_eq!(a.copies.find(|t| matches!(t, LinkEvent::SendFailed { .. })), None);
+    assert!(written < 60 && failed.into_iter().eq(written..60), "{written}");
+    assert_eq!(a.control.find(|t| matches!(t, LinkEvent::SendFailed { .. })), None);
 }
 
 #[test]
@@ -217,8 +223,8 @@
     let users = || [(); 2].map(|()| TransportUser { lanes: lanes(), wake: Box::new(|| ()) });
     let try_with = |alive, silent| {
         let (alive, silent) = (Duration::from_millis(alive), Duration::from_millis(silent));
-        let set = Settings { keepalive_interval: alive, peer_timeout: silent, ..Settings::default() };
-        start(hello("a", 1), address(), vec![], (LIMITS, set), 1, users()).err().map(|e| e.to_string())
+        let settings = Settings { keepalive_interval: alive, peer_timeout: silent, ..Settings::default() };
+        start(hello("a", 1), address(), vec![], (LIMITS, settings), 1, users()).err().map(|e| e.to_string())
     };
     assert_eq!(try_with(1_250, 4_000), None);
     assert_eq!(try_with(250, 750), None);
@@ -230,17 +236,17 @@
 #[test]
 fn a_longer_peer_timeout_is_respected() {
     let (alive, silent) = (Duration::from_millis(1_250), Duration::from_millis(4_000));
-    let set = Settings { keepalive_interval: alive, peer_timeout: silent, ..Settings::default() };
-    let mut a = Node::with("a", 1, address(), &[listed("z", address())], (LIMITS, set));
+    let settings = Settings { keepalive_interval: alive, peer_timeout: silent, ..Settings::default() };
+    let mut a = Node::with_settings("a", 1, address(), &[listed("z", address())], (LIMITS, settings));
     let z = member("z", 2);
     // The keepalive timer starts with the link, which may be before this thread sees it up.
     let started = std::time::Instant::now();
-    let mut raw = Raw::up(a.address, &hello("z", 2), 5);
-    up(&mut a.copies, &z);
+    let mut raw = Raw::link(a.address, &hello("z", 2), 5);
+    wait_for_link_up(&mut a.control, &z);
     // The peer is silent for two keepalive intervals: longer than the default timeout.
     assert_eq!([raw.read().unwrap().kind, raw.read().unwrap().kind], [Kind::Alive; 2]);
     assert!(started.elapsed() >= 2 * alive);
     raw.write(Kind::Lane(Lane::Registers), b"x").unwrap();
-    assert_eq!(receive(&mut a.copies, &z).1, b"x");
+    assert_eq!(receive(&mut a.control, &z).1, b"x");
     assert_eq!((a.count("peer_silent"), a.count("peer_up")), (0, 1));
 }
