--- a/crates/transport/tests/on_loopback/links.rs
+++ b/crates/transport/tests/on_loopback/links.rs
@@ -19,11 +19,11 @@
         assert_eq!(wait_for_link_up(port, &a.me), hello("a", 1));
     }
     for number in 0..50u64 {
-        for (lane, long) in
+        for (lane, length) in
             [(Lane::ScatterGather, 10), (Lane::Membership, 0), (Lane::Registers, 100), (Lane::Table, 50_000)]
         {
-            send(&mut a.owner, number, &b.me, lane, &vec![number as u8; long]);
-            send(&mut b.control, number, &a.me, lane, &vec![number as u8; long]);
+            send(&mut a.owner, number, &b.me, lane, &vec![number as u8; length]);
+            send(&mut b.control, number, &a.me, lane, &vec![number as u8; length]);
         }
     }
     // Each user receives its lanes, each lane in order, and no link went down.
@@ -41,8 +41,8 @@
                     }
                     other => panic!("{other:?}"),
                 });
-                let (_, long) = lanes.iter().find(|(l, _)| *l == lane).unwrap();
-                assert_eq!(body, vec![next[lane as usize]; *long]);
+                let (_, length) = lanes.iter().find(|(l, _)| *l == lane).unwrap();
+                assert_eq!(body, vec![next[lane as usize]; *length]);
                 next[lane as usize] += 1;
             }
         }
--- a/crates/transport/tests/on_loopback/on_demand.rs
+++ b/crates/transport/tests/on_loopback/on_demand.rs
@@ -49,7 +49,7 @@
     wait_for_link_up(&mut b.control, &a.me);
     send(&mut b.control, 1, &a.me, Lane::Registers, b"there and back");
     assert_eq!(receive(&mut a.control, &b.me), (Lane::Registers, b"there and back".to_vec()));
-    // Wanted again, the link is reported again, to the user that wants it.
+    // A link that is wanted again is reported again, to the user that wants it.
     set_wanted(&mut a.control, &b.me, true);
     wait_for_link_up(&mut a.control, &b.me);
     assert_eq!(a.owner.next(), None);
@@ -92,7 +92,7 @@
             assert_eq!([counts.count("peer_idle"), counts.count("peer_broken")], [idle, 0]);
             assert_eq!([counts.count("peer_silent"), counts.count("peer_unsent_broken")], [0, 0]);
         }
-        // A frame for it fails; wanted again, the link returns, from either end.
+        // A frame for the closed link fails. Once either router wants it again, the link is up again.
         send(&mut a.control, 7, &b.me, Lane::Registers, b"");
         let failed = wait_for_event(&mut a.control, "a failed send", |t| {
             matches!(t, LinkEvent::SendFailed { .. }).then(|| t.clone())
