--- a/crates/control/src/control/mod.rs
+++ b/crates/control/src/control/mod.rs
@@ -1,7 +1,8 @@
 //! [`Control`]: the state of a router's control plane, and its entry points.
 //!
-//! Each event is passed to the packages concerned (registers, membership, table, overlay), and their actions are executed by the modules below.
-//! Durable writes are collected until [`Event::Flush`] and committed together; actions that depend on them follow [`Event::CommitFinished`].
+//! Each event is passed to the packages concerned (registers, membership, table, overlay), and their actions are executed by the modules
+//! below. Durable writes are collected until [`Event::Flush`] and committed together; actions that depend on them follow
+//! [`Event::CommitFinished`].
 //!
 //! | file | state or rule |
 //! | --- | --- |
@@ -225,7 +226,7 @@
                 self.start_background_change(now, key, background::Operation::Apply(change));
             }
             ControlRequest::Purge(purge) => self.on_local_purge(now, purge),
-            ControlRequest::Rules(name, text) => self.parts.table.set_rules(name, text),
+            ControlRequest::Rules { file_name, text } => self.parts.table.set_rules(file_name, text),
             ControlRequest::ReportEvidence(evidence) => {
                 self.handle_membership(now, membership::Event::LocalEvidence(evidence));
             }
