--- a/crates/node/tests/placement.rs
+++ b/crates/node/tests/placement.rs
@@ -131,7 +131,7 @@
     wait_until("the rejection is counted", || rig.counters(0).get("reloads_refused") == Some(&1.0));
     // New rules are not adopted together with another change of the section.
     let settings = rig.routers[0].data_folder.with_file_name("router-0.yaml");
-    let before = std::fs::read_to_string(&settings).expect("the file is written");
+    let before = std::fs::read_to_string(&settings).expect("the file is read");
     std::fs::write(&settings, before.replace("\"copies\": 3", "\"copies\": 3, \"shards\": 9"))
         .expect("the file is written");
     std::fs::write(&file, NEW_RULES).expect("the file is written");
